--- a/Makefile
+++ b/Makefile
@@ -22,21 +22,21 @@
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
 run: build
-	EDGE_CONFIG=$(CONFIG) target/release/barleydrum
+	EDGE_CONFIG=$(CONFIG) target/release/shard-broker
 
 measure-control:
-	cargo build --release --locked --package lab
-	target/release/barleydrum-lab measure control --size $(or $(SIZE),full)
+	cargo build --release --locked --package broker-bench
+	target/release/broker-bench measure control --size $(or $(SIZE),full)
 
 # AGAINST=path of an earlier build of the program.
 measure-lean:
-	cargo build --release --locked --package broker --package lab
-	target/release/barleydrum-lab measure lean --against $(AGAINST)
+	cargo build --release --locked --package broker --package broker-bench
+	target/release/broker-bench measure lean --against $(AGAINST)
 
 measure-trace:
-	cargo build --release --locked --package lab
-	target/release/barleydrum-lab measure trace --size $(or $(SIZE),full)
+	cargo build --release --locked --package broker-bench
+	target/release/broker-bench measure trace --size $(or $(SIZE),full)
 
 measure-rehearsal:
-	cargo build --release --locked --package lab
-	target/release/barleydrum-lab measure rehearsal --size $(or $(SIZE),full)
+	cargo build --release --locked --package broker-bench
+	target/release/broker-bench measure rehearsal --size $(or $(SIZE),full)
--- a/crates/admission/src/allowance.rs
+++ b/crates/admission-control/src/allowance.rs
@@ -1,7 +1,7 @@
 //! What the door allows: the operator's figures, and what is wrong with them. Their defaults, and what each
 //! does, stand with the decisions in `door.rs`.
 
-use barleydrum::Tenths;
+use routing::Tenths;
 use thiserror::Error;
 
 /// How the door shares what there is. `Allowance::default()` is what `docs/operate-admission.md` lists.
--- a/crates/admission/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -5,7 +5,7 @@
 use crate::state::{Asked, Caller, Instance};
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
-use barleydrum::{
+use routing::{
     CallerNo, Effect, GroupNo, Input, NewRetrieval, Prescription, PushEnd, PushOutcome, RetrievalId, Tenths,
 };
 use std::collections::BTreeSet;
--- a/crates/admission/src/gated.rs
+++ b/crates/admission-control/src/gated.rs
@@ -1,7 +1,7 @@
 //! The door and the module together, turned as the module alone is.
 
 use crate::door::Door;
-use barleydrum::{Broker, Effect, Input, Tenths};
+use routing::{Broker, Effect, Input, Tenths};
 
 /// A broker's module behind its door.
 pub struct Gated {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use admission::{Allowance, Door, Gated};
-//! use barleydrum::{Broker, Input, Prescription, Tenths};
+//! use routing::{Broker, Input, Prescription, Tenths};
 //!
 //! let prescription = Prescription::default();
 //! let door = Door::new(Allowance::default(), &prescription).expect("the defaults are sound");
@@ -22,8 +22,8 @@
 //! assert!(gated.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 //!
-//! [`Broker::turn`]: barleydrum::Broker::turn
-//! [`Prescription`]: barleydrum::Prescription
+//! [`Broker::turn`]: routing::Broker::turn
+//! [`Prescription`]: routing::Prescription
 
 mod allowance;
 mod door;
--- a/crates/admission/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,7 +1,7 @@
 //! What the door remembers, by how long it lives: a retrieval for the turn in which it is asked, a caller
 //! while it asks, the door for as long as the broker runs.
 
-use barleydrum::{CallerNo, CategoryNo, GroupNo, RetrievalId, Tenths, Window};
+use routing::{CallerNo, CategoryNo, GroupNo, RetrievalId, Tenths, Window};
 use std::collections::BTreeMap;
 
 /// A retrieval that is asked in this turn.
--- a/crates/admission/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -1,7 +1,7 @@
 //! The door's decisions, each case a failure it is there for.
 
-use admission::{Allowance, Door, Gated, Mode};
-use barleydrum::*;
+use admission_control::{Allowance, Door, Gated, Mode};
+use routing::*;
 use rstest::rstest;
 
 /// One broker, two nodes, quotas as given, callers may be told when to come back.
--- a/crates/lab/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -11,7 +11,7 @@
 //! | 6 | parts that reach hosts again, in any window, beside what was asked in it |
 
 use crate::outcome::Outcome;
-use barleydrum::{EffectKind, FurtherBudget, Standing, Tenths};
+use routing::{EffectKind, FurtherBudget, Standing, Tenths};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the rules are for one category.
--- a/crates/lab/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -2,7 +2,7 @@
 //! alone, without one of the exceptions that `docs/design.md` lists (no further pushes, no copies, no room,
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
-use barleydrum::{
+use routing::{
     Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewPart, NewRetrieval, NodeId, PartId,
     Prescription, PushEnd, PushOutcome, RetrievalId, Standing, Tenths,
 };
--- a/crates/lab/src/demo.rs
+++ b/crates/broker-bench/src/demo.rs
@@ -3,10 +3,10 @@
 
 use crate::rehearse::Mind;
 use crate::traces::{Planned, Played, Tolerance, run_plan, take_rows};
+use cluster_trace::plan::Planner;
+use cluster_trace::{Policy, Reader, layout};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use trace::plan::Planner;
-use trace::{Policy, Reader, layout};
 
 /// In the layouts of Google's trace of 2011. Written for this by hand and by rule, no part of any trace.
 const TASKS: &str = include_str!("../demo/task_events.csv");
@@ -54,7 +54,7 @@
     let plan = match made {
         Ok(plan) => plan,
         Err(why) => {
-            eprintln!("barleydrum-lab: {why}");
+            eprintln!("broker-bench: {why}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/lab/src/fleet.rs
+++ b/crates/broker-bench/src/fleet.rs
@@ -2,8 +2,10 @@
 //! keeper, or by the baseline: call again after a fixed wait. The service, the network and the troubles are a
 //! model.
 
-use barleydrum::Tenths;
-use control::{Digest, Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Sample, StreamNo, VersionId};
+use config_rollout::{
+    Digest, Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Sample, StreamNo, VersionId,
+};
+use routing::Tenths;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/lab/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -5,12 +5,12 @@
 use crate::outcome::Outcome;
 use crate::rehearse::{Cast, Mind, World};
 use crate::weather::{Do, Weather};
-use barleydrum::Tenths;
-use incidents::{Act, Change, Fleet, Moment, Scenario};
-use ledger_host::Cancel;
+use cluster_trace::plan::{Cast as Role, Entry, Happens, HostEvent, Plan, Staging};
+use fault_scenarios::{Act, Change, Fleet, Moment, Scenario};
+use node_emulator::Cancel;
+use routing::Tenths;
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
-use trace::plan::{Cast as Role, Entry, Happens, HostEvent, Plan, Staging};
 
 /// Hosts of a cell; milliseconds of work of a part, on average; cores of a host.
 const CELL: u32 = 5;
@@ -159,9 +159,9 @@
         let (near, far) = (Tenths::from_ms(scenario.near_ms), Tenths::from_ms(scenario.far_ms));
         let weather = Weather::new(fleet, near, far, seed);
         let cancel = match scenario.cancel {
-            incidents::Cancel::All => Cancel::All,
-            incidents::Cancel::Waiting => Cancel::Waiting,
-            incidents::Cancel::Nothing => Cancel::Nothing,
+            fault_scenarios::Cancel::All => Cancel::All,
+            fault_scenarios::Cancel::Waiting => Cancel::Waiting,
+            fault_scenarios::Cancel::Nothing => Cancel::Nothing,
         };
         let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
         let cast = Cast { brokers, mind, seed, cells, cores: CORES, warm_jobs, cancel };
--- a/crates/lab/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::rehearse::World;
-use incidents::{LIBRARY, find};
+use cluster_trace::plan::{Happens, HostEvent};
+use fault_scenarios::{LIBRARY, find};
 use rayon::prelude::*;
 use rstest::rstest;
-use trace::plan::{Happens, HostEvent};
 
 fn day(name: &str, seed: u64, mind: Mind) -> Outcome {
     let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
--- a/crates/lab/src/laboratory.rs
+++ b/crates/broker-bench/src/laboratory.rs
@@ -4,7 +4,7 @@
 use crate::incident::{Day, recovers};
 use crate::reading::peak_kb;
 use crate::rehearse::Mind;
-use incidents::{LIBRARY, Scenario};
+use fault_scenarios::{LIBRARY, Scenario};
 use rayon::prelude::*;
 use serde_json::json;
 use std::time::Instant;
@@ -29,7 +29,7 @@
 const DEARER: f64 = 4.0;
 
 fn scenario(name: &str) -> Result<Scenario, String> {
-    let text = incidents::find(name).ok_or(format!("no scenario `{name}`"))?;
+    let text = fault_scenarios::find(name).ok_or(format!("no scenario `{name}`"))?;
     Scenario::read(name, text).map_err(|mistakes| format!("{name}: {mistakes:?}"))
 }
 
--- a/crates/lab/src/lean.rs
+++ b/crates/broker-bench/src/lean.rs
@@ -1,8 +1,8 @@
 //! `measure lean`: what the platform's program costs, beside an earlier build of it, in turn, on loopback
 //! sockets. Nothing is switched on: a feature that is off must cost nothing.
 
-use ledger_host::Build;
-use ledger_host::net::Served;
+use node_emulator::Build;
+use node_emulator::net::Served;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -63,7 +63,7 @@
     // A tenth of a millisecond for a part, with cores for all that one client has out.
     let node = Served::start(Build::default(), |_, _| 100).map_err(|e| e.to_string())?;
     let address = node.address;
-    let folder = std::env::temp_dir().join(format!("barleydrum-lab-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("broker-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
     let config: PathBuf = folder.join("config.json");
     std::fs::write(&config, self::config(address).to_string()).map_err(|e| e.to_string())?;
--- a/crates/lab/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -13,10 +13,11 @@
 use crate::outcome::{Of, Outcome, Standings};
 use crate::rehearse::Cast;
 use crate::scene::{self, ROLL_LATE};
-use barleydrum::{Standing, Tenths};
 use broker::{Order, Running};
-use ledger_host::script::{self, Catalog, Client, Heard, Node, Part, Reply};
-use ledger_host::{Host, JobNo, Load, State, Taken};
+use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
+use node_emulator::script::{self, Catalog, Client, Heard, Node, Part, Reply};
+use node_emulator::{Host, JobNo, Load, State, Taken};
+use routing::{Standing, Tenths};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
@@ -25,7 +26,6 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
-use trace::plan::{Happens, HostEvent, Plan, Staging};
 
 /// Why a day on sockets has no figure.
 #[derive(Debug, Error)]
@@ -118,7 +118,7 @@
     patience: Duration,
     now: Tenths,
     last: Tenths,
-    plan: VecDeque<trace::plan::Entry>,
+    plan: VecDeque<cluster_trace::plan::Entry>,
     cast: Cast,
     names: Vec<String>,
     cut_offs: Vec<u32>,
--- a/crates/lab/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::rehearse::Mind;
-use ledger_host::Cancel;
+use cluster_trace::plan::{Budget, Entry};
+use node_emulator::Cancel;
 use rstest::rstest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use trace::plan::{Budget, Entry};
 
 fn staging() -> Staging {
     let budget = Some(Budget { few: 3.0, share: 0.1, window_ms: 5000 });
--- a/crates/lab/src/main.rs
+++ b/crates/broker-bench/src/main.rs
@@ -26,11 +26,11 @@
 
 #[derive(Parser)]
 #[command(
-    name = "barleydrum-lab",
+    name = "broker-bench",
     version,
-    after_help = "Examples:\n  barleydrum-lab measure control\n  barleydrum-lab measure control --size small --seed 7\n  \
-        barleydrum-lab trace check task_events/part-00000-of-00500.csv.gz\n  \
-        barleydrum-lab trace check --layout azure-2017-vmtable --tolerate 0.01 --json vms.csv"
+    after_help = "Examples:\n  broker-bench measure control\n  broker-bench measure control --size small --seed 7\n  \
+        broker-bench trace check task_events/part-00000-of-00500.csv.gz\n  \
+        broker-bench trace check --layout azure-2017-vmtable --tolerate 0.01 --json vms.csv"
 )]
 struct Words {
     #[command(subcommand)]
@@ -42,7 +42,7 @@
     /// A first look: brokers, hosts and discovery on loopback play a small trace that comes with the program.
     Demo {
         /// Where the page of plots is left.
-        #[arg(long, value_name = "FILE", default_value = "barleydrum-demo.html")]
+        #[arg(long, value_name = "FILE", default_value = "broker-bench-demo.html")]
         report: PathBuf,
     },
     /// Play scripted incidents in virtual time, by several seeds, beside a baseline. Its figures are
@@ -62,10 +62,10 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// lean: the program.
-        #[arg(long, default_value = "target/release/barleydrum")]
+        #[arg(long, default_value = "target/release/shard-broker")]
         program: PathBuf,
         /// lean: the earlier build.
-        #[arg(long, default_value = "target/release/barleydrum")]
+        #[arg(long, default_value = "target/release/shard-broker")]
         against: PathBuf,
     },
 }
@@ -155,7 +155,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("barleydrum-lab: {why}");
+            eprintln!("broker-bench: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -2,8 +2,8 @@
 //! by second.
 
 use crate::audit::{Break, Near};
-use barleydrum::Tenths;
 use hdrhistogram::Histogram;
+use routing::Tenths;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/reading.rs
+++ b/crates/broker-bench/src/reading.rs
@@ -2,12 +2,12 @@
 //! reader, in turn on one file that is made here and removed.
 
 use crate::rush;
+use cluster_trace::{Ledger, Order, Policy, Reader, Verdict, Window, layout};
 use serde_json::json;
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
-use trace::{Ledger, Order, Policy, Reader, Verdict, Window, layout};
 
 const ROUNDS: usize = 3;
 /// The readers do more than split a line: half of the bare reader's speed is wanted.
@@ -27,7 +27,7 @@
 
 /// Rows as `task_events` has them, in order of time, a thousandth of them bad.
 fn make(rows: u64, seed: u64) -> std::io::Result<Made> {
-    let path = std::env::temp_dir().join(format!("barleydrum-lab-{}-{rows}.csv", std::process::id()));
+    let path = std::env::temp_dir().join(format!("broker-bench-{}-{rows}.csv", std::process::id()));
     let made = Made(path);
     let mut to = BufWriter::new(File::create(&made.0)?);
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/broker-bench/src/rehearsal.rs
@@ -6,7 +6,7 @@
 use crate::rehearse::Mind;
 use crate::report;
 use clap::Args;
-use incidents::{LIBRARY, Scenario, find};
+use fault_scenarios::{LIBRARY, Scenario, find};
 use rayon::prelude::*;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
 
 fn scenarios(which: &str) -> Result<Vec<Scenario>, String> {
     let read = |name: &str, text: &str| {
-        let wrong = |mistakes: Vec<incidents::Mistake>| {
+        let wrong = |mistakes: Vec<fault_scenarios::Mistake>| {
             mistakes.iter().map(|mistake| format!("{name}: {mistake}")).collect::<Vec<_>>().join("\n")
         };
         Scenario::read(name, text).map_err(wrong)
@@ -70,7 +70,7 @@
     let all = match scenarios(&words.scenario) {
         Ok(all) => all,
         Err(why) => {
-            eprintln!("barleydrum-lab: {why}");
+            eprintln!("broker-bench: {why}");
             return ExitCode::from(2);
         }
     };
@@ -127,7 +127,7 @@
         let title =
             format!("simulated: {}, {hosts} hosts, {brokers} brokers, seed {}", all[0].name, seeds[0]);
         if let Err(why) = report::write(path, day, &day.json(), &title) {
-            eprintln!("barleydrum-lab: {}: {why}", path.display());
+            eprintln!("broker-bench: {}: {why}", path.display());
             return ExitCode::from(2);
         }
     }
@@ -198,7 +198,7 @@
             let (plan, staging, cast) = match day.on_sockets() {
                 Ok(parts) => parts,
                 Err(why) => {
-                    eprintln!("barleydrum-lab: {why}");
+                    eprintln!("broker-bench: {why}");
                     return ExitCode::from(2);
                 }
             };
@@ -207,7 +207,7 @@
             let sockets = match crate::loopback::play(plan, &staging, cast, |_, _| true) {
                 Ok(outcome) => outcome,
                 Err(why) => {
-                    eprintln!("barleydrum-lab: {}: {why}", scenario.name);
+                    eprintln!("broker-bench: {}: {why}", scenario.name);
                     return ExitCode::from(3);
                 }
             };
--- a/crates/lab/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -8,17 +8,17 @@
 use crate::outcome::{Of, Outcome, Standings};
 use crate::scene::{self, PERIOD, ROLL_LATE, TRIP};
 use crate::weather::{Do, Weather};
-use admission::{Allowance, Door, Gated};
-use barleydrum::{
+use admission_control::{Allowance, Door, Gated};
+use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
+use fault_scenarios::{Change, Clients, Fleet, Moment};
+use node_emulator::{Cancel, Host, JobNo, State, Taken};
+use routing::{
     Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId,
     Prescription, PushEnd, PushNo, PushOutcome, RetrievalId, Roll, RollEntry, RollKind, ShardNo, Standing,
     Tenths, ZoneNo,
 };
-use incidents::{Change, Clients, Fleet, Moment};
-use ledger_host::{Cancel, Host, JobNo, State, Taken};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use trace::plan::{Happens, HostEvent, Plan, Staging};
 
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -445,7 +445,7 @@
     /// A new process, unless something else still holds it down.
     fn rise(&mut self, host: usize) {
         let book = &self.weather.books[host];
-        if book.standing() == incidents::Standing::Ready && !book.is_silent() {
+        if book.standing() == fault_scenarios::Standing::Ready && !book.is_silent() {
             let speed = book.speed();
             self.hosts[host].start(self.now);
             self.hosts[host].slow(speed);
--- a/crates/lab/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use ledger_host::Cancel;
+use cluster_trace::plan::{Budget, Cast as Role, Entry, Repeats};
+use node_emulator::Cancel;
 use rstest::rstest;
-use trace::plan::{Budget, Cast as Role, Entry, Repeats};
 
 /// Four kinds of categories, eight hosts, a tight budget.
 pub fn staging() -> Staging {
--- a/crates/lab/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -3,13 +3,13 @@
 
 use crate::outcome::Outcome;
 use crate::rehearse::{Cast, Mind, World};
-use ledger_host::Cancel;
+use cluster_trace::plan::{Cast as Role, Plan, Planner, Staging};
+use cluster_trace::{Reader, Verdict, layout};
+use node_emulator::Cancel;
 use rayon::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Instant;
-use trace::plan::{Cast as Role, Plan, Planner, Staging};
-use trace::{Reader, Verdict, layout};
 
 /// How large a day is: hosts, brokers, cells, seconds, and jobs a second before the rush.
 pub struct Size {
--- a/crates/lab/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -4,13 +4,13 @@
 use crate::audit::{Bounds, Kind};
 use crate::outcome::Worth;
 use crate::rehearse::Cast;
-use barleydrum::{
+use cluster_trace::plan::{Repeats, Staging};
+use node_emulator::{Build, Host, State};
+use routing::{
     Caller, CallerNo, Category, CategoryNo, EffectKind, FurtherBudget, Layout, Limits, Prescription, Rules,
     Standing, Tenths,
 };
-use ledger_host::{Build, Host, State};
 use serde_json::{Value, json};
-use trace::plan::{Repeats, Staging};
 
 /// One way through the network, the least time between turns, and how late the roll tells of starts and
 /// deaths.
@@ -37,7 +37,7 @@
     }
 }
 
-fn cut_off(told: &trace::plan::Cast) -> Tenths {
+fn cut_off(told: &cluster_trace::plan::Cast) -> Tenths {
     Tenths::from_ms(f64::from(told.cut_off))
 }
 
@@ -84,7 +84,7 @@
 }
 
 pub fn prescription(staging: &Staging, cast: &Cast) -> Prescription {
-    let category = |(no, told): (usize, &trace::plan::Cast)| {
+    let category = |(no, told): (usize, &cluster_trace::plan::Cast)| {
         let (effect, repeat_window) = effect(told.repeats);
         let category = Category {
             goal_time: GOAL.min(cut_off(told)),
@@ -131,7 +131,7 @@
 
 /// The same as the platform's settings, for brokers on sockets.
 pub fn settings(staging: &Staging, cast: &Cast) -> Value {
-    let service = |told: &trace::plan::Cast| {
+    let service = |told: &cluster_trace::plan::Cast| {
         let (kind, window) = effect(told.repeats);
         let word = match kind {
             EffectKind::Reissuable => "idempotent",
@@ -142,8 +142,9 @@
             "Worth": told.payoff, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
     };
     let services: Vec<Value> = staging.categories.iter().map(service).collect();
-    let all =
-        |value: fn(&trace::plan::Cast) -> f64| staging.categories.iter().map(value).collect::<Vec<f64>>();
+    let all = |value: fn(&cluster_trace::plan::Cast) -> f64| {
+        staging.categories.iter().map(value).collect::<Vec<f64>>()
+    };
     let tenant = |(no, quota): (usize, f64)| json!({"Name": caller_name(no), "QuotaRps": quota});
     let tenants: Vec<Value> = quotas(staging).into_iter().enumerate().map(tenant).collect();
     let build = build(cast);
@@ -166,7 +167,7 @@
 }
 
 pub fn bounds(staging: &Staging, slack: Tenths) -> Bounds {
-    let kind = |told: &trace::plan::Cast| {
+    let kind = |told: &cluster_trace::plan::Cast| {
         let (effect, repeat_window) = effect(told.repeats);
         Kind { cut_off: cut_off(told), least: told.least, effect, repeat_window }
     };
@@ -175,7 +176,7 @@
 }
 
 pub fn worth(staging: &Staging) -> Vec<Worth> {
-    let worth = |told: &trace::plan::Cast| Worth {
+    let worth = |told: &cluster_trace::plan::Cast| Worth {
         name: told.name.clone(),
         payoff: told.payoff,
         goal: GOAL.min(cut_off(told)),
--- a/crates/lab/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -6,10 +6,14 @@
 use crate::outcome::Outcome;
 use crate::rehearse::{self, Mind, World};
 use crate::{loopback, report};
-use barleydrum::Tenths;
 use clap::Args;
+use cluster_trace::plan::{Budget, Cast, Plan, Planner, Repeats, Staging};
+use cluster_trace::{
+    LAYOUTS, Layout, Ledger, Order, Policy, Reader, Reason, Row, Sorted, Stop, Verdict, Window, layout,
+};
 use indicatif::{ProgressBar, ProgressStyle};
-use ledger_host::Cancel;
+use node_emulator::Cancel;
+use routing::Tenths;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,10 +21,6 @@
 use std::str::FromStr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use trace::plan::{Budget, Cast, Plan, Planner, Repeats, Staging};
-use trace::{
-    LAYOUTS, Layout, Ledger, Order, Policy, Reader, Reason, Row, Sorted, Stop, Verdict, Window, layout,
-};
 
 /// The policy as a word: `first`, `count`, or a share as `0.01`.
 #[derive(Clone, Copy)]
@@ -57,7 +57,7 @@
                 }
             }
             Err(why) => {
-                eprintln!("barleydrum-lab: {why}");
+                eprintln!("broker-bench: {why}");
                 return ExitCode::from(2);
             }
         }
@@ -86,7 +86,7 @@
 fn unknown(file: &Path) -> ExitCode {
     let names: Vec<&str> = LAYOUTS.iter().map(|layout| layout.name).collect();
     eprintln!(
-        "barleydrum-lab: {}: no layout fits its name; say which with --layout: {}",
+        "broker-bench: {}: no layout fits its name; say which with --layout: {}",
         file.display(),
         names.join(", ")
     );
@@ -270,7 +270,7 @@
     match make_plan(&played.planned) {
         Ok((plan, rejected)) => run_plan(plan, rejected, played),
         Err((why, code)) => {
-            eprintln!("barleydrum-lab: {why}");
+            eprintln!("broker-bench: {why}");
             ExitCode::from(code)
         }
     }
@@ -279,14 +279,14 @@
 /// Plays a plan, and tells how it went.
 pub fn run_plan(plan: Plan, rejected: u64, played: &Played) -> ExitCode {
     if played.loopback && played.mind != Mind::Module {
-        eprintln!("barleydrum-lab: on loopback the broker plays, which has the module: no --mind there");
+        eprintln!("broker-bench: on loopback the broker plays, which has the module: no --mind there");
         return ExitCode::from(2);
     }
     let plan_digest = plan.digest();
     let outcome = match play(plan, played) {
         Ok(outcome) => outcome,
         Err(why) => {
-            eprintln!("barleydrum-lab: no figure: {why}");
+            eprintln!("broker-bench: no figure: {why}");
             return ExitCode::from(BUSY);
         }
     };
@@ -303,7 +303,7 @@
     if let Some(path) = &played.report
         && let Err(why) = report::write(path, &outcome, &told, &title(played))
     {
-        eprintln!("barleydrum-lab: {}: {why}", path.display());
+        eprintln!("broker-bench: {}: {why}", path.display());
         return ExitCode::from(2);
     }
     match outcome.stopped_at {
@@ -371,7 +371,7 @@
             ExitCode::SUCCESS
         }
         Err((why, code)) => {
-            eprintln!("barleydrum-lab: {why}");
+            eprintln!("broker-bench: {why}");
             ExitCode::from(code)
         }
     }
@@ -460,8 +460,8 @@
     mut taken: impl FnMut(&Row) -> Result<(), String>,
 ) -> Result<Checked, String> {
     let mut order = Order::new(Window::default());
-    let machines_told =
-        layout.columns.iter().all(|column| column.3 != trace::Role::Job) && layout.sorted == Sorted::ByTime;
+    let machines_told = layout.columns.iter().all(|column| column.3 != cluster_trace::Role::Job)
+        && layout.sorted == Sorted::ByTime;
     let mut checked =
         Checked { ledger: Ledger::new(policy, machines_told), steps: Vec::new(), span: None, stop: None };
     let mut out = Vec::new();
--- a/crates/lab/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -2,12 +2,12 @@
 //! wait; then one whose streams are dropped all the while; then a version that fails.
 
 use crate::fleet::{Fleet, Happening, Manner, Outcome, SECOND};
-use barleydrum::Tenths;
-use control::{Digest, Patience, VersionId};
-use control_client::wire::{self, TYPE_URL, Version};
+use config_rollout::{Digest, Patience, VersionId};
+use config_rollout_client::wire::{self, TYPE_URL, Version};
 use envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use hdrhistogram::Histogram;
 use prost::Message;
+use routing::Tenths;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/weather.rs
+++ b/crates/broker-bench/src/weather.rs
@@ -1,8 +1,8 @@
 //! What the troubles of a day come to at a moment: which hosts stand how, which ways are cut or long, what
 //! the roll tells, what clients ask. Decisions and state only; [`crate::rehearse`] carries them out.
 
-use barleydrum::Tenths;
-use incidents::{Act, Book, Change, Fleet};
+use fault_scenarios::{Act, Book, Change, Fleet};
+use routing::Tenths;
 
 /// What is to be done about a host now.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/lab/tests/command.rs
+++ b/crates/broker-bench/tests/command.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 fn lab(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_barleydrum-lab")).args(words).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_broker-bench")).args(words).output().unwrap()
 }
 
 const ROW: &str = "0,5,0,p,0.5,0.2\n";
--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -3,9 +3,9 @@
 
 use crate::{Source, serve, versions};
 use clap::{Parser, Subcommand};
-use intake::Document;
-use operator::Fitting;
+use operator_config::Fitting;
 use serde_json::{Value, json};
+use settings::Document;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,17 +20,17 @@
 /// A broker that reads many shards for one retrieval.
 #[derive(Parser)]
 #[command(
-    name = "barleydrum",
+    name = "shard-broker",
     version,
     after_help = "Without a command the broker starts as EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY say.\n\n\
         Examples:\n  \
-        EDGE_CONFIG=config.json barleydrum\n  \
-        barleydrum serve --config config.json --operator deploy/operator.ini\n  \
-        barleydrum check config.json\n  \
-        barleydrum check --json version-12.json\n  \
-        barleydrum reshape config.json --shape shape.ini --dry-run\n  \
-        barleydrum reshape config.json --shape shape.ini --zone cremona --to new.json\n  \
-        barleydrum control status --at 127.0.0.1:18001\n\n\
+        EDGE_CONFIG=config.json shard-broker\n  \
+        shard-broker serve --config config.json --operator deploy/operator.ini\n  \
+        shard-broker check config.json\n  \
+        shard-broker check --json version-12.json\n  \
+        shard-broker reshape config.json --shape shape.ini --dry-run\n  \
+        shard-broker reshape config.json --shape shape.ini --zone cremona --to new.json\n  \
+        shard-broker control status --at 127.0.0.1:18001\n\n\
         Exit codes: 0 done, 1 can't serve, 2 a mistake in the words or in a checked file, 3 no broker answers."
 )]
 struct Words {
@@ -138,19 +138,20 @@
 
 fn read_operator(path: &Path) -> Result<Fitting, Vec<String>> {
     let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()])?;
-    operator::read(&text).map_err(|mistakes| mistakes.iter().map(ToString::to_string).collect())
+    operator_config::read(&text).map_err(|mistakes| mistakes.iter().map(ToString::to_string).collect())
 }
 
 /// Makes the new file, checks that a broker would start from it, and writes it where there is none.
 fn reshape_file(old: &Path, shape: &Path, zone: Option<&str>, to: Option<&Path>, as_json: bool) -> ExitCode {
-    let words = |list: &[reshape::Unfit]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let words = |list: &[settings_migration::Unfit]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
     let shaped = std::fs::read_to_string(shape).map_err(|e| vec![e.to_string()]);
-    let read = match shaped.and_then(|text| reshape::Shape::read(&text).map_err(|unfit| words(&unfit))) {
-        Ok(read) => read,
-        Err(mistakes) => return tell(shape, &mistakes, as_json),
-    };
+    let read =
+        match shaped.and_then(|text| settings_migration::Shape::read(&text).map_err(|unfit| words(&unfit))) {
+            Ok(read) => read,
+            Err(mistakes) => return tell(shape, &mistakes, as_json),
+        };
     let text = std::fs::read(old).map_err(|e| vec![e.to_string()]);
-    let made = match text.and_then(|text| reshape::reshape(&text, &read, zone)) {
+    let made = match text.and_then(|text| settings_migration::reshape(&text, &read, zone)) {
         Ok(made) => made,
         Err(mistakes) => return tell(old, &mistakes, as_json),
     };
@@ -172,7 +173,7 @@
     made.left.iter().for_each(|(key, why)| println!("not carried over: `{key}`: {why}"));
     match to {
         Some(to) => {
-            println!("{}: written; `barleydrum check` holds it against the rules again", to.display())
+            println!("{}: written; `shard-broker check` holds it against the rules again", to.display())
         }
         None => println!("nothing was written; --to FILE writes the new file"),
     }
@@ -201,10 +202,10 @@
         .ok()
         .and_then(|mut file| Some(file.get_mut("settings")?.take().to_string()));
     let Some(settings) = settings else {
-        return intake::check(&document).iter().map(ToString::to_string).collect();
+        return settings::check(&document).iter().map(ToString::to_string).collect();
     };
     let mut mistakes = match Document::parse(settings.as_bytes(), MOST) {
-        Ok(settings) => intake::check(&settings).iter().map(|m| format!("settings: {m}")).collect(),
+        Ok(settings) => settings::check(&settings).iter().map(|m| format!("settings: {m}")).collect(),
         Err(why) => vec![format!("settings: {why}")],
     };
     // What stands around the settings; the addresses may come from the environment.
@@ -231,7 +232,7 @@
         println!("{}: sound", path.display());
     } else {
         mistakes.iter().for_each(|mistake| eprintln!("{}: {mistake}", path.display()));
-        let next = "mend what is named, and check again: `barleydrum check FILE` starts nothing";
+        let next = "mend what is named, and check again: `shard-broker check FILE` starts nothing";
         eprintln!("{} mistakes; {next}", mistakes.len());
     }
     if sound { ExitCode::SUCCESS } else { ExitCode::from(2) }
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -5,14 +5,14 @@
 use crate::limits::{Limits, span};
 use crate::listing::Listing;
 use crate::nodes::{Ended, Nodes, PushId, Sending};
-use admission::{Allowance, Door, Gated};
-use barleydrum::{
+use admission_control::{Allowance, Door, Gated};
+use bytes::Bytes;
+use routing::{
     Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId,
     Prescription, Probed, PushEnd, PushNo, PushOutcome, RetrievalId, Roll, RollEntry, RollKind, ShardNo,
     Standing, Tenths, ZoneNo,
 };
-use bytes::Bytes;
-use intake::Intake;
+use settings::Intake;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -157,7 +157,7 @@
     last_node: u64,
 }
 
-/// The module, or the module behind its door (`crates/admission`). There is one a broker: the platform's
+/// The module, or the module behind its door (`crates/admission-control`). There is one a broker: the platform's
 /// path, alone, is not given an indirection for the sake of size.
 #[allow(clippy::large_enum_variant)]
 enum Decider {
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -1,8 +1,8 @@
 //! One edition of the prescription, as fronts read it. It never changes; the desk puts a newer one in its
 //! place, and a retrieval keeps the one under which it was taken.
 
-use barleydrum::{Category, CategoryNo, Prescription, Tenths};
-use intake::{Catalogue, Intake};
+use routing::{Category, CategoryNo, Prescription, Tenths};
+use settings::{Catalogue, Intake};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
--- a/crates/broker/src/frame.rs
+++ b/crates/broker/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames between the broker and a node: a length, a letter, the rest.
 
-use barleydrum::{PushEnd, Told};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use routing::{PushEnd, Told};
 use std::io;
 use tokio_util::codec::Decoder;
 
@@ -120,7 +120,7 @@
 pub fn read_report(words: &[u8]) -> Vec<(Told, f64)> {
     let words = std::str::from_utf8(words).unwrap_or_default();
     let values = words.split(',').take(REPORTED).filter_map(|field| field.split_once('='));
-    values.filter_map(|(name, value)| Some((intake::told(name), value.parse().ok()?))).collect()
+    values.filter_map(|(name, value)| Some((settings::told(name), value.parse().ok()?))).collect()
 }
 
 /// Reads `ID END SCORE REPORT`, a line feed, and the value. No decision reads the report: one that can't be
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::desk::Desk;
 use crate::limits::{Limits, Machine};
-use intake::Intake;
 use rstest::rstest;
+use settings::Intake;
 use std::io::{Read, Write};
 
 /// A front that knows no node, and keeps so many idle connections.
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,4 +1,4 @@
-//! A broker of barleydrum's on real sockets: clients and discovery by HTTP, nodes by frames.
+//! A broker on real sockets: clients and discovery by HTTP, nodes by frames.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
@@ -25,18 +25,18 @@
 pub mod retrieval;
 pub mod roll;
 mod start;
-#[cfg_attr(not(feature = "control"), path = "versions_off.rs")]
+#[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
 mod versions;
 
 pub use leave::word;
-pub use operator::{Control, Fitting, LogForm};
+pub use operator_config::{Control, Fitting, LogForm};
 pub use start::{Order, Source};
 
-use barleydrum::RollKind;
 use desk::Desk;
 use front::Front;
 use limits::Limits;
 use retrieval::{Counter, Wrongs};
+use routing::RollKind;
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -1,7 +1,7 @@
 //! All sizes, counts and times of the broker on sockets, filled at start and handed down.
 
-use barleydrum::Tenths;
-use intake::Intake;
+use routing::Tenths;
+use settings::Intake;
 use std::time::Duration;
 
 /// What the machine gives the broker.
--- a/crates/broker/src/listing.rs
+++ b/crates/broker/src/listing.rs
@@ -1,6 +1,6 @@
 //! Nodes as discovery writes them down, in its own words.
 
-use barleydrum::Standing;
+use routing::Standing;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/broker/src/main.rs
+++ b/crates/broker/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `barleydrum`: one broker on sockets, as its environment says.
+//! The program `shard-broker`: one broker on sockets, as its environment says.
 
 fn main() -> std::process::ExitCode {
     broker::run()
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -2,9 +2,9 @@
 
 use crate::frame::{BadFrame, CalledPart, Frames, FromNode, ToNode, is_text};
 use crate::limits::Limits;
-use barleydrum::{NodeId, PartId, PushEnd, PushNo};
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
+use routing::{NodeId, PartId, PushEnd, PushNo};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -3,13 +3,13 @@
 use crate::desk::Desk;
 use crate::limits::Limits;
 use crate::listing::Listing;
-use barleydrum::RollKind;
 use bytes::Bytes;
 use futures_util::stream::FuturesUnordered;
 use futures_util::{FutureExt, StreamExt};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy::{self, connect::HttpConnector};
 use hyper_util::rt::TokioExecutor;
+use routing::RollKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -2,10 +2,10 @@
 
 use crate::limits::{Limits, Machine};
 use crate::listing::Listing;
-use barleydrum::Tenths;
-use intake::Intake;
+use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use settings::Intake;
 use std::net::SocketAddr;
 
 /// All that one broker starts from.
@@ -83,7 +83,7 @@
     /// Reads a config file's text. What the environment says of name and addresses comes first.
     pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Order, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let mut intake = intake::read(file.settings.get().as_bytes())?;
+        let mut intake = settings::read(file.settings.get().as_bytes())?;
         let address = |name: &str, told: Option<String>| -> Result<SocketAddr, String> {
             let variable = format!("EDGE_{}", name.to_uppercase());
             let text = env(&variable).or(told).ok_or(format!("`{name}` is missing"))?;
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -5,12 +5,12 @@
 use crate::Order;
 use crate::desk::Desk;
 use crate::edition::{Edition, Tally};
-use barleydrum::Prescription;
-use control::{Sample, VersionId};
-use control_client::{Post, Restored, Seat, Shown, csds, follow, restore, show};
-use intake::{Document, Intake, check};
-use operator::Control;
+use config_rollout::{Sample, VersionId};
+use config_rollout_client::{Post, Restored, Seat, Shown, csds, follow, restore, show};
+use operator_config::Control;
+use routing::Prescription;
 use serde_json::json;
+use settings::{Document, Intake, check};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -161,14 +161,14 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("barleydrum: {e}");
+            eprintln!("shard-broker: {e}");
             return ExitCode::FAILURE;
         }
     };
     let told = match runtime.block_on(csds::ask(address, within)) {
         Ok(told) => told,
         Err(why) => {
-            eprintln!("barleydrum: no status from {address}: {why}");
+            eprintln!("shard-broker: no status from {address}: {why}");
             return ExitCode::from(3);
         }
     };
--- a/crates/broker/src/versions/tests.rs
+++ b/crates/broker/src/versions/tests.rs
@@ -1,7 +1,7 @@
 //! What a new version leaves as it was worked out at the start.
 
 use super::*;
-use barleydrum::Tenths;
+use routing::Tenths;
 use rstest::rstest;
 
 /// A document has the settings' silence; on sockets lists are asked for sooner, also after a version was taken.
--- a/crates/broker/src/versions_off.rs
+++ b/crates/broker/src/versions_off.rs
@@ -2,7 +2,7 @@
 
 use crate::Order;
 use crate::desk::Desk;
-use operator::Control;
+use operator_config::Control;
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 pub struct Follower(Infallible);
 
 const WITHOUT: &str =
-    "[control] is switched on, but this program is built without it (cargo build --features control)";
+    "[control] is switched on, but this program is built without it (cargo build --features config-rollout)";
 
 pub fn prepare(_: &mut Order, _: Control) -> io::Result<Follower> {
     Err(io::Error::other(WITHOUT))
@@ -26,6 +26,8 @@
 }
 
 pub fn status(_: SocketAddr, _: Duration, _: bool) -> ExitCode {
-    eprintln!("barleydrum: this program is built without `control` (cargo build --features control)");
+    eprintln!(
+        "shard-broker: this program is built without `control` (cargo build --features config-rollout)"
+    );
     ExitCode::from(2)
 }
--- a/crates/broker/tests/command.rs
+++ b/crates/broker/tests/command.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn barleydrum(words: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_barleydrum"));
+fn shard_broker(words: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_shard-broker"));
     for variable in ["EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"] {
         command.env_remove(variable);
     }
@@ -44,7 +44,7 @@
     let (_one, document) = file("12.json", &settings().to_string());
     let (_other, broker) = file("config.json", &config(&settings()).to_string());
     for path in [shipped().to_str().unwrap(), &document, &broker] {
-        let output = barleydrum(&["check", path]);
+        let output = shard_broker(&["check", path]);
         assert_eq!(output.status.code(), Some(0), "{path}: {output:?}");
     }
 }
@@ -60,7 +60,7 @@
     settings["Limits"]["MaxOpen"] = json!("many");
     let text = if whole { config(&settings) } else { settings };
     let (_folder, path) = file("config.json", &text.to_string());
-    let output = barleydrum(&["check", &path]);
+    let output = shard_broker(&["check", &path]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{told}");
     for part in
@@ -68,7 +68,7 @@
     {
         assert!(told.contains(part), "{part} not in {told}");
     }
-    let output = barleydrum(&["check", "--json", &path]);
+    let output = shard_broker(&["check", "--json", &path]);
     let told: Value = serde_json::from_slice(&output.stdout).unwrap();
     let mistakes = told["mistakes"].as_array().unwrap().len();
     assert_eq!((output.status.code(), &told["sound"], mistakes), (Some(2), &json!(false), 3));
@@ -81,7 +81,7 @@
 #[case(&["serve"], 1, "EDGE_CONFIG is not set")]
 #[case(&["serve", "--config", "/nowhere/config.json"], 1, "/nowhere/config.json")]
 fn tells_what_is_wrong_with_its_words(#[case] words: &[&str], #[case] code: i32, #[case] told: &str) {
-    let output = barleydrum(words);
+    let output = shard_broker(words);
     let all = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(code), "{all}");
     assert!(all.contains(told), "{all}");
@@ -89,43 +89,43 @@
 
 #[rstest]
 fn helps_with_examples() {
-    let output = barleydrum(&["--help"]);
+    let output = shard_broker(&["--help"]);
     let told = String::from_utf8(output.stdout).unwrap();
     assert_eq!(output.status.code(), Some(0));
-    assert!(told.contains("barleydrum check config.json") && told.contains("Exit codes"), "{told}");
+    assert!(told.contains("shard-broker check config.json") && told.contains("Exit codes"), "{told}");
 }
 
 /// An operator's file with a mistake starts nothing.
 #[rstest]
 fn does_not_start_by_a_wrong_operators_file() {
     let (_folder, path) = file("operator.ini", "[control]\nservise = 127.0.0.1:1\n");
-    let output = barleydrum(&["serve", "--config", "/nowhere", "--operator", &path]);
+    let output = shard_broker(&["serve", "--config", "/nowhere", "--operator", &path]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(told.contains("line 2: `servise` is no key of [control]: `services` is the nearest"), "{told}");
 }
 
 /// Nobody is left to think that versions are followed by a program that can't.
-#[cfg(not(feature = "control"))]
+#[cfg(not(feature = "config-rollout"))]
 #[rstest]
 fn says_that_it_is_built_without_versions() {
     let (_one, operator) = file("operator.ini", "[control]\nservices = 127.0.0.1:1\ninstallation = north\n");
     let (_other, config) = file("config.json", &config(&settings()).to_string());
-    let output = barleydrum(&["serve", "--config", &config, "--operator", &operator]);
+    let output = shard_broker(&["serve", "--config", &config, "--operator", &operator]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(told.contains("built without it"), "{told}");
-    assert_eq!(barleydrum(&["control", "status", "--at", "127.0.0.1:1"]).status.code(), Some(2));
+    assert_eq!(shard_broker(&["control", "status", "--at", "127.0.0.1:1"]).status.code(), Some(2));
 }
 
 /// A broker that can't be asked is told apart from wrong words.
-#[cfg(feature = "control")]
+#[cfg(feature = "config-rollout")]
 #[rstest]
 fn tells_when_no_broker_answers() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
-    assert_eq!(barleydrum(&["control", "status", "--at", &address]).status.code(), Some(3));
+    assert_eq!(shard_broker(&["control", "status", "--at", &address]).status.code(), Some(3));
 }
 
 fn shape() -> String {
@@ -142,18 +142,18 @@
     let (folder, path) = file("config.json", &old.to_string());
     let new = folder.path().join("new.json");
     let to = new.to_str().unwrap();
-    let dry = barleydrum(&["reshape", &path, "--shape", &shape(), "--to", to, "--dry-run"]);
+    let dry = shard_broker(&["reshape", &path, "--shape", &shape(), "--to", to, "--dry-run"]);
     let told = String::from_utf8(dry.stdout).unwrap();
     assert_eq!((dry.status.code(), new.exists()), (Some(0), false), "{told}");
     for key in ["`HostTypes`", "`known`", "nothing was written"] {
         assert!(told.contains(key), "{key} not in {told}");
     }
     let output =
-        barleydrum(&["reshape", &path, "--shape", &shape(), "--zone", "mantova", "--to", to, "--json"]);
+        shard_broker(&["reshape", &path, "--shape", &shape(), "--zone", "mantova", "--to", to, "--json"]);
     let told: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!((&told["written"], told["left"].as_array().unwrap().len()), (&json!(true), 2));
     assert_eq!(std::fs::read_to_string(&path).unwrap(), old.to_string());
-    assert_eq!(barleydrum(&["check", to]).status.code(), Some(0));
+    assert_eq!(shard_broker(&["check", to]).status.code(), Some(0));
     let made: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
     assert_eq!((&made["settings"]["Zone"], &made["settings"]["Stats"]["Via"]), (&json!(2), &json!("pull")));
 }
@@ -188,7 +188,7 @@
         }
         _ => {}
     }
-    let output = barleydrum(&["reshape", &path, "--shape", &shape, "--to", &to]);
+    let output = shard_broker(&["reshape", &path, "--shape", &shape, "--to", &to]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(output.status.code() == Some(2) && told.contains(words), "{told}");
     if what == "there" {
@@ -214,7 +214,7 @@
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     wrong.pointer_mut(parent).unwrap()[key] = to;
     let (_folder, path) = file("config.json", &config(&wrong).to_string());
-    let output = barleydrum(&["serve", "--config", &path]);
+    let output = shard_broker(&["serve", "--config", &path]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(output.status.code() == Some(2) && told.contains(words), "{told}");
 }
--- a/crates/broker/tests/control/main.rs
+++ b/crates/broker/tests/control/main.rs
@@ -3,13 +3,13 @@
 
 mod party;
 
-use control_stand_in::{StandIn, Troubles};
 use party::*;
 use rstest::rstest;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
+use xds_test_server::{StandIn, Troubles};
 
 const ANY_PORT: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0));
 /// Calls come soon again, and no trial blames: retrievals that none can serve are part of the play.
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -1,9 +1,9 @@
 //! Who takes part: the program as processes, nodes that answer at once, clients, and documents that can be
 //! told apart from outside.
 
-use control_client::csds::{Told, ask};
-use ledger_host::Build;
-use ledger_host::net::Served;
+use config_rollout_client::csds::{Told, ask};
+use node_emulator::Build;
+use node_emulator::net::Served;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -82,7 +82,7 @@
             start.control
         );
         std::fs::write(path("ini"), operator).unwrap();
-        let mut child = Command::new(env!("CARGO_BIN_EXE_barleydrum"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_shard-broker"))
             .args(["serve", "--config"])
             .arg(path("json"))
             .arg("--operator")
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -1,9 +1,9 @@
 //! Waits that follow from the protocol's clock and the settings.
 
-use barleydrum::Tenths;
 use broker::limits::{Limits, Machine};
-use intake::Intake;
+use routing::Tenths;
 use rstest::rstest;
+use settings::Intake;
 use std::time::Duration;
 
 const MACHINE: Machine = Machine { memory_mb: 192, sockets: 1024 };
@@ -35,8 +35,8 @@
 #[case(90_000.0, 3700)]
 fn leaves_before_the_kill(#[case] deadline: f64, #[case] kill: u64) {
     let mut intake = Intake::default();
-    let category = barleydrum::Category { cut_off: Tenths::from_ms(deadline), ..Default::default() };
-    intake.prescription.categories.insert(barleydrum::CategoryNo(0), category);
+    let category = routing::Category { cut_off: Tenths::from_ms(deadline), ..Default::default() };
+    intake.prescription.categories.insert(routing::CategoryNo(0), category);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     let answered = limits.leave_within + limits.last_answers;
     assert!(answered < Duration::from_millis(kill));
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -4,10 +4,10 @@
 
 use super::stand_ins::*;
 use super::{BOTH, ONE};
-use barleydrum::{CallerNo, CategoryNo, ShardNo, Tenths};
 use broker::Order;
 use broker::desk::{Question, QuestionPart, Verdict};
 use bytes::Bytes;
+use routing::{CallerNo, CategoryNo, ShardNo, Tenths};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -469,7 +469,7 @@
 fn leaves_before_the_kill_though_a_node_hangs() {
     play(async {
         let mut stage = Stage::new(1).await; // its stand-ins serve the program
-        let file = std::env::temp_dir().join(format!("barleydrum-leave-{}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!("shard-broker-leave-{}.json", std::process::id()));
         let nowhere = "127.0.0.1:9";
         std::fs::write(&file, config(&stage.nodes, nowhere).to_string()).unwrap();
         let mut program = Program::start(&file, nowhere);
@@ -495,7 +495,7 @@
 fn answers_what_comes_with_the_word_to_leave() {
     play(async {
         let mut stage = Stage::new(1).await;
-        let file = std::env::temp_dir().join(format!("barleydrum-word-{}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!("shard-broker-word-{}.json", std::process::id()));
         std::fs::write(&file, config(&stage.nodes, "127.0.0.1:9").to_string()).unwrap();
         let mut program = Program::start(&file, "127.0.0.1:9");
         let mut client = std::net::TcpStream::connect(program.listens).unwrap();
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -316,7 +316,7 @@
     play(async {
         let mut old = Stage::new(2).await; // its stand-ins serve the program
         let mut new = Discovery::start().await;
-        let file = std::env::temp_dir().join(format!("barleydrum-{}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!("shard-broker-{}.json", std::process::id()));
         let write = |text: String| std::fs::write(&file, text).unwrap();
         let told = config(&old.nodes, &old.discovery.address().to_string());
         write(told.to_string());
@@ -804,8 +804,10 @@
 #[rstest]
 fn answers_behind_the_door() {
     play(async {
-        let fitting =
-            broker::Fitting { admission: Some(admission::Allowance::default()), ..Default::default() };
+        let fitting = broker::Fitting {
+            admission: Some(admission_control::Allowance::default()),
+            ..Default::default()
+        };
         let mut stage = Stage::fitted(1, |_| (), |_| (), fitting).await;
         for id in ["a", "b"] {
             let mut client = stage.ask(id, "lookup", BOTH).await;
@@ -907,9 +909,10 @@
     play(async {
         let text = "[fleet]\nbrokers = 2\nzones = east, west\n[layout]\ncells = 2\nreach = 1\nshards = 16\n
             [load]\ntold = pull\nprobes = true\nfields = queue\n";
-        let shape = reshape::Shape::read(text).unwrap();
+        let shape = settings_migration::Shape::read(text).unwrap();
         let reshaped = |config: &mut Value| {
-            let made = reshape::reshape(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
+            let made =
+                settings_migration::reshape(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
             *config = serde_json::from_str(&made.text).unwrap();
             // The old fleet's nodes stayed behind; discovery tells the new ones.
             assert!(config.get("known").is_none());
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -1,8 +1,8 @@
-//! A broker among the scripted peers of `ledger_host::script`, as the tests want it.
+//! A broker among the scripted peers of `node_emulator::script`, as the tests want it.
 
 use broker::{Order, Running};
-use ledger_host::script;
-pub use ledger_host::script::{Heard, Node, Part, Reply, framed, request};
+use node_emulator::script;
+pub use node_emulator::script::{Heard, Node, Part, Reply, framed, request};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::future::Future;
@@ -140,7 +140,7 @@
 impl Program {
     /// With a config file, and a discovery that the environment names.
     pub fn start(config: &std::path::Path, discovery: &str) -> Program {
-        let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_barleydrum"))
+        let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_shard-broker"))
             .env("EDGE_CONFIG", config)
             .env("EDGE_DISCOVERY", discovery)
             .stderr(std::process::Stdio::piped())
--- a/crates/trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -1,8 +1,8 @@
 //! What rows become: windows, samples, scales, hosts; and that it is the same each time.
 
+use cluster_trace::plan::{Cast, Happens, HostEvent, NoPlan, Plan, Planner, Repeats, Staging};
+use cluster_trace::{Id, MachineEvent, Row, What, WorkEvent};
 use rstest::rstest;
-use trace::plan::{Cast, Happens, HostEvent, NoPlan, Plan, Planner, Repeats, Staging};
-use trace::{Id, MachineEvent, Row, What, WorkEvent};
 
 const SECOND: u64 = 1_000_000;
 
@@ -78,7 +78,7 @@
 }
 
 fn asks(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
-    let ask = |entry: &trace::plan::Entry| match &entry.what {
+    let ask = |entry: &cluster_trace::plan::Entry| match &entry.what {
         Happens::Ask { category, caller, parts } => {
             Some((entry.at, *category, *caller, parts.iter().map(|part| part.2).sum()))
         }
@@ -88,7 +88,7 @@
 }
 
 fn hosts(plan: &Plan) -> Vec<(u64, u32, HostEvent)> {
-    let event = |entry: &trace::plan::Entry| match entry.what {
+    let event = |entry: &cluster_trace::plan::Entry| match entry.what {
         Happens::Host { host, event } => Some((entry.at, host, event)),
         Happens::Ask { .. } => None,
     };
@@ -225,15 +225,15 @@
     }
     let text: String =
         (0..200).map(|no| format!("{},,{no},0,,0,u{},1,1,0.1,0.1,0,0\n", 100_000_000 + no, no % 7)).collect();
-    let layout = trace::layout("google-2011-task-events").unwrap();
-    let digest = |from: &mut dyn Iterator<Item = trace::Verdict>| {
+    let layout = cluster_trace::layout("google-2011-task-events").unwrap();
+    let digest = |from: &mut dyn Iterator<Item = cluster_trace::Verdict>| {
         let mut planner = Planner::new(staging()).unwrap();
         for verdict in from {
-            let trace::Verdict::Taken(row) = verdict else { panic!("{verdict:?}") };
+            let cluster_trace::Verdict::Taken(row) = verdict else { panic!("{verdict:?}") };
             planner.take(&row).unwrap();
         }
         planner.plan().unwrap().digest()
     };
-    let slow = digest(&mut trace::Reader::new(layout, Trickle(text.as_bytes())).unwrap());
-    assert_eq!(slow, digest(&mut trace::Reader::new(layout, text.as_bytes()).unwrap()));
+    let slow = digest(&mut cluster_trace::Reader::new(layout, Trickle(text.as_bytes())).unwrap());
+    assert_eq!(slow, digest(&mut cluster_trace::Reader::new(layout, text.as_bytes()).unwrap()));
 }
--- a/crates/trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -1,12 +1,12 @@
 //! Hand-written rows in the published layouts: each bad one is rejected with its reason, and nothing is lost
 //! unsaid.
 
+use cluster_trace::*;
 use flate2::Compression;
 use flate2::write::GzEncoder;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::io::Write;
-use trace::*;
 
 const TASK: &str = "google-2011-task-events";
 const MACHINE: &str = "google-2011-machine-events";
@@ -313,7 +313,7 @@
         text = to.finish().unwrap();
         text.truncate(text.len() - 9);
     }
-    let file = std::env::temp_dir().join(format!("barleydrum-trace-{}-{packed}.csv", std::process::id()));
+    let file = std::env::temp_dir().join(format!("cluster-trace-{}-{packed}.csv", std::process::id()));
     std::fs::write(&file, &text).unwrap();
     let open = || Reader::open(layout(MACHINE).unwrap(), &file).unwrap();
     let ahead: Vec<Verdict> = open().collect();
--- a/crates/control-client/src/csds.rs
+++ b/crates/config-rollout-client/src/csds.rs
@@ -3,7 +3,7 @@
 
 use crate::follow::Shown;
 use crate::wire::TYPE_URL;
-use control::{Report, Standing, VersionId};
+use config_rollout::{Report, Standing, VersionId};
 use envoy_types::pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::status::v3::client_config::GenericXdsConfig;
@@ -74,7 +74,7 @@
     }
 }
 
-fn timestamp(tenths: barleydrum::Tenths) -> Timestamp {
+fn timestamp(tenths: routing::Tenths) -> Timestamp {
     let (seconds, rest) = (tenths.0.div_euclid(10_000), tenths.0.rem_euclid(10_000));
     Timestamp { seconds, nanos: (rest * 100_000) as i32 }
 }
--- a/crates/control-client/src/follow.rs
+++ b/crates/config-rollout-client/src/follow.rs
@@ -5,15 +5,15 @@
 use crate::wire::{self, Kept, MOST_ON_WIRE, Version};
 use crate::{csds, keep};
 use arc_swap::ArcSwap;
-use barleydrum::Tenths;
-use control::{
+use config_rollout::{
     Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Report, Sample, ServiceNo, StreamNo, VersionId,
     Word,
 };
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
-use intake::Intake;
+use routing::Tenths;
+use settings::Intake;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/control-client/src/lib.rs
+++ b/crates/config-rollout-client/src/lib.rs
@@ -2,7 +2,7 @@
 //! services by xDS's transport, the last good version in a file, and the client status service (CSDS).
 //!
 //! A broker makes a [`Post`] and gives [`follow`] something that takes prescriptions, a [`Seat`]; everything
-//! else is decided by `control::Keeper`. Whoever asks finds what the broker runs in the [`Shown`].
+//! else is decided by `config_rollout::Keeper`. Whoever asks finds what the broker runs in the [`Shown`].
 
 pub mod csds;
 mod follow;
--- a/crates/control-client/src/shelf.rs
+++ b/crates/config-rollout-client/src/shelf.rs
@@ -3,8 +3,8 @@
 
 use crate::keep;
 use crate::wire::{Kept, Version};
-use control::{Digest, Memory, VersionId};
-use intake::{Catalogue, Document, Intake, Mistake, Revised, revise};
+use config_rollout::{Digest, Memory, VersionId};
+use settings::{Catalogue, Document, Intake, Mistake, Revised, revise};
 use std::path::Path;
 
 /// A version with its contents.
--- a/crates/control-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,12 +1,12 @@
 //! The project's own resource in xDS's transport, and how a response is read. A version's number stands in
 //! the response's `version_info` too, so that operators of other proxies see it where they look for it.
 
-use control::{Digest, Memory, Offer, VersionId};
+use config_rollout::{Digest, Memory, Offer, VersionId};
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use envoy_types::pb::google::protobuf::Any;
 use envoy_types::pb::google::rpc::Status;
-use intake::Document;
 use prost::Message;
+use settings::Document;
 
 /// The resource type: `barleydrum.control.v1.Version`.
 pub const TYPE_URL: &str = "type.googleapis.com/barleydrum.control.v1.Version";
--- a/crates/control/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::inputs::{Nonce, ServiceNo, StreamNo};
 use crate::version::VersionId;
-use barleydrum::Tenths;
+use routing::Tenths;
 
 /// One thing to do, in the order given, and before the next input is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/control/src/keeper.rs
+++ b/crates/config-rollout/src/keeper.rs
@@ -8,7 +8,7 @@
 use crate::trial::{Past, Sample, Sky, Trial, Verdict};
 use crate::version::VersionId;
 use crate::versions::{Event, Memory, Refusal, Say, Standing, Versions};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::VecDeque;
 
 /// Nonces of one stream that are remembered as answered.
--- a/crates/control/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`trial`]: whether a version on trial is to blame for what ends badly: `Clear` or `Clouded`.
 //!
 //! ```
-//! use barleydrum::Tenths;
+//! use routing::Tenths;
 //! use control::{Digest, Effect, Input, Keeper, Memory, Patience, VersionId};
 //!
 //! let own = VersionId { number: 0, digest: Digest::of(b"the broker's own file") };
--- a/crates/control/src/line.rs
+++ b/crates/config-rollout/src/line.rs
@@ -6,7 +6,7 @@
 use crate::patience::Patience;
 use Event::{Began, Due, Ended, Heard, Opened, Suspected};
 use State::{Calling, Open, Resting, Waiting};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/src/patience.rs
+++ b/crates/config-rollout/src/patience.rs
@@ -1,7 +1,7 @@
 //! The times and counts by which a keeper goes. All are the operator's; the defaults are stated here and on
 //! the operators' page.
 
-use barleydrum::Tenths;
+use routing::Tenths;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Patience {
--- a/crates/control/src/trial.rs
+++ b/crates/config-rollout/src/trial.rs
@@ -8,7 +8,7 @@
 
 use crate::patience::Patience;
 use Sky::{Clear, Overcast};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::VecDeque;
 
 /// How retrievals of the running version ended, counted up since it was applied.
--- a/crates/control/src/versions.rs
+++ b/crates/config-rollout/src/versions.rs
@@ -7,7 +7,7 @@
 use Event::{Broken, Clouded, Failed, Forked, Newer, Nothing, Older, Proven, Renumbered, Returned, Same};
 use Event::{Unproven, Withdrawn};
 use Standing::{OnTrial, Settled};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::BTreeMap;
 
 /// How the running version stands.
--- a/crates/control/tests/life.rs
+++ b/crates/config-rollout/tests/life.rs
@@ -1,11 +1,11 @@
 //! Versions and their life, as the keeper decides it: single cases, then random sequences.
 
-use barleydrum::Tenths;
-use control::{
+use config_rollout::{
     Digest, Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Sample, Standing, StreamNo, VersionId,
     Word,
 };
 use proptest::prelude::*;
+use routing::Tenths;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/incidents/src/script.rs
+++ b/crates/fault-scenarios/src/script.rs
@@ -2,7 +2,7 @@
 //! list.
 
 use crate::scenario::{On, Scenario, Trouble, What};
-use barleydrum::Tenths;
+use routing::Tenths;
 
 /// How large a fleet is. A host's hall and cell go by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/incidents/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! Texts, scripts, and what overlapping troubles come to.
 
-use barleydrum::Tenths;
-use incidents::{Act, Book, Change, Fleet, LIBRARY, Scenario, Standing};
+use fault_scenarios::{Act, Book, Change, Fleet, LIBRARY, Scenario, Standing};
 use proptest::prelude::*;
+use routing::Tenths;
 use rstest::rstest;
 
 const FLEET: Fleet = Fleet { hosts: 60, halls: 3, cells: 12, brokers: 9 };
--- a/crates/ledger-host/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! protocol; [`script`] has peers on loopback that do just what they are told: hosts, discovery, clients.
 //!
 //! ```
-//! use barleydrum::Tenths;
+//! use routing::Tenths;
 //! use ledger_host::{Build, Host, JobNo, Taken};
 //!
 //! let mut host = Host::new(Build { cores: 1, ..Build::default() }, None);
@@ -17,7 +17,7 @@
 pub mod script;
 
 use State::{Dead, Draining, Ready};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A part's push at this host.
--- a/crates/ledger-host/src/net.rs
+++ b/crates/node-emulator/src/net.rs
@@ -2,7 +2,7 @@
 //! nowhere below. It notes what came, so that the rules can be held against what a host got.
 
 use crate::{Build, Host, JobNo, Load, State, Taken};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/ledger-host/tests/model.rs
+++ b/crates/node-emulator/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model of a host, moment by moment.
 
-use barleydrum::Tenths;
-use ledger_host::{Build, Cancel, Host, JobNo, Load, State, Taken};
+use node_emulator::{Build, Cancel, Host, JobNo, Load, State, Taken};
+use routing::Tenths;
 use rstest::rstest;
 
 fn build() -> Build {
--- a/crates/ledger-host/tests/net.rs
+++ b/crates/node-emulator/tests/net.rs
@@ -1,7 +1,7 @@
 //! The host on a loopback socket, by its frames.
 
-use ledger_host::net::Served;
-use ledger_host::{Build, State};
+use node_emulator::net::Served;
+use node_emulator::{Build, State};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/ledger-host/tests/theory.rs
+++ b/crates/node-emulator/tests/theory.rs
@@ -1,7 +1,7 @@
 //! The model host against theory: waits in M/M/c by Erlang's formula, and Little's law.
 
-use barleydrum::Tenths;
-use ledger_host::{Build, Host, JobNo, Taken};
+use node_emulator::{Build, Host, JobNo, Taken};
+use routing::Tenths;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -12,10 +12,10 @@
 
 pub use keys::{KEYS, Key};
 
-use admission::Allowance;
-use barleydrum::Tenths;
-use control::Patience;
+use admission_control::Allowance;
+use config_rollout::Patience;
 use ini::{Ini, ParseOption};
+use routing::Tenths;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/fleet/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -18,8 +18,8 @@
 //! | held | not needed | - | struck, then given back |
 //!
 //! ```
-//! use barleydrum::Tenths;
-//! use fleet::{Incarnation, Name, Party, Purse, Terms};
+//! use routing::Tenths;
+//! use quota_lease::{Incarnation, Name, Party, Purse, Terms};
 //!
 //! let terms = Terms { whole: 12, brokers: 3, window: Tenths(100), lease: Tenths(1000), ..Terms::default() };
 //! let mut one = Purse::start(terms.clone(), Party(Name(0), Incarnation(7)), Tenths(0));
@@ -36,7 +36,7 @@
 
 pub use purse::Purse;
 
-use barleydrum::Tenths;
+use routing::Tenths;
 
 /// A broker's number in its fleet; the same after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/fleet/src/purse.rs
+++ b/crates/quota-lease/src/purse.rs
@@ -1,7 +1,7 @@
 //! One broker's share of a budget, what it lent and what it borrowed.
 
 use crate::{Incarnation, LeaseNo, Letter, Name, Party, Terms, Word};
-use barleydrum::Tenths;
+use routing::Tenths;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Of its share a broker lends half at the most, and has the other half whatever happened to it.
--- a/crates/fleet/tests/bounds.rs
+++ b/crates/quota-lease/tests/bounds.rs
@@ -1,7 +1,7 @@
 //! What a letter can't do: more than was asked, from who was not asked, past the bound of open leases.
 
-use barleydrum::Tenths;
-use fleet::{Incarnation, Letter, Name, Party, Purse, Terms, Word};
+use quota_lease::{Incarnation, Letter, Name, Party, Purse, Terms, Word};
+use routing::Tenths;
 use rstest::rstest;
 
 const LATER: Tenths = Tenths(1_000_000);
--- a/crates/fleet/tests/drift.rs
+++ b/crates/quota-lease/tests/drift.rs
@@ -1,8 +1,8 @@
 //! Brokers whose clocks run apart, over a network that loses, doubles and delays, with processes that stand still or
 //! start anew: what all spend in a window, by a clock that none of them sees. Also that lending is of use.
 
-use barleydrum::Tenths;
-use fleet::{Incarnation, Letter, Name, Party, Purse, Terms};
+use quota_lease::{Incarnation, Letter, Name, Party, Purse, Terms};
+use routing::Tenths;
 use rstest::rstest;
 
 const BROKERS: usize = 5;
--- a/crates/fleet/tests/model.rs
+++ b/crates/quota-lease/tests/model.rs
@@ -1,8 +1,8 @@
 //! Every state of three brokers that lend each other: letters lost, doubled and out of order, processes that stand still
 //! or start anew. The machine is `Purse` itself. Standing still is in it, as none has to do anything.
 
-use barleydrum::Tenths;
-use fleet::{Incarnation, LeaseNo, Letter, Name, Party, Purse, Terms};
+use quota_lease::{Incarnation, LeaseNo, Letter, Name, Party, Purse, Terms};
+use routing::Tenths;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/barleydrum/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,7 +6,7 @@
 //! and reads no clock.
 //!
 //! ```
-//! use barleydrum::{Broker, Input, Prescription, Tenths};
+//! use routing::{Broker, Input, Prescription, Tenths};
 //!
 //! let mut broker = Broker::start(Prescription::default(), 7, Tenths(0));
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
--- a/crates/barleydrum/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays the scenarios of `scenarios/*.txt`; `scenarios/README.md` tells their notation.
 
-use barleydrum::*;
+use routing::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
--- a/crates/reshape/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -1,5 +1,5 @@
 //! A broker's file for one shape of deployment, turned into its counterpart for another: another layout of
-//! shards, other zones, load told in another way. Does no I/O; `barleydrum reshape` is the command.
+//! shards, other zones, load told in another way. Does no I/O; `shard-broker reshape` is the command.
 //!
 //! - [`Shape::read`] reads the shape file, INI: what the new deployment looks like. [`KEYS`] lists its keys.
 //! - [`reshape`] gives the new file's text, and lists what of the old one it could not carry over, or all
@@ -12,8 +12,8 @@
 //! ```
 
 use ini::{Ini, ParseOption};
-use intake::{Document, FIELDS, Form};
 use serde_json::{Map, Value, json};
+use settings::{Document, FIELDS, Form};
 use thiserror::Error;
 
 /// Where a key of the shape file goes: the settings' key, and whether the old value may stand where the shape
@@ -214,7 +214,7 @@
     }
     let text = Value::Object(settings.clone()).to_string();
     match Document::parse(text.as_bytes(), text.len()) {
-        Ok(document) => mistakes.extend(intake::check(&document).iter().map(ToString::to_string)),
+        Ok(document) => mistakes.extend(settings::check(&document).iter().map(ToString::to_string)),
         Err(why) => mistakes.push(why.to_string()),
     }
     if file.remove("known").is_some() {
--- a/crates/intake/src/catalogue.rs
+++ b/crates/settings/src/catalogue.rs
@@ -2,7 +2,7 @@
 //! broker runs, through all versions of its prescription, and is never given to another: what the module
 //! remembers by number goes by meaning.
 
-use barleydrum::{CallerNo, CategoryNo};
+use routing::{CallerNo, CategoryNo};
 use std::collections::BTreeMap;
 
 /// Names with their numbers. Those that are no longer in use keep theirs.
--- a/crates/intake/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -24,7 +24,7 @@
 pub use fields::{Applies, FIELDS, Field, Form};
 pub use revise::{Change, Revised, compare, revise};
 
-use barleydrum::{
+use routing::{
     Caller, Category, EffectKind, FurtherBudget, Layout, Limits, Prescription, Rules, Tenths, Told, ZoneNo,
 };
 use text::Text;
@@ -94,10 +94,10 @@
             repeat_window: Tenths::from_ms(service.dedup_window_ms),
         };
         let no = u16::try_from(category_no(at, &service.name));
-        Ok((barleydrum::CategoryNo(no.map_err(|_| "settings: too many categories")?), category))
+        Ok((routing::CategoryNo(no.map_err(|_| "settings: too many categories")?), category))
     });
     let callers = text.tenants.iter().enumerate().map(|(at, tenant)| {
-        let no = barleydrum::CallerNo(caller_no(at, &tenant.name) as u32);
+        let no = routing::CallerNo(caller_no(at, &tenant.name) as u32);
         (no, Caller { quota_per_s: tenant.quota_rps })
     });
     let rules = &text.rules;
--- a/crates/intake/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use barleydrum::CategoryNo;
+use routing::CategoryNo;
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -47,8 +47,8 @@
         (names.category("report"), names.caller("school").map(|c| c.0)),
         (Some(CategoryNo(0)), Some(1))
     );
-    assert_eq!((&zones[0][..], read.callers[&barleydrum::CallerNo(0)].quota_per_s), ("north", 2.5));
-    assert_eq!((report, read.load_by_probe), (vec![barleydrum::Told::Queue], false));
+    assert_eq!((&zones[0][..], read.callers[&routing::CallerNo(0)].quota_per_s), ("north", 2.5));
+    assert_eq!((report, read.load_by_probe), (vec![routing::Told::Queue], false));
     assert_eq!((lines.idle, lines.connect, lines.parts), (Some(Tenths(150_000)), None, Some(32)));
 }
 
@@ -273,8 +273,8 @@
             let document = document(&text);
             if check(&document).is_empty() {
                 let read = super::super::read(text.to_string().as_bytes()).unwrap();
-                let mut broker = barleydrum::Broker::start(read.prescription, 1, Tenths(0));
-                broker.turn(Tenths(10), &[barleydrum::Input::Woken]);
+                let mut broker = routing::Broker::start(read.prescription, 1, Tenths(0));
+                broker.turn(Tenths(10), &[routing::Input::Woken]);
                 // A broker that runs it finds nothing changed.
                 prop_assert_eq!(compare(&document, &document), vec![]);
                 prop_assert!(revise(&document, &read.names, &document).is_ok());
--- a/crates/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the brokers of one process: hands each what it heard, collects what it does.
 
 use crate::wire::{Batch, Event, Reply};
-use barleydrum::{Broker, Input, Probed, Roll, RollEntry, RollKind, Tenths, Told};
+use routing::{Broker, Input, Probed, Roll, RollEntry, RollKind, Tenths, Told};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -85,7 +85,7 @@
 }
 
 fn start(text: &[u8], seed: u64, now: Tenths) -> (Seat, Vec<Told>) {
-    match intake::read(text) {
+    match settings::read(text) {
         Ok(intake) => (Seat::Sound(Box::new(Broker::start(intake.prescription, seed, now))), intake.report),
         Err(why) => (Seat::Broken(why), Vec::new()),
     }
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -12,7 +12,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("barleydrum-wirehost: {why}");
+            eprintln!("simulator-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! Frames of the simulator's wire, decoded and encoded.
 
-use barleydrum::{
+use bytes::{Buf, BufMut};
+use routing::{
     CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId, PushEnd,
     PushNo, PushOutcome, RetrievalId, RollEntry, ShardNo, Standing, Tenths, ZoneNo,
 };
-use bytes::{Buf, BufMut};
 
 /// Why a frame could not be read, and at which of its bytes.
 #[derive(Debug, PartialEq, thiserror::Error)]
--- a/crates/control-stand-in/src/lib.rs
+++ b/crates/xds-test-server/src/lib.rs
@@ -5,7 +5,7 @@
 //! It runs on a thread of its own, so that a broker under test on another can't hold it up, nor it the
 //! broker.
 
-use control_client::wire::{TYPE_URL, Version};
+use config_rollout_client::wire::{TYPE_URL, Version};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::{
     AggregatedDiscoveryService, AggregatedDiscoveryServiceServer,
 };
--- a/crates/control-stand-in/src/main.rs
+++ b/crates/xds-test-server/src/main.rs
@@ -2,17 +2,17 @@
 //! and takes commands on standard input: `drop`, `vanish SECONDS`, `forget`, `said`.
 
 use clap::Parser;
-use control_stand_in::{StandIn, Troubles};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, BufReader, stdin};
 use tokio::time::sleep;
+use xds_test_server::{StandIn, Troubles};
 
 /// A stand-in control service, on loopback only.
 #[derive(Parser)]
-#[command(name = "barleydrum-control-stand-in", version)]
+#[command(name = "xds-test-server", version)]
 struct Words {
     /// Where to listen; a loopback address.
     #[arg(long, default_value = "127.0.0.1:18000")]
