--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -1,12 +1,12 @@
 //! The door's decisions. Read `STEPS` first, what the door is at each step of its window, then `RULES`,
-//! what becomes of a retrieval; the rest serves them. `docs/admission.md` tells why.
+//! what becomes of a query; the rest serves them. `docs/admission.md` tells why.
 
 use crate::allowance::{Allowance, Wrong};
 use crate::state::{Asked, Caller, Instance};
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
 use routing::{
-    CallerNo, Effect, GroupNo, Input, NewRetrieval, Prescription, PushEnd, PushOutcome, RetrievalId, Tenths,
+    CallerNo, Effect, GroupNo, Input, NewQuery, Prescription, PushEnd, PushOutcome, QueryId, Tenths,
 };
 use std::collections::BTreeSet;
 
@@ -69,7 +69,7 @@
     Step(Crowded, Calm,   |_| true,    Crowded, Door::speed_up),
 ];
 
-/// What a retrieval is told.
+/// What a query is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     Passed,
@@ -86,7 +86,7 @@
 type AskGuard = fn(&mut Door, &Asked) -> bool;
 type AskAct = fn(&mut Door, &Asked);
 
-/// At a mode, if the guard holds: what the retrieval is told, and what is done.
+/// At a mode, if the guard holds: what the query is told, and what is done.
 struct Rule(Mode, AskGuard, Told, AskAct);
 
 #[rustfmt::skip]
@@ -119,7 +119,7 @@
     mode: Mode,
     prescription: Prescription,
     s: Instance,
-    /// What each retrieval was told, by the door's count, since it began: passed, retries, share, least.
+    /// What each query was told, by the door's count, since it began: passed, retries, share, least.
     pub counts: [u64; 4],
     /// When it first heard anything.
     began: Tenths,
@@ -154,7 +154,7 @@
             match input {
                 Input::Outcome(outcome) => self.ended(outcome),
                 Input::Prescription(new) => self.prescription = (**new).clone(),
-                Input::Retrieval(new) => asked.push(Asked {
+                Input::Query(new) => asked.push(Asked {
                     id: new.id,
                     group: new.group,
                     caller: new.caller,
@@ -170,8 +170,8 @@
             }
         }
         let mut effects = self.step();
-        let (mut groups, mut ids) = (BTreeSet::<GroupNo>::new(), BTreeSet::<RetrievalId>::new());
-        let mut least = BTreeSet::<RetrievalId>::new();
+        let (mut groups, mut ids) = (BTreeSet::<GroupNo>::new(), BTreeSet::<QueryId>::new());
+        let mut least = BTreeSet::<QueryId>::new();
         for asked in &asked {
             match self.decide(asked) {
                 (Told::Passed, _) => {}
@@ -179,19 +179,19 @@
                 (Told::Retries | Told::Share, stay_away) => {
                     groups.insert(asked.group);
                     ids.insert(asked.id);
-                    effects.push(Effect::Decline { retrieval: asked.id, stay_away });
+                    effects.push(Effect::Decline { query: asked.id, stay_away });
                 }
             }
         }
         let kept = |input: &&Input| match input {
-            Input::Retrieval(new) => !ids.contains(&new.id),
+            Input::Query(new) => !ids.contains(&new.id),
             Input::Part(part) => !groups.contains(&part.group),
             Input::CallerLeft(id) => !ids.contains(id),
             _ => true,
         };
         let held = |input: &Input| match input {
-            Input::Retrieval(new) if least.contains(&new.id) => {
-                Input::Retrieval(NewRetrieval { least_only: true, ..new.clone() })
+            Input::Query(new) if least.contains(&new.id) => {
+                Input::Query(NewQuery { least_only: true, ..new.clone() })
             }
             _ => input.clone(),
         };
@@ -362,9 +362,9 @@
         self.s.callers.retain(|_, caller| caller.asked.sums(now, window).1 > 0.0);
     }
 
-    // ---- retrievals
+    // ---- queries
 
-    /// The loop that reads `RULES`: what the retrieval is told, and when to come back if declined.
+    /// The loop that reads `RULES`: what the query is told, and when to come back if declined.
     fn decide(&mut self, asked: &Asked) -> (Told, Tenths) {
         let asked = &Asked { caller: self.known(asked.caller), ..*asked };
         let (parts, now, window) = (f64::from(asked.parts), self.s.now, self.a.window);
@@ -434,7 +434,7 @@
         others.clone().any(|(_, caller)| caller.asked.sums(now, window).1 > 0.0)
     }
 
-    /// The bucket holds the retrieval's parts, or is full.
+    /// The bucket holds the query's parts, or is full.
     fn bucket_holds(&mut self, asked: &Asked) -> bool {
         let depth = self.depth(asked.caller);
         let caller = self.fill(asked.caller);
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A front makes a [`Door`] from an [`Allowance`] and the broker's [`Prescription`], and puts it with the
 //! module in a [`Gated`]; it then calls [`Gated::turn`] where it called [`Broker::turn`]. The door sees every
-//! input before the module does and every effect after. It holds nothing back: each retrieval is passed on
+//! input before the module does and every effect after. It holds nothing back: each query is passed on
 //! or declined in the same turn, with the time to come back where the prescription allows one. No I/O, no
 //! clock: time comes in with each turn.
 //!
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,13 +1,13 @@
-//! What the door remembers, by how long it lives: a retrieval for the turn in which it is asked, a caller
+//! What the door remembers, by how long it lives: a query for the turn in which it is asked, a caller
 //! while it asks, the door for as long as the broker runs.
 
-use routing::{CallerNo, CategoryNo, GroupNo, RetrievalId, Tenths, Window};
+use routing::{CallerNo, CategoryNo, GroupNo, QueryId, Tenths, Window};
 use std::collections::BTreeMap;
 
-/// A retrieval that is asked in this turn.
+/// A query that is asked in this turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
-    pub id: RetrievalId,
+    pub id: QueryId,
     pub group: GroupNo,
     pub caller: CallerNo,
     pub category: CategoryNo,
@@ -19,7 +19,7 @@
 /// A caller, while it asks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Caller {
-    /// Parts asked (as `all`); of these, in retrievals that were declined (as `harmed`).
+    /// Parts asked (as `all`); of these, in queries that were declined (as `harmed`).
     pub asked: Window,
     /// Retries let in (as `harmed`), first tries let in (as `all`).
     pub tries: Window,
@@ -43,7 +43,7 @@
     pub peak: f64,
     /// Parts refused as full or timed out (as `harmed`), of all that ended.
     pub harm: Window,
-    /// Retrievals that the module declined (as `harmed`), of all let in.
+    /// Queries that the module declined (as `harmed`), of all let in.
     pub turned: Window,
     /// Parts let in (as `all`).
     pub let_in: Window,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -38,7 +38,7 @@
 }
 
 impl Asking {
-    /// A retrieval of a caller with so many parts, asked for the `attempt`th time.
+    /// A query of a caller with so many parts, asked for the `attempt`th time.
     fn ask(&mut self, caller: u32, parts: u32, attempt: u32) -> Vec<Input> {
         self.ask_of(CategoryNo(0), caller, parts, attempt)
     }
@@ -46,9 +46,9 @@
     /// The same, of a category.
     fn ask_of(&mut self, category: CategoryNo, caller: u32, parts: u32, attempt: u32) -> Vec<Input> {
         self.next += 1;
-        let (id, group) = (RetrievalId(self.next), GroupNo(self.next as u32));
+        let (id, group) = (QueryId(self.next), GroupNo(self.next as u32));
         let time_left = Tenths(20_000);
-        let new = NewRetrieval {
+        let new = NewQuery {
             id,
             group,
             category,
@@ -58,7 +58,7 @@
             attempt,
             least_only: false,
         };
-        let mut heard = vec![Input::Retrieval(new)];
+        let mut heard = vec![Input::Query(new)];
         for no in 0..parts {
             let part = NewPart {
                 id: PartId(self.next * 100 + u64::from(no)),
@@ -87,7 +87,7 @@
 fn pushed(passed: &[Input]) -> Vec<Effect> {
     let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
     let mut push = |input: &Input| match input {
-        Input::Retrieval(new) if new.least_only => {
+        Input::Query(new) if new.least_only => {
             least.insert(new.group);
             None
         }
@@ -99,21 +99,21 @@
     passed.iter().filter_map(&mut push).collect()
 }
 
-fn declines(effects: &[Effect]) -> Vec<(RetrievalId, Tenths)> {
+fn declines(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
     let declined = |effect: &Effect| match effect {
-        Effect::Decline { retrieval, stay_away } => Some((*retrieval, *stay_away)),
+        Effect::Decline { query, stay_away } => Some((*query, *stay_away)),
         _ => None,
     };
     effects.iter().filter_map(declined).collect()
 }
 
-fn retrievals(passed: &[Input]) -> Vec<RetrievalId> {
+fn queries(passed: &[Input]) -> Vec<QueryId> {
     by_caller(passed).into_iter().map(|(id, _)| id).collect()
 }
 
-fn by_caller(passed: &[Input]) -> Vec<(RetrievalId, u32)> {
+fn by_caller(passed: &[Input]) -> Vec<(QueryId, u32)> {
     let taken = |input: &Input| match input {
-        Input::Retrieval(new) => Some((new.id, new.caller.0)),
+        Input::Query(new) => Some((new.id, new.caller.0)),
         _ => None,
     };
     passed.iter().filter_map(taken).collect()
@@ -221,12 +221,12 @@
     let declined = declines(&effects);
     assert!(!declined.is_empty(), "{effects:?}");
     assert!(declined.iter().all(|(_, wait)| *wait > Tenths::ZERO && *wait <= Tenths(20_000)));
-    let passed_ids: Vec<RetrievalId> = retrievals(&passed);
+    let passed_ids: Vec<QueryId> = queries(&passed);
     assert!(declined.iter().all(|(id, _)| !passed_ids.contains(id)));
     let parts = passed.iter().filter(|input| matches!(input, Input::Part(_))).count();
     assert_eq!(parts, passed_ids.len(), "the declined ones' parts stay away from the module too");
     let (passed, effects) = door.pass(now, &asking.ask(0, 1, 0));
-    assert!(declines(&effects).is_empty() && retrievals(&passed).len() == 1);
+    assert!(declines(&effects).is_empty() && queries(&passed).len() == 1);
 }
 
 /// Hosts that do 40 parts a second; one caller asks for 80, another for 8. The second passes, all of it;
@@ -273,7 +273,7 @@
         let (passed, effects) = hosts.step(&mut door, now, heard);
         if step >= 20 {
             declined += declines(&effects).len();
-            least += passed.iter().filter(|i| matches!(i, Input::Retrieval(new) if new.least_only)).count();
+            least += passed.iter().filter(|i| matches!(i, Input::Query(new) if new.least_only)).count();
         }
     }
     assert!(declined == 0 && least > 20, "declined {declined}, at the least share {least}");
@@ -290,7 +290,7 @@
         let heard: Vec<Input> = (0..10).flat_map(|_| asking.ask(0, 4, 0)).collect();
         let (passed, effects) = hosts.step(&mut door, now, heard);
         assert!(declines(&effects).is_empty(), "{effects:?}");
-        assert_eq!(retrievals(&passed).len(), 10);
+        assert_eq!(queries(&passed).len(), 10);
     }
     assert_eq!(door.mode(), Mode::Crowded);
 }
@@ -355,7 +355,7 @@
     let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
     let heard: Vec<Input> = (0..50).flat_map(|caller| asking.ask(caller, 1, 0)).collect();
     let (passed, effects) = door.pass(now, &heard);
-    assert_eq!(retrievals(&passed).len() + declines(&effects).len(), 50);
+    assert_eq!(queries(&passed).len() + declines(&effects).len(), 50);
 }
 
 /// Every figure that can't be used is named at once.
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -139,7 +139,7 @@
         self.broken.entry(rule).or_insert(Break { times: 0, first: now }).times += 1;
     }
 
-    /// A retrieval is asked of a broker; its first part's number, the others follow. `left`: its client's
+    /// A query is asked of a broker; its first part's number, the others follow. `left`: its client's
     /// time.
     pub fn asked(
         &mut self,
@@ -230,7 +230,7 @@
         self.breaks(now, "4: a cold host fell over");
     }
 
-    /// A retrieval's end reaches its client; the weight that an answer holds. None: it had one before.
+    /// A query's end reaches its client; the weight that an answer holds. None: it had one before.
     pub fn ends(&mut self, now: Tenths, asked: usize, end: &Final) -> Option<f64> {
         let Some(Asked { kind, until, ended, parts, .. }) = self.asked.get_mut(asked) else {
             self.breaks(now, "1: an answer to what was not asked");
@@ -305,7 +305,7 @@
 
     /// Asked = answered + declined + scrapped + left, in each day that was played to its end.
     pub fn conserve(&mut self, now: Tenths, outcome: &Outcome) {
-        if outcome.retrievals != outcome.answered + outcome.declined + outcome.scrapped + outcome.left {
+        if outcome.queries != outcome.answered + outcome.declined + outcome.scrapped + outcome.left {
             self.breaks(now, "1: what was asked and what became of it are not the same number");
         }
     }
@@ -337,13 +337,13 @@
         Audit::new(Bounds { kinds, budget, grace: Tenths(50), slack: Tenths(5) }, 1)
     }
 
-    /// A day that lost count of a retrieval says so.
+    /// A day that lost count of a query says so.
     #[rstest]
     #[case(2, 0)]
     #[case(3, 1)]
-    fn tells_what_was_not_conserved(#[case] retrievals: u64, #[case] breaks: usize) {
+    fn tells_what_was_not_conserved(#[case] queries: u64, #[case] breaks: usize) {
         let (mut audit, mut outcome) = (audit(), Outcome::new(Vec::new(), 1));
-        (outcome.retrievals, outcome.declined, outcome.left) = (retrievals, 1, 1);
+        (outcome.queries, outcome.declined, outcome.left) = (queries, 1, 1);
         audit.conserve(Tenths(0), &outcome);
         assert_eq!(audit.broken().len(), breaks);
     }
@@ -364,7 +364,7 @@
         assert_eq!(told, [(3, 0.5, Tenths(25)), (4, 0.75, Tenths(40)), (6, 0.4, Tenths(30))]);
     }
 
-    /// What happens to one retrieval of two even parts, a step a word: `a0` part 0 arrives, `t0` is taken,
+    /// What happens to one query of two even parts, a step a word: `a0` part 0 arrives, `t0` is taken,
     /// `m0` made;
     /// `d` arrives at a host told to drain; `A01` answered by 0 and 1, whole; `P0` partial; `D` declined, `S`
     /// scrapped; a number moves the clock. Then the rule that is broken, if any.
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -3,8 +3,8 @@
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewPart, NewRetrieval, NodeId, PartId,
-    Prescription, PushEnd, PushOutcome, RetrievalId, Standing, Tenths,
+    Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewPart, NewQuery, NodeId, PartId,
+    Prescription, PushEnd, PushOutcome, QueryId, Standing, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,9 +42,9 @@
     period: Tenths,
     categories: BTreeMap<CategoryNo, Category>,
     nodes: BTreeMap<NodeId, Node>,
-    groups: BTreeMap<GroupNo, RetrievalId>,
-    open: BTreeMap<RetrievalId, Open>,
-    owner: BTreeMap<PartId, RetrievalId>,
+    groups: BTreeMap<GroupNo, QueryId>,
+    open: BTreeMap<QueryId, Open>,
+    owner: BTreeMap<PartId, QueryId>,
     /// Parts that ended as full or timed out, and all, smoothed; and when.
     harm: (f64, f64, Tenths),
 }
@@ -87,7 +87,7 @@
                         }
                     }
                 }
-                Input::Retrieval(new) => {
+                Input::Query(new) => {
                     fresh.push(new.id);
                     self.take(new, now, &mut effects);
                 }
@@ -101,7 +101,7 @@
         effects
     }
 
-    fn take(&mut self, new: &NewRetrieval, now: Tenths, effects: &mut Vec<Effect>) {
+    fn take(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
         let margin = self.period.times(4.0);
         let goal = self.categories.get(&new.category).map_or(Tenths::ZERO, |category| category.goal_time);
@@ -131,7 +131,7 @@
         self.harm = (self.harm.0 * keep, self.harm.1 * keep, now);
     }
 
-    fn send(&mut self, id: RetrievalId, now: Tenths, effects: &mut Vec<Effect>) {
+    fn send(&mut self, id: QueryId, now: Tenths, effects: &mut Vec<Effect>) {
         let base = self.base(now);
         let Some(mut open) = self.open.remove(&id) else { return };
         let partial = self.categories.get(&open.category).is_some_and(|c| c.least_share < c.whole_from);
@@ -206,8 +206,8 @@
             if settled || now >= open.until || now >= open.goal && enough {
                 let whole = came + ROUNDING >= 1.0;
                 effects.push(match enough {
-                    true => Effect::Answer { retrieval: *id, whole },
-                    false => Effect::Decline { retrieval: *id, stay_away: Tenths::ZERO },
+                    true => Effect::Answer { query: *id, whole },
+                    false => Effect::Decline { query: *id, stay_away: Tenths::ZERO },
                 });
                 over.push(*id);
             }
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -20,13 +20,13 @@
     assert_ne!(digest(1, Mind::Design), first);
 }
 
-/// Every scenario is played to its end: each retrieval has one end, none is lost, and the rules are kept.
+/// Every scenario is played to its end: each query has one end, none is lost, and the rules are kept.
 #[rstest]
 fn keeps_the_rules_in_the_library() {
     LIBRARY.par_iter().for_each(|(name, _)| {
         let outcome = day(name, 1, Mind::Module);
         assert!(outcome.broken.is_empty(), "{name}: {}", outcome.json());
-        assert!(outcome.retrievals > 500, "{name}");
+        assert!(outcome.queries > 500, "{name}");
     });
 }
 
@@ -127,7 +127,7 @@
     let sockets = crate::loopback::play(plan, &staging, cast, |_, _| true).unwrap();
     for outcome in [&virtual_day, &sockets] {
         assert!(outcome.broken.is_empty(), "{}", outcome.json());
-        assert!(outcome.retrievals > 500);
+        assert!(outcome.queries > 500);
     }
     let apart = (sockets.service.share() - virtual_day.service.share()).abs();
     assert!(apart <= 0.02, "{} apart: {} and {}", apart, virtual_day.json(), sockets.json());
--- a/crates/broker-bench/src/lean.rs
+++ b/crates/broker-bench/src/lean.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Rounds of both, and retrievals in each.
+/// Rounds of both, and queries in each.
 const ROUNDS: usize = 7;
 const RETRIEVALS: u64 = 2_000;
 /// The medians may lie so far apart: rounds of one and the same program spread by as much on a shared
@@ -58,7 +58,7 @@
     Ok(pass)
 }
 
-/// A broker with a node that answers at once, and one client; what it used for its retrievals.
+/// A broker with a node that answers at once, and one client; what it used for its queries.
 fn play(program: &Path) -> Result<Cost, String> {
     // A tenth of a millisecond for a part, with cores for all that one client has out.
     let node = Served::start(Build::default(), |_, _| 100).map_err(|e| e.to_string())?;
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -3,7 +3,7 @@
 //!
 //! Sockets and clocks are not deterministic; this is how the day is all the same. There is one clock,
 //! tokio's, paused: it moves a millisecond at a time, and only when every party is idle. Idle is no guess by
-//! waiting: each broker's open retrievals must be those that clients wait for, its pushes those that hosts
+//! waiting: each broker's open queries must be those that clients wait for, its pushes those that hosts
 //! hold or have just heard, and its question for changes of the roll must lie at discovery; whatever is on
 //! its way, in either direction, makes one of them differ. Then one thing happens, in a stated order, and the
 //! parties come to rest again. A machine that is too busy makes this slow, never different; past a stated
@@ -95,7 +95,7 @@
     body: String,
 }
 
-struct Retrieval {
+struct Query {
     broker: usize,
     of: Of,
     first: usize,
@@ -111,7 +111,7 @@
     part: PartNo,
 }
 
-/// The reply to a retrieval, and the connection that it came on; none: it broke off.
+/// The reply to a query, and the connection that it came on; none: it broke off.
 type Came = (usize, Option<(Reply, Client)>);
 
 struct Day {
@@ -140,7 +140,7 @@
     came: mpsc::UnboundedReceiver<Came>,
     tell_came: mpsc::UnboundedSender<Came>,
     finished: BTreeMap<usize, Option<(Reply, Client)>>,
-    retrievals: Vec<Retrieval>,
+    queries: Vec<Query>,
     jobs: BTreeMap<JobNo, Job>,
     job_of: BTreeMap<(usize, usize, String), JobNo>,
     next_job: u64,
@@ -192,7 +192,7 @@
             came,
             tell_came,
             finished: BTreeMap::new(),
-            retrievals: Vec::new(),
+            queries: Vec::new(),
             jobs: BTreeMap::new(),
             job_of: BTreeMap::new(),
             next_job: 0,
@@ -322,7 +322,7 @@
 
     /// What is on its way, told by the counts alone.
     fn under_way(&self) -> Option<&'static str> {
-        let open: usize = self.brokers.iter().map(|broker| broker.desk.open_retrievals()).sum();
+        let open: usize = self.brokers.iter().map(|broker| broker.desk.open_queries()).sum();
         let out: usize = self.brokers.iter().map(|broker| broker.desk.count_out()).sum();
         if open != self.waiting {
             return Some("a request or an answer");
@@ -371,7 +371,7 @@
         out.iter().map(|(address, id)| (*address, &id[..])).eq(held.iter().map(|(a, id)| (*a, &id[..])))
     }
 
-    /// Looks at what came: at hosts by number, then connections by the retrievals that they brought, each in
+    /// Looks at what came: at hosts by number, then connections by the queries that they brought, each in
     /// the order in which it came; then at clients.
     async fn look(&mut self) -> Result<(), NoFigure> {
         let mut groups: BTreeMap<(usize, usize), Vec<Heard>> = BTreeMap::new();
@@ -408,12 +408,12 @@
 
     // ---- hosts
 
-    /// What a part's id on the wire says: the retrieval and its part.
+    /// What a part's id on the wire says: the query and its part.
     fn part_of(&self, id: &str) -> Option<(PartNo, u64)> {
         let (no, shard) = numbers(id)?;
-        let retrieval = self.retrievals.get(no)?;
-        let at = retrieval.parts.iter().position(|(s, _)| *s == shard)?;
-        Some((PartNo(retrieval.first + at), retrieval.parts[at].1))
+        let query = self.queries.get(no)?;
+        let at = query.parts.iter().position(|(s, _)| *s == shard)?;
+        Some((PartNo(query.first + at), query.parts[at].1))
     }
 
     async fn arrive(&mut self, host: usize, line: usize, part: &Part) -> Result<(), NoFigure> {
@@ -509,14 +509,14 @@
         caller: usize,
         told: &[(u32, f64, u64)],
     ) -> Result<(), NoFigure> {
-        let no = self.retrievals.len();
+        let no = self.queries.len();
         let broker = no % self.brokers.len();
         let of = Of { category, caller, at: self.now };
         self.outcome.ask(of);
         let weights: Vec<f64> = told.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, category, self.time_of(category), &weights);
         let parts = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
-        self.retrievals.push(Retrieval { broker, of, first, parts });
+        self.queries.push(Query { broker, of, first, parts });
         let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
         let (left, body) = (u64::from(self.cut_offs[category]), script::body(&slices, "x"));
         let by = scene::caller_name(caller);
@@ -549,7 +549,7 @@
     }
 
     fn end(&mut self, no: usize, reply: Option<(Reply, Client)>) {
-        let Retrieval { broker, of, first, ref parts } = self.retrievals[no];
+        let Query { broker, of, first, ref parts } = self.queries[no];
         let (status, body) = reply.as_ref().map_or((0, ""), |(reply, _)| (reply.status, &reply.body[..]));
         let end = match status {
             200 => match serde_json::from_str::<Answered>(body) {
@@ -584,13 +584,13 @@
     format!("queue={},qps={},inflight={}", load.queue, load.qps, load.inflight)
 }
 
-/// `r17.3`: retrieval 17, shard 3.
+/// `r17.3`: query 17, shard 3.
 fn numbers(id: &str) -> Option<(usize, u32)> {
     let (no, shard) = id.strip_prefix('r')?.split_once('.')?;
     Some((no.parse().ok()?, shard.parse().ok()?))
 }
 
-/// The first retrieval that something heard is about.
+/// The first query that something heard is about.
 fn first_of(heard: &Heard) -> Option<usize> {
     match heard {
         Heard::Call(parts) => parts.iter().filter_map(|part| Some(numbers(&part.id)?.0)).min(),
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -15,7 +15,7 @@
     Cast { brokers: 2, mind: Mind::Module, seed: 5, cells: 3, cores: 4, warm_jobs: None, cancel: Cancel::All }
 }
 
-/// Three seconds of retrievals, four parts of 20 ms each, so many a second; half of the hosts die in one
+/// Three seconds of queries, four parts of 20 ms each, so many a second; half of the hosts die in one
 /// instant and come back cold, one drains.
 fn plan(a_second: u64, events: &[(u64, u32, HostEvent)]) -> Plan {
     let host = |at, host, event| Entry { at, what: Happens::Host { host, event } };
@@ -47,7 +47,7 @@
 fn the_same_day_on_sockets_each_time() {
     let first = day(troubled());
     assert!(first.broken.is_empty() && first.service.share() > 0.5, "{}", first.json());
-    assert!(first.pushes > first.retrievals && first.retrievals == 240, "{}", first.json());
+    assert!(first.pushes > first.queries && first.queries == 240, "{}", first.json());
     for _ in 0..3 {
         assert_eq!(day(troubled()).json(), first.json());
     }
@@ -94,7 +94,7 @@
 fn tells_what_was_played_when_broken_off() {
     let outcome = play(troubled(), &staging(), cast(), |now, _| now < Tenths(10_000)).unwrap();
     assert_eq!(outcome.stopped_at, Some(Tenths(10_000)));
-    assert!(outcome.broken.is_empty() && outcome.retrievals < 120, "{}", outcome.json());
+    assert!(outcome.broken.is_empty() && outcome.queries < 120, "{}", outcome.json());
 }
 
 /// The clock stands while anything is under way: a request that no desk has, a part that no broker has out, at a host or
--- a/crates/broker-bench/src/main.rs
+++ b/crates/broker-bench/src/main.rs
@@ -102,7 +102,7 @@
     Trace,
     /// What the laboratory costs by size, and what brokers do in every scripted incident.
     Rehearsal,
-    /// What a retrieval costs the platform's program, beside an earlier build of it, in turn.
+    /// What a query costs the platform's program, beside an earlier build of it, in turn.
     Lean,
 }
 
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -36,7 +36,7 @@
     pub gone: u32,
 }
 
-/// One second of the day, by when retrievals were asked, or ended.
+/// One second of the day, by when queries were asked, or ended.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
     pub service: Service,
@@ -68,7 +68,7 @@
     pub goal: Tenths,
 }
 
-/// Whose a retrieval is, and when it was asked.
+/// Whose a query is, and when it was asked.
 #[derive(Clone, Copy, Debug)]
 pub struct Of {
     pub category: usize,
@@ -85,7 +85,7 @@
     pub seconds: Vec<Second>,
     /// Of answers, in tenths of a millisecond.
     pub latency: Histogram<u64>,
-    pub retrievals: u64,
+    pub queries: u64,
     pub answered: u64,
     pub declined: u64,
     pub scrapped: u64,
@@ -119,7 +119,7 @@
             worth,
             seconds: Vec::new(),
             latency: Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed")),
-            retrievals: 0,
+            queries: 0,
             answered: 0,
             declined: 0,
             scrapped: 0,
@@ -145,7 +145,7 @@
 
     pub fn ask(&mut self, of: Of) {
         let payoff = self.worth[of.category].payoff;
-        self.retrievals += 1;
+        self.queries += 1;
         let second = self.second(of.at);
         second.asked += 1;
         second.service.asked += payoff;
@@ -221,7 +221,7 @@
         let nearest: serde_json::Map<String, Value> =
             self.nearest.iter().map(|(rule, told)| ((*rule).to_owned(), near(told))).collect();
         json!({"nearest": nearest, "service": self.service.share(), "by_category": by_category, "by_caller": by_caller,
-            "worst_10_s": self.worst_window(), "retrievals": self.retrievals, "answered": self.answered,
+            "worst_10_s": self.worst_window(), "retrievals": self.queries, "answered": self.answered,
             "declined": self.declined, "scrapped": self.scrapped, "left": self.left, "tries": self.tries, "pushes": self.pushes, "broken": broken,
             "latency_ms": {"median": self.latency_ms(0.5), "p99": self.latency_ms(0.99),
                 "most": self.latency.max() as f64 / 10.0},
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,8 +13,8 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId,
-    Prescription, PushEnd, PushNo, PushOutcome, RetrievalId, Roll, RollEntry, RollKind, ShardNo, Standing,
+    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId,
+    Prescription, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo, Standing,
     Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
@@ -79,7 +79,7 @@
     Moment(usize),
     /// It stands still for a while, and will again.
     Still(usize),
-    /// A host that a retrieval brought down is back.
+    /// A host that a query brought down is back.
     Rise(usize),
     /// A client asks again.
     Again(usize),
@@ -100,7 +100,7 @@
 ];
 /// How late the roll tells of a host that fell silent.
 const SILENT_LATE: Tenths = Tenths(60_000);
-/// How long a host is gone that a retrieval brought down.
+/// How long a host is gone that a query brought down.
 const RISES: Tenths = Tenths(30_000);
 
 const SECOND: Tenths = Tenths(10_000);
@@ -115,7 +115,7 @@
 }
 
 /// One try of a request, at one broker.
-struct Retrieval {
+struct Query {
     broker: usize,
     request: usize,
     parts: std::ops::Range<usize>,
@@ -162,7 +162,7 @@
     jobs_of: BTreeMap<(usize, PartId, PushNo), JobNo>,
     /// By their ids, which count up from 0.
     parts: Vec<Part>,
-    retrievals: Vec<Retrieval>,
+    queries: Vec<Query>,
     requests: Vec<Request>,
     weather: Weather,
     script: Vec<Moment>,
@@ -212,7 +212,7 @@
             next_job: 0,
             jobs_of: BTreeMap::new(),
             parts: Vec::new(),
-            retrievals: Vec::new(),
+            queries: Vec::new(),
             requests: Vec::new(),
             weather,
             script,
@@ -356,7 +356,7 @@
     }
 
     fn try_request(&mut self, request: usize) {
-        let no = self.retrievals.len();
+        let no = self.queries.len();
         let broker = self.weather.broker(no, self.seats.len());
         let Request { of, until, ref parts, ref mut tries, .. } = self.requests[request];
         *tries += 1;
@@ -364,19 +364,19 @@
         let (parts, left) = (parts.clone(), until - self.now);
         let weights: Vec<f64> = parts.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.category, left, &weights);
-        let (id, group) = (RetrievalId(no as u64), GroupNo(no as u32));
+        let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
         let (category, caller) = (CategoryNo(of.category as u16), CallerNo(of.caller as u32));
         let work = Tenths::ZERO;
         let least_only = false;
-        let new = NewRetrieval { id, group, category, caller, time_left: left, work, attempt, least_only };
-        self.hear(broker, Input::Retrieval(new));
+        let new = NewQuery { id, group, category, caller, time_left: left, work, attempt, least_only };
+        self.hear(broker, Input::Query(new));
         for (part, (shard, weight, us)) in (first..).zip(&parts) {
             self.parts.push(Part { us: *us, pushes: Vec::new(), came: false });
             let (id, shard, weight) = (PartId(part as u64), ShardNo(*shard), *weight);
             self.hear(broker, Input::Part(NewPart { id, group, shard, weight }));
         }
         let parts = first..first + parts.len();
-        self.retrievals.push(Retrieval { broker, request, parts, open: true });
+        self.queries.push(Query { broker, request, parts, open: true });
         self.outcome.tries += 1;
         if self.clients.impatient > 0.0 && self.weather.lot() < self.clients.impatient {
             self.at(self.now + left.times(0.5), Event::Leave(no));
@@ -384,12 +384,12 @@
     }
 
     fn leave(&mut self, no: usize) {
-        let Some(retrieval) = self.retrievals.get_mut(no).filter(|retrieval| retrieval.open) else { return };
-        retrieval.open = false;
-        let broker = retrieval.broker;
+        let Some(query) = self.queries.get_mut(no).filter(|query| query.open) else { return };
+        query.open = false;
+        let broker = query.broker;
         self.audit.forgive(self.now, no);
         self.outcome.left += 1;
-        self.hear(broker, Input::CallerLeft(RetrievalId(no as u64)));
+        self.hear(broker, Input::CallerLeft(QueryId(no as u64)));
     }
 
     /// It was declined, scrapped, or its broker is gone: the client asks again while it may, or that was all.
@@ -473,11 +473,11 @@
             wake_at: None,
         };
         let mut lost = Vec::new();
-        for (no, retrieval) in self.retrievals.iter_mut().enumerate() {
-            if retrieval.broker == broker {
-                let parts = &mut self.parts[retrieval.parts.clone()];
+        for (no, query) in self.queries.iter_mut().enumerate() {
+            if query.broker == broker {
+                let parts = &mut self.parts[query.parts.clone()];
                 parts.iter_mut().flat_map(|part| &mut part.pushes).for_each(|push| push.2 = false);
-                lost.extend(std::mem::take(&mut retrieval.open).then_some((no, retrieval.request)));
+                lost.extend(std::mem::take(&mut query.open).then_some((no, query.request)));
             }
         }
         for (no, request) in lost {
@@ -614,11 +614,11 @@
     }
 
     fn request_of(&self, part: PartNo) -> Option<&Request> {
-        let no = self.retrievals.partition_point(|retrieval| retrieval.parts.end <= part.0);
-        self.retrievals.get(no).map(|retrieval| &self.requests[retrieval.request])
+        let no = self.queries.partition_point(|query| query.parts.end <= part.0);
+        self.queries.get(no).map(|query| &self.requests[query.request])
     }
 
-    /// Whether the retrieval of a part brings down who begins it.
+    /// Whether the query of a part brings down who begins it.
     fn kills(&self, part: PartNo) -> bool {
         self.request_of(part).is_some_and(|request| request.kills)
     }
@@ -651,9 +651,9 @@
         seat.wake_at = seat.wake_at.filter(|at| *at > self.now);
         let mut heard = std::mem::take(&mut seat.heard);
         for input in &mut heard {
-            if let Input::Retrieval(new) = input {
+            if let Input::Query(new) = input {
                 // What is left of its time by now.
-                let asked = self.retrievals.get(new.id.0 as usize);
+                let asked = self.queries.get(new.id.0 as usize);
                 let until = asked.map_or(self.now, |r| self.requests[r.request].until);
                 new.time_left = (until - self.now).max(Tenths::ZERO);
             }
@@ -699,15 +699,15 @@
                 // A withdrawn push has its end at once, as far as its broker goes.
                 self.back(broker, part, push, PushEnd::Withdrawn);
             }
-            Effect::Answer { retrieval, whole } => {
-                let parts = self.retrievals.get(retrieval.0 as usize).map_or(0..0, |r| r.parts.clone());
+            Effect::Answer { query, whole } => {
+                let parts = self.queries.get(query.0 as usize).map_or(0..0, |r| r.parts.clone());
                 let held = parts.filter(|part| self.parts[*part].came).map(PartNo).collect();
-                self.ends(broker, retrieval, &Final::Answered { whole, held }, Tenths::ZERO);
+                self.ends(broker, query, &Final::Answered { whole, held }, Tenths::ZERO);
             }
-            Effect::Decline { retrieval, stay_away } => {
-                self.ends(broker, retrieval, &Final::Declined, stay_away);
+            Effect::Decline { query, stay_away } => {
+                self.ends(broker, query, &Final::Declined, stay_away);
             }
-            Effect::Scrap { retrieval } => self.ends(broker, retrieval, &Final::Scrapped, Tenths::ZERO),
+            Effect::Scrap { query } => self.ends(broker, query, &Final::Scrapped, Tenths::ZERO),
             Effect::Wake { after } => {
                 let at = (self.now + after).max(self.now + PERIOD);
                 let seat = &mut self.seats[broker];
@@ -718,9 +718,9 @@
         }
     }
 
-    fn ends(&mut self, broker: usize, id: RetrievalId, end: &Final, stay_away: Tenths) {
-        let mine = self.retrievals.get_mut(id.0 as usize).filter(|retrieval| retrieval.broker == broker);
-        let was = mine.map(|retrieval| (retrieval.request, std::mem::take(&mut retrieval.open)));
+    fn ends(&mut self, broker: usize, id: QueryId, end: &Final, stay_away: Tenths) {
+        let mine = self.queries.get_mut(id.0 as usize).filter(|query| query.broker == broker);
+        let was = mine.map(|query| (query.request, std::mem::take(&mut query.open)));
         let no = if was.is_some() { id.0 as usize } else { usize::MAX };
         // One who has left hears nothing of it.
         if was.is_some_and(|(_, open)| !open) && self.audit.is_forgiven(no) {
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -44,7 +44,7 @@
     Cast { brokers: 3, mind, seed: 5, cells: 4, cores: 4, warm_jobs: None, cancel: Cancel::All }
 }
 
-/// Twelve seconds of retrievals, four parts of 20 ms each, so many a second; and these events of hosts.
+/// Twelve seconds of queries, four parts of 20 ms each, so many a second; and these events of hosts.
 fn plan(a_second: u64, hosts: &[(u64, u32, HostEvent)]) -> Plan {
     let mut entries: Vec<Entry> =
         (0..8).map(|host| Entry { at: 0, what: Happens::Host { host, event: HostEvent::Warm } }).collect();
@@ -109,7 +109,7 @@
     let outcome =
         World::new(plan(100, &[]), &staging(), cast(Mind::Module)).play(|now, _| now < Tenths(50_000));
     assert_eq!(outcome.stopped_at, Some(Tenths(50_000)));
-    assert!(outcome.broken.is_empty() && outcome.retrievals < 500, "{}", outcome.json());
+    assert!(outcome.broken.is_empty() && outcome.queries < 500, "{}", outcome.json());
     assert_eq!(outcome.json()["partial"], serde_json::json!(true));
 }
 
@@ -120,7 +120,7 @@
     let asks = |entry: &Entry| matches!(entry.what, Happens::Ask { .. });
     sudden.entries.iter_mut().filter(|entry| asks(entry)).for_each(|entry| entry.at = 10_000);
     let outcome = World::new(sudden, &staging(), cast(Mind::Module)).play(|_, _| true);
-    assert!(outcome.broken.is_empty() && outcome.retrievals == 3000, "{}", outcome.json());
+    assert!(outcome.broken.is_empty() && outcome.queries == 3000, "{}", outcome.json());
     assert_eq!(outcome.answered + outcome.declined + outcome.scrapped, 3000);
     assert!(outcome.declined > 0 && outcome.slowest_decline < scene::GOAL, "{}", outcome.json());
 }
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -149,7 +149,7 @@
     }
     row(&mut put, "Worst 10 s", format!("{:.4}", outcome.worst_window()));
     let ends = [
-        ("Retrievals asked", outcome.retrievals),
+        ("Retrievals asked", outcome.queries),
         ("Answered", outcome.answered),
         ("Declined", outcome.declined),
         ("Scrapped", outcome.scrapped),
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -160,10 +160,10 @@
             day.latency_ms(0.99),
             day.answered,
             day.declined,
-            day.pushes as f64 / day.retrievals.max(1) as f64
+            day.pushes as f64 / day.queries.max(1) as f64
         );
         let told = json!({"service": day.service.share(), "worst_10_s": day.worst_window(),
-            "retrievals": day.retrievals, "declined": day.declined, "scrapped": day.scrapped,
+            "retrievals": day.queries, "declined": day.declined, "scrapped": day.scrapped,
             "broken": day.broken.keys().collect::<Vec<_>>(), "digest": &day.digest[..16]});
         figures.insert(format!("{times}x_{name}"), told);
         if *mind == Mind::Module {
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -24,7 +24,7 @@
 const ASK_WITHIN: Tenths = Tenths(100_000);
 const MOST_OPEN: u32 = 2000;
 const MOST_PUSHES: u32 = 3;
-/// What a retrieval beyond its caller's quota is worth to the module; service counts all alike.
+/// What a query beyond its caller's quota is worth to the module; service counts all alike.
 const OVER_SHARE: f64 = 0.1;
 /// Cells that hold a shard.
 const REACH: u32 = 2;
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -133,10 +133,10 @@
     /// Callers that the trace's users are mapped onto: a user is one caller's, always.
     #[arg(long, default_value_t = 1)]
     pub callers: u32,
-    /// Retrievals a second that all callers together may ask within their shares; none: no quotas.
+    /// Queries a second that all callers together may ask within their shares; none: no quotas.
     #[arg(long)]
     pub quota: Option<f64>,
-    /// Beside retrievals that may run again, a numbered and an at-most-once category.
+    /// Beside queries that may run again, a numbered and an at-most-once category.
     #[arg(long)]
     pub effects: bool,
     /// A stated budget for further pushes: three, and this share of what was taken, in any five seconds.
--- a/crates/broker-bench/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -18,7 +18,7 @@
 const DEVIATIONS: f64 = 5.0;
 /// After the service's return all must run the newest within so many of the longest waits.
 const WITHIN_WAITS: f64 = 1.2;
-/// A version under which everything fails must be out after so many seconds: three counts, at 20 retrievals a
+/// A version under which everything fails must be out after so many seconds: three counts, at 20 queries a
 /// second, make more than the least of 30, and the counts of a broker lie a second apart.
 const WITHDRAWN_WITHIN: f64 = 5.0;
 
--- a/crates/broker-bench/src/weather.rs
+++ b/crates/broker-bench/src/weather.rs
@@ -94,12 +94,12 @@
         errors > 0.0 && self.rng.f64() < errors
     }
 
-    /// Whether a retrieval that is asked now brings hosts down.
+    /// Whether a query that is asked now brings hosts down.
     pub fn kills(&mut self) -> bool {
         self.killers > 0.0 && self.rng.f64() < self.killers
     }
 
-    /// Who is asked, of so many brokers, for the retrieval of this number.
+    /// Who is asked, of so many brokers, for the query of this number.
     pub fn broker(&mut self, no: usize, brokers: usize) -> usize {
         if self.lopsided > 0.0 && self.rng.f64() < self.lopsided { 0 } else { no % brokers }
     }
--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -17,7 +17,7 @@
 /// How long a broker is waited for that is asked for its status.
 const WITHIN: Duration = Duration::from_secs(5);
 
-/// A broker that reads many shards for one retrieval.
+/// A broker that reads many shards for one query.
 #[derive(Parser)]
 #[command(
     name = "shard-broker",
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,8 +8,8 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId,
-    Prescription, Probed, PushEnd, PushNo, PushOutcome, RetrievalId, Roll, RollEntry, RollKind, ShardNo,
+    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId,
+    Prescription, Probed, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo,
     Standing, Tenths, ZoneNo,
 };
 use settings::Intake;
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-/// A retrieval as a front hands it over.
+/// A query as a front hands it over.
 pub struct Question {
     /// What the wire calls it.
     pub id: Bytes,
@@ -43,7 +43,7 @@
     pub weight: f64,
 }
 
-/// The final word on a retrieval.
+/// The final word on a query.
 #[derive(Debug)]
 pub enum Verdict {
     Answer { whole: bool, items: Vec<(ShardNo, Bytes)> },
@@ -51,7 +51,7 @@
     Scrap,
 }
 
-/// Why a retrieval was not taken.
+/// Why a query was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotTaken {
     /// As much is held as may be.
@@ -76,7 +76,7 @@
 }
 
 struct OpenPart {
-    retrieval: RetrievalId,
+    query: QueryId,
     shard: ShardNo,
     wire_id: Bytes,
     pushes: u16,
@@ -101,10 +101,10 @@
     }
 }
 
-/// Retrievals and parts that are open, and what the wire calls them.
+/// Queries and parts that are open, and what the wire calls them.
 #[derive(Default)]
 struct Book {
-    retrievals: HashMap<RetrievalId, Open>,
+    queries: HashMap<QueryId, Open>,
     parts: HashMap<PartId, OpenPart>,
     wire_ids: HashSet<Bytes>,
     last_id: u64,
@@ -261,8 +261,8 @@
         self.names.borrow().ready.len()
     }
 
-    pub fn open_retrievals(&self) -> usize {
-        self.book.borrow().retrievals.len()
+    pub fn open_queries(&self) -> usize {
+        self.book.borrow().queries.len()
     }
 
     /// Pushes that are out: the node's address and the id that the wire knows the part by, in order. Who
@@ -275,26 +275,26 @@
         self.nodes.count_out()
     }
 
-    /// The edition under which retrievals are taken now.
+    /// The edition under which queries are taken now.
     pub fn edition(&self) -> Rc<Edition> {
         self.edition.borrow().clone()
     }
 
-    /// Takes retrievals under a new edition from now on. Both change in one step: what a front has read under
+    /// Takes queries under a new edition from now on. Both change in one step: what a front has read under
     /// the old one has been heard before this, what it reads from now on is heard after.
     pub fn prescribe(&self, edition: Edition, prescription: Prescription) {
         self.edition.replace(Rc::new(edition));
         self.hear(Input::Prescription(Box::new(prescription)));
     }
 
-    /// Takes a retrieval, unless a bound is reached. Dropping what comes back tells that the caller left.
+    /// Takes a query, unless a bound is reached. Dropping what comes back tells that the caller left.
     pub fn take(self: &Rc<Self>, question: Question) -> Result<Taken, NotTaken> {
         let edition = self.edition();
         let mut book = self.book.borrow_mut();
         let bytes = question.id.len() * (question.parts.len() + 1) + question.holds;
-        // Guards against wide retrievals that are all but answered and keep others out: a part that has its
-        // value is no longer open, though its retrieval is.
-        let held = book.retrievals.len() + book.lacking;
+        // Guards against wide queries that are all but answered and keep others out: a part that has its
+        // value is no longer open, though its query is.
+        let held = book.queries.len() + book.lacking;
         let full = self.ended.get() || held + question.parts.len() + 1 > edition.most_open;
         if full || book.bytes + bytes > self.limits.held {
             edition
@@ -310,7 +310,7 @@
             book.last_id += 1;
             book.last_id
         };
-        let id = RetrievalId(next());
+        let id = QueryId(next());
         let parts: Vec<PartId> = question.parts.iter().map(|_| PartId(next())).collect();
         let group = GroupNo(id.0 as u32);
         let until = self.tenths(question.until);
@@ -318,7 +318,7 @@
         let goal = category.map_or(Tenths::ZERO, |c| c.goal_time + question.work.times(c.goal_stretch));
         let (goal_at, fell) = (self.tenths(Instant::now()) + goal, false);
         let mut heard = self.heard.borrow_mut();
-        heard.push(Input::Retrieval(NewRetrieval {
+        heard.push(Input::Query(NewQuery {
             id,
             group,
             category: question.category,
@@ -331,20 +331,20 @@
         for (part, &QuestionPart { shard, weight }) in parts.iter().zip(&question.parts) {
             heard.push(Input::Part(NewPart { id: *part, group, shard, weight }));
             let wire_id = [&question.id[..], b".", shard.0.to_string().as_bytes()].concat().into();
-            book.parts.insert(*part, OpenPart { retrieval: id, shard, wire_id, pushes: 0, value: None });
+            book.parts.insert(*part, OpenPart { query: id, shard, wire_id, pushes: 0, value: None });
         }
         let (tell, verdict) = oneshot::channel();
         let Question { id: wire_id, text, .. } = question;
         let open = Open { id: wire_id, edition, goal_at, fell, until, parts, text, bytes, tell };
-        book.retrievals.insert(id, open);
+        book.queries.insert(id, open);
         self.bell.notify_one();
         Ok(Taken { desk: self.clone(), id, verdict })
     }
 
-    /// Strikes a retrieval from the book; what of it was not written yet is not sent any more.
-    fn close(&self, id: RetrievalId) -> Option<(Open, Vec<(ShardNo, Bytes)>)> {
+    /// Strikes a query from the book; what of it was not written yet is not sent any more.
+    fn close(&self, id: QueryId) -> Option<(Open, Vec<(ShardNo, Bytes)>)> {
         let mut book = self.book.borrow_mut();
-        let open = book.retrievals.remove(&id)?;
+        let open = book.queries.remove(&id)?;
         let mut parts = Vec::with_capacity(open.parts.len());
         for part in &open.parts {
             let Some(entry) = book.parts.remove(part) else { continue };
@@ -358,7 +358,7 @@
         Some((open, items))
     }
 
-    /// Counts bytes that are held before their retrieval is taken; none: there is no room for them.
+    /// Counts bytes that are held before their query is taken; none: there is no room for them.
     pub fn hold(self: &Rc<Self>, bytes: usize) -> Option<Held> {
         let mut book = self.book.borrow_mut();
         (book.bytes + bytes <= self.limits.held).then(|| {
@@ -470,11 +470,11 @@
 
     fn note_fall(&self, part: PartId) {
         let mut book = self.book.borrow_mut();
-        let Some(id) = book.parts.get(&part).map(|part| part.retrieval) else { return };
-        book.retrievals.get_mut(&id).into_iter().for_each(|open| open.fell = true);
+        let Some(id) = book.parts.get(&part).map(|part| part.query) else { return };
+        book.queries.get_mut(&id).into_iter().for_each(|open| open.fell = true);
     }
 
-    /// Keeps a value for its retrieval, if that is still open and there is room for it.
+    /// Keeps a value for its query, if that is still open and there is room for it.
     fn keep_value(&self, part: PartId, value: Option<Bytes>) -> bool {
         let Some(value) = value else { return true };
         let mut book = self.book.borrow_mut();
@@ -516,9 +516,9 @@
             return;
         }
         for input in &mut heard {
-            if let Input::Retrieval(new) = input {
+            if let Input::Query(new) = input {
                 // It runs from when the client sent it, not from this turn.
-                let until = self.book.borrow().retrievals.get(&new.id).map(|open| open.until);
+                let until = self.book.borrow().queries.get(&new.id).map(|open| open.until);
                 new.time_left = (until.unwrap_or(now) - now).max(Tenths::ZERO);
             }
         }
@@ -541,13 +541,13 @@
                     withdrawn.push((part, push));
                     self.nodes.give_up((part, push), PushEnd::Withdrawn);
                 }
-                Effect::Answer { retrieval, whole } => {
-                    self.tell(retrieval, |items| Verdict::Answer { whole, items });
+                Effect::Answer { query, whole } => {
+                    self.tell(query, |items| Verdict::Answer { whole, items });
                 }
-                Effect::Decline { retrieval, stay_away } => {
-                    self.tell(retrieval, |_| Verdict::Decline { stay_away });
+                Effect::Decline { query, stay_away } => {
+                    self.tell(query, |_| Verdict::Decline { stay_away });
                 }
-                Effect::Scrap { retrieval } => self.tell(retrieval, |_| Verdict::Scrap),
+                Effect::Scrap { query } => self.tell(query, |_| Verdict::Scrap),
                 Effect::Probe { node } => self.nodes.probe(node),
                 Effect::CloseIdle { node } => self.nodes.close_idle(node),
                 Effect::Wake { after } => {
@@ -559,7 +559,7 @@
             }
         }
         for (node, mut sendings) in calls {
-            // Guards against a part that is sent after its retrieval's end, which the same turn brought.
+            // Guards against a part that is sent after its query's end, which the same turn brought.
             sendings.retain(|sending| {
                 let stays = self.book.borrow().parts.contains_key(&sending.push.0);
                 let stays = stays && !withdrawn.contains(&sending.push);
@@ -583,8 +583,8 @@
         };
         let push = (id, PushNo(part.pushes));
         part.pushes += 1;
-        let (retrieval, shard, wire_id) = (part.retrieval, part.shard.0, part.wire_id.clone());
-        let text = book.retrievals.get(&retrieval)?.text.clone();
+        let (query, shard, wire_id) = (part.query, part.shard.0, part.wire_id.clone());
+        let text = book.queries.get(&query)?.text.clone();
         let timers = [(now + self.limits.unsent, Timer::Unsent), (now + time_out, Timer::Over)];
         self.pushes.borrow_mut().enter(push, OutPush { node, sent: now, timers });
         let wait_ms = span(time_out).as_millis().max(1) as u64;
@@ -629,7 +629,7 @@
     /// The process ends: what is open gets its final word, failed. Tells how many there were.
     pub fn end_open(&self) -> usize {
         self.ended.set(true);
-        let open: Vec<RetrievalId> = self.book.borrow().retrievals.keys().copied().collect();
+        let open: Vec<QueryId> = self.book.borrow().queries.keys().copied().collect();
         for id in &open {
             self.tell(*id, |_| Verdict::Scrap);
             self.hear(Input::CallerLeft(*id));
@@ -637,7 +637,7 @@
         open.len()
     }
 
-    fn tell(&self, id: RetrievalId, verdict: impl FnOnce(Vec<(ShardNo, Bytes)>) -> Verdict) {
+    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardNo, Bytes)>) -> Verdict) {
         if let Some((open, items)) = self.close(id) {
             let verdict = verdict(items);
             open.count(&verdict, self.tenths(Instant::now()));
@@ -659,10 +659,10 @@
     }
 }
 
-/// A retrieval that was taken and waits for its verdict.
+/// A query that was taken and waits for its verdict.
 pub struct Taken {
     desk: Rc<Desk>,
-    id: RetrievalId,
+    id: QueryId,
     verdict: oneshot::Receiver<Verdict>,
 }
 
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -1,15 +1,15 @@
-//! A push and the end of its retrieval in one turn.
+//! A push and the end of its query in one turn.
 
 use super::*;
 use crate::limits::Machine;
 use rstest::rstest;
 
-/// A turn may push a part and end its retrieval: then the part stays unsent, and is told to.
+/// A turn may push a part and end its query: then the part stays unsent, and is told to.
 #[rstest]
-#[case(|retrieval, _| Effect::Scrap { retrieval })]
-#[case(|retrieval, _| Effect::Answer { retrieval, whole: false })]
+#[case(|query, _| Effect::Scrap { query })]
+#[case(|query, _| Effect::Answer { query, whole: false })]
 #[case(|_, part| Effect::Withdraw { part, push: PushNo(0) })]
-fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(RetrievalId, PartId) -> Effect) {
+fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, PartId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let mut intake = Intake::default();
         intake.prescription.limits.most_open = 10;
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -1,5 +1,5 @@
 //! One edition of the prescription, as fronts read it. It never changes; the desk puts a newer one in its
-//! place, and a retrieval keeps the one under which it was taken.
+//! place, and a query keeps the one under which it was taken.
 
 use routing::{Category, CategoryNo, Prescription, Tenths};
 use settings::{Catalogue, Intake};
@@ -10,7 +10,7 @@
     pub names: Catalogue,
     pub categories: BTreeMap<CategoryNo, Category>,
     pub shards: u32,
-    /// Retrievals and parts held at once.
+    /// Queries and parts held at once.
     pub most_open: usize,
     /// What a client is told that is declined at a bound, where clients are told when to come again.
     pub stay_away: Tenths,
@@ -18,7 +18,7 @@
     pub tally: Cell<Tally>,
 }
 
-/// How retrievals ended, counted up from the first.
+/// How queries ended, counted up from the first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// All that have ended but those whose client left.
--- a/crates/broker/src/front.rs
+++ b/crates/broker/src/front.rs
@@ -42,7 +42,7 @@
     stuck: Cell<Option<Instant>>,
     used: Cell<Instant>,
     served: Cell<bool>,
-    /// A retrieval of its was taken.
+    /// A query of its was taken.
     useful: Cell<bool>,
     /// Requests in a row that were wrong.
     wrong: Cell<usize>,
@@ -218,7 +218,7 @@
             .client_request_timeout(Duration::ZERO) // slow ones are seen to by the sweep
             // Guards against resets that destroy an answer: an unread body is taken in for a while.
             .client_disconnect_timeout(limits.linger)
-            // A client that closes its side has gone away, and its retrieval is dropped.
+            // A client that closes its side has gone away, and its query is dropped.
             .h1_allow_half_closed(false)
             .on_connect_ext(|io: &Watched, data| _ = data.insert(io.line.clone()))
             .h1(fn_service(move |request: Request| {
@@ -417,7 +417,7 @@
         }
     }
 
-    /// Lets an idle connection go; tells whether there was one. Those that never brought a retrieval go
+    /// Lets an idle connection go; tells whether there was one. Those that never brought a query go
     /// first: who says nothing, or comes again at once with what was refused, takes no one's room.
     fn let_idle_go(&self) -> bool {
         let lines = self.lines.borrow();
--- a/crates/broker/src/leave.rs
+++ b/crates/broker/src/leave.rs
@@ -16,7 +16,7 @@
     /// Serves as before while new connections keep coming, then answers what it has and ends. Guards against the
     /// kill: what no node has answered by the last moment before it gets its final word all the same.
     pub async fn leave(self) {
-        info!("leaving: {} retrievals are open", self.desk.open_retrievals());
+        info!("leaving: {} retrievals are open", self.desk.open_queries());
         let until = Instant::now() + self.limits.leave_within;
         sleep(self.limits.last_moment).await;
         let mut closed = pin!(self.front.close());
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -9,7 +9,7 @@
 //! # Ok(()) }
 //! ```
 //!
-//! A front of another kind takes the desk's place of `front` and `retrieval`: it makes a
+//! A front of another kind takes the desk's place of `front` and `query`: it makes a
 //! [`desk::Question`], hands it to [`desk::Desk::take`] and waits for the [`desk::Verdict`].
 
 mod command;
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -28,9 +28,9 @@
     pub body: usize,
     pub body_on_wire: usize,
     pub frame: usize,
-    /// Bytes of a retrieval's id.
+    /// Bytes of a query's id.
     pub id: usize,
-    /// How far the weights of a retrieval may be from 1 in sum.
+    /// How far the weights of a query may be from 1 in sum.
     pub weight_slack: f64,
     /// Parts in one call, and on one connection to a node.
     pub call_parts: usize,
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -220,7 +220,7 @@
 
     /// Takes a push back of which no byte was written; tells whether that could be done. Guards against
     /// parts that lie in wait behind a connection that does not come up, or a peer that takes nothing,
-    /// and go out after their retrieval's end, their node's drain, or the window that they were counted in.
+    /// and go out after their query's end, their node's drain, or the window that they were counted in.
     pub fn take_back(&self, push: PushId, end: PushEnd) -> bool {
         let Some((line, id)) = self.pushes.borrow().get(&push).cloned() else { return false };
         if line.out.borrow().get(&id).is_none_or(|out| out.written != Written::Not) {
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -1,4 +1,4 @@
-//! The life of one retrieval on a socket, from its request to its answer.
+//! The life of one query on a socket, from its request to its answer.
 
 use crate::desk::{Desk, NotTaken, Question, QuestionPart, Verdict};
 use crate::edition::Edition;
@@ -57,7 +57,7 @@
     value: &'a str,
 }
 
-/// What a retrieval is served with.
+/// What a query is served with.
 pub struct Counter {
     pub desk: Rc<Desk>,
     pub limits: Rc<Limits>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Serves one retrieval. Dropped on the way, because its client has gone, it tells the module so.
+/// Serves one query. Dropped on the way, because its client has gone, it tells the module so.
 /// `whole` is called once its request has come.
 pub async fn serve(
     counter: &Counter,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Guards against effects twice, and answers less than they say: a numbered retrieval's mark has no place in
+/// Guards against effects twice, and answers less than they say: a numbered query's mark has no place in
 /// a call, so what brings one is not sent without it; and there is no second step, without which an answer
 /// of a category that has one holds nothing.
 fn can_be_carried(edition: &Edition, request: &Request, category: CategoryNo) -> bool {
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -28,7 +28,7 @@
     status: Option<TcpListener>,
 }
 
-/// Takes over what the broker kept, if it did, so that it serves under that from its first retrieval on.
+/// Takes over what the broker kept, if it did, so that it serves under that from its first query on.
 pub fn prepare(order: &mut Order, control: Control) -> io::Result<Follower> {
     let wrong = |why: String| io::Error::new(io::ErrorKind::InvalidInput, why);
     let own = Document::parse(order.settings.as_bytes(), control.document);
--- a/crates/broker/tests/control/main.rs
+++ b/crates/broker/tests/control/main.rs
@@ -12,7 +12,7 @@
 use xds_test_server::{StandIn, Troubles};
 
 const ANY_PORT: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0));
-/// Calls come soon again, and no trial blames: retrievals that none can serve are part of the play.
+/// Calls come soon again, and no trial blames: queries that none can serve are part of the play.
 const QUICK: &str = "first_wait_ms = 20\nlongest_wait_ms = 200\ncalls_per_minute = 600\ncall_within_ms = 5000\n\
     margin = 1\ntrial_ms = 100\nlongest_trial_ms = 2000\ncount_every_ms = 20";
 
@@ -20,8 +20,8 @@
     document(number).to_string().into_bytes()
 }
 
-/// Three brokers, a service that drops, delays, repeats, reorders and garbles by seed, retrievals all the
-/// while: at each look from outside the report is what decides, all come to the newest, and each retrieval
+/// Three brokers, a service that drops, delays, repeats, reorders and garbles by seed, queries all the
+/// while: at each look from outside the report is what decides, all come to the newest, and each query
 /// has one answer.
 #[rstest]
 #[case(1)]
@@ -263,7 +263,7 @@
     wait_until("the next is taken", || broker.told().number == 2);
 }
 
-/// A version that strikes a category, and a cell, with retrievals of them open: those go on by what they were
+/// A version that strikes a category, and a cell, with queries of them open: those go on by what they were
 /// taken under, and new ones are told that there is no such category.
 #[rstest]
 fn strikes_a_category_with_retrievals_open() {
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -188,7 +188,7 @@
         Reply { status, stay_away }
     }
 
-    /// By which version the module declines a retrieval that none can serve: what it tells of the time to
+    /// By which version the module declines a query that none can serve: what it tells of the time to
     /// stay away. The shard is the last that version `least` has, so that an older one would not let it in.
     /// None: the broker does not know the shard, and so runs an older one.
     pub fn probe(&mut self, least: u64) -> Option<u64> {
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -55,7 +55,7 @@
 
 // ---- clients that leave
 
-/// A client that left before its retrieval's first attempt: nothing of it is sent when a node comes, whatever state its
+/// A client that left before its query's first attempt: nothing of it is sent when a node comes, whatever state its
 /// connection was in, and whatever it had sent behind its request.
 #[rstest]
 #[case::body_still_coming(false, "")]
@@ -72,7 +72,7 @@
         client.write_all(first.as_bytes()).await.unwrap();
         if whole {
             client.write_all(last.as_bytes()).await.unwrap();
-            until(|| stage.broker.desk.open_retrievals() == 1).await;
+            until(|| stage.broker.desk.open_queries() == 1).await;
             // Once its request is in work, what comes behind it lies unread.
             client.set_nodelay(true).unwrap();
             let _ = client.try_write(behind.as_bytes());
@@ -80,7 +80,7 @@
         }
         let left = Instant::now();
         drop(client);
-        until(|| stage.broker.desk.open_retrievals() == 0).await;
+        until(|| stage.broker.desk.open_queries() == 0).await;
         // Its own time would be over in 100 s, its patience in 8 s.
         assert!(left.elapsed() < Duration::from_secs(4), "{:?}", left.elapsed());
         stage.discovery.reply(list(2, &[member(&stage.nodes, 0, "ready")]));
@@ -144,7 +144,7 @@
         let told = to_end(client).await;
         assert!(told.starts_with("HTTP/1.1 200"), "{told}");
         assert!(stage.is_silent());
-        assert_eq!(stage.broker.desk.open_retrievals(), 0);
+        assert_eq!(stage.broker.desk.open_queries(), 0);
     });
 }
 
@@ -337,7 +337,7 @@
         client.write(HEALTH).await;
         assert_eq!(client.reply().await.unwrap().status, 503);
         let _waits = stage.ask("a", "lookup", ONE).await;
-        until(|| stage.broker.desk.open_retrievals() == 1).await;
+        until(|| stage.broker.desk.open_queries() == 1).await;
         // The first call lies on a connection that says nothing; the second is answered.
         let (_silent, _) = soon(agent.accept()).await.unwrap();
         let (mut second, _) = soon(agent.accept()).await.unwrap();
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -42,7 +42,7 @@
     });
 }
 
-/// Pushes of one turn to one node share calls, across retrievals; turns are the period apart.
+/// Pushes of one turn to one node share calls, across queries; turns are the period apart.
 #[rstest]
 fn pushes_of_one_turn_share_calls() {
     play(async {
@@ -73,7 +73,7 @@
         drop(client);
         assert_eq!(stage.next().await, (node, line, Heard::GiveUp("a.3".to_owned())));
         assert!(left.elapsed() < Duration::from_secs(5), "that was its time-out");
-        assert_eq!(stage.broker.desk.open_retrievals(), 0);
+        assert_eq!(stage.broker.desk.open_queries(), 0);
         // A value that comes all the same is nobody's; the connection serves on.
         stage.nodes[node].end(line, "a.3", 'S', "late").await;
         let mut other = stage.ask("b", "lookup", ONE).await;
@@ -464,7 +464,7 @@
     });
 }
 
-/// Retrievals and parts up to `MaxOpen`, connections up to the descriptors: beyond, it declines.
+/// Queries and parts up to `MaxOpen`, connections up to the descriptors: beyond, it declines.
 #[rstest]
 fn declines_beyond_its_bounds() {
     play(async {
@@ -639,7 +639,7 @@
     });
 }
 
-/// The id of an open retrieval is refused to others, and the open one goes on untouched.
+/// The id of an open query is refused to others, and the open one goes on untouched.
 #[rstest]
 fn refuses_an_id_that_is_open() {
     play(async {
@@ -713,7 +713,7 @@
     });
 }
 
-/// What lies unsent when its retrieval ends is never sent, though its connection comes up at last.
+/// What lies unsent when its query ends is never sent, though its connection comes up at last.
 #[rstest]
 fn sends_nothing_late() {
     play(async {
@@ -745,7 +745,7 @@
 }
 
 /// What this protocol has no place for is declined, and nothing of it is sent: a second step, without which
-/// an answer would be none, and the mark by which repeats of a numbered retrieval are known.
+/// an answer would be none, and the mark by which repeats of a numbered query are known.
 #[rstest]
 #[case("lookup", "", 503)]
 #[case("once", "Idempotency-Key: 710d\r\n", 503)]
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -30,7 +30,7 @@
     pub categories: Vec<Cast>,
     /// The callers' shares of the trace's users: a user is one caller's, always.
     pub callers: Vec<f64>,
-    /// Retrievals a second that all callers together may ask, split by their shares; none: no quotas.
+    /// Queries a second that all callers together may ask, split by their shares; none: no quotas.
     pub quota_per_s: Option<f64>,
     /// The share of removed machines that drain first; the others die.
     pub drains: f64,
@@ -42,7 +42,7 @@
     pub most: usize,
 }
 
-/// A category, and what its retrievals are assumed to be.
+/// A category, and what its queries are assumed to be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cast {
     pub name: String,
@@ -61,7 +61,7 @@
 }
 
 impl Cast {
-    /// A category whose retrievals may run again, with five seconds to its cut-off.
+    /// A category whose queries may run again, with five seconds to its cut-off.
     pub fn reissuable(
         name: &str,
         share: f64,
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub few: f64,
-    /// Of the retrievals and parts taken in the window.
+    /// Of the queries and parts taken in the window.
     pub share: f64,
     pub window_ms: u32,
 }
@@ -156,7 +156,7 @@
     /// Jobs that were left out by the sample, and machines beyond the hosts.
     pub jobs_out: u64,
     pub machines_out: u64,
-    /// Retrievals that were running when the window began.
+    /// Queries that were running when the window began.
     pub running: u64,
     /// Milliseconds of work for one unit of the trace's.
     pub ms_per_unit: f64,
--- a/crates/config-rollout-client/src/follow.rs
+++ b/crates/config-rollout-client/src/follow.rs
@@ -28,7 +28,7 @@
 
 /// What takes prescriptions: the broker, on its own thread.
 pub trait Seat {
-    /// Takes retrievals under it from now on; done when that is so.
+    /// Takes queries under it from now on; done when that is so.
     fn prescribe(&mut self, version: VersionId, intake: Intake) -> impl Future<Output = ()>;
     /// The same contents have another number.
     fn relabel(&mut self, version: VersionId) -> impl Future<Output = ()>;
@@ -48,7 +48,7 @@
     /// Bytes of a document.
     pub document: usize,
     pub keep: Option<PathBuf>,
-    /// How often retrievals are counted.
+    /// How often queries are counted.
     pub count_every: Duration,
     pub seed: u64,
 }
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -35,11 +35,11 @@
         runs: VersionId,
         why: String,
     },
-    /// Take retrievals under this version from now on; it was the last one offered as sound.
+    /// Take queries under this version from now on; it was the last one offered as sound.
     Apply(VersionId),
     /// The same contents have a new number.
     Relabel(VersionId),
-    /// Take retrievals under the last confirmed version again.
+    /// Take queries under the last confirmed version again.
     PutBack(VersionId),
     /// This version is confirmed: keep its contents, for a withdrawal and for a restart.
     Keep(VersionId),
--- a/crates/config-rollout/src/patience.rs
+++ b/crates/config-rollout/src/patience.rs
@@ -23,7 +23,7 @@
     pub trial: Tenths,
     /// A trial that could not be judged ends after so long.
     pub longest_trial: Tenths,
-    /// The least number of retrievals by which anything is judged.
+    /// The least number of queries by which anything is judged.
     pub least_ended: u64,
     /// How much larger the share that ends badly must be, at the least, to be held against a version.
     pub margin: f64,
--- a/crates/config-rollout/src/trial.rs
+++ b/crates/config-rollout/src/trial.rs
@@ -1,4 +1,4 @@
-//! Whether a version on trial is to blame for what ends badly. It compares the share of retrievals taken
+//! Whether a version on trial is to blame for what ends badly. It compares the share of queries taken
 //! under it that ended badly with the share before, beyond noise; and it holds its tongue while nodes are
 //! lost, for a hall that fell in the same minute looks the same from here.
 //!
@@ -11,7 +11,7 @@
 use routing::Tenths;
 use std::collections::VecDeque;
 
-/// How retrievals of the running version ended, counted up since it was applied.
+/// How queries of the running version ended, counted up since it was applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
     pub ended: u64,
@@ -104,7 +104,7 @@
     after: Sample,
 }
 
-/// How retrievals ended of late, a piece for each time that it was told; as long back as a trial compares
+/// How queries ended of late, a piece for each time that it was told; as long back as a trial compares
 /// with.
 #[derive(Clone, Debug, Default)]
 pub struct Past {
@@ -191,7 +191,7 @@
 
     // ---- guards
 
-    /// Fewer nodes than before, or more retrievals that found theirs down.
+    /// Fewer nodes than before, or more queries that found theirs down.
     fn loses_nodes(&self, look: &Look) -> bool {
         let Patience { least_ended, margin, .. } = self.patience;
         let usual = self.before.at_most(least_ended, |sample| sample.by_nodes, 0.0);
@@ -211,7 +211,7 @@
         look.after.ended >= least_ended && least > usual + margin
     }
 
-    /// Time and retrievals enough, and what was seen does not look worse. One that does, though not beyond
+    /// Time and queries enough, and what was seen does not look worse. One that does, though not beyond
     /// noise, is looked at on.
     fn is_over(&self, look: &Look) -> bool {
         let Patience { least_ended, margin, trial, .. } = self.patience;
@@ -293,7 +293,7 @@
 
     const SECOND: i64 = 10_000;
 
-    /// A minute of 20 retrievals a second before: so many of a hundred bad, in each quarter of it.
+    /// A minute of 20 queries a second before: so many of a hundred bad, in each quarter of it.
     fn past(bad: [u64; 4]) -> Past {
         let mut past = Past::default();
         for second in 0..60 {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Few retrievals, all bad, and nothing to compare with: not proven by them, and blamed once there are
+    /// Few queries, all bad, and nothing to compare with: not proven by them, and blamed once there are
     /// more.
     #[rstest]
     fn what_looks_worse_is_not_proven() {
--- a/crates/config-rollout/tests/life.rs
+++ b/crates/config-rollout/tests/life.rs
@@ -21,7 +21,7 @@
     calling: bool,
     up: bool,
     nonce: u64,
-    /// What retrievals are taken under.
+    /// What queries are taken under.
     applied: VersionId,
     applications: Vec<VersionId>,
     answers: BTreeMap<(StreamNo, Nonce), usize>,
@@ -142,7 +142,7 @@
         self.open();
     }
 
-    /// So many seconds of 20 retrievals each, of which so many end badly.
+    /// So many seconds of 20 queries each, of which so many end badly.
     fn serve(&mut self, seconds: i64, bad: u64) {
         for _ in 0..seconds {
             self.now += 10_000;
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -35,13 +35,13 @@
     SilentRoll,
     /// `size` times as much is asked; with `caller`, by that caller alone.
     Storm,
-    /// Of the retrievals the share `size` is `times` as much work.
+    /// Of the queries the share `size` is `times` as much work.
     Heavy,
-    /// Of the retrievals the share `size` brings down every host that begins a part of it.
+    /// Of the queries the share `size` brings down every host that begins a part of it.
     Killer,
     /// The share `size` of the brokers starts anew, and knows nothing.
     Forget,
-    /// The share `size` of all retrievals goes to one broker.
+    /// The share `size` of all queries goes to one broker.
     Lopsided,
 }
 
--- a/crates/node-emulator/src/script.rs
+++ b/crates/node-emulator/src/script.rs
@@ -391,7 +391,7 @@
     }
 }
 
-/// A retrieval's body: shards and weights.
+/// A query's body: shards and weights.
 pub fn body(slices: &[(u32, f64)], text: &str) -> String {
     let slices: Vec<Value> =
         slices.iter().map(|(slice, mass)| json!({"slice": slice, "mass": mass})).collect();
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -1,6 +1,6 @@
 //! What a broker does.
 
-use crate::ids::{NodeId, PartId, PushNo, RetrievalId};
+use crate::ids::{NodeId, PartId, PushNo, QueryId};
 use crate::time::Tenths;
 
 /// One thing to do, in the order given.
@@ -11,11 +11,11 @@
     /// Call off a push.
     Withdraw { part: PartId, push: PushNo },
     /// Answer from the parts that are in.
-    Answer { retrieval: RetrievalId, whole: bool },
-    /// Turn the retrieval away: asking again is harmless, after `stay_away`.
-    Decline { retrieval: RetrievalId, stay_away: Tenths },
-    /// End the retrieval without an answer.
-    Scrap { retrieval: RetrievalId },
+    Answer { query: QueryId, whole: bool },
+    /// Turn the query away: asking again is harmless, after `stay_away`.
+    Decline { query: QueryId, stay_away: Tenths },
+    /// End the query without an answer.
+    Scrap { query: QueryId },
     /// Close this broker's idle connections to a node.
     CloseIdle { node: NodeId },
     /// Ask a node for its load.
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -9,11 +9,11 @@
 }
 
 ids! {
-    /// One retrieval, as its caller asked for it.
-    RetrievalId(u64);
-    /// One part of a retrieval.
+    /// One query, as its caller asked for it.
+    QueryId(u64);
+    /// One part of a query.
     PartId(u64);
-    /// What ties the parts to their retrieval when they are handed over.
+    /// What ties the parts to their query when they are handed over.
     GroupNo(u32);
     /// A push of a part: 0 for the first, counted up in sending order.
     PushNo(u16);
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,8 +1,6 @@
 //! What a broker hears.
 
-use crate::ids::{
-    CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, RetrievalId, ShardNo, ZoneNo,
-};
+use crate::ids::{CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, QueryId, ShardNo, ZoneNo};
 use crate::prescription::Prescription;
 use crate::time::Tenths;
 use std::sync::Arc;
@@ -17,15 +15,15 @@
     /// What is taken from now on is served so; what is open keeps what it was taken under. The period, the
     /// zone and the way to a node (`send_lag`) must stay as they were at the start.
     Prescription(Box<Prescription>),
-    /// A retrieval is handed over; its parts follow in the same turn.
-    Retrieval(NewRetrieval),
+    /// A query is handed over; its parts follow in the same turn.
+    Query(NewQuery),
     Part(NewPart),
     /// A push's answer has begun to flow; the part is bound to that push.
     Flowing(PartId),
     /// The one end of a push.
     Outcome(PushOutcome),
     /// The caller has left, or its time is up.
-    CallerLeft(RetrievalId),
+    CallerLeft(QueryId),
     /// A wake-up that was asked for.
     Woken,
     /// What came of a probe.
@@ -71,8 +69,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct NewRetrieval {
-    pub id: RetrievalId,
+pub struct NewQuery {
+    pub id: QueryId,
     pub group: GroupNo,
     pub category: CategoryNo,
     pub caller: CallerNo,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a broker that reads many shards for one retrieval.
+//! The decisions of a broker that reads many shards for one query.
 //!
 //! A front (a program that owns sockets or a simulator's wire) makes one [`Broker`] from a
 //! [`Prescription`], a seed and the time, then hands it everything heard in [`Broker::turn`]
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,15 +1,15 @@
 //! All decisions of one broker. Make it with `Broker::start`, then give `Broker::turn` what has been heard
 //! and carry out what comes back. What it hears is in `inputs.rs`, what it does in `effects.rs`, what it is
 //! handed at start in `prescription.rs`, what it remembers in `state.rs`; `docs/design.md` tells why. Read
-//! `TABLE` first, the life of a retrieval, then `ENDS`, what each end of a push means. The rest serves them.
+//! `TABLE` first, the life of a query, then `ENDS`, what each end of a push means. The rest serves them.
 
 use crate::effects::Effect;
-use crate::ids::{CategoryNo, NodeId, PartId, PushNo, RetrievalId};
-use crate::inputs::{Input, NewRetrieval, PushEnd, PushOutcome, Roll};
+use crate::ids::{CategoryNo, NodeId, PartId, PushNo, QueryId};
+use crate::inputs::{Input, NewQuery, PushEnd, PushOutcome, Roll};
 use crate::prescription::{Category, EffectKind, FurtherBudget, Layout, Prescription};
 use crate::state::Signal::{self, CallerLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
-use crate::state::{CategoryRow, Due, Fate, Instance, Line, Node, Part, PartStage, Push, Retrieval};
+use crate::state::{CategoryRow, Due, Fate, Instance, Line, Node, Part, PartStage, Push, Query};
 use crate::state::{Terms, Ticket};
 use crate::time::Tenths;
 use std::collections::BTreeSet;
@@ -57,14 +57,14 @@
 const UNLIKELY: f64 = 0.03;
 const LUCK: f64 = 3.0;
 
-type Guard = fn(&mut Broker, &Retrieval) -> bool;
-type Act = fn(&mut Broker, &mut Retrieval);
+type Guard = fn(&mut Broker, &Query) -> bool;
+type Act = fn(&mut Broker, &mut Query);
 
 struct Row(&'static [Stage], Signal, Guard, Stage, Act);
 
 const ANY: &[Stage] = &[Taken, Asking, Overdue, Between];
 
-/// The life of a retrieval: at a stage, on a signal, if the guard holds, go to the next stage and act. The
+/// The life of a query: at a stage, on a signal, if the guard holds, go to the next stage and act. The
 /// first row that fits is taken; where none fits, nothing happens.
 #[rustfmt::skip]
 const TABLE: &[Row] = &[
@@ -112,7 +112,7 @@
 
 /// Decides for one broker, from nothing but what that broker was told.
 pub struct Broker {
-    /// Those under which retrievals are taken now; each keeps its own to its end.
+    /// Those under which queries are taken now; each keeps its own to its end.
     terms: Arc<Terms>,
     rng: fastrand::Rng,
     seed: u64,
@@ -201,7 +201,7 @@
             Input::Roll(roll) => self.read_roll(roll),
             Input::RollFailed => self.roll_failed(),
             Input::Prescription(new) => self.prescribe((**new).clone()),
-            Input::Retrieval(new) => self.take(new),
+            Input::Query(new) => self.take(new),
             Input::Part(new) => self.s.add_part(new),
             Input::Flowing(part) => self.s.bind(part),
             Input::Outcome(outcome) => self.push_ended(outcome),
@@ -224,8 +224,8 @@
     }
 
     /// The loop that reads `TABLE`.
-    fn signal(&mut self, id: RetrievalId, signal: Signal) {
-        let Some(mut r) = self.s.retrievals.remove(&id) else { return };
+    fn signal(&mut self, id: QueryId, signal: Signal) {
+        let Some(mut r) = self.s.queries.remove(&id) else { return };
         let row = TABLE.iter().find(|row| row.0.contains(&r.stage) && row.1 == signal && row.2(self, &r));
         if let Some(Row(_, _, _, next, act)) = row {
             r.stage = *next;
@@ -244,49 +244,49 @@
     // ---- guards
 
     /// All that was sent has ended, enough is in for the whole, or a first step has had half of its time.
-    fn complete(&mut self, r: &Retrieval) -> bool {
+    fn complete(&mut self, r: &Query) -> bool {
         let halfway = self.leads_on(r) && self.s.now + r.row.goal.times(0.5) >= r.goal_at;
         let settled = r.weight(&[PartStage::Wanted, PartStage::Out]) == 0.0;
         self.has_least(r) && (self.is_whole(r) || settled || halfway)
     }
 
-    fn has_least(&mut self, r: &Retrieval) -> bool {
+    fn has_least(&mut self, r: &Query) -> bool {
         self.reaches_least(r, r.weight(&[PartStage::In]))
     }
 
     /// Unsent light parts can stand in for lost ones.
-    fn can_mend(&mut self, r: &Retrieval) -> bool {
+    fn can_mend(&mut self, r: &Query) -> bool {
         let all = r.weight(&[PartStage::Unsent, PartStage::Wanted, PartStage::Out, PartStage::In]);
         self.beyond_hope(r) && self.reaches_least(r, all)
     }
 
     /// Even if all that is out comes in, it is less than the least share.
-    fn beyond_hope(&mut self, r: &Retrieval) -> bool {
+    fn beyond_hope(&mut self, r: &Query) -> bool {
         !self.reaches_least(r, r.weight(&[PartStage::Wanted, PartStage::Out, PartStage::In]))
     }
 
-    fn late_is_worth(&mut self, r: &Retrieval) -> bool {
+    fn late_is_worth(&mut self, r: &Query) -> bool {
         r.row.late_pays && self.reaches_least(r, r.weight(&[PartStage::Out, PartStage::In]))
     }
 
-    /// Guards against retrievals that bring down every node that begins a part: two nodes fell with one, and
+    /// Guards against queries that bring down every node that begins a part: two nodes fell with one, and
     /// none brought one. Dropped parts wait for a first one as proof; once given up it is barred while its
     /// caller may repeat it. Harm: one caught in a hall's fall.
-    fn kills(&self, r: &Retrieval) -> bool {
+    fn kills(&self, r: &Query) -> bool {
         r.fallen.len() > 1 && r.weight(&[PartStage::In]) == 0.0
     }
 
-    fn leads_on(&mut self, r: &Retrieval) -> bool {
+    fn leads_on(&mut self, r: &Query) -> bool {
         r.row.two_steps && !r.second_step
     }
 
     /// Where only a probe brings a load report, holders are asked before the first parts go out.
-    fn may_probe(&mut self, r: &Retrieval) -> bool {
+    fn may_probe(&mut self, r: &Query) -> bool {
         r.terms.prescription.load_by_probe && r.probed.is_none() && !self.without_news(r).is_empty()
     }
 
     /// Who holds a part of it and told nothing a moment ago.
-    fn without_news(&self, r: &Retrieval) -> BTreeSet<NodeId> {
+    fn without_news(&self, r: &Query) -> BTreeSet<NodeId> {
         let (now, wait, layout) = (self.s.now, r.row.goal.times(WORD), &r.terms.prescription.layout);
         let old = |id: &NodeId| {
             let node = &self.s.nodes[id];
@@ -297,16 +297,16 @@
     }
 
     /// Word of a holder may still come in time to choose by it.
-    fn awaits_word(&mut self, r: &Retrieval) -> bool {
+    fn awaits_word(&mut self, r: &Query) -> bool {
         let asked = r.probed.filter(|at| self.s.now - *at < r.row.goal.times(WORD));
         let (layout, silent) = (&r.terms.prescription.layout, |id| self.s.nodes[&id].probe_out.is_some());
         asked.is_some() && r.parts.iter().any(|part| self.s.holders_of(layout, part).any(silent))
     }
 
-    /// Guards against queues that outgrow the goal time: a retrieval waits, and is then turned away, while
+    /// Guards against queues that outgrow the goal time: a query waits, and is then turned away, while
     /// even its least share passes the room, or is out of reach. With nothing out, one is always taken,
     /// however wide, so that room can grow again. Harm: what a lucky replica would have served is not.
-    fn no_room(&mut self, r: &Retrieval) -> bool {
+    fn no_room(&mut self, r: &Query) -> bool {
         let lost: f64 = r.parts.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
         let (out, need) = (self.s.tickets.len(), self.plan(r, true).len());
         let (payoff, least) = (r.row.payoff, r.row.least);
@@ -318,23 +318,23 @@
 
     /// Guards against bursts that are over sooner than they matter: a line that would fill the room once more
     /// may wait, no longer one. Harm: what is turned away in the end has waited in vain.
-    fn may_wait(&mut self, r: &Retrieval) -> bool {
+    fn may_wait(&mut self, r: &Query) -> bool {
         let line = ((self.s.waiting.len() + 1) * r.parts.len()) as f64;
         let short = self.s.waiting.contains(&r.id) || line <= self.s.room;
         short && r.goal_at - self.s.now > r.row.goal.times(1.0 - PATIENCE_BOUNDS[0]) && self.no_room(r)
     }
 
-    /// Guards against nodes that drown in parts nobody can use: where a retrieval needs all of many parts,
+    /// Guards against nodes that drown in parts nobody can use: where a query needs all of many parts,
     /// none is sent while so many are refused that with all its pushes it would hardly be whole. That tells
     /// nothing of nodes, so the span forgets, and one is tried again. Harm: what luck would have served.
-    fn unlikely(&mut self, r: &Retrieval) -> bool {
+    fn unlikely(&mut self, r: &Query) -> bool {
         let refused = self.s.refused.share(self.s.now, SPAN, 1.0 / START);
         let misses = refused.powi(r.terms.prescription.limits.most_pushes.max(1) as i32);
         r.row.least >= r.row.whole && (1.0 - misses).powi(r.parts.len() as i32) < UNLIKELY
     }
 
     /// The room for what pays so much for each part that it sends.
-    fn room_for(&self, r: &Retrieval, pays: f64) -> f64 {
+    fn room_for(&self, r: &Query, pays: f64) -> f64 {
         let earns = if r.within_share { 1.0 } else { r.terms.prescription.over_share_payoff };
         let best = self.s.pays.values().map(|p| p[0]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         self.s.room * (CROWDED + (1.0 - CROWDED) * earns * pays / best)
@@ -342,27 +342,27 @@
 
     // ---- acts
 
-    fn probe(&mut self, r: &mut Retrieval) {
+    fn probe(&mut self, r: &mut Query) {
         self.without_news(r).into_iter().for_each(|id| self.s.probe(id));
         r.probed = Some(self.s.now);
         self.s.probing.insert(r.id);
         self.s.agenda.insert((self.s.now + r.row.goal.times(WORD), Due::Room(r.id)));
     }
 
-    fn wait(&mut self, r: &mut Retrieval) {
+    fn wait(&mut self, r: &mut Query) {
         self.s.waiting.insert(r.id);
         self.later(r.row.goal, Due::Room(r.id));
     }
 
     /// What is turned away counts as refused, so that pressure rises and the cut sets in.
-    fn turn_away(&mut self, r: &mut Retrieval) {
+    fn turn_away(&mut self, r: &mut Query) {
         let parts = self.plan(r, true).len() as f64;
         self.s.count_harm(SPAN, r.within_share, parts, parts);
         self.give_up(r);
     }
 
     /// Sends what the design's cut leaves, or the least share where there is no room for more.
-    fn ask(&mut self, r: &mut Retrieval) {
+    fn ask(&mut self, r: &mut Query) {
         let (least, partial) = (r.row.least, r.row.least < r.row.whole);
         let (mut sent, out) = (0.0, self.s.tickets.len());
         let first = r.parts.iter().all(|part| part.pushes.is_empty());
@@ -382,7 +382,7 @@
     /// under `CUT`, and never less than the least share; with `least_only`, no more than that. Parts of even
     /// weight share a rank, else many would collapse to a few as B passes 1. A part out of reach counts as
     /// cut: else a hot or dead shard's heavy part is sent for nothing while light ones are trimmed.
-    fn plan(&mut self, r: &Retrieval, least_only: bool) -> Vec<usize> {
+    fn plan(&mut self, r: &Query, least_only: bool) -> Vec<usize> {
         let base = self.base(r.within_share);
         let row = &r.row;
         let (mut rank, mut level) = (0, f64::INFINITY);
@@ -408,7 +408,7 @@
 
     /// Whether no holder may have a part now, or the best can't bring it in time. A sound idle one can: a
     /// slow pair of holders is used for what it can do, rather than all that touches it turned away.
-    fn hopeless(&self, r: &Retrieval, part: &Part) -> bool {
+    fn hopeless(&self, r: &Query, part: &Part) -> bool {
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
         let anew = r.probed.is_some() && self.s.tickets.is_empty();
         let idle = |n: &Node| n.calls.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
@@ -419,19 +419,19 @@
         least.is_none_or(|wait| self.s.now + wait.times(SPREAD) > r.goal_at)
     }
 
-    fn answer(&mut self, r: &mut Retrieval) {
+    fn answer(&mut self, r: &mut Query) {
         let whole = self.is_whole(r);
-        self.s.effects.push(Effect::Answer { retrieval: r.id, whole });
+        self.s.effects.push(Effect::Answer { query: r.id, whole });
         r.first_whole |= whole && !r.second_step;
     }
 
-    fn clear_parts(&mut self, r: &mut Retrieval) {
+    fn clear_parts(&mut self, r: &mut Query) {
         self.s.drop_parts(r, r.terms.prescription.limits.may_withdraw);
         r.second_step = true;
     }
 
     /// A decline where asking again is harmless, else a scrapping.
-    fn give_up(&mut self, r: &mut Retrieval) {
+    fn give_up(&mut self, r: &mut Query) {
         if self.kills(r) {
             self.s.bar(r, self.s.now + r.row.cut_off);
         }
@@ -441,16 +441,16 @@
         let harmless =
             self.effects_of(r).all(|(kind, _)| kind == EffectKind::Reissuable) || never_ran && !r.second_step;
         let stay_away = if limits.stay_away { goal.min(limits.longest_stay_away) } else { Tenths::ZERO };
-        let (retrieval, scrap) = (r.id, Effect::Scrap { retrieval: r.id });
-        self.s.effects.push(if harmless { Effect::Decline { retrieval, stay_away } } else { scrap });
+        let (query, scrap) = (r.id, Effect::Scrap { query: r.id });
+        self.s.effects.push(if harmless { Effect::Decline { query, stay_away } } else { scrap });
     }
 
-    fn take(&mut self, new: &NewRetrieval) {
-        let NewRetrieval { id, category, caller, time_left, work, .. } = *new;
+    fn take(&mut self, new: &NewQuery) {
+        let NewQuery { id, category, caller, time_left, work, .. } = *new;
         let now = self.s.now;
         let terms = self.terms.clone();
         let Some(row) = terms.rows.get(&category).cloned() else {
-            return self.s.effects.push(Effect::Scrap { retrieval: id });
+            return self.s.effects.push(Effect::Scrap { query: id });
         };
         let p = &terms.prescription;
         let turns = p.period.times(2.0);
@@ -466,7 +466,7 @@
             rate.count <= (mine * SPAN.as_ms() / 1000.0).max(1.0)
         });
         let times = [goal_at, cut_off_at];
-        self.s.hold(Retrieval::taken(new, (terms, row), within_share, goal, times));
+        self.s.hold(Query::taken(new, (terms, row), within_share, goal, times));
     }
 
     // ---- pushes
@@ -488,7 +488,7 @@
         self.s.close_calls();
     }
 
-    fn push(&mut self, r: &mut Retrieval, at: usize) {
+    fn push(&mut self, r: &mut Query, at: usize) {
         let now = self.s.now;
         let (goal, late_life) = (r.row.goal, r.row.late_life);
         let further = !r.parts[at].pushes.is_empty();
@@ -640,7 +640,7 @@
     }
 
     /// Whether another push of a part would keep rule 2 and its count. `copy`: while one is out.
-    fn may_push_again(&self, r: &Retrieval, at: usize, copy: bool) -> bool {
+    fn may_push_again(&self, r: &Query, at: usize, copy: bool) -> bool {
         let (row, part) = (&r.row, &r.parts[at]);
         let ran = part.pushes.iter().filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
         let first = ran.map(|p| p.sent).min();
@@ -658,7 +658,7 @@
 
     /// What a repeat would do, and the window: as it was taken, and as its category is now. Guards against a
     /// change that the nodes know of already: what either forbids is not done.
-    fn effects_of<'a>(&'a self, r: &'a Retrieval) -> impl Iterator<Item = (EffectKind, Tenths)> + 'a {
+    fn effects_of<'a>(&'a self, r: &'a Query) -> impl Iterator<Item = (EffectKind, Tenths)> + 'a {
         let now = self.terms.rows.get(&r.category);
         std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.repeat_window))
     }
@@ -849,13 +849,13 @@
         self.terms.prescription.period.times(2.0) + self.terms.prescription.send_lag
     }
 
-    fn is_whole(&self, r: &Retrieval) -> bool {
+    fn is_whole(&self, r: &Query) -> bool {
         let all_in = r.parts.iter().all(|p| p.stage == PartStage::In);
         let enough = r.weight(&[PartStage::In]) + ROUNDING >= r.row.whole;
         if r.second_step { r.first_whole && all_in } else { enough }
     }
 
-    fn reaches_least(&self, r: &Retrieval, sum: f64) -> bool {
+    fn reaches_least(&self, r: &Query, sum: f64) -> bool {
         let &CategoryRow { least, whole, .. } = &*r.row;
         sum + ROUNDING >= if r.second_step && least >= whole { 1.0 } else { least }
     }
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Everything a broker is told at its start, and anew with `Input::Prescription`. A prescription itself never
-/// changes: a retrieval keeps the one under which it was taken. Numbers of categories and callers stay with
+/// changes: a query keeps the one under which it was taken. Numbers of categories and callers stay with
 /// what they name for as long as the broker runs: one that is struck from a prescription leaves a gap.
 #[derive(Clone, Debug, Default)]
 pub struct Prescription {
@@ -18,7 +18,7 @@
     pub send_lag: Tenths,
     pub categories: BTreeMap<CategoryNo, Category>,
     pub callers: BTreeMap<CallerNo, Caller>,
-    /// A retrieval beyond its caller's share earns this part of its payoff.
+    /// A query beyond its caller's share earns this part of its payoff.
     pub over_share_payoff: f64,
     pub layout: Layout,
     pub limits: Limits,
@@ -31,11 +31,11 @@
     pub late_scrap_price: f64,
 }
 
-/// A kind of retrieval.
+/// A kind of query.
 #[derive(Clone, Debug, Default)]
 pub struct Category {
     pub goal_time: Tenths,
-    /// Extra goal time, as a multiple of the work that a retrieval is expected to be.
+    /// Extra goal time, as a multiple of the work that a query is expected to be.
     pub goal_stretch: f64,
     pub cut_off: Tenths,
     pub payoff: f64,
@@ -67,7 +67,7 @@
 /// One who shares the service with others.
 #[derive(Clone, Debug, Default)]
 pub struct Caller {
-    /// Retrievals a second, over all brokers, within its share.
+    /// Queries a second, over all brokers, within its share.
     pub quota_per_s: f64,
 }
 
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// The most retrievals and parts held at once.
+    /// The most queries and parts held at once.
     pub most_open: u32,
     /// The most pushes for one part.
     pub most_pushes: u32,
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FurtherBudget {
     pub floor: f64,
-    /// For each retrieval and part taken.
+    /// For each query and part taken.
     pub share: f64,
     pub window: Tenths,
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,11 +1,11 @@
-//! What a broker remembers, grouped by how long it lives: for one push, for one retrieval (with
+//! What a broker remembers, grouped by how long it lives: for one push, for one query (with
 //! its parts), for one node, for the instance.
 
 use crate::effects::Effect;
 use crate::ids::{
-    CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, RetrievalId, ShardNo, ZoneNo,
+    CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, QueryId, ShardNo, ZoneNo,
 };
-use crate::inputs::{NewPart, NewRetrieval, Probed, Roll, RollEntry, RollKind, Standing, Told};
+use crate::inputs::{NewPart, NewQuery, Probed, Roll, RollEntry, RollKind, Standing, Told};
 use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription};
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,7 +36,7 @@
     Fresh,
 }
 
-/// What a push leaves on the books until its end is heard, also past its retrieval's end.
+/// What a push leaves on the books until its end is heard, also past its query's end.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     pub node: NodeId,
@@ -97,7 +97,7 @@
     Over,
 }
 
-/// What moves a retrieval on.
+/// What moves a query on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// All parts that came in this turn are in hand.
@@ -111,8 +111,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Retrieval {
-    pub id: RetrievalId,
+pub struct Query {
+    pub id: QueryId,
     pub group: GroupNo,
     pub category: CategoryNo,
     /// Those under which it was taken, to its end.
@@ -305,14 +305,14 @@
 /// What comes due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    Goal(RetrievalId),
-    CutOff(RetrievalId),
+    Goal(QueryId),
+    CutOff(QueryId),
     /// A push's patience is up.
     Look(PartId, PushNo),
     /// A first step has had half of the goal time.
-    Halfway(RetrievalId),
-    /// A retrieval that waits for room looks again.
-    Room(RetrievalId),
+    Halfway(QueryId),
+    /// A query that waits for room looks again.
+    Room(QueryId),
     /// A waiting part tries again.
     Again(PartId),
     FollowRoll,
@@ -334,18 +334,18 @@
     pub zones: BTreeMap<ZoneNo, (usize, i64)>,
     /// Nodes that a call of this turn goes to.
     pub boarded: Vec<NodeId>,
-    pub retrievals: BTreeMap<RetrievalId, Retrieval>,
-    pub groups: BTreeMap<GroupNo, RetrievalId>,
-    pub parts: BTreeMap<PartId, (RetrievalId, usize)>,
+    pub queries: BTreeMap<QueryId, Query>,
+    pub groups: BTreeMap<GroupNo, QueryId>,
+    pub parts: BTreeMap<PartId, (QueryId, usize)>,
     pub tickets: BTreeMap<(PartId, PushNo), Ticket>,
     pub agenda: BTreeSet<(Tenths, Due)>,
     pub woken_at: Option<Tenths>,
-    /// Retrievals that got parts in this turn.
-    pub fresh: BTreeSet<RetrievalId>,
-    /// Retrievals that wait for room.
-    pub waiting: BTreeSet<RetrievalId>,
-    /// Retrievals that wait for word of their holders' load.
-    pub probing: BTreeSet<RetrievalId>,
+    /// Queries that got parts in this turn.
+    pub fresh: BTreeSet<QueryId>,
+    /// Queries that wait for room.
+    pub waiting: BTreeSet<QueryId>,
+    /// Queries that wait for word of their holders' load.
+    pub probing: BTreeSet<QueryId>,
     /// Parts to be sent this turn, in order.
     pub wanted: Vec<PartId>,
     pub next_call: CallNo,
@@ -384,16 +384,16 @@
 
 // What follows keeps the books; it decides nothing.
 
-impl Retrieval {
+impl Query {
     /// As it is taken, before its parts are in hand.
     pub fn taken(
-        new: &NewRetrieval,
+        new: &NewQuery,
         (terms, row): (Arc<Terms>, Arc<CategoryRow>),
         within_share: bool,
         goal: Tenths,
         [goal_at, cut_off_at]: [Tenths; 2],
-    ) -> Retrieval {
-        Retrieval {
+    ) -> Query {
+        Query {
             id: new.id,
             group: new.group,
             category: new.category,
@@ -506,7 +506,7 @@
         }
     }
 
-    pub fn hold(&mut self, r: Retrieval) {
+    pub fn hold(&mut self, r: Query) {
         self.taken.push_back(self.now);
         self.groups.insert(r.group, r.id);
         self.fresh.insert(r.id);
@@ -515,12 +515,12 @@
         self.put(r);
     }
 
-    pub fn put(&mut self, r: Retrieval) {
+    pub fn put(&mut self, r: Query) {
         if r.stage != Stage::Taken {
             self.waiting.remove(&r.id);
             self.probing.remove(&r.id);
         }
-        self.retrievals.insert(r.id, r);
+        self.queries.insert(r.id, r);
     }
 
     /// A part is to be sent this turn.
@@ -530,14 +530,14 @@
         self.wanted.push(part.id);
     }
 
-    /// Takes the retrieval of a part out, to be put back; with the part's place in it.
-    pub fn lift(&mut self, part: PartId) -> Option<(Retrieval, usize)> {
+    /// Takes the query of a part out, to be put back; with the part's place in it.
+    pub fn lift(&mut self, part: PartId) -> Option<(Query, usize)> {
         let (id, at) = *self.parts.get(&part)?;
-        Some((self.retrievals.remove(&id)?, at))
+        Some((self.queries.remove(&id)?, at))
     }
 
-    /// Strikes a retrieval; what it still has out is called off, where that is allowed.
-    pub fn let_go(&mut self, r: &Retrieval, may_withdraw: bool) {
+    /// Strikes a query; what it still has out is called off, where that is allowed.
+    pub fn let_go(&mut self, r: &Query, may_withdraw: bool) {
         self.withdraw_all(r, may_withdraw);
         r.parts.iter().for_each(|part| _ = self.parts.remove(&part.id));
         self.groups.remove(&r.group);
@@ -548,7 +548,7 @@
     }
 
     /// Strikes a first step's parts, likewise.
-    pub fn drop_parts(&mut self, r: &mut Retrieval, may_withdraw: bool) {
+    pub fn drop_parts(&mut self, r: &mut Query, may_withdraw: bool) {
         self.withdraw_all(r, may_withdraw);
         r.fallen.clear();
         r.parts.drain(..).for_each(|part| _ = self.parts.remove(&part.id));
@@ -557,15 +557,15 @@
     pub fn add_part(&mut self, new: &NewPart) {
         self.taken.push_back(self.now);
         let Some(id) = self.groups.get(&new.group) else { return };
-        let Some(r) = self.retrievals.get_mut(id) else { return };
+        let Some(r) = self.queries.get_mut(id) else { return };
         self.fresh.insert(*id);
         let (stage, flowing, pushes) = (PartStage::Unsent, false, Vec::new());
         r.parts.push(Part { id: new.id, shard: new.shard, weight: new.weight, stage, flowing, pushes });
     }
 
-    /// Puts a retrieval's parts in the order of their ranks.
-    pub fn rank_parts(&mut self, id: RetrievalId) {
-        let Some(r) = self.retrievals.get_mut(&id) else { return };
+    /// Puts a query's parts in the order of their ranks.
+    pub fn rank_parts(&mut self, id: QueryId) {
+        let Some(r) = self.queries.get_mut(&id) else { return };
         r.parts.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
         for (at, part) in r.parts.iter().enumerate() {
             self.parts.insert(part.id, (id, at));
@@ -594,7 +594,7 @@
 
     pub fn bind(&mut self, part: &PartId) {
         let Some((id, at)) = self.parts.get(part) else { return };
-        if let Some(r) = self.retrievals.get_mut(id) {
+        if let Some(r) = self.queries.get_mut(id) {
             r.parts[*at].flowing = true;
         }
     }
@@ -703,7 +703,7 @@
     }
 
     /// A question is not asked again until then.
-    pub fn bar(&mut self, r: &Retrieval, until: Tenths) {
+    pub fn bar(&mut self, r: &Query, until: Tenths) {
         self.barred.insert(r.question(), until);
         let word = format!("barred: {} nodes fell with a retrieval", r.fallen.len());
         self.effects.push(Effect::Say(word));
@@ -723,14 +723,14 @@
     }
 
     /// Whether its question is one not to be asked; forgets those that were, long enough ago.
-    pub fn is_barred(&mut self, r: &Retrieval) -> bool {
+    pub fn is_barred(&mut self, r: &Query) -> bool {
         let now = self.now;
         self.barred.retain(|_, until| *until > now);
         self.barred.contains_key(&r.question())
     }
 
-    /// Calls off all that a retrieval still has out, where that is allowed.
-    fn withdraw_all(&mut self, r: &Retrieval, allowed: bool) {
+    /// Calls off all that a query still has out, where that is allowed.
+    fn withdraw_all(&mut self, r: &Query, allowed: bool) {
         for part in r.parts.iter().filter(|part| allowed && !part.flowing) {
             let out = part.pushes.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
             let withdraw = |(no, _)| Effect::Withdraw { part: part.id, push: PushNo(no as u16) };
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -32,11 +32,11 @@
     /// All done since the last moment, as the notation puts it.
     done: Vec<String>,
     pushes: BTreeMap<PartId, Vec<(NodeId, Tenths, bool)>>,
-    parts: BTreeMap<PartId, RetrievalId>,
-    open: BTreeSet<RetrievalId>,
+    parts: BTreeMap<PartId, QueryId>,
+    open: BTreeSet<QueryId>,
     barred: BTreeSet<NodeId>,
-    /// Retrievals that have a second step to come.
-    leading_on: BTreeSet<RetrievalId>,
+    /// Queries that have a second step to come.
+    leading_on: BTreeSet<QueryId>,
 }
 
 impl Play {
@@ -176,7 +176,7 @@
                 Input::Roll(Roll { kind, entries: entries.collect() })
             }
             "take" => {
-                let (rid, group) = (RetrievalId(id(words[1])), GroupNo(id(words[1]) as u32));
+                let (rid, group) = (QueryId(id(words[1])), GroupNo(id(words[1]) as u32));
                 let category = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
                 let (category, caller) = (CategoryNo(category as u16), CallerNo(value(&words, "caller", 0)));
                 let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
@@ -184,7 +184,7 @@
                 if self.prescription.categories.get(&category).is_some_and(|c| c.second_parts > 0) {
                     self.leading_on.insert(rid);
                 }
-                self.inputs.push(Input::Retrieval(NewRetrieval {
+                self.inputs.push(Input::Query(NewQuery {
                     id: rid,
                     group,
                     category,
@@ -196,10 +196,10 @@
                 }));
                 return self.parts(rid, &words);
             }
-            "more" => return self.parts(RetrievalId(id(words[1])), &words),
+            "more" => return self.parts(QueryId(id(words[1])), &words),
             "left" => {
-                self.open.remove(&RetrievalId(id(words[1])));
-                Input::CallerLeft(RetrievalId(id(words[1])))
+                self.open.remove(&QueryId(id(words[1])));
+                Input::CallerLeft(QueryId(id(words[1])))
             }
             "told" => {
                 let queue = words[2].parse().map(|queue| (Told::Queue, queue)).into_iter();
@@ -215,7 +215,7 @@
     }
 
     /// Parts, as `name:shard:weight`.
-    fn parts(&mut self, rid: RetrievalId, words: &Words) {
+    fn parts(&mut self, rid: QueryId, words: &Words) {
         for word in words.iter().filter(|word| word.contains(':')) {
             let fields: Words = word.split(':').collect();
             let (part, group) = (PartId(id(fields[0])), GroupNo(rid.0 as u32));
@@ -292,14 +292,14 @@
             String::from_utf8(bytes).unwrap()
         };
         let closing = match &effect {
-            Effect::Answer { retrieval, .. } if self.leading_on.remove(retrieval) => None,
-            Effect::Answer { retrieval, .. }
-            | Effect::Decline { retrieval, .. }
-            | Effect::Scrap { retrieval } => Some(*retrieval),
+            Effect::Answer { query, .. } if self.leading_on.remove(query) => None,
+            Effect::Answer { query, .. } | Effect::Decline { query, .. } | Effect::Scrap { query } => {
+                Some(*query)
+            }
             _ => None,
         };
-        if let Some(retrieval) = closing {
-            assert!(self.open.remove(&retrieval), "a second final answer for {}", name(retrieval.0));
+        if let Some(query) = closing {
+            assert!(self.open.remove(&query), "a second final answer for {}", name(query.0));
         }
         self.done.push(match effect {
             Effect::Push { part, node, time_out } => {
@@ -309,11 +309,11 @@
                 format!("push {} {} {}", name(part.0), name(node.0), time_out.as_ms())
             }
             Effect::Withdraw { part, push } => format!("withdraw {} {}", name(part.0), push.0),
-            Effect::Answer { retrieval, whole } => {
-                format!("answer {} {}", name(retrieval.0), if whole { "whole" } else { "partial" })
+            Effect::Answer { query, whole } => {
+                format!("answer {} {}", name(query.0), if whole { "whole" } else { "partial" })
             }
-            Effect::Decline { retrieval, .. } => format!("decline {}", name(retrieval.0)),
-            Effect::Scrap { retrieval } => format!("scrap {}", name(retrieval.0)),
+            Effect::Decline { query, .. } => format!("decline {}", name(query.0)),
+            Effect::Scrap { query } => format!("scrap {}", name(query.0)),
             Effect::Wake { after } => {
                 self.wakes.insert(self.now + after);
                 "wake".to_owned()
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -218,7 +218,7 @@
         mistakes.push(wrong("Zone", text.zone.to_string(), allowed));
     }
     // Two turns before the goal time and four before the cut-off an answer must be on its way: with less time
-    // than that each retrieval would be given up as it is taken.
+    // than that each query would be given up as it is taken.
     let turns = text.period_ms * 4.0;
     for (at, service) in text.services.iter().enumerate() {
         let field = |name: &str| format!("Services[{at}].{name}");
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -30,7 +30,7 @@
     /// At once, for everything; where a rule looks back over a window, the tighter of both until that is
     /// over.
     Live,
-    /// For retrievals taken from then on; one that is open keeps what it was taken under.
+    /// For queries taken from then on; one that is open keeps what it was taken under.
     New,
     /// Not while the broker runs: a version that changes it is turned down.
     Restart,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! The settings text, turned into the library's prescription and what a front needs beside it. Decides
-//! nothing about retrievals.
+//! nothing about queries.
 //!
 //! - [`read`] takes the text of one start, as the platform gives it: keys it does not know are skipped.
 //! - [`Document`] is a whole text of an installation, to be checked: [`check`] lists every mistake in it.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewRetrieval, NodeId, PartId, PushEnd,
-    PushNo, PushOutcome, RetrievalId, RollEntry, ShardNo, Standing, Tenths, ZoneNo,
+    CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId, PushEnd, PushNo,
+    PushOutcome, QueryId, RollEntry, ShardNo, Standing, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -131,7 +131,7 @@
                 Input::Flowing(part)
             }
             20 => self.finished()?,
-            21 => Input::CallerLeft(RetrievalId(self.u64()?)),
+            21 => Input::CallerLeft(QueryId(self.u64()?)),
             22 => {
                 self.u64()?;
                 Input::Woken
@@ -160,8 +160,8 @@
         let (slice, heft) = (self.f32()?, self.f32()?);
         let work = if self.u8()? & 1 == 1 { hint } else { Tenths::ZERO };
         if slice < 0.0 {
-            return Ok(Input::Retrieval(NewRetrieval {
-                id: RetrievalId(id),
+            return Ok(Input::Query(NewQuery {
+                id: QueryId(id),
                 group,
                 category,
                 caller,
@@ -244,19 +244,19 @@
                 self.records.put_u64_le(part.0);
                 self.records.put_u16_le(push.0);
             }
-            Effect::Answer { retrieval, whole } => {
+            Effect::Answer { query, whole } => {
                 self.record(92, broker);
-                self.records.put_u64_le(retrieval.0);
+                self.records.put_u64_le(query.0);
                 self.records.put_u8((*whole).into());
             }
-            Effect::Decline { retrieval, stay_away } => {
+            Effect::Decline { query, stay_away } => {
                 self.record(81, broker);
-                self.records.put_u64_le(retrieval.0);
+                self.records.put_u64_le(query.0);
                 self.records.put_f64_le(stay_away.as_ms());
             }
-            Effect::Scrap { retrieval } => {
+            Effect::Scrap { query } => {
                 self.record(82, broker);
-                self.records.put_u64_le(retrieval.0);
+                self.records.put_u64_le(query.0);
             }
             Effect::CloseIdle { node } => {
                 self.record(86, broker);
