--- a/crates/admission-control/src/allowance.rs
+++ b/crates/admission-control/src/allowance.rs
@@ -7,7 +7,7 @@
 /// How the door shares what there is. `Allowance::default()` is what `docs/operate-admission.md` lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allowance {
-    /// The share of parts refused as full or timed out, or of queries that the module turned away, above
+    /// The share of shard requests refused as full or timed out, or of queries that the module turned away, above
     /// which the door is crowded. Over 0, under 1.
     pub level: f64,
     /// Over which harm, what is asked and retries are counted; a step is a tenth of it. 100 ms at least.
--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -75,11 +75,11 @@
     Passed,
     /// Declined: its caller's retries are over their budget.
     Retries,
-    /// Declined: its caller asks for more than its share, its bucket does not hold the parts, and others
+    /// Declined: its caller asks for more than its share, its bucket does not hold the shard requests, and others
     /// ask. They are not trimmed by it.
     Share,
     /// Passed, to be served at its least share only: as `Share`, but its category takes partial answers.
-    /// The heaviest parts earn most of its payoff for a few pushes, where a decline earns nothing.
+    /// The heaviest shard requests earn most of its payoff for a few pushes, where a decline earns nothing.
     Least,
 }
 
@@ -160,11 +160,11 @@
                     caller: new.caller,
                     category: new.category,
                     attempt: new.attempt,
-                    parts: 0,
+                    shard_requests: 0,
                 }),
-                Input::Part(part) => {
-                    let own = asked.iter_mut().rev().find(|asked| asked.group == part.group);
-                    own.into_iter().for_each(|asked| asked.parts += 1);
+                Input::ShardRequest(shard_request) => {
+                    let own = asked.iter_mut().rev().find(|asked| asked.group == shard_request.group);
+                    own.into_iter().for_each(|asked| asked.shard_requests += 1);
                 }
                 _ => {}
             }
@@ -185,7 +185,7 @@
         }
         let kept = |input: &&Input| match input {
             Input::Query(new) => !ids.contains(&new.id),
-            Input::Part(part) => !groups.contains(&part.group),
+            Input::ShardRequest(shard_request) => !groups.contains(&shard_request.group),
             Input::CallerLeft(id) => !ids.contains(id),
             _ => true,
         };
@@ -263,7 +263,7 @@
         self.s.cut_at = self.s.now;
     }
 
-    /// Parts asked a second that the hosts did of late: parts that they finished, as many as were asked for
+    /// Parts asked a second that the hosts did of late: shard requests that they finished, as many as were asked for
     /// each that the module sent. Guards against a rate that follows harm alone: harm is heard late, and a
     /// rate that grows until it is heard overshoots by as much again.
     fn estimate(&self) -> f64 {
@@ -297,7 +297,7 @@
     }
 
     /// Guards against a rate that falls to nothing while every step finds harm: one that never lets anything
-    /// in can never find calm. As many parts a window as make one refusal the level.
+    /// in can never find calm. As many shard requests a window as make one refusal the level.
     fn floor(&self) -> f64 {
         1.0 / self.a.level / self.seconds()
     }
@@ -367,18 +367,18 @@
     /// The loop that reads `RULES`: what the query is told, and when to come back if declined.
     fn decide(&mut self, asked: &Asked) -> (Told, Tenths) {
         let asked = &Asked { caller: self.known(asked.caller), ..*asked };
-        let (parts, now, window) = (f64::from(asked.parts), self.s.now, self.a.window);
-        self.caller(asked.caller).asked.count(now, window, 0.0, parts);
+        let (shard_requests, now, window) = (f64::from(asked.shard_requests), self.s.now, self.a.window);
+        self.caller(asked.caller).asked.count(now, window, 0.0, shard_requests);
         let rule = RULES.iter().find(|rule| rule.0 == self.mode && rule.1(self, asked));
         let Some(Rule(_, _, told, act)) = rule else { return (Told::Passed, Tenths::ZERO) };
         act(self, asked);
         self.counts[*told as usize] += 1;
         if !matches!(told, Told::Retries | Told::Share) {
-            self.s.let_in.count(now, window, 0.0, parts);
+            self.s.let_in.count(now, window, 0.0, shard_requests);
             self.s.turned.count(now, window, 0.0, 1.0);
             return (*told, Tenths::ZERO);
         }
-        self.caller(asked.caller).asked.count(now, window, parts, 0.0);
+        self.caller(asked.caller).asked.count(now, window, shard_requests, 0.0);
         (*told, self.stay_away())
     }
 
@@ -434,16 +434,16 @@
         others.clone().any(|(_, caller)| caller.asked.sums(now, window).1 > 0.0)
     }
 
-    /// The bucket holds the query's parts, or is full.
+    /// The bucket holds the query's shard requests, or is full.
     fn bucket_holds(&mut self, asked: &Asked) -> bool {
         let depth = self.depth(asked.caller);
         let caller = self.fill(asked.caller);
-        caller.tokens >= f64::from(asked.parts) || caller.tokens >= depth
+        caller.tokens >= f64::from(asked.shard_requests) || caller.tokens >= depth
     }
 
     fn take(&mut self, asked: &Asked) {
         self.count_try(asked);
-        self.fill(asked.caller).tokens -= f64::from(asked.parts);
+        self.fill(asked.caller).tokens -= f64::from(asked.shard_requests);
     }
 
     fn depth(&mut self, no: CallerNo) -> f64 {
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -12,8 +12,8 @@
     pub caller: CallerNo,
     pub category: CategoryNo,
     pub attempt: u32,
-    /// Its parts, as they come in the same turn.
-    pub parts: u32,
+    /// Its shard requests, as they come in the same turn.
+    pub shard_requests: u32,
 }
 
 /// A caller, while it asks.
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -38,13 +38,13 @@
 }
 
 impl Asking {
-    /// A query of a caller with so many parts, asked for the `attempt`th time.
-    fn ask(&mut self, caller: u32, parts: u32, attempt: u32) -> Vec<Input> {
-        self.ask_of(CategoryNo(0), caller, parts, attempt)
+    /// A query of a caller with so many shard requests, asked for the `attempt`th time.
+    fn ask(&mut self, caller: u32, shard_requests: u32, attempt: u32) -> Vec<Input> {
+        self.ask_of(CategoryNo(0), caller, shard_requests, attempt)
     }
 
     /// The same, of a category.
-    fn ask_of(&mut self, category: CategoryNo, caller: u32, parts: u32, attempt: u32) -> Vec<Input> {
+    fn ask_of(&mut self, category: CategoryNo, caller: u32, shard_requests: u32, attempt: u32) -> Vec<Input> {
         self.next += 1;
         let (id, group) = (QueryId(self.next), GroupNo(self.next as u32));
         let time_left = Tenths(20_000);
@@ -59,14 +59,14 @@
             least_only: false,
         };
         let mut heard = vec![Input::Query(new)];
-        for no in 0..parts {
-            let part = NewPart {
-                id: PartId(self.next * 100 + u64::from(no)),
+        for no in 0..shard_requests {
+            let shard_request = NewShardRequest {
+                id: ShardRequestId(self.next * 100 + u64::from(no)),
                 group,
                 shard: ShardNo(0),
                 weight: 1.0,
             };
-            heard.push(Input::Part(part));
+            heard.push(Input::ShardRequest(shard_request));
         }
         heard
     }
@@ -74,7 +74,7 @@
 
 fn ended(end: PushEnd, count: usize) -> Vec<Input> {
     let outcome = |no: usize| PushOutcome {
-        part: PartId(900_000 + no as u64),
+        shard_request: ShardRequestId(900_000 + no as u64),
         push: PushNo(0),
         node: NodeId(1),
         end,
@@ -83,7 +83,7 @@
     (0..count).map(|no| Input::Outcome(outcome(no))).collect()
 }
 
-/// The module pushes each part that the door passed; of one at its least share, the first.
+/// The module pushes each shard request that the door passed; of one at its least share, the first.
 fn pushed(passed: &[Input]) -> Vec<Effect> {
     let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
     let mut push = |input: &Input| match input {
@@ -91,8 +91,10 @@
             least.insert(new.group);
             None
         }
-        Input::Part(part) if !least.contains(&part.group) || first.insert(part.group) => {
-            Some(Effect::Push { part: part.id, node: NodeId(1), time_out: Tenths(10_000) })
+        Input::ShardRequest(shard_request)
+            if !least.contains(&shard_request.group) || first.insert(shard_request.group) =>
+        {
+            Some(Effect::Push { shard_request: shard_request.id, node: NodeId(1), time_out: Tenths(10_000) })
         }
         _ => None,
     };
@@ -119,7 +121,7 @@
     passed.iter().filter_map(taken).collect()
 }
 
-/// Hosts that finish so many parts a step, of those passed the step before, and refuse the rest as full.
+/// Hosts that finish so many shard requests a step, of those passed the step before, and refuse the rest as full.
 struct Hosts {
     each_step: usize,
     out: Vec<Effect>,
@@ -141,8 +143,9 @@
 /// A door that its hosts' refusals have crowded: the callers ask twice what the hosts do, for ten seconds.
 fn crowded(door: &mut Door, hosts: &mut Hosts, asking: &mut Asking, callers: &[u32]) -> Tenths {
     for at in 0..20 {
-        let parts = (hosts.each_step * 2 / callers.len()) as u32;
-        let heard: Vec<Input> = callers.iter().flat_map(|caller| asking.ask(*caller, parts, 0)).collect();
+        let shard_requests = (hosts.each_step * 2 / callers.len()) as u32;
+        let heard: Vec<Input> =
+            callers.iter().flat_map(|caller| asking.ask(*caller, shard_requests, 0)).collect();
         hosts.step(door, Tenths(at * 5000), heard);
     }
     assert_eq!(door.mode(), Mode::Crowded);
@@ -177,10 +180,10 @@
         assert_eq!(effects, alone.turn(now, &both), "at {now:?}");
         // What was pushed is finished by the next turn.
         for effect in effects {
-            if let Effect::Push { part, node, .. } = effect {
+            if let Effect::Push { shard_request, node, .. } = effect {
                 let end = PushEnd::Finished;
                 heard.push(Input::Outcome(PushOutcome {
-                    part,
+                    shard_request,
                     push: PushNo(0),
                     node,
                     end,
@@ -192,7 +195,7 @@
     assert_eq!(gated.door.mode(), Mode::Open);
 }
 
-/// Harm past the level crowds the door; a rate of parts is let in, and it says so.
+/// Harm past the level crowds the door; a rate of shard requests is let in, and it says so.
 #[rstest]
 fn harm_crowds_the_door() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -223,13 +226,13 @@
     assert!(declined.iter().all(|(_, wait)| *wait > Tenths::ZERO && *wait <= Tenths(20_000)));
     let passed_ids: Vec<QueryId> = queries(&passed);
     assert!(declined.iter().all(|(id, _)| !passed_ids.contains(id)));
-    let parts = passed.iter().filter(|input| matches!(input, Input::Part(_))).count();
-    assert_eq!(parts, passed_ids.len(), "the declined ones' parts stay away from the module too");
+    let shard_requests = passed.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
+    assert_eq!(shard_requests, passed_ids.len(), "the declined ones' parts stay away from the module too");
     let (passed, effects) = door.pass(now, &asking.ask(0, 1, 0));
     assert!(declines(&effects).is_empty() && queries(&passed).len() == 1);
 }
 
-/// Hosts that do 40 parts a second; one caller asks for 80, another for 8. The second passes, all of it;
+/// Hosts that do 40 shard requests a second; one caller asks for 80, another for 8. The second passes, all of it;
 /// the first is declined for what is beyond its share, at once.
 #[rstest]
 fn who_asks_most_is_held_to_its_share() {
@@ -259,7 +262,7 @@
 }
 
 /// Where a category takes partial answers, what is beyond a share is served at its least share, not
-/// declined: the heaviest parts earn most of its payoff for a few pushes.
+/// declined: the heaviest shard requests earn most of its payoff for a few pushes.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -327,7 +330,7 @@
 }
 
 /// Stated quotas weigh: of two callers that both ask for more than there is, the one with four times the
-/// quota gets about four times the parts.
+/// quota gets about four times the shard requests.
 #[rstest]
 fn quotas_weigh_the_shares() {
     let mut door = Door::new(Allowance::default(), &prescription(&[4.0, 1.0])).unwrap();
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -3,12 +3,12 @@
 //!
 //! | rule | what is looked at |
 //! | --- | --- |
-//! | 1 | final answers as they reach clients, and parts that reach hosts behind them |
-//! | 2 | parts that reach hosts again after one of them may have run; declines of what may have run |
-//! | 3 | parts that reach a host past the grace after its broker was told |
+//! | 1 | final answers as they reach clients, and shard requests that reach hosts behind them |
+//! | 2 | shard requests that reach hosts again after one of them may have run; declines of what may have run |
+//! | 3 | shard requests that reach a host past the grace after its broker was told |
 //! | 4 | cold hosts that fell over |
 //! | 5 | answers against the values that hosts made for them |
-//! | 6 | parts that reach hosts again, in any window, beside what was asked in it |
+//! | 6 | shard requests that reach hosts again, in any window, beside what was asked in it |
 
 use crate::outcome::Outcome;
 use routing::{EffectKind, FurtherBudget, Standing, Tenths};
@@ -33,7 +33,7 @@
     pub slack: Tenths,
 }
 
-/// A part, counted up over all that was asked.
+/// A shard request, counted up over all that was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartNo(pub usize);
 
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Part {
+struct ShardRequest {
     asked: usize,
     weight: f64,
     /// Times that it reached a host.
@@ -64,7 +64,7 @@
     forgiven: bool,
     /// Its client's time is up.
     until: Tenths,
-    parts: std::ops::Range<usize>,
+    shard_requests: std::ops::Range<usize>,
     ended: Option<Tenths>,
 }
 
@@ -92,7 +92,7 @@
 pub struct Audit {
     near: BTreeMap<&'static str, Near>,
     bounds: Bounds,
-    parts: Vec<Part>,
+    shard_requests: Vec<ShardRequest>,
     asked: Vec<Asked>,
     books: Vec<Books>,
     broken: BTreeMap<&'static str, Break>,
@@ -107,7 +107,7 @@
         Audit {
             near: BTreeMap::new(),
             bounds,
-            parts: Vec::new(),
+            shard_requests: Vec::new(),
             asked: Vec::new(),
             books,
             broken: BTreeMap::new(),
@@ -139,7 +139,7 @@
         self.broken.entry(rule).or_insert(Break { times: 0, first: now }).times += 1;
     }
 
-    /// A query is asked of a broker; its first part's number, the others follow. `left`: its client's
+    /// A query is asked of a broker; its first shard request's number, the others follow. `left`: its client's
     /// time.
     pub fn asked(
         &mut self,
@@ -149,24 +149,31 @@
         left: Tenths,
         weights: &[f64],
     ) -> PartNo {
-        let first = self.parts.len();
+        let first = self.shard_requests.len();
         let no = self.asked.len();
-        let part =
-            |weight: &f64| Part { asked: no, weight: *weight, arrivals: 0, may_have_run: None, made: None };
-        self.parts.extend(weights.iter().map(part));
-        let parts = first..self.parts.len();
-        let taken = 1 + parts.len();
+        let shard_request = |weight: &f64| ShardRequest {
+            asked: no,
+            weight: *weight,
+            arrivals: 0,
+            may_have_run: None,
+            made: None,
+        };
+        self.shard_requests.extend(weights.iter().map(shard_request));
+        let shard_requests = first..self.shard_requests.len();
+        let taken = 1 + shard_requests.len();
         let until = now + left.min(self.bounds.kinds[kind].cut_off);
-        self.asked.push(Asked { broker, kind, until, parts, ended: None, forgiven: false });
+        self.asked.push(Asked { broker, kind, until, shard_requests, ended: None, forgiven: false });
         self.books[broker].taken.extend(std::iter::repeat_n(now, taken));
         PartNo(first)
     }
 
-    /// A part reaches a host, of which its broker was last told this, then. `sent`: when it left, where that
+    /// A shard request reaches a host, of which its broker was last told this, then. `sent`: when it left, where that
     /// is known.
-    pub fn arrived(&mut self, now: Tenths, sent: Tenths, part: PartNo, told: (Standing, Tenths)) {
+    pub fn arrived(&mut self, now: Tenths, sent: Tenths, shard_request: PartNo, told: (Standing, Tenths)) {
         let (slack, grace) = (self.bounds.slack, self.bounds.grace);
-        let Some(Part { asked, arrivals, may_have_run, .. }) = self.parts.get_mut(part.0) else {
+        let Some(ShardRequest { asked, arrivals, may_have_run, .. }) =
+            self.shard_requests.get_mut(shard_request.0)
+        else {
             return self.breaks(now, "1: a part that nobody asked for");
         };
         *arrivals += 1;
@@ -213,16 +220,16 @@
     }
 
     /// The host took it: from now on it may have run.
-    pub fn taken(&mut self, now: Tenths, part: PartNo) {
-        if let Some(part) = self.parts.get_mut(part.0) {
-            part.may_have_run.get_or_insert(now);
+    pub fn taken(&mut self, now: Tenths, shard_request: PartNo) {
+        if let Some(shard_request) = self.shard_requests.get_mut(shard_request.0) {
+            shard_request.may_have_run.get_or_insert(now);
         }
     }
 
     /// A host made its value.
-    pub fn made(&mut self, now: Tenths, part: PartNo) {
-        if let Some(part) = self.parts.get_mut(part.0) {
-            part.made.get_or_insert(now);
+    pub fn made(&mut self, now: Tenths, shard_request: PartNo) {
+        if let Some(shard_request) = self.shard_requests.get_mut(shard_request.0) {
+            shard_request.made.get_or_insert(now);
         }
     }
 
@@ -232,11 +239,11 @@
 
     /// A query's end reaches its client; the weight that an answer holds. None: it had one before.
     pub fn ends(&mut self, now: Tenths, asked: usize, end: &Final) -> Option<f64> {
-        let Some(Asked { kind, until, ended, parts, .. }) = self.asked.get_mut(asked) else {
+        let Some(Asked { kind, until, ended, shard_requests, .. }) = self.asked.get_mut(asked) else {
             self.breaks(now, "1: an answer to what was not asked");
             return None;
         };
-        let (kind, until, parts, again) = (*kind, *until, parts.clone(), ended.is_some());
+        let (kind, until, shard_requests, again) = (*kind, *until, shard_requests.clone(), ended.is_some());
         ended.get_or_insert(now);
         let Kind { least, effect, .. } = self.bounds.kinds[kind];
         if again {
@@ -248,18 +255,20 @@
         if now > until + self.bounds.slack {
             self.breaks(now, "1: a final answer past the client's time");
         }
-        let may_have_run = self.parts[parts.clone()].iter().any(|part| part.may_have_run.is_some());
+        let may_have_run = self.shard_requests[shard_requests.clone()]
+            .iter()
+            .any(|shard_request| shard_request.may_have_run.is_some());
         if effect == EffectKind::AtMostOnce && *end == Final::Declined && may_have_run {
             self.breaks(now, "2: at-most-once, declined though it may have run");
         }
         let Final::Answered { whole, held } = end else { return Some(0.0) };
-        Some(self.answered(now, (parts, least), *whole, held))
+        Some(self.answered(now, (shard_requests, least), *whole, held))
     }
 
     fn answered(
         &mut self,
         now: Tenths,
-        (parts, least): (std::ops::Range<usize>, f64),
+        (shard_requests, least): (std::ops::Range<usize>, f64),
         whole: bool,
         held: &[PartNo],
     ) -> f64 {
@@ -270,15 +279,19 @@
             self.breaks(now, "5: a part counted twice");
         }
         let mut sum = 0.0;
-        for part in distinct {
-            match self.parts.get(part.0) {
-                Some(told) if parts.contains(&part.0) && told.made.is_some_and(|made| made <= now) => {
+        for shard_request in distinct {
+            match self.shard_requests.get(shard_request.0) {
+                Some(told)
+                    if shard_requests.contains(&shard_request.0)
+                        && told.made.is_some_and(|made| made <= now) =>
+                {
                     sum += told.weight
                 }
                 _ => self.breaks(now, "5: a part counted that no host made a value for"),
             }
         }
-        let all: f64 = self.parts[parts].iter().map(|part| part.weight).sum();
+        let all: f64 =
+            self.shard_requests[shard_requests].iter().map(|shard_request| shard_request.weight).sum();
         let share = if all > 0.0 { sum / all } else { 1.0 };
         self.nears(now, "5: the least share, of what an answer held", least / share.max(ROUNDING));
         if share + ROUNDING < least {
@@ -364,7 +377,7 @@
         assert_eq!(told, [(3, 0.5, Tenths(25)), (4, 0.75, Tenths(40)), (6, 0.4, Tenths(30))]);
     }
 
-    /// What happens to one query of two even parts, a step a word: `a0` part 0 arrives, `t0` is taken,
+    /// What happens to one query of two even shard requests, a step a word: `a0` shard request 0 arrives, `t0` is taken,
     /// `m0` made;
     /// `d` arrives at a host told to drain; `A01` answered by 0 and 1, whole; `P0` partial; `D` declined, `S`
     /// scrapped; a number moves the clock. Then the rule that is broken, if any.
@@ -400,16 +413,16 @@
         let mut now = Tenths(0);
         for step in steps.split(' ') {
             let (word, rest) = step.split_at(1);
-            let parts: Vec<PartNo> = rest.bytes().map(|b| PartNo(usize::from(b - b'0'))).collect();
-            let part = parts.first().copied().unwrap_or(PartNo(0));
+            let shard_requests: Vec<PartNo> = rest.bytes().map(|b| PartNo(usize::from(b - b'0'))).collect();
+            let shard_request = shard_requests.first().copied().unwrap_or(PartNo(0));
             let mut end = |end: Final| _ = audit.ends(now, 0, &end);
             match word {
-                "a" => audit.arrived(now, now, part, READY),
-                "d" => audit.arrived(now, now, part, (Standing::Draining, Tenths(0))),
-                "t" => audit.taken(now, part),
-                "m" => audit.made(now, part),
-                "A" => end(Final::Answered { whole: true, held: parts }),
-                "P" => end(Final::Answered { whole: false, held: parts }),
+                "a" => audit.arrived(now, now, shard_request, READY),
+                "d" => audit.arrived(now, now, shard_request, (Standing::Draining, Tenths(0))),
+                "t" => audit.taken(now, shard_request),
+                "m" => audit.made(now, shard_request),
+                "A" => end(Final::Answered { whole: true, held: shard_requests }),
+                "P" => end(Final::Answered { whole: false, held: shard_requests }),
                 "D" => end(Final::Declined),
                 "S" => end(Final::Scrapped),
                 "F" => audit.fell_over(now),
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -1,10 +1,10 @@
-//! What the module is measured against: each part to a holder drawn at random; and the design's ordinary path
+//! What the module is measured against: each shard request to a holder drawn at random; and the design's ordinary path
 //! alone, without one of the exceptions that `docs/design.md` lists (no further pushes, no copies, no room,
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewPart, NewQuery, NodeId, PartId,
-    Prescription, PushEnd, PushOutcome, QueryId, Standing, Tenths,
+    Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewQuery, NewShardRequest, NodeId,
+    Prescription, PushEnd, PushOutcome, QueryId, ShardRequestId, Standing, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,9 +20,9 @@
     out: u32,
 }
 
-struct Part {
-    id: PartId,
-    new: NewPart,
+struct ShardRequest {
+    id: ShardRequestId,
+    new: NewShardRequest,
     /// Where it was sent, none for what stays unsent; and whether its value came.
     sent: Option<NodeId>,
     came: Option<bool>,
@@ -32,7 +32,7 @@
     category: CategoryNo,
     goal: Tenths,
     until: Tenths,
-    parts: Vec<Part>,
+    shard_requests: Vec<ShardRequest>,
 }
 
 pub struct Baseline {
@@ -44,7 +44,7 @@
     nodes: BTreeMap<NodeId, Node>,
     groups: BTreeMap<GroupNo, QueryId>,
     open: BTreeMap<QueryId, Open>,
-    owner: BTreeMap<PartId, QueryId>,
+    owner: BTreeMap<ShardRequestId, QueryId>,
     /// Parts that ended as full or timed out, and all, smoothed; and when.
     harm: (f64, f64, Tenths),
 }
@@ -91,7 +91,7 @@
                     fresh.push(new.id);
                     self.take(new, now, &mut effects);
                 }
-                Input::Part(new) => self.add(new),
+                Input::ShardRequest(new) => self.add(new),
                 Input::Outcome(outcome) => self.ended(outcome, now),
                 _ => {}
             }
@@ -106,15 +106,15 @@
         let margin = self.period.times(4.0);
         let goal = self.categories.get(&new.category).map_or(Tenths::ZERO, |category| category.goal_time);
         let (goal, until) = (now + goal - margin, now + new.time_left - margin);
-        self.open.insert(new.id, Open { category: new.category, goal, until, parts: Vec::new() });
+        self.open.insert(new.id, Open { category: new.category, goal, until, shard_requests: Vec::new() });
         effects.push(Effect::Wake { after: goal.min(until) - now });
         effects.push(Effect::Wake { after: until - now });
     }
 
-    fn add(&mut self, new: &NewPart) {
+    fn add(&mut self, new: &NewShardRequest) {
         let Some(id) = self.groups.get(&new.group).copied() else { return };
         if let Some(open) = self.open.get_mut(&id) {
-            open.parts.push(Part { id: new.id, new: new.clone(), sent: None, came: None });
+            open.shard_requests.push(ShardRequest { id: new.id, new: new.clone(), sent: None, came: None });
             self.owner.insert(new.id, id);
         }
     }
@@ -136,29 +136,29 @@
         let Some(mut open) = self.open.remove(&id) else { return };
         let partial = self.categories.get(&open.category).is_some_and(|c| c.least_share < c.whole_from);
         if self.how == How::Design {
-            open.parts.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
+            open.shard_requests.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
         }
-        for (rank, part) in open.parts.iter_mut().enumerate() {
-            let score = part.new.weight * base.powi(-(rank as i32));
+        for (rank, shard_request) in open.shard_requests.iter_mut().enumerate() {
+            let score = shard_request.new.weight * base.powi(-(rank as i32));
             if self.how == How::Design && partial && score < CUT {
-                part.came = Some(false);
+                shard_request.came = Some(false);
                 continue;
             }
-            match self.choose(&part.new) {
+            match self.choose(&shard_request.new) {
                 Some(node) => {
-                    part.sent = Some(node);
+                    shard_request.sent = Some(node);
                     self.nodes.get_mut(&node).into_iter().for_each(|node| node.out += 1);
                     let time_out = (open.until - now).max(Tenths(1));
-                    effects.push(Effect::Push { part: part.id, node, time_out });
+                    effects.push(Effect::Push { shard_request: shard_request.id, node, time_out });
                 }
-                None => part.came = Some(false),
+                None => shard_request.came = Some(false),
             }
         }
         self.open.insert(id, open);
     }
 
-    fn choose(&mut self, part: &NewPart) -> Option<NodeId> {
-        let cells: BTreeSet<CellNo> = self.layout.cells_of(part.shard).collect();
+    fn choose(&mut self, shard_request: &NewShardRequest) -> Option<NodeId> {
+        let cells: BTreeSet<CellNo> = self.layout.cells_of(shard_request.shard).collect();
         let holders: Vec<(NodeId, &Node)> = self
             .nodes
             .iter()
@@ -189,19 +189,24 @@
             let took = outcome.took.0 as f64;
             node.latency = Some(node.latency.map_or(took, |old| old + NEWEST * (took - old)));
         }
-        let Some(open) = self.owner.remove(&outcome.part).and_then(|id| self.open.get_mut(&id)) else {
+        let Some(open) = self.owner.remove(&outcome.shard_request).and_then(|id| self.open.get_mut(&id))
+        else {
             return;
         };
         let ok = outcome.end == PushEnd::Finished;
-        open.parts.iter_mut().filter(|p| p.id == outcome.part).for_each(|p| p.came = Some(ok));
+        open.shard_requests
+            .iter_mut()
+            .filter(|p| p.id == outcome.shard_request)
+            .for_each(|p| p.came = Some(ok));
     }
 
     fn finish(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
         let mut over = Vec::new();
         for (id, open) in &self.open {
-            let came: f64 = open.parts.iter().filter(|p| p.came == Some(true)).map(|p| p.new.weight).sum();
+            let came: f64 =
+                open.shard_requests.iter().filter(|p| p.came == Some(true)).map(|p| p.new.weight).sum();
             let least = self.categories.get(&open.category).map_or(1.0, |c| c.least_share);
-            let settled = open.parts.iter().all(|p| p.came.is_some());
+            let settled = open.shard_requests.iter().all(|p| p.came.is_some());
             let enough = came + ROUNDING >= least;
             if settled || now >= open.until || now >= open.goal && enough {
                 let whole = came + ROUNDING >= 1.0;
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -12,11 +12,11 @@
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Hosts of a cell; milliseconds of work of a part, on average; cores of a host.
+/// Hosts of a cell; milliseconds of work of a shard request, on average; cores of a host.
 const CELL: u32 = 5;
 const PART_MS: f64 = 40.0;
 const CORES: usize = 4;
-/// Shares, and parts from and to, of reports and lookups.
+/// Shares, and shard requests from and to, of reports and lookups.
 const REPORTS: f64 = 0.25;
 const REPORT_PARTS: (u32, u32) = (8, 24);
 const LOOKUP_PARTS: (u32, u32) = (1, 4);
@@ -92,8 +92,9 @@
 fn plan(staging: &Staging, script: &[Moment], seconds: f64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(staging.seed ^ 0xa5c);
     let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
-    let parts = REPORTS * mean(REPORT_PARTS) + (1.0 - REPORTS) * mean(LOOKUP_PARTS);
-    let a_second = staging.load * f64::from(staging.hosts) * staging.host_ms_per_s / (parts * PART_MS);
+    let shard_requests = REPORTS * mean(REPORT_PARTS) + (1.0 - REPORTS) * mean(LOOKUP_PARTS);
+    let a_second =
+        staging.load * f64::from(staging.hosts) * staging.host_ms_per_s / (shard_requests * PART_MS);
     let changes: Vec<Moment> = script
         .iter()
         .filter(|moment| matches!(moment.act, Act::Storm { .. } | Act::Heavy { .. }))
@@ -112,19 +113,22 @@
             break;
         }
         let category = usize::from(rng.f64() >= REPORTS);
-        let Role { parts: (from, to), skew, .. } = staging.categories[category];
+        let Role { shard_requests: (from, to), skew, .. } = staging.categories[category];
         let count = rng.u32(from..=to);
         let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-skew)).collect();
         let total: f64 = raw.iter().sum();
         let first = rng.u32(..staging.shards);
         let times = if rng.f64() < share { more } else { 1.0 };
-        let part = |(rank, weight): (u32, f64)| {
+        let shard_request = |(rank, weight): (u32, f64)| {
             let us = (exponential(&mut rng) * PART_MS * times * 1000.0) as u64;
             ((first + rank) % staging.shards, weight / total, us.max(100))
         };
-        let parts = (0..).zip(raw).map(part).collect();
+        let shard_requests = (0..).zip(raw).map(shard_request).collect();
         let caller = whose(&mut rng, &callers);
-        entries.push(Entry { at: (at * 10_000.0) as u64, what: Happens::Ask { category, caller, parts } });
+        entries.push(Entry {
+            at: (at * 10_000.0) as u64,
+            what: Happens::Ask { category, caller, shard_requests },
+        });
     }
     Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 }
 }
@@ -149,7 +153,7 @@
 }
 
 impl Day<'_> {
-    fn parts(&self) -> Parts {
+    fn shard_requests(&self) -> Parts {
         let Day { scenario, hosts, brokers, halls, seed, mind } = *self;
         let cells = (hosts / CELL).max(halls).max(1);
         let fleet = Fleet { hosts, halls, cells, brokers };
@@ -169,7 +173,7 @@
     }
 
     pub fn play(&self) -> Outcome {
-        let Parts { script, staging, plan, cast, weather, .. } = self.parts();
+        let Parts { script, staging, plan, cast, weather, .. } = self.shard_requests();
         World::scripted(plan, &staging, cast, (weather, script, self.scenario.clients)).play(|_, _| true)
     }
 
@@ -177,7 +181,7 @@
     /// lost, drained, released, or crawl, and what is asked, storms too. Ways, the roll's troubles and
     /// clients' repeats are not; a scenario with them is told so, by its trouble.
     pub fn on_sockets(&self) -> Result<(Plan, Staging, Cast), String> {
-        let Parts { script, staging, mut plan, cast, mut weather } = self.parts();
+        let Parts { script, staging, mut plan, cast, mut weather } = self.shard_requests();
         for moment in &script {
             let done = match moment.act {
                 Act::Down { .. } | Act::Drain { .. } | Act::Drained { .. } | Act::Crawl { .. } => {
--- a/crates/broker-bench/src/lean.rs
+++ b/crates/broker-bench/src/lean.rs
@@ -60,7 +60,7 @@
 
 /// A broker with a node that answers at once, and one client; what it used for its queries.
 fn play(program: &Path) -> Result<Cost, String> {
-    // A tenth of a millisecond for a part, with cores for all that one client has out.
+    // A tenth of a millisecond for a shard request, with cores for all that one client has out.
     let node = Served::start(Build::default(), |_, _| 100).map_err(|e| e.to_string())?;
     let address = node.address;
     let folder = std::env::temp_dir().join(format!("broker-bench-{}", std::process::id()));
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -15,7 +15,7 @@
 use crate::scene::{self, ROLL_LATE};
 use broker::{Order, Running};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
-use node_emulator::script::{self, Catalog, Client, Heard, Node, Part, Reply};
+use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
 use node_emulator::{Host, JobNo, Load, State, Taken};
 use routing::{Standing, Tenths};
 use serde::Deserialize;
@@ -99,16 +99,16 @@
     broker: usize,
     of: Of,
     first: usize,
-    /// Shard and microseconds of each part.
-    parts: Vec<(u32, u64)>,
+    /// Shard and microseconds of each shard request.
+    shard_requests: Vec<(u32, u64)>,
 }
 
-/// A part at a host: on which connection, as what.
+/// A shard request at a host: on which connection, as what.
 struct Job {
     host: usize,
     line: usize,
     id: String,
-    part: PartNo,
+    shard_request: PartNo,
 }
 
 /// The reply to a query, and the connection that it came on; none: it broke off.
@@ -255,10 +255,10 @@
         for host in 0..self.hosts.len() {
             while let Some(no) = self.hosts[host].end(self.now) {
                 let load = self.hosts[host].load(self.now);
-                if let Some(Job { host, line, id, part }) = self.jobs.remove(&no) {
+                if let Some(Job { host, line, id, shard_request }) = self.jobs.remove(&no) {
                     self.job_of.remove(&(host, line, id.clone()));
-                    self.audit.made(self.now, part);
-                    // Its id is its value: a client can tell it from any other part's.
+                    self.audit.made(self.now, shard_request);
+                    // Its id is its value: a client can tell it from any other shard request's.
                     self.nodes[host].end_with(line, &id, 'S', &report(load), &format!("v{id}")).await;
                     self.rest().await?;
                 }
@@ -269,7 +269,9 @@
         }
         while let Some(entry) = self.plan.pop_front_if(|entry| entry.at as i64 <= self.now.0) {
             match entry.what {
-                Happens::Ask { category, caller, parts } => self.ask(category, caller, &parts).await?,
+                Happens::Ask { category, caller, shard_requests } => {
+                    self.ask(category, caller, &shard_requests).await?
+                }
                 Happens::Host { host, event } => self.host_event(host as usize, event).await?,
             }
         }
@@ -333,9 +335,11 @@
         (self.catalog.waiting() < self.brokers.len()).then_some("word of the roll")
     }
 
-    fn new_parts(&self) -> impl Iterator<Item = (usize, &Part)> {
+    fn new_parts(&self) -> impl Iterator<Item = (usize, &ShardRequest)> {
         self.inbox.iter().flat_map(|(host, _, heard)| match heard {
-            Heard::Call(parts) => parts.iter().map(|part| (*host, part)).collect::<Vec<_>>(),
+            Heard::Call(shard_requests) => {
+                shard_requests.iter().map(|shard_request| (*host, shard_request)).collect::<Vec<_>>()
+            }
             _ => Vec::new(),
         })
     }
@@ -347,20 +351,23 @@
             let held = self.job_of.contains_key(&(*host, *line, id.clone()));
             let before = self.inbox[..at].iter().any(|(h, l, heard)| {
                 (h, l) == (host, line)
-                    && matches!(heard, Heard::Call(parts) if parts.iter().any(|p| p.id == *id))
+                    && matches!(heard, Heard::Call(shard_requests) if shard_requests.iter().any(|p| p.id == *id))
             });
             (held || before).then_some((*host, &id[..]))
         })
     }
 
-    /// Whether what brokers have out is, part by part, what hosts hold or have just heard.
+    /// Whether what brokers have out is, shard request by shard request, what hosts hold or have just heard.
     fn hold_what_is_out(&self) -> bool {
         let mut out: Vec<_> = self.brokers.iter().flat_map(|broker| broker.desk.pushes_out()).collect();
         out.sort();
         let address = |host: usize| self.nodes[host].address;
         let mut held: Vec<_> =
             self.jobs.values().map(|job| (address(job.host), job.id.clone().into_bytes())).collect();
-        held.extend(self.new_parts().map(|(host, part)| (address(host), part.id.clone().into_bytes())));
+        held.extend(
+            self.new_parts()
+                .map(|(host, shard_request)| (address(host), shard_request.id.clone().into_bytes())),
+        );
         held.sort();
         for (host, id) in self.given_up() {
             if let Some(at) = held.iter().position(|held| held.0 == address(host) && held.1 == id.as_bytes())
@@ -385,9 +392,9 @@
         for ((host, line), heard) in groups {
             for heard in heard {
                 match heard {
-                    Heard::Call(parts) => {
-                        for part in parts {
-                            self.arrive(host, line, &part).await?;
+                    Heard::Call(shard_requests) => {
+                        for shard_request in shard_requests {
+                            self.arrive(host, line, &shard_request).await?;
                         }
                     }
                     Heard::GiveUp(id) => {
@@ -408,18 +415,23 @@
 
     // ---- hosts
 
-    /// What a part's id on the wire says: the query and its part.
+    /// What a shard request's id on the wire says: the query and its shard request.
     fn part_of(&self, id: &str) -> Option<(PartNo, u64)> {
         let (no, shard) = numbers(id)?;
         let query = self.queries.get(no)?;
-        let at = query.parts.iter().position(|(s, _)| *s == shard)?;
-        Some((PartNo(query.first + at), query.parts[at].1))
+        let at = query.shard_requests.iter().position(|(s, _)| *s == shard)?;
+        Some((PartNo(query.first + at), query.shard_requests[at].1))
     }
 
-    async fn arrive(&mut self, host: usize, line: usize, part: &Part) -> Result<(), NoFigure> {
-        self.hasher.update(format!("{} {host} {}\n", self.now.0, part.id).as_bytes());
+    async fn arrive(
+        &mut self,
+        host: usize,
+        line: usize,
+        shard_request: &ShardRequest,
+    ) -> Result<(), NoFigure> {
+        self.hasher.update(format!("{} {host} {}\n", self.now.0, shard_request.id).as_bytes());
         self.outcome.push(self.now);
-        let (no, us) = self.part_of(&part.id).unwrap_or((PartNo(usize::MAX), 0));
+        let (no, us) = self.part_of(&shard_request.id).unwrap_or((PartNo(usize::MAX), 0));
         self.audit.arrived(self.now, self.now, no, self.told[host]);
         self.next_job += 1;
         let job = JobNo(self.next_job);
@@ -430,16 +442,16 @@
         match taken {
             Taken::Begun | Taken::Queued => {
                 self.audit.taken(self.now, no);
-                // The same part again on one connection: the broker waits for the newer alone.
-                if let Some(older) = self.job_of.insert((host, line, part.id.clone()), job) {
+                // The same shard request again on one connection: the broker waits for the newer alone.
+                if let Some(older) = self.job_of.insert((host, line, shard_request.id.clone()), job) {
                     self.jobs.remove(&older);
                     self.hosts[host].give_up(self.now, older);
                 }
-                self.jobs.insert(job, Job { host, line, id: part.id.clone(), part: no });
+                self.jobs.insert(job, Job { host, line, id: shard_request.id.clone(), shard_request: no });
             }
             Taken::Refused => {
                 let load = report(self.hosts[host].load(self.now));
-                self.nodes[host].end_with(line, &part.id, 'B', &load, "").await;
+                self.nodes[host].end_with(line, &shard_request.id, 'B', &load, "").await;
             }
             // It fell while this was on its way.
             Taken::Unreachable => {}
@@ -515,8 +527,8 @@
         self.outcome.ask(of);
         let weights: Vec<f64> = told.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, category, self.time_of(category), &weights);
-        let parts = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
-        self.queries.push(Query { broker, of, first, parts });
+        let shard_requests = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
+        self.queries.push(Query { broker, of, first, shard_requests });
         let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
         let (left, body) = (u64::from(self.cut_offs[category]), script::body(&slices, "x"));
         let by = scene::caller_name(caller);
@@ -549,17 +561,17 @@
     }
 
     fn end(&mut self, no: usize, reply: Option<(Reply, Client)>) {
-        let Query { broker, of, first, ref parts } = self.queries[no];
+        let Query { broker, of, first, ref shard_requests } = self.queries[no];
         let (status, body) = reply.as_ref().map_or((0, ""), |(reply, _)| (reply.status, &reply.body[..]));
         let end = match status {
             200 => match serde_json::from_str::<Answered>(body) {
                 Ok(Answered { entire, items }) => {
-                    let part = |item: &Item| {
-                        let at = parts.iter().position(|(shard, _)| *shard == item.slice);
+                    let shard_request = |item: &Item| {
+                        let at = shard_requests.iter().position(|(shard, _)| *shard == item.slice);
                         let mine = at.filter(|_| item.body == format!("vr{no}.{}", item.slice));
                         PartNo(mine.map_or(usize::MAX, |at| first + at))
                     };
-                    Final::Answered { whole: entire, held: items.iter().map(part).collect() }
+                    Final::Answered { whole: entire, held: items.iter().map(shard_request).collect() }
                 }
                 Err(_) => Final::Answered { whole: false, held: Vec::new() },
             },
@@ -593,7 +605,9 @@
 /// The first query that something heard is about.
 fn first_of(heard: &Heard) -> Option<usize> {
     match heard {
-        Heard::Call(parts) => parts.iter().filter_map(|part| Some(numbers(&part.id)?.0)).min(),
+        Heard::Call(shard_requests) => {
+            shard_requests.iter().filter_map(|shard_request| Some(numbers(&shard_request.id)?.0)).min()
+        }
         Heard::GiveUp(id) => numbers(id).map(|(no, _)| no),
         Heard::Other | Heard::Probe | Heard::Closed => None,
     }
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -15,15 +15,15 @@
     Cast { brokers: 2, mind: Mind::Module, seed: 5, cells: 3, cores: 4, warm_jobs: None, cancel: Cancel::All }
 }
 
-/// Three seconds of queries, four parts of 20 ms each, so many a second; half of the hosts die in one
+/// Three seconds of queries, four shard requests of 20 ms each, so many a second; half of the hosts die in one
 /// instant and come back cold, one drains.
 fn plan(a_second: u64, events: &[(u64, u32, HostEvent)]) -> Plan {
     let host = |at, host, event| Entry { at, what: Happens::Host { host, event } };
     let mut entries: Vec<Entry> = (0..6).map(|no| host(0, no, HostEvent::Warm)).collect();
     entries.extend(events.iter().map(|(at, no, event)| host(*at, *no, *event)));
     for no in 0..3 * a_second {
-        let parts = (0..4).map(|at| ((no as u32 * 5 + at) % 12, 0.25, 20_000)).collect();
-        let what = Happens::Ask { category: (no % 4) as usize, caller: 0, parts };
+        let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 12, 0.25, 20_000)).collect();
+        let what = Happens::Ask { category: (no % 4) as usize, caller: 0, shard_requests };
         entries.push(Entry { at: 1_000 + no * 10_000 / a_second, what });
     }
     entries.sort_by_key(|entry| entry.at);
@@ -97,12 +97,12 @@
     assert!(outcome.broken.is_empty() && outcome.queries < 120, "{}", outcome.json());
 }
 
-/// The clock stands while anything is under way: a request that no desk has, a part that no broker has out, at a host or
+/// The clock stands while anything is under way: a request that no desk has, a shard request that no broker has out, at a host or
 /// among what was just heard. Without this a day is the same only as long as the kernel is quick.
 #[rstest]
 #[case(|day: &mut Day| day.waiting += 1, "a request or an answer")]
-#[case(|day: &mut Day| _ = day.jobs.insert(JobNo(9), Job { host: 0, line: 0, id: "r0.1".into(), part: PartNo(0) }), "a part")]
-#[case(|day: &mut Day| day.inbox.push((0, 0, Heard::Call(vec![part()]))), "a part")]
+#[case(|day: &mut Day| _ = day.jobs.insert(JobNo(9), Job { host: 0, line: 0, id: "r0.1".into(), shard_request: PartNo(0) }), "a part")]
+#[case(|day: &mut Day| day.inbox.push((0, 0, Heard::Call(vec![shard_request()]))), "a part")]
 fn the_clock_stands_while_anything_is_under_way(#[case] put: fn(&mut Day), #[case] what: &str) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
@@ -122,6 +122,6 @@
     });
 }
 
-fn part() -> Part {
-    Part { id: "r0.1".into(), shard: 1, list: "d=1".into(), text: String::new() }
+fn shard_request() -> ShardRequest {
+    ShardRequest { id: "r0.1".into(), shard: 1, list: "d=1".into(), text: String::new() }
 }
--- a/crates/broker-bench/src/main.rs
+++ b/crates/broker-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory: measures the product's parts at size, in virtual time. Figures it prints are simulated.
+//! The laboratory: measures the product's shard requests at size, in virtual time. Figures it prints are simulated.
 //! Exit codes: 0 passed, or sound; 1 not so; 2 a mistake in the words, or a file that can't be begun.
 
 mod audit;
@@ -53,7 +53,7 @@
         #[command(subcommand)]
         command: TraceCommand,
     },
-    /// Measure a part; the last line is one JSON object.
+    /// Measure a shard request; the last line is one JSON object.
     Measure {
         what: What,
         /// How large.
--- a/crates/broker-bench/src/reading.rs
+++ b/crates/broker-bench/src/reading.rs
@@ -1,4 +1,4 @@
-//! `measure trace`, first part: rows a second and peak memory of the trace readers, beside the bare CSV
+//! `measure trace`, first shard request: rows a second and peak memory of the trace readers, beside the bare CSV
 //! reader, in turn on one file that is made here and removed.
 
 use crate::rush;
--- a/crates/broker-bench/src/rehearsal.rs
+++ b/crates/broker-bench/src/rehearsal.rs
@@ -196,7 +196,7 @@
         for seed in seeds {
             let day = Day { scenario, hosts, brokers, halls, seed: *seed, mind: words.mind };
             let (plan, staging, cast) = match day.on_sockets() {
-                Ok(parts) => parts,
+                Ok(shard_requests) => shard_requests,
                 Err(why) => {
                     eprintln!("broker-bench: {why}");
                     return ExitCode::from(2);
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,9 +13,9 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId,
-    Prescription, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo, Standing,
-    Tenths, ZoneNo,
+    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
+    Prescription, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
+    Standing, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Mind {
     Module,
-    /// Each part to a holder drawn at random, once.
+    /// Each shard request to a holder drawn at random, once.
     Random,
     /// The design's ordinary path, without the module's exceptions.
     Design,
@@ -51,25 +51,25 @@
     Turn(usize),
     Arrive {
         broker: usize,
-        part: PartId,
+        shard_request: ShardRequestId,
         push: PushNo,
         host: usize,
     },
     Withdrawn {
         broker: usize,
-        part: PartId,
+        shard_request: ShardRequestId,
         push: PushNo,
     },
     HostEnd(usize),
     Back {
         broker: usize,
-        part: PartId,
+        shard_request: ShardRequestId,
         push: PushNo,
         end: u8,
     },
     TimeOut {
         broker: usize,
-        part: PartId,
+        shard_request: ShardRequestId,
         push: PushNo,
     },
     Told {
@@ -107,7 +107,7 @@
 /// How long after its last entry a day goes on: longer than any cut-off.
 const REST: Tenths = Tenths(200_000);
 
-struct Part {
+struct ShardRequest {
     us: u64,
     /// Where each push went, when, and whether its end was told.
     pushes: Vec<(usize, Tenths, bool)>,
@@ -118,7 +118,7 @@
 struct Query {
     broker: usize,
     request: usize,
-    parts: std::ops::Range<usize>,
+    shard_requests: std::ops::Range<usize>,
     open: bool,
 }
 
@@ -126,7 +126,7 @@
 struct Request {
     of: Of,
     until: Tenths,
-    parts: Vec<(u32, f64, u64)>,
+    shard_requests: Vec<(u32, f64, u64)>,
     tries: u32,
     kills: bool,
 }
@@ -157,11 +157,11 @@
     host_due: Vec<Option<Tenths>>,
     /// What the roll last told of each host, and when.
     told: Vec<(Standing, Tenths)>,
-    host_jobs: BTreeMap<JobNo, (usize, PartId, PushNo, usize)>,
+    host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, PushNo, usize)>,
     next_job: u64,
-    jobs_of: BTreeMap<(usize, PartId, PushNo), JobNo>,
+    jobs_of: BTreeMap<(usize, ShardRequestId, PushNo), JobNo>,
     /// By their ids, which count up from 0.
-    parts: Vec<Part>,
+    shard_requests: Vec<ShardRequest>,
     queries: Vec<Query>,
     requests: Vec<Request>,
     weather: Weather,
@@ -169,7 +169,7 @@
     clients: Clients,
     prescription: Prescription,
     cut_offs: Vec<Tenths>,
-    /// Mean work of a part, by category, in microseconds: what a part counts for at a cold host.
+    /// Mean work of a shard request, by category, in microseconds: what a shard request counts for at a cold host.
     means: Vec<u64>,
     hasher: blake3::Hasher,
     audit: Audit,
@@ -211,7 +211,7 @@
             host_jobs: BTreeMap::new(),
             next_job: 0,
             jobs_of: BTreeMap::new(),
-            parts: Vec::new(),
+            shard_requests: Vec::new(),
             queries: Vec::new(),
             requests: Vec::new(),
             weather,
@@ -298,13 +298,17 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Entry(at) => match self.plan.entries[at].what.clone() {
-                Happens::Ask { category, caller, parts } => self.ask(category, caller, &parts),
+                Happens::Ask { category, caller, shard_requests } => {
+                    self.ask(category, caller, &shard_requests)
+                }
                 Happens::Host { host, event } => self.host_event(host as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
-            Event::Arrive { broker, part, push, host } => self.arrive(broker, part, push, host),
-            Event::Withdrawn { broker, part, push } => {
-                let Some(job) = self.jobs_of.remove(&(broker, part, push)) else { return };
+            Event::Arrive { broker, shard_request, push, host } => {
+                self.arrive(broker, shard_request, push, host)
+            }
+            Event::Withdrawn { broker, shard_request, push } => {
+                let Some(job) = self.jobs_of.remove(&(broker, shard_request, push)) else { return };
                 if let Some((.., host)) = self.host_jobs.remove(&job) {
                     self.hosts[host].give_up(self.now, job);
                     self.plan_end(host);
@@ -326,20 +330,24 @@
             Event::HostEnd(host) => {
                 self.host_due[host] = None;
                 while let Some(job) = self.hosts[host].end(self.now) {
-                    if let Some((broker, part, push, _)) = self.host_jobs.remove(&job) {
-                        self.jobs_of.remove(&(broker, part, push));
+                    if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
+                        self.jobs_of.remove(&(broker, shard_request, push));
                         if self.weather.spoils(host) {
-                            self.send_back(broker, part, push, host, 5);
+                            self.send_back(broker, shard_request, push, host, 5);
                         } else {
-                            self.audit.made(self.now, PartNo(part.0 as usize));
-                            self.send_back(broker, part, push, host, 0);
+                            self.audit.made(self.now, PartNo(shard_request.0 as usize));
+                            self.send_back(broker, shard_request, push, host, 0);
                         }
                     }
                 }
                 self.plan_end(host);
             }
-            Event::Back { broker, part, push, end } => self.back(broker, part, push, ENDS[end as usize]),
-            Event::TimeOut { broker, part, push } => self.back(broker, part, push, PushEnd::TimedOut),
+            Event::Back { broker, shard_request, push, end } => {
+                self.back(broker, shard_request, push, ENDS[end as usize])
+            }
+            Event::TimeOut { broker, shard_request, push } => {
+                self.back(broker, shard_request, push, PushEnd::TimedOut)
+            }
             Event::Told { host } => self.tell(host),
             Event::Tick => {}
         }
@@ -351,18 +359,18 @@
         let of = Of { category, caller, at: self.now };
         self.outcome.ask(of);
         let (until, kills) = (self.now + self.cut_offs[category], self.weather.kills());
-        self.requests.push(Request { of, until, parts: told.to_vec(), tries: 0, kills });
+        self.requests.push(Request { of, until, shard_requests: told.to_vec(), tries: 0, kills });
         self.try_request(self.requests.len() - 1);
     }
 
     fn try_request(&mut self, request: usize) {
         let no = self.queries.len();
         let broker = self.weather.broker(no, self.seats.len());
-        let Request { of, until, ref parts, ref mut tries, .. } = self.requests[request];
+        let Request { of, until, ref shard_requests, ref mut tries, .. } = self.requests[request];
         *tries += 1;
         let attempt = *tries - 1;
-        let (parts, left) = (parts.clone(), until - self.now);
-        let weights: Vec<f64> = parts.iter().map(|(_, weight, _)| *weight).collect();
+        let (shard_requests, left) = (shard_requests.clone(), until - self.now);
+        let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.category, left, &weights);
         let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
         let (category, caller) = (CategoryNo(of.category as u16), CallerNo(of.caller as u32));
@@ -370,13 +378,13 @@
         let least_only = false;
         let new = NewQuery { id, group, category, caller, time_left: left, work, attempt, least_only };
         self.hear(broker, Input::Query(new));
-        for (part, (shard, weight, us)) in (first..).zip(&parts) {
-            self.parts.push(Part { us: *us, pushes: Vec::new(), came: false });
-            let (id, shard, weight) = (PartId(part as u64), ShardNo(*shard), *weight);
-            self.hear(broker, Input::Part(NewPart { id, group, shard, weight }));
+        for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
+            self.shard_requests.push(ShardRequest { us: *us, pushes: Vec::new(), came: false });
+            let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardNo(*shard), *weight);
+            self.hear(broker, Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
-        let parts = first..first + parts.len();
-        self.queries.push(Query { broker, request, parts, open: true });
+        let shard_requests = first..first + shard_requests.len();
+        self.queries.push(Query { broker, request, shard_requests, open: true });
         self.outcome.tries += 1;
         if self.clients.impatient > 0.0 && self.weather.lot() < self.clients.impatient {
             self.at(self.now + left.times(0.5), Event::Leave(no));
@@ -430,8 +438,8 @@
             // What it had is lost without a word.
             Do::Silent { host } => {
                 for job in self.hosts[host].die() {
-                    if let Some((broker, part, push, _)) = self.host_jobs.remove(&job) {
-                        self.jobs_of.remove(&(broker, part, push));
+                    if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
+                        self.jobs_of.remove(&(broker, shard_request, push));
                     }
                 }
                 self.tell_later(host, SILENT_LATE);
@@ -475,8 +483,11 @@
         let mut lost = Vec::new();
         for (no, query) in self.queries.iter_mut().enumerate() {
             if query.broker == broker {
-                let parts = &mut self.parts[query.parts.clone()];
-                parts.iter_mut().flat_map(|part| &mut part.pushes).for_each(|push| push.2 = false);
+                let shard_requests = &mut self.shard_requests[query.shard_requests.clone()];
+                shard_requests
+                    .iter_mut()
+                    .flat_map(|shard_request| &mut shard_request.pushes)
+                    .for_each(|push| push.2 = false);
                 lost.extend(std::mem::take(&mut query.open).then_some((no, query.request)));
             }
         }
@@ -523,18 +534,25 @@
     /// Its process is gone, and what it had is dropped; the roll tells of it late.
     fn fall(&mut self, host: usize) {
         for job in self.hosts[host].die() {
-            if let Some((broker, part, push, _)) = self.host_jobs.remove(&job) {
-                self.jobs_of.remove(&(broker, part, push));
-                self.send_back(broker, part, push, host, 4);
+            if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
+                self.jobs_of.remove(&(broker, shard_request, push));
+                self.send_back(broker, shard_request, push, host, 4);
             }
         }
         self.tell_later(host, ROLL_LATE);
     }
 
     /// An end goes back to its broker, unless it is lost on its way.
-    fn send_back(&mut self, broker: usize, part: PartId, push: PushNo, host: usize, end: u8) {
+    fn send_back(
+        &mut self,
+        broker: usize,
+        shard_request: ShardRequestId,
+        push: PushNo,
+        host: usize,
+        end: u8,
+    ) {
         if let Some(way) = self.weather.way(broker, host, false) {
-            self.at(self.now + way, Event::Back { broker, part, push, end });
+            self.at(self.now + way, Event::Back { broker, shard_request, push, end });
         }
     }
 
@@ -576,13 +594,13 @@
         }
     }
 
-    fn arrive(&mut self, broker: usize, part: PartId, push: PushNo, host: usize) {
-        let no = PartNo(part.0 as usize);
-        let sent = self.parts[no.0].pushes.get(push.0 as usize).map_or(self.now, |push| push.1);
+    fn arrive(&mut self, broker: usize, shard_request: ShardRequestId, push: PushNo, host: usize) {
+        let no = PartNo(shard_request.0 as usize);
+        let sent = self.shard_requests[no.0].pushes.get(push.0 as usize).map_or(self.now, |push| push.1);
         self.audit.arrived(self.now, sent, no, self.told[host]);
         self.next_job += 1;
         let job = JobNo(self.next_job);
-        let (us, counts) = (self.parts[no.0].us, self.counts(no));
+        let (us, counts) = (self.shard_requests[no.0].us, self.counts(no));
         let taken = match self.weather.books[host].refuses() {
             true => Taken::Refused,
             false => self.hosts[host].take_as(self.now, job, us, counts),
@@ -593,8 +611,8 @@
         let end = match taken {
             Taken::Begun | Taken::Queued => {
                 self.audit.taken(self.now, no);
-                self.host_jobs.insert(job, (broker, part, push, host));
-                self.jobs_of.insert((broker, part, push), job);
+                self.host_jobs.insert(job, (broker, shard_request, push, host));
+                self.jobs_of.insert((broker, shard_request, push), job);
                 if self.kills(no) {
                     self.weather.books[host].down();
                     self.at(self.now + RISES, Event::Rise(host));
@@ -610,34 +628,35 @@
                 4
             }
         };
-        self.send_back(broker, part, push, host, end);
+        self.send_back(broker, shard_request, push, host, end);
     }
 
-    fn request_of(&self, part: PartNo) -> Option<&Request> {
-        let no = self.queries.partition_point(|query| query.parts.end <= part.0);
+    fn request_of(&self, shard_request: PartNo) -> Option<&Request> {
+        let no = self.queries.partition_point(|query| query.shard_requests.end <= shard_request.0);
         self.queries.get(no).map(|query| &self.requests[query.request])
     }
 
-    /// Whether the query of a part brings down who begins it.
-    fn kills(&self, part: PartNo) -> bool {
-        self.request_of(part).is_some_and(|request| request.kills)
+    /// Whether the query of a shard request brings down who begins it.
+    fn kills(&self, shard_request: PartNo) -> bool {
+        self.request_of(shard_request).is_some_and(|request| request.kills)
     }
 
     /// What it counts for at a cold host, in microseconds.
-    fn counts(&self, part: PartNo) -> u64 {
-        self.request_of(part).map_or(0, |request| self.means[request.of.category])
+    fn counts(&self, shard_request: PartNo) -> u64 {
+        self.request_of(shard_request).map_or(0, |request| self.means[request.of.category])
     }
 
     /// A push's one end reaches its broker; what comes later is nobody's.
-    fn back(&mut self, broker: usize, id: PartId, push: PushNo, end: PushEnd) {
-        let Some(part) = self.parts.get_mut(id.0 as usize) else { return };
-        let Some((host, sent, open)) = part.pushes.get_mut(push.0 as usize).filter(|push| push.2) else {
+    fn back(&mut self, broker: usize, id: ShardRequestId, push: PushNo, end: PushEnd) {
+        let Some(shard_request) = self.shard_requests.get_mut(id.0 as usize) else { return };
+        let Some((host, sent, open)) = shard_request.pushes.get_mut(push.0 as usize).filter(|push| push.2)
+        else {
             return;
         };
         *open = false;
         let (node, took) = (NodeId(*host as u64), self.now - *sent);
-        part.came |= end == PushEnd::Finished;
-        self.hear(broker, Input::Outcome(PushOutcome { part: id, push, node, end, took }));
+        shard_request.came |= end == PushEnd::Finished;
+        self.hear(broker, Input::Outcome(PushOutcome { shard_request: id, push, node, end, took }));
     }
 
     // ---- brokers
@@ -678,30 +697,37 @@
 
     fn carry_out(&mut self, broker: usize, effect: Effect) {
         match effect {
-            Effect::Push { part: id, node, time_out } => {
+            Effect::Push { shard_request: id, node, time_out } => {
                 let now = self.now;
-                let Some(part) = self.parts.get_mut(id.0 as usize) else { return };
-                let push = PushNo(part.pushes.len() as u16);
-                part.pushes.push((node.0 as usize, now, true));
+                let Some(shard_request) = self.shard_requests.get_mut(id.0 as usize) else { return };
+                let push = PushNo(shard_request.pushes.len() as u16);
+                shard_request.pushes.push((node.0 as usize, now, true));
                 self.outcome.push(now);
                 let host = node.0 as usize;
                 if let Some(way) = self.weather.way(broker, host, true) {
-                    self.at(now + way, Event::Arrive { broker, part: id, push, host });
+                    self.at(now + way, Event::Arrive { broker, shard_request: id, push, host });
                 }
-                self.at(now + time_out, Event::TimeOut { broker, part: id, push });
+                self.at(now + time_out, Event::TimeOut { broker, shard_request: id, push });
             }
-            Effect::Withdraw { part, push } => {
-                let sent = self.parts.get(part.0 as usize).and_then(|part| part.pushes.get(push.0 as usize));
+            Effect::Withdraw { shard_request, push } => {
+                let sent = self
+                    .shard_requests
+                    .get(shard_request.0 as usize)
+                    .and_then(|shard_request| shard_request.pushes.get(push.0 as usize));
                 let host = sent.map(|push| push.0);
                 if let Some(way) = host.and_then(|host| self.weather.way(broker, host, true)) {
-                    self.at(self.now + way, Event::Withdrawn { broker, part, push });
+                    self.at(self.now + way, Event::Withdrawn { broker, shard_request, push });
                 }
                 // A withdrawn push has its end at once, as far as its broker goes.
-                self.back(broker, part, push, PushEnd::Withdrawn);
+                self.back(broker, shard_request, push, PushEnd::Withdrawn);
             }
             Effect::Answer { query, whole } => {
-                let parts = self.queries.get(query.0 as usize).map_or(0..0, |r| r.parts.clone());
-                let held = parts.filter(|part| self.parts[*part].came).map(PartNo).collect();
+                let shard_requests =
+                    self.queries.get(query.0 as usize).map_or(0..0, |r| r.shard_requests.clone());
+                let held = shard_requests
+                    .filter(|shard_request| self.shard_requests[*shard_request].came)
+                    .map(PartNo)
+                    .collect();
                 self.ends(broker, query, &Final::Answered { whole, held }, Tenths::ZERO);
             }
             Effect::Decline { query, stay_away } => {
@@ -736,14 +762,14 @@
     }
 }
 
-/// Mean work of a part, by category.
+/// Mean work of a shard request, by category.
 fn means(plan: &Plan, categories: usize) -> Vec<u64> {
     let mut sums = vec![(0, 0); categories];
     for entry in &plan.entries {
-        let Happens::Ask { category, parts, .. } = &entry.what else { continue };
+        let Happens::Ask { category, shard_requests, .. } = &entry.what else { continue };
         let (work, count) = &mut sums[*category];
-        *work += parts.iter().map(|(.., us)| us).sum::<u64>();
-        *count += parts.len() as u64;
+        *work += shard_requests.iter().map(|(.., us)| us).sum::<u64>();
+        *count += shard_requests.len() as u64;
     }
     sums.into_iter().map(|(work, count)| work / count.max(1)).collect()
 }
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -5,10 +5,10 @@
 
 /// Four kinds of categories, eight hosts, a tight budget.
 pub fn staging() -> Staging {
-    let role = |name: &str, parts, payoff, least, repeats| Role {
+    let role = |name: &str, shard_requests, payoff, least, repeats| Role {
         name: name.to_owned(),
         share: 1.0,
-        parts,
+        shard_requests,
         skew: 1.0,
         cut_off: 5000,
         payoff,
@@ -44,7 +44,7 @@
     Cast { brokers: 3, mind, seed: 5, cells: 4, cores: 4, warm_jobs: None, cancel: Cancel::All }
 }
 
-/// Twelve seconds of queries, four parts of 20 ms each, so many a second; and these events of hosts.
+/// Twelve seconds of queries, four shard requests of 20 ms each, so many a second; and these events of hosts.
 fn plan(a_second: u64, hosts: &[(u64, u32, HostEvent)]) -> Plan {
     let mut entries: Vec<Entry> =
         (0..8).map(|host| Entry { at: 0, what: Happens::Host { host, event: HostEvent::Warm } }).collect();
@@ -52,8 +52,8 @@
         entries.push(Entry { at: *at, what: Happens::Host { host: *host, event: *event } });
     }
     for no in 0..12 * a_second {
-        let parts = (0..4).map(|at| ((no as u32 * 5 + at) % 16, 0.25, 20_000)).collect();
-        let what = Happens::Ask { category: (no % 4) as usize, caller: 0, parts };
+        let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 16, 0.25, 20_000)).collect();
+        let what = Happens::Ask { category: (no % 4) as usize, caller: 0, shard_requests };
         entries.push(Entry { at: 10_000 + no * 10_000 / a_second, what });
     }
     entries.sort_by_key(|entry| entry.at);
@@ -150,8 +150,11 @@
     entries.extend((0..hosts).step_by(4).map(|no| host(5_000, no, HostEvent::Death)));
     entries.extend((0..hosts).step_by(4).map(|no| host(15_000, no, HostEvent::Start)));
     for no in 0..3_000 {
-        let parts = (0..4).map(|at| ((no as u32 * 5 + at) % shards, 0.25, 80_000)).collect();
-        entries.push(Entry { at: 1_000 + no * 20, what: Happens::Ask { category: 1, caller: 0, parts } });
+        let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % shards, 0.25, 80_000)).collect();
+        entries.push(Entry {
+            at: 1_000 + no * 20,
+            what: Happens::Ask { category: 1, caller: 0, shard_requests },
+        });
     }
     entries.sort_by_key(|entry| entry.at);
     let plan = Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 };
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -1,4 +1,4 @@
-//! `measure trace`, second part: a rush day at size, in virtual time, by the module as it stands, the design
+//! `measure trace`, second shard request: a rush day at size, in virtual time, by the module as it stands, the design
 //! without its exceptions, and random choice. All figures are simulated.
 
 use crate::outcome::Outcome;
@@ -196,7 +196,7 @@
     use super::*;
     use rstest::rstest;
 
-    /// Many brokers' first pushes, and long parts of several that met, brought cold hosts down at 2x and 4x.
+    /// Many brokers' first pushes, and long shard requests of several that met, brought cold hosts down at 2x and 4x.
     #[rstest]
     fn no_cold_host_falls_over(#[values(1.0, 2.0, 4.0)] times: f64, #[values(1, 4)] seed: u64) {
         let size = Size { hosts: 30, brokers: 12, seconds: 30, a_second: 120.0, sweep: (&[], 0) };
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -157,7 +157,7 @@
         let cast = |name: &str, share, payoff, least, repeats| Cast {
             name: name.to_owned(),
             share,
-            parts: if least < 1.0 { (widest.div_ceil(2), widest) } else { (1, widest.min(4)) },
+            shard_requests: if least < 1.0 { (widest.div_ceil(2), widest) } else { (1, widest.min(4)) },
             skew: if least < 1.0 { 1.0 } else { 0.0 },
             cut_off: 5000,
             payoff,
@@ -398,11 +398,11 @@
     let staging = planned.staging();
     println!("# assumed, of which the trace has nothing: {} shards; by category:", staging.shards);
     for (no, cast) in staging.categories.iter().enumerate() {
-        let Cast { name, share, parts, skew, cut_off, payoff, least, repeats } = cast;
+        let Cast { name, share, shard_requests, skew, cut_off, payoff, least, repeats } = cast;
         println!(
             "#   {no} {name}: share {share}, parts {} to {}, skew {skew}, cut-off {cut_off} ms, payoff {payoff}, \
              least share {least}, {repeats}",
-            parts.0, parts.1
+            shard_requests.0, shard_requests.1
         );
     }
     println!(
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,9 +8,9 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId,
+    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
     Prescription, Probed, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo,
-    Standing, Tenths, ZoneNo,
+    ShardRequestId, Standing, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -31,14 +31,14 @@
     /// When its client stops waiting.
     pub until: Instant,
     pub work: Tenths,
-    pub parts: Vec<QuestionPart>,
-    /// What every part carries.
+    pub shard_requests: Vec<RequestedShard>,
+    /// What every shard request carries.
     pub text: Bytes,
     /// The bytes that it keeps in memory: a text that is part of a longer body keeps all of that.
     pub holds: usize,
 }
 
-pub struct QuestionPart {
+pub struct RequestedShard {
     pub shard: ShardNo,
     pub weight: f64,
 }
@@ -69,13 +69,13 @@
     /// A push of it found its node down, or lost its connection.
     fell: bool,
     until: Tenths,
-    parts: Vec<PartId>,
+    shard_requests: Vec<ShardRequestId>,
     text: Bytes,
     bytes: usize,
     tell: oneshot::Sender<Verdict>,
 }
 
-struct OpenPart {
+struct OpenShardRequest {
     query: QueryId,
     shard: ShardNo,
     wire_id: Bytes,
@@ -101,11 +101,11 @@
     }
 }
 
-/// Queries and parts that are open, and what the wire calls them.
+/// Queries and shard requests that are open, and what the wire calls them.
 #[derive(Default)]
 struct Book {
     queries: HashMap<QueryId, Open>,
-    parts: HashMap<PartId, OpenPart>,
+    shard_requests: HashMap<ShardRequestId, OpenShardRequest>,
     wire_ids: HashSet<Bytes>,
     last_id: u64,
     /// Parts whose value has not come.
@@ -265,7 +265,7 @@
         self.book.borrow().queries.len()
     }
 
-    /// Pushes that are out: the node's address and the id that the wire knows the part by, in order. Who
+    /// Pushes that are out: the node's address and the id that the wire knows the shard request by, in order. Who
     /// rehearses a day holds them against what the nodes have, to tell whether anything is under way.
     pub fn pushes_out(&self) -> Vec<(SocketAddr, Bytes)> {
         self.nodes.out()
@@ -291,11 +291,11 @@
     pub fn take(self: &Rc<Self>, question: Question) -> Result<Taken, NotTaken> {
         let edition = self.edition();
         let mut book = self.book.borrow_mut();
-        let bytes = question.id.len() * (question.parts.len() + 1) + question.holds;
-        // Guards against wide queries that are all but answered and keep others out: a part that has its
+        let bytes = question.id.len() * (question.shard_requests.len() + 1) + question.holds;
+        // Guards against wide queries that are all but answered and keep others out: a shard request that has its
         // value is no longer open, though its query is.
         let held = book.queries.len() + book.lacking;
-        let full = self.ended.get() || held + question.parts.len() + 1 > edition.most_open;
+        let full = self.ended.get() || held + question.shard_requests.len() + 1 > edition.most_open;
         if full || book.bytes + bytes > self.limits.held {
             edition
                 .count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
@@ -305,13 +305,14 @@
             return Err(NotTaken::Known);
         }
         book.bytes += bytes;
-        book.lacking += question.parts.len();
+        book.lacking += question.shard_requests.len();
         let mut next = || {
             book.last_id += 1;
             book.last_id
         };
         let id = QueryId(next());
-        let parts: Vec<PartId> = question.parts.iter().map(|_| PartId(next())).collect();
+        let shard_requests: Vec<ShardRequestId> =
+            question.shard_requests.iter().map(|_| ShardRequestId(next())).collect();
         let group = GroupNo(id.0 as u32);
         let until = self.tenths(question.until);
         let category = edition.categories.get(&question.category);
@@ -328,14 +329,19 @@
             attempt: 0,
             least_only: false,
         }));
-        for (part, &QuestionPart { shard, weight }) in parts.iter().zip(&question.parts) {
-            heard.push(Input::Part(NewPart { id: *part, group, shard, weight }));
+        for (shard_request, &RequestedShard { shard, weight }) in
+            shard_requests.iter().zip(&question.shard_requests)
+        {
+            heard.push(Input::ShardRequest(NewShardRequest { id: *shard_request, group, shard, weight }));
             let wire_id = [&question.id[..], b".", shard.0.to_string().as_bytes()].concat().into();
-            book.parts.insert(*part, OpenPart { query: id, shard, wire_id, pushes: 0, value: None });
+            book.shard_requests.insert(
+                *shard_request,
+                OpenShardRequest { query: id, shard, wire_id, pushes: 0, value: None },
+            );
         }
         let (tell, verdict) = oneshot::channel();
         let Question { id: wire_id, text, .. } = question;
-        let open = Open { id: wire_id, edition, goal_at, fell, until, parts, text, bytes, tell };
+        let open = Open { id: wire_id, edition, goal_at, fell, until, shard_requests, text, bytes, tell };
         book.queries.insert(id, open);
         self.bell.notify_one();
         Ok(Taken { desk: self.clone(), id, verdict })
@@ -345,14 +351,15 @@
     fn close(&self, id: QueryId) -> Option<(Open, Vec<(ShardNo, Bytes)>)> {
         let mut book = self.book.borrow_mut();
         let open = book.queries.remove(&id)?;
-        let mut parts = Vec::with_capacity(open.parts.len());
-        for part in &open.parts {
-            let Some(entry) = book.parts.remove(part) else { continue };
-            (0..entry.pushes).for_each(|no| _ = self.nodes.take_back((*part, PushNo(no)), PushEnd::NotSent));
-            parts.push(entry);
+        let mut shard_requests = Vec::with_capacity(open.shard_requests.len());
+        for shard_request in &open.shard_requests {
+            let Some(entry) = book.shard_requests.remove(shard_request) else { continue };
+            (0..entry.pushes)
+                .for_each(|no| _ = self.nodes.take_back((*shard_request, PushNo(no)), PushEnd::NotSent));
+            shard_requests.push(entry);
         }
-        book.lacking -= parts.iter().filter(|part| part.value.is_none()).count();
-        let items: Vec<_> = parts.into_iter().filter_map(|p| Some((p.shard, p.value?))).collect();
+        book.lacking -= shard_requests.iter().filter(|shard_request| shard_request.value.is_none()).count();
+        let items: Vec<_> = shard_requests.into_iter().filter_map(|p| Some((p.shard, p.value?))).collect();
         book.bytes -= open.bytes + items.iter().map(|(_, value)| value.len()).sum::<usize>();
         book.wire_ids.remove(&open.id);
         Some((open, items))
@@ -455,31 +462,41 @@
 
     /// Takes over the ends of pushes, with the values that came.
     fn fetch_ended(&self) {
-        for Ended { push: (part, push), end, value, at } in self.nodes.fetch_ended() {
-            let Some(OutPush { node, sent, .. }) = self.pushes.borrow_mut().strike((part, push)) else {
+        for Ended { push: (shard_request, push), end, value, at } in self.nodes.fetch_ended() {
+            let Some(OutPush { node, sent, .. }) = self.pushes.borrow_mut().strike((shard_request, push))
+            else {
                 continue;
             };
-            let end = if self.keep_value(part, value) { end } else { PushEnd::Errored };
+            let end = if self.keep_value(shard_request, value) { end } else { PushEnd::Errored };
             if matches!(end, PushEnd::NoConnection | PushEnd::Dropped) {
-                self.note_fall(part);
+                self.note_fall(shard_request);
             }
             let took = self.tenths(at) - sent;
-            self.heard.borrow_mut().push(Input::Outcome(PushOutcome { part, push, node, end, took }));
+            self.heard.borrow_mut().push(Input::Outcome(PushOutcome {
+                shard_request,
+                push,
+                node,
+                end,
+                took,
+            }));
         }
     }
 
-    fn note_fall(&self, part: PartId) {
+    fn note_fall(&self, shard_request: ShardRequestId) {
         let mut book = self.book.borrow_mut();
-        let Some(id) = book.parts.get(&part).map(|part| part.query) else { return };
+        let Some(id) = book.shard_requests.get(&shard_request).map(|shard_request| shard_request.query)
+        else {
+            return;
+        };
         book.queries.get_mut(&id).into_iter().for_each(|open| open.fell = true);
     }
 
     /// Keeps a value for its query, if that is still open and there is room for it.
-    fn keep_value(&self, part: PartId, value: Option<Bytes>) -> bool {
+    fn keep_value(&self, shard_request: ShardRequestId, value: Option<Bytes>) -> bool {
         let Some(value) = value else { return true };
         let mut book = self.book.borrow_mut();
         let fits = book.bytes + value.len() <= self.limits.held;
-        let Some(open) = book.parts.get_mut(&part) else { return true };
+        let Some(open) = book.shard_requests.get_mut(&shard_request) else { return true };
         if open.value.is_none() && fits {
             let length = value.len();
             // A copy of its own: the connection's buffer is not held on to for a few bytes of it.
@@ -532,14 +549,14 @@
         let mut withdrawn: Vec<PushId> = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Push { part, node, time_out } => {
-                    if let Some(sending) = self.push(now, part, node, time_out) {
+                Effect::Push { shard_request, node, time_out } => {
+                    if let Some(sending) = self.push(now, shard_request, node, time_out) {
                         calls.entry(node).or_default().push(sending);
                     }
                 }
-                Effect::Withdraw { part, push } => {
-                    withdrawn.push((part, push));
-                    self.nodes.give_up((part, push), PushEnd::Withdrawn);
+                Effect::Withdraw { shard_request, push } => {
+                    withdrawn.push((shard_request, push));
+                    self.nodes.give_up((shard_request, push), PushEnd::Withdrawn);
                 }
                 Effect::Answer { query, whole } => {
                     self.tell(query, |items| Verdict::Answer { whole, items });
@@ -559,9 +576,9 @@
             }
         }
         for (node, mut sendings) in calls {
-            // Guards against a part that is sent after its query's end, which the same turn brought.
+            // Guards against a shard request that is sent after its query's end, which the same turn brought.
             sendings.retain(|sending| {
-                let stays = self.book.borrow().parts.contains_key(&sending.push.0);
+                let stays = self.book.borrow().shard_requests.contains_key(&sending.push.0);
                 let stays = stays && !withdrawn.contains(&sending.push);
                 if !stays {
                     self.never_sent(node, sending.push);
@@ -575,20 +592,21 @@
     }
 
     /// Enters a push, and puts it into the wire's terms.
-    fn push(&self, now: Tenths, id: PartId, node: NodeId, time_out: Tenths) -> Option<Sending> {
+    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, time_out: Tenths) -> Option<Sending> {
         let mut book = self.book.borrow_mut();
-        let Some(part) = book.parts.get_mut(&id) else {
+        let Some(shard_request) = book.shard_requests.get_mut(&id) else {
             self.never_sent(node, (id, PushNo(0)));
             return None;
         };
-        let push = (id, PushNo(part.pushes));
-        part.pushes += 1;
-        let (query, shard, wire_id) = (part.query, part.shard.0, part.wire_id.clone());
+        let push = (id, PushNo(shard_request.pushes));
+        shard_request.pushes += 1;
+        let (query, shard, wire_id) =
+            (shard_request.query, shard_request.shard.0, shard_request.wire_id.clone());
         let text = book.queries.get(&query)?.text.clone();
         let timers = [(now + self.limits.unsent, Timer::Unsent), (now + time_out, Timer::Over)];
         self.pushes.borrow_mut().enter(push, OutPush { node, sent: now, timers });
         let wait_ms = span(time_out).as_millis().max(1) as u64;
-        Some(Sending { push, part: CalledPart { id: wire_id, shard, wait_ms, text } })
+        Some(Sending { push, shard_request: CalledPart { id: wire_id, shard, wait_ms, text } })
     }
 
     /// What probes brought, in the module's terms.
@@ -600,18 +618,18 @@
         }
     }
 
-    fn never_sent(&self, node: NodeId, (part, push): PushId) {
-        self.pushes.borrow_mut().strike((part, push));
+    fn never_sent(&self, node: NodeId, (shard_request, push): PushId) {
+        self.pushes.borrow_mut().strike((shard_request, push));
         let (end, took) = (PushEnd::NotSent, Tenths::ZERO);
-        self.hear(Input::Outcome(PushOutcome { part, push, node, end, took }));
+        self.hear(Input::Outcome(PushOutcome { shard_request, push, node, end, took }));
     }
 
-    /// A turn's pushes to one node, in calls of no more parts and bytes than a call may have.
+    /// A turn's pushes to one node, in calls of no more shard requests and bytes than a call may have.
     fn split_calls(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
         let mut calls: Vec<Vec<Sending>> = Vec::new();
         let mut bytes = 0;
         for sending in sendings {
-            let more = sending.part.text.len() + 2 * sending.part.id.len();
+            let more = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
             match calls.last_mut() {
                 Some(call) if call.len() < self.limits.call_parts && bytes + more <= self.limits.frame => {
                     bytes += more;
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -4,12 +4,12 @@
 use crate::limits::Machine;
 use rstest::rstest;
 
-/// A turn may push a part and end its query: then the part stays unsent, and is told to.
+/// A turn may push a shard request and end its query: then the shard request stays unsent, and is told to.
 #[rstest]
 #[case(|query, _| Effect::Scrap { query })]
 #[case(|query, _| Effect::Answer { query, whole: false })]
-#[case(|_, part| Effect::Withdraw { part, push: PushNo(0) })]
-fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, PartId) -> Effect) {
+#[case(|_, shard_request| Effect::Withdraw { shard_request, push: PushNo(0) })]
+fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let mut intake = Intake::default();
         intake.prescription.limits.most_open = 10;
@@ -17,16 +17,16 @@
         let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
         desk.nodes.listens(NodeId(1), Some(address), true);
-        let parts = vec![QuestionPart { shard: ShardNo(0), weight: 1.0 }];
+        let shard_requests = vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }];
         let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
         let (category, caller, until) = (CategoryNo(0), CallerNo(0), Instant::now());
         let work = Tenths::ZERO;
-        let question = Question { id, category, caller, until, work, parts, text, holds: 0 };
+        let question = Question { id, category, caller, until, work, shard_requests, text, holds: 0 };
         let taken = desk.take(question).unwrap();
-        let part = *desk.book.borrow().parts.keys().next().unwrap();
+        let shard_request = *desk.book.borrow().shard_requests.keys().next().unwrap();
         desk.heard.take();
-        let push = Effect::Push { part, node: NodeId(1), time_out: Tenths(1000) };
-        desk.carry_out(Tenths(0), vec![push, end(taken.id, part)]);
+        let push = Effect::Push { shard_request, node: NodeId(1), time_out: Tenths(1000) };
+        desk.carry_out(Tenths(0), vec![push, end(taken.id, shard_request)]);
         let heard = desk.heard.take();
         assert!(matches!(&heard[..], [Input::Outcome(o)] if o.end == PushEnd::NotSent), "{heard:?}");
         assert!(desk.nodes.fetch_ended().is_empty());
@@ -47,7 +47,7 @@
             caller: CallerNo(0),
             until: Instant::now(),
             work: Tenths::ZERO,
-            parts: vec![QuestionPart { shard: ShardNo(0), weight: 1.0 }],
+            shard_requests: vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }],
             text: Bytes::new(),
             holds: 0,
         };
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -10,7 +10,7 @@
     pub names: Catalogue,
     pub categories: BTreeMap<CategoryNo, Category>,
     pub shards: u32,
-    /// Queries and parts held at once.
+    /// Queries and shard requests held at once.
     pub most_open: usize,
     /// What a client is told that is declined at a bound, where clients are told when to come again.
     pub stay_away: Tenths,
--- a/crates/broker/src/frame.rs
+++ b/crates/broker/src/frame.rs
@@ -9,7 +9,7 @@
 /// The most values of a load report that are read.
 const REPORTED: usize = 16;
 
-/// One part as a call carries it.
+/// One shard request as a call carries it.
 #[derive(Clone, Debug)]
 pub struct CalledPart {
     pub id: Bytes,
@@ -64,13 +64,18 @@
         let start = to.len();
         to.put_u32_le(0);
         match self {
-            ToNode::Call(parts) => {
+            ToNode::Call(shard_requests) => {
                 to.put_u8(b'1');
-                for part in parts {
-                    to.put_slice(&part.id);
-                    let rest = format!(" {} d={} {}\n", part.shard, part.wait_ms, part.text.len());
+                for shard_request in shard_requests {
+                    to.put_slice(&shard_request.id);
+                    let rest = format!(
+                        " {} d={} {}\n",
+                        shard_request.shard,
+                        shard_request.wait_ms,
+                        shard_request.text.len()
+                    );
                     to.put_slice(rest.as_bytes());
-                    to.put_slice(&part.text);
+                    to.put_slice(&shard_request.text);
                 }
             }
             ToNode::Probe => to.put_u8(b'4'),
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -120,14 +120,14 @@
         let lines = (for_peers * 2 / 3).min(quarter / BUFFERS);
         let surplus_lines = lines / 8;
         let p = &intake.prescription;
-        let line_parts = intake.lines.parts.unwrap_or(1).max(1) as usize;
+        let line_parts = intake.lines.shard_requests.unwrap_or(1).max(1) as usize;
         let connect = intake.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
         // No longer than that both clocks count from the call: what it costs grows with the calls.
         let longest_watch = TOLD_AFTER_SILENCE - TOLD_AFTER_WAIT;
         let watch = (span(p.rules.ask_within) / 10).clamp(Duration::from_secs(1), longest_watch);
         // Half is for noticing that it fell silent, half for the call that takes its place.
         let watch_slack = TOLD_AFTER_WAIT / 2;
-        // In a third of the grace it is called, in one it answers, in the last the parts that wait are taken back.
+        // In a third of the grace it is called, in one it answers, in the last the shard requests that wait are taken back.
         let watch_anew = (span(p.rules.drain_grace) + SOCKETS) / 3;
         // They share the few descriptors that are set aside.
         let watch_calls = OWN as u32 / 3;
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -4,7 +4,7 @@
 use crate::limits::Limits;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{NodeId, PartId, PushEnd, PushNo};
+use routing::{NodeId, PushEnd, PushNo, ShardRequestId};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -20,13 +20,13 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, warn};
 
-pub type PushId = (PartId, PushNo);
+pub type PushId = (ShardRequestId, PushNo);
 
 /// A push as it is to be sent.
 #[derive(Debug)]
 pub struct Sending {
     pub push: PushId,
-    pub part: CalledPart,
+    pub shard_request: CalledPart,
 }
 
 /// The one end of a push, with the value that it brought.
@@ -151,20 +151,21 @@
             }
             return self.bell.notify_one();
         };
-        let mut parts = Vec::with_capacity(call.len());
-        for Sending { push, part } in call {
-            let before = line.out.borrow().get(&part.id).map(|out| out.push);
+        let mut shard_requests = Vec::with_capacity(call.len());
+        for Sending { push, shard_request } in call {
+            let before = line.out.borrow().get(&shard_request.id).map(|out| out.push);
             before.into_iter().for_each(|before| _ = self.take_back(before, PushEnd::NoConnection));
-            let before = line.out.borrow_mut().insert(part.id.clone(), Out { push, written: Written::Not });
-            // The same part again on one connection: what is heard from now on is the newer push's.
+            let before =
+                line.out.borrow_mut().insert(shard_request.id.clone(), Out { push, written: Written::Not });
+            // The same shard request again on one connection: what is heard from now on is the newer push's.
             if let Some(before) = before {
-                line.note_given_up(part.id.clone(), self.limits.late_answers);
+                line.note_given_up(shard_request.id.clone(), self.limits.late_answers);
                 self.end(before.push, PushEnd::Dropped, None);
             }
-            self.pushes.borrow_mut().insert(push, (line.clone(), part.id.clone()));
-            parts.push(part);
+            self.pushes.borrow_mut().insert(push, (line.clone(), shard_request.id.clone()));
+            shard_requests.push(shard_request);
         }
-        line.queue.borrow_mut().push_back(ToNode::Call(parts));
+        line.queue.borrow_mut().push_back(ToNode::Call(shard_requests));
         line.ring.notify_one();
     }
 
@@ -219,7 +220,7 @@
     }
 
     /// Takes a push back of which no byte was written; tells whether that could be done. Guards against
-    /// parts that lie in wait behind a connection that does not come up, or a peer that takes nothing,
+    /// shard requests that lie in wait behind a connection that does not come up, or a peer that takes nothing,
     /// and go out after their query's end, their node's drain, or the window that they were counted in.
     pub fn take_back(&self, push: PushId, end: PushEnd) -> bool {
         let Some((line, id)) = self.pushes.borrow().get(&push).cloned() else { return false };
@@ -228,8 +229,8 @@
         }
         line.out.borrow_mut().remove(&id);
         for queued in line.queue.borrow_mut().iter_mut() {
-            if let ToNode::Call(parts) = queued {
-                parts.retain(|part| part.id != id);
+            if let ToNode::Call(shard_requests) = queued {
+                shard_requests.retain(|shard_request| shard_request.id != id);
             }
         }
         line.ring.notify_one();
@@ -254,8 +255,8 @@
         }
     }
 
-    /// A connection with room for so many parts, or a new one while there may be more.
-    fn line_for(self: &Rc<Self>, node: NodeId, parts: usize) -> Option<Rc<Line>> {
+    /// A connection with room for so many shard requests, or a new one while there may be more.
+    fn line_for(self: &Rc<Self>, node: NodeId, shard_requests: usize) -> Option<Rc<Line>> {
         let address = *self.addresses.borrow().get(&node)?;
         let open: Vec<Rc<Line>> = {
             let lines = self.lines.borrow();
@@ -268,7 +269,7 @@
         };
         let fits = |line: &&Rc<Line>| {
             let out = line.out.borrow().len();
-            out == 0 || out + parts <= self.limits.line_parts
+            out == 0 || out + shard_requests <= self.limits.line_parts
         };
         // The oldest first, so that those beyond need fall idle.
         if let Some(line) = open.iter().find(fits) {
@@ -358,13 +359,13 @@
             return;
         }
         for queued in line.queue.take() {
-            let ToNode::Call(parts) = queued else { continue };
-            let taken = |part: CalledPart| {
-                let out = line.out.borrow_mut().remove(&part.id)?;
+            let ToNode::Call(shard_requests) = queued else { continue };
+            let taken = |shard_request: CalledPart| {
+                let out = line.out.borrow_mut().remove(&shard_request.id)?;
                 self.pushes.borrow_mut().remove(&out.push);
-                Some(Sending { push: out.push, part })
+                Some(Sending { push: out.push, shard_request })
             };
-            let call: Vec<Sending> = parts.into_iter().filter_map(taken).collect();
+            let call: Vec<Sending> = shard_requests.into_iter().filter_map(taken).collect();
             if !call.is_empty() {
                 self.send(line.node, call);
             }
@@ -379,7 +380,7 @@
         loop {
             let frame = match timeout(self.limits.half_frame, frames.next()).await {
                 Ok(frame) => frame,
-                // Guards against a length that promises more than comes: the parts out would wait for it.
+                // Guards against a length that promises more than comes: the shard requests out would wait for it.
                 Err(_) if begun && !frames.read_buffer().is_empty() => {
                     warn!(node = %line.address, "connection closed on a frame that does not end");
                     self.let_go(line, is_text(frames.read_buffer()));
@@ -412,7 +413,7 @@
                         }
                         // One that was given up may still answer; then nobody waits for it.
                         None if line.was_given_up(&id) => {}
-                        // Guards against answers under a wrong id: the part that was meant would wait.
+                        // Guards against answers under a wrong id: the shard request that was meant would wait.
                         None => {
                             warn!(node = %line.address, "connection closed on an answer that none waits for");
                             return true;
@@ -477,8 +478,10 @@
             }
             let Some(frame) = line.queue.borrow_mut().pop_front() else { continue };
             let ids = match &frame {
-                ToNode::Call(parts) if parts.is_empty() => continue,
-                ToNode::Call(parts) => parts.iter().map(|part| part.id.clone()).collect(),
+                ToNode::Call(shard_requests) if shard_requests.is_empty() => continue,
+                ToNode::Call(shard_requests) => {
+                    shard_requests.iter().map(|shard_request| shard_request.id.clone()).collect()
+                }
                 ToNode::GiveUp(_) | ToNode::Probe => Vec::new(),
             };
             bytes.clear();
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -1,6 +1,6 @@
 //! The life of one query on a socket, from its request to its answer.
 
-use crate::desk::{Desk, NotTaken, Question, QuestionPart, Verdict};
+use crate::desk::{Desk, NotTaken, Question, RequestedShard, Verdict};
 use crate::edition::Edition;
 use crate::limits::Limits;
 use actix_http::header::{CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, UPGRADE};
@@ -26,7 +26,7 @@
 #[derive(Deserialize)]
 struct Asked<'a> {
     #[serde(rename = "slices")]
-    parts: Vec<AskedPart>,
+    shard_requests: Vec<AskedPart>,
     #[serde(rename = "filter", borrow)]
     text: Cow<'a, str>,
 }
@@ -46,7 +46,7 @@
     #[serde(rename = "entire")]
     whole: bool,
     #[serde(rename = "items")]
-    parts: Vec<AnsweredPart<'a>>,
+    shard_requests: Vec<AnsweredPart<'a>>,
 }
 
 #[derive(Serialize)]
@@ -172,7 +172,7 @@
     Ok(body.freeze())
 }
 
-/// Takes out the fields that decide; the text that parts carry stays the bytes that came.
+/// Takes out the fields that decide; the text that shard requests carry stays the bytes that came.
 fn read_question(
     limits: &Limits,
     edition: &Edition,
@@ -204,31 +204,35 @@
     let time_left: u64 = digits.and_then(|text| text.parse().ok()).ok_or("no time left told")?;
     let time_left = Duration::from_millis(time_left).min(limits.longest_wait);
     let asked: Asked = serde_json::from_slice(body).map_err(|_| "a body that can't be read")?;
-    let shards: BTreeSet<u32> = asked.parts.iter().map(|part| part.shard).collect();
-    if shards.is_empty() || shards.len() < asked.parts.len() {
+    let shards: BTreeSet<u32> =
+        asked.shard_requests.iter().map(|shard_request| shard_request.shard).collect();
+    if shards.is_empty() || shards.len() < asked.shard_requests.len() {
         return Err("no parts, or one twice");
     }
     if shards.last().is_some_and(|shard| *shard >= edition.shards) {
         return Err(unknown("an unknown shard"));
     }
-    let sum: f64 = asked.parts.iter().map(|part| part.weight).sum();
-    let sound = asked.parts.iter().all(|part| (0.0..=1.0).contains(&part.weight));
+    let sum: f64 = asked.shard_requests.iter().map(|shard_request| shard_request.weight).sum();
+    let sound = asked.shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
     if !sound || (sum - 1.0).abs() > limits.weight_slack {
         return Err("weights that do not make a whole");
     }
-    let work: Option<f64> = asked.parts.iter().map(|part| part.work_us).sum();
+    let work: Option<f64> = asked.shard_requests.iter().map(|shard_request| shard_request.work_us).sum();
     let text = match asked.text {
         Cow::Borrowed(text) => body.slice_ref(text.as_bytes()),
         Cow::Owned(text) => Bytes::from(text),
     };
-    let part = |part: &AskedPart| QuestionPart { shard: ShardNo(part.shard), weight: part.weight };
+    let shard_request = |shard_request: &AskedPart| RequestedShard {
+        shard: ShardNo(shard_request.shard),
+        weight: shard_request.weight,
+    };
     Ok(Question {
         id: Bytes::copy_from_slice(id.as_bytes()),
         category,
         caller,
         until: arrived + time_left,
         work: Tenths::from_ms(work.unwrap_or(0.0).max(0.0) / 1000.0),
-        parts: asked.parts.iter().map(part).collect(),
+        shard_requests: asked.shard_requests.iter().map(shard_request).collect(),
         text,
         holds: body.len(),
     })
@@ -240,7 +244,7 @@
         // A frame that brings no text is a bad one, so all of them are.
         texts.extend(std::str::from_utf8(value).map(|value| AnsweredPart { shard: shard.0, value }));
     }
-    let body = serde_json::to_vec(&Answered { whole, parts: texts }).ok();
+    let body = serde_json::to_vec(&Answered { whole, shard_requests: texts }).ok();
     match body.filter(|body| body.len() <= most) {
         Some(body) => {
             respond(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
--- a/crates/broker/tests/command.rs
+++ b/crates/broker/tests/command.rs
@@ -63,10 +63,10 @@
     let output = shard_broker(&["check", &path]);
     let told = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{told}");
-    for part in
+    for shard_request in
         ["`Domain.MinShare[0]` is 1.5", "`Services[0].OnTimeMS` is unknown", "`Limits.MaxOpen` is \"many\""]
     {
-        assert!(told.contains(part), "{part} not in {told}");
+        assert!(told.contains(shard_request), "{shard_request} not in {told}");
     }
     let output = shard_broker(&["check", "--json", &path]);
     let told: Value = serde_json::from_slice(&output.stdout).unwrap();
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -1,4 +1,4 @@
-//! Who takes part: the program as processes, nodes that answer at once, clients, and documents that can be
+//! Who takes shard request: the program as processes, nodes that answer at once, clients, and documents that can be
 //! told apart from outside.
 
 use config_rollout_client::csds::{Told, ask};
@@ -24,7 +24,7 @@
     }
 }
 
-/// A host of cell 0 that answers every part within a tenth of a millisecond.
+/// A host of cell 0 that answers every shard request within a tenth of a millisecond.
 pub fn node() -> Served {
     Served::start(Build::default(), |_, _| 100).unwrap()
 }
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::*;
 use super::{BOTH, ONE};
 use broker::Order;
-use broker::desk::{Question, QuestionPart, Verdict};
+use broker::desk::{Question, RequestedShard, Verdict};
 use bytes::Bytes;
 use routing::{CallerNo, CategoryNo, ShardNo, Tenths};
 use rstest::rstest;
@@ -47,7 +47,7 @@
         caller: CallerNo(0),
         until: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
-        parts: vec![QuestionPart { shard: ShardNo(3), weight: 1.0 }],
+        shard_requests: vec![RequestedShard { shard: ShardNo(3), weight: 1.0 }],
         holds: text.len(),
         text,
     }
@@ -90,7 +90,7 @@
     });
 }
 
-/// The same where the part waits for a connection that comes up late.
+/// The same where the shard request waits for a connection that comes up late.
 #[rstest]
 fn sends_nothing_behind_a_late_connection_for_a_client_that_left() {
     play(async {
@@ -138,8 +138,8 @@
         let last = request("a", "lookup", 100_000, &body(ONE)).replace("Host:", "Connection: close\r\nHost:");
         let text = last + &request("b", "lookup", 100_000, &body(BOTH));
         client.write_all(text.as_bytes()).await.unwrap();
-        let (node, line, parts) = stage.call().await;
-        assert_eq!(parts[0].id, "a.3");
+        let (node, line, shard_requests) = stage.call().await;
+        assert_eq!(shard_requests[0].id, "a.3");
         stage.nodes[node].end(line, "a.3", 'S', "v").await;
         let told = to_end(client).await;
         assert!(told.starts_with("HTTP/1.1 200"), "{told}");
@@ -267,7 +267,7 @@
     });
 }
 
-/// A part that may have run is repeated only where its class may, and then only while its window is open when the last byte
+/// A shard request that may have run is repeated only where its class may, and then only while its window is open when the last byte
 /// of the repeat has left, for which a connection may have to come up first (2 s here). The window is the settings' own.
 #[rstest]
 #[case::safe("idempotent", 0.0, true)]
@@ -345,8 +345,8 @@
         assert!(stage.is_silent());
         let members = [member(&stage.nodes, 0, "draining"), member(&stage.nodes, 1, "ready")];
         answer_http(&mut second, &list(2, &members).to_string()).await;
-        let (node, _, parts) = stage.call().await;
-        assert_eq!((node, &parts[0].id[..]), (1, "a.3"));
+        let (node, _, shard_requests) = stage.call().await;
+        assert_eq!((node, &shard_requests[0].id[..]), (1, "a.3"));
         client.write(HEALTH).await;
         assert_eq!(client.reply().await.unwrap().status, 200);
     });
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -24,10 +24,11 @@
         let body = r#"{"slices":[{"slice":3,"mass":0.7,"micros":9000,"term":"00ff"},{"slice":9,"mass":0.3}],
             "filter":"a\n\"ü\" \u00e9","more":[1]}"#;
         client.write(&request("9b1f", "lookup", 9000, body)).await;
-        let (_, line, parts) = stage.call().await;
-        let told: Vec<(&str, u32, &str)> = parts.iter().map(|p| (&p.id[..], p.shard, &p.text[..])).collect();
+        let (_, line, shard_requests) = stage.call().await;
+        let told: Vec<(&str, u32, &str)> =
+            shard_requests.iter().map(|p| (&p.id[..], p.shard, &p.text[..])).collect();
         assert_eq!(told, [("9b1f.3", 3, "a\n\"ü\" é"), ("9b1f.9", 9, "a\n\"ü\" é")]);
-        let wait: u64 = parts[0].list.strip_prefix("d=").unwrap().parse().unwrap();
+        let wait: u64 = shard_requests[0].list.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((1..9000).contains(&wait), "{wait}");
         stage.nodes[0].end(line, "9b1f.9", 'S', "plain").await;
         stage.nodes[0].end(line, "9b1f.3", 'S', "\"quoted\"\\ü\n").await;
@@ -53,9 +54,9 @@
         let _second = stage.ask("b", "lookup", &[(0, 0.3), (1, 0.3), (2, 0.4)]).await;
         let (mut ids, mut sizes) = (Vec::new(), Vec::new());
         while ids.len() < 5 {
-            let (_, _, parts) = stage.call().await;
-            sizes.push(parts.len());
-            ids.extend(parts.into_iter().map(|part| part.id));
+            let (_, _, shard_requests) = stage.call().await;
+            sizes.push(shard_requests.len());
+            ids.extend(shard_requests.into_iter().map(|shard_request| shard_request.id));
         }
         ids.sort();
         assert_eq!((ids.join(" "), sizes), ("a.3 a.9 b.0 b.1 b.2".to_owned(), vec![4, 1]));
@@ -152,15 +153,15 @@
             _ => stage.nodes[first].write(line, &u32::MAX.to_le_bytes()).await,
         }
         if again {
-            let (second, line, parts) = loop {
+            let (second, line, shard_requests) = loop {
                 match stage.next().await {
-                    (node, line, Heard::Call(parts)) => break (node, line, parts),
+                    (node, line, Heard::Call(shard_requests)) => break (node, line, shard_requests),
                     (_, _, Heard::Closed) => {}
                     other => panic!("{other:?}"),
                 }
             };
             assert_ne!(first, second);
-            stage.nodes[second].end(line, &parts[0].id, 'S', "v").await;
+            stage.nodes[second].end(line, &shard_requests[0].id, 'S', "v").await;
         }
         assert_eq!(client.reply().await.unwrap().status, status);
     });
@@ -181,17 +182,17 @@
         let soon = |order: &mut Order| order.limits.half_frame = Duration::from_millis(50);
         let mut stage = Stage::with(2, |_| (), soon).await;
         let mut client = stage.ask("a", "lookup", BOTH).await;
-        let (first, line, parts) = stage.call().await;
-        assert_eq!(parts.len(), 2);
+        let (first, line, shard_requests) = stage.call().await;
+        assert_eq!(shard_requests.len(), 2);
         let began = Instant::now();
         stage.nodes[first].write(line, &bytes).await;
         let mut told = 0;
         while told < 2 {
-            let (node, line, Heard::Call(parts)) = stage.next().await else { continue };
+            let (node, line, Heard::Call(shard_requests)) = stage.next().await else { continue };
             assert_ne!(node, first);
-            for part in parts {
+            for shard_request in shard_requests {
                 told += 1;
-                stage.nodes[node].end(line, &part.id, 'S', "good").await;
+                stage.nodes[node].end(line, &shard_request.id, 'S', "good").await;
             }
         }
         let reply = client.reply().await.unwrap();
@@ -250,15 +251,15 @@
                 .await;
         for id in ["a", "b", "c", "d"] {
             let mut client = stage.ask(id, "once", ONE).await;
-            let (node, line, parts) = stage.call().await;
+            let (node, line, shard_requests) = stage.call().await;
             assert_eq!(node, 1);
-            stage.nodes[1].end(line, &parts[0].id, 'S', "v").await;
+            stage.nodes[1].end(line, &shard_requests[0].id, 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200);
         }
     });
 }
 
-/// Time runs from when the request began to come, and a part that times out is given up at its node.
+/// Time runs from when the request began to come, and a shard request that times out is given up at its node.
 #[rstest]
 fn declines_in_the_clients_time_and_gives_parts_up() {
     play(async {
@@ -270,8 +271,8 @@
         client.write(head).await;
         pause(300).await;
         client.write(rest).await;
-        let (node, line, parts) = stage.call().await;
-        assert!(parts[0].list[2..].parse::<u64>().unwrap() <= 400, "{}", parts[0].list);
+        let (node, line, shard_requests) = stage.call().await;
+        assert!(shard_requests[0].list[2..].parse::<u64>().unwrap() <= 400, "{}", shard_requests[0].list);
         let reply = client.reply().await.unwrap();
         assert!(began.elapsed() < Duration::from_millis(750), "{:?}", began.elapsed());
         assert_eq!(reply.status, 503);
@@ -301,9 +302,9 @@
         assert_eq!(stage.discovery.called().await, "/catalog/members");
         for id in ["a", "b", "c", "d"] {
             let mut client = stage.ask(id, "lookup", ONE).await;
-            let (node, line, parts) = stage.call().await;
+            let (node, line, shard_requests) = stage.call().await;
             assert_eq!(node, 1, "the other drains");
-            stage.nodes[1].end(line, &parts[0].id, 'S', "v").await;
+            stage.nodes[1].end(line, &shard_requests[0].id, 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200);
         }
     });
@@ -464,7 +465,7 @@
     });
 }
 
-/// Queries and parts up to `MaxOpen`, connections up to the descriptors: beyond, it declines.
+/// Queries and shard requests up to `MaxOpen`, connections up to the descriptors: beyond, it declines.
 #[rstest]
 fn declines_beyond_its_bounds() {
     play(async {
@@ -551,8 +552,8 @@
         for id in ["a.2", "a.3"] {
             stage.nodes[0].end(line, id, 'S', "v").await;
         }
-        let (_, line, parts) = stage.call().await;
-        stage.nodes[0].end(line, &parts[0].id, 'S', "v").await;
+        let (_, line, shard_requests) = stage.call().await;
+        stage.nodes[0].end(line, &shard_requests[0].id, 'S', "v").await;
         assert_eq!(third.reply().await.unwrap().status, 200);
         assert_eq!(first.reply().await.unwrap().status, 200);
     });
@@ -667,7 +668,7 @@
     });
 }
 
-/// An idle connection goes before the node reaps it, so no part is written to one that is gone.
+/// An idle connection goes before the node reaps it, so no shard request is written to one that is gone.
 #[rstest]
 fn closes_idle_connections_to_nodes() {
     play(async {
@@ -684,7 +685,7 @@
     });
 }
 
-/// More parts than a connection carries go on another; where descriptors end, they wait on one that is open.
+/// More shard requests than a connection carries go on another; where descriptors end, they wait on one that is open.
 #[rstest]
 #[case(1024, 3)]
 #[case(66, 3)]
@@ -699,12 +700,12 @@
         let mut client = stage.ask("a", "report", &slices).await;
         let (mut used, mut told) = (std::collections::BTreeSet::new(), 0);
         while told < 6 {
-            let (_, line, parts) = stage.call().await;
-            assert!(parts.len() <= 2);
+            let (_, line, shard_requests) = stage.call().await;
+            assert!(shard_requests.len() <= 2);
             used.insert(line);
-            told += parts.len();
-            for part in parts {
-                stage.nodes[0].end(line, &part.id, 'S', "v").await;
+            told += shard_requests.len();
+            for shard_request in shard_requests {
+                stage.nodes[0].end(line, &shard_request.id, 'S', "v").await;
             }
         }
         assert!(used.len() <= lines, "{used:?}");
@@ -811,9 +812,9 @@
         let mut stage = Stage::fitted(1, |_| (), |_| (), fitting).await;
         for id in ["a", "b"] {
             let mut client = stage.ask(id, "lookup", BOTH).await;
-            let (_, line, parts) = stage.call().await;
-            for part in &parts {
-                stage.nodes[0].end(line, &part.id, 'S', "v").await;
+            let (_, line, shard_requests) = stage.call().await;
+            for shard_request in &shard_requests {
+                stage.nodes[0].end(line, &shard_request.id, 'S', "v").await;
             }
             let reply = client.reply().await.unwrap();
             assert_eq!(reply.status, 200, "{}", reply.body);
@@ -830,7 +831,7 @@
     }
 }
 
-/// Both holders are asked first; the part goes where least waits. What can't be read is no report.
+/// Both holders are asked first; the shard request goes where least waits. What can't be read is no report.
 #[rstest]
 #[case("qps=1.5,queue=7,util=0.5", "queue=2", 1)]
 #[case("queue=0", "qps=9,queue=4", 0)]
@@ -873,12 +874,16 @@
                 _ => stage.nodes[1].tell(line, "queue=20").await,
             }
         }
-        let (node, line, parts) = loop {
-            if let (node, line, Heard::Call(parts)) = stage.next().await {
-                break (node, line, parts);
+        let (node, line, shard_requests) = loop {
+            if let (node, line, Heard::Call(shard_requests)) = stage.next().await {
+                break (node, line, shard_requests);
             }
         };
-        assert_eq!((node, parts.len()), (1, 1), "the one that told of its load, though much waits there");
+        assert_eq!(
+            (node, shard_requests.len()),
+            (1, 1),
+            "the one that told of its load, though much waits there"
+        );
         assert!(asked.elapsed() < Duration::from_secs(20), "a fiftieth of the goal time is waited for");
         stage.nodes[1].end(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -2,7 +2,7 @@
 
 use broker::{Order, Running};
 use node_emulator::script;
-pub use node_emulator::script::{Heard, Node, Part, Reply, framed, request};
+pub use node_emulator::script::{Heard, Node, Reply, ShardRequest, framed, request};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::future::Future;
@@ -106,9 +106,9 @@
     }
 
     /// The next call at any node.
-    pub async fn call(&mut self) -> (usize, usize, Vec<Part>) {
+    pub async fn call(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         match self.next().await {
-            (node, line, Heard::Call(parts)) => (node, line, parts),
+            (node, line, Heard::Call(shard_requests)) => (node, line, shard_requests),
             other => panic!("{other:?} is no call"),
         }
     }
@@ -122,7 +122,7 @@
         Client::to(self.broker.listens).await
     }
 
-    /// A client that has asked for these parts.
+    /// A client that has asked for these shard requests.
     pub async fn ask(&self, id: &str, category: &str, slices: &[(u32, f64)]) -> Client {
         let mut client = self.client().await;
         client.write(&request(id, category, 100_000, &body(slices))).await;
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -2,7 +2,7 @@
 //! assumptions and seed give the same plan, byte for byte.
 //!
 //! What is the trace's: when work arrives, how much it is beside the rest, whose it is, when machines come
-//! and go. What no trace has is an assumption, told with the plan: parts, weights, shards, payoff, cut-off
+//! and go. What no trace has is an assumption, told with the plan: shard requests, weights, shards, payoff, cut-off
 //! ([`Staging`]).
 
 use crate::judge::{Id, MachineEvent, Row, What, WorkEvent};
@@ -49,7 +49,7 @@
     /// Of the trace's classes, the share that falls to it.
     pub share: f64,
     /// Parts, from and to.
-    pub parts: (u32, u32),
+    pub shard_requests: (u32, u32),
     /// Weights fall as 1 / rank to this power; 0 for even ones.
     pub skew: f64,
     /// Milliseconds.
@@ -65,16 +65,16 @@
     pub fn reissuable(
         name: &str,
         share: f64,
-        parts: (u32, u32),
+        shard_requests: (u32, u32),
         skew: f64,
         (payoff, least): (f64, f64),
     ) -> Cast {
         let (name, repeats) = (name.to_owned(), Repeats::Reissuable);
-        Cast { name, share, parts, skew, cut_off: 5000, payoff, least, repeats }
+        Cast { name, share, shard_requests, skew, cut_off: 5000, payoff, least, repeats }
     }
 }
 
-/// What a repeat of a part would do.
+/// What a repeat of a shard request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Repeats {
     Reissuable,
@@ -93,11 +93,11 @@
     }
 }
 
-/// A stated budget for pushes beyond a part's first.
+/// A stated budget for pushes beyond a shard request's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub few: f64,
-    /// Of the queries and parts taken in the window.
+    /// Of the queries and shard requests taken in the window.
     pub share: f64,
     pub window_ms: u32,
 }
@@ -115,8 +115,8 @@
     Ask {
         category: usize,
         caller: usize,
-        /// Shard, weight and microseconds of work of each part, heaviest first.
-        parts: Vec<(u32, f64, u64)>,
+        /// Shard, weight and microseconds of work of each shard request, heaviest first.
+        shard_requests: Vec<(u32, f64, u64)>,
     },
     Host {
         host: u32,
@@ -165,7 +165,7 @@
 /// Work of which the trace does not tell counts as this, in the trace's unit: the least that is told of in
 /// practice.
 const SILENT: f64 = 0.01;
-/// A part's work is this long at the least.
+/// A shard request's work is this long at the least.
 const LEAST_US: u64 = 50;
 
 /// A lot that one thing always draws, by seed and purpose: from 0 to 1.
@@ -235,8 +235,14 @@
             (staging.hosts == 0, "hosts"),
             (staging.shards == 0, "shards"),
             (staging.categories.is_empty(), "categories"),
-            (staging.categories.iter().any(|c| c.parts.0 == 0 || c.parts.1 < c.parts.0), "parts"),
-            (staging.categories.iter().any(|c| c.parts.1 > staging.shards), "parts"),
+            (
+                staging
+                    .categories
+                    .iter()
+                    .any(|c| c.shard_requests.0 == 0 || c.shard_requests.1 < c.shard_requests.0),
+                "parts",
+            ),
+            (staging.categories.iter().any(|c| c.shard_requests.1 > staging.shards), "parts"),
             (staging.callers.is_empty(), "callers"),
         ];
         if let Some((_, name)) = wrong.into_iter().find(|(wrong, _)| *wrong) {
@@ -396,15 +402,15 @@
         let cast = &staging.categories[category];
         let mut rng =
             fastrand::Rng::with_seed(staging.seed ^ PARTS.rotate_left(32) ^ work.piece ^ no.rotate_left(48));
-        let count = rng.u32(cast.parts.0..=cast.parts.1);
+        let count = rng.u32(cast.shard_requests.0..=cast.shard_requests.1);
         let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-cast.skew)).collect();
         let total: f64 = raw.iter().sum();
         let first = rng.u32(..staging.shards);
-        let parts = raw.iter().zip(0..).map(|(weight, rank)| {
+        let shard_requests = raw.iter().zip(0..).map(|(weight, rank)| {
             let us = (work_ms * 1000.0 / f64::from(count)) as u64;
             ((first + rank) % staging.shards, weight / total, us.max(LEAST_US))
         });
-        Happens::Ask { category, caller, parts: parts.collect() }
+        Happens::Ask { category, caller, shard_requests: shard_requests.collect() }
     }
 }
 
@@ -422,9 +428,11 @@
                 };
                 write!(f, "host {host} {word}")
             }
-            Happens::Ask { category, caller, parts } => {
+            Happens::Ask { category, caller, shard_requests } => {
                 write!(f, "ask {category} {caller}")?;
-                parts.iter().try_for_each(|(shard, weight, us)| write!(f, " {shard}:{weight:.6}:{us}"))
+                shard_requests
+                    .iter()
+                    .try_for_each(|(shard, weight, us)| write!(f, " {shard}:{weight:.6}:{us}"))
             }
         }
     }
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -7,10 +7,10 @@
 const SECOND: u64 = 1_000_000;
 
 fn staging() -> Staging {
-    let cast = |name: &str, share, parts| Cast {
+    let cast = |name: &str, share, shard_requests| Cast {
         name: name.to_owned(),
         share,
-        parts,
+        shard_requests,
         skew: 1.0,
         cut_off: 5000,
         payoff: 1.0,
@@ -79,9 +79,12 @@
 
 fn asks(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
     let ask = |entry: &cluster_trace::plan::Entry| match &entry.what {
-        Happens::Ask { category, caller, parts } => {
-            Some((entry.at, *category, *caller, parts.iter().map(|part| part.2).sum()))
-        }
+        Happens::Ask { category, caller, shard_requests } => Some((
+            entry.at,
+            *category,
+            *caller,
+            shard_requests.iter().map(|shard_request| shard_request.2).sum(),
+        )),
         Happens::Host { .. } => None,
     };
     plan.entries.iter().filter_map(ask).collect()
@@ -187,15 +190,19 @@
     assert_eq!((told, plan.machines_out), (expected, 2));
 }
 
-/// Weights make a whole, the heaviest first; no part is of a shard twice.
+/// Weights make a whole, the heaviest first; no shard request is of a shard twice.
 #[rstest]
 fn parts_make_a_whole() {
     for entry in plan(staging(), &rows()).unwrap().entries {
-        let Happens::Ask { parts, .. } = entry.what else { continue };
-        let sum: f64 = parts.iter().map(|part| part.1).sum();
-        assert!((sum - 1.0).abs() < 1e-9 && parts.is_sorted_by(|a, b| a.1 >= b.1), "{parts:?}");
-        let shards: std::collections::BTreeSet<u32> = parts.iter().map(|part| part.0).collect();
-        assert!(shards.len() == parts.len() && shards.iter().all(|shard| *shard < 16));
+        let Happens::Ask { shard_requests, .. } = entry.what else { continue };
+        let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.1).sum();
+        assert!(
+            (sum - 1.0).abs() < 1e-9 && shard_requests.is_sorted_by(|a, b| a.1 >= b.1),
+            "{shard_requests:?}"
+        );
+        let shards: std::collections::BTreeSet<u32> =
+            shard_requests.iter().map(|shard_request| shard_request.0).collect();
+        assert!(shards.len() == shard_requests.len() && shards.iter().all(|shard| *shard < 16));
     }
 }
 
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -37,7 +37,7 @@
     Storm,
     /// Of the queries the share `size` is `times` as much work.
     Heavy,
-    /// Of the queries the share `size` brings down every host that begins a part of it.
+    /// Of the queries the share `size` brings down every host that begins a shard request of it.
     Killer,
     /// The share `size` of the brokers starts anew, and knows nothing.
     Forget,
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -20,7 +20,7 @@
 use routing::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A part's push at this host.
+/// A shard request's push at this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobNo(pub u64);
 
@@ -243,7 +243,7 @@
         self.take_as(now, no, us, us)
     }
 
-    /// The same for a job that counts as so much work where a cold host falls over: the rule counts a part by its
+    /// The same for a job that counts as so much work where a cold host falls over: the rule counts a shard request by its
     /// category's mean work, as no broker can know more of it.
     pub fn take_as(&mut self, now: Tenths, no: JobNo, us: u64, counts: u64) -> Taken {
         if self.state == Dead {
--- a/crates/node-emulator/src/net.rs
+++ b/crates/node-emulator/src/net.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A part that came, as its host saw it.
+/// A shard request that came, as its host saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
     pub id: String,
@@ -20,7 +20,7 @@
     pub state: State,
 }
 
-/// Microseconds of work of a part, by its shard and its text.
+/// Microseconds of work of a shard request, by its shard and its text.
 pub type Work = fn(u32, &[u8]) -> u64;
 
 type Line = Arc<Mutex<TcpStream>>;
@@ -228,7 +228,7 @@
     }
 }
 
-/// A call's parts, each a line `ID SHARD LIST LENGTH` and so many bytes.
+/// A call's shard requests, each a line `ID SHARD LIST LENGTH` and so many bytes.
 fn take_call(shared: &Shared, no: u64, line: &Line, mut rest: &[u8]) -> io::Result<()> {
     let unusable = || io::Error::from(io::ErrorKind::InvalidData);
     while !rest.is_empty() {
--- a/crates/node-emulator/src/script.rs
+++ b/crates/node-emulator/src/script.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// A part as a call carries it.
+/// A shard request as a call carries it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct ShardRequest {
     pub id: String,
     pub shard: u32,
     pub list: String,
@@ -27,7 +27,7 @@
 /// What a host hears on one of its connections.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    Call(Vec<Part>),
+    Call(Vec<ShardRequest>),
     GiveUp(String),
     /// A probe for load.
     Probe,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Ends a part, as `S`, `E` or `B`.
+    /// Ends a shard request, as `S`, `E` or `B`.
     pub async fn end(&self, line: usize, id: &str, end: char, value: &str) {
         self.end_with(line, id, end, "queue=3,qps=1.5", value).await;
     }
@@ -167,25 +167,25 @@
     Some(match frame.split_first() {
         Some((b'2', id)) => text(id).map_or(Heard::Other, Heard::GiveUp),
         Some((b'4', [])) => Heard::Probe,
-        Some((b'1', parts)) => parts_of(parts).map_or(Heard::Other, Heard::Call),
+        Some((b'1', shard_requests)) => parts_of(shard_requests).map_or(Heard::Other, Heard::Call),
         _ => Heard::Other,
     })
 }
 
-/// A call's parts, each a line `ID SHARD LIST LENGTH` and so many bytes.
-fn parts_of(mut rest: &[u8]) -> Option<Vec<Part>> {
+/// A call's shard requests, each a line `ID SHARD LIST LENGTH` and so many bytes.
+fn parts_of(mut rest: &[u8]) -> Option<Vec<ShardRequest>> {
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok();
-    let mut parts = Vec::new();
+    let mut shard_requests = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|byte| *byte == b'\n')?;
         let line = text(&rest[..end])?;
         let [id, shard, list, length] = line.split(' ').collect::<Vec<_>>()[..] else { return None };
         let (value, after) = rest[end + 1..].split_at_checked(length.parse().ok()?)?;
         let (id, shard, list) = (id.to_owned(), shard.parse().ok()?, list.to_owned());
-        parts.push(Part { id, shard, list, text: text(value)? });
+        shard_requests.push(ShardRequest { id, shard, list, text: text(value)? });
         rest = after;
     }
-    Some(parts)
+    Some(shard_requests)
 }
 
 // ---- discovery
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the brokers of a fleet share. So far: shares of one bounded budget, lent by leases ([`Purse`]). It has no
 //! clock, no sockets and no chance: whoever holds it tells the time of its own process, and carries the letters.
 //!
-//! Each of `brokers` owns an even share of `whole` units a window, and may lend a part of it that it has not spent
+//! Each of `brokers` owns an even share of `whole` units a window, and may lend a shard request of it that it has not spent
 //! lately. Whoever hears nothing has its own share, less what it lent until those leases are over. What all
 //! spend in any window is never more than the whole: not with letters lost, late, doubled, out of order, not with
 //! processes killed, stopped and continued, or started anew.
@@ -81,7 +81,7 @@
     pub window: Tenths,
     /// How long a lease may be spent, from when it was asked for.
     pub lease: Tenths,
-    /// Clocks differ by one part in so many at the most; 100 and more.
+    /// Clocks differ by one shard request in so many at the most; 100 and more.
     pub drift: u32,
     /// Leases lent, and leases asked for or held, at the most; one more is not entered.
     pub most_leases: usize,
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -1,16 +1,16 @@
 //! What a broker does.
 
-use crate::ids::{NodeId, PartId, PushNo, QueryId};
+use crate::ids::{NodeId, PushNo, QueryId, ShardRequestId};
 use crate::time::Tenths;
 
 /// One thing to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a part to a node; pushes of one turn to one node share a call.
-    Push { part: PartId, node: NodeId, time_out: Tenths },
+    /// Send a shard request to a node; pushes of one turn to one node share a call.
+    Push { shard_request: ShardRequestId, node: NodeId, time_out: Tenths },
     /// Call off a push.
-    Withdraw { part: PartId, push: PushNo },
-    /// Answer from the parts that are in.
+    Withdraw { shard_request: ShardRequestId, push: PushNo },
+    /// Answer from the shard requests that are in.
     Answer { query: QueryId, whole: bool },
     /// Turn the query away: asking again is harmless, after `stay_away`.
     Decline { query: QueryId, stay_away: Tenths },
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -12,10 +12,10 @@
     /// One query, as its caller asked for it.
     QueryId(u64);
     /// One part of a query.
-    PartId(u64);
-    /// What ties the parts to their query when they are handed over.
+    ShardRequestId(u64);
+    /// What ties the shard requests to their query when they are handed over.
     GroupNo(u32);
-    /// A push of a part: 0 for the first, counted up in sending order.
+    /// A push of a shard request: 0 for the first, counted up in sending order.
     PushNo(u16);
     /// A call that carries one or more pushes to one node.
     CallNo(u64);
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,6 +1,8 @@
 //! What a broker hears.
 
-use crate::ids::{CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, QueryId, ShardNo, ZoneNo};
+use crate::ids::{
+    CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PushNo, QueryId, ShardNo, ShardRequestId, ZoneNo,
+};
 use crate::prescription::Prescription;
 use crate::time::Tenths;
 use std::sync::Arc;
@@ -15,11 +17,11 @@
     /// What is taken from now on is served so; what is open keeps what it was taken under. The period, the
     /// zone and the way to a node (`send_lag`) must stay as they were at the start.
     Prescription(Box<Prescription>),
-    /// A query is handed over; its parts follow in the same turn.
+    /// A query is handed over; its shard requests follow in the same turn.
     Query(NewQuery),
-    Part(NewPart),
-    /// A push's answer has begun to flow; the part is bound to that push.
-    Flowing(PartId),
+    ShardRequest(NewShardRequest),
+    /// A push's answer has begun to flow; the shard request is bound to that push.
+    Flowing(ShardRequestId),
     /// The one end of a push.
     Outcome(PushOutcome),
     /// The caller has left, or its time is up.
@@ -76,7 +78,7 @@
     pub caller: CallerNo,
     /// How long its caller will wait.
     pub time_left: Tenths,
-    /// The work of all its parts, roughly, where that is told; else none.
+    /// The work of all its shard requests, roughly, where that is told; else none.
     pub work: Tenths,
     /// How often its caller asked for it before, where that is told; else 0.
     pub attempt: u32,
@@ -85,8 +87,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct NewPart {
-    pub id: PartId,
+pub struct NewShardRequest {
+    pub id: ShardRequestId,
     pub group: GroupNo,
     pub shard: ShardNo,
     pub weight: f64,
@@ -94,7 +96,7 @@
 
 #[derive(Clone, Debug)]
 pub struct PushOutcome {
-    pub part: PartId,
+    pub shard_request: ShardRequestId,
     pub push: PushNo,
     pub node: NodeId,
     pub end: PushEnd,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -4,18 +4,20 @@
 //! `TABLE` first, the life of a query, then `ENDS`, what each end of a push means. The rest serves them.
 
 use crate::effects::Effect;
-use crate::ids::{CategoryNo, NodeId, PartId, PushNo, QueryId};
+use crate::ids::{CategoryNo, NodeId, PushNo, QueryId, ShardRequestId};
 use crate::inputs::{Input, NewQuery, PushEnd, PushOutcome, Roll};
 use crate::prescription::{Category, EffectKind, FurtherBudget, Layout, Prescription};
 use crate::state::Signal::{self, CallerLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
-use crate::state::{CategoryRow, Due, Fate, Instance, Line, Node, Part, PartStage, Push, Query};
+use crate::state::{
+    CategoryRow, Due, Fate, Instance, Line, Node, Push, Query, ShardRequest, ShardRequestState,
+};
 use crate::state::{Terms, Ticket};
 use crate::time::Tenths;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The design page's figures: score below which a part stays unsent, the base's ceiling, the pressure from
+/// The design page's figures: score below which a shard request stays unsent, the base's ceiling, the pressure from
 /// which it rises, and the span over which pressure (by so many slices) and latency are smoothed.
 const CUT: f64 = 0.0001;
 const FULL_BASE: f64 = 10.0;
@@ -30,25 +32,25 @@
 const NEWEST: f64 = 0.25;
 /// So many latencies make a mean that luck does not bend.
 const STEADY: f64 = 32.0;
-/// Before anything was heard, a part lasts this share of the shortest goal time.
+/// Before anything was heard, a shard request lasts this share of the shortest goal time.
 const GUESS: f64 = 0.125;
 /// Patience with a push, in average latencies, and its bounds (the lower for room too) in goal times.
 const PATIENCE: f64 = 3.0;
 const PATIENCE_BOUNDS: [f64; 2] = [0.2, 0.5];
-/// Single parts spread this far about a smoothed latency; past the goal time they are out of reach.
+/// Single shard requests spread this far about a smoothed latency; past the goal time they are out of reach.
 const SPREAD: f64 = 1.5;
-/// A waiting part tries again after this share of its goal time, the roll after one of its silence.
+/// A waiting shard request tries again after this share of its goal time, the roll after one of its silence.
 const AGAIN: f64 = 0.05;
 /// Where no budget is stated, further pushes stay under this share of what was taken in `SPAN`.
 const OWN_FURTHER: f64 = 0.25;
-/// Room for parts out aims at parts that take this share of the goal time, grows by this factor at the most
+/// Room for shard requests out aims at shard requests that take this share of the goal time, grows by this factor at the most
 /// in the time of one, and only where this share of it was used: all may use that, and the rest as far as
 /// they pay.
 const ROOM_TARGET: f64 = 0.25;
 const ROOM_GROW: f64 = 1.5;
 const CROWDED: f64 = 0.5;
 /// Word of holders' load is waited for, and is news, for this share of the goal time; a holder that told
-/// nothing counts as one with so many parts ahead.
+/// nothing counts as one with so many shard requests ahead.
 const WORD: f64 = 0.02;
 const UNHEARD: f64 = 32.0;
 /// Answers leave before the goal time by two turns and this share of it.
@@ -202,8 +204,8 @@
             Input::RollFailed => self.roll_failed(),
             Input::Prescription(new) => self.prescribe((**new).clone()),
             Input::Query(new) => self.take(new),
-            Input::Part(new) => self.s.add_part(new),
-            Input::Flowing(part) => self.s.bind(part),
+            Input::ShardRequest(new) => self.s.add_shard_request(new),
+            Input::Flowing(shard_request) => self.s.bind(shard_request),
             Input::Outcome(outcome) => self.push_ended(outcome),
             Input::CallerLeft(id) => self.signal(*id, CallerLeft),
             Input::Probed(probed) => self.s.note_probed(probed),
@@ -215,8 +217,8 @@
         match due {
             Due::Goal(id) => self.signal(id, GoalNear),
             Due::CutOff(id) => self.signal(id, CutOffNear),
-            Due::Look(part, push) => self.look_after(part, push),
-            Due::Again(part) => self.s.wanted.push(part),
+            Due::Look(shard_request, push) => self.look_after(shard_request, push),
+            Due::Again(shard_request) => self.s.wanted.push(shard_request),
             Due::Halfway(id) => self.signal(id, PartIn),
             Due::Room(id) => self.signal(id, Ready),
             Due::FollowRoll => self.follow_roll(),
@@ -246,46 +248,54 @@
     /// All that was sent has ended, enough is in for the whole, or a first step has had half of its time.
     fn complete(&mut self, r: &Query) -> bool {
         let halfway = self.leads_on(r) && self.s.now + r.row.goal.times(0.5) >= r.goal_at;
-        let settled = r.weight(&[PartStage::Wanted, PartStage::Out]) == 0.0;
+        let settled = r.weight(&[ShardRequestState::Wanted, ShardRequestState::Out]) == 0.0;
         self.has_least(r) && (self.is_whole(r) || settled || halfway)
     }
 
     fn has_least(&mut self, r: &Query) -> bool {
-        self.reaches_least(r, r.weight(&[PartStage::In]))
+        self.reaches_least(r, r.weight(&[ShardRequestState::In]))
     }
 
-    /// Unsent light parts can stand in for lost ones.
+    /// Unsent light shard requests can stand in for lost ones.
     fn can_mend(&mut self, r: &Query) -> bool {
-        let all = r.weight(&[PartStage::Unsent, PartStage::Wanted, PartStage::Out, PartStage::In]);
+        let all = r.weight(&[
+            ShardRequestState::Unsent,
+            ShardRequestState::Wanted,
+            ShardRequestState::Out,
+            ShardRequestState::In,
+        ]);
         self.beyond_hope(r) && self.reaches_least(r, all)
     }
 
     /// Even if all that is out comes in, it is less than the least share.
     fn beyond_hope(&mut self, r: &Query) -> bool {
-        !self.reaches_least(r, r.weight(&[PartStage::Wanted, PartStage::Out, PartStage::In]))
+        !self.reaches_least(
+            r,
+            r.weight(&[ShardRequestState::Wanted, ShardRequestState::Out, ShardRequestState::In]),
+        )
     }
 
     fn late_is_worth(&mut self, r: &Query) -> bool {
-        r.row.late_pays && self.reaches_least(r, r.weight(&[PartStage::Out, PartStage::In]))
+        r.row.late_pays && self.reaches_least(r, r.weight(&[ShardRequestState::Out, ShardRequestState::In]))
     }
 
-    /// Guards against queries that bring down every node that begins a part: two nodes fell with one, and
-    /// none brought one. Dropped parts wait for a first one as proof; once given up it is barred while its
+    /// Guards against queries that bring down every node that begins a shard request: two nodes fell with one, and
+    /// none brought one. Dropped shard requests wait for a first one as proof; once given up it is barred while its
     /// caller may repeat it. Harm: one caught in a hall's fall.
     fn kills(&self, r: &Query) -> bool {
-        r.fallen.len() > 1 && r.weight(&[PartStage::In]) == 0.0
+        r.fallen.len() > 1 && r.weight(&[ShardRequestState::In]) == 0.0
     }
 
     fn leads_on(&mut self, r: &Query) -> bool {
         r.row.two_steps && !r.second_step
     }
 
-    /// Where only a probe brings a load report, holders are asked before the first parts go out.
+    /// Where only a probe brings a load report, holders are asked before the first shard requests go out.
     fn may_probe(&mut self, r: &Query) -> bool {
         r.terms.prescription.load_by_probe && r.probed.is_none() && !self.without_news(r).is_empty()
     }
 
-    /// Who holds a part of it and told nothing a moment ago.
+    /// Who holds a shard request of it and told nothing a moment ago.
     fn without_news(&self, r: &Query) -> BTreeSet<NodeId> {
         let (now, wait, layout) = (self.s.now, r.row.goal.times(WORD), &r.terms.prescription.layout);
         let old = |id: &NodeId| {
@@ -293,25 +303,32 @@
             let asked = node.probe_out.is_some_and(|at| now - at <= r.row.goal);
             !asked && node.told.is_none_or(|told| now - told.at > wait)
         };
-        r.parts.iter().flat_map(|part| self.s.holders_of(layout, part)).filter(old).collect()
+        r.shard_requests
+            .iter()
+            .flat_map(|shard_request| self.s.holders_of(layout, shard_request))
+            .filter(old)
+            .collect()
     }
 
     /// Word of a holder may still come in time to choose by it.
     fn awaits_word(&mut self, r: &Query) -> bool {
         let asked = r.probed.filter(|at| self.s.now - *at < r.row.goal.times(WORD));
         let (layout, silent) = (&r.terms.prescription.layout, |id| self.s.nodes[&id].probe_out.is_some());
-        asked.is_some() && r.parts.iter().any(|part| self.s.holders_of(layout, part).any(silent))
+        asked.is_some()
+            && r.shard_requests
+                .iter()
+                .any(|shard_request| self.s.holders_of(layout, shard_request).any(silent))
     }
 
     /// Guards against queues that outgrow the goal time: a query waits, and is then turned away, while
     /// even its least share passes the room, or is out of reach. With nothing out, one is always taken,
     /// however wide, so that room can grow again. Harm: what a lucky replica would have served is not.
     fn no_room(&mut self, r: &Query) -> bool {
-        let lost: f64 = r.parts.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
+        let lost: f64 = r.shard_requests.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
         let (out, need) = (self.s.tickets.len(), self.plan(r, true).len());
         let (payoff, least) = (r.row.payoff, r.row.least);
         let pays = payoff * least / need.max(1) as f64;
-        self.s.note_pays(r.category, [pays, payoff / r.parts.len().max(1) as f64], NEWEST);
+        self.s.note_pays(r.category, [pays, payoff / r.shard_requests.len().max(1) as f64], NEWEST);
         let far = !self.reaches_least(r, 1.0 - lost);
         out > 0 && ((out + need) as f64 > self.room_for(r, pays) || far) || far && r.probed.is_some()
     }
@@ -319,21 +336,21 @@
     /// Guards against bursts that are over sooner than they matter: a line that would fill the room once more
     /// may wait, no longer one. Harm: what is turned away in the end has waited in vain.
     fn may_wait(&mut self, r: &Query) -> bool {
-        let line = ((self.s.waiting.len() + 1) * r.parts.len()) as f64;
+        let line = ((self.s.waiting.len() + 1) * r.shard_requests.len()) as f64;
         let short = self.s.waiting.contains(&r.id) || line <= self.s.room;
         short && r.goal_at - self.s.now > r.row.goal.times(1.0 - PATIENCE_BOUNDS[0]) && self.no_room(r)
     }
 
-    /// Guards against nodes that drown in parts nobody can use: where a query needs all of many parts,
+    /// Guards against nodes that drown in shard requests nobody can use: where a query needs all of many shard requests,
     /// none is sent while so many are refused that with all its pushes it would hardly be whole. That tells
     /// nothing of nodes, so the span forgets, and one is tried again. Harm: what luck would have served.
     fn unlikely(&mut self, r: &Query) -> bool {
         let refused = self.s.refused.share(self.s.now, SPAN, 1.0 / START);
         let misses = refused.powi(r.terms.prescription.limits.most_pushes.max(1) as i32);
-        r.row.least >= r.row.whole && (1.0 - misses).powi(r.parts.len() as i32) < UNLIKELY
+        r.row.least >= r.row.whole && (1.0 - misses).powi(r.shard_requests.len() as i32) < UNLIKELY
     }
 
-    /// The room for what pays so much for each part that it sends.
+    /// The room for what pays so much for each shard request that it sends.
     fn room_for(&self, r: &Query, pays: f64) -> f64 {
         let earns = if r.within_share { 1.0 } else { r.terms.prescription.over_share_payoff };
         let best = self.s.pays.values().map(|p| p[0]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
@@ -356,8 +373,8 @@
 
     /// What is turned away counts as refused, so that pressure rises and the cut sets in.
     fn turn_away(&mut self, r: &mut Query) {
-        let parts = self.plan(r, true).len() as f64;
-        self.s.count_harm(SPAN, r.within_share, parts, parts);
+        let shard_requests = self.plan(r, true).len() as f64;
+        self.s.count_harm(SPAN, r.within_share, shard_requests, shard_requests);
         self.give_up(r);
     }
 
@@ -365,34 +382,43 @@
     fn ask(&mut self, r: &mut Query) {
         let (least, partial) = (r.row.least, r.row.least < r.row.whole);
         let (mut sent, out) = (0.0, self.s.tickets.len());
-        let first = r.parts.iter().all(|part| part.pushes.is_empty());
-        r.scouting = first && r.parts.len() > 1 && self.s.falls.share(self.s.now, SPAN, 1.0 / START) > START;
+        let first = r.shard_requests.iter().all(|shard_request| shard_request.pushes.is_empty());
+        r.scouting =
+            first && r.shard_requests.len() > 1 && self.s.falls.share(self.s.now, SPAN, 1.0 / START) > START;
         for (count, at) in self.plan(r, r.least_only).into_iter().enumerate() {
             if !partial || out + count < self.s.room as usize || sent + ROUNDING < least {
-                let part = &mut r.parts[at];
-                sent += part.weight;
-                if part.stage == PartStage::Unsent && (count == 0 || !r.scouting) {
-                    self.s.want(part);
+                let shard_request = &mut r.shard_requests[at];
+                sent += shard_request.weight;
+                if shard_request.stage == ShardRequestState::Unsent && (count == 0 || !r.scouting) {
+                    self.s.want(shard_request);
                 }
             }
         }
     }
 
-    /// The design's ordinary path: parts by told weight, score = weight x B^-rank, none sent that scores
+    /// The design's ordinary path: shard requests by told weight, score = weight x B^-rank, none sent that scores
     /// under `CUT`, and never less than the least share; with `least_only`, no more than that. Parts of even
-    /// weight share a rank, else many would collapse to a few as B passes 1. A part out of reach counts as
-    /// cut: else a hot or dead shard's heavy part is sent for nothing while light ones are trimmed.
+    /// weight share a rank, else many would collapse to a few as B passes 1. A shard request out of reach counts as
+    /// cut: else a hot or dead shard's heavy shard request is sent for nothing while light ones are trimmed.
     fn plan(&mut self, r: &Query, least_only: bool) -> Vec<usize> {
         let base = self.base(r.within_share);
         let row = &r.row;
         let (mut rank, mut level) = (0, f64::INFINITY);
         let mut order: Vec<(bool, usize)> = Vec::new();
-        for (at, part) in r.parts.iter().enumerate().filter(|(_, part)| part.stage != PartStage::Lost) {
-            if part.weight + ROUNDING < level {
-                (rank, level) = (at, part.weight);
+        for (at, shard_request) in r
+            .shard_requests
+            .iter()
+            .enumerate()
+            .filter(|(_, shard_request)| shard_request.stage != ShardRequestState::Lost)
+        {
+            if shard_request.weight + ROUNDING < level {
+                (rank, level) = (at, shard_request.weight);
             }
-            let light = base > 1.0 && part.weight * base.powi(-(rank as i32)) < CUT;
-            order.push((row.least < row.whole && (least_only || light || self.hopeless(r, part)), at));
+            let light = base > 1.0 && shard_request.weight * base.powi(-(rank as i32)) < CUT;
+            order.push((
+                row.least < row.whole && (least_only || light || self.hopeless(r, shard_request)),
+                at,
+            ));
         }
         if !least_only {
             order.sort();
@@ -400,20 +426,23 @@
         let mut sent = 0.0;
         order.retain(|(cut, at)| {
             let keep = !cut || sent + ROUNDING < row.least;
-            sent += if keep { r.parts[*at].weight } else { 0.0 };
+            sent += if keep { r.shard_requests[*at].weight } else { 0.0 };
             keep
         });
         order.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Whether no holder may have a part now, or the best can't bring it in time. A sound idle one can: a
+    /// Whether no holder may have a shard request now, or the best can't bring it in time. A sound idle one can: a
     /// slow pair of holders is used for what it can do, rather than all that touches it turned away.
-    fn hopeless(&self, r: &Query, part: &Part) -> bool {
+    fn hopeless(&self, r: &Query, shard_request: &ShardRequest) -> bool {
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
         let anew = r.probed.is_some() && self.s.tickets.is_empty();
         let idle = |n: &Node| n.calls.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
         let layout = &r.terms.prescription.layout;
-        let usable = self.s.holders_of(layout, part).filter(|id| self.has_room(*id, r.category, part.id));
+        let usable = self
+            .s
+            .holders_of(layout, shard_request)
+            .filter(|id| self.has_room(*id, r.category, shard_request.id));
         let wait = |n: &Node| if idle(n) { Tenths::ZERO } else { self.latency(n) + n.queue() };
         let least = usable.map(|id| wait(&self.s.nodes[&id])).min();
         least.is_none_or(|wait| self.s.now + wait.times(SPREAD) > r.goal_at)
@@ -436,7 +465,7 @@
             self.s.bar(r, self.s.now + r.row.cut_off);
         }
         let (limits, goal) = (&r.terms.prescription.limits, r.row.goal);
-        let mut fates = r.parts.iter().flat_map(|p| &p.pushes).map(|push| push.fate);
+        let mut fates = r.shard_requests.iter().flat_map(|p| &p.pushes).map(|push| push.fate);
         let never_ran = fates.all(|fate| matches!(fate, Fate::NeverRan | Fate::Void));
         let harmless =
             self.effects_of(r).all(|(kind, _)| kind == EffectKind::Reissuable) || never_ran && !r.second_step;
@@ -471,15 +500,15 @@
 
     // ---- pushes
 
-    /// Chooses a node for each wanted part; pushes of one turn to one node share its call.
+    /// Chooses a node for each wanted shard request; pushes of one turn to one node share its call.
     fn send_wanted(&mut self) {
         self.s.out_at_turn = (self.s.tickets.len() + self.s.wanted.len()) as f64;
         for id in std::mem::take(&mut self.s.wanted) {
             let Some((mut r, at)) = self.s.lift(id) else { continue };
-            if r.stage == Asking && r.parts[at].stage == PartStage::Wanted {
+            if r.stage == Asking && r.shard_requests[at].stage == ShardRequestState::Wanted {
                 self.push(&mut r, at);
             }
-            let (rid, lost) = (r.id, r.parts[at].stage == PartStage::Lost);
+            let (rid, lost) = (r.id, r.shard_requests[at].stage == ShardRequestState::Lost);
             self.s.put(r);
             if lost {
                 self.signal(rid, PartLost);
@@ -491,33 +520,38 @@
     fn push(&mut self, r: &mut Query, at: usize) {
         let now = self.s.now;
         let (goal, late_life) = (r.row.goal, r.row.late_life);
-        let further = !r.parts[at].pushes.is_empty();
+        let further = !r.shard_requests[at].pushes.is_empty();
         let held = further && self.kills(r);
-        if held && r.weight(&[PartStage::Out]) == 0.0 || further && !self.may_push_again(r, at, true) {
+        if held && r.weight(&[ShardRequestState::Out]) == 0.0 || further && !self.may_push_again(r, at, true)
+        {
             // It brings nodes down, or waited so long that another push is no longer harmless.
-            r.parts[at].stage = if r.parts[at].out() > 0 { PartStage::Out } else { PartStage::Lost };
+            r.shard_requests[at].stage =
+                if r.shard_requests[at].out() > 0 { ShardRequestState::Out } else { ShardRequestState::Lost };
             return;
         }
-        let part = &mut r.parts[at];
+        let shard_request = &mut r.shard_requests[at];
         let may = !held && (!further || self.further_left());
-        let Some(node) = self.choose(&r.terms.prescription.layout, r.category, part).filter(|_| may) else {
+        let Some(node) = self.choose(&r.terms.prescription.layout, r.category, shard_request).filter(|_| may)
+        else {
             // No holder may have it now, or the budget is spent: it waits while that can help.
-            part.stage = if part.out() > 0 { PartStage::Out } else { PartStage::Wanted };
-            return self.later(goal, Due::Again(part.id));
+            shard_request.stage =
+                if shard_request.out() > 0 { ShardRequestState::Out } else { ShardRequestState::Wanted };
+            return self.later(goal, Due::Again(shard_request.id));
         };
-        let no = PushNo(part.pushes.len() as u16);
-        let (id, within_share, category, out) = (part.id, r.within_share, r.category, self.s.out_at_turn);
+        let no = PushNo(shard_request.pushes.len() as u16);
+        let (id, within_share, category, out) =
+            (shard_request.id, r.within_share, r.category, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
         self.s.further.extend(further.then_some((now, id, no)));
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
         let (cold, per_call) = (self.is_cold(node), self.terms.prescription.layout.per_call);
         let call = self.s.board(node, per_call, cold.then_some(category), lull);
-        part.stage = PartStage::Out;
-        part.pushes.push(Push { node, sent: now, fate: Fate::Out });
+        shard_request.stage = ShardRequestState::Out;
+        shard_request.pushes.push(Push { node, sent: now, fate: Fate::Out });
         let ticket = Ticket { node, call, within_share, category, goal, out, crowded, lull, silent: false };
         self.s.tickets.insert((id, no), ticket);
         let life = (r.goal_at + late_life).min(r.cut_off_at) - now;
-        self.s.effects.push(Effect::Push { part: id, node, time_out: life.max(Tenths(1)) });
+        self.s.effects.push(Effect::Push { shard_request: id, node, time_out: life.max(Tenths(1)) });
         self.s.agenda.insert((now + self.patience(r.goal), Due::Look(id, no)));
     }
 
@@ -537,18 +571,25 @@
 
     /// The replica rule: least smoothed latency x (own calls out + 1), where joining a call of this turn
     /// opens no other. Close calls go to the own zone, then to a call of this turn, then by lot.
-    fn choose(&mut self, layout: &Layout, category: CategoryNo, part: &Part) -> Option<NodeId> {
-        let open = |id: &NodeId| part.pushes.iter().all(|p| p.node != *id || p.fate != Fate::Out);
-        let tried = |id: &NodeId| part.pushes.iter().any(|p| p.node == *id);
+    fn choose(
+        &mut self,
+        layout: &Layout,
+        category: CategoryNo,
+        shard_request: &ShardRequest,
+    ) -> Option<NodeId> {
+        let open = |id: &NodeId| shard_request.pushes.iter().all(|p| p.node != *id || p.fate != Fate::Out);
+        let tried = |id: &NodeId| shard_request.pushes.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
             .s
-            .holders_of(layout, part)
-            .filter(|id| open(id) && self.has_room(*id, category, part.id))
+            .holders_of(layout, shard_request)
+            .filter(|id| open(id) && self.has_room(*id, category, shard_request.id))
             .collect();
         let all_tried = usable.iter().all(tried);
         let worth = usable.iter().filter(|id| all_tried || !tried(id));
         let score = |node: &Node| {
-            let joins = node.riding.is_some_and(|(_, parts)| parts < self.terms.prescription.layout.per_call);
+            let joins = node
+                .riding
+                .is_some_and(|(_, shard_requests)| shard_requests < self.terms.prescription.layout.per_call);
             self.latency(node).0 as f64 * ((node.calls.len() + usize::from(!joins)) as f64 + self.load(node))
         };
         let scored: Vec<(f64, NodeId)> = worth.map(|id| (score(&self.s.nodes[id]), *id)).collect();
@@ -588,7 +629,7 @@
 
     /// A push that went out on a kept connection after a lull is silent; whether so many were that it is
     /// lost.
-    fn deaf_line(&mut self, id: PartId, no: PushNo) -> bool {
+    fn deaf_line(&mut self, id: ShardRequestId, no: PushNo) -> bool {
         let kept = self.s.tickets.get_mut(&(id, no)).filter(|t| t.on_kept_line());
         let Some(ticket) = kept else { return false };
         if !std::mem::replace(&mut ticket.silent, true) {
@@ -601,14 +642,14 @@
         self.s.agenda.insert((self.s.now + goal.times(AGAIN).max(Tenths(1)), due));
     }
 
-    /// Guards against parts that no answer comes to (a node hung, silent or cut off, an answer lost): once
+    /// Guards against shard requests that no answer comes to (a node hung, silent or cut off, an answer lost): once
     /// patience is up, the node has answered nothing for as long, or one sent later by an average latency,
-    /// and another holder looks faster than the wait, the part is pushed there too. Without copies an
+    /// and another holder looks faster than the wait, the shard request is pushed there too. Without copies an
     /// overtaken one is withdrawn first, others wait: that loses the answer. Harm: work done twice.
-    fn look_after(&mut self, id: PartId, no: PushNo) {
+    fn look_after(&mut self, id: ShardRequestId, no: PushNo) {
         let Some((mut r, at)) = self.s.lift(id) else { return };
-        let (push, now, average) = (&r.parts[at].pushes[no.0 as usize], self.s.now, self.average());
-        let waits = r.parts[at].stage == PartStage::Out && !r.parts[at].flowing;
+        let (push, now, average) = (&r.shard_requests[at].pushes[no.0 as usize], self.s.now, self.average());
+        let waits = r.shard_requests[at].stage == ShardRequestState::Out && !r.shard_requests[at].flowing;
         if r.stage == Asking && waits && push.fate == Fate::Out {
             let node = self.s.nodes.get(&push.node);
             let overtaken = node.is_some_and(|n| n.answered > push.sent + average);
@@ -619,15 +660,15 @@
             let lost = overtaken || silent;
             let limits = &r.terms.prescription.limits;
             let may = limits.copies || (overtaken || deaf) && limits.may_withdraw;
-            let again = lost && may && r.parts[at].out() == 1 && self.may_push_again(&r, at, true);
-            let other = self.choose(&r.terms.prescription.layout, r.category, &r.parts[at]);
+            let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
+            let other = self.choose(&r.terms.prescription.layout, r.category, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
             let faster = elsewhere.is_some_and(|there| there < here && now + there < r.goal_at);
             if again && faster && self.further_left() {
                 if limits.copies {
-                    self.s.want(&mut r.parts[at]);
+                    self.s.want(&mut r.shard_requests[at]);
                 } else {
-                    self.s.effects.push(Effect::Withdraw { part: id, push: no });
+                    self.s.effects.push(Effect::Withdraw { shard_request: id, push: no });
                 }
             } else {
                 self.later(r.goal, Due::Look(id, no));
@@ -639,16 +680,17 @@
         self.s.put(r);
     }
 
-    /// Whether another push of a part would keep rule 2 and its count. `copy`: while one is out.
+    /// Whether another push of a shard request would keep rule 2 and its count. `copy`: while one is out.
     fn may_push_again(&self, r: &Query, at: usize, copy: bool) -> bool {
-        let (row, part) = (&r.row, &r.parts[at]);
-        let ran = part.pushes.iter().filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
+        let (row, shard_request) = (&r.row, &r.shard_requests[at]);
+        let ran =
+            shard_request.pushes.iter().filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
         let first = ran.map(|p| p.sent).min();
         let then = self.s.now + self.leaves_by();
-        let pays = row.payoff / r.parts.len() as f64;
+        let pays = row.payoff / r.shard_requests.len() as f64;
         let best = self.s.pays.values().map(|p| p[1]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         let further = f64::from(r.terms.prescription.limits.most_pushes.max(1) - 1) * pays / best;
-        part.pushes.len() <= (further + 0.5) as usize
+        shard_request.pushes.len() <= (further + 0.5) as usize
             && self.effects_of(r).all(|(effect, window)| match (effect, first) {
                 (_, None) | (EffectKind::Reissuable, _) => true,
                 (EffectKind::Numbered, Some(first)) => then - first <= window,
@@ -665,30 +707,34 @@
 
     fn push_ended(&mut self, outcome: &PushOutcome) {
         let Some(end) = ENDS.iter().find(|end| end.0 == outcome.end) else { return };
-        let ticket = self.s.tickets.remove(&(outcome.part, outcome.push));
+        let ticket = self.s.tickets.remove(&(outcome.shard_request, outcome.push));
         ticket.iter().for_each(|ticket| self.learn(ticket, outcome, end));
         if end.1 == Fate::Void {
-            self.s.further.retain(|f| (f.1, f.2) != (outcome.part, outcome.push));
+            self.s.further.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.push));
         }
-        let Some((mut r, at)) = self.s.lift(outcome.part) else { return };
-        let (rid, was) = (r.id, r.parts[at].stage);
+        let Some((mut r, at)) = self.s.lift(outcome.shard_request) else { return };
+        let (rid, was) = (r.id, r.shard_requests[at].stage);
         let fell = outcome.end == PushEnd::Dropped && ticket.is_some_and(|t| !t.on_kept_line());
         r.fallen.extend(fell.then_some(outcome.node));
-        r.parts[at].pushes.get_mut(outcome.push.0 as usize).into_iter().for_each(|push| push.fate = end.1);
+        r.shard_requests[at]
+            .pushes
+            .get_mut(outcome.push.0 as usize)
+            .into_iter()
+            .for_each(|push| push.fate = end.1);
         let again = r.stage == Asking && self.may_push_again(&r, at, false);
         let stage = match outcome.end {
-            end if was == PartStage::In || end == PushEnd::Finished => PartStage::In,
-            _ if r.parts[at].out() > 0 => PartStage::Out,
-            PushEnd::NotSent => PartStage::Lost,
-            _ if again => PartStage::Wanted,
-            _ => PartStage::Lost,
+            end if was == ShardRequestState::In || end == PushEnd::Finished => ShardRequestState::In,
+            _ if r.shard_requests[at].out() > 0 => ShardRequestState::Out,
+            PushEnd::NotSent => ShardRequestState::Lost,
+            _ if again => ShardRequestState::Wanted,
+            _ => ShardRequestState::Lost,
         };
-        r.parts[at].stage = stage;
+        r.shard_requests[at].stage = stage;
         self.s.put(r);
         match stage {
-            PartStage::In if was != stage => self.signal(rid, PartIn),
-            PartStage::Wanted => self.s.wanted.push(outcome.part),
-            PartStage::Lost if was != stage => self.signal(rid, PartLost),
+            ShardRequestState::In if was != stage => self.signal(rid, PartIn),
+            ShardRequestState::Wanted => self.s.wanted.push(outcome.shard_request),
+            ShardRequestState::Lost if was != stage => self.signal(rid, PartLost),
             _ => {}
         }
     }
@@ -743,7 +789,7 @@
         });
     }
 
-    /// Little's law: with so many parts out this one took so long, so at the target latency there is room for
+    /// Little's law: with so many shard requests out this one took so long, so at the target latency there is room for
     /// fewer, or for more. It grows only where it is used.
     fn fit_room(&mut self, ticket: &Ticket, took: Tenths) {
         let (room, most) = (self.s.room, f64::from(self.terms.prescription.limits.most_open.max(1)));
@@ -780,18 +826,18 @@
     }
 
     /// Rule 4, whatever the other brokers send: a cold node gets this broker's even share of what one that
-    /// does one part at a time bears in a window, by the share it has warmed to; parts count as long as their
+    /// does one shard request at a time bears in a window, by the share it has warmed to; shard requests count as long as their
     /// category's ever were on average. While it fails again and again it gets one push a window.
-    fn has_room(&self, id: NodeId, category: CategoryNo, part: PartId) -> bool {
-        !self.is_cold(id) || self.binding().all(|terms| self.bears(id, category, part, terms))
+    fn has_room(&self, id: NodeId, category: CategoryNo, shard_request: ShardRequestId) -> bool {
+        !self.is_cold(id) || self.binding().all(|terms| self.bears(id, category, shard_request, terms))
     }
 
-    /// Where an even share is under a part a window, all send by chance, so little that by `LUCK` it stays
+    /// Where an even share is under a shard request a window, all send by chance, so little that by `LUCK` it stays
     /// within what the node bears. A broker that meets the node now and then has its part of that add up from
     /// when it heard of the start, beginning by lot; one of many that meets it rarely, and then with many
-    /// parts, draws lots over these. Guards against brokers that send one each at once. Harm: it is asked
+    /// shard requests, draws lots over these. Guards against brokers that send one each at once. Harm: it is asked
     /// later.
-    fn bears(&self, id: NodeId, category: CategoryNo, part: PartId, terms: &Terms) -> bool {
+    fn bears(&self, id: NodeId, category: CategoryNo, shard_request: ShardRequestId, terms: &Terms) -> bool {
         let (p, node, now) = (&terms.prescription, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
         let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(category, unheard));
@@ -811,7 +857,7 @@
         let meets = asked / self.s.ready.max(1) as f64;
         let lot = |of: u64| fastrand::Rng::with_seed(self.seed ^ id.0.rotate_left(32) ^ of).f64();
         if meets < 1.0 {
-            return lot(part.0) < span.over(window) * steady / meets;
+            return lot(shard_request.0) < span.over(window) * steady / meets;
         }
         (now - heard).over(window) * steady + lot(heard.0 as u64) - sent(heard) / cost >= 1.0
     }
@@ -850,8 +896,8 @@
     }
 
     fn is_whole(&self, r: &Query) -> bool {
-        let all_in = r.parts.iter().all(|p| p.stage == PartStage::In);
-        let enough = r.weight(&[PartStage::In]) + ROUNDING >= r.row.whole;
+        let all_in = r.shard_requests.iter().all(|p| p.stage == ShardRequestState::In);
+        let enough = r.weight(&[ShardRequestState::In]) + ROUNDING >= r.row.whole;
         if r.second_step { r.first_whole && all_in } else { enough }
     }
 
@@ -860,7 +906,7 @@
         sum + ROUNDING >= if r.second_step && least >= whole { 1.0 } else { least }
     }
 
-    /// Pressure is the share of parts refused as full or timed out; where few were heard of, out of as many
+    /// Pressure is the share of shard requests refused as full or timed out; where few were heard of, out of as many
     /// as make one of them the starting level. One caller's storm would lift it for all: who is within its
     /// share is not judged by the harm that callers beyond theirs come to.
     fn base(&mut self, within_share: bool) -> f64 {
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -52,7 +52,7 @@
     pub repeat_window: Tenths,
 }
 
-/// What a repeat of a part would do.
+/// What a repeat of a shard request would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EffectKind {
     /// May run again.
@@ -78,7 +78,7 @@
     /// Cells in a row that hold a shard.
     pub reach: u32,
     pub shards: u32,
-    /// The most parts that share a call.
+    /// The most shard requests that share a call.
     pub per_call: u32,
 }
 
@@ -92,11 +92,11 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// The most queries and parts held at once.
+    /// The most queries and shard requests held at once.
     pub most_open: u32,
-    /// The most pushes for one part.
+    /// The most pushes for one shard request.
     pub most_pushes: u32,
-    /// A part may have two pushes out at once.
+    /// A shard request may have two pushes out at once.
     pub copies: bool,
     pub may_withdraw: bool,
     /// Callers are told how long to stay away, up to `longest_stay_away`.
@@ -121,11 +121,11 @@
     pub further: Option<FurtherBudget>,
 }
 
-/// The stated budget for pushes beyond a part's first.
+/// The stated budget for pushes beyond a shard request's first.
 #[derive(Clone, Debug, Default)]
 pub struct FurtherBudget {
     pub floor: f64,
-    /// For each query and part taken.
+    /// For each query and shard request taken.
     pub share: f64,
     pub window: Tenths,
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,11 +1,11 @@
 //! What a broker remembers, grouped by how long it lives: for one push, for one query (with
-//! its parts), for one node, for the instance.
+//! its shard requests), for one node, for the instance.
 
 use crate::effects::Effect;
 use crate::ids::{
-    CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PartId, PushNo, QueryId, ShardNo, ZoneNo,
+    CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PushNo, QueryId, ShardNo, ShardRequestId, ZoneNo,
 };
-use crate::inputs::{NewPart, NewQuery, Probed, Roll, RollEntry, RollKind, Standing, Told};
+use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
 use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription};
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,7 +21,7 @@
     Void,
 }
 
-/// One push of a part.
+/// One push of a shard request.
 #[derive(Clone, Debug)]
 pub struct Push {
     pub node: NodeId,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PartStage {
+pub enum ShardRequestState {
     Unsent,
     /// To be sent, or waiting for a node that may have it.
     Wanted,
@@ -72,11 +72,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Part {
-    pub id: PartId,
+pub struct ShardRequest {
+    pub id: ShardRequestId,
     pub shard: ShardNo,
     pub weight: f64,
-    pub stage: PartStage,
+    pub stage: ShardRequestState,
     /// Its answer has begun to flow: bound to one push.
     pub flowing: bool,
     pub pushes: Vec<Push>,
@@ -92,7 +92,7 @@
     Overdue,
     /// An answer has been given.
     Answered,
-    /// Waits for the parts of its second step.
+    /// Waits for the shard requests of its second step.
     Between,
     Over,
 }
@@ -100,7 +100,7 @@
 /// What moves a query on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// All parts that came in this turn are in hand.
+    /// All shard requests that came in this turn are in hand.
     Ready,
     PartIn,
     PartLost,
@@ -129,13 +129,13 @@
     pub first_whole: bool,
     /// Nodes that dropped a push of it.
     pub fallen: BTreeSet<NodeId>,
-    /// Only its first part is out, the others wait for that.
+    /// Only its first shard request is out, the others wait for that.
     pub scouting: bool,
     /// Only its least share is sent.
     pub least_only: bool,
     /// When its holders were asked for their load.
     pub probed: Option<Tenths>,
-    pub parts: Vec<Part>,
+    pub shard_requests: Vec<ShardRequest>,
 }
 
 /// A call that is out at a node.
@@ -166,7 +166,7 @@
     pub probe_out: Option<Tenths>,
     /// What it told of itself, and when; none while a probe is out.
     pub told: Option<Load>,
-    /// The call of this turn, and how many parts it carries.
+    /// The call of this turn, and how many shard requests it carries.
     pub riding: Option<(CallNo, u32)>,
     pub line: Option<(Line, Tenths)>,
     /// When pushes went to it while it was cold.
@@ -184,7 +184,7 @@
     pub rate: Option<f64>,
 }
 
-/// How long a category's parts take: the least that their smoothed latency ever was.
+/// How long a category's shard requests take: the least that their smoothed latency ever was.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     heard: f64,
@@ -222,9 +222,9 @@
     }
 }
 
-/// The share of parts that came to harm within a span, by slices of it: what a slice held is forgotten
+/// The share of shard requests that came to harm within a span, by slices of it: what a slice held is forgotten
 /// when the span has passed it. Guards against a storm whose many ends outweigh what came after it for
-/// many spans, as counts that fade alike would: the share would stay high while fewer parts are sent.
+/// many spans, as counts that fade alike would: the share would stay high while fewer shard requests are sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Window {
     /// Harmed and all, by slice; and when the newest slice began.
@@ -268,7 +268,7 @@
     }
 }
 
-/// The share of parts that came to harm, of late.
+/// The share of shard requests that came to harm, of late.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauge {
     pub harmed: Fading,
@@ -308,13 +308,13 @@
     Goal(QueryId),
     CutOff(QueryId),
     /// A push's patience is up.
-    Look(PartId, PushNo),
+    Look(ShardRequestId, PushNo),
     /// A first step has had half of the goal time.
     Halfway(QueryId),
     /// A query that waits for room looks again.
     Room(QueryId),
-    /// A waiting part tries again.
-    Again(PartId),
+    /// A waiting shard request tries again.
+    Again(ShardRequestId),
     FollowRoll,
 }
 
@@ -336,23 +336,23 @@
     pub boarded: Vec<NodeId>,
     pub queries: BTreeMap<QueryId, Query>,
     pub groups: BTreeMap<GroupNo, QueryId>,
-    pub parts: BTreeMap<PartId, (QueryId, usize)>,
-    pub tickets: BTreeMap<(PartId, PushNo), Ticket>,
+    pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
+    pub tickets: BTreeMap<(ShardRequestId, PushNo), Ticket>,
     pub agenda: BTreeSet<(Tenths, Due)>,
     pub woken_at: Option<Tenths>,
-    /// Queries that got parts in this turn.
+    /// Queries that got shard requests in this turn.
     pub fresh: BTreeSet<QueryId>,
     /// Queries that wait for room.
     pub waiting: BTreeSet<QueryId>,
     /// Queries that wait for word of their holders' load.
     pub probing: BTreeSet<QueryId>,
     /// Parts to be sent this turn, in order.
-    pub wanted: Vec<PartId>,
+    pub wanted: Vec<ShardRequestId>,
     pub next_call: CallNo,
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
     pub paces: BTreeMap<CategoryNo, Pace>,
-    /// Over all parts, and over those of callers within their share.
+    /// Over all shard requests, and over those of callers within their share.
     pub pressure: [Window; 2],
     /// Of pushes, those refused as full or timed out.
     pub refused: Window,
@@ -363,17 +363,17 @@
     pub lost_lines: [Gauge; 2],
     /// The shortest lull after which a push was dropped at once, and when that was last seen.
     pub dropped: Option<(Tenths, Tenths)>,
-    /// How many parts this broker may have out.
+    /// How many shard requests this broker may have out.
     pub room: f64,
     pub out_at_turn: f64,
-    /// What each category pays for a part, of late: over the least share, and over the whole.
+    /// What each category pays for a shard request, of late: over the least share, and over the whole.
     pub pays: BTreeMap<CategoryNo, [f64; 2]>,
     pub callers: BTreeMap<CallerNo, Fading>,
     /// Questions not asked again until then.
     pub barred: BTreeMap<(CategoryNo, BTreeSet<ShardNo>), Tenths>,
     pub taken: VecDeque<Tenths>,
-    pub further: VecDeque<(Tenths, PartId, PushNo)>,
-    /// When parts were asked for.
+    pub further: VecDeque<(Tenths, ShardRequestId, PushNo)>,
+    /// When shard requests were asked for.
     pub asked: VecDeque<Tenths>,
     /// No word of the roll has come since it was last asked for.
     pub roll_silent: bool,
@@ -385,7 +385,7 @@
 // What follows keeps the books; it decides nothing.
 
 impl Query {
-    /// As it is taken, before its parts are in hand.
+    /// As it is taken, before its shard requests are in hand.
     pub fn taken(
         new: &NewQuery,
         (terms, row): (Arc<Terms>, Arc<CategoryRow>),
@@ -410,22 +410,22 @@
             scouting: false,
             least_only: new.least_only,
             probed: None,
-            parts: Vec::new(),
+            shard_requests: Vec::new(),
         }
     }
 
     /// What it asks for; one that comes again asks for the same.
     pub fn question(&self) -> (CategoryNo, BTreeSet<ShardNo>) {
-        (self.category, self.parts.iter().map(|part| part.shard).collect())
+        (self.category, self.shard_requests.iter().map(|shard_request| shard_request.shard).collect())
     }
 
-    /// The weight of the parts at these stages.
-    pub fn weight(&self, stages: &[PartStage]) -> f64 {
-        self.parts.iter().filter(|p| stages.contains(&p.stage)).map(|p| p.weight).sum()
+    /// The weight of the shard requests at these stages.
+    pub fn weight(&self, stages: &[ShardRequestState]) -> f64 {
+        self.shard_requests.iter().filter(|p| stages.contains(&p.stage)).map(|p| p.weight).sum()
     }
 }
 
-impl Part {
+impl ShardRequest {
     /// How many of its pushes are out.
     pub fn out(&self) -> usize {
         self.pushes.iter().filter(|push| push.fate == Fate::Out).count()
@@ -445,7 +445,7 @@
         self.cold_pushes.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, category)| *category)
     }
 
-    /// A part's push has come to its end.
+    /// A shard request's push has come to its end.
     pub fn leave(&mut self, call: CallNo) {
         if let Some(call) = self.calls.get_mut(&call) {
             call.parts_out -= 1;
@@ -523,23 +523,23 @@
         self.queries.insert(r.id, r);
     }
 
-    /// A part is to be sent this turn.
-    pub fn want(&mut self, part: &mut Part) {
-        part.stage = PartStage::Wanted;
+    /// A shard request is to be sent this turn.
+    pub fn want(&mut self, shard_request: &mut ShardRequest) {
+        shard_request.stage = ShardRequestState::Wanted;
         self.asked.push_back(self.now);
-        self.wanted.push(part.id);
+        self.wanted.push(shard_request.id);
     }
 
-    /// Takes the query of a part out, to be put back; with the part's place in it.
-    pub fn lift(&mut self, part: PartId) -> Option<(Query, usize)> {
-        let (id, at) = *self.parts.get(&part)?;
+    /// Takes the query of a shard request out, to be put back; with the shard request's place in it.
+    pub fn lift(&mut self, shard_request: ShardRequestId) -> Option<(Query, usize)> {
+        let (id, at) = *self.shard_requests.get(&shard_request)?;
         Some((self.queries.remove(&id)?, at))
     }
 
     /// Strikes a query; what it still has out is called off, where that is allowed.
     pub fn let_go(&mut self, r: &Query, may_withdraw: bool) {
         self.withdraw_all(r, may_withdraw);
-        r.parts.iter().for_each(|part| _ = self.parts.remove(&part.id));
+        r.shard_requests.iter().for_each(|shard_request| _ = self.shard_requests.remove(&shard_request.id));
         self.groups.remove(&r.group);
         self.waiting.remove(&r.id);
         self.probing.remove(&r.id);
@@ -547,28 +547,37 @@
         self.agenda.remove(&(r.cut_off_at, Due::CutOff(r.id)));
     }
 
-    /// Strikes a first step's parts, likewise.
+    /// Strikes a first step's shard requests, likewise.
     pub fn drop_parts(&mut self, r: &mut Query, may_withdraw: bool) {
         self.withdraw_all(r, may_withdraw);
         r.fallen.clear();
-        r.parts.drain(..).for_each(|part| _ = self.parts.remove(&part.id));
+        r.shard_requests
+            .drain(..)
+            .for_each(|shard_request| _ = self.shard_requests.remove(&shard_request.id));
     }
 
-    pub fn add_part(&mut self, new: &NewPart) {
+    pub fn add_shard_request(&mut self, new: &NewShardRequest) {
         self.taken.push_back(self.now);
         let Some(id) = self.groups.get(&new.group) else { return };
         let Some(r) = self.queries.get_mut(id) else { return };
         self.fresh.insert(*id);
-        let (stage, flowing, pushes) = (PartStage::Unsent, false, Vec::new());
-        r.parts.push(Part { id: new.id, shard: new.shard, weight: new.weight, stage, flowing, pushes });
+        let (stage, flowing, pushes) = (ShardRequestState::Unsent, false, Vec::new());
+        r.shard_requests.push(ShardRequest {
+            id: new.id,
+            shard: new.shard,
+            weight: new.weight,
+            stage,
+            flowing,
+            pushes,
+        });
     }
 
-    /// Puts a query's parts in the order of their ranks.
+    /// Puts a query's shard requests in the order of their ranks.
     pub fn rank_parts(&mut self, id: QueryId) {
         let Some(r) = self.queries.get_mut(&id) else { return };
-        r.parts.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
-        for (at, part) in r.parts.iter().enumerate() {
-            self.parts.insert(part.id, (id, at));
+        r.shard_requests.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
+        for (at, shard_request) in r.shard_requests.iter().enumerate() {
+            self.shard_requests.insert(shard_request.id, (id, at));
         }
     }
 
@@ -592,10 +601,10 @@
         self.fresh.extend(&self.probing);
     }
 
-    pub fn bind(&mut self, part: &PartId) {
-        let Some((id, at)) = self.parts.get(part) else { return };
+    pub fn bind(&mut self, shard_request: &ShardRequestId) {
+        let Some((id, at)) = self.shard_requests.get(shard_request) else { return };
         if let Some(r) = self.queries.get_mut(id) {
-            r.parts[*at].flowing = true;
+            r.shard_requests[*at].flowing = true;
         }
     }
 
@@ -609,14 +618,14 @@
     ) -> CallNo {
         let now = self.now;
         let node = self.nodes.entry(id).or_default();
-        let (call, parts) = match node.riding {
-            Some((call, parts)) if parts < per_call => (call, parts + 1),
+        let (call, shard_requests) = match node.riding {
+            Some((call, shard_requests)) if shard_requests < per_call => (call, shard_requests + 1),
             _ => {
                 self.next_call.0 += 1;
                 (self.next_call, 1)
             }
         };
-        (node.riding, node.line) = (Some((call, parts)), line);
+        (node.riding, node.line) = (Some((call, shard_requests)), line);
         self.boarded.push(id);
         node.calls.entry(call).or_insert(Call { sent: now, parts_out: 0 }).parts_out += 1;
         node.cold_pushes.extend(cold.map(|category| (now, category)));
@@ -663,7 +672,7 @@
         }
     }
 
-    /// How many parts were asked for, one at the least, and over which span, this at the least.
+    /// How many shard requests were asked for, one at the least, and over which span, this at the least.
     pub fn asked_lately(&self, least: Tenths) -> (f64, Tenths) {
         let span = self.asked.front().map_or(Tenths::ZERO, |at| self.now - *at);
         (self.asked.len().max(1) as f64, span.max(least))
@@ -682,13 +691,17 @@
         self.dropped = Some((known.map_or(lull, |(after, _)| after.min(lull)), self.now));
     }
 
-    /// The ready nodes that hold a part's shard.
-    pub fn holders_of<'a>(&'a self, layout: &'a Layout, part: &Part) -> impl Iterator<Item = NodeId> + 'a {
-        let ids = layout.cells_of(part.shard).filter_map(|cell| self.holders.get(&cell));
+    /// The ready nodes that hold a shard request's shard.
+    pub fn holders_of<'a>(
+        &'a self,
+        layout: &'a Layout,
+        shard_request: &ShardRequest,
+    ) -> impl Iterator<Item = NodeId> + 'a {
+        let ids = layout.cells_of(shard_request.shard).filter_map(|cell| self.holders.get(&cell));
         ids.flatten().copied()
     }
 
-    /// How long a category's parts take, in tenths of a millisecond; `unheard` where too few were heard of.
+    /// How long a category's shard requests take, in tenths of a millisecond; `unheard` where too few were heard of.
     pub fn pace(&self, category: CategoryNo, unheard: Tenths) -> f64 {
         let least = self.paces.get(&category).and_then(|pace| pace.least);
         least.unwrap_or(unheard).max(Tenths(1)).0 as f64
@@ -715,7 +728,7 @@
         usual.iter_mut().zip(pays).for_each(|(usual, new)| *usual += (new - *usual) * newest);
     }
 
-    /// Adds to both gauges, or to the one over all parts.
+    /// Adds to both gauges, or to the one over all shard requests.
     pub fn count_harm(&mut self, span: Tenths, within_share: bool, harmed: f64, all: f64) {
         for gauge in self.pressure.iter_mut().take(1 + usize::from(within_share)) {
             gauge.count(self.now, span, harmed, all);
@@ -731,9 +744,11 @@
 
     /// Calls off all that a query still has out, where that is allowed.
     fn withdraw_all(&mut self, r: &Query, allowed: bool) {
-        for part in r.parts.iter().filter(|part| allowed && !part.flowing) {
-            let out = part.pushes.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
-            let withdraw = |(no, _)| Effect::Withdraw { part: part.id, push: PushNo(no as u16) };
+        for shard_request in r.shard_requests.iter().filter(|shard_request| allowed && !shard_request.flowing)
+        {
+            let out = shard_request.pushes.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
+            let withdraw =
+                |(no, _)| Effect::Withdraw { shard_request: shard_request.id, push: PushNo(no as u16) };
             self.effects.extend(out.map(withdraw));
         }
     }
