--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -31,8 +31,8 @@
     inputs: Vec<Input>,
     /// All done since the last moment, as the notation puts it.
     done: Vec<String>,
-    pushes: BTreeMap<PartId, Vec<(NodeId, Tenths, bool)>>,
-    parts: BTreeMap<PartId, QueryId>,
+    pushes: BTreeMap<ShardRequestId, Vec<(NodeId, Tenths, bool)>>,
+    shard_requests: BTreeMap<ShardRequestId, QueryId>,
     open: BTreeSet<QueryId>,
     barred: BTreeSet<NodeId>,
     /// Queries that have a second step to come.
@@ -194,9 +194,9 @@
                     attempt: value(&words, "attempt", 0),
                     least_only: words.contains(&"least-only"),
                 }));
-                return self.parts(rid, &words);
+                return self.shard_requests(rid, &words);
             }
-            "more" => return self.parts(QueryId(id(words[1])), &words),
+            "more" => return self.shard_requests(QueryId(id(words[1])), &words),
             "left" => {
                 self.open.remove(&QueryId(id(words[1])));
                 Input::CallerLeft(QueryId(id(words[1])))
@@ -207,7 +207,7 @@
                 let (node, report) = (NodeId(id(words[1])), queue.chain(rate).collect());
                 Input::Probed(Probed { node, sound: words[2] != "none", report })
             }
-            "flowing" => Input::Flowing(PartId(id(words[1]))),
+            "flowing" => Input::Flowing(ShardRequestId(id(words[1]))),
             "end" => return self.end(words[1], words[2]),
             other => panic!("`{other}` is not a word of the notation"),
         };
@@ -215,17 +215,22 @@
     }
 
     /// Parts, as `name:shard:weight`.
-    fn parts(&mut self, rid: QueryId, words: &Words) {
+    fn shard_requests(&mut self, rid: QueryId, words: &Words) {
         for word in words.iter().filter(|word| word.contains(':')) {
             let fields: Words = word.split(':').collect();
-            let (part, group) = (PartId(id(fields[0])), GroupNo(rid.0 as u32));
+            let (shard_request, group) = (ShardRequestId(id(fields[0])), GroupNo(rid.0 as u32));
             let (shard, weight) = (ShardNo(fields[1].parse().unwrap()), fields[2].parse().unwrap());
-            self.parts.insert(part, rid);
-            self.inputs.push(Input::Part(NewPart { id: part, group, shard, weight }));
+            self.shard_requests.insert(shard_request, rid);
+            self.inputs.push(Input::ShardRequest(NewShardRequest {
+                id: shard_request,
+                group,
+                shard,
+                weight,
+            }));
         }
     }
 
-    /// Ends the newest push that is out of a part, of all parts, or all that are out at `@node`.
+    /// Ends the newest push that is out of a shard request, of all shard requests, or all that are out at `@node`.
     fn end(&mut self, which: &str, how: &str) {
         let end = match how {
             "finished" => PushEnd::Finished,
@@ -239,15 +244,22 @@
             other => panic!("`{other}` is no end"),
         };
         let before = self.inputs.len();
-        for (part, pushes) in &mut self.pushes {
+        for (shard_request, pushes) in &mut self.pushes {
             for (no, (node, sent, out)) in pushes.iter_mut().enumerate().rev() {
-                let meant =
-                    which == "all" || id(which) == part.0 || which.strip_prefix('@').map(id) == Some(node.0);
+                let meant = which == "all"
+                    || id(which) == shard_request.0
+                    || which.strip_prefix('@').map(id) == Some(node.0);
                 if *out && meant {
                     *out = false;
-                    let (part, push, took) = (*part, PushNo(no as u16), self.now - *sent);
-                    self.inputs.push(Input::Outcome(PushOutcome { part, push, node: *node, end, took }));
-                    if id(which) == part.0 {
+                    let (shard_request, push, took) = (*shard_request, PushNo(no as u16), self.now - *sent);
+                    self.inputs.push(Input::Outcome(PushOutcome {
+                        shard_request,
+                        push,
+                        node: *node,
+                        end,
+                        took,
+                    }));
+                    if id(which) == shard_request.0 {
                         break;
                     }
                 }
@@ -302,13 +314,19 @@
             assert!(self.open.remove(&query), "a second final answer for {}", name(query.0));
         }
         self.done.push(match effect {
-            Effect::Push { part, node, time_out } => {
-                assert!(self.open.contains(&self.parts[&part]), "{} sent after the end", name(part.0));
-                assert!(!self.barred.contains(&node), "{} sent to {}", name(part.0), name(node.0));
-                self.pushes.entry(part).or_default().push((node, self.now, true));
-                format!("push {} {} {}", name(part.0), name(node.0), time_out.as_ms())
+            Effect::Push { shard_request, node, time_out } => {
+                assert!(
+                    self.open.contains(&self.shard_requests[&shard_request]),
+                    "{} sent after the end",
+                    name(shard_request.0)
+                );
+                assert!(!self.barred.contains(&node), "{} sent to {}", name(shard_request.0), name(node.0));
+                self.pushes.entry(shard_request).or_default().push((node, self.now, true));
+                format!("push {} {} {}", name(shard_request.0), name(node.0), time_out.as_ms())
+            }
+            Effect::Withdraw { shard_request, push } => {
+                format!("withdraw {} {}", name(shard_request.0), push.0)
             }
-            Effect::Withdraw { part, push } => format!("withdraw {} {}", name(part.0), push.0),
             Effect::Answer { query, whole } => {
                 format!("answer {} {}", name(query.0), if whole { "whole" } else { "partial" })
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -47,8 +47,8 @@
     pub idle: Option<Tenths>,
     /// One that is not up by then never comes up.
     pub connect: Option<Tenths>,
-    /// The parts that one carries at a time.
-    pub parts: Option<u32>,
+    /// The shard requests that one carries at a time.
+    pub shard_requests: Option<u32>,
 }
 
 /// Reads a settings text, or says which key is amiss. Numbers go by the order in the text.
@@ -71,7 +71,7 @@
     let lines = Lines {
         idle: text.limits.conn_idle_ms.map(Tenths::from_ms),
         connect: text.limits.connect_timeout_ms.map(Tenths::from_ms),
-        parts: text.limits.streams_per_conn,
+        shard_requests: text.limits.streams_per_conn,
     };
     let categories = text.services.iter().enumerate().map(|(at, service)| {
         let least = text.domain.min_share.get(at).ok_or("settings: `MinShare` is too short")?;
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -49,7 +49,7 @@
     );
     assert_eq!((&zones[0][..], read.callers[&routing::CallerNo(0)].quota_per_s), ("north", 2.5));
     assert_eq!((report, read.load_by_probe), (vec![routing::Told::Queue], false));
-    assert_eq!((lines.idle, lines.connect, lines.parts), (Some(Tenths(150_000)), None, Some(32)));
+    assert_eq!((lines.idle, lines.connect, lines.shard_requests), (Some(Tenths(150_000)), None, Some(32)));
 }
 
 /// Only where both hold is load told by probe; what was left out before stays as it was.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewPart, NewQuery, NodeId, PartId, PushEnd, PushNo,
-    PushOutcome, QueryId, RollEntry, ShardNo, Standing, Tenths, ZoneNo,
+    CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId, PushEnd, PushNo,
+    PushOutcome, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -125,10 +125,10 @@
             }
             18 => self.knock()?,
             19 => {
-                let part = PartId(self.u64()?);
+                let shard_request = ShardRequestId(self.u64()?);
                 let _node = self.node()?;
                 let (_push, _took) = (self.u16()?, self.span()?);
-                Input::Flowing(part)
+                Input::Flowing(shard_request)
             }
             20 => self.finished()?,
             21 => Input::CallerLeft(QueryId(self.u64()?)),
@@ -172,11 +172,11 @@
             }));
         }
         let shard = ShardNo(slice as u32);
-        Ok(Input::Part(NewPart { id: PartId(id), group, shard, weight: heft.into() }))
+        Ok(Input::ShardRequest(NewShardRequest { id: ShardRequestId(id), group, shard, weight: heft.into() }))
     }
 
     fn finished(&mut self) -> Result<Input, BadFrame> {
-        let (part, push, node) = (PartId(self.u64()?), PushNo(self.u16()?), self.node()?);
+        let (shard_request, push, node) = (ShardRequestId(self.u64()?), PushNo(self.u16()?), self.node()?);
         let at = self.at();
         let end = match self.u16()? {
             0 => PushEnd::Errored,
@@ -192,7 +192,7 @@
         let took = self.span()?;
         let _closed = self.u8()?;
         self.report()?;
-        Ok(Input::Outcome(PushOutcome { part, push, node, end, took }))
+        Ok(Input::Outcome(PushOutcome { shard_request, push, node, end, took }))
     }
 }
 
@@ -233,15 +233,15 @@
 
     pub fn effect(&mut self, broker: u16, effect: &Effect) {
         match effect {
-            Effect::Push { part, node, time_out } => {
+            Effect::Push { shard_request, node, time_out } => {
                 self.record(80, broker);
-                self.records.put_u64_le(part.0);
+                self.records.put_u64_le(shard_request.0);
                 self.node(node);
                 self.records.put_f64_le(time_out.as_ms());
             }
-            Effect::Withdraw { part, push } => {
+            Effect::Withdraw { shard_request, push } => {
                 self.record(83, broker);
-                self.records.put_u64_le(part.0);
+                self.records.put_u64_le(shard_request.0);
                 self.records.put_u16_le(push.0);
             }
             Effect::Answer { query, whole } => {
