--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -6,7 +6,7 @@
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
 use routing::{
-    CallerNo, Effect, GroupNo, Input, NewQuery, Prescription, PushEnd, PushOutcome, QueryId, Tenths,
+    AttemptOutcome, AttemptResult, CallerNo, Effect, GroupNo, Input, NewQuery, Prescription, QueryId, Tenths,
 };
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Steps of a window: a tenth of it, as its slices. After a cut, harm is not heard of at once: a push that
+/// Steps of a window: a tenth of it, as its slices. After a cut, harm is not heard of at once: an attempt that
 /// finds a queue times out late. Harm found within half a window of a cut is taken as the cut's.
 const STEPS_A_WINDOW: i64 = 10;
 const HOLD: f64 = 0.5;
@@ -79,7 +79,7 @@
     /// ask. They are not trimmed by it.
     Share,
     /// Passed, to be served at its least share only: as `Share`, but its category takes partial answers.
-    /// The heaviest shard requests earn most of its payoff for a few pushes, where a decline earns nothing.
+    /// The heaviest shard requests earn most of its payoff for a few attempts, where a decline earns nothing.
     Least,
 }
 
@@ -100,17 +100,17 @@
     Rule(Crowded, |_, _| true,        Told::Passed,  Door::count_try),
 ];
 
-/// What a push's end is to the door: whether it counts, and whether it is harm. As the module's pressure.
+/// What an attempt's end is to the door: whether it counts, and whether it is harm. As the module's pressure.
 #[rustfmt::skip]
-const ENDS: &[(PushEnd, bool, bool)] = &[
-    (PushEnd::Finished,     true,  false),
-    (PushEnd::Errored,      true,  false),
-    (PushEnd::Full,         true,  true),
-    (PushEnd::TimedOut,     true,  true),
-    (PushEnd::NoConnection, true,  false),
-    (PushEnd::Dropped,      true,  false),
-    (PushEnd::Withdrawn,    false, false),
-    (PushEnd::NotSent,      false, false),
+const ENDS: &[(AttemptOutcome, bool, bool)] = &[
+    (AttemptOutcome::Succeeded,     true,  false),
+    (AttemptOutcome::Errored,      true,  false),
+    (AttemptOutcome::Overloaded,         true,  true),
+    (AttemptOutcome::TimedOut,     true,  true),
+    (AttemptOutcome::ConnectFailed, true,  false),
+    (AttemptOutcome::ConnectionLost,      true,  false),
+    (AttemptOutcome::Cancelled,    false, false),
+    (AttemptOutcome::NotSent,      false, false),
 ];
 
 /// The door before one broker's module.
@@ -152,14 +152,14 @@
         let mut asked: Vec<Asked> = Vec::new();
         for input in heard {
             match input {
-                Input::Outcome(outcome) => self.ended(outcome),
+                Input::AttemptEnded(outcome) => self.ended(outcome),
                 Input::Prescription(new) => self.prescription = (**new).clone(),
                 Input::Query(new) => asked.push(Asked {
                     id: new.id,
                     group: new.group,
                     caller: new.caller,
                     category: new.category,
-                    attempt: new.attempt,
+                    client_attempt: new.client_attempt,
                     shard_requests: 0,
                 }),
                 Input::ShardRequest(shard_request) => {
@@ -201,10 +201,10 @@
     /// Sees what the module did: what it turned away counts as crowding.
     pub fn saw(&mut self, effects: &[Effect]) {
         let declined = effects.iter().filter(|effect| matches!(effect, Effect::Decline { .. })).count();
-        let pushes = effects.iter().filter(|effect| matches!(effect, Effect::Push { .. })).count();
+        let attempts = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
         let (now, window) = (self.s.now, self.a.window);
         self.s.turned.count(now, window, declined as f64, 0.0);
-        self.s.sent.count(now, window, 0.0, pushes as f64);
+        self.s.sent.count(now, window, 0.0, attempts as f64);
     }
 
     // ---- steps
@@ -400,7 +400,7 @@
     }
 
     fn count_try(&mut self, asked: &Asked) {
-        let retry = f64::from(u8::from(asked.attempt > 0));
+        let retry = f64::from(u8::from(asked.client_attempt > 0));
         let (now, window) = (self.s.now, self.a.window);
         self.caller(asked.caller).tries.count(now, window, retry, 1.0 - retry);
     }
@@ -410,7 +410,7 @@
         let (now, window, a) = (self.s.now, self.a.window, &self.a);
         let (share, floor) = (a.retry_share, a.retry_floor);
         let (retries, firsts) = self.caller(asked.caller).tries.sums(now, window);
-        asked.attempt > 0 && retries + 1.0 > floor + share * firsts
+        asked.client_attempt > 0 && retries + 1.0 > floor + share * firsts
     }
 
     /// Its caller asks for less than an even share: the bucket is for who asks for more.
@@ -471,13 +471,13 @@
 
     // ---- ends
 
-    fn ended(&mut self, outcome: &PushOutcome) {
+    fn ended(&mut self, outcome: &AttemptResult) {
         if let Some((_, counts, harm)) = ENDS.iter().find(|end| end.0 == outcome.end).filter(|end| end.1) {
             let (now, window) = (self.s.now, self.a.window);
             let (harm, counts) = (f64::from(u8::from(*harm)), f64::from(u8::from(*counts)));
             self.s.harm.count(now, window.times(LATELY), harm, counts);
         }
-        if outcome.end == PushEnd::Finished {
+        if outcome.end == AttemptOutcome::Succeeded {
             self.s.delivered.count(self.s.now, self.a.window, 0.0, 1.0);
         }
     }
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -11,7 +11,7 @@
     pub group: GroupNo,
     pub caller: CallerNo,
     pub category: CategoryNo,
-    pub attempt: u32,
+    pub client_attempt: u32,
     /// Its shard requests, as they come in the same turn.
     pub shard_requests: u32,
 }
@@ -47,7 +47,7 @@
     pub turned: Window,
     /// Parts let in (as `all`).
     pub let_in: Window,
-    /// Pushes that the module sent, and that ended finished (as `all`).
+    /// Attempts that the module sent, and that ended finished (as `all`).
     pub sent: Window,
     pub delivered: Window,
     pub callers: BTreeMap<CallerNo, Caller>,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -10,7 +10,7 @@
     p.layout = Layout { cells: 2, reach: 1, shards: 2, per_call: 1 };
     p.limits = Limits {
         most_open: 1000,
-        most_pushes: 3,
+        max_attempts: 3,
         stay_away: true,
         longest_stay_away: Tenths(20_000),
         ..Limits::default()
@@ -38,13 +38,19 @@
 }
 
 impl Asking {
-    /// A query of a caller with so many shard requests, asked for the `attempt`th time.
-    fn ask(&mut self, caller: u32, shard_requests: u32, attempt: u32) -> Vec<Input> {
-        self.ask_of(CategoryNo(0), caller, shard_requests, attempt)
+    /// A query of a caller with so many shard requests, asked for the `client_attempt`th time.
+    fn ask(&mut self, caller: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
+        self.ask_of(CategoryNo(0), caller, shard_requests, client_attempt)
     }
 
     /// The same, of a category.
-    fn ask_of(&mut self, category: CategoryNo, caller: u32, shard_requests: u32, attempt: u32) -> Vec<Input> {
+    fn ask_of(
+        &mut self,
+        category: CategoryNo,
+        caller: u32,
+        shard_requests: u32,
+        client_attempt: u32,
+    ) -> Vec<Input> {
         self.next += 1;
         let (id, group) = (QueryId(self.next), GroupNo(self.next as u32));
         let time_left = Tenths(20_000);
@@ -55,7 +61,7 @@
             caller: CallerNo(caller),
             time_left,
             work: Tenths::ZERO,
-            attempt,
+            client_attempt,
             least_only: false,
         };
         let mut heard = vec![Input::Query(new)];
@@ -72,21 +78,21 @@
     }
 }
 
-fn ended(end: PushEnd, count: usize) -> Vec<Input> {
-    let outcome = |no: usize| PushOutcome {
+fn ended(end: AttemptOutcome, count: usize) -> Vec<Input> {
+    let outcome = |no: usize| AttemptResult {
         shard_request: ShardRequestId(900_000 + no as u64),
-        push: PushNo(0),
+        attempt: AttemptNumber(0),
         node: NodeId(1),
         end,
         took: Tenths(100),
     };
-    (0..count).map(|no| Input::Outcome(outcome(no))).collect()
+    (0..count).map(|no| Input::AttemptEnded(outcome(no))).collect()
 }
 
-/// The module pushes each shard request that the door passed; of one at its least share, the first.
+/// The module attempts each shard request that the door passed; of one at its least share, the first.
 fn pushed(passed: &[Input]) -> Vec<Effect> {
     let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
-    let mut push = |input: &Input| match input {
+    let mut attempt = |input: &Input| match input {
         Input::Query(new) if new.least_only => {
             least.insert(new.group);
             None
@@ -94,11 +100,11 @@
         Input::ShardRequest(shard_request)
             if !least.contains(&shard_request.group) || first.insert(shard_request.group) =>
         {
-            Some(Effect::Push { shard_request: shard_request.id, node: NodeId(1), time_out: Tenths(10_000) })
+            Some(Effect::Send { shard_request: shard_request.id, node: NodeId(1), timeout: Tenths(10_000) })
         }
         _ => None,
     };
-    passed.iter().filter_map(&mut push).collect()
+    passed.iter().filter_map(&mut attempt).collect()
 }
 
 fn declines(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
@@ -128,11 +134,11 @@
 }
 
 impl Hosts {
-    /// A step of half a second: what ended comes in with what is asked, the door passes, the module pushes.
+    /// A step of half a second: what ended comes in with what is asked, the door passes, the module attempts.
     fn step(&mut self, door: &mut Door, now: Tenths, mut heard: Vec<Input>) -> (Vec<Input>, Vec<Effect>) {
         let done = std::mem::take(&mut self.out).len();
-        heard.extend(ended(PushEnd::Finished, done.min(self.each_step)));
-        heard.extend(ended(PushEnd::Full, done.saturating_sub(self.each_step)));
+        heard.extend(ended(AttemptOutcome::Succeeded, done.min(self.each_step)));
+        heard.extend(ended(AttemptOutcome::Overloaded, done.saturating_sub(self.each_step)));
         let (passed, effects) = door.pass(now, &heard);
         self.out = pushed(&passed);
         door.saw(&self.out);
@@ -180,11 +186,11 @@
         assert_eq!(effects, alone.turn(now, &both), "at {now:?}");
         // What was pushed is finished by the next turn.
         for effect in effects {
-            if let Effect::Push { shard_request, node, .. } = effect {
-                let end = PushEnd::Finished;
-                heard.push(Input::Outcome(PushOutcome {
+            if let Effect::Send { shard_request, node, .. } = effect {
+                let end = AttemptOutcome::Succeeded;
+                heard.push(Input::AttemptEnded(AttemptResult {
                     shard_request,
-                    push: PushNo(0),
+                    attempt: AttemptNumber(0),
                     node,
                     end,
                     took: Tenths(90),
@@ -203,7 +209,7 @@
     let mut said = Vec::new();
     for at in 0..20 {
         let mut heard = asking.ask(0, 2, 0);
-        heard.extend(ended(if at < 10 { PushEnd::Finished } else { PushEnd::Full }, 4));
+        heard.extend(ended(if at < 10 { AttemptOutcome::Succeeded } else { AttemptOutcome::Overloaded }, 4));
         said.extend(door.pass(Tenths(at * 5000), &heard).1);
     }
     assert_eq!(door.mode(), Mode::Crowded);
@@ -262,7 +268,7 @@
 }
 
 /// Where a category takes partial answers, what is beyond a share is served at its least share, not
-/// declined: the heaviest shard requests earn most of its payoff for a few pushes.
+/// declined: the heaviest shard requests earn most of its payoff for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Guards against windows that are judged at their ends only: each further push ends one.
+    /// Guards against windows that are judged at their ends only: each further attempt ends one.
     fn spend(&mut self, now: Tenths, broker: usize) {
         let Some(FurtherBudget { floor, share, window }) = self.bounds.budget.clone() else { return };
         let slack = self.bounds.slack;
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -1,10 +1,10 @@
 //! What the module is measured against: each shard request to a holder drawn at random; and the design's ordinary path
-//! alone, without one of the exceptions that `docs/design.md` lists (no further pushes, no copies, no room,
+//! alone, without one of the exceptions that `docs/design.md` lists (no further attempts, no copies, no room,
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewQuery, NewShardRequest, NodeId,
-    Prescription, PushEnd, PushOutcome, QueryId, ShardRequestId, Standing, Tenths,
+    AttemptOutcome, AttemptResult, Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewQuery,
+    NewShardRequest, NodeId, Prescription, QueryId, ShardRequestId, Standing, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -92,7 +92,7 @@
                     self.take(new, now, &mut effects);
                 }
                 Input::ShardRequest(new) => self.add(new),
-                Input::Outcome(outcome) => self.ended(outcome, now),
+                Input::AttemptEnded(outcome) => self.ended(outcome, now),
                 _ => {}
             }
         }
@@ -148,8 +148,8 @@
                 Some(node) => {
                     shard_request.sent = Some(node);
                     self.nodes.get_mut(&node).into_iter().for_each(|node| node.out += 1);
-                    let time_out = (open.until - now).max(Tenths(1));
-                    effects.push(Effect::Push { shard_request: shard_request.id, node, time_out });
+                    let timeout = (open.until - now).max(Tenths(1));
+                    effects.push(Effect::Send { shard_request: shard_request.id, node, timeout });
                 }
                 None => shard_request.came = Some(false),
             }
@@ -180,10 +180,11 @@
         turned.min_by(|a, b| cost(a.1).total_cmp(&cost(b.1))).map(|(id, _)| *id)
     }
 
-    fn ended(&mut self, outcome: &PushOutcome, now: Tenths) {
+    fn ended(&mut self, outcome: &AttemptResult, now: Tenths) {
         self.fade(now);
         self.harm.1 += 1.0;
-        self.harm.0 += f64::from(u8::from(matches!(outcome.end, PushEnd::Full | PushEnd::TimedOut)));
+        self.harm.0 +=
+            f64::from(u8::from(matches!(outcome.end, AttemptOutcome::Overloaded | AttemptOutcome::TimedOut)));
         if let Some(node) = self.nodes.get_mut(&outcome.node) {
             node.out = node.out.saturating_sub(1);
             let took = outcome.took.0 as f64;
@@ -193,7 +194,7 @@
         else {
             return;
         };
-        let ok = outcome.end == PushEnd::Finished;
+        let ok = outcome.end == AttemptOutcome::Succeeded;
         open.shard_requests
             .iter_mut()
             .filter(|p| p.id == outcome.shard_request)
--- a/crates/broker-bench/src/fleet.rs
+++ b/crates/broker-bench/src/fleet.rs
@@ -50,7 +50,7 @@
     /// When each broker first ran a version, in tenths since its publication or the service's return, if
     /// later.
     pub arrivals: BTreeMap<u64, Vec<i64>>,
-    /// When each broker had withdrawn a version, in tenths since that was published.
+    /// When each broker had cancelled a version, in tenths since that was published.
     pub withdrawals: Vec<i64>,
     /// Looks at which a broker reported another version than it ran.
     pub wrong_reports: u64,
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -263,7 +263,7 @@
     json!({"service": mean(&|day| day.service.share()), "worst_10_s": mean(&Outcome::worst_window),
         "worst_caller": mean(&worst_caller), "callers": by_caller(days),
         "declined": mean(&|day| day.declined as f64 / day.queries.max(1) as f64),
-        "pushes_a_retrieval": mean(&|day| day.pushes as f64 / day.queries.max(1) as f64),
+        "pushes_a_retrieval": mean(&|day| day.attempts as f64 / day.queries.max(1) as f64),
         "tries_a_retrieval": mean(&|day| day.tries as f64 / day.queries.max(1) as f64),
         "recovers_s": recovered, "broken": broken, "nearest": nearest,
         "digests": days.iter().map(|day| day.digest[..16].to_owned()).collect::<Vec<_>>()})
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -3,7 +3,7 @@
 //!
 //! Sockets and clocks are not deterministic; this is how the day is all the same. There is one clock,
 //! tokio's, paused: it moves a millisecond at a time, and only when every party is idle. Idle is no guess by
-//! waiting: each broker's open queries must be those that clients wait for, its pushes those that hosts
+//! waiting: each broker's open queries must be those that clients wait for, its attempts those that hosts
 //! hold or have just heard, and its question for changes of the roll must lie at discovery; whatever is on
 //! its way, in either direction, makes one of them differ. Then one thing happens, in a stated order, and the
 //! parties come to rest again. A machine that is too busy makes this slow, never different; past a stated
@@ -359,7 +359,8 @@
 
     /// Whether what brokers have out is, shard request by shard request, what hosts hold or have just heard.
     fn hold_what_is_out(&self) -> bool {
-        let mut out: Vec<_> = self.brokers.iter().flat_map(|broker| broker.desk.pushes_out()).collect();
+        let mut out: Vec<_> =
+            self.brokers.iter().flat_map(|broker| broker.desk.attempts_in_flight()).collect();
         out.sort();
         let address = |host: usize| self.nodes[host].address;
         let mut held: Vec<_> =
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -47,7 +47,7 @@
 fn the_same_day_on_sockets_each_time() {
     let first = day(troubled());
     assert!(first.broken.is_empty() && first.service.share() > 0.5, "{}", first.json());
-    assert!(first.pushes > first.queries && first.queries == 240, "{}", first.json());
+    assert!(first.attempts > first.queries && first.queries == 240, "{}", first.json());
     for _ in 0..3 {
         assert_eq!(day(troubled()).json(), first.json());
     }
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -44,7 +44,7 @@
     pub answered: u32,
     pub declined: u32,
     pub scrapped: u32,
-    pub pushes: u32,
+    pub attempts: u32,
     /// Of answers, in tenths of a millisecond.
     pub latencies: Vec<u32>,
     pub hosts: Standings,
@@ -89,7 +89,7 @@
     pub answered: u64,
     pub declined: u64,
     pub scrapped: u64,
-    pub pushes: u64,
+    pub attempts: u64,
     /// Clients that left before their answer, and how often was asked in all.
     pub left: u64,
     pub tries: u64,
@@ -123,7 +123,7 @@
             answered: 0,
             declined: 0,
             scrapped: 0,
-            pushes: 0,
+            attempts: 0,
             left: 0,
             tries: 0,
             events: 0,
@@ -186,8 +186,8 @@
     }
 
     pub fn push(&mut self, now: Tenths) {
-        self.pushes += 1;
-        self.second(now).pushes += 1;
+        self.attempts += 1;
+        self.second(now).attempts += 1;
     }
 
     /// The worst ten seconds, of those in which at least half of the usual was asked.
@@ -222,7 +222,7 @@
             self.nearest.iter().map(|(rule, told)| ((*rule).to_owned(), near(told))).collect();
         json!({"nearest": nearest, "service": self.service.share(), "by_category": by_category, "by_caller": by_caller,
             "worst_10_s": self.worst_window(), "retrievals": self.queries, "answered": self.answered,
-            "declined": self.declined, "scrapped": self.scrapped, "left": self.left, "tries": self.tries, "pushes": self.pushes, "broken": broken,
+            "declined": self.declined, "scrapped": self.scrapped, "left": self.left, "tries": self.tries, "pushes": self.attempts, "broken": broken,
             "latency_ms": {"median": self.latency_ms(0.5), "p99": self.latency_ms(0.99),
                 "most": self.latency.max() as f64 / 10.0},
             "slowest_decline_ms": self.slowest_decline.as_ms(), "digest": self.digest,
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,9 +13,9 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
-    Prescription, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
-    Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo,
+    Input, NewQuery, NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo,
+    ShardRequestId, Standing, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -52,25 +52,25 @@
     Arrive {
         broker: usize,
         shard_request: ShardRequestId,
-        push: PushNo,
+        attempt: AttemptNumber,
         host: usize,
     },
     Withdrawn {
         broker: usize,
         shard_request: ShardRequestId,
-        push: PushNo,
+        attempt: AttemptNumber,
     },
     HostEnd(usize),
     Back {
         broker: usize,
         shard_request: ShardRequestId,
-        push: PushNo,
+        attempt: AttemptNumber,
         end: u8,
     },
     TimeOut {
         broker: usize,
         shard_request: ShardRequestId,
-        push: PushNo,
+        attempt: AttemptNumber,
     },
     Told {
         host: usize,
@@ -90,13 +90,13 @@
 }
 
 /// Ends as they travel.
-const ENDS: [PushEnd; 6] = [
-    PushEnd::Finished,
-    PushEnd::Full,
-    PushEnd::TimedOut,
-    PushEnd::NoConnection,
-    PushEnd::Dropped,
-    PushEnd::Errored,
+const ENDS: [AttemptOutcome; 6] = [
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::Overloaded,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::Errored,
 ];
 /// How late the roll tells of a host that fell silent.
 const SILENT_LATE: Tenths = Tenths(60_000);
@@ -109,8 +109,8 @@
 
 struct ShardRequest {
     us: u64,
-    /// Where each push went, when, and whether its end was told.
-    pushes: Vec<(usize, Tenths, bool)>,
+    /// Where each attempt went, when, and whether its end was told.
+    attempts: Vec<(usize, Tenths, bool)>,
     came: bool,
 }
 
@@ -157,9 +157,9 @@
     host_due: Vec<Option<Tenths>>,
     /// What the roll last told of each host, and when.
     told: Vec<(Standing, Tenths)>,
-    host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, PushNo, usize)>,
+    host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, AttemptNumber, usize)>,
     next_job: u64,
-    jobs_of: BTreeMap<(usize, ShardRequestId, PushNo), JobNo>,
+    jobs_of: BTreeMap<(usize, ShardRequestId, AttemptNumber), JobNo>,
     /// By their ids, which count up from 0.
     shard_requests: Vec<ShardRequest>,
     queries: Vec<Query>,
@@ -304,11 +304,11 @@
                 Happens::Host { host, event } => self.host_event(host as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
-            Event::Arrive { broker, shard_request, push, host } => {
-                self.arrive(broker, shard_request, push, host)
+            Event::Arrive { broker, shard_request, attempt, host } => {
+                self.arrive(broker, shard_request, attempt, host)
             }
-            Event::Withdrawn { broker, shard_request, push } => {
-                let Some(job) = self.jobs_of.remove(&(broker, shard_request, push)) else { return };
+            Event::Withdrawn { broker, shard_request, attempt } => {
+                let Some(job) = self.jobs_of.remove(&(broker, shard_request, attempt)) else { return };
                 if let Some((.., host)) = self.host_jobs.remove(&job) {
                     self.hosts[host].give_up(self.now, job);
                     self.plan_end(host);
@@ -330,23 +330,23 @@
             Event::HostEnd(host) => {
                 self.host_due[host] = None;
                 while let Some(job) = self.hosts[host].end(self.now) {
-                    if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
-                        self.jobs_of.remove(&(broker, shard_request, push));
+                    if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
+                        self.jobs_of.remove(&(broker, shard_request, attempt));
                         if self.weather.spoils(host) {
-                            self.send_back(broker, shard_request, push, host, 5);
+                            self.send_back(broker, shard_request, attempt, host, 5);
                         } else {
                             self.audit.made(self.now, PartNo(shard_request.0 as usize));
-                            self.send_back(broker, shard_request, push, host, 0);
+                            self.send_back(broker, shard_request, attempt, host, 0);
                         }
                     }
                 }
                 self.plan_end(host);
             }
-            Event::Back { broker, shard_request, push, end } => {
-                self.back(broker, shard_request, push, ENDS[end as usize])
+            Event::Back { broker, shard_request, attempt, end } => {
+                self.back(broker, shard_request, attempt, ENDS[end as usize])
             }
-            Event::TimeOut { broker, shard_request, push } => {
-                self.back(broker, shard_request, push, PushEnd::TimedOut)
+            Event::TimeOut { broker, shard_request, attempt } => {
+                self.back(broker, shard_request, attempt, AttemptOutcome::TimedOut)
             }
             Event::Told { host } => self.tell(host),
             Event::Tick => {}
@@ -368,7 +368,7 @@
         let broker = self.weather.broker(no, self.seats.len());
         let Request { of, until, ref shard_requests, ref mut tries, .. } = self.requests[request];
         *tries += 1;
-        let attempt = *tries - 1;
+        let client_attempt = *tries - 1;
         let (shard_requests, left) = (shard_requests.clone(), until - self.now);
         let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.category, left, &weights);
@@ -376,10 +376,10 @@
         let (category, caller) = (CategoryNo(of.category as u16), CallerNo(of.caller as u32));
         let work = Tenths::ZERO;
         let least_only = false;
-        let new = NewQuery { id, group, category, caller, time_left: left, work, attempt, least_only };
+        let new = NewQuery { id, group, category, caller, time_left: left, work, client_attempt, least_only };
         self.hear(broker, Input::Query(new));
         for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
-            self.shard_requests.push(ShardRequest { us: *us, pushes: Vec::new(), came: false });
+            self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
             let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardNo(*shard), *weight);
             self.hear(broker, Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
@@ -438,8 +438,8 @@
             // What it had is lost without a word.
             Do::Silent { host } => {
                 for job in self.hosts[host].die() {
-                    if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
-                        self.jobs_of.remove(&(broker, shard_request, push));
+                    if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
+                        self.jobs_of.remove(&(broker, shard_request, attempt));
                     }
                 }
                 self.tell_later(host, SILENT_LATE);
@@ -468,7 +468,7 @@
         self.at(self.now + Tenths(every.max(1)), Event::Still(host));
     }
 
-    /// A broker starts anew, with no memory: what it held is lost to its clients, and of its pushes nobody
+    /// A broker starts anew, with no memory: what it held is lost to its clients, and of its attempts nobody
     /// hears.
     fn forget(&mut self, broker: usize) {
         let seed = self.cast.seed ^ (broker as u64).rotate_left(32) ^ self.now.0 as u64;
@@ -486,8 +486,8 @@
                 let shard_requests = &mut self.shard_requests[query.shard_requests.clone()];
                 shard_requests
                     .iter_mut()
-                    .flat_map(|shard_request| &mut shard_request.pushes)
-                    .for_each(|push| push.2 = false);
+                    .flat_map(|shard_request| &mut shard_request.attempts)
+                    .for_each(|attempt| attempt.2 = false);
                 lost.extend(std::mem::take(&mut query.open).then_some((no, query.request)));
             }
         }
@@ -534,9 +534,9 @@
     /// Its process is gone, and what it had is dropped; the roll tells of it late.
     fn fall(&mut self, host: usize) {
         for job in self.hosts[host].die() {
-            if let Some((broker, shard_request, push, _)) = self.host_jobs.remove(&job) {
-                self.jobs_of.remove(&(broker, shard_request, push));
-                self.send_back(broker, shard_request, push, host, 4);
+            if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
+                self.jobs_of.remove(&(broker, shard_request, attempt));
+                self.send_back(broker, shard_request, attempt, host, 4);
             }
         }
         self.tell_later(host, ROLL_LATE);
@@ -547,12 +547,12 @@
         &mut self,
         broker: usize,
         shard_request: ShardRequestId,
-        push: PushNo,
+        attempt: AttemptNumber,
         host: usize,
         end: u8,
     ) {
         if let Some(way) = self.weather.way(broker, host, false) {
-            self.at(self.now + way, Event::Back { broker, shard_request, push, end });
+            self.at(self.now + way, Event::Back { broker, shard_request, attempt, end });
         }
     }
 
@@ -594,9 +594,10 @@
         }
     }
 
-    fn arrive(&mut self, broker: usize, shard_request: ShardRequestId, push: PushNo, host: usize) {
+    fn arrive(&mut self, broker: usize, shard_request: ShardRequestId, attempt: AttemptNumber, host: usize) {
         let no = PartNo(shard_request.0 as usize);
-        let sent = self.shard_requests[no.0].pushes.get(push.0 as usize).map_or(self.now, |push| push.1);
+        let sent =
+            self.shard_requests[no.0].attempts.get(attempt.0 as usize).map_or(self.now, |attempt| attempt.1);
         self.audit.arrived(self.now, sent, no, self.told[host]);
         self.next_job += 1;
         let job = JobNo(self.next_job);
@@ -611,8 +612,8 @@
         let end = match taken {
             Taken::Begun | Taken::Queued => {
                 self.audit.taken(self.now, no);
-                self.host_jobs.insert(job, (broker, shard_request, push, host));
-                self.jobs_of.insert((broker, shard_request, push), job);
+                self.host_jobs.insert(job, (broker, shard_request, attempt, host));
+                self.jobs_of.insert((broker, shard_request, attempt), job);
                 if self.kills(no) {
                     self.weather.books[host].down();
                     self.at(self.now + RISES, Event::Rise(host));
@@ -628,7 +629,7 @@
                 4
             }
         };
-        self.send_back(broker, shard_request, push, host, end);
+        self.send_back(broker, shard_request, attempt, host, end);
     }
 
     fn request_of(&self, shard_request: PartNo) -> Option<&Request> {
@@ -646,17 +647,18 @@
         self.request_of(shard_request).map_or(0, |request| self.means[request.of.category])
     }
 
-    /// A push's one end reaches its broker; what comes later is nobody's.
-    fn back(&mut self, broker: usize, id: ShardRequestId, push: PushNo, end: PushEnd) {
+    /// An attempt's one end reaches its broker; what comes later is nobody's.
+    fn back(&mut self, broker: usize, id: ShardRequestId, attempt: AttemptNumber, end: AttemptOutcome) {
         let Some(shard_request) = self.shard_requests.get_mut(id.0 as usize) else { return };
-        let Some((host, sent, open)) = shard_request.pushes.get_mut(push.0 as usize).filter(|push| push.2)
+        let Some((host, sent, open)) =
+            shard_request.attempts.get_mut(attempt.0 as usize).filter(|attempt| attempt.2)
         else {
             return;
         };
         *open = false;
         let (node, took) = (NodeId(*host as u64), self.now - *sent);
-        shard_request.came |= end == PushEnd::Finished;
-        self.hear(broker, Input::Outcome(PushOutcome { shard_request: id, push, node, end, took }));
+        shard_request.came |= end == AttemptOutcome::Succeeded;
+        self.hear(broker, Input::AttemptEnded(AttemptResult { shard_request: id, attempt, node, end, took }));
     }
 
     // ---- brokers
@@ -697,29 +699,29 @@
 
     fn carry_out(&mut self, broker: usize, effect: Effect) {
         match effect {
-            Effect::Push { shard_request: id, node, time_out } => {
+            Effect::Send { shard_request: id, node, timeout } => {
                 let now = self.now;
                 let Some(shard_request) = self.shard_requests.get_mut(id.0 as usize) else { return };
-                let push = PushNo(shard_request.pushes.len() as u16);
-                shard_request.pushes.push((node.0 as usize, now, true));
+                let attempt = AttemptNumber(shard_request.attempts.len() as u16);
+                shard_request.attempts.push((node.0 as usize, now, true));
                 self.outcome.push(now);
                 let host = node.0 as usize;
                 if let Some(way) = self.weather.way(broker, host, true) {
-                    self.at(now + way, Event::Arrive { broker, shard_request: id, push, host });
+                    self.at(now + way, Event::Arrive { broker, shard_request: id, attempt, host });
                 }
-                self.at(now + time_out, Event::TimeOut { broker, shard_request: id, push });
+                self.at(now + timeout, Event::TimeOut { broker, shard_request: id, attempt });
             }
-            Effect::Withdraw { shard_request, push } => {
+            Effect::Cancel { shard_request, attempt } => {
                 let sent = self
                     .shard_requests
                     .get(shard_request.0 as usize)
-                    .and_then(|shard_request| shard_request.pushes.get(push.0 as usize));
-                let host = sent.map(|push| push.0);
+                    .and_then(|shard_request| shard_request.attempts.get(attempt.0 as usize));
+                let host = sent.map(|attempt| attempt.0);
                 if let Some(way) = host.and_then(|host| self.weather.way(broker, host, true)) {
-                    self.at(self.now + way, Event::Withdrawn { broker, shard_request, push });
+                    self.at(self.now + way, Event::Withdrawn { broker, shard_request, attempt });
                 }
-                // A withdrawn push has its end at once, as far as its broker goes.
-                self.back(broker, shard_request, push, PushEnd::Withdrawn);
+                // A cancelled attempt has its end at once, as far as its broker goes.
+                self.back(broker, shard_request, attempt, AttemptOutcome::Cancelled);
             }
             Effect::Answer { query, whole } => {
                 let shard_requests =
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -138,7 +138,7 @@
 }
 
 /// A quarter of forty hosts is lost and comes back cold at once, under brokers that share nothing: at none of
-/// these sizes does a host fall over. Without lots for the first push, all ten do under thirty brokers.
+/// these sizes does a host fall over. Without lots for the first attempt, all ten do under thirty brokers.
 #[rstest]
 #[case(3)]
 #[case(30)]
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -85,7 +85,7 @@
     let service = [line("service", GREEN_ISH, |s| (s.service.asked > 0.0).then(|| s.service.share()))];
     let latency =
         [line("median", GREEN_ISH, |s| s.latency_ms(0.5)), line("p99", AMBER, |s| s.latency_ms(0.99))];
-    let pushes = [line("pushes", BLUE_GREY, |s| Some(f64::from(s.pushes)))];
+    let attempts = [line("pushes", BLUE_GREY, |s| Some(f64::from(s.attempts)))];
     let hosts = [
         line("warm", GREEN_ISH, |s| standing(s, s.hosts.warm)),
         line("cold", AMBER, |s| standing(s, s.hosts.cold)),
@@ -96,7 +96,7 @@
         ("Retrievals a second", "a second", &load),
         ("Service, by the second in which it was asked", "share of payoff", &service),
         ("Latency of answers", "ms", &latency),
-        ("Pushes that reached hosts, a second", "a second", &pushes),
+        ("Pushes that reached hosts, a second", "a second", &attempts),
         ("Hosts", "hosts", &hosts),
     ];
     all.into_iter()
@@ -153,7 +153,7 @@
         ("Answered", outcome.answered),
         ("Declined", outcome.declined),
         ("Scrapped", outcome.scrapped),
-        ("Pushes", outcome.pushes),
+        ("Pushes", outcome.attempts),
     ];
     for (name, count) in ends {
         row(&mut put, name, count.to_string());
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -160,7 +160,7 @@
             day.latency_ms(0.99),
             day.answered,
             day.declined,
-            day.pushes as f64 / day.queries.max(1) as f64
+            day.attempts as f64 / day.queries.max(1) as f64
         );
         let told = json!({"service": day.service.share(), "worst_10_s": day.worst_window(),
             "retrievals": day.queries, "declined": day.declined, "scrapped": day.scrapped,
@@ -196,7 +196,7 @@
     use super::*;
     use rstest::rstest;
 
-    /// Many brokers' first pushes, and long shard requests of several that met, brought cold hosts down at 2x and 4x.
+    /// Many brokers' first attempts, and long shard requests of several that met, brought cold hosts down at 2x and 4x.
     #[rstest]
     fn no_cold_host_falls_over(#[values(1.0, 2.0, 4.0)] times: f64, #[values(1, 4)] seed: u64) {
         let size = Size { hosts: 30, brokers: 12, seconds: 30, a_second: 120.0, sweep: (&[], 0) };
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -19,7 +19,7 @@
 pub const ROLL_LATE: Tenths = Tenths(10_000);
 /// Goal time of all categories, and the longest that a caller is told to stay away.
 pub const GOAL: Tenths = Tenths(20_000);
-/// How long a push may still go to a node that the roll told to be draining or gone.
+/// How long an attempt may still go to a node that the roll told to be draining or gone.
 const GRACE: Tenths = Tenths(2500);
 const ASK_WITHIN: Tenths = Tenths(100_000);
 const MOST_OPEN: u32 = 2000;
@@ -110,9 +110,9 @@
         layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
         limits: Limits {
             most_open: MOST_OPEN,
-            most_pushes: MOST_PUSHES,
+            max_attempts: MOST_PUSHES,
             copies: true,
-            may_withdraw: true,
+            allow_cancel: true,
             stay_away: true,
             longest_stay_away: GOAL,
         },
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -139,7 +139,7 @@
     /// Beside queries that may run again, a numbered and an at-most-once category.
     #[arg(long)]
     pub effects: bool,
-    /// A stated budget for further pushes: three, and this share of what was taken, in any five seconds.
+    /// A stated budget for further attempts: three, and this share of what was taken, in any five seconds.
     #[arg(long)]
     pub budget: Option<f64>,
     /// The digest and the counts alone.
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -4,13 +4,13 @@
 use crate::frame::{CalledPart, read_report};
 use crate::limits::{Limits, span};
 use crate::listing::Listing;
-use crate::nodes::{Ended, Nodes, PushId, Sending};
+use crate::nodes::{AttemptId, Ended, Nodes, Sending};
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
-    Prescription, Probed, PushEnd, PushNo, PushOutcome, QueryId, Roll, RollEntry, RollKind, ShardNo,
-    ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo,
+    Input, NewQuery, NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind,
+    ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -66,7 +66,7 @@
     edition: Rc<Edition>,
     /// When its goal time is over.
     goal_at: Tenths,
-    /// A push of it found its node down, or lost its connection.
+    /// An attempt of it found its node down, or lost its connection.
     fell: bool,
     until: Tenths,
     shard_requests: Vec<ShardRequestId>,
@@ -79,7 +79,7 @@
     query: QueryId,
     shard: ShardNo,
     wire_id: Bytes,
-    pushes: u16,
+    attempts: u16,
     value: Option<Bytes>,
 }
 
@@ -114,11 +114,11 @@
     bytes: usize,
 }
 
-/// Pushes that are out.
+/// Attempts that are out.
 #[derive(Default)]
 struct Pushes {
-    out: HashMap<PushId, OutPush>,
-    timers: BTreeSet<(Tenths, Timer, PushId)>,
+    out: HashMap<AttemptId, OutPush>,
+    timers: BTreeSet<(Tenths, Timer, AttemptId)>,
 }
 
 struct OutPush {
@@ -128,14 +128,14 @@
 }
 
 impl Pushes {
-    fn enter(&mut self, push: PushId, out: OutPush) {
-        self.timers.extend(out.timers.map(|(at, timer)| (at, timer, push)));
-        self.out.insert(push, out);
+    fn enter(&mut self, attempt: AttemptId, out: OutPush) {
+        self.timers.extend(out.timers.map(|(at, timer)| (at, timer, attempt)));
+        self.out.insert(attempt, out);
     }
 
-    fn strike(&mut self, push: PushId) -> Option<OutPush> {
-        let out = self.out.remove(&push)?;
-        out.timers.iter().for_each(|(at, timer)| _ = self.timers.remove(&(*at, *timer, push)));
+    fn strike(&mut self, attempt: AttemptId) -> Option<OutPush> {
+        let out = self.out.remove(&attempt)?;
+        out.timers.iter().for_each(|(at, timer)| _ = self.timers.remove(&(*at, *timer, attempt)));
         Some(out)
     }
 }
@@ -181,7 +181,7 @@
     started: (Instant, Tenths),
     heard: RefCell<Vec<Input>>,
     book: RefCell<Book>,
-    pushes: RefCell<Pushes>,
+    attempts: RefCell<Pushes>,
     names: RefCell<Names>,
     edition: RefCell<Rc<Edition>>,
     wake_at: Cell<Option<Tenths>>,
@@ -225,7 +225,7 @@
             started: (Instant::now(), now),
             heard: RefCell::new(vec![Input::Woken]),
             book: RefCell::default(),
-            pushes: RefCell::default(),
+            attempts: RefCell::default(),
             names: RefCell::new(Names { zones, ..Names::default() }),
             edition: RefCell::new(edition),
             wake_at: Cell::default(),
@@ -265,9 +265,9 @@
         self.book.borrow().queries.len()
     }
 
-    /// Pushes that are out: the node's address and the id that the wire knows the shard request by, in order. Who
+    /// Attempts that are out: the node's address and the id that the wire knows the shard request by, in order. Who
     /// rehearses a day holds them against what the nodes have, to tell whether anything is under way.
-    pub fn pushes_out(&self) -> Vec<(SocketAddr, Bytes)> {
+    pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
         self.nodes.out()
     }
 
@@ -326,7 +326,7 @@
             caller: question.caller,
             time_left: Tenths::ZERO, // filled in when the turn comes
             work: question.work,
-            attempt: 0,
+            client_attempt: 0,
             least_only: false,
         }));
         for (shard_request, &RequestedShard { shard, weight }) in
@@ -336,7 +336,7 @@
             let wire_id = [&question.id[..], b".", shard.0.to_string().as_bytes()].concat().into();
             book.shard_requests.insert(
                 *shard_request,
-                OpenShardRequest { query: id, shard, wire_id, pushes: 0, value: None },
+                OpenShardRequest { query: id, shard, wire_id, attempts: 0, value: None },
             );
         }
         let (tell, verdict) = oneshot::channel();
@@ -354,8 +354,9 @@
         let mut shard_requests = Vec::with_capacity(open.shard_requests.len());
         for shard_request in &open.shard_requests {
             let Some(entry) = book.shard_requests.remove(shard_request) else { continue };
-            (0..entry.pushes)
-                .for_each(|no| _ = self.nodes.take_back((*shard_request, PushNo(no)), PushEnd::NotSent));
+            (0..entry.attempts).for_each(|no| {
+                _ = self.nodes.take_back((*shard_request, AttemptNumber(no)), AttemptOutcome::NotSent)
+            });
             shard_requests.push(entry);
         }
         book.lacking -= shard_requests.iter().filter(|shard_request| shard_request.value.is_none()).count();
@@ -456,25 +457,26 @@
 
     /// When the next wake-up or time-out is due.
     fn next_due(&self) -> Option<Instant> {
-        let timer = self.pushes.borrow().timers.first().map(|(at, _, _)| *at);
+        let timer = self.attempts.borrow().timers.first().map(|(at, _, _)| *at);
         self.wake_at.get().into_iter().chain(timer).min().map(|at| self.instant(at))
     }
 
-    /// Takes over the ends of pushes, with the values that came.
+    /// Takes over the ends of attempts, with the values that came.
     fn fetch_ended(&self) {
-        for Ended { push: (shard_request, push), end, value, at } in self.nodes.fetch_ended() {
-            let Some(OutPush { node, sent, .. }) = self.pushes.borrow_mut().strike((shard_request, push))
+        for Ended { attempt: (shard_request, attempt), end, value, at } in self.nodes.fetch_ended() {
+            let Some(OutPush { node, sent, .. }) =
+                self.attempts.borrow_mut().strike((shard_request, attempt))
             else {
                 continue;
             };
-            let end = if self.keep_value(shard_request, value) { end } else { PushEnd::Errored };
-            if matches!(end, PushEnd::NoConnection | PushEnd::Dropped) {
+            let end = if self.keep_value(shard_request, value) { end } else { AttemptOutcome::Errored };
+            if matches!(end, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost) {
                 self.note_fall(shard_request);
             }
             let took = self.tenths(at) - sent;
-            self.heard.borrow_mut().push(Input::Outcome(PushOutcome {
+            self.heard.borrow_mut().push(Input::AttemptEnded(AttemptResult {
                 shard_request,
-                push,
+                attempt,
                 node,
                 end,
                 took,
@@ -508,18 +510,18 @@
         open.value.is_some()
     }
 
-    fn next_timer(&self, now: Tenths) -> Option<(Tenths, Timer, PushId)> {
-        let timers = &mut self.pushes.borrow_mut().timers;
+    fn next_timer(&self, now: Tenths) -> Option<(Tenths, Timer, AttemptId)> {
+        let timers = &mut self.attempts.borrow_mut().timers;
         timers.first().filter(|(at, _, _)| *at <= now)?;
         timers.pop_first()
     }
 
     fn turn(&self) {
         let now = self.tenths(Instant::now());
-        while let Some((_, timer, push)) = self.next_timer(now) {
+        while let Some((_, timer, attempt)) = self.next_timer(now) {
             match timer {
-                Timer::Unsent => self.nodes.no_longer(push),
-                Timer::Over => self.nodes.give_up(push, PushEnd::TimedOut),
+                Timer::Unsent => self.nodes.no_longer(attempt),
+                Timer::Over => self.nodes.give_up(attempt, AttemptOutcome::TimedOut),
             }
         }
         self.fetch_ended();
@@ -543,20 +545,20 @@
         self.carry_out(now, effects);
     }
 
-    /// Carries out what the module said in one turn; pushes leave at its end, when they have met in calls.
+    /// Carries out what the module said in one turn; attempts leave at its end, when they have met in calls.
     fn carry_out(&self, now: Tenths, effects: Vec<Effect>) {
         let mut calls: BTreeMap<NodeId, Vec<Sending>> = BTreeMap::new();
-        let mut withdrawn: Vec<PushId> = Vec::new();
+        let mut withdrawn: Vec<AttemptId> = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Push { shard_request, node, time_out } => {
-                    if let Some(sending) = self.push(now, shard_request, node, time_out) {
+                Effect::Send { shard_request, node, timeout } => {
+                    if let Some(sending) = self.push(now, shard_request, node, timeout) {
                         calls.entry(node).or_default().push(sending);
                     }
                 }
-                Effect::Withdraw { shard_request, push } => {
-                    withdrawn.push((shard_request, push));
-                    self.nodes.give_up((shard_request, push), PushEnd::Withdrawn);
+                Effect::Cancel { shard_request, attempt } => {
+                    withdrawn.push((shard_request, attempt));
+                    self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
                 }
                 Effect::Answer { query, whole } => {
                     self.tell(query, |items| Verdict::Answer { whole, items });
@@ -578,10 +580,10 @@
         for (node, mut sendings) in calls {
             // Guards against a shard request that is sent after its query's end, which the same turn brought.
             sendings.retain(|sending| {
-                let stays = self.book.borrow().shard_requests.contains_key(&sending.push.0);
-                let stays = stays && !withdrawn.contains(&sending.push);
+                let stays = self.book.borrow().shard_requests.contains_key(&sending.attempt.0);
+                let stays = stays && !withdrawn.contains(&sending.attempt);
                 if !stays {
-                    self.never_sent(node, sending.push);
+                    self.never_sent(node, sending.attempt);
                 }
                 stays
             });
@@ -591,22 +593,22 @@
         }
     }
 
-    /// Enters a push, and puts it into the wire's terms.
-    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, time_out: Tenths) -> Option<Sending> {
+    /// Enters an attempt, and puts it into the wire's terms.
+    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, timeout: Tenths) -> Option<Sending> {
         let mut book = self.book.borrow_mut();
         let Some(shard_request) = book.shard_requests.get_mut(&id) else {
-            self.never_sent(node, (id, PushNo(0)));
+            self.never_sent(node, (id, AttemptNumber(0)));
             return None;
         };
-        let push = (id, PushNo(shard_request.pushes));
-        shard_request.pushes += 1;
+        let attempt = (id, AttemptNumber(shard_request.attempts));
+        shard_request.attempts += 1;
         let (query, shard, wire_id) =
             (shard_request.query, shard_request.shard.0, shard_request.wire_id.clone());
         let text = book.queries.get(&query)?.text.clone();
-        let timers = [(now + self.limits.unsent, Timer::Unsent), (now + time_out, Timer::Over)];
-        self.pushes.borrow_mut().enter(push, OutPush { node, sent: now, timers });
-        let wait_ms = span(time_out).as_millis().max(1) as u64;
-        Some(Sending { push, shard_request: CalledPart { id: wire_id, shard, wait_ms, text } })
+        let timers = [(now + self.limits.unsent, Timer::Unsent), (now + timeout, Timer::Over)];
+        self.attempts.borrow_mut().enter(attempt, OutPush { node, sent: now, timers });
+        let wait_ms = span(timeout).as_millis().max(1) as u64;
+        Some(Sending { attempt, shard_request: CalledPart { id: wire_id, shard, wait_ms, text } })
     }
 
     /// What probes brought, in the module's terms.
@@ -618,13 +620,13 @@
         }
     }
 
-    fn never_sent(&self, node: NodeId, (shard_request, push): PushId) {
-        self.pushes.borrow_mut().strike((shard_request, push));
-        let (end, took) = (PushEnd::NotSent, Tenths::ZERO);
-        self.hear(Input::Outcome(PushOutcome { shard_request, push, node, end, took }));
+    fn never_sent(&self, node: NodeId, (shard_request, attempt): AttemptId) {
+        self.attempts.borrow_mut().strike((shard_request, attempt));
+        let (end, took) = (AttemptOutcome::NotSent, Tenths::ZERO);
+        self.hear(Input::AttemptEnded(AttemptResult { shard_request, attempt, node, end, took }));
     }
 
-    /// A turn's pushes to one node, in calls of no more shard requests and bytes than a call may have.
+    /// A turn's attempts to one node, in calls of no more shard requests and bytes than a call may have.
     fn split_calls(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
         let mut calls: Vec<Vec<Sending>> = Vec::new();
         let mut bytes = 0;
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -1,14 +1,14 @@
-//! A push and the end of its query in one turn.
+//! An attempt and the end of its query in one turn.
 
 use super::*;
 use crate::limits::Machine;
 use rstest::rstest;
 
-/// A turn may push a shard request and end its query: then the shard request stays unsent, and is told to.
+/// A turn may attempt a shard request and end its query: then the shard request stays unsent, and is told to.
 #[rstest]
 #[case(|query, _| Effect::Scrap { query })]
 #[case(|query, _| Effect::Answer { query, whole: false })]
-#[case(|_, shard_request| Effect::Withdraw { shard_request, push: PushNo(0) })]
+#[case(|_, shard_request| Effect::Cancel { shard_request, attempt: AttemptNumber(0) })]
 fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let mut intake = Intake::default();
@@ -25,10 +25,13 @@
         let taken = desk.take(question).unwrap();
         let shard_request = *desk.book.borrow().shard_requests.keys().next().unwrap();
         desk.heard.take();
-        let push = Effect::Push { shard_request, node: NodeId(1), time_out: Tenths(1000) };
-        desk.carry_out(Tenths(0), vec![push, end(taken.id, shard_request)]);
+        let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: Tenths(1000) };
+        desk.carry_out(Tenths(0), vec![attempt, end(taken.id, shard_request)]);
         let heard = desk.heard.take();
-        assert!(matches!(&heard[..], [Input::Outcome(o)] if o.end == PushEnd::NotSent), "{heard:?}");
+        assert!(
+            matches!(&heard[..], [Input::AttemptEnded(o)] if o.end == AttemptOutcome::NotSent),
+            "{heard:?}"
+        );
         assert!(desk.nodes.fetch_ended().is_empty());
     });
 }
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -28,7 +28,7 @@
     pub declined: u64,
     pub scrapped: u64,
     pub turned_away: u64,
-    /// Of the last four: those of which a push found its node down, or lost its connection.
+    /// Of the last four: those of which an attempt found its node down, or lost its connection.
     pub by_nodes: u64,
 }
 
--- a/crates/broker/src/frame.rs
+++ b/crates/broker/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames between the broker and a node: a length, a letter, the rest.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use routing::{PushEnd, Told};
+use routing::{AttemptOutcome, Told};
 use std::io;
 use tokio_util::codec::Decoder;
 
@@ -30,7 +30,7 @@
 pub enum FromNode {
     Ended {
         id: Bytes,
-        end: PushEnd,
+        end: AttemptOutcome,
         value: Bytes,
     },
     /// The node's reason for closing the connection.
@@ -137,9 +137,9 @@
     let fields: Vec<&[u8]> = line.splitn(4, |byte| *byte == b' ').collect();
     let [id, end, _score, _report] = fields[..] else { return None };
     let end = match end {
-        b"S" => PushEnd::Finished,
-        b"E" => PushEnd::Errored,
-        b"B" => PushEnd::Full,
+        b"S" => AttemptOutcome::Succeeded,
+        b"E" => AttemptOutcome::Errored,
+        b"B" => AttemptOutcome::Overloaded,
         _ => return None,
     };
     // A value is passed on within JSON, which holds text only.
--- a/crates/broker/src/frame/tests.rs
+++ b/crates/broker/src/frame/tests.rs
@@ -20,8 +20,8 @@
         FromNode::Ended { id, end, value }
     };
     let told = [
-        ended("q.3", PushEnd::Finished, "v\n5"),
-        ended("q.4", PushEnd::Full, ""),
+        ended("q.3", AttemptOutcome::Succeeded, "v\n5"),
+        ended("q.4", AttemptOutcome::Overloaded, ""),
         FromNode::Told(Some(Bytes::from_static(b"-"))),
     ];
     assert_eq!(read, told);
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -42,7 +42,7 @@
     pub unheard: Duration,
     /// Parts given up on one connection of which a late answer is told from a wrong one.
     pub late_answers: usize,
-    /// A push that was not written whole by then is taken back, or its connection cut.
+    /// An attempt that was not written whole by then is taken back, or its connection cut.
     pub unsent: Tenths,
     /// A connection to a node is closed when it stood idle for so long.
     pub node_idle: Duration,
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -1,10 +1,10 @@
-//! Connections to nodes. Sends the calls it is handed, and tells of each push exactly one end.
+//! Connections to nodes. Sends the calls it is handed, and tells of each attempt exactly one end.
 
 use crate::frame::{BadFrame, CalledPart, Frames, FromNode, ToNode, is_text};
 use crate::limits::Limits;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{NodeId, PushEnd, PushNo, ShardRequestId};
+use routing::{AttemptNumber, AttemptOutcome, NodeId, ShardRequestId};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -20,24 +20,24 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, warn};
 
-pub type PushId = (ShardRequestId, PushNo);
+pub type AttemptId = (ShardRequestId, AttemptNumber);
 
-/// A push as it is to be sent.
+/// An attempt as it is to be sent.
 #[derive(Debug)]
 pub struct Sending {
-    pub push: PushId,
+    pub attempt: AttemptId,
     pub shard_request: CalledPart,
 }
 
-/// The one end of a push, with the value that it brought.
+/// The one end of an attempt, with the value that it brought.
 pub struct Ended {
-    pub push: PushId,
-    pub end: PushEnd,
+    pub attempt: AttemptId,
+    pub end: AttemptOutcome,
     pub value: Option<Bytes>,
     pub at: Instant,
 }
 
-/// How far the frame of a push has come.
+/// How far the frame of an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
     Not,
@@ -46,7 +46,7 @@
 }
 
 struct Out {
-    push: PushId,
+    attempt: AttemptId,
     written: Written,
 }
 
@@ -54,12 +54,12 @@
 struct Line {
     node: NodeId,
     address: SocketAddr,
-    /// Pushes that are out on it, by the id that the wire knows them by.
+    /// Attempts that are out on it, by the id that the wire knows them by.
     out: RefCell<HashMap<Bytes, Out>>,
     /// What nothing was written of yet.
     queue: RefCell<VecDeque<ToNode>>,
     /// An answer behind which more has come that is not known to be a frame yet.
-    held: RefCell<Option<(PushId, PushEnd, Bytes)>>,
+    held: RefCell<Option<(AttemptId, AttemptOutcome, Bytes)>>,
     /// What was given up on it and may still be answered, the newest last.
     given_up: RefCell<VecDeque<Bytes>>,
     /// Load probes that it has not answered.
@@ -82,7 +82,7 @@
     limits: Rc<Limits>,
     addresses: RefCell<HashMap<NodeId, SocketAddr>>,
     lines: RefCell<HashMap<NodeId, Vec<Rc<Line>>>>,
-    pushes: RefCell<HashMap<PushId, (Rc<Line>, Bytes)>>,
+    attempts: RefCell<HashMap<AttemptId, (Rc<Line>, Bytes)>>,
     /// What probes brought, and nobody has fetched yet; none: the probe failed.
     told: RefCell<Vec<(NodeId, Option<Bytes>)>>,
     /// Ends that nobody has fetched yet.
@@ -97,7 +97,7 @@
             limits,
             addresses: RefCell::default(),
             lines: RefCell::default(),
-            pushes: RefCell::default(),
+            attempts: RefCell::default(),
             told: RefCell::default(),
             ended: RefCell::default(),
             bell: Notify::new(),
@@ -120,14 +120,14 @@
 
     /// What is out, or on its way there: the node's address and the id on the wire, in order.
     pub fn out(&self) -> Vec<(SocketAddr, Bytes)> {
-        let pushes = self.pushes.borrow();
-        let mut out: Vec<_> = pushes.values().map(|(line, id)| (line.address, id.clone())).collect();
+        let attempts = self.attempts.borrow();
+        let mut out: Vec<_> = attempts.values().map(|(line, id)| (line.address, id.clone())).collect();
         out.sort();
         out
     }
 
     pub fn count_out(&self) -> usize {
-        self.pushes.borrow().len()
+        self.attempts.borrow().len()
     }
 
     /// Ends since the last time, in the order in which they came.
@@ -135,9 +135,9 @@
         self.ended.take()
     }
 
-    fn end(&self, push: PushId, end: PushEnd, value: Option<Bytes>) {
-        if self.pushes.borrow_mut().remove(&push).is_some() {
-            self.ended.borrow_mut().push(Ended { push, end, value, at: Instant::now() });
+    fn end(&self, attempt: AttemptId, end: AttemptOutcome, value: Option<Bytes>) {
+        if self.attempts.borrow_mut().remove(&attempt).is_some() {
+            self.ended.borrow_mut().push(Ended { attempt, end, value, at: Instant::now() });
             self.bell.notify_one();
         }
     }
@@ -146,23 +146,25 @@
     pub fn send(self: &Rc<Self>, node: NodeId, call: Vec<Sending>) {
         let Some(line) = self.line_for(node, call.len()) else {
             for sending in call {
-                let (end, at) = (PushEnd::NoConnection, Instant::now());
-                self.ended.borrow_mut().push(Ended { push: sending.push, end, value: None, at });
+                let (end, at) = (AttemptOutcome::ConnectFailed, Instant::now());
+                self.ended.borrow_mut().push(Ended { attempt: sending.attempt, end, value: None, at });
             }
             return self.bell.notify_one();
         };
         let mut shard_requests = Vec::with_capacity(call.len());
-        for Sending { push, shard_request } in call {
-            let before = line.out.borrow().get(&shard_request.id).map(|out| out.push);
-            before.into_iter().for_each(|before| _ = self.take_back(before, PushEnd::NoConnection));
-            let before =
-                line.out.borrow_mut().insert(shard_request.id.clone(), Out { push, written: Written::Not });
-            // The same shard request again on one connection: what is heard from now on is the newer push's.
+        for Sending { attempt, shard_request } in call {
+            let before = line.out.borrow().get(&shard_request.id).map(|out| out.attempt);
+            before.into_iter().for_each(|before| _ = self.take_back(before, AttemptOutcome::ConnectFailed));
+            let before = line
+                .out
+                .borrow_mut()
+                .insert(shard_request.id.clone(), Out { attempt, written: Written::Not });
+            // The same shard request again on one connection: what is heard from now on is the newer attempt's.
             if let Some(before) = before {
                 line.note_given_up(shard_request.id.clone(), self.limits.late_answers);
-                self.end(before.push, PushEnd::Dropped, None);
+                self.end(before.attempt, AttemptOutcome::ConnectionLost, None);
             }
-            self.pushes.borrow_mut().insert(push, (line.clone(), shard_request.id.clone()));
+            self.attempts.borrow_mut().insert(attempt, (line.clone(), shard_request.id.clone()));
             shard_requests.push(shard_request);
         }
         line.queue.borrow_mut().push_back(ToNode::Call(shard_requests));
@@ -187,11 +189,11 @@
         self.bell.notify_one();
     }
 
-    /// Gives a push up. One that was never written is known not to have run, whatever `end` says.
-    pub fn give_up(&self, push: PushId, end: PushEnd) {
-        let Some((line, id)) = self.pushes.borrow().get(&push).cloned() else { return };
-        let unsent = if end == PushEnd::TimedOut { PushEnd::NoConnection } else { end };
-        if self.take_back(push, unsent) {
+    /// Gives an attempt up. One that was never written is known not to have run, whatever `end` says.
+    pub fn give_up(&self, attempt: AttemptId, end: AttemptOutcome) {
+        let Some((line, id)) = self.attempts.borrow().get(&attempt).cloned() else { return };
+        let unsent = if end == AttemptOutcome::TimedOut { AttemptOutcome::ConnectFailed } else { end };
+        if self.take_back(attempt, unsent) {
             return;
         }
         line.queue.borrow_mut().push_back(ToNode::GiveUp(id.clone()));
@@ -202,28 +204,28 @@
         line.note_given_up(id, self.limits.late_answers);
         line.idle_since.set(Instant::now());
         line.ring.notify_one();
-        self.end(push, end, None);
+        self.end(attempt, end, None);
     }
 
     /// What is not whole by now never gets whole. Guards against frames that a slow peer lets lie half written, which
-    /// would reach it in another window than the one that their pushes were counted in. Harm: what else is out on
+    /// would reach it in another window than the one that their attempts were counted in. Harm: what else is out on
     /// that connection is dropped with it.
-    pub fn no_longer(&self, push: PushId) {
-        if self.take_back(push, PushEnd::NoConnection) {
+    pub fn no_longer(&self, attempt: AttemptId) {
+        if self.take_back(attempt, AttemptOutcome::ConnectFailed) {
             return;
         }
-        let pushes = self.pushes.borrow();
-        let Some((line, id)) = pushes.get(&push) else { return };
+        let attempts = self.attempts.borrow();
+        let Some((line, id)) = attempts.get(&attempt) else { return };
         if line.out.borrow().get(id).is_some_and(|out| out.written == Written::Partly) {
             line.cut.notify_one();
         }
     }
 
-    /// Takes a push back of which no byte was written; tells whether that could be done. Guards against
+    /// Takes an attempt back of which no byte was written; tells whether that could be done. Guards against
     /// shard requests that lie in wait behind a connection that does not come up, or a peer that takes nothing,
     /// and go out after their query's end, their node's drain, or the window that they were counted in.
-    pub fn take_back(&self, push: PushId, end: PushEnd) -> bool {
-        let Some((line, id)) = self.pushes.borrow().get(&push).cloned() else { return false };
+    pub fn take_back(&self, attempt: AttemptId, end: AttemptOutcome) -> bool {
+        let Some((line, id)) = self.attempts.borrow().get(&attempt).cloned() else { return false };
         if line.out.borrow().get(&id).is_none_or(|out| out.written != Written::Not) {
             return false;
         }
@@ -234,18 +236,18 @@
             }
         }
         line.ring.notify_one();
-        self.end(push, end, None);
+        self.end(attempt, end, None);
         true
     }
 
     /// Takes back all that was not written to a node that wants nothing new.
     fn take_all_back(&self, node: NodeId) {
-        let pushes = self.pushes.borrow();
-        let mut waiting: Vec<PushId> =
-            pushes.iter().filter(|(_, (line, _))| line.node == node).map(|(push, _)| *push).collect();
-        drop(pushes);
+        let attempts = self.attempts.borrow();
+        let mut waiting: Vec<AttemptId> =
+            attempts.iter().filter(|(_, (line, _))| line.node == node).map(|(attempt, _)| *attempt).collect();
+        drop(attempts);
         waiting.sort();
-        waiting.into_iter().for_each(|push| _ = self.take_back(push, PushEnd::NoConnection));
+        waiting.into_iter().for_each(|attempt| _ = self.take_back(attempt, AttemptOutcome::ConnectFailed));
     }
 
     /// Closes the idle connections to a node.
@@ -340,15 +342,15 @@
         self.move_unwritten(&line);
         (0..line.probes.take()).for_each(|_| self.tell(line.node, None));
         let mut lost: Vec<Out> = line.out.take().into_values().collect();
-        lost.sort_by_key(|out| out.push);
+        lost.sort_by_key(|out| out.attempt);
         for out in lost {
             // Guards against a node that writes noise and is taken for one that fell: its process runs.
             let end = match out.written {
-                Written::Whole if spoilt => PushEnd::Errored,
-                Written::Whole => PushEnd::Dropped,
-                Written::Not | Written::Partly => PushEnd::NoConnection,
+                Written::Whole if spoilt => AttemptOutcome::Errored,
+                Written::Whole => AttemptOutcome::ConnectionLost,
+                Written::Not | Written::Partly => AttemptOutcome::ConnectFailed,
             };
-            self.end(out.push, end, None);
+            self.end(out.attempt, end, None);
         }
     }
 
@@ -362,8 +364,8 @@
             let ToNode::Call(shard_requests) = queued else { continue };
             let taken = |shard_request: CalledPart| {
                 let out = line.out.borrow_mut().remove(&shard_request.id)?;
-                self.pushes.borrow_mut().remove(&out.push);
-                Some(Sending { push: out.push, shard_request })
+                self.attempts.borrow_mut().remove(&out.attempt);
+                Some(Sending { attempt: out.attempt, shard_request })
             };
             let call: Vec<Sending> = shard_requests.into_iter().filter_map(taken).collect();
             if !call.is_empty() {
@@ -406,7 +408,7 @@
                     match out {
                         Some(out) => {
                             line.ring.notify_one();
-                            line.held.replace(Some((out.push, end, value)));
+                            line.held.replace(Some((out.attempt, end, value)));
                             if frames.read_buffer().is_empty() {
                                 self.keep(line);
                             }
@@ -442,10 +444,10 @@
         }
     }
 
-    /// Ends the push whose answer is held with that answer.
+    /// Ends the attempt whose answer is held with that answer.
     fn keep(&self, line: &Line) {
-        let Some((push, end, value)) = line.held.take() else { return };
-        self.end(push, end, (end == PushEnd::Finished).then_some(value));
+        let Some((attempt, end, value)) = line.held.take() else { return };
+        self.end(attempt, end, (end == AttemptOutcome::Succeeded).then_some(value));
     }
 
     /// Guards against a value that is cut, or swollen by the head of the next answer: its length was wrong,
@@ -454,7 +456,10 @@
         if line.out.borrow().is_empty() && !behind_is_text {
             return self.keep(line);
         }
-        line.held.take().into_iter().for_each(|(push, ..)| self.end(push, PushEnd::Errored, None));
+        line.held
+            .take()
+            .into_iter()
+            .for_each(|(attempt, ..)| self.end(attempt, AttemptOutcome::Errored, None));
     }
 
     /// Writes what is queued, until the peer takes nothing more or the connection has been idle too long. Nothing is
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -92,7 +92,7 @@
         let machine =
             Machine { memory_mb: file.limits.memory_mb.max(0.0) as usize, sockets: file.limits.sockets };
         let limits = Limits::new(machine, &intake)?;
-        // From its turn to its last byte a push may have to wait for a connection.
+        // From its turn to its last byte an attempt may have to wait for a connection.
         intake.prescription.send_lag = limits.unsent + limits.period;
         // Discovery is asked here; what the settings call automatic, the agent's watch brings about.
         intake.prescription.roll_on_request = true;
--- a/crates/broker/tests/control/main.rs
+++ b/crates/broker/tests/control/main.rs
@@ -201,7 +201,7 @@
     assert!(broker.log.iter().any(|line| line.contains("it is torn")), "{:#?}", broker.log);
 }
 
-/// Killed while a version is on trial, it is tried again; what was withdrawn stays so past a restart.
+/// Killed while a version is on trial, it is tried again; what was cancelled stays so past a restart.
 #[rstest]
 fn goes_on_with_a_trial_and_remembers_what_it_withdrew() {
     let service = StandIn::start(ANY_PORT, Troubles::default()).unwrap();
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -172,7 +172,7 @@
 // ---- connections to nodes
 
 /// A node closes a connection at rest in the moment in which a call is put on it: nothing was written, so the call goes
-/// on another, also where it may run at most once and only one push is allowed.
+/// on another, also where it may run at most once and only one attempt is allowed.
 #[rstest]
 fn a_call_that_meets_the_close_of_a_resting_connection_goes_on_another() {
     play(async {
@@ -205,7 +205,7 @@
     });
 }
 
-/// A peer that takes nothing lets a frame lie half written. Past the moment by which its push had to leave it never gets
+/// A peer that takes nothing lets a frame lie half written. Past the moment by which its attempt had to leave it never gets
 /// whole, though the peer reads on later: the connection is cut.
 #[rstest]
 fn a_frame_half_written_past_its_moment_never_gets_whole() {
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -43,7 +43,7 @@
     });
 }
 
-/// Pushes of one turn to one node share calls, across queries; turns are the period apart.
+/// Attempts of one turn to one node share calls, across queries; turns are the period apart.
 #[rstest]
 fn pushes_of_one_turn_share_calls() {
     play(async {
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// A stated budget for pushes beyond a shard request's first.
+/// A stated budget for attempts beyond a shard request's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub few: f64,
--- a/crates/config-rollout/src/trial.rs
+++ b/crates/config-rollout/src/trial.rs
@@ -17,7 +17,7 @@
     pub ended: u64,
     /// Late, declined, scrapped or turned away.
     pub bad: u64,
-    /// Of these: those of which a push found its node down, or lost its connection.
+    /// Of these: those of which an attempt found its node down, or lost its connection.
     pub by_nodes: u64,
     /// Nodes that are ready now.
     pub ready: u64,
--- a/crates/config-rollout/src/versions.rs
+++ b/crates/config-rollout/src/versions.rs
@@ -25,7 +25,7 @@
     Broken,
     /// The service has none.
     Nothing,
-    /// These contents were withdrawn once.
+    /// These contents were cancelled once.
     Withdrawn,
     /// Its number is known with other contents.
     Forked,
@@ -102,7 +102,7 @@
     pub at: Tenths,
 }
 
-/// Numbers and withdrawn digests that are remembered; the oldest are forgotten first.
+/// Numbers and cancelled digests that are remembered; the oldest are forgotten first.
 const REMEMBERED: usize = 256;
 /// A version during whose trial the process ended so often is not tried again. One end may be anybody's
 /// doing.
@@ -115,7 +115,7 @@
     pub confirmed: VersionId,
     /// The highest number accepted.
     pub highest: u64,
-    /// Versions that were withdrawn, and why.
+    /// Versions that were cancelled, and why.
     pub withdrawn: Vec<(VersionId, String)>,
     /// The version on trial, and how often it was applied by a process that did not see its trial's end.
     pub trying: Option<(VersionId, u32)>,
@@ -218,7 +218,7 @@
         self.unproven.as_deref()
     }
 
-    /// How an offer compares with what is known. The order counts: contents that were withdrawn are told as
+    /// How an offer compares with what is known. The order counts: contents that were cancelled are told as
     /// such under any number, and a fork as a fork even where its number is old.
     pub fn compare(&self, offer: &Offer) -> (Event, Option<VersionId>, String) {
         let version = match offer {
--- a/crates/config-rollout/tests/life.rs
+++ b/crates/config-rollout/tests/life.rs
@@ -299,7 +299,7 @@
     assert_eq!(play.applied, version(1, "a"));
 }
 
-/// What was withdrawn, and the highest number, outlast the process.
+/// What was cancelled, and the highest number, outlast the process.
 #[rstest]
 fn remembers_past_its_end() {
     let mut play = Play::connected(1);
@@ -369,7 +369,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default() })]
 
     /// Over random sequences: the highest number never falls, each nonce has at most one answer, the report
-    /// is what is applied (held at every input), and contents that were withdrawn are never applied again.
+    /// is what is applied (held at every input), and contents that were cancelled are never applied again.
     #[test]
     fn keeps_its_word(steps in steps(), services in 1..3_usize) {
         let mut play = Play::connected(services);
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -20,7 +20,7 @@
 use routing::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A shard request's push at this host.
+/// A shard request's attempt at this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobNo(pub u64);
 
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -1,15 +1,15 @@
 //! What a broker does.
 
-use crate::ids::{NodeId, PushNo, QueryId, ShardRequestId};
+use crate::ids::{AttemptNumber, NodeId, QueryId, ShardRequestId};
 use crate::time::Tenths;
 
 /// One thing to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a shard request to a node; pushes of one turn to one node share a call.
-    Push { shard_request: ShardRequestId, node: NodeId, time_out: Tenths },
-    /// Call off a push.
-    Withdraw { shard_request: ShardRequestId, push: PushNo },
+    /// Send a shard request to a node; attempts of one turn to one node share a call.
+    Send { shard_request: ShardRequestId, node: NodeId, timeout: Tenths },
+    /// Call off an attempt.
+    Cancel { shard_request: ShardRequestId, attempt: AttemptNumber },
     /// Answer from the shard requests that are in.
     Answer { query: QueryId, whole: bool },
     /// Turn the query away: asking again is harmless, after `stay_away`.
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -15,9 +15,9 @@
     ShardRequestId(u64);
     /// What ties the shard requests to their query when they are handed over.
     GroupNo(u32);
-    /// A push of a shard request: 0 for the first, counted up in sending order.
-    PushNo(u16);
-    /// A call that carries one or more pushes to one node.
+    /// An attempt of a shard request: 0 for the first, counted up in sending order.
+    AttemptNumber(u16);
+    /// A call that carries one or more attempts to one node.
     CallNo(u64);
     /// A node: its address and port.
     NodeId(u64);
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,7 +1,7 @@
 //! What a broker hears.
 
 use crate::ids::{
-    CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PushNo, QueryId, ShardNo, ShardRequestId, ZoneNo,
+    AttemptNumber, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, ZoneNo,
 };
 use crate::prescription::Prescription;
 use crate::time::Tenths;
@@ -20,10 +20,10 @@
     /// A query is handed over; its shard requests follow in the same turn.
     Query(NewQuery),
     ShardRequest(NewShardRequest),
-    /// A push's answer has begun to flow; the shard request is bound to that push.
-    Flowing(ShardRequestId),
-    /// The one end of a push.
-    Outcome(PushOutcome),
+    /// An attempt's answer has begun to flow; the shard request is bound to that attempt.
+    ResponseStarted(ShardRequestId),
+    /// The one end of an attempt.
+    AttemptEnded(AttemptResult),
     /// The caller has left, or its time is up.
     CallerLeft(QueryId),
     /// A wake-up that was asked for.
@@ -81,7 +81,7 @@
     /// The work of all its shard requests, roughly, where that is told; else none.
     pub work: Tenths,
     /// How often its caller asked for it before, where that is told; else 0.
-    pub attempt: u32,
+    pub client_attempt: u32,
     /// Only its least share is to be sent: what stands before the module holds its caller to a share.
     pub least_only: bool,
 }
@@ -95,11 +95,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct PushOutcome {
+pub struct AttemptResult {
     pub shard_request: ShardRequestId,
-    pub push: PushNo,
+    pub attempt: AttemptNumber,
     pub node: NodeId,
-    pub end: PushEnd,
+    pub end: AttemptOutcome,
     pub took: Tenths,
 }
 
@@ -124,19 +124,19 @@
     Aside,
 }
 
-/// How a push ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PushEnd {
-    Finished,
+pub enum AttemptOutcome {
+    Succeeded,
     /// The node answered with an error.
     Errored,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     TimedOut,
-    NoConnection,
-    /// The connection dropped while the push was out.
-    Dropped,
-    Withdrawn,
+    ConnectFailed,
+    /// The connection dropped while the attempt was out.
+    ConnectionLost,
+    Cancelled,
     /// It was never sent.
     NotSent,
 }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,11 +1,11 @@
 //! All decisions of one broker. Make it with `Broker::start`, then give `Broker::turn` what has been heard
 //! and carry out what comes back. What it hears is in `inputs.rs`, what it does in `effects.rs`, what it is
 //! handed at start in `prescription.rs`, what it remembers in `state.rs`; `docs/design.md` tells why. Read
-//! `TABLE` first, the life of a query, then `ENDS`, what each end of a push means. The rest serves them.
+//! `TABLE` first, the life of a query, then `ENDS`, what each end of an attempt means. The rest serves them.
 
 use crate::effects::Effect;
-use crate::ids::{CategoryNo, NodeId, PushNo, QueryId, ShardRequestId};
-use crate::inputs::{Input, NewQuery, PushEnd, PushOutcome, Roll};
+use crate::ids::{AttemptNumber, CategoryNo, NodeId, QueryId, ShardRequestId};
+use crate::inputs::{AttemptOutcome, AttemptResult, Input, NewQuery, Roll};
 use crate::prescription::{Category, EffectKind, FurtherBudget, Layout, Prescription};
 use crate::state::Signal::{self, CallerLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
@@ -34,14 +34,14 @@
 const STEADY: f64 = 32.0;
 /// Before anything was heard, a shard request lasts this share of the shortest goal time.
 const GUESS: f64 = 0.125;
-/// Patience with a push, in average latencies, and its bounds (the lower for room too) in goal times.
+/// Patience with an attempt, in average latencies, and its bounds (the lower for room too) in goal times.
 const PATIENCE: f64 = 3.0;
 const PATIENCE_BOUNDS: [f64; 2] = [0.2, 0.5];
 /// Single shard requests spread this far about a smoothed latency; past the goal time they are out of reach.
 const SPREAD: f64 = 1.5;
 /// A waiting shard request tries again after this share of its goal time, the roll after one of its silence.
 const AGAIN: f64 = 0.05;
-/// Where no budget is stated, further pushes stay under this share of what was taken in `SPAN`.
+/// Where no budget is stated, further attempts stay under this share of what was taken in `SPAN`.
 const OWN_FURTHER: f64 = 0.25;
 /// Room for shard requests out aims at shard requests that take this share of the goal time, grows by this factor at the most
 /// in the time of one, and only where this share of it was used: all may use that, and the rest as far as
@@ -95,21 +95,21 @@
     Row(ANY,         CallerLeft, |_, _| true,           Over,     |_, _| ()),
 ];
 
-/// What a push's end tells: what became of the effect, whether it is harm that counts as pressure, whether
+/// What an attempt's end tells: what became of the effect, whether it is harm that counts as pressure, whether
 /// the node is to blame, and whether its process looks down.
-struct End(PushEnd, Fate, bool, bool, bool);
+struct End(AttemptOutcome, Fate, bool, bool, bool);
 
 #[rustfmt::skip]
 const ENDS: &[End] = &[
     //  end                    effect            harm   blame  down
-    End(PushEnd::Finished,     Fate::MayHaveRun, false, false, false),
-    End(PushEnd::Errored,      Fate::MayHaveRun, false, true,  false),
-    End(PushEnd::Full,         Fate::NeverRan,   true,  true,  false),
-    End(PushEnd::TimedOut,     Fate::MayHaveRun, true,  true,  false),
-    End(PushEnd::NoConnection, Fate::NeverRan,   false, true,  true),
-    End(PushEnd::Dropped,      Fate::MayHaveRun, false, true,  true),
-    End(PushEnd::Withdrawn,    Fate::MayHaveRun, false, false, false),
-    End(PushEnd::NotSent,      Fate::Void,       false, false, false),
+    End(AttemptOutcome::Succeeded,     Fate::MayHaveRun, false, false, false),
+    End(AttemptOutcome::Errored,      Fate::MayHaveRun, false, true,  false),
+    End(AttemptOutcome::Overloaded,         Fate::NeverRan,   true,  true,  false),
+    End(AttemptOutcome::TimedOut,     Fate::MayHaveRun, true,  true,  false),
+    End(AttemptOutcome::ConnectFailed, Fate::NeverRan,   false, true,  true),
+    End(AttemptOutcome::ConnectionLost,      Fate::MayHaveRun, false, true,  true),
+    End(AttemptOutcome::Cancelled,    Fate::MayHaveRun, false, false, false),
+    End(AttemptOutcome::NotSent,      Fate::Void,       false, false, false),
 ];
 
 /// Decides for one broker, from nothing but what that broker was told.
@@ -147,14 +147,14 @@
             payoff: c.payoff,
         };
         // A broker's own restraint where none is stated: one node's outage must not double the load.
-        let own = FurtherBudget { floor: p.limits.most_pushes.into(), share: OWN_FURTHER, window: SPAN };
+        let own = FurtherBudget { floor: p.limits.max_attempts.into(), share: OWN_FURTHER, window: SPAN };
         let rows = p.categories.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
         let shortest_goal = p.categories.values().map(|c| c.goal_time.min(c.cut_off)).min().unwrap_or(SPAN);
         Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, prescription: p }
     }
 
     /// Takes a new prescription. What outlives the old one goes by what it means: rates by caller, payoffs by
-    /// category, pushes by time. The old one binds on, beside the new, for as long as a window of its rules
+    /// category, attempts by time. The old one binds on, beside the new, for as long as a window of its rules
     /// reaches back. Guards against a change that would let twice the budget through in one window.
     fn prescribe(&mut self, prescription: Prescription) {
         let old = std::mem::replace(&mut self.terms, Arc::new(Broker::read(prescription)));
@@ -205,8 +205,8 @@
             Input::Prescription(new) => self.prescribe((**new).clone()),
             Input::Query(new) => self.take(new),
             Input::ShardRequest(new) => self.s.add_shard_request(new),
-            Input::Flowing(shard_request) => self.s.bind(shard_request),
-            Input::Outcome(outcome) => self.push_ended(outcome),
+            Input::ResponseStarted(shard_request) => self.s.bind(shard_request),
+            Input::AttemptEnded(outcome) => self.push_ended(outcome),
             Input::CallerLeft(id) => self.signal(*id, CallerLeft),
             Input::Probed(probed) => self.s.note_probed(probed),
             Input::Woken | Input::Aside => {}
@@ -217,7 +217,7 @@
         match due {
             Due::Goal(id) => self.signal(id, GoalNear),
             Due::CutOff(id) => self.signal(id, CutOffNear),
-            Due::Look(shard_request, push) => self.look_after(shard_request, push),
+            Due::Look(shard_request, attempt) => self.look_after(shard_request, attempt),
             Due::Again(shard_request) => self.s.wanted.push(shard_request),
             Due::Halfway(id) => self.signal(id, PartIn),
             Due::Room(id) => self.signal(id, Ready),
@@ -234,7 +234,7 @@
             act(self, &mut r);
         }
         match r.stage {
-            Over => self.s.let_go(&r, r.terms.prescription.limits.may_withdraw),
+            Over => self.s.let_go(&r, r.terms.prescription.limits.allow_cancel),
             Answered => {
                 self.s.put(r);
                 self.signal(id, Said);
@@ -342,11 +342,11 @@
     }
 
     /// Guards against nodes that drown in shard requests nobody can use: where a query needs all of many shard requests,
-    /// none is sent while so many are refused that with all its pushes it would hardly be whole. That tells
+    /// none is sent while so many are refused that with all its attempts it would hardly be whole. That tells
     /// nothing of nodes, so the span forgets, and one is tried again. Harm: what luck would have served.
     fn unlikely(&mut self, r: &Query) -> bool {
         let refused = self.s.refused.share(self.s.now, SPAN, 1.0 / START);
-        let misses = refused.powi(r.terms.prescription.limits.most_pushes.max(1) as i32);
+        let misses = refused.powi(r.terms.prescription.limits.max_attempts.max(1) as i32);
         r.row.least >= r.row.whole && (1.0 - misses).powi(r.shard_requests.len() as i32) < UNLIKELY
     }
 
@@ -382,7 +382,7 @@
     fn ask(&mut self, r: &mut Query) {
         let (least, partial) = (r.row.least, r.row.least < r.row.whole);
         let (mut sent, out) = (0.0, self.s.tickets.len());
-        let first = r.shard_requests.iter().all(|shard_request| shard_request.pushes.is_empty());
+        let first = r.shard_requests.iter().all(|shard_request| shard_request.attempts.is_empty());
         r.scouting =
             first && r.shard_requests.len() > 1 && self.s.falls.share(self.s.now, SPAN, 1.0 / START) > START;
         for (count, at) in self.plan(r, r.least_only).into_iter().enumerate() {
@@ -455,7 +455,7 @@
     }
 
     fn clear_parts(&mut self, r: &mut Query) {
-        self.s.drop_parts(r, r.terms.prescription.limits.may_withdraw);
+        self.s.drop_parts(r, r.terms.prescription.limits.allow_cancel);
         r.second_step = true;
     }
 
@@ -465,7 +465,7 @@
             self.s.bar(r, self.s.now + r.row.cut_off);
         }
         let (limits, goal) = (&r.terms.prescription.limits, r.row.goal);
-        let mut fates = r.shard_requests.iter().flat_map(|p| &p.pushes).map(|push| push.fate);
+        let mut fates = r.shard_requests.iter().flat_map(|p| &p.attempts).map(|attempt| attempt.fate);
         let never_ran = fates.all(|fate| matches!(fate, Fate::NeverRan | Fate::Void));
         let harmless =
             self.effects_of(r).all(|(kind, _)| kind == EffectKind::Reissuable) || never_ran && !r.second_step;
@@ -498,9 +498,9 @@
         self.s.hold(Query::taken(new, (terms, row), within_share, goal, times));
     }
 
-    // ---- pushes
+    // ---- attempts
 
-    /// Chooses a node for each wanted shard request; pushes of one turn to one node share its call.
+    /// Chooses a node for each wanted shard request; attempts of one turn to one node share its call.
     fn send_wanted(&mut self) {
         self.s.out_at_turn = (self.s.tickets.len() + self.s.wanted.len()) as f64;
         for id in std::mem::take(&mut self.s.wanted) {
@@ -520,11 +520,11 @@
     fn push(&mut self, r: &mut Query, at: usize) {
         let now = self.s.now;
         let (goal, late_life) = (r.row.goal, r.row.late_life);
-        let further = !r.shard_requests[at].pushes.is_empty();
+        let further = !r.shard_requests[at].attempts.is_empty();
         let held = further && self.kills(r);
         if held && r.weight(&[ShardRequestState::Out]) == 0.0 || further && !self.may_push_again(r, at, true)
         {
-            // It brings nodes down, or waited so long that another push is no longer harmless.
+            // It brings nodes down, or waited so long that another attempt is no longer harmless.
             r.shard_requests[at].stage =
                 if r.shard_requests[at].out() > 0 { ShardRequestState::Out } else { ShardRequestState::Lost };
             return;
@@ -538,7 +538,7 @@
                 if shard_request.out() > 0 { ShardRequestState::Out } else { ShardRequestState::Wanted };
             return self.later(goal, Due::Again(shard_request.id));
         };
-        let no = PushNo(shard_request.pushes.len() as u16);
+        let no = AttemptNumber(shard_request.attempts.len() as u16);
         let (id, within_share, category, out) =
             (shard_request.id, r.within_share, r.category, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
@@ -547,11 +547,11 @@
         let (cold, per_call) = (self.is_cold(node), self.terms.prescription.layout.per_call);
         let call = self.s.board(node, per_call, cold.then_some(category), lull);
         shard_request.stage = ShardRequestState::Out;
-        shard_request.pushes.push(Push { node, sent: now, fate: Fate::Out });
+        shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
         let ticket = Ticket { node, call, within_share, category, goal, out, crowded, lull, silent: false };
         self.s.tickets.insert((id, no), ticket);
         let life = (r.goal_at + late_life).min(r.cut_off_at) - now;
-        self.s.effects.push(Effect::Push { shard_request: id, node, time_out: life.max(Tenths(1)) });
+        self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
         self.s.agenda.insert((now + self.patience(r.goal), Due::Look(id, no)));
     }
 
@@ -577,8 +577,8 @@
         category: CategoryNo,
         shard_request: &ShardRequest,
     ) -> Option<NodeId> {
-        let open = |id: &NodeId| shard_request.pushes.iter().all(|p| p.node != *id || p.fate != Fate::Out);
-        let tried = |id: &NodeId| shard_request.pushes.iter().any(|p| p.node == *id);
+        let open = |id: &NodeId| shard_request.attempts.iter().all(|p| p.node != *id || p.fate != Fate::Out);
+        let tried = |id: &NodeId| shard_request.attempts.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
             .s
             .holders_of(layout, shard_request)
@@ -602,9 +602,9 @@
         Some(tied[self.rng.usize(..tied.len())])
     }
 
-    /// Guards against connections dropped unseen while idle, which looks like many sick nodes: pushes after a
+    /// Guards against connections dropped unseen while idle, which looks like many sick nodes: attempts after a
     /// lull are dropped at once, where a dead node would refuse the connection, or a fifth of them come to
-    /// nothing on kept ones, and half as many on fresh. Then idle ones are closed before a push. Harm:
+    /// nothing on kept ones, and half as many on fresh. Then idle ones are closed before an attempt. Harm:
     /// handshakes.
     fn line_after_lull(&mut self, id: NodeId, sure: bool) -> Option<(Line, Tenths)> {
         let (now, node) = (self.s.now, &self.s.nodes[&id]);
@@ -627,9 +627,9 @@
         kept >= 2.0 * START && fresh <= kept / 2.0
     }
 
-    /// A push that went out on a kept connection after a lull is silent; whether so many were that it is
+    /// An attempt that went out on a kept connection after a lull is silent; whether so many were that it is
     /// lost.
-    fn deaf_line(&mut self, id: ShardRequestId, no: PushNo) -> bool {
+    fn deaf_line(&mut self, id: ShardRequestId, no: AttemptNumber) -> bool {
         let kept = self.s.tickets.get_mut(&(id, no)).filter(|t| t.on_kept_line());
         let Some(ticket) = kept else { return false };
         if !std::mem::replace(&mut ticket.silent, true) {
@@ -645,21 +645,22 @@
     /// Guards against shard requests that no answer comes to (a node hung, silent or cut off, an answer lost): once
     /// patience is up, the node has answered nothing for as long, or one sent later by an average latency,
     /// and another holder looks faster than the wait, the shard request is pushed there too. Without copies an
-    /// overtaken one is withdrawn first, others wait: that loses the answer. Harm: work done twice.
-    fn look_after(&mut self, id: ShardRequestId, no: PushNo) {
+    /// overtaken one is cancelled first, others wait: that loses the answer. Harm: work done twice.
+    fn look_after(&mut self, id: ShardRequestId, no: AttemptNumber) {
         let Some((mut r, at)) = self.s.lift(id) else { return };
-        let (push, now, average) = (&r.shard_requests[at].pushes[no.0 as usize], self.s.now, self.average());
+        let (attempt, now, average) =
+            (&r.shard_requests[at].attempts[no.0 as usize], self.s.now, self.average());
         let waits = r.shard_requests[at].stage == ShardRequestState::Out && !r.shard_requests[at].flowing;
-        if r.stage == Asking && waits && push.fate == Fate::Out {
-            let node = self.s.nodes.get(&push.node);
-            let overtaken = node.is_some_and(|n| n.answered > push.sent + average);
-            let heard = node.map_or(push.sent, |n| n.heard_at.max(push.sent));
+        if r.stage == Asking && waits && attempt.fate == Fate::Out {
+            let node = self.s.nodes.get(&attempt.node);
+            let overtaken = node.is_some_and(|n| n.answered > attempt.sent + average);
+            let heard = node.map_or(attempt.sent, |n| n.heard_at.max(attempt.sent));
             let silent = now - heard >= self.patience(r.goal);
-            let here = node.map_or(average, |n| self.latency(n)).max(now - push.sent);
+            let here = node.map_or(average, |n| self.latency(n)).max(now - attempt.sent);
             let deaf = silent && self.deaf_line(id, no);
             let lost = overtaken || silent;
             let limits = &r.terms.prescription.limits;
-            let may = limits.copies || (overtaken || deaf) && limits.may_withdraw;
+            let may = limits.copies || (overtaken || deaf) && limits.allow_cancel;
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
             let other = self.choose(&r.terms.prescription.layout, r.category, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
@@ -668,7 +669,7 @@
                 if limits.copies {
                     self.s.want(&mut r.shard_requests[at]);
                 } else {
-                    self.s.effects.push(Effect::Withdraw { shard_request: id, push: no });
+                    self.s.effects.push(Effect::Cancel { shard_request: id, attempt: no });
                 }
             } else {
                 self.later(r.goal, Due::Look(id, no));
@@ -680,17 +681,19 @@
         self.s.put(r);
     }
 
-    /// Whether another push of a shard request would keep rule 2 and its count. `copy`: while one is out.
+    /// Whether another attempt of a shard request would keep rule 2 and its count. `copy`: while one is out.
     fn may_push_again(&self, r: &Query, at: usize, copy: bool) -> bool {
         let (row, shard_request) = (&r.row, &r.shard_requests[at]);
-        let ran =
-            shard_request.pushes.iter().filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
+        let ran = shard_request
+            .attempts
+            .iter()
+            .filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
         let first = ran.map(|p| p.sent).min();
         let then = self.s.now + self.leaves_by();
         let pays = row.payoff / r.shard_requests.len() as f64;
         let best = self.s.pays.values().map(|p| p[1]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
-        let further = f64::from(r.terms.prescription.limits.most_pushes.max(1) - 1) * pays / best;
-        shard_request.pushes.len() <= (further + 0.5) as usize
+        let further = f64::from(r.terms.prescription.limits.max_attempts.max(1) - 1) * pays / best;
+        shard_request.attempts.len() <= (further + 0.5) as usize
             && self.effects_of(r).all(|(effect, window)| match (effect, first) {
                 (_, None) | (EffectKind::Reissuable, _) => true,
                 (EffectKind::Numbered, Some(first)) => then - first <= window,
@@ -705,27 +708,27 @@
         std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.repeat_window))
     }
 
-    fn push_ended(&mut self, outcome: &PushOutcome) {
+    fn push_ended(&mut self, outcome: &AttemptResult) {
         let Some(end) = ENDS.iter().find(|end| end.0 == outcome.end) else { return };
-        let ticket = self.s.tickets.remove(&(outcome.shard_request, outcome.push));
+        let ticket = self.s.tickets.remove(&(outcome.shard_request, outcome.attempt));
         ticket.iter().for_each(|ticket| self.learn(ticket, outcome, end));
         if end.1 == Fate::Void {
-            self.s.further.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.push));
+            self.s.further.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.attempt));
         }
         let Some((mut r, at)) = self.s.lift(outcome.shard_request) else { return };
         let (rid, was) = (r.id, r.shard_requests[at].stage);
-        let fell = outcome.end == PushEnd::Dropped && ticket.is_some_and(|t| !t.on_kept_line());
+        let fell = outcome.end == AttemptOutcome::ConnectionLost && ticket.is_some_and(|t| !t.on_kept_line());
         r.fallen.extend(fell.then_some(outcome.node));
         r.shard_requests[at]
-            .pushes
-            .get_mut(outcome.push.0 as usize)
+            .attempts
+            .get_mut(outcome.attempt.0 as usize)
             .into_iter()
-            .for_each(|push| push.fate = end.1);
+            .for_each(|attempt| attempt.fate = end.1);
         let again = r.stage == Asking && self.may_push_again(&r, at, false);
         let stage = match outcome.end {
-            end if was == ShardRequestState::In || end == PushEnd::Finished => ShardRequestState::In,
+            end if was == ShardRequestState::In || end == AttemptOutcome::Succeeded => ShardRequestState::In,
             _ if r.shard_requests[at].out() > 0 => ShardRequestState::Out,
-            PushEnd::NotSent => ShardRequestState::Lost,
+            AttemptOutcome::NotSent => ShardRequestState::Lost,
             _ if again => ShardRequestState::Wanted,
             _ => ShardRequestState::Lost,
         };
@@ -741,32 +744,32 @@
 
     /// Keeps latencies and pressure. Guards against quick errors that would make a dead node look fast: a
     /// failure counts as the average latency at least, doubled for each failure in a row.
-    fn learn(&mut self, ticket: &Ticket, outcome: &PushOutcome, end: &End) {
+    fn learn(&mut self, ticket: &Ticket, outcome: &AttemptResult, end: &End) {
         let (now, average) = (self.s.now, self.average());
         let &End(_, fate, harm, blame, down) = end;
-        let cut_line = outcome.end == PushEnd::Dropped && ticket.on_kept_line();
+        let cut_line = outcome.end == AttemptOutcome::ConnectionLost && ticket.on_kept_line();
         if let Some((line, lull)) = ticket.lull.filter(|_| fate != Fate::Void) {
             let silent = self.s.nodes.get(&ticket.node).is_none_or(|n| now - outcome.took >= n.heard_at);
-            let lost = blame || outcome.end == PushEnd::Withdrawn && silent && outcome.took > average;
+            let lost = blame || outcome.end == AttemptOutcome::Cancelled && silent && outcome.took > average;
             let [lost, told] = [lost, ticket.silent].map(|is| f64::from(u8::from(is)));
             self.s.lost_lines[line as usize].count(now, LONG, lost - told, 1.0 - told);
             if cut_line && outcome.took <= self.terms.prescription.period.times(2.0) {
                 self.s.note_dropped(lull, LONG);
             }
         }
-        if fate != Fate::Void && outcome.end != PushEnd::Withdrawn {
+        if fate != Fate::Void && outcome.end != AttemptOutcome::Cancelled {
             self.s.falls.count(now, SPAN, f64::from(u8::from(down)), 1.0);
             self.s.count_harm(SPAN, ticket.within_share, f64::from(u8::from(harm)), 1.0);
             self.s.refused.count(now, SPAN, f64::from(u8::from(harm)), 1.0);
             self.fit_room(ticket, outcome.took);
         }
-        if outcome.end == PushEnd::Finished {
+        if outcome.end == AttemptOutcome::Succeeded {
             self.s.paces.entry(ticket.category).or_default().note(outcome.took, STEADY);
         }
         self.s.amend(ticket.node, |node| {
             node.leave(ticket.call);
             let early = node.latency.is_some_and(|l| outcome.took < l);
-            if fate == Fate::Void || cut_line || outcome.end == PushEnd::Withdrawn && early {
+            if fate == Fate::Void || cut_line || outcome.end == AttemptOutcome::Cancelled && early {
                 return;
             }
             // Those out together fail together: one failure in a row, not many.
@@ -777,7 +780,7 @@
             let sample = if blame { outcome.took.max(penalty) } else { outcome.took };
             let old = node.latency.unwrap_or(sample);
             (node.latency, node.sampled_at) = (Some(old + (sample - old).times(NEWEST)), now);
-            if outcome.end == PushEnd::Finished {
+            if outcome.end == AttemptOutcome::Succeeded {
                 (node.failures, node.heard_at) = (0, now);
                 node.answered = node.answered.max(now - outcome.took);
             }
@@ -827,7 +830,7 @@
 
     /// Rule 4, whatever the other brokers send: a cold node gets this broker's even share of what one that
     /// does one shard request at a time bears in a window, by the share it has warmed to; shard requests count as long as their
-    /// category's ever were on average. While it fails again and again it gets one push a window.
+    /// category's ever were on average. While it fails again and again it gets one attempt a window.
     fn has_room(&self, id: NodeId, category: CategoryNo, shard_request: ShardRequestId) -> bool {
         !self.is_cold(id) || self.binding().all(|terms| self.bears(id, category, shard_request, terms))
     }
@@ -889,8 +892,8 @@
         self.s.agenda.insert((self.s.now + doubled, Due::FollowRoll));
     }
 
-    /// Guards against pushes that wait for a connection and reach their node in another window than their
-    /// turn's: two turns, and what the front may need to send one. Harm: a few further pushes less.
+    /// Guards against attempts that wait for a connection and reach their node in another window than their
+    /// turn's: two turns, and what the front may need to send one. Harm: a few further attempts less.
     fn leaves_by(&self) -> Tenths {
         self.terms.prescription.period.times(2.0) + self.terms.prescription.send_lag
     }
@@ -917,7 +920,7 @@
     }
 
     /// Rule 6, and the broker's own restraint: in any window a few, plus a share of what was taken. What was
-    /// taken counts over a window shorter by the way to a node, further pushes over a longer.
+    /// taken counts over a window shorter by the way to a node, further attempts over a longer.
     fn further_left(&self) -> bool {
         let slack = self.leaves_by();
         self.binding().all(|Terms { further, .. }| {
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -14,7 +14,7 @@
     pub zone: ZoneNo,
     /// The least time between two turns.
     pub period: Tenths,
-    /// The longest that a push may take from its turn to its node.
+    /// The longest that an attempt may take from its turn to its node.
     pub send_lag: Tenths,
     pub categories: BTreeMap<CategoryNo, Category>,
     pub callers: BTreeMap<CallerNo, Caller>,
@@ -48,7 +48,7 @@
     /// Parts of a second step, asked for after the first answer; 0 for none.
     pub second_parts: u32,
     pub effect: EffectKind,
-    /// Numbered only: how long repeats are dropped, from the first push that may have run.
+    /// Numbered only: how long repeats are dropped, from the first attempt that may have run.
     pub repeat_window: Tenths,
 }
 
@@ -94,11 +94,11 @@
 pub struct Limits {
     /// The most queries and shard requests held at once.
     pub most_open: u32,
-    /// The most pushes for one shard request.
-    pub most_pushes: u32,
-    /// A shard request may have two pushes out at once.
+    /// The most attempts for one shard request.
+    pub max_attempts: u32,
+    /// A shard request may have two attempts out at once.
     pub copies: bool,
-    pub may_withdraw: bool,
+    pub allow_cancel: bool,
     /// Callers are told how long to stay away, up to `longest_stay_away`.
     pub stay_away: bool,
     pub longest_stay_away: Tenths,
@@ -121,7 +121,7 @@
     pub further: Option<FurtherBudget>,
 }
 
-/// The stated budget for pushes beyond a shard request's first.
+/// The stated budget for attempts beyond a shard request's first.
 #[derive(Clone, Debug, Default)]
 pub struct FurtherBudget {
     pub floor: f64,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,9 +1,10 @@
-//! What a broker remembers, grouped by how long it lives: for one push, for one query (with
+//! What a broker remembers, grouped by how long it lives: for one attempt, for one query (with
 //! its shard requests), for one node, for the instance.
 
 use crate::effects::Effect;
 use crate::ids::{
-    CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, PushNo, QueryId, ShardNo, ShardRequestId, ZoneNo,
+    AttemptNumber, CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId,
+    ZoneNo,
 };
 use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
 use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription};
@@ -11,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// What is known of a push's effect.
+/// What is known of an attempt's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Out,
@@ -21,7 +22,7 @@
     Void,
 }
 
-/// One push of a shard request.
+/// One attempt of a shard request.
 #[derive(Clone, Debug)]
 pub struct Push {
     pub node: NodeId,
@@ -29,14 +30,14 @@
     pub fate: Fate,
 }
 
-/// The connection that a push after a lull travels on.
+/// The connection that an attempt after a lull travels on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Line {
     Kept,
     Fresh,
 }
 
-/// What a push leaves on the books until its end is heard, also past its query's end.
+/// What an attempt leaves on the books until its end is heard, also past its query's end.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     pub node: NodeId,
@@ -77,9 +78,9 @@
     pub shard: ShardNo,
     pub weight: f64,
     pub stage: ShardRequestState,
-    /// Its answer has begun to flow: bound to one push.
+    /// Its answer has begun to flow: bound to one attempt.
     pub flowing: bool,
-    pub pushes: Vec<Push>,
+    pub attempts: Vec<Push>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,7 +128,7 @@
     pub second_step: bool,
     /// The first step's answer was whole.
     pub first_whole: bool,
-    /// Nodes that dropped a push of it.
+    /// Nodes that dropped an attempt of it.
     pub fallen: BTreeSet<NodeId>,
     /// Only its first shard request is out, the others wait for that.
     pub scouting: bool,
@@ -156,7 +157,7 @@
     pub latency: Option<Tenths>,
     pub sampled_at: Tenths,
     pub heard_at: Tenths,
-    /// When the newest push that it answered was sent.
+    /// When the newest attempt that it answered was sent.
     pub answered: Tenths,
     /// Failures in a row.
     pub failures: u32,
@@ -169,7 +170,7 @@
     /// The call of this turn, and how many shard requests it carries.
     pub riding: Option<(CallNo, u32)>,
     pub line: Option<(Line, Tenths)>,
-    /// When pushes went to it while it was cold.
+    /// When attempts went to it while it was cold.
     pub cold_pushes: VecDeque<(Tenths, CategoryNo)>,
 }
 
@@ -290,7 +291,7 @@
     pub goal: Tenths,
     pub stretch: f64,
     pub cut_off: Tenths,
-    /// How long after its goal a push may still be of use.
+    /// How long after its goal an attempt may still be of use.
     pub late_life: Tenths,
     /// An answer after the goal time is worth waiting for.
     pub late_pays: bool,
@@ -307,8 +308,8 @@
 pub enum Due {
     Goal(QueryId),
     CutOff(QueryId),
-    /// A push's patience is up.
-    Look(ShardRequestId, PushNo),
+    /// An attempt's patience is up.
+    Look(ShardRequestId, AttemptNumber),
     /// A first step has had half of the goal time.
     Halfway(QueryId),
     /// A query that waits for room looks again.
@@ -337,7 +338,7 @@
     pub queries: BTreeMap<QueryId, Query>,
     pub groups: BTreeMap<GroupNo, QueryId>,
     pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
-    pub tickets: BTreeMap<(ShardRequestId, PushNo), Ticket>,
+    pub tickets: BTreeMap<(ShardRequestId, AttemptNumber), Ticket>,
     pub agenda: BTreeSet<(Tenths, Due)>,
     pub woken_at: Option<Tenths>,
     /// Queries that got shard requests in this turn.
@@ -354,14 +355,14 @@
     pub paces: BTreeMap<CategoryNo, Pace>,
     /// Over all shard requests, and over those of callers within their share.
     pub pressure: [Window; 2],
-    /// Of pushes, those refused as full or timed out.
+    /// Of attempts, those refused as full or timed out.
     pub refused: Window,
     pub cutting: bool,
-    /// Of all pushes, those that found their node down or saw it fall.
+    /// Of all attempts, those that found their node down or saw it fall.
     pub falls: Gauge,
-    /// Of pushes after a lull, those lost: on kept connections, and on fresh ones.
+    /// Of attempts after a lull, those lost: on kept connections, and on fresh ones.
     pub lost_lines: [Gauge; 2],
-    /// The shortest lull after which a push was dropped at once, and when that was last seen.
+    /// The shortest lull after which an attempt was dropped at once, and when that was last seen.
     pub dropped: Option<(Tenths, Tenths)>,
     /// How many shard requests this broker may have out.
     pub room: f64,
@@ -372,7 +373,7 @@
     /// Questions not asked again until then.
     pub barred: BTreeMap<(CategoryNo, BTreeSet<ShardNo>), Tenths>,
     pub taken: VecDeque<Tenths>,
-    pub further: VecDeque<(Tenths, ShardRequestId, PushNo)>,
+    pub further: VecDeque<(Tenths, ShardRequestId, AttemptNumber)>,
     /// When shard requests were asked for.
     pub asked: VecDeque<Tenths>,
     /// No word of the roll has come since it was last asked for.
@@ -426,9 +427,9 @@
 }
 
 impl ShardRequest {
-    /// How many of its pushes are out.
+    /// How many of its attempts are out.
     pub fn out(&self) -> usize {
-        self.pushes.iter().filter(|push| push.fate == Fate::Out).count()
+        self.attempts.iter().filter(|attempt| attempt.fate == Fate::Out).count()
     }
 }
 
@@ -445,7 +446,7 @@
         self.cold_pushes.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, category)| *category)
     }
 
-    /// A shard request's push has come to its end.
+    /// A shard request's attempt has come to its end.
     pub fn leave(&mut self, call: CallNo) {
         if let Some(call) = self.calls.get_mut(&call) {
             call.parts_out -= 1;
@@ -537,8 +538,8 @@
     }
 
     /// Strikes a query; what it still has out is called off, where that is allowed.
-    pub fn let_go(&mut self, r: &Query, may_withdraw: bool) {
-        self.withdraw_all(r, may_withdraw);
+    pub fn let_go(&mut self, r: &Query, allow_cancel: bool) {
+        self.withdraw_all(r, allow_cancel);
         r.shard_requests.iter().for_each(|shard_request| _ = self.shard_requests.remove(&shard_request.id));
         self.groups.remove(&r.group);
         self.waiting.remove(&r.id);
@@ -548,8 +549,8 @@
     }
 
     /// Strikes a first step's shard requests, likewise.
-    pub fn drop_parts(&mut self, r: &mut Query, may_withdraw: bool) {
-        self.withdraw_all(r, may_withdraw);
+    pub fn drop_parts(&mut self, r: &mut Query, allow_cancel: bool) {
+        self.withdraw_all(r, allow_cancel);
         r.fallen.clear();
         r.shard_requests
             .drain(..)
@@ -561,14 +562,14 @@
         let Some(id) = self.groups.get(&new.group) else { return };
         let Some(r) = self.queries.get_mut(id) else { return };
         self.fresh.insert(*id);
-        let (stage, flowing, pushes) = (ShardRequestState::Unsent, false, Vec::new());
+        let (stage, flowing, attempts) = (ShardRequestState::Unsent, false, Vec::new());
         r.shard_requests.push(ShardRequest {
             id: new.id,
             shard: new.shard,
             weight: new.weight,
             stage,
             flowing,
-            pushes,
+            attempts,
         });
     }
 
@@ -608,7 +609,7 @@
         }
     }
 
-    /// The call that a push of this turn to this node travels in.
+    /// The call that an attempt of this turn to this node travels in.
     pub fn board(
         &mut self,
         id: NodeId,
@@ -682,10 +683,10 @@
     pub fn forget(&mut self, taken: Tenths, further: Tenths) {
         while self.taken.pop_front_if(|at| *at < taken).is_some() {}
         while self.asked.pop_front_if(|at| *at < taken).is_some() {}
-        while self.further.pop_front_if(|push| push.0 < further).is_some() {}
+        while self.further.pop_front_if(|attempt| attempt.0 < further).is_some() {}
     }
 
-    /// A push was dropped at once after such a lull; the shortest known counts, if it was seen in the span.
+    /// An attempt was dropped at once after such a lull; the shortest known counts, if it was seen in the span.
     pub fn note_dropped(&mut self, lull: Tenths, span: Tenths) {
         let known = self.dropped.filter(|(_, at)| self.now - *at < span);
         self.dropped = Some((known.map_or(lull, |(after, _)| after.min(lull)), self.now));
@@ -746,9 +747,11 @@
     fn withdraw_all(&mut self, r: &Query, allowed: bool) {
         for shard_request in r.shard_requests.iter().filter(|shard_request| allowed && !shard_request.flowing)
         {
-            let out = shard_request.pushes.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
-            let withdraw =
-                |(no, _)| Effect::Withdraw { shard_request: shard_request.id, push: PushNo(no as u16) };
+            let out = shard_request.attempts.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
+            let withdraw = |(no, _)| Effect::Cancel {
+                shard_request: shard_request.id,
+                attempt: AttemptNumber(no as u16),
+            };
             self.effects.extend(out.map(withdraw));
         }
     }
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -31,7 +31,7 @@
     inputs: Vec<Input>,
     /// All done since the last moment, as the notation puts it.
     done: Vec<String>,
-    pushes: BTreeMap<ShardRequestId, Vec<(NodeId, Tenths, bool)>>,
+    attempts: BTreeMap<ShardRequestId, Vec<(NodeId, Tenths, bool)>>,
     shard_requests: BTreeMap<ShardRequestId, QueryId>,
     open: BTreeSet<QueryId>,
     barred: BTreeSet<NodeId>,
@@ -43,7 +43,7 @@
     fn new() -> Play {
         let mut prescription = Prescription { brokers: 1, period: Tenths(50), ..Prescription::default() };
         prescription.layout = Layout { cells: 1, reach: 1, shards: 1, per_call: 1 };
-        (prescription.limits.most_open, prescription.limits.most_pushes) = (1000, 3);
+        (prescription.limits.most_open, prescription.limits.max_attempts) = (1000, 3);
         Play { prescription, ..Play::default() }
     }
 
@@ -99,9 +99,9 @@
                 }
             }
             "limits" => {
-                p.limits.most_pushes = value(&words, "pushes", 3);
+                p.limits.max_attempts = value(&words, "pushes", 3);
                 p.limits.most_open = value(&words, "open", 1000);
-                (p.limits.copies, p.limits.may_withdraw) =
+                (p.limits.copies, p.limits.allow_cancel) =
                     (words.contains(&"copies"), words.contains(&"withdraw"));
             }
             "rules" => {
@@ -191,7 +191,7 @@
                     caller,
                     time_left,
                     work,
-                    attempt: value(&words, "attempt", 0),
+                    client_attempt: value(&words, "attempt", 0),
                     least_only: words.contains(&"least-only"),
                 }));
                 return self.shard_requests(rid, &words);
@@ -207,7 +207,7 @@
                 let (node, report) = (NodeId(id(words[1])), queue.chain(rate).collect());
                 Input::Probed(Probed { node, sound: words[2] != "none", report })
             }
-            "flowing" => Input::Flowing(ShardRequestId(id(words[1]))),
+            "flowing" => Input::ResponseStarted(ShardRequestId(id(words[1]))),
             "end" => return self.end(words[1], words[2]),
             other => panic!("`{other}` is not a word of the notation"),
         };
@@ -230,31 +230,32 @@
         }
     }
 
-    /// Ends the newest push that is out of a shard request, of all shard requests, or all that are out at `@node`.
+    /// Ends the newest attempt that is out of a shard request, of all shard requests, or all that are out at `@node`.
     fn end(&mut self, which: &str, how: &str) {
         let end = match how {
-            "finished" => PushEnd::Finished,
-            "errored" => PushEnd::Errored,
-            "full" => PushEnd::Full,
-            "timed-out" => PushEnd::TimedOut,
-            "no-connection" => PushEnd::NoConnection,
-            "dropped" => PushEnd::Dropped,
-            "withdrawn" => PushEnd::Withdrawn,
-            "not-sent" => PushEnd::NotSent,
+            "finished" => AttemptOutcome::Succeeded,
+            "errored" => AttemptOutcome::Errored,
+            "full" => AttemptOutcome::Overloaded,
+            "timed-out" => AttemptOutcome::TimedOut,
+            "no-connection" => AttemptOutcome::ConnectFailed,
+            "dropped" => AttemptOutcome::ConnectionLost,
+            "withdrawn" => AttemptOutcome::Cancelled,
+            "not-sent" => AttemptOutcome::NotSent,
             other => panic!("`{other}` is no end"),
         };
         let before = self.inputs.len();
-        for (shard_request, pushes) in &mut self.pushes {
-            for (no, (node, sent, out)) in pushes.iter_mut().enumerate().rev() {
+        for (shard_request, attempts) in &mut self.attempts {
+            for (no, (node, sent, out)) in attempts.iter_mut().enumerate().rev() {
                 let meant = which == "all"
                     || id(which) == shard_request.0
                     || which.strip_prefix('@').map(id) == Some(node.0);
                 if *out && meant {
                     *out = false;
-                    let (shard_request, push, took) = (*shard_request, PushNo(no as u16), self.now - *sent);
-                    self.inputs.push(Input::Outcome(PushOutcome {
+                    let (shard_request, attempt, took) =
+                        (*shard_request, AttemptNumber(no as u16), self.now - *sent);
+                    self.inputs.push(Input::AttemptEnded(AttemptResult {
                         shard_request,
-                        push,
+                        attempt,
                         node: *node,
                         end,
                         took,
@@ -314,18 +315,18 @@
             assert!(self.open.remove(&query), "a second final answer for {}", name(query.0));
         }
         self.done.push(match effect {
-            Effect::Push { shard_request, node, time_out } => {
+            Effect::Send { shard_request, node, timeout } => {
                 assert!(
                     self.open.contains(&self.shard_requests[&shard_request]),
                     "{} sent after the end",
                     name(shard_request.0)
                 );
                 assert!(!self.barred.contains(&node), "{} sent to {}", name(shard_request.0), name(node.0));
-                self.pushes.entry(shard_request).or_default().push((node, self.now, true));
-                format!("push {} {} {}", name(shard_request.0), name(node.0), time_out.as_ms())
+                self.attempts.entry(shard_request).or_default().push((node, self.now, true));
+                format!("push {} {} {}", name(shard_request.0), name(node.0), timeout.as_ms())
             }
-            Effect::Withdraw { shard_request, push } => {
-                format!("withdraw {} {}", name(shard_request.0), push.0)
+            Effect::Cancel { shard_request, attempt } => {
+                format!("withdraw {} {}", name(shard_request.0), attempt.0)
             }
             Effect::Answer { query, whole } => {
                 format!("answer {} {}", name(query.0), if whole { "whole" } else { "partial" })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -117,9 +117,9 @@
         },
         limits: Limits {
             most_open: text.limits.max_open,
-            most_pushes: text.limits.max_attempts,
+            max_attempts: text.limits.max_attempts,
             copies: text.limits.second_copies,
-            may_withdraw: text.limits.may_cancel,
+            allow_cancel: text.limits.may_cancel,
             stay_away: text.limits.retry_after,
             longest_stay_away: Tenths::from_ms(text.limits.max_retry_after_ms),
         },
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -47,7 +47,7 @@
     let [
         Event::Heard { broker: 3, input: Input::ShardRequest(shard_request) },
         Event::List { number: 0, entries },
-        Event::Heard { input: Input::Outcome(outcome), .. },
+        Event::Heard { input: Input::AttemptEnded(outcome), .. },
         Event::Heard { input: Input::Woken, .. },
     ] = &batch.events[..]
     else {
@@ -59,11 +59,14 @@
     );
     assert_eq!((entries[0].started, entries[1].started), (None, Some(Tenths(61_000))));
     assert_eq!((entries[1].node, entries[1].zone), (NodeId(0x1fbc_f211_900a), ZoneNo(1)));
-    assert_eq!((outcome.end, outcome.took, outcome.node), (PushEnd::Finished, Tenths(185), entries[0].node));
+    assert_eq!(
+        (outcome.end, outcome.took, outcome.node),
+        (AttemptOutcome::Succeeded, Tenths(185), entries[0].node)
+    );
 }
 
 #[rstest]
-#[case(Effect::Push { shard_request: ShardRequestId(0x9_af5d_5d3a_91c4), node: NodeId(0x1f93_074a_120a), time_out: Tenths(800) },
+#[case(Effect::Send { shard_request: ShardRequestId(0x9_af5d_5d3a_91c4), node: NodeId(0x1f93_074a_120a), timeout: Tenths(800) },
     "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
 #[case(Effect::Say("two servers unknown".into()), "58 0300 1300 74776f207365727665727320756e6b6e6f776e")]
 #[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input, NewQuery, NewShardRequest, NodeId, PushEnd, PushNo,
-    PushOutcome, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input,
+    NewQuery, NewShardRequest, NodeId, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -128,7 +128,7 @@
                 let shard_request = ShardRequestId(self.u64()?);
                 let _node = self.node()?;
                 let (_push, _took) = (self.u16()?, self.span()?);
-                Input::Flowing(shard_request)
+                Input::ResponseStarted(shard_request)
             }
             20 => self.finished()?,
             21 => Input::CallerLeft(QueryId(self.u64()?)),
@@ -167,7 +167,7 @@
                 caller,
                 time_left,
                 work,
-                attempt: 0,
+                client_attempt: 0,
                 least_only: false,
             }));
         }
@@ -176,23 +176,24 @@
     }
 
     fn finished(&mut self) -> Result<Input, BadFrame> {
-        let (shard_request, push, node) = (ShardRequestId(self.u64()?), PushNo(self.u16()?), self.node()?);
+        let (shard_request, attempt, node) =
+            (ShardRequestId(self.u64()?), AttemptNumber(self.u16()?), self.node()?);
         let at = self.at();
         let end = match self.u16()? {
-            0 => PushEnd::Errored,
-            1 => PushEnd::Finished,
-            2 => PushEnd::Full,
-            3 => PushEnd::TimedOut,
-            4 => PushEnd::NoConnection,
-            5 => PushEnd::Dropped,
-            6 => PushEnd::Withdrawn,
-            7 => PushEnd::NotSent,
+            0 => AttemptOutcome::Errored,
+            1 => AttemptOutcome::Succeeded,
+            2 => AttemptOutcome::Overloaded,
+            3 => AttemptOutcome::TimedOut,
+            4 => AttemptOutcome::ConnectFailed,
+            5 => AttemptOutcome::ConnectionLost,
+            6 => AttemptOutcome::Cancelled,
+            7 => AttemptOutcome::NotSent,
             other => return Err(BadFrame { what: format!("outcome {other} is unknown"), at }),
         };
         let took = self.span()?;
         let _closed = self.u8()?;
         self.report()?;
-        Ok(Input::Outcome(PushOutcome { shard_request, push, node, end, took }))
+        Ok(Input::AttemptEnded(AttemptResult { shard_request, attempt, node, end, took }))
     }
 }
 
@@ -233,16 +234,16 @@
 
     pub fn effect(&mut self, broker: u16, effect: &Effect) {
         match effect {
-            Effect::Push { shard_request, node, time_out } => {
+            Effect::Send { shard_request, node, timeout } => {
                 self.record(80, broker);
                 self.records.put_u64_le(shard_request.0);
                 self.node(node);
-                self.records.put_f64_le(time_out.as_ms());
+                self.records.put_f64_le(timeout.as_ms());
             }
-            Effect::Withdraw { shard_request, push } => {
+            Effect::Cancel { shard_request, attempt } => {
                 self.record(83, broker);
                 self.records.put_u64_le(shard_request.0);
-                self.records.put_u16_le(push.0);
+                self.records.put_u16_le(attempt.0);
             }
             Effect::Answer { query, whole } => {
                 self.record(92, broker);
