--- a/crates/admission-control/src/allowance.rs
+++ b/crates/admission-control/src/allowance.rs
@@ -26,7 +26,7 @@
     pub retry_floor: f64,
     /// The most callers that are told apart; any more share one bucket. 1 at least.
     pub most_callers: u32,
-    /// While crowded, who asks for more than its share is declined for the rest, while others ask. Off:
+    /// While crowded, who asks for more than its share is rejected for the rest, while others ask. Off:
     /// only retries have a budget, and the module's cut falls on all alike.
     pub shares: bool,
 }
--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -78,8 +78,8 @@
     /// Declined: its caller asks for more than its share, its bucket does not hold the shard requests, and others
     /// ask. They are not trimmed by it.
     Share,
-    /// Passed, to be served at its least share only: as `Share`, but its category takes partial answers.
-    /// The heaviest shard requests earn most of its payoff for a few attempts, where a decline earns nothing.
+    /// Passed, to be served at its minimum coverage only: as `Share`, but its category takes partial answers.
+    /// The heaviest shard requests earn most of its payoff for a few attempts, where a rejection earns nothing.
     Least,
 }
 
@@ -142,7 +142,7 @@
         self.rate_if_crowded()
     }
 
-    /// Sees what a turn brings before the module does: what the module is to hear, and the declines that go
+    /// Sees what a turn brings before the module does: what the module is to hear, and the rejects that go
     /// out at once.
     pub fn pass(&mut self, now: Tenths, heard: &[Input]) -> (Vec<Input>, Vec<Effect>) {
         self.s.now = now;
@@ -176,10 +176,10 @@
             match self.decide(asked) {
                 (Told::Passed, _) => {}
                 (Told::Least, _) => _ = least.insert(asked.id),
-                (Told::Retries | Told::Share, stay_away) => {
+                (Told::Retries | Told::Share, retry_after) => {
                     groups.insert(asked.group);
                     ids.insert(asked.id);
-                    effects.push(Effect::Decline { query: asked.id, stay_away });
+                    effects.push(Effect::Reject { query: asked.id, retry_after });
                 }
             }
         }
@@ -191,7 +191,7 @@
         };
         let held = |input: &Input| match input {
             Input::Query(new) if least.contains(&new.id) => {
-                Input::Query(NewQuery { least_only: true, ..new.clone() })
+                Input::Query(NewQuery { min_coverage_only: true, ..new.clone() })
             }
             _ => input.clone(),
         };
@@ -200,7 +200,7 @@
 
     /// Sees what the module did: what it turned away counts as crowding.
     pub fn saw(&mut self, effects: &[Effect]) {
-        let declined = effects.iter().filter(|effect| matches!(effect, Effect::Decline { .. })).count();
+        let declined = effects.iter().filter(|effect| matches!(effect, Effect::Reject { .. })).count();
         let attempts = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
         let (now, window) = (self.s.now, self.a.window);
         self.s.turned.count(now, window, declined as f64, 0.0);
@@ -238,7 +238,7 @@
         vec![Effect::Say(word)]
     }
 
-    /// Pressure as the design counts it, or the module's declines, past the level; out of as many as make
+    /// Pressure as the design counts it, or the module's rejects, past the level; out of as many as make
     /// one of them the level, where fewer were counted.
     fn is_harmed(&self) -> bool {
         let (now, window, least) = (self.s.now, self.a.window, 1.0 / self.a.level);
@@ -364,7 +364,7 @@
 
     // ---- queries
 
-    /// The loop that reads `RULES`: what the query is told, and when to come back if declined.
+    /// The loop that reads `RULES`: what the query is told, and when to come back if rejected.
     fn decide(&mut self, asked: &Asked) -> (Told, Tenths) {
         let asked = &Asked { caller: self.known(asked.caller), ..*asked };
         let (shard_requests, now, window) = (f64::from(asked.shard_requests), self.s.now, self.a.window);
@@ -379,7 +379,7 @@
             return (*told, Tenths::ZERO);
         }
         self.caller(asked.caller).asked.count(now, window, shard_requests, 0.0);
-        (*told, self.stay_away())
+        (*told, self.retry_after())
     }
 
     /// Guards against a memory bounded by nothing: past the most, callers share one.
@@ -421,7 +421,7 @@
     /// As `others_ask`, and its category takes partial answers.
     fn partial(&mut self, asked: &Asked) -> bool {
         let category = self.prescription.categories.get(&asked.category);
-        category.is_some_and(|c| c.least_share < c.whole_from) && self.others_ask(asked)
+        category.is_some_and(|c| c.min_coverage < c.complete_coverage) && self.others_ask(asked)
     }
 
     /// Others ask too, and shares are kept: one caller alone has its excess cut by the module.
@@ -463,10 +463,10 @@
 
     /// When a retry may find its budget again: after the half of a window in which a cut is judged; none
     /// where the prescription does not let callers be told.
-    fn stay_away(&self) -> Tenths {
+    fn retry_after(&self) -> Tenths {
         let limits = &self.prescription.limits;
-        let wait = self.a.window.times(HOLD).min(limits.longest_stay_away).max(Tenths(1));
-        if limits.stay_away { wait } else { Tenths::ZERO }
+        let wait = self.a.window.times(HOLD).min(limits.max_retry_after).max(Tenths(1));
+        if limits.retry_after { wait } else { Tenths::ZERO }
     }
 
     // ---- ends
--- a/crates/admission-control/src/gated.rs
+++ b/crates/admission-control/src/gated.rs
@@ -14,7 +14,7 @@
         Gated { door, broker }
     }
 
-    /// As `Broker::turn`: the door's declines come first, then what the module did with the rest.
+    /// As `Broker::turn`: the door's rejects come first, then what the module did with the rest.
     pub fn turn(&mut self, now: Tenths, heard: &[Input]) -> Vec<Effect> {
         let (passed, mut effects) = self.door.pass(now, heard);
         let done = self.broker.turn(now, &passed);
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -3,11 +3,11 @@
 //! A front makes a [`Door`] from an [`Allowance`] and the broker's [`Prescription`], and puts it with the
 //! module in a [`Gated`]; it then calls [`Gated::turn`] where it called [`Broker::turn`]. The door sees every
 //! input before the module does and every effect after. It holds nothing back: each query is passed on
-//! or declined in the same turn, with the time to come back where the prescription allows one. No I/O, no
+//! or rejected in the same turn, with the time to come back where the prescription allows one. No I/O, no
 //! clock: time comes in with each turn.
 //!
 //! The door is open until the design's pressure (shard requests refused as full or timed out), or the module's own
-//! declines, pass the allowance's level; then it is crowded, and lets in a rate of shard requests that it lowers while
+//! rejects, pass the allowance's level; then it is crowded, and lets in a rate of shard requests that it lowers while
 //! that lasts and raises while it does not, shared between callers by max-min fairness, each with a bucket.
 //! Retries while crowded have a budget by caller. `docs/admission.md` tells why; the tables stand in
 //! `door.rs`.
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -19,7 +19,7 @@
 /// A caller, while it asks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Caller {
-    /// Parts asked (as `all`); of these, in queries that were declined (as `harmed`).
+    /// Parts asked (as `all`); of these, in queries that were rejected (as `harmed`).
     pub asked: Window,
     /// Retries let in (as `harmed`), first tries let in (as `all`).
     pub tries: Window,
@@ -43,7 +43,7 @@
     pub peak: f64,
     /// Parts refused as full or timed out (as `harmed`), of all that ended.
     pub harm: Window,
-    /// Queries that the module declined (as `harmed`), of all let in.
+    /// Queries that the module rejected (as `harmed`), of all let in.
     pub turned: Window,
     /// Parts let in (as `all`).
     pub let_in: Window,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -11,19 +11,19 @@
     p.limits = Limits {
         most_open: 1000,
         max_attempts: 3,
-        stay_away: true,
-        longest_stay_away: Tenths(20_000),
+        retry_after: true,
+        max_retry_after: Tenths(20_000),
         ..Limits::default()
     };
     let category = Category {
         goal_time: Tenths(10_000),
         cut_off: Tenths(20_000),
         payoff: 1.0,
-        least_share: 1.0,
-        whole_from: 1.0,
+        min_coverage: 1.0,
+        complete_coverage: 1.0,
         ..Category::default()
     };
-    p.categories.insert(CategoryNo(1), Category { least_share: 0.4, ..category.clone() });
+    p.categories.insert(CategoryNo(1), Category { min_coverage: 0.4, ..category.clone() });
     p.categories.insert(CategoryNo(0), category);
     for (no, quota) in quotas.iter().enumerate() {
         p.callers.insert(CallerNo(no as u32), Caller { quota_per_s: *quota });
@@ -62,7 +62,7 @@
             time_left,
             work: Tenths::ZERO,
             client_attempt,
-            least_only: false,
+            min_coverage_only: false,
         };
         let mut heard = vec![Input::Query(new)];
         for no in 0..shard_requests {
@@ -89,11 +89,11 @@
     (0..count).map(|no| Input::AttemptEnded(outcome(no))).collect()
 }
 
-/// The module attempts each shard request that the door passed; of one at its least share, the first.
+/// The module attempts each shard request that the door passed; of one at its minimum coverage, the first.
 fn pushed(passed: &[Input]) -> Vec<Effect> {
     let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
     let mut attempt = |input: &Input| match input {
-        Input::Query(new) if new.least_only => {
+        Input::Query(new) if new.min_coverage_only => {
             least.insert(new.group);
             None
         }
@@ -109,7 +109,7 @@
 
 fn declines(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
     let declined = |effect: &Effect| match effect {
-        Effect::Decline { query, stay_away } => Some((*query, *stay_away)),
+        Effect::Reject { query, retry_after } => Some((*query, *retry_after)),
         _ => None,
     };
     effects.iter().filter_map(declined).collect()
@@ -217,7 +217,7 @@
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("crowded"))));
 }
 
-/// While crowded, retries past a share of first tries and a few are declined at once, told when to come
+/// While crowded, retries past a share of first tries and a few are rejected at once, told when to come
 /// back, and never reach the module; first tries still pass.
 #[rstest]
 fn retries_past_their_budget_are_declined_at_once() {
@@ -239,7 +239,7 @@
 }
 
 /// Hosts that do 40 shard requests a second; one caller asks for 80, another for 8. The second passes, all of it;
-/// the first is declined for what is beyond its share, at once.
+/// the first is rejected for what is beyond its share, at once.
 #[rstest]
 fn who_asks_most_is_held_to_its_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -267,8 +267,8 @@
     assert!(storm.0 > 60 && storm.1 > 20, "declined and passed of the first: {storm:?}");
 }
 
-/// Where a category takes partial answers, what is beyond a share is served at its least share, not
-/// declined: the heaviest shard requests earn most of its payoff for a few attempts.
+/// Where a category takes partial answers, what is beyond a share is served at its minimum coverage, not
+/// rejected: the heaviest shard requests earn most of its payoff for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -282,13 +282,14 @@
         let (passed, effects) = hosts.step(&mut door, now, heard);
         if step >= 20 {
             declined += declines(&effects).len();
-            least += passed.iter().filter(|i| matches!(i, Input::Query(new) if new.least_only)).count();
+            least +=
+                passed.iter().filter(|i| matches!(i, Input::Query(new) if new.min_coverage_only)).count();
         }
     }
     assert!(declined == 0 && least > 20, "declined {declined}, at the least share {least}");
 }
 
-/// A caller alone is never declined for its share: its excess is the module's to cut.
+/// A caller alone is never rejected for its share: its excess is the module's to cut.
 #[rstest]
 fn a_lone_caller_is_not_declined_for_its_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -322,11 +323,11 @@
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("open"))));
 }
 
-/// Where the prescription does not let callers be told when to come back, a decline says nothing of it.
+/// Where the prescription does not let callers be told when to come back, a rejection says nothing of it.
 #[rstest]
 fn no_time_to_come_back_where_none_may_be_told() {
     let mut p = prescription(&[]);
-    p.limits.stay_away = false;
+    p.limits.retry_after = false;
     let mut door =
         Door::new(Allowance { retry_floor: 0.0, retry_share: 0.0, ..Allowance::default() }, &p).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -4,7 +4,7 @@
 //! | rule | what is looked at |
 //! | --- | --- |
 //! | 1 | final answers as they reach clients, and shard requests that reach hosts behind them |
-//! | 2 | shard requests that reach hosts again after one of them may have run; declines of what may have run |
+//! | 2 | shard requests that reach hosts again after one of them may have run; rejects of what may have run |
 //! | 3 | shard requests that reach a host past the grace after its broker was told |
 //! | 4 | cold hosts that fell over |
 //! | 5 | answers against the values that hosts made for them |
@@ -316,7 +316,7 @@
         self.asked.get(asked).is_some_and(|asked| asked.forgiven)
     }
 
-    /// Asked = answered + declined + scrapped + left, in each day that was played to its end.
+    /// Asked = answered + rejected + failed + left, in each day that was played to its end.
     pub fn conserve(&mut self, now: Tenths, outcome: &Outcome) {
         if outcome.queries != outcome.answered + outcome.declined + outcome.scrapped + outcome.left {
             self.breaks(now, "1: what was asked and what became of it are not the same number");
@@ -379,8 +379,8 @@
 
     /// What happens to one query of two even shard requests, a step a word: `a0` shard request 0 arrives, `t0` is taken,
     /// `m0` made;
-    /// `d` arrives at a host told to drain; `A01` answered by 0 and 1, whole; `P0` partial; `D` declined, `S`
-    /// scrapped; a number moves the clock. Then the rule that is broken, if any.
+    /// `d` arrives at a host told to drain; `A01` answered by 0 and 1, whole; `P0` partial; `D` rejected, `S`
+    /// failed; a number moves the clock. Then the rule that is broken, if any.
     #[rstest]
     #[case(0, "a0 t0 m0 a1 t1 m1 A01", "")]
     #[case(0, "a0 t0 m0 P0 C", "")]
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -134,7 +134,8 @@
     fn send(&mut self, id: QueryId, now: Tenths, effects: &mut Vec<Effect>) {
         let base = self.base(now);
         let Some(mut open) = self.open.remove(&id) else { return };
-        let partial = self.categories.get(&open.category).is_some_and(|c| c.least_share < c.whole_from);
+        let partial =
+            self.categories.get(&open.category).is_some_and(|c| c.min_coverage < c.complete_coverage);
         if self.how == How::Design {
             open.shard_requests.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
         }
@@ -206,14 +207,14 @@
         for (id, open) in &self.open {
             let came: f64 =
                 open.shard_requests.iter().filter(|p| p.came == Some(true)).map(|p| p.new.weight).sum();
-            let least = self.categories.get(&open.category).map_or(1.0, |c| c.least_share);
+            let least = self.categories.get(&open.category).map_or(1.0, |c| c.min_coverage);
             let settled = open.shard_requests.iter().all(|p| p.came.is_some());
             let enough = came + ROUNDING >= least;
             if settled || now >= open.until || now >= open.goal && enough {
                 let whole = came + ROUNDING >= 1.0;
                 effects.push(match enough {
-                    true => Effect::Answer { query: *id, whole },
-                    false => Effect::Decline { query: *id, stay_away: Tenths::ZERO },
+                    true => Effect::Respond { query: *id, complete: whole },
+                    false => Effect::Reject { query: *id, retry_after: Tenths::ZERO },
                 });
                 over.push(*id);
             }
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -74,7 +74,7 @@
     assert!(outcome.service.share() > 0.99 && outcome.broken.is_empty(), "{}", outcome.json());
 }
 
-/// Hotter than the hosts can bear: declined at once, and the figure says so.
+/// Hotter than the hosts can bear: rejected at once, and the figure says so.
 #[rstest]
 fn declines_at_once_under_too_much() {
     let outcome = day(plan(500, &[]));
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -95,7 +95,7 @@
     pub tries: u64,
     /// Things that happened on the day's agenda, in virtual time.
     pub events: u64,
-    /// Of those declined: how long after they were asked, in tenths of a millisecond, at the most.
+    /// Of those rejected: how long after they were asked, in tenths of a millisecond, at the most.
     pub slowest_decline: Tenths,
     pub broken: BTreeMap<&'static str, Break>,
     /// How near each rule came to its limit.
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -375,8 +375,17 @@
         let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
         let (category, caller) = (CategoryNo(of.category as u16), CallerNo(of.caller as u32));
         let work = Tenths::ZERO;
-        let least_only = false;
-        let new = NewQuery { id, group, category, caller, time_left: left, work, client_attempt, least_only };
+        let min_coverage_only = false;
+        let new = NewQuery {
+            id,
+            group,
+            category,
+            caller,
+            time_left: left,
+            work,
+            client_attempt,
+            min_coverage_only,
+        };
         self.hear(broker, Input::Query(new));
         for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
             self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
@@ -400,14 +409,14 @@
         self.hear(broker, Input::CallerLeft(QueryId(no as u64)));
     }
 
-    /// It was declined, scrapped, or its broker is gone: the client asks again while it may, or that was all.
-    fn refused(&mut self, request: usize, declined: bool, stay_away: Tenths) {
+    /// It was rejected, failed, or its broker is gone: the client asks again while it may, or that was all.
+    fn refused(&mut self, request: usize, declined: bool, retry_after: Tenths) {
         let Request { of, until, tries, .. } = self.requests[request];
         if tries <= self.clients.retries {
             let doubled = self.clients.backoff_ms * f64::from(1_u32 << (tries - 1).min(16));
             let mut wait = Tenths::from_ms(doubled * (1.0 + self.weather.lot()));
             if self.weather.lot() < self.clients.honours {
-                wait = wait.max(stay_away);
+                wait = wait.max(retry_after);
             }
             if self.now + wait + PERIOD < until {
                 return self.at(self.now + wait.max(Tenths(1)), Event::Again(request));
@@ -723,7 +732,7 @@
                 // A cancelled attempt has its end at once, as far as its broker goes.
                 self.back(broker, shard_request, attempt, AttemptOutcome::Cancelled);
             }
-            Effect::Answer { query, whole } => {
+            Effect::Respond { query, complete: whole } => {
                 let shard_requests =
                     self.queries.get(query.0 as usize).map_or(0..0, |r| r.shard_requests.clone());
                 let held = shard_requests
@@ -732,10 +741,10 @@
                     .collect();
                 self.ends(broker, query, &Final::Answered { whole, held }, Tenths::ZERO);
             }
-            Effect::Decline { query, stay_away } => {
-                self.ends(broker, query, &Final::Declined, stay_away);
+            Effect::Reject { query, retry_after } => {
+                self.ends(broker, query, &Final::Declined, retry_after);
             }
-            Effect::Scrap { query } => self.ends(broker, query, &Final::Scrapped, Tenths::ZERO),
+            Effect::Fail { query } => self.ends(broker, query, &Final::Scrapped, Tenths::ZERO),
             Effect::Wake { after } => {
                 let at = (self.now + after).max(self.now + PERIOD);
                 let seat = &mut self.seats[broker];
@@ -746,7 +755,7 @@
         }
     }
 
-    fn ends(&mut self, broker: usize, id: QueryId, end: &Final, stay_away: Tenths) {
+    fn ends(&mut self, broker: usize, id: QueryId, end: &Final, retry_after: Tenths) {
         let mine = self.queries.get_mut(id.0 as usize).filter(|query| query.broker == broker);
         let was = mine.map(|query| (query.request, std::mem::take(&mut query.open)));
         let no = if was.is_some() { id.0 as usize } else { usize::MAX };
@@ -758,7 +767,7 @@
         let of = self.requests[request].of;
         match end {
             Final::Answered { .. } => self.outcome.answer(self.now, of, share),
-            Final::Declined => self.refused(request, true, stay_away),
+            Final::Declined => self.refused(request, true, retry_after),
             Final::Scrapped => self.refused(request, false, Tenths::ZERO),
         }
     }
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -90,8 +90,8 @@
             goal_time: GOAL.min(cut_off(told)),
             cut_off: cut_off(told),
             payoff: told.payoff,
-            least_share: told.least,
-            whole_from: 1.0,
+            min_coverage: told.least,
+            complete_coverage: 1.0,
             effect,
             repeat_window,
             ..Category::default()
@@ -113,8 +113,8 @@
             max_attempts: MOST_PUSHES,
             copies: true,
             allow_cancel: true,
-            stay_away: true,
-            longest_stay_away: GOAL,
+            retry_after: true,
+            max_retry_after: GOAL,
         },
         rules: Rules {
             cold_share: build.cold_share,
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub enum Verdict {
     Answer { whole: bool, items: Vec<(ShardNo, Bytes)> },
-    Decline { stay_away: Tenths },
+    Decline { retry_after: Tenths },
     Scrap,
 }
 
@@ -327,7 +327,7 @@
             time_left: Tenths::ZERO, // filled in when the turn comes
             work: question.work,
             client_attempt: 0,
-            least_only: false,
+            min_coverage_only: false,
         }));
         for (shard_request, &RequestedShard { shard, weight }) in
             shard_requests.iter().zip(&question.shard_requests)
@@ -560,13 +560,13 @@
                     withdrawn.push((shard_request, attempt));
                     self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
                 }
-                Effect::Answer { query, whole } => {
+                Effect::Respond { query, complete: whole } => {
                     self.tell(query, |items| Verdict::Answer { whole, items });
                 }
-                Effect::Decline { query, stay_away } => {
-                    self.tell(query, |_| Verdict::Decline { stay_away });
+                Effect::Reject { query, retry_after } => {
+                    self.tell(query, |_| Verdict::Decline { retry_after });
                 }
-                Effect::Scrap { query } => self.tell(query, |_| Verdict::Scrap),
+                Effect::Fail { query } => self.tell(query, |_| Verdict::Scrap),
                 Effect::Probe { node } => self.nodes.probe(node),
                 Effect::CloseIdle { node } => self.nodes.close_idle(node),
                 Effect::Wake { after } => {
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -6,8 +6,8 @@
 
 /// A turn may attempt a shard request and end its query: then the shard request stays unsent, and is told to.
 #[rstest]
-#[case(|query, _| Effect::Scrap { query })]
-#[case(|query, _| Effect::Answer { query, whole: false })]
+#[case(|query, _| Effect::Fail { query })]
+#[case(|query, _| Effect::Respond { query, complete: false })]
 #[case(|_, shard_request| Effect::Cancel { shard_request, attempt: AttemptNumber(0) })]
 fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -12,8 +12,8 @@
     pub shards: u32,
     /// Queries and shard requests held at once.
     pub most_open: usize,
-    /// What a client is told that is declined at a bound, where clients are told when to come again.
-    pub stay_away: Tenths,
+    /// What a client is told that is rejected at a bound, where clients are told when to come again.
+    pub retry_after: Tenths,
     /// How what was taken under it has ended.
     pub tally: Cell<Tally>,
 }
@@ -23,7 +23,7 @@
 pub struct Tally {
     /// All that have ended but those whose client left.
     pub ended: u64,
-    /// Answered after the goal time, declined, scrapped, or turned away at the front.
+    /// Answered after the goal time, rejected, failed, or turned away at the front.
     pub late: u64,
     pub declined: u64,
     pub scrapped: u64,
@@ -36,13 +36,13 @@
     pub fn new(intake: &Intake) -> Edition {
         let p: &Prescription = &intake.prescription;
         let goal = p.categories.values().map(|category| category.goal_time).min().unwrap_or_default();
-        let stay_away = goal.min(p.limits.longest_stay_away);
+        let retry_after = goal.min(p.limits.max_retry_after);
         Edition {
             names: intake.names.clone(),
             categories: p.categories.clone(),
             shards: p.layout.shards,
             most_open: p.limits.most_open as usize,
-            stay_away: if p.limits.stay_away { stay_away } else { Tenths::ZERO },
+            retry_after: if p.limits.retry_after { retry_after } else { Tenths::ZERO },
             tally: Cell::default(),
         }
     }
--- a/crates/broker/src/front.rs
+++ b/crates/broker/src/front.rs
@@ -28,7 +28,7 @@
 /// What is known of one client's connection.
 struct Line {
     limits: Rc<Limits>,
-    /// Accepted beyond the bound: its requests are declined.
+    /// Accepted beyond the bound: its requests are rejected.
     surplus: bool,
     /// A request is being served.
     busy: Cell<bool>,
@@ -282,7 +282,7 @@
         let limits = self.counter.limits.clone();
         self.keep_few();
         let full = self.lines.borrow().len() >= limits.client_lines;
-        // At the bound the connection that was idle longest makes room; else the new one is declined.
+        // At the bound the connection that was idle longest makes room; else the new one is rejected.
         let made_room = full && self.let_idle_go();
         let line = Rc::new(Line {
             limits,
@@ -402,7 +402,7 @@
         }
         if allowed == Method::POST {
             return match line.surplus {
-                true => decline(self.counter.desk.edition().stay_away),
+                true => decline(self.counter.desk.edition().retry_after),
                 false => {
                     let whole = || line.whole.set(true);
                     let response = retrieval::serve(&self.counter, request, arrived, whole).await;
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of clients served at once; those beyond, as far as `surplus` goes, are declined.
+    /// Connections of clients served at once; those beyond, as far as `surplus` goes, are rejected.
     pub client_lines: usize,
     pub surplus_lines: usize,
     /// Of these, so many may be kept idle after an answer.
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -109,7 +109,7 @@
     if told > limits.body {
         return counter.bad(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long");
     }
-    let Some(held) = desk.hold(told) else { return decline(desk.edition().stay_away) };
+    let Some(held) = desk.hold(told) else { return decline(desk.edition().retry_after) };
     let body = match timeout_at(arrived + limits.slow_client, read_body(&mut request, limits.body)).await {
         Ok(Ok(body)) => body,
         Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
@@ -124,16 +124,16 @@
     };
     drop((held, body));
     if !can_be_carried(&edition, &request, question.category) {
-        return decline(edition.stay_away);
+        return decline(edition.retry_after);
     }
     let verdict = match desk.take(question) {
         Ok(taken) => taken.verdict().await,
-        Err(NotTaken::Full) => Verdict::Decline { stay_away: edition.stay_away },
+        Err(NotTaken::Full) => Verdict::Decline { retry_after: edition.retry_after },
         Err(NotTaken::Known) => return counter.bad(StatusCode::BAD_REQUEST, "an id that is open already"),
     };
     match verdict {
         Verdict::Answer { whole, items } => answer(whole, &items, limits.body),
-        Verdict::Decline { stay_away } => decline(stay_away),
+        Verdict::Decline { retry_after } => decline(retry_after),
         Verdict::Scrap => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
     }
 }
@@ -257,10 +257,10 @@
 }
 
 /// Turned away: asking again is harmless.
-pub fn decline(stay_away: Tenths) -> Response<Bytes> {
+pub fn decline(retry_after: Tenths) -> Response<Bytes> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > Tenths::ZERO {
-        response.insert_header((RETRY_AFTER, format!("{:.4}", stay_away.as_ms() / 1000.0)));
+    if retry_after > Tenths::ZERO {
+        response.insert_header((RETRY_AFTER, format!("{:.4}", retry_after.as_ms() / 1000.0)));
     }
     respond(&mut response, "declined\n")
 }
--- a/crates/broker/tests/control/main.rs
+++ b/crates/broker/tests/control/main.rs
@@ -128,7 +128,7 @@
         assert_eq!(client.ask("lookup", 2).status, 200);
         broker.told().standing == "confirmed"
     });
-    // Cells that no node is in: each lookup waits, and is declined.
+    // Cells that no node is in: each lookup waits, and is rejected.
     let mut bad = document(2);
     bad["Domain"]["Cells"] = json!(3);
     (bad["Services"][0]["OnTimeMs"], bad["Services"][1]["OnTimeMs"]) = (json!(60.0), json!(60.0));
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -149,7 +149,7 @@
 pub struct Reply {
     pub status: u16,
     /// Milliseconds.
-    pub stay_away: Option<f64>,
+    pub retry_after: Option<f64>,
 }
 
 impl Client {
@@ -184,19 +184,19 @@
         }
         let mut body = vec![0; fields["content-length"].parse().unwrap()];
         self.stream.read_exact(&mut body).unwrap();
-        let stay_away = fields.get("retry-after").map(|text| text.parse::<f64>().unwrap() * 1000.0);
-        Reply { status, stay_away }
+        let retry_after = fields.get("retry-after").map(|text| text.parse::<f64>().unwrap() * 1000.0);
+        Reply { status, retry_after }
     }
 
-    /// By which version the module declines a query that none can serve: what it tells of the time to
+    /// By which version the module rejects a query that none can serve: what it tells of the time to
     /// stay away. The shard is the last that version `least` has, so that an older one would not let it in.
     /// None: the broker does not know the shard, and so runs an older one.
     pub fn probe(&mut self, least: u64) -> Option<u64> {
-        let Reply { status, stay_away } = self.ask("probe", 31 + 2 * least);
+        let Reply { status, retry_after } = self.ask("probe", 31 + 2 * least);
         if status == 400 {
             return None;
         }
         assert_eq!(status, 503, "no node holds it");
-        Some((stay_away.unwrap() - 10.0).round() as u64)
+        Some((retry_after.unwrap() - 10.0).round() as u64)
     }
 }
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -465,7 +465,7 @@
     });
 }
 
-/// Queries and shard requests up to `MaxOpen`, connections up to the descriptors: beyond, it declines.
+/// Queries and shard requests up to `MaxOpen`, connections up to the descriptors: beyond, it rejects.
 #[rstest]
 fn declines_beyond_its_bounds() {
     play(async {
@@ -538,7 +538,7 @@
         for id in ["a.0", "a.1"] {
             stage.nodes[0].end(line, id, 'S', "v").await;
         }
-        // The values are on their way: until they are in, it is declined still.
+        // The values are on their way: until they are in, it is rejected still.
         let mut third = soon(async {
             loop {
                 let mut client = stage.ask("c", "lookup", ONE).await;
@@ -745,7 +745,7 @@
     });
 }
 
-/// What this protocol has no place for is declined, and nothing of it is sent: a second step, without which
+/// What this protocol has no place for is rejected, and nothing of it is sent: a second step, without which
 /// an answer would be none, and the mark by which repeats of a numbered query are known.
 #[rstest]
 #[case("lookup", "", 503)]
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -55,7 +55,7 @@
     /// Milliseconds.
     pub cut_off: u32,
     pub payoff: f64,
-    /// The least share of the weight that an answer may hold.
+    /// The minimum coverage of the weight that an answer may hold.
     pub least: f64,
     pub repeats: Repeats,
 }
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -123,7 +123,7 @@
 /// What clients do with what they get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clients {
-    /// How often one that was declined or scrapped asks again.
+    /// How often one that was rejected or failed asks again.
     pub retries: u32,
     /// How long it waits before that, doubled each time, with as much again by lot.
     pub backoff_ms: f64,
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -11,11 +11,11 @@
     /// Call off an attempt.
     Cancel { shard_request: ShardRequestId, attempt: AttemptNumber },
     /// Answer from the shard requests that are in.
-    Answer { query: QueryId, whole: bool },
-    /// Turn the query away: asking again is harmless, after `stay_away`.
-    Decline { query: QueryId, stay_away: Tenths },
+    Respond { query: QueryId, complete: bool },
+    /// Turn the query away: asking again is harmless, after `retry_after`.
+    Reject { query: QueryId, retry_after: Tenths },
     /// End the query without an answer.
-    Scrap { query: QueryId },
+    Fail { query: QueryId },
     /// Close this broker's idle connections to a node.
     CloseIdle { node: NodeId },
     /// Ask a node for its load.
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -82,8 +82,8 @@
     pub work: Tenths,
     /// How often its caller asked for it before, where that is told; else 0.
     pub client_attempt: u32,
-    /// Only its least share is to be sent: what stands before the module holds its caller to a share.
-    pub least_only: bool,
+    /// Only its minimum coverage is to be sent: what stands before the module holds its caller to a share.
+    pub min_coverage_only: bool,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -139,8 +139,8 @@
             cut_off: c.cut_off,
             late_life: (c.cut_off - c.goal_time).max(Tenths::ZERO).times(c.late_share),
             late_pays: c.late_share > p.late_scrap_price,
-            least: c.least_share.min(c.whole_from),
-            whole: c.whole_from,
+            least: c.min_coverage.min(c.complete_coverage),
+            whole: c.complete_coverage,
             two_steps: c.second_parts > 0,
             effect: c.effect,
             repeat_window: c.repeat_window,
@@ -267,7 +267,7 @@
         self.beyond_hope(r) && self.reaches_least(r, all)
     }
 
-    /// Even if all that is out comes in, it is less than the least share.
+    /// Even if all that is out comes in, it is less than the minimum coverage.
     fn beyond_hope(&mut self, r: &Query) -> bool {
         !self.reaches_least(
             r,
@@ -321,7 +321,7 @@
     }
 
     /// Guards against queues that outgrow the goal time: a query waits, and is then turned away, while
-    /// even its least share passes the room, or is out of reach. With nothing out, one is always taken,
+    /// even its minimum coverage passes the room, or is out of reach. With nothing out, one is always taken,
     /// however wide, so that room can grow again. Harm: what a lucky replica would have served is not.
     fn no_room(&mut self, r: &Query) -> bool {
         let lost: f64 = r.shard_requests.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
@@ -378,14 +378,14 @@
         self.give_up(r);
     }
 
-    /// Sends what the design's cut leaves, or the least share where there is no room for more.
+    /// Sends what the design's cut leaves, or the minimum coverage where there is no room for more.
     fn ask(&mut self, r: &mut Query) {
         let (least, partial) = (r.row.least, r.row.least < r.row.whole);
         let (mut sent, out) = (0.0, self.s.tickets.len());
         let first = r.shard_requests.iter().all(|shard_request| shard_request.attempts.is_empty());
         r.scouting =
             first && r.shard_requests.len() > 1 && self.s.falls.share(self.s.now, SPAN, 1.0 / START) > START;
-        for (count, at) in self.plan(r, r.least_only).into_iter().enumerate() {
+        for (count, at) in self.plan(r, r.min_coverage_only).into_iter().enumerate() {
             if !partial || out + count < self.s.room as usize || sent + ROUNDING < least {
                 let shard_request = &mut r.shard_requests[at];
                 sent += shard_request.weight;
@@ -397,10 +397,10 @@
     }
 
     /// The design's ordinary path: shard requests by told weight, score = weight x B^-rank, none sent that scores
-    /// under `CUT`, and never less than the least share; with `least_only`, no more than that. Parts of even
+    /// under `CUT`, and never less than the minimum coverage; with `min_coverage_only`, no more than that. Parts of even
     /// weight share a rank, else many would collapse to a few as B passes 1. A shard request out of reach counts as
     /// cut: else a hot or dead shard's heavy shard request is sent for nothing while light ones are trimmed.
-    fn plan(&mut self, r: &Query, least_only: bool) -> Vec<usize> {
+    fn plan(&mut self, r: &Query, min_coverage_only: bool) -> Vec<usize> {
         let base = self.base(r.within_share);
         let row = &r.row;
         let (mut rank, mut level) = (0, f64::INFINITY);
@@ -416,11 +416,11 @@
             }
             let light = base > 1.0 && shard_request.weight * base.powi(-(rank as i32)) < CUT;
             order.push((
-                row.least < row.whole && (least_only || light || self.hopeless(r, shard_request)),
+                row.least < row.whole && (min_coverage_only || light || self.hopeless(r, shard_request)),
                 at,
             ));
         }
-        if !least_only {
+        if !min_coverage_only {
             order.sort();
         }
         let mut sent = 0.0;
@@ -450,7 +450,7 @@
 
     fn answer(&mut self, r: &mut Query) {
         let whole = self.is_whole(r);
-        self.s.effects.push(Effect::Answer { query: r.id, whole });
+        self.s.effects.push(Effect::Respond { query: r.id, complete: whole });
         r.first_whole |= whole && !r.second_step;
     }
 
@@ -459,7 +459,7 @@
         r.second_step = true;
     }
 
-    /// A decline where asking again is harmless, else a scrapping.
+    /// A rejection where asking again is harmless, else a failure.
     fn give_up(&mut self, r: &mut Query) {
         if self.kills(r) {
             self.s.bar(r, self.s.now + r.row.cut_off);
@@ -469,9 +469,9 @@
         let never_ran = fates.all(|fate| matches!(fate, Fate::NeverRan | Fate::Void));
         let harmless =
             self.effects_of(r).all(|(kind, _)| kind == EffectKind::Reissuable) || never_ran && !r.second_step;
-        let stay_away = if limits.stay_away { goal.min(limits.longest_stay_away) } else { Tenths::ZERO };
-        let (query, scrap) = (r.id, Effect::Scrap { query: r.id });
-        self.s.effects.push(if harmless { Effect::Decline { query, stay_away } } else { scrap });
+        let retry_after = if limits.retry_after { goal.min(limits.max_retry_after) } else { Tenths::ZERO };
+        let (query, scrap) = (r.id, Effect::Fail { query: r.id });
+        self.s.effects.push(if harmless { Effect::Reject { query, retry_after } } else { scrap });
     }
 
     fn take(&mut self, new: &NewQuery) {
@@ -479,7 +479,7 @@
         let now = self.s.now;
         let terms = self.terms.clone();
         let Some(row) = terms.rows.get(&category).cloned() else {
-            return self.s.effects.push(Effect::Scrap { query: id });
+            return self.s.effects.push(Effect::Fail { query: id });
         };
         let p = &terms.prescription;
         let turns = p.period.times(2.0);
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -42,9 +42,9 @@
     /// The part of the payoff that an answer after the goal time earns.
     pub late_share: f64,
     /// The least weight an answer may hold.
-    pub least_share: f64,
+    pub min_coverage: f64,
     /// The weight from which an answer is whole.
-    pub whole_from: f64,
+    pub complete_coverage: f64,
     /// Parts of a second step, asked for after the first answer; 0 for none.
     pub second_parts: u32,
     pub effect: EffectKind,
@@ -99,9 +99,9 @@
     /// A shard request may have two attempts out at once.
     pub copies: bool,
     pub allow_cancel: bool,
-    /// Callers are told how long to stay away, up to `longest_stay_away`.
-    pub stay_away: bool,
-    pub longest_stay_away: Tenths,
+    /// Callers are told how long to stay away, up to `max_retry_after`.
+    pub retry_after: bool,
+    pub max_retry_after: Tenths,
 }
 
 #[derive(Clone, Debug, Default)]
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -132,8 +132,8 @@
     pub fallen: BTreeSet<NodeId>,
     /// Only its first shard request is out, the others wait for that.
     pub scouting: bool,
-    /// Only its least share is sent.
-    pub least_only: bool,
+    /// Only its minimum coverage is sent.
+    pub min_coverage_only: bool,
     /// When its holders were asked for their load.
     pub probed: Option<Tenths>,
     pub shard_requests: Vec<ShardRequest>,
@@ -367,7 +367,7 @@
     /// How many shard requests this broker may have out.
     pub room: f64,
     pub out_at_turn: f64,
-    /// What each category pays for a shard request, of late: over the least share, and over the whole.
+    /// What each category pays for a shard request, of late: over the minimum coverage, and over the whole.
     pub pays: BTreeMap<CategoryNo, [f64; 2]>,
     pub callers: BTreeMap<CallerNo, Fading>,
     /// Questions not asked again until then.
@@ -409,7 +409,7 @@
             first_whole: false,
             fallen: BTreeSet::new(),
             scouting: false,
-            least_only: new.least_only,
+            min_coverage_only: new.min_coverage_only,
             probed: None,
             shard_requests: Vec::new(),
         }
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -64,8 +64,8 @@
                     cut_off: span(&words, "cut-off", 3000.0),
                     payoff: value(&words, "payoff", 1.0),
                     late_share: value(&words, "late", 0.0),
-                    least_share: value(&words, "least", 1.0),
-                    whole_from: value(&words, "whole", 1.0),
+                    min_coverage: value(&words, "least", 1.0),
+                    complete_coverage: value(&words, "whole", 1.0),
                     second_parts: value(&words, "second", 0),
                     effect: match value(&words, "kind", String::new()).as_str() {
                         "numbered" => EffectKind::Numbered,
@@ -192,7 +192,7 @@
                     time_left,
                     work,
                     client_attempt: value(&words, "attempt", 0),
-                    least_only: words.contains(&"least-only"),
+                    min_coverage_only: words.contains(&"least-only"),
                 }));
                 return self.shard_requests(rid, &words);
             }
@@ -305,8 +305,8 @@
             String::from_utf8(bytes).unwrap()
         };
         let closing = match &effect {
-            Effect::Answer { query, .. } if self.leading_on.remove(query) => None,
-            Effect::Answer { query, .. } | Effect::Decline { query, .. } | Effect::Scrap { query } => {
+            Effect::Respond { query, .. } if self.leading_on.remove(query) => None,
+            Effect::Respond { query, .. } | Effect::Reject { query, .. } | Effect::Fail { query } => {
                 Some(*query)
             }
             _ => None,
@@ -328,11 +328,11 @@
             Effect::Cancel { shard_request, attempt } => {
                 format!("withdraw {} {}", name(shard_request.0), attempt.0)
             }
-            Effect::Answer { query, whole } => {
+            Effect::Respond { query, complete: whole } => {
                 format!("answer {} {}", name(query.0), if whole { "whole" } else { "partial" })
             }
-            Effect::Decline { query, .. } => format!("decline {}", name(query.0)),
-            Effect::Scrap { query } => format!("scrap {}", name(query.0)),
+            Effect::Reject { query, .. } => format!("decline {}", name(query.0)),
+            Effect::Fail { query } => format!("scrap {}", name(query.0)),
             Effect::Wake { after } => {
                 self.wakes.insert(self.now + after);
                 "wake".to_owned()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -82,8 +82,8 @@
             cut_off: Tenths::from_ms(service.deadline_ms),
             payoff: service.worth,
             late_share: service.late_share,
-            least_share: *least,
-            whole_from: *whole,
+            min_coverage: *least,
+            complete_coverage: *whole,
             second_parts: text.domain.fetch_parts.get(at).copied().unwrap_or(0),
             effect: match service.effect.as_str() {
                 "idempotent" => EffectKind::Reissuable,
@@ -120,8 +120,8 @@
             max_attempts: text.limits.max_attempts,
             copies: text.limits.second_copies,
             allow_cancel: text.limits.may_cancel,
-            stay_away: text.limits.retry_after,
-            longest_stay_away: Tenths::from_ms(text.limits.max_retry_after_ms),
+            retry_after: text.limits.retry_after,
+            max_retry_after: Tenths::from_ms(text.limits.max_retry_after_ms),
         },
         rules: Rules {
             cold_share: rules.cold_from,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -41,7 +41,7 @@
     let Intake { prescription: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
     assert_eq!((read.period, read.limits.most_open, read.roll_on_request), (Tenths(50), 111, false));
     let category = &read.categories[&CategoryNo(0)];
-    assert_eq!((category.effect, category.least_share), (EffectKind::Numbered, 0.4));
+    assert_eq!((category.effect, category.min_coverage), (EffectKind::Numbered, 0.4));
     assert!(read.rules.further.is_none());
     assert_eq!(
         (names.category("report"), names.caller("school").map(|c| c.0)),
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -70,7 +70,7 @@
     "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
 #[case(Effect::Say("two servers unknown".into()), "58 0300 1300 74776f207365727665727320756e6b6e6f776e")]
 #[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
-#[case(Effect::Answer { query: QueryId(1), whole: true }, "5c 0300 0100000000000000 01")]
+#[case(Effect::Respond { query: QueryId(1), complete: true }, "5c 0300 0100000000000000 01")]
 #[case(Effect::FollowRoll, "5a 0300 01")]
 fn encodes(#[case] effect: Effect, #[case] record: &str) {
     let mut reply = Reply::default();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -168,7 +168,7 @@
                 time_left,
                 work,
                 client_attempt: 0,
-                least_only: false,
+                min_coverage_only: false,
             }));
         }
         let shard = ShardNo(slice as u32);
@@ -245,17 +245,17 @@
                 self.records.put_u64_le(shard_request.0);
                 self.records.put_u16_le(attempt.0);
             }
-            Effect::Answer { query, whole } => {
+            Effect::Respond { query, complete: whole } => {
                 self.record(92, broker);
                 self.records.put_u64_le(query.0);
                 self.records.put_u8((*whole).into());
             }
-            Effect::Decline { query, stay_away } => {
+            Effect::Reject { query, retry_after } => {
                 self.record(81, broker);
                 self.records.put_u64_le(query.0);
-                self.records.put_f64_le(stay_away.as_ms());
+                self.records.put_f64_le(retry_after.as_ms());
             }
-            Effect::Scrap { query } => {
+            Effect::Fail { query } => {
                 self.record(82, broker);
                 self.records.put_u64_le(query.0);
             }
