--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -78,7 +78,7 @@
     /// Declined: its caller asks for more than its share, its bucket does not hold the shard requests, and others
     /// ask. They are not trimmed by it.
     Share,
-    /// Passed, to be served at its minimum coverage only: as `Share`, but its category takes partial answers.
+    /// Passed, to be served at its minimum coverage only: as `Share`, but its class takes partial answers.
     /// The heaviest shard requests earn most of its payoff for a few attempts, where a rejection earns nothing.
     Least,
 }
@@ -158,7 +158,7 @@
                     id: new.id,
                     group: new.group,
                     caller: new.caller,
-                    category: new.category,
+                    class: new.class,
                     client_attempt: new.client_attempt,
                     shard_requests: 0,
                 }),
@@ -418,10 +418,10 @@
         !self.caller(asked.caller).held
     }
 
-    /// As `others_ask`, and its category takes partial answers.
+    /// As `others_ask`, and its class takes partial answers.
     fn partial(&mut self, asked: &Asked) -> bool {
-        let category = self.prescription.categories.get(&asked.category);
-        category.is_some_and(|c| c.min_coverage < c.complete_coverage) && self.others_ask(asked)
+        let class = self.prescription.classes.get(&asked.class);
+        class.is_some_and(|c| c.min_coverage < c.complete_coverage) && self.others_ask(asked)
     }
 
     /// Others ask too, and shares are kept: one caller alone has its excess cut by the module.
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,7 +1,7 @@
 //! What the door remembers, by how long it lives: a query for the turn in which it is asked, a caller
 //! while it asks, the door for as long as the broker runs.
 
-use routing::{CallerNo, CategoryNo, GroupNo, QueryId, Tenths, Window};
+use routing::{CallerNo, ClassId, GroupNo, QueryId, Tenths, Window};
 use std::collections::BTreeMap;
 
 /// A query that is asked in this turn.
@@ -10,7 +10,7 @@
     pub id: QueryId,
     pub group: GroupNo,
     pub caller: CallerNo,
-    pub category: CategoryNo,
+    pub class: ClassId,
     pub client_attempt: u32,
     /// Its shard requests, as they come in the same turn.
     pub shard_requests: u32,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -15,16 +15,16 @@
         max_retry_after: Tenths(20_000),
         ..Limits::default()
     };
-    let category = Category {
+    let class = RequestClass {
         goal_time: Tenths(10_000),
         cut_off: Tenths(20_000),
         payoff: 1.0,
         min_coverage: 1.0,
         complete_coverage: 1.0,
-        ..Category::default()
+        ..RequestClass::default()
     };
-    p.categories.insert(CategoryNo(1), Category { min_coverage: 0.4, ..category.clone() });
-    p.categories.insert(CategoryNo(0), category);
+    p.classes.insert(ClassId(1), RequestClass { min_coverage: 0.4, ..class.clone() });
+    p.classes.insert(ClassId(0), class);
     for (no, quota) in quotas.iter().enumerate() {
         p.callers.insert(CallerNo(no as u32), Caller { quota_per_s: *quota });
     }
@@ -40,13 +40,13 @@
 impl Asking {
     /// A query of a caller with so many shard requests, asked for the `client_attempt`th time.
     fn ask(&mut self, caller: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
-        self.ask_of(CategoryNo(0), caller, shard_requests, client_attempt)
+        self.ask_of(ClassId(0), caller, shard_requests, client_attempt)
     }
 
-    /// The same, of a category.
+    /// The same, of a class.
     fn ask_of(
         &mut self,
-        category: CategoryNo,
+        class: ClassId,
         caller: u32,
         shard_requests: u32,
         client_attempt: u32,
@@ -57,7 +57,7 @@
         let new = NewQuery {
             id,
             group,
-            category,
+            class,
             caller: CallerNo(caller),
             time_left,
             work: Tenths::ZERO,
@@ -267,7 +267,7 @@
     assert!(storm.0 > 60 && storm.1 > 20, "declined and passed of the first: {storm:?}");
 }
 
-/// Where a category takes partial answers, what is beyond a share is served at its minimum coverage, not
+/// Where a class takes partial answers, what is beyond a share is served at its minimum coverage, not
 /// rejected: the heaviest shard requests earn most of its payoff for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
@@ -277,7 +277,7 @@
     let (mut declined, mut least) = (0, 0);
     for step in 0..40 {
         now += Tenths(5000);
-        let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask_of(CategoryNo(1), 0, 4, 0)).collect();
+        let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask_of(ClassId(1), 0, 4, 0)).collect();
         heard.extend(asking.ask(1, 4, 0));
         let (passed, effects) = hosts.step(&mut door, now, heard);
         if step >= 20 {
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -14,7 +14,7 @@
 use routing::{EffectKind, FurtherBudget, Standing, Tenths};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the rules are for one category.
+/// What the rules are for one class.
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub cut_off: Tenths,
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -3,8 +3,8 @@
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    AttemptOutcome, AttemptResult, Category, CategoryNo, CellNo, Effect, GroupNo, Input, Layout, NewQuery,
-    NewShardRequest, NodeId, Prescription, QueryId, ShardRequestId, Standing, Tenths,
+    AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, GroupNo, Input, Layout, NewQuery,
+    NewShardRequest, NodeId, Prescription, QueryId, RequestClass, ShardRequestId, Standing, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
 }
 
 struct Open {
-    category: CategoryNo,
+    class: ClassId,
     goal: Tenths,
     until: Tenths,
     shard_requests: Vec<ShardRequest>,
@@ -40,7 +40,7 @@
     rng: fastrand::Rng,
     layout: Layout,
     period: Tenths,
-    categories: BTreeMap<CategoryNo, Category>,
+    classes: BTreeMap<ClassId, RequestClass>,
     nodes: BTreeMap<NodeId, Node>,
     groups: BTreeMap<GroupNo, QueryId>,
     open: BTreeMap<QueryId, Open>,
@@ -63,7 +63,7 @@
             rng: fastrand::Rng::with_seed(seed),
             layout: prescription.layout.clone(),
             period: prescription.period,
-            categories: prescription.categories.clone(),
+            classes: prescription.classes.clone(),
             nodes: BTreeMap::new(),
             groups: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -104,9 +104,9 @@
     fn take(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
         let margin = self.period.times(4.0);
-        let goal = self.categories.get(&new.category).map_or(Tenths::ZERO, |category| category.goal_time);
+        let goal = self.classes.get(&new.class).map_or(Tenths::ZERO, |class| class.goal_time);
         let (goal, until) = (now + goal - margin, now + new.time_left - margin);
-        self.open.insert(new.id, Open { category: new.category, goal, until, shard_requests: Vec::new() });
+        self.open.insert(new.id, Open { class: new.class, goal, until, shard_requests: Vec::new() });
         effects.push(Effect::Wake { after: goal.min(until) - now });
         effects.push(Effect::Wake { after: until - now });
     }
@@ -134,8 +134,7 @@
     fn send(&mut self, id: QueryId, now: Tenths, effects: &mut Vec<Effect>) {
         let base = self.base(now);
         let Some(mut open) = self.open.remove(&id) else { return };
-        let partial =
-            self.categories.get(&open.category).is_some_and(|c| c.min_coverage < c.complete_coverage);
+        let partial = self.classes.get(&open.class).is_some_and(|c| c.min_coverage < c.complete_coverage);
         if self.how == How::Design {
             open.shard_requests.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
         }
@@ -207,7 +206,7 @@
         for (id, open) in &self.open {
             let came: f64 =
                 open.shard_requests.iter().filter(|p| p.came == Some(true)).map(|p| p.new.weight).sum();
-            let least = self.categories.get(&open.category).map_or(1.0, |c| c.min_coverage);
+            let least = self.classes.get(&open.class).map_or(1.0, |c| c.min_coverage);
             let settled = open.shard_requests.iter().all(|p| p.came.is_some());
             let enough = came + ROUNDING >= least;
             if settled || now >= open.until || now >= open.goal && enough {
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -32,7 +32,7 @@
         hosts,
         host_ms_per_s: CORES as f64 * 1000.0,
         shards: (hosts * 2).max(REPORT_PARTS.1),
-        categories: vec![
+        classes: vec![
             Role::reissuable("report", REPORTS, REPORT_PARTS, 1.0, (3.0, 0.4)),
             Role::reissuable("lookup", 1.0 - REPORTS, LOOKUP_PARTS, 0.0, (1.0, 1.0)),
         ],
@@ -112,8 +112,8 @@
         if at >= seconds {
             break;
         }
-        let category = usize::from(rng.f64() >= REPORTS);
-        let Role { shard_requests: (from, to), skew, .. } = staging.categories[category];
+        let class = usize::from(rng.f64() >= REPORTS);
+        let Role { shard_requests: (from, to), skew, .. } = staging.classes[class];
         let count = rng.u32(from..=to);
         let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-skew)).collect();
         let total: f64 = raw.iter().sum();
@@ -125,10 +125,8 @@
         };
         let shard_requests = (0..).zip(raw).map(shard_request).collect();
         let caller = whose(&mut rng, &callers);
-        entries.push(Entry {
-            at: (at * 10_000.0) as u64,
-            what: Happens::Ask { category, caller, shard_requests },
-        });
+        entries
+            .push(Entry { at: (at * 10_000.0) as u64, what: Happens::Ask { class, caller, shard_requests } });
     }
     Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 }
 }
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -177,8 +177,8 @@
             now: Tenths(0),
             last,
             plan: plan.entries.into(),
-            names: staging.categories.iter().map(|told| told.name.clone()).collect(),
-            cut_offs: staging.categories.iter().map(|told| told.cut_off).collect(),
+            names: staging.classes.iter().map(|told| told.name.clone()).collect(),
+            cut_offs: staging.classes.iter().map(|told| told.cut_off).collect(),
             quotas: staging.quota_per_s.is_some(),
             catalog,
             told: vec![(Standing::Gone, Tenths(0)); hosts.len()],
@@ -269,8 +269,8 @@
         }
         while let Some(entry) = self.plan.pop_front_if(|entry| entry.at as i64 <= self.now.0) {
             match entry.what {
-                Happens::Ask { category, caller, shard_requests } => {
-                    self.ask(category, caller, &shard_requests).await?
+                Happens::Ask { class, caller, shard_requests } => {
+                    self.ask(class, caller, &shard_requests).await?
                 }
                 Happens::Host { host, event } => self.host_event(host as usize, event).await?,
             }
@@ -516,25 +516,20 @@
 
     // ---- clients
 
-    async fn ask(
-        &mut self,
-        category: usize,
-        caller: usize,
-        told: &[(u32, f64, u64)],
-    ) -> Result<(), NoFigure> {
+    async fn ask(&mut self, class: usize, caller: usize, told: &[(u32, f64, u64)]) -> Result<(), NoFigure> {
         let no = self.queries.len();
         let broker = no % self.brokers.len();
-        let of = Of { category, caller, at: self.now };
+        let of = Of { class, caller, at: self.now };
         self.outcome.ask(of);
         let weights: Vec<f64> = told.iter().map(|(_, weight, _)| *weight).collect();
-        let PartNo(first) = self.audit.asked(self.now, broker, category, self.time_of(category), &weights);
+        let PartNo(first) = self.audit.asked(self.now, broker, class, self.time_of(class), &weights);
         let shard_requests = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
         self.queries.push(Query { broker, of, first, shard_requests });
         let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
-        let (left, body) = (u64::from(self.cut_offs[category]), script::body(&slices, "x"));
+        let (left, body) = (u64::from(self.cut_offs[class]), script::body(&slices, "x"));
         let by = scene::caller_name(caller);
         let by = Some(&by[..]).filter(|_| self.quotas);
-        let request = script::request_of(by, &format!("r{no}"), &self.names[category], left, &body);
+        let request = script::request_of(by, &format!("r{no}"), &self.names[class], left, &body);
         let fresh = self.idle[broker].pop().filter(|(since, _)| self.now - *since < IDLE);
         if fresh.is_none() {
             self.idle[broker].clear();
@@ -557,8 +552,8 @@
         self.rest().await
     }
 
-    fn time_of(&self, category: usize) -> Tenths {
-        Tenths::from_ms(f64::from(self.cut_offs[category]))
+    fn time_of(&self, class: usize) -> Tenths {
+        Tenths::from_ms(f64::from(self.cut_offs[class]))
     }
 
     fn end(&mut self, no: usize, reply: Option<(Reply, Client)>) {
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// What a category is worth, and by when.
+/// What a class is worth, and by when.
 #[derive(Clone, Debug)]
 pub struct Worth {
     pub name: String,
@@ -71,7 +71,7 @@
 /// Whose a query is, and when it was asked.
 #[derive(Clone, Copy, Debug)]
 pub struct Of {
-    pub category: usize,
+    pub class: usize,
     pub caller: usize,
     pub at: Tenths,
 }
@@ -80,7 +80,7 @@
 pub struct Outcome {
     pub worth: Vec<Worth>,
     pub service: Service,
-    pub by_category: Vec<Service>,
+    pub by_class: Vec<Service>,
     pub by_caller: Vec<Service>,
     pub seconds: Vec<Second>,
     /// Of answers, in tenths of a millisecond.
@@ -114,7 +114,7 @@
     pub fn new(worth: Vec<Worth>, callers: usize) -> Outcome {
         Outcome {
             service: Service::default(),
-            by_category: vec![Service::default(); worth.len()],
+            by_class: vec![Service::default(); worth.len()],
             by_caller: vec![Service::default(); callers],
             worth,
             seconds: Vec::new(),
@@ -144,13 +144,13 @@
     }
 
     pub fn ask(&mut self, of: Of) {
-        let payoff = self.worth[of.category].payoff;
+        let payoff = self.worth[of.class].payoff;
         self.queries += 1;
         let second = self.second(of.at);
         second.asked += 1;
         second.service.asked += payoff;
         self.service.asked += payoff;
-        self.by_category[of.category].asked += payoff;
+        self.by_class[of.class].asked += payoff;
         self.by_caller[of.caller].asked += payoff;
     }
 
@@ -163,13 +163,13 @@
         let second = self.second(now);
         second.answered += 1;
         second.latencies.push(took.0.max(0) as u32);
-        let Worth { payoff, goal, .. } = self.worth[of.category];
+        let Worth { payoff, goal, .. } = self.worth[of.class];
         if took <= goal {
             // A partial answer earns the share that it holds.
             let earned = payoff * share;
             self.second(of.at).service.earned += earned;
             self.service.earned += earned;
-            self.by_category[of.category].earned += earned;
+            self.by_class[of.class].earned += earned;
             self.by_caller[of.caller].earned += earned;
         }
     }
@@ -208,19 +208,15 @@
     }
 
     pub fn json(&self) -> Value {
-        let by_category: serde_json::Map<String, Value> = self
-            .worth
-            .iter()
-            .zip(&self.by_category)
-            .map(|(w, s)| (w.name.clone(), json!(s.told())))
-            .collect();
+        let by_class: serde_json::Map<String, Value> =
+            self.worth.iter().zip(&self.by_class).map(|(w, s)| (w.name.clone(), json!(s.told()))).collect();
         let by_caller: Vec<Option<f64>> = self.by_caller.iter().map(Service::told).collect();
         let broken: serde_json::Map<String, Value> =
             self.broken.iter().map(|(rule, told)| ((*rule).to_owned(), json!(told.times))).collect();
         let near = |near: &Near| json!({"ratio": near.ratio, "at_s": near.at.as_ms() / 1000.0});
         let nearest: serde_json::Map<String, Value> =
             self.nearest.iter().map(|(rule, told)| ((*rule).to_owned(), near(told))).collect();
-        json!({"nearest": nearest, "service": self.service.share(), "by_category": by_category, "by_caller": by_caller,
+        json!({"nearest": nearest, "service": self.service.share(), "by_category": by_class, "by_caller": by_caller,
             "worst_10_s": self.worst_window(), "retrievals": self.queries, "answered": self.answered,
             "declined": self.declined, "scrapped": self.scrapped, "left": self.left, "tries": self.tries, "pushes": self.attempts, "broken": broken,
             "latency_ms": {"median": self.latency_ms(0.5), "p99": self.latency_ms(0.99),
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,8 +13,8 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo,
-    Input, NewQuery, NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
+    NewQuery, NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo,
     ShardRequestId, Standing, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
@@ -169,7 +169,7 @@
     clients: Clients,
     prescription: Prescription,
     cut_offs: Vec<Tenths>,
-    /// Mean work of a shard request, by category, in microseconds: what a shard request counts for at a cold host.
+    /// Mean work of a shard request, by class, in microseconds: what a shard request counts for at a cold host.
     means: Vec<u64>,
     hasher: blake3::Hasher,
     audit: Audit,
@@ -192,7 +192,7 @@
         (weather, script, clients): (Weather, Vec<Moment>, Clients),
     ) -> World {
         let prescription = scene::prescription(staging, &cast);
-        let cut_offs = prescription.categories.values().map(|category| category.cut_off).collect();
+        let cut_offs = prescription.classes.values().map(|class| class.cut_off).collect();
         let seat = |no: u32| {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
             let decider = decider(&cast, &prescription, seed, Tenths(0));
@@ -219,7 +219,7 @@
             clients,
             prescription,
             cut_offs,
-            means: means(&plan, staging.categories.len()),
+            means: means(&plan, staging.classes.len()),
             plan,
             hasher: blake3::Hasher::new(),
             audit: Audit::new(scene::bounds(staging, TRIP), cast.brokers as usize),
@@ -298,9 +298,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Entry(at) => match self.plan.entries[at].what.clone() {
-                Happens::Ask { category, caller, shard_requests } => {
-                    self.ask(category, caller, &shard_requests)
-                }
+                Happens::Ask { class, caller, shard_requests } => self.ask(class, caller, &shard_requests),
                 Happens::Host { host, event } => self.host_event(host as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
@@ -355,10 +353,10 @@
 
     // ---- clients
 
-    fn ask(&mut self, category: usize, caller: usize, told: &[(u32, f64, u64)]) {
-        let of = Of { category, caller, at: self.now };
+    fn ask(&mut self, class: usize, caller: usize, told: &[(u32, f64, u64)]) {
+        let of = Of { class, caller, at: self.now };
         self.outcome.ask(of);
-        let (until, kills) = (self.now + self.cut_offs[category], self.weather.kills());
+        let (until, kills) = (self.now + self.cut_offs[class], self.weather.kills());
         self.requests.push(Request { of, until, shard_requests: told.to_vec(), tries: 0, kills });
         self.try_request(self.requests.len() - 1);
     }
@@ -371,21 +369,13 @@
         let client_attempt = *tries - 1;
         let (shard_requests, left) = (shard_requests.clone(), until - self.now);
         let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
-        let PartNo(first) = self.audit.asked(self.now, broker, of.category, left, &weights);
+        let PartNo(first) = self.audit.asked(self.now, broker, of.class, left, &weights);
         let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
-        let (category, caller) = (CategoryNo(of.category as u16), CallerNo(of.caller as u32));
+        let (class, caller) = (ClassId(of.class as u16), CallerNo(of.caller as u32));
         let work = Tenths::ZERO;
         let min_coverage_only = false;
-        let new = NewQuery {
-            id,
-            group,
-            category,
-            caller,
-            time_left: left,
-            work,
-            client_attempt,
-            min_coverage_only,
-        };
+        let new =
+            NewQuery { id, group, class, caller, time_left: left, work, client_attempt, min_coverage_only };
         self.hear(broker, Input::Query(new));
         for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
             self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
@@ -653,7 +643,7 @@
 
     /// What it counts for at a cold host, in microseconds.
     fn counts(&self, shard_request: PartNo) -> u64 {
-        self.request_of(shard_request).map_or(0, |request| self.means[request.of.category])
+        self.request_of(shard_request).map_or(0, |request| self.means[request.of.class])
     }
 
     /// An attempt's one end reaches its broker; what comes later is nobody's.
@@ -773,12 +763,12 @@
     }
 }
 
-/// Mean work of a shard request, by category.
-fn means(plan: &Plan, categories: usize) -> Vec<u64> {
-    let mut sums = vec![(0, 0); categories];
+/// Mean work of a shard request, by class.
+fn means(plan: &Plan, classes: usize) -> Vec<u64> {
+    let mut sums = vec![(0, 0); classes];
     for entry in &plan.entries {
-        let Happens::Ask { category, shard_requests, .. } = &entry.what else { continue };
-        let (work, count) = &mut sums[*category];
+        let Happens::Ask { class, shard_requests, .. } = &entry.what else { continue };
+        let (work, count) = &mut sums[*class];
         *work += shard_requests.iter().map(|(.., us)| us).sum::<u64>();
         *count += shard_requests.len() as u64;
     }
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -3,7 +3,7 @@
 use node_emulator::Cancel;
 use rstest::rstest;
 
-/// Four kinds of categories, eight hosts, a tight budget.
+/// Four kinds of classes, eight hosts, a tight budget.
 pub fn staging() -> Staging {
     let role = |name: &str, shard_requests, payoff, least, repeats| Role {
         name: name.to_owned(),
@@ -25,7 +25,7 @@
         hosts: 8,
         host_ms_per_s: 4000.0,
         shards: 16,
-        categories: vec![
+        classes: vec![
             role("report", (4, 8), 3.0, 0.4, Repeats::Reissuable),
             role("lookup", (1, 2), 1.0, 1.0, Repeats::Reissuable),
             role("booking", (1, 2), 1.0, 1.0, Repeats::Numbered(1000)),
@@ -53,7 +53,7 @@
     }
     for no in 0..12 * a_second {
         let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 16, 0.25, 20_000)).collect();
-        let what = Happens::Ask { category: (no % 4) as usize, caller: 0, shard_requests };
+        let what = Happens::Ask { class: (no % 4) as usize, caller: 0, shard_requests };
         entries.push(Entry { at: 10_000 + no * 10_000 / a_second, what });
     }
     entries.sort_by_key(|entry| entry.at);
@@ -151,10 +151,8 @@
     entries.extend((0..hosts).step_by(4).map(|no| host(15_000, no, HostEvent::Start)));
     for no in 0..3_000 {
         let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % shards, 0.25, 80_000)).collect();
-        entries.push(Entry {
-            at: 1_000 + no * 20,
-            what: Happens::Ask { category: 1, caller: 0, shard_requests },
-        });
+        entries
+            .push(Entry { at: 1_000 + no * 20, what: Happens::Ask { class: 1, caller: 0, shard_requests } });
     }
     entries.sort_by_key(|entry| entry.at);
     let plan = Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 };
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -72,7 +72,7 @@
         hosts: size.hosts,
         host_ms_per_s: 4000.0,
         shards: size.hosts * 2,
-        categories: vec![
+        classes: vec![
             Role::reissuable("report", 1.0, (8, 24), 1.0, (3.0, 0.4)),
             Role::reissuable("lookup", 3.0, (1, 4), 0.0, (1.0, 1.0)),
         ],
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -7,7 +7,7 @@
 use cluster_trace::plan::{Repeats, Staging};
 use node_emulator::{Build, Host, State};
 use routing::{
-    Caller, CallerNo, Category, CategoryNo, EffectKind, FurtherBudget, Layout, Limits, Prescription, Rules,
+    Caller, CallerNo, ClassId, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules,
     Standing, Tenths,
 };
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
 pub const TRIP: Tenths = Tenths(5);
 pub const PERIOD: Tenths = Tenths(50);
 pub const ROLL_LATE: Tenths = Tenths(10_000);
-/// Goal time of all categories, and the longest that a caller is told to stay away.
+/// Goal time of all classes, and the longest that a caller is told to stay away.
 pub const GOAL: Tenths = Tenths(20_000);
 /// How long an attempt may still go to a node that the roll told to be draining or gone.
 const GRACE: Tenths = Tenths(2500);
@@ -84,9 +84,9 @@
 }
 
 pub fn prescription(staging: &Staging, cast: &Cast) -> Prescription {
-    let category = |(no, told): (usize, &cluster_trace::plan::Cast)| {
+    let class = |(no, told): (usize, &cluster_trace::plan::Cast)| {
         let (effect, repeat_window) = effect(told.repeats);
-        let category = Category {
+        let class = RequestClass {
             goal_time: GOAL.min(cut_off(told)),
             cut_off: cut_off(told),
             payoff: told.payoff,
@@ -94,9 +94,9 @@
             complete_coverage: 1.0,
             effect,
             repeat_window,
-            ..Category::default()
+            ..RequestClass::default()
         };
-        (CategoryNo(no as u16), category)
+        (ClassId(no as u16), class)
     };
     let quota = |(no, quota_per_s)| (CallerNo(no), Caller { quota_per_s });
     let build = build(cast);
@@ -104,7 +104,7 @@
         brokers: cast.brokers,
         period: PERIOD,
         send_lag: TRIP,
-        categories: staging.categories.iter().enumerate().map(category).collect(),
+        classes: staging.classes.iter().enumerate().map(class).collect(),
         callers: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
         over_share_payoff: OVER_SHARE,
         layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
@@ -141,9 +141,9 @@
         json!({"Name": told.name, "OnTimeMs": GOAL.min(cut_off(told)).as_ms(), "DeadlineMs": told.cut_off,
             "Worth": told.payoff, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
     };
-    let services: Vec<Value> = staging.categories.iter().map(service).collect();
+    let services: Vec<Value> = staging.classes.iter().map(service).collect();
     let all = |value: fn(&cluster_trace::plan::Cast) -> f64| {
-        staging.categories.iter().map(value).collect::<Vec<f64>>()
+        staging.classes.iter().map(value).collect::<Vec<f64>>()
     };
     let tenant = |(no, quota): (usize, f64)| json!({"Name": caller_name(no), "QuotaRps": quota});
     let tenants: Vec<Value> = quotas(staging).into_iter().enumerate().map(tenant).collect();
@@ -159,7 +159,7 @@
     json!({"Instances": cast.brokers, "PeriodMs": PERIOD.as_ms(), "RegistryMode": "automatic", "Areas": ["hall"],
         "Zone": 0, "Tenants": tenants, "OverShareWorth": OVER_SHARE, "Prices": {"LateFail": 0.0}, "Services": services,
         "Domain": {"Cells": cast.cells, "Reach": REACH, "Ranges": staging.shards, "PerCall": 1,
-            "CompleteFrom": all(|_| 1.0), "MinShare": all(|told| told.least), "FetchParts": vec![0; staging.categories.len()]},
+            "CompleteFrom": all(|_| 1.0), "MinShare": all(|told| told.least), "FetchParts": vec![0; staging.classes.len()]},
         "Limits": {"ConnIdleMs": 600_000.0, "ConnectTimeoutMs": 1000.0, "MaxAttempts": MOST_PUSHES,
             "MaxOpen": MOST_OPEN, "MayCancel": true, "SecondCopies": true, "StreamsPerConn": 64, "RetryAfter": true,
             "MaxRetryAfterMs": GOAL.as_ms()},
@@ -171,7 +171,7 @@
         let (effect, repeat_window) = effect(told.repeats);
         Kind { cut_off: cut_off(told), least: told.least, effect, repeat_window }
     };
-    let kinds = staging.categories.iter().map(kind).collect();
+    let kinds = staging.classes.iter().map(kind).collect();
     Bounds { kinds, budget: budget(staging), grace: GRACE, slack }
 }
 
@@ -181,5 +181,5 @@
         payoff: told.payoff,
         goal: GOAL.min(cut_off(told)),
     };
-    staging.categories.iter().map(worth).collect()
+    staging.classes.iter().map(worth).collect()
 }
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -136,7 +136,7 @@
     /// Queries a second that all callers together may ask within their shares; none: no quotas.
     #[arg(long)]
     pub quota: Option<f64>,
-    /// Beside queries that may run again, a numbered and an at-most-once category.
+    /// Beside queries that may run again, a numbered and an at-most-once class.
     #[arg(long)]
     pub effects: bool,
     /// A stated budget for further attempts: three, and this share of what was taken, in any five seconds.
@@ -164,13 +164,13 @@
             least,
             repeats,
         };
-        let mut categories = vec![
+        let mut classes = vec![
             cast("report", 1.0, 3.0, 0.4, Repeats::Reissuable),
             cast("lookup", 3.0, 1.0, 1.0, Repeats::Reissuable),
         ];
         if self.effects {
-            categories.push(cast("booking", 1.0, 1.0, 1.0, Repeats::Numbered(1000)));
-            categories.push(cast("dispensing", 1.0, 1.0, 1.0, Repeats::AtMostOnce));
+            classes.push(cast("booking", 1.0, 1.0, 1.0, Repeats::Numbered(1000)));
+            classes.push(cast("dispensing", 1.0, 1.0, 1.0, Repeats::AtMostOnce));
         }
         Staging {
             seed: self.seed,
@@ -182,7 +182,7 @@
             hosts: self.hosts,
             host_ms_per_s: self.host_ms_per_s,
             shards: self.shards,
-            categories,
+            classes,
             // A few ask much, most ask little.
             callers: (1..=self.callers.max(1)).map(|rank| 1.0 / f64::from(rank)).collect(),
             quota_per_s: self.quota,
@@ -397,7 +397,7 @@
 fn print_plan(planned: &Planned, plan: &Plan, rejected: u64) {
     let staging = planned.staging();
     println!("# assumed, of which the trace has nothing: {} shards; by category:", staging.shards);
-    for (no, cast) in staging.categories.iter().enumerate() {
+    for (no, cast) in staging.classes.iter().enumerate() {
         let Cast { name, share, shard_requests, skew, cut_off, payoff, least, repeats } = cast;
         println!(
             "#   {no} {name}: share {share}, parts {} to {}, skew {skew}, cut-off {cut_off} ms, payoff {payoff}, \
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,9 +8,9 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CategoryNo, CellNo, Effect, GroupNo,
-    Input, NewQuery, NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind,
-    ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
+    NewQuery, NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
+    ShardRequestId, Standing, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
 pub struct Question {
     /// What the wire calls it.
     pub id: Bytes,
-    pub category: CategoryNo,
+    pub class: ClassId,
     pub caller: CallerNo,
     /// When its client stops waiting.
     pub until: Instant,
@@ -315,14 +315,14 @@
             question.shard_requests.iter().map(|_| ShardRequestId(next())).collect();
         let group = GroupNo(id.0 as u32);
         let until = self.tenths(question.until);
-        let category = edition.categories.get(&question.category);
-        let goal = category.map_or(Tenths::ZERO, |c| c.goal_time + question.work.times(c.goal_stretch));
+        let class = edition.classes.get(&question.class);
+        let goal = class.map_or(Tenths::ZERO, |c| c.goal_time + question.work.times(c.goal_stretch));
         let (goal_at, fell) = (self.tenths(Instant::now()) + goal, false);
         let mut heard = self.heard.borrow_mut();
         heard.push(Input::Query(NewQuery {
             id,
             group,
-            category: question.category,
+            class: question.class,
             caller: question.caller,
             time_left: Tenths::ZERO, // filled in when the turn comes
             work: question.work,
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -1,14 +1,14 @@
 //! One edition of the prescription, as fronts read it. It never changes; the desk puts a newer one in its
 //! place, and a query keeps the one under which it was taken.
 
-use routing::{Category, CategoryNo, Prescription, Tenths};
+use routing::{ClassId, Prescription, RequestClass, Tenths};
 use settings::{Catalogue, Intake};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
 pub struct Edition {
     pub names: Catalogue,
-    pub categories: BTreeMap<CategoryNo, Category>,
+    pub classes: BTreeMap<ClassId, RequestClass>,
     pub shards: u32,
     /// Queries and shard requests held at once.
     pub most_open: usize,
@@ -35,11 +35,11 @@
 impl Edition {
     pub fn new(intake: &Intake) -> Edition {
         let p: &Prescription = &intake.prescription;
-        let goal = p.categories.values().map(|category| category.goal_time).min().unwrap_or_default();
+        let goal = p.classes.values().map(|class| class.goal_time).min().unwrap_or_default();
         let retry_after = goal.min(p.limits.max_retry_after);
         Edition {
             names: intake.names.clone(),
-            categories: p.categories.clone(),
+            classes: p.classes.clone(),
             shards: p.layout.shards,
             most_open: p.limits.most_open as usize,
             retry_after: if p.limits.retry_after { retry_after } else { Tenths::ZERO },
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -7,7 +7,7 @@
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{CallerNo, CategoryNo, EffectKind, ShardNo, Tenths};
+use routing::{CallerNo, ClassId, EffectKind, ShardNo, Tenths};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -123,7 +123,7 @@
         Err(why) => return counter.bad(StatusCode::BAD_REQUEST, why),
     };
     drop((held, body));
-    if !can_be_carried(&edition, &request, question.category) {
+    if !can_be_carried(&edition, &request, question.class) {
         return decline(edition.retry_after);
     }
     let verdict = match desk.take(question) {
@@ -140,11 +140,11 @@
 
 /// Guards against effects twice, and answers less than they say: a numbered query's mark has no place in
 /// a call, so what brings one is not sent without it; and there is no second step, without which an answer
-/// of a category that has one holds nothing.
-fn can_be_carried(edition: &Edition, request: &Request, category: CategoryNo) -> bool {
-    edition.categories.get(&category).is_some_and(|category| {
-        let marked = category.effect == EffectKind::Numbered && request.headers().contains_key(MARK);
-        !marked && category.second_parts == 0
+/// of a class that has one holds nothing.
+fn can_be_carried(edition: &Edition, request: &Request, class: ClassId) -> bool {
+    edition.classes.get(&class).is_some_and(|class| {
+        let marked = class.effect == EffectKind::Numbered && request.headers().contains_key(MARK);
+        !marked && class.second_parts == 0
     })
 }
 
@@ -194,9 +194,9 @@
         edition.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
         why
     };
-    let category = edition.names.category(header(CATEGORY).ok_or("no category")?);
-    let category = category.filter(|category| edition.categories.contains_key(category));
-    let category = category.ok_or_else(|| unknown("an unknown category"))?;
+    let class = edition.names.class(header(CATEGORY).ok_or("no category")?);
+    let class = class.filter(|class| edition.classes.contains_key(class));
+    let class = class.ok_or_else(|| unknown("an unknown category"))?;
     // A caller that the settings do not name has no share of its own.
     let caller = header(CALLER).map_or(Some(CallerNo(0)), |caller| edition.names.caller(caller));
     let caller = caller.unwrap_or(CallerNo(u32::MAX));
@@ -228,7 +228,7 @@
     };
     Ok(Question {
         id: Bytes::copy_from_slice(id.as_bytes()),
-        category,
+        class,
         caller,
         until: arrived + time_left,
         work: Tenths::from_ms(work.unwrap_or(0.0).max(0.0) / 1000.0),
--- a/crates/broker/tests/control/main.rs
+++ b/crates/broker/tests/control/main.rs
@@ -263,8 +263,8 @@
     wait_until("the next is taken", || broker.told().number == 2);
 }
 
-/// A version that strikes a category, and a cell, with queries of them open: those go on by what they were
-/// taken under, and new ones are told that there is no such category.
+/// A version that strikes a class, and a cell, with queries of them open: those go on by what they were
+/// taken under, and new ones are told that there is no such class.
 #[rstest]
 fn strikes_a_category_with_retrievals_open() {
     let service = StandIn::start(ANY_PORT, Troubles::default()).unwrap();
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -32,9 +32,9 @@
 /// Version `number`: its shards and its time to stay away tell it from every other. Even shards lie in cell
 /// 0, odd ones in cell 1, which no node is in.
 pub fn document(number: u64) -> Value {
-    let category = |name: &str, goal: f64| json!({"Name": name, "OnTimeMs": goal, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"});
+    let class = |name: &str, goal: f64| json!({"Name": name, "OnTimeMs": goal, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"});
     json!({"Instances": 3, "PeriodMs": 5.0, "RegistryMode": "subscribe", "Areas": ["hall"], "Tenants": [],
-        "Services": [category("lookup", 2000.0), category("probe", 60.0)],
+        "Services": [class("lookup", 2000.0), class("probe", 60.0)],
         "Domain": {"Cells": 2, "Reach": 1, "Ranges": 32 + 2 * number, "PerCall": 4,
             "CompleteFrom": [1.0, 1.0], "MinShare": [1.0, 1.0]},
         "Limits": {"ConnIdleMs": 15000.0, "ConnectTimeoutMs": 2000.0, "MaxAttempts": 3, "MaxOpen": 1000,
@@ -160,11 +160,11 @@
     }
 
     /// Asks for one shard, and waits for the one answer.
-    pub fn ask(&mut self, category: &str, shard: u64) -> Reply {
+    pub fn ask(&mut self, class: &str, shard: u64) -> Reply {
         self.asked += 1;
         let body = json!({"slices": [{"slice": shard, "mass": 1.0}], "filter": "x"}).to_string();
         let head = format!(
-            "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {}-{}\r\nX-Service-Class: {category}\r\n\
+            "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {}-{}\r\nX-Service-Class: {class}\r\n\
              X-Time-Left-Ms: 5000\r\nContent-Length: {}\r\n\r\n",
             self.name,
             self.asked,
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -35,8 +35,8 @@
 #[case(90_000.0, 3700)]
 fn leaves_before_the_kill(#[case] deadline: f64, #[case] kill: u64) {
     let mut intake = Intake::default();
-    let category = routing::Category { cut_off: Tenths::from_ms(deadline), ..Default::default() };
-    intake.prescription.categories.insert(routing::CategoryNo(0), category);
+    let class = routing::RequestClass { cut_off: Tenths::from_ms(deadline), ..Default::default() };
+    intake.prescription.classes.insert(routing::ClassId(0), class);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     let answered = limits.leave_within + limits.last_answers;
     assert!(answered < Duration::from_millis(kill));
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -7,7 +7,7 @@
 use broker::Order;
 use broker::desk::{Question, RequestedShard, Verdict};
 use bytes::Bytes;
-use routing::{CallerNo, CategoryNo, ShardNo, Tenths};
+use routing::{CallerNo, ClassId, ShardNo, Tenths};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -40,10 +40,10 @@
     json!({"revision": revision, "complete": true, "members": members})
 }
 
-fn question(id: &'static str, category: u16, text: Bytes) -> Question {
+fn question(id: &'static str, class: u16, text: Bytes) -> Question {
     Question {
         id: Bytes::from_static(id.as_bytes()),
-        category: CategoryNo(category),
+        class: ClassId(class),
         caller: CallerNo(0),
         until: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -137,14 +137,14 @@
 #[case("once", "bad frame", false, 502)]
 #[case("once", "turned away", true, 200)]
 fn pushes_again_as_the_end_allows(
-    #[case] category: &str,
+    #[case] class: &str,
     #[case] end: &str,
     #[case] again: bool,
     #[case] status: u16,
 ) {
     play(async {
         let mut stage = Stage::new(2).await;
-        let mut client = stage.ask("a", category, ONE).await;
+        let mut client = stage.ask("a", class, ONE).await;
         let (first, line, _) = stage.call().await;
         match end {
             "dropped" => stage.nodes[first].close(line),
@@ -752,11 +752,7 @@
 #[case("once", "Idempotency-Key: 710d\r\n", 503)]
 #[case("once", "", 200)]
 #[case("report", "Idempotency-Key: 710d\r\n", 200)]
-fn declines_what_the_protocol_does_not_carry(
-    #[case] category: &str,
-    #[case] header: &str,
-    #[case] status: u16,
-) {
+fn declines_what_the_protocol_does_not_carry(#[case] class: &str, #[case] header: &str, #[case] status: u16) {
     play(async {
         let other = |c: &mut Value| {
             c["settings"]["Domain"]["FetchParts"] = json!([0, 2, 0]);
@@ -764,7 +760,7 @@
         };
         let mut stage = Stage::with(1, other, |_| ()).await;
         let mut client = stage.client().await;
-        let text = request("a", category, 9000, &body(ONE)).replace("Host:", &format!("{header}Host:"));
+        let text = request("a", class, 9000, &body(ONE)).replace("Host:", &format!("{header}Host:"));
         client.write(&text).await;
         if status == 200 {
             let (node, line, _) = stage.call().await;
@@ -826,8 +822,8 @@
 fn load_by_probe(config: &mut Value, goal_ms: f64) {
     config["settings"]["Stats"] = json!({"Via": "pull", "Fields": ["qps", "queue", "util"]});
     config["settings"]["Limits"]["Probes"] = json!(true);
-    for category in config["settings"]["Services"].as_array_mut().unwrap() {
-        (category["OnTimeMs"], category["DeadlineMs"]) = (json!(goal_ms), json!(500_000.0));
+    for class in config["settings"]["Services"].as_array_mut().unwrap() {
+        (class["OnTimeMs"], class["DeadlineMs"]) = (json!(goal_ms), json!(500_000.0));
     }
 }
 
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -37,10 +37,10 @@
         "flavor": "std", "cell": at, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// A config as a broker finds it; of its categories `report` may be partial, and `once` runs at most once. Its list is
+/// A config as a broker finds it; of its classes `report` may be partial, and `once` runs at most once. Its list is
 /// asked for, so that it serves from what it knew until discovery is heard.
 pub fn config(nodes: &[Node], discovery: &str) -> Value {
-    let category = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         json!({"Name": name, "OnTimeMs": 8000.0, "DeadlineMs": 16000.0, "Worth": 1.0, "LateShare": 0.1,
             "Effect": effect, "DedupWindowMs": 5000.0})
     };
@@ -50,8 +50,8 @@
         "known": {"revision": 1, "complete": true, "members": members},
         "settings": {"Instances": 1, "PeriodMs": 5.0, "RegistryMode": "subscribe", "Areas": ["hall"],
             "Zone": 0, "Tenants": [], "Prices": {"LateFail": 0.05},
-            "Services": [category("report", "idempotent"), category("lookup", "idempotent"),
-                category("once", "at_most_once")],
+            "Services": [class("report", "idempotent"), class("lookup", "idempotent"),
+                class("once", "at_most_once")],
             "Domain": {"Cells": nodes.len(), "Reach": nodes.len(), "Ranges": 16, "PerCall": 4,
                 "CompleteFrom": [1.0, 1.0, 1.0], "MinShare": [0.4, 1.0, 1.0], "FetchParts": [0, 0, 0]},
             "Limits": {"ConnIdleMs": 15000.0, "ConnectTimeoutMs": 2000.0, "MaxAttempts": 3, "MaxOpen": 100,
@@ -123,9 +123,9 @@
     }
 
     /// A client that has asked for these shard requests.
-    pub async fn ask(&self, id: &str, category: &str, slices: &[(u32, f64)]) -> Client {
+    pub async fn ask(&self, id: &str, class: &str, slices: &[(u32, f64)]) -> Client {
         let mut client = self.client().await;
-        client.write(&request(id, category, 100_000, &body(slices))).await;
+        client.write(&request(id, class, 100_000, &body(slices))).await;
         client
     }
 }
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -27,7 +27,7 @@
     /// Milliseconds of work that one host does in a second.
     pub host_ms_per_s: f64,
     pub shards: u32,
-    pub categories: Vec<Cast>,
+    pub classes: Vec<Cast>,
     /// The callers' shares of the trace's users: a user is one caller's, always.
     pub callers: Vec<f64>,
     /// Queries a second that all callers together may ask, split by their shares; none: no quotas.
@@ -42,7 +42,7 @@
     pub most: usize,
 }
 
-/// A category, and what its queries are assumed to be.
+/// A class, and what its queries are assumed to be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cast {
     pub name: String,
@@ -61,7 +61,7 @@
 }
 
 impl Cast {
-    /// A category whose queries may run again, with five seconds to its cut-off.
+    /// A class whose queries may run again, with five seconds to its cut-off.
     pub fn reissuable(
         name: &str,
         share: f64,
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Happens {
     Ask {
-        category: usize,
+        class: usize,
         caller: usize,
         /// Shard, weight and microseconds of work of each shard request, heaviest first.
         shard_requests: Vec<(u32, f64, u64)>,
@@ -234,15 +234,15 @@
             (!(staging.load > 0.0 && staging.load.is_finite()), "load"),
             (staging.hosts == 0, "hosts"),
             (staging.shards == 0, "shards"),
-            (staging.categories.is_empty(), "categories"),
+            (staging.classes.is_empty(), "categories"),
             (
                 staging
-                    .categories
+                    .classes
                     .iter()
                     .any(|c| c.shard_requests.0 == 0 || c.shard_requests.1 < c.shard_requests.0),
                 "parts",
             ),
-            (staging.categories.iter().any(|c| c.shard_requests.1 > staging.shards), "parts"),
+            (staging.classes.iter().any(|c| c.shard_requests.1 > staging.shards), "parts"),
             (staging.callers.is_empty(), "callers"),
         ];
         if let Some((_, name)) = wrong.into_iter().find(|(wrong, _)| *wrong) {
@@ -396,10 +396,10 @@
     fn ask(&self, work: &Work, work_ms: f64, no: u64) -> Happens {
         let staging = &self.staging;
         let name = |id: Option<Id>| id.map_or(0, |id| id.0);
-        let category =
-            pick(staging.categories.iter().map(|c| c.share), lot(staging.seed, CATEGORY, name(work.class)));
+        let class =
+            pick(staging.classes.iter().map(|c| c.share), lot(staging.seed, CATEGORY, name(work.class)));
         let caller = pick(staging.callers.iter().copied(), lot(staging.seed, CALLER, name(work.caller)));
-        let cast = &staging.categories[category];
+        let cast = &staging.classes[class];
         let mut rng =
             fastrand::Rng::with_seed(staging.seed ^ PARTS.rotate_left(32) ^ work.piece ^ no.rotate_left(48));
         let count = rng.u32(cast.shard_requests.0..=cast.shard_requests.1);
@@ -410,7 +410,7 @@
             let us = (work_ms * 1000.0 / f64::from(count)) as u64;
             ((first + rank) % staging.shards, weight / total, us.max(LEAST_US))
         });
-        Happens::Ask { category, caller, shard_requests: shard_requests.collect() }
+        Happens::Ask { class, caller, shard_requests: shard_requests.collect() }
     }
 }
 
@@ -428,8 +428,8 @@
                 };
                 write!(f, "host {host} {word}")
             }
-            Happens::Ask { category, caller, shard_requests } => {
-                write!(f, "ask {category} {caller}")?;
+            Happens::Ask { class, caller, shard_requests } => {
+                write!(f, "ask {class} {caller}")?;
                 shard_requests
                     .iter()
                     .try_for_each(|(shard, weight, us)| write!(f, " {shard}:{weight:.6}:{us}"))
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -27,7 +27,7 @@
         hosts: 4,
         host_ms_per_s: 1000.0,
         shards: 16,
-        categories: vec![cast("report", 1.0, (4, 8)), cast("lookup", 3.0, (1, 2))],
+        classes: vec![cast("report", 1.0, (4, 8)), cast("lookup", 3.0, (1, 2))],
         callers: vec![1.0, 2.0],
         quota_per_s: None,
         drains: 0.0,
@@ -79,9 +79,9 @@
 
 fn asks(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
     let ask = |entry: &cluster_trace::plan::Entry| match &entry.what {
-        Happens::Ask { category, caller, shard_requests } => Some((
+        Happens::Ask { class, caller, shard_requests } => Some((
             entry.at,
-            *category,
+            *class,
             *caller,
             shard_requests.iter().map(|shard_request| shard_request.2).sum(),
         )),
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -244,7 +244,7 @@
     }
 
     /// The same for a job that counts as so much work where a cold host falls over: the rule counts a shard request by its
-    /// category's mean work, as no broker can know more of it.
+    /// class's mean work, as no broker can know more of it.
     pub fn take_as(&mut self, now: Tenths, no: JobNo, us: u64, counts: u64) -> Taken {
         if self.state == Dead {
             return Taken::Unreachable;
--- a/crates/node-emulator/src/script.rs
+++ b/crates/node-emulator/src/script.rs
@@ -398,16 +398,16 @@
     json!({"slices": slices, "filter": text}).to_string()
 }
 
-pub fn request(id: &str, category: &str, left_ms: u64, body: &str) -> String {
-    request_of(None, id, category, left_ms, body)
+pub fn request(id: &str, class: &str, left_ms: u64, body: &str) -> String {
+    request_of(None, id, class, left_ms, body)
 }
 
 /// The same, by a caller that is named.
-pub fn request_of(caller: Option<&str>, id: &str, category: &str, left_ms: u64, body: &str) -> String {
+pub fn request_of(caller: Option<&str>, id: &str, class: &str, left_ms: u64, body: &str) -> String {
     let caller = caller.map_or(String::new(), |caller| format!("X-Account: {caller}\r\n"));
     format!(
         "POST /api HTTP/1.1\r\nHost: backend.local\r\n{caller}X-Correlation-Id: {id}\r\n\
-         X-Service-Class: {category}\r\nX-Time-Left-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
+         X-Service-Class: {class}\r\nX-Time-Left-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -25,8 +25,8 @@
     ShardNo(u32);
     /// A cell of nodes; cells decide who holds which shard.
     CellNo(u32);
-    /// A place in the list of categories.
-    CategoryNo(u16);
+    /// A place in the list of classes.
+    ClassId(u16);
     /// A place in the list of callers that share the service.
     CallerNo(u32);
     /// A place in the list of zones.
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,7 +1,7 @@
 //! What a broker hears.
 
 use crate::ids::{
-    AttemptNumber, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, ZoneNo,
+    AttemptNumber, CallerNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, ZoneNo,
 };
 use crate::prescription::Prescription;
 use crate::time::Tenths;
@@ -74,7 +74,7 @@
 pub struct NewQuery {
     pub id: QueryId,
     pub group: GroupNo,
-    pub category: CategoryNo,
+    pub class: ClassId,
     pub caller: CallerNo,
     /// How long its caller will wait.
     pub time_left: Tenths,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -4,13 +4,13 @@
 //! `TABLE` first, the life of a query, then `ENDS`, what each end of an attempt means. The rest serves them.
 
 use crate::effects::Effect;
-use crate::ids::{AttemptNumber, CategoryNo, NodeId, QueryId, ShardRequestId};
+use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
 use crate::inputs::{AttemptOutcome, AttemptResult, Input, NewQuery, Roll};
-use crate::prescription::{Category, EffectKind, FurtherBudget, Layout, Prescription};
+use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription, RequestClass};
 use crate::state::Signal::{self, CallerLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
 use crate::state::{
-    CategoryRow, Due, Fate, Instance, Line, Node, Push, Query, ShardRequest, ShardRequestState,
+    ClassPolicy, Due, Fate, Instance, Line, Node, Push, Query, ShardRequest, ShardRequestState,
 };
 use crate::state::{Terms, Ticket};
 use crate::time::Tenths;
@@ -133,7 +133,7 @@
 
     /// What decisions need of a prescription, worked out once.
     fn read(p: Prescription) -> Terms {
-        let row = |c: &Category| CategoryRow {
+        let row = |c: &RequestClass| ClassPolicy {
             goal: c.goal_time.min(c.cut_off),
             stretch: c.goal_stretch,
             cut_off: c.cut_off,
@@ -148,13 +148,13 @@
         };
         // A broker's own restraint where none is stated: one node's outage must not double the load.
         let own = FurtherBudget { floor: p.limits.max_attempts.into(), share: OWN_FURTHER, window: SPAN };
-        let rows = p.categories.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
-        let shortest_goal = p.categories.values().map(|c| c.goal_time.min(c.cut_off)).min().unwrap_or(SPAN);
+        let rows = p.classes.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
+        let shortest_goal = p.classes.values().map(|c| c.goal_time.min(c.cut_off)).min().unwrap_or(SPAN);
         Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, prescription: p }
     }
 
     /// Takes a new prescription. What outlives the old one goes by what it means: rates by caller, payoffs by
-    /// category, attempts by time. The old one binds on, beside the new, for as long as a window of its rules
+    /// class, attempts by time. The old one binds on, beside the new, for as long as a window of its rules
     /// reaches back. Guards against a change that would let twice the budget through in one window.
     fn prescribe(&mut self, prescription: Prescription) {
         let old = std::mem::replace(&mut self.terms, Arc::new(Broker::read(prescription)));
@@ -162,7 +162,7 @@
         let binds = (old.further.window + self.leaves_by()).max(rules.warm_after).max(rules.fall_window);
         let (now, new) = (self.s.now, &self.terms);
         self.s.room = self.s.room.min(f64::from(new.prescription.limits.most_open.max(1)));
-        let alike = |a: &CategoryRow, b: &CategoryRow| (a.payoff, a.least) == (b.payoff, b.least);
+        let alike = |a: &ClassPolicy, b: &ClassPolicy| (a.payoff, a.least) == (b.payoff, b.least);
         let same = |no: &_| old.rows.get(no).zip(new.rows.get(no)).is_some_and(|(a, b)| alike(a, b));
         self.s.pays.retain(|no, _| same(no));
         let named = |no: &_| new.prescription.callers.contains_key(no);
@@ -328,7 +328,7 @@
         let (out, need) = (self.s.tickets.len(), self.plan(r, true).len());
         let (payoff, least) = (r.row.payoff, r.row.least);
         let pays = payoff * least / need.max(1) as f64;
-        self.s.note_pays(r.category, [pays, payoff / r.shard_requests.len().max(1) as f64], NEWEST);
+        self.s.note_pays(r.class, [pays, payoff / r.shard_requests.len().max(1) as f64], NEWEST);
         let far = !self.reaches_least(r, 1.0 - lost);
         out > 0 && ((out + need) as f64 > self.room_for(r, pays) || far) || far && r.probed.is_some()
     }
@@ -442,7 +442,7 @@
         let usable = self
             .s
             .holders_of(layout, shard_request)
-            .filter(|id| self.has_room(*id, r.category, shard_request.id));
+            .filter(|id| self.has_room(*id, r.class, shard_request.id));
         let wait = |n: &Node| if idle(n) { Tenths::ZERO } else { self.latency(n) + n.queue() };
         let least = usable.map(|id| wait(&self.s.nodes[&id])).min();
         least.is_none_or(|wait| self.s.now + wait.times(SPREAD) > r.goal_at)
@@ -475,10 +475,10 @@
     }
 
     fn take(&mut self, new: &NewQuery) {
-        let NewQuery { id, category, caller, time_left, work, .. } = *new;
+        let NewQuery { id, class, caller, time_left, work, .. } = *new;
         let now = self.s.now;
         let terms = self.terms.clone();
-        let Some(row) = terms.rows.get(&category).cloned() else {
+        let Some(row) = terms.rows.get(&class).cloned() else {
             return self.s.effects.push(Effect::Fail { query: id });
         };
         let p = &terms.prescription;
@@ -531,7 +531,7 @@
         }
         let shard_request = &mut r.shard_requests[at];
         let may = !held && (!further || self.further_left());
-        let Some(node) = self.choose(&r.terms.prescription.layout, r.category, shard_request).filter(|_| may)
+        let Some(node) = self.choose(&r.terms.prescription.layout, r.class, shard_request).filter(|_| may)
         else {
             // No holder may have it now, or the budget is spent: it waits while that can help.
             shard_request.stage =
@@ -539,16 +539,15 @@
             return self.later(goal, Due::Again(shard_request.id));
         };
         let no = AttemptNumber(shard_request.attempts.len() as u16);
-        let (id, within_share, category, out) =
-            (shard_request.id, r.within_share, r.category, self.s.out_at_turn);
+        let (id, within_share, class, out) = (shard_request.id, r.within_share, r.class, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
         self.s.further.extend(further.then_some((now, id, no)));
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
         let (cold, per_call) = (self.is_cold(node), self.terms.prescription.layout.per_call);
-        let call = self.s.board(node, per_call, cold.then_some(category), lull);
+        let call = self.s.board(node, per_call, cold.then_some(class), lull);
         shard_request.stage = ShardRequestState::Out;
         shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
-        let ticket = Ticket { node, call, within_share, category, goal, out, crowded, lull, silent: false };
+        let ticket = Ticket { node, call, within_share, class, goal, out, crowded, lull, silent: false };
         self.s.tickets.insert((id, no), ticket);
         let life = (r.goal_at + late_life).min(r.cut_off_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
@@ -571,18 +570,13 @@
 
     /// The replica rule: least smoothed latency x (own calls out + 1), where joining a call of this turn
     /// opens no other. Close calls go to the own zone, then to a call of this turn, then by lot.
-    fn choose(
-        &mut self,
-        layout: &Layout,
-        category: CategoryNo,
-        shard_request: &ShardRequest,
-    ) -> Option<NodeId> {
+    fn choose(&mut self, layout: &Layout, class: ClassId, shard_request: &ShardRequest) -> Option<NodeId> {
         let open = |id: &NodeId| shard_request.attempts.iter().all(|p| p.node != *id || p.fate != Fate::Out);
         let tried = |id: &NodeId| shard_request.attempts.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
             .s
             .holders_of(layout, shard_request)
-            .filter(|id| open(id) && self.has_room(*id, category, shard_request.id))
+            .filter(|id| open(id) && self.has_room(*id, class, shard_request.id))
             .collect();
         let all_tried = usable.iter().all(tried);
         let worth = usable.iter().filter(|id| all_tried || !tried(id));
@@ -662,7 +656,7 @@
             let limits = &r.terms.prescription.limits;
             let may = limits.copies || (overtaken || deaf) && limits.allow_cancel;
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
-            let other = self.choose(&r.terms.prescription.layout, r.category, &r.shard_requests[at]);
+            let other = self.choose(&r.terms.prescription.layout, r.class, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
             let faster = elsewhere.is_some_and(|there| there < here && now + there < r.goal_at);
             if again && faster && self.further_left() {
@@ -701,10 +695,10 @@
             })
     }
 
-    /// What a repeat would do, and the window: as it was taken, and as its category is now. Guards against a
+    /// What a repeat would do, and the window: as it was taken, and as its class is now. Guards against a
     /// change that the nodes know of already: what either forbids is not done.
     fn effects_of<'a>(&'a self, r: &'a Query) -> impl Iterator<Item = (EffectKind, Tenths)> + 'a {
-        let now = self.terms.rows.get(&r.category);
+        let now = self.terms.rows.get(&r.class);
         std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.repeat_window))
     }
 
@@ -764,7 +758,7 @@
             self.fit_room(ticket, outcome.took);
         }
         if outcome.end == AttemptOutcome::Succeeded {
-            self.s.paces.entry(ticket.category).or_default().note(outcome.took, STEADY);
+            self.s.paces.entry(ticket.class).or_default().note(outcome.took, STEADY);
         }
         self.s.amend(ticket.node, |node| {
             node.leave(ticket.call);
@@ -830,9 +824,9 @@
 
     /// Rule 4, whatever the other brokers send: a cold node gets this broker's even share of what one that
     /// does one shard request at a time bears in a window, by the share it has warmed to; shard requests count as long as their
-    /// category's ever were on average. While it fails again and again it gets one attempt a window.
-    fn has_room(&self, id: NodeId, category: CategoryNo, shard_request: ShardRequestId) -> bool {
-        !self.is_cold(id) || self.binding().all(|terms| self.bears(id, category, shard_request, terms))
+    /// class's ever were on average. While it fails again and again it gets one attempt a window.
+    fn has_room(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId) -> bool {
+        !self.is_cold(id) || self.binding().all(|terms| self.bears(id, class, shard_request, terms))
     }
 
     /// Where an even share is under a shard request a window, all send by chance, so little that by `LUCK` it stays
@@ -840,17 +834,17 @@
     /// when it heard of the start, beginning by lot; one of many that meets it rarely, and then with many
     /// shard requests, draws lots over these. Guards against brokers that send one each at once. Harm: it is asked
     /// later.
-    fn bears(&self, id: NodeId, category: CategoryNo, shard_request: ShardRequestId, terms: &Terms) -> bool {
+    fn bears(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId, terms: &Terms) -> bool {
         let (p, node, now) = (&terms.prescription, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
-        let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(category, unheard));
+        let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(class, unheard));
         let age = (now - node.started.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_after);
         if age >= 1.0 {
             return true;
         }
         let share = rules.cold_share + (1.0 - rules.cold_share) * age;
         let bears = window.times(rules.fall_multiple * share).0.max(1) as f64;
-        let sent = |from| node.sent_cold(from).map(|category| self.s.pace(category, unheard)).sum::<f64>();
+        let sent = |from| node.sent_cold(from).map(|class| self.s.pace(class, unheard)).sum::<f64>();
         let lately = sent(now - window);
         if bears / all >= cost || p.brokers <= 1 || lately > 0.0 && node.failures > 1 {
             return lately == 0.0 || node.failures <= 1 && lately + cost <= bears / all;
@@ -905,7 +899,7 @@
     }
 
     fn reaches_least(&self, r: &Query, sum: f64) -> bool {
-        let &CategoryRow { least, whole, .. } = &*r.row;
+        let &ClassPolicy { least, whole, .. } = &*r.row;
         sum + ROUNDING >= if r.second_step && least >= whole { 1.0 } else { least }
     }
 
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -1,11 +1,11 @@
 //! What a broker is handed when it starts: how the service is to be served.
 
-use crate::ids::{CallerNo, CategoryNo, CellNo, ShardNo, ZoneNo};
+use crate::ids::{CallerNo, CellNo, ClassId, ShardNo, ZoneNo};
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
 /// Everything a broker is told at its start, and anew with `Input::Prescription`. A prescription itself never
-/// changes: a query keeps the one under which it was taken. Numbers of categories and callers stay with
+/// changes: a query keeps the one under which it was taken. Numbers of classes and callers stay with
 /// what they name for as long as the broker runs: one that is struck from a prescription leaves a gap.
 #[derive(Clone, Debug, Default)]
 pub struct Prescription {
@@ -16,7 +16,7 @@
     pub period: Tenths,
     /// The longest that an attempt may take from its turn to its node.
     pub send_lag: Tenths,
-    pub categories: BTreeMap<CategoryNo, Category>,
+    pub classes: BTreeMap<ClassId, RequestClass>,
     pub callers: BTreeMap<CallerNo, Caller>,
     /// A query beyond its caller's share earns this part of its payoff.
     pub over_share_payoff: f64,
@@ -33,7 +33,7 @@
 
 /// A kind of query.
 #[derive(Clone, Debug, Default)]
-pub struct Category {
+pub struct RequestClass {
     pub goal_time: Tenths,
     /// Extra goal time, as a multiple of the work that a query is expected to be.
     pub goal_stretch: f64,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::effects::Effect;
 use crate::ids::{
-    AttemptNumber, CallNo, CallerNo, CategoryNo, CellNo, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId,
+    AttemptNumber, CallNo, CallerNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId,
     ZoneNo,
 };
 use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
@@ -43,8 +43,8 @@
     pub node: NodeId,
     pub call: CallNo,
     pub within_share: bool,
-    pub category: CategoryNo,
-    /// The goal time of its category.
+    pub class: ClassId,
+    /// The goal time of its class.
     pub goal: Tenths,
     /// Parts out after the turn in which it was sent.
     pub out: f64,
@@ -115,10 +115,10 @@
 pub struct Query {
     pub id: QueryId,
     pub group: GroupNo,
-    pub category: CategoryNo,
+    pub class: ClassId,
     /// Those under which it was taken, to its end.
     pub terms: Arc<Terms>,
-    pub row: Arc<CategoryRow>,
+    pub row: Arc<ClassPolicy>,
     pub within_share: bool,
     pub stage: Stage,
     /// Its goal time, or what its caller will wait if that is less.
@@ -171,7 +171,7 @@
     pub riding: Option<(CallNo, u32)>,
     pub line: Option<(Line, Tenths)>,
     /// When attempts went to it while it was cold.
-    pub cold_pushes: VecDeque<(Tenths, CategoryNo)>,
+    pub cold_pushes: VecDeque<(Tenths, ClassId)>,
 }
 
 /// A load report, as far as a node tells these.
@@ -185,7 +185,7 @@
     pub rate: Option<f64>,
 }
 
-/// How long a category's shard requests take: the least that their smoothed latency ever was.
+/// How long a class's shard requests take: the least that their smoothed latency ever was.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     heard: f64,
@@ -280,14 +280,14 @@
 #[derive(Debug, Default)]
 pub struct Terms {
     pub prescription: Prescription,
-    pub rows: BTreeMap<CategoryNo, Arc<CategoryRow>>,
+    pub rows: BTreeMap<ClassId, Arc<ClassPolicy>>,
     pub further: FurtherBudget,
     pub shortest_goal: Tenths,
 }
 
-/// What a category's row holds.
+/// What a class's row holds.
 #[derive(Debug)]
-pub struct CategoryRow {
+pub struct ClassPolicy {
     pub goal: Tenths,
     pub stretch: f64,
     pub cut_off: Tenths,
@@ -352,7 +352,7 @@
     pub next_call: CallNo,
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
-    pub paces: BTreeMap<CategoryNo, Pace>,
+    pub paces: BTreeMap<ClassId, Pace>,
     /// Over all shard requests, and over those of callers within their share.
     pub pressure: [Window; 2],
     /// Of attempts, those refused as full or timed out.
@@ -367,11 +367,11 @@
     /// How many shard requests this broker may have out.
     pub room: f64,
     pub out_at_turn: f64,
-    /// What each category pays for a shard request, of late: over the minimum coverage, and over the whole.
-    pub pays: BTreeMap<CategoryNo, [f64; 2]>,
+    /// What each class pays for a shard request, of late: over the minimum coverage, and over the whole.
+    pub pays: BTreeMap<ClassId, [f64; 2]>,
     pub callers: BTreeMap<CallerNo, Fading>,
     /// Questions not asked again until then.
-    pub barred: BTreeMap<(CategoryNo, BTreeSet<ShardNo>), Tenths>,
+    pub barred: BTreeMap<(ClassId, BTreeSet<ShardNo>), Tenths>,
     pub taken: VecDeque<Tenths>,
     pub further: VecDeque<(Tenths, ShardRequestId, AttemptNumber)>,
     /// When shard requests were asked for.
@@ -389,7 +389,7 @@
     /// As it is taken, before its shard requests are in hand.
     pub fn taken(
         new: &NewQuery,
-        (terms, row): (Arc<Terms>, Arc<CategoryRow>),
+        (terms, row): (Arc<Terms>, Arc<ClassPolicy>),
         within_share: bool,
         goal: Tenths,
         [goal_at, cut_off_at]: [Tenths; 2],
@@ -397,7 +397,7 @@
         Query {
             id: new.id,
             group: new.group,
-            category: new.category,
+            class: new.class,
             terms,
             row,
             within_share,
@@ -416,8 +416,8 @@
     }
 
     /// What it asks for; one that comes again asks for the same.
-    pub fn question(&self) -> (CategoryNo, BTreeSet<ShardNo>) {
-        (self.category, self.shard_requests.iter().map(|shard_request| shard_request.shard).collect())
+    pub fn question(&self) -> (ClassId, BTreeSet<ShardNo>) {
+        (self.class, self.shard_requests.iter().map(|shard_request| shard_request.shard).collect())
     }
 
     /// The weight of the shard requests at these stages.
@@ -442,8 +442,8 @@
     }
 
     /// What went to it while it was cold, from then on.
-    pub fn sent_cold(&self, from: Tenths) -> impl Iterator<Item = CategoryNo> + '_ {
-        self.cold_pushes.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, category)| *category)
+    pub fn sent_cold(&self, from: Tenths) -> impl Iterator<Item = ClassId> + '_ {
+        self.cold_pushes.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, class)| *class)
     }
 
     /// A shard request's attempt has come to its end.
@@ -614,7 +614,7 @@
         &mut self,
         id: NodeId,
         per_call: u32,
-        cold: Option<CategoryNo>,
+        cold: Option<ClassId>,
         line: Option<(Line, Tenths)>,
     ) -> CallNo {
         let now = self.now;
@@ -629,7 +629,7 @@
         (node.riding, node.line) = (Some((call, shard_requests)), line);
         self.boarded.push(id);
         node.calls.entry(call).or_insert(Call { sent: now, parts_out: 0 }).parts_out += 1;
-        node.cold_pushes.extend(cold.map(|category| (now, category)));
+        node.cold_pushes.extend(cold.map(|class| (now, class)));
         call
     }
 
@@ -702,9 +702,9 @@
         ids.flatten().copied()
     }
 
-    /// How long a category's shard requests take, in tenths of a millisecond; `unheard` where too few were heard of.
-    pub fn pace(&self, category: CategoryNo, unheard: Tenths) -> f64 {
-        let least = self.paces.get(&category).and_then(|pace| pace.least);
+    /// How long a class's shard requests take, in tenths of a millisecond; `unheard` where too few were heard of.
+    pub fn pace(&self, class: ClassId, unheard: Tenths) -> f64 {
+        let least = self.paces.get(&class).and_then(|pace| pace.least);
         least.unwrap_or(unheard).max(Tenths(1)).0 as f64
     }
 
@@ -723,9 +723,9 @@
         self.effects.push(Effect::Say(word));
     }
 
-    /// Keeps what a category pays, the newest counting for this share.
-    pub fn note_pays(&mut self, category: CategoryNo, pays: [f64; 2], newest: f64) {
-        let usual = self.pays.entry(category).or_insert(pays);
+    /// Keeps what a class pays, the newest counting for this share.
+    pub fn note_pays(&mut self, class: ClassId, pays: [f64; 2], newest: f64) {
+        let usual = self.pays.entry(class).or_insert(pays);
         usual.iter_mut().zip(pays).for_each(|(usual, new)| *usual += (new - *usual) * newest);
     }
 
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -58,7 +58,7 @@
                     self.names.push(words[1].to_owned());
                     self.names.len() - 1
                 });
-                let category = Category {
+                let class = RequestClass {
                     goal_time: span(&words, "goal", 1000.0),
                     goal_stretch: value(&words, "stretch", 0.0),
                     cut_off: span(&words, "cut-off", 3000.0),
@@ -74,11 +74,11 @@
                     },
                     repeat_window: span(&words, "window", 0.0),
                 };
-                p.categories.insert(CategoryNo(no as u16), category);
+                p.classes.insert(ClassId(no as u16), class);
             }
             "strike" => {
                 let no = self.names.iter().position(|name| name == words[1]).unwrap();
-                p.categories.remove(&CategoryNo(no as u16));
+                p.classes.remove(&ClassId(no as u16));
             }
             "caller" => {
                 let no = value(&words, "no", p.callers.len() as u32);
@@ -177,17 +177,17 @@
             }
             "take" => {
                 let (rid, group) = (QueryId(id(words[1])), GroupNo(id(words[1]) as u32));
-                let category = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
-                let (category, caller) = (CategoryNo(category as u16), CallerNo(value(&words, "caller", 0)));
+                let class = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
+                let (class, caller) = (ClassId(class as u16), CallerNo(value(&words, "caller", 0)));
                 let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
                 self.open.insert(rid);
-                if self.prescription.categories.get(&category).is_some_and(|c| c.second_parts > 0) {
+                if self.prescription.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
                     self.leading_on.insert(rid);
                 }
                 self.inputs.push(Input::Query(NewQuery {
                     id: rid,
                     group,
-                    category,
+                    class,
                     caller,
                     time_left,
                     work,
--- a/crates/settings/src/catalogue.rs
+++ b/crates/settings/src/catalogue.rs
@@ -1,14 +1,14 @@
-//! Which number a category or a caller has. A number, once given, stays with its name for as long as the
+//! Which number a class or a caller has. A number, once given, stays with its name for as long as the
 //! broker runs, through all versions of its prescription, and is never given to another: what the module
 //! remembers by number goes by meaning.
 
-use routing::{CallerNo, CategoryNo};
+use routing::{CallerNo, ClassId};
 use std::collections::BTreeMap;
 
 /// Names with their numbers. Those that are no longer in use keep theirs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalogue {
-    categories: Numbers,
+    classes: Numbers,
     callers: Numbers,
 }
 
@@ -39,41 +39,41 @@
 
 impl Catalogue {
     pub fn in_order<'a>(
-        categories: impl Iterator<Item = &'a str>,
+        classes: impl Iterator<Item = &'a str>,
         callers: impl Iterator<Item = &'a str>,
     ) -> Catalogue {
-        Catalogue { categories: Numbers::in_order(categories), callers: Numbers::in_order(callers) }
+        Catalogue { classes: Numbers::in_order(classes), callers: Numbers::in_order(callers) }
     }
 
     /// The same, and a number for each name that has none.
     pub(crate) fn with<'a>(
         &self,
-        categories: impl Iterator<Item = &'a str>,
+        classes: impl Iterator<Item = &'a str>,
         callers: impl Iterator<Item = &'a str>,
     ) -> Catalogue {
         let mut more = self.clone();
-        categories.for_each(|name| more.categories.add(name));
+        classes.for_each(|name| more.classes.add(name));
         callers.for_each(|name| more.callers.add(name));
         more
     }
 
-    pub fn category(&self, name: &str) -> Option<CategoryNo> {
-        self.categories.known.get(name).map(|no| CategoryNo(*no as u16))
+    pub fn class(&self, name: &str) -> Option<ClassId> {
+        self.classes.known.get(name).map(|no| ClassId(*no as u16))
     }
 
     pub fn caller(&self, name: &str) -> Option<CallerNo> {
         self.callers.known.get(name).map(|no| CallerNo(*no as u32))
     }
 
-    pub(crate) fn category_at(&self, name: &str) -> usize {
-        self.categories.known.get(name).copied().unwrap_or(usize::MAX)
+    pub(crate) fn class_at(&self, name: &str) -> usize {
+        self.classes.known.get(name).copied().unwrap_or(usize::MAX)
     }
 
     pub(crate) fn caller_at(&self, name: &str) -> usize {
         self.callers.known.get(name).copied().unwrap_or(usize::MAX)
     }
 
-    pub fn categories(&self) -> impl Iterator<Item = (&str, CategoryNo)> {
-        self.categories.known.iter().map(|(name, no)| (&name[..], CategoryNo(*no as u16)))
+    pub fn classes(&self) -> impl Iterator<Item = (&str, ClassId)> {
+        self.classes.known.iter().map(|(name, no)| (&name[..], ClassId(*no as u16)))
     }
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -52,7 +52,7 @@
 
 /// The most mistakes that are told of one document.
 const MOST: usize = 100;
-/// Names in a list of categories, callers or zones.
+/// Names in a list of classes, callers or zones.
 const MOST_NAMES: usize = 10_000;
 
 /// All that is wrong with a document, as far as it can be told; nothing: it can be used.
@@ -185,14 +185,14 @@
         ("Domain.MinShare", domain.min_share.len(), true),
         ("Domain.FetchParts", domain.fetch_parts.len(), false),
     ];
-    let categories = text.services.len();
+    let classes = text.services.len();
     for (field, length, needed) in lists {
-        if length != categories && (needed || length > 0) {
-            let allowed = format!("one for each of `Services`, {categories},");
+        if length != classes && (needed || length > 0) {
+            let allowed = format!("one for each of `Services`, {classes},");
             mistakes.push(wrong(field, format!("a list of {length}"), allowed));
         }
     }
-    if categories == 0 {
+    if classes == 0 {
         mistakes.push(wrong("Services", "empty", "one category at least"));
     }
     let names = [
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,8 @@
 pub use revise::{Change, Revised, compare, revise};
 
 use routing::{
-    Caller, Category, EffectKind, FurtherBudget, Layout, Limits, Prescription, Rules, Tenths, Told, ZoneNo,
+    Caller, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Tenths, Told,
+    ZoneNo,
 };
 use text::Text;
 
@@ -61,11 +62,11 @@
     prescribe(&text, names, |at, _| at, |at, _| at)
 }
 
-/// Makes the prescription, with the numbers that these give to categories and callers.
+/// Makes the prescription, with the numbers that these give to classes and callers.
 fn prescribe(
     text: &Text,
     names: Catalogue,
-    category_no: impl Fn(usize, &str) -> usize,
+    class_no: impl Fn(usize, &str) -> usize,
     caller_no: impl Fn(usize, &str) -> usize,
 ) -> Result<Intake, String> {
     let lines = Lines {
@@ -73,10 +74,10 @@
         connect: text.limits.connect_timeout_ms.map(Tenths::from_ms),
         shard_requests: text.limits.streams_per_conn,
     };
-    let categories = text.services.iter().enumerate().map(|(at, service)| {
+    let classes = text.services.iter().enumerate().map(|(at, service)| {
         let least = text.domain.min_share.get(at).ok_or("settings: `MinShare` is too short")?;
         let whole = text.domain.complete_from.get(at).ok_or("settings: `CompleteFrom` is too short")?;
-        let category = Category {
+        let class = RequestClass {
             goal_time: Tenths::from_ms(service.on_time_ms),
             goal_stretch: service.aim_stretch,
             cut_off: Tenths::from_ms(service.deadline_ms),
@@ -93,8 +94,8 @@
             },
             repeat_window: Tenths::from_ms(service.dedup_window_ms),
         };
-        let no = u16::try_from(category_no(at, &service.name));
-        Ok((routing::CategoryNo(no.map_err(|_| "settings: too many categories")?), category))
+        let no = u16::try_from(class_no(at, &service.name));
+        Ok((routing::ClassId(no.map_err(|_| "settings: too many categories")?), class))
     });
     let callers = text.tenants.iter().enumerate().map(|(at, tenant)| {
         let no = routing::CallerNo(caller_no(at, &tenant.name) as u32);
@@ -106,7 +107,7 @@
         zone: ZoneNo(text.zone),
         period: Tenths::from_ms(text.period_ms),
         send_lag: Tenths::ZERO,
-        categories: categories.collect::<Result<_, String>>()?,
+        classes: classes.collect::<Result<_, String>>()?,
         callers: callers.collect(),
         over_share_payoff: text.over_share_worth,
         layout: Layout {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use routing::CategoryNo;
+use routing::ClassId;
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -40,13 +40,10 @@
     let text = with("/Surprise", json!([1])).to_string();
     let Intake { prescription: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
     assert_eq!((read.period, read.limits.most_open, read.roll_on_request), (Tenths(50), 111, false));
-    let category = &read.categories[&CategoryNo(0)];
-    assert_eq!((category.effect, category.min_coverage), (EffectKind::Numbered, 0.4));
+    let class = &read.classes[&ClassId(0)];
+    assert_eq!((class.effect, class.min_coverage), (EffectKind::Numbered, 0.4));
     assert!(read.rules.further.is_none());
-    assert_eq!(
-        (names.category("report"), names.caller("school").map(|c| c.0)),
-        (Some(CategoryNo(0)), Some(1))
-    );
+    assert_eq!((names.class("report"), names.caller("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.callers[&routing::CallerNo(0)].quota_per_s), ("north", 2.5));
     assert_eq!((report, read.load_by_probe), (vec![routing::Told::Queue], false));
     assert_eq!((lines.idle, lines.connect, lines.shard_requests), (Some(Tenths(150_000)), None, Some(32)));
@@ -152,12 +149,12 @@
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
     let taken = taken_over(&new).unwrap();
     let goals: Vec<_> =
-        taken.intake.prescription.categories.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
+        taken.intake.prescription.classes.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
     assert_eq!(goals, [(1, 20_000), (2, 1000)]);
     let callers: Vec<_> =
         taken.intake.prescription.callers.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
     assert_eq!(callers, [(1, 9.0)]);
-    assert_eq!(taken.intake.names.category("report"), Some(CategoryNo(0)));
+    assert_eq!(taken.intake.names.class("report"), Some(ClassId(0)));
 }
 
 /// What is the broker's own is left out, and filled in: the zone by its name.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CallerNo, CategoryNo, CellNo, Effect, GroupNo, Input,
+    AttemptNumber, AttemptOutcome, AttemptResult, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
     NewQuery, NewShardRequest, NodeId, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
 };
 
@@ -152,7 +152,7 @@
     }
 
     fn knock(&mut self) -> Result<Input, BadFrame> {
-        let (id, category, caller) = (self.u64()?, CategoryNo(self.u16()?), CallerNo(self.u32()?));
+        let (id, class, caller) = (self.u64()?, ClassId(self.u16()?), CallerNo(self.u32()?));
         let _key = self.u64()?;
         let time_left = self.span()?;
         let hint = self.span()?;
@@ -163,7 +163,7 @@
             return Ok(Input::Query(NewQuery {
                 id: QueryId(id),
                 group,
-                category,
+                class,
                 caller,
                 time_left,
                 work,
