--- a/crates/admission-control/src/allowance.rs
+++ b/crates/admission-control/src/allowance.rs
@@ -18,13 +18,13 @@
     pub increase: f64,
     /// The door opens once the rate is this many times what is asked. 1 at least.
     pub open_above: f64,
-    /// A caller's bucket holds its share for so long. 0 and up.
+    /// A tenant's bucket holds its share for so long. 0 and up.
     pub burst: Tenths,
-    /// While crowded, a caller's retries within the window may be this share of its first tries...
+    /// While crowded, a tenant's retries within the window may be this share of its first tries...
     pub retry_share: f64,
     /// ...and so many more. 0 and up.
     pub retry_floor: f64,
-    /// The most callers that are told apart; any more share one bucket. 1 at least.
+    /// The most tenants that are told apart; any more share one bucket. 1 at least.
     pub most_callers: u32,
     /// While crowded, who asks for more than its share is rejected for the rest, while others ask. Off:
     /// only retries have a budget, and the module's cut falls on all alike.
--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -2,11 +2,11 @@
 //! what becomes of a query; the rest serves them. `docs/admission.md` tells why.
 
 use crate::allowance::{Allowance, Wrong};
-use crate::state::{Asked, Caller, Instance};
+use crate::state::{Asked, Instance, Tenant};
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
 use routing::{
-    AttemptOutcome, AttemptResult, CallerNo, Effect, GroupNo, Input, NewQuery, Prescription, QueryId, Tenths,
+    AttemptOutcome, AttemptResult, Effect, GroupNo, Input, NewQuery, Prescription, QueryId, TenantId, Tenths,
 };
 use std::collections::BTreeSet;
 
@@ -73,9 +73,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     Passed,
-    /// Declined: its caller's retries are over their budget.
+    /// Declined: its tenant's retries are over their budget.
     Retries,
-    /// Declined: its caller asks for more than its share, its bucket does not hold the shard requests, and others
+    /// Declined: its tenant asks for more than its share, its bucket does not hold the shard requests, and others
     /// ask. They are not trimmed by it.
     Share,
     /// Passed, to be served at its minimum coverage only: as `Share`, but its class takes partial answers.
@@ -157,7 +157,7 @@
                 Input::Query(new) => asked.push(Asked {
                     id: new.id,
                     group: new.group,
-                    caller: new.caller,
+                    tenant: new.tenant,
                     class: new.class,
                     client_attempt: new.client_attempt,
                     shard_requests: 0,
@@ -186,7 +186,7 @@
         let kept = |input: &&Input| match input {
             Input::Query(new) => !ids.contains(&new.id),
             Input::ShardRequest(shard_request) => !groups.contains(&shard_request.group),
-            Input::CallerLeft(id) => !ids.contains(id),
+            Input::ClientLeft(id) => !ids.contains(id),
             _ => true,
         };
         let held = |input: &Input| match input {
@@ -252,8 +252,8 @@
     fn close_in(&mut self) {
         self.s.rate = self.floor().max(self.estimate());
         (self.s.cut_at, self.s.peak) = (self.s.now, self.s.rate);
-        for caller in self.s.callers.values_mut() {
-            caller.tokens = f64::INFINITY;
+        for tenant in self.s.tenants.values_mut() {
+            tenant.tokens = f64::INFINITY;
         }
     }
 
@@ -314,7 +314,7 @@
 
     fn asked_rate(&self) -> f64 {
         let (now, window) = (self.s.now, self.a.window);
-        let all: f64 = self.s.callers.values().map(|caller| caller.asked.sums(now, window).1).sum();
+        let all: f64 = self.s.tenants.values().map(|tenant| tenant.asked.sums(now, window).1).sum();
         all / self.seen()
     }
 
@@ -322,53 +322,53 @@
         if self.mode == Crowded { self.s.rate } else { 0.0 }
     }
 
-    /// Max-min fairness by water-filling: callers in the order of what they ask for, by weight; who asks
+    /// Max-min fairness by water-filling: tenants in the order of what they ask for, by weight; who asks
     /// for less than an even share of what is left gets what it asks and an increase more, the rest is
     /// split among the others.
     fn share_out(&mut self) {
         let (now, window, seconds) = (self.s.now, self.a.window, self.seen());
-        let mut callers: Vec<(f64, f64, CallerNo)> = self
+        let mut tenants: Vec<(f64, f64, TenantId)> = self
             .s
-            .callers
+            .tenants
             .iter()
-            .map(|(no, caller)| (caller.asked.sums(now, window).1 / seconds, self.weight(*no), *no))
+            .map(|(no, tenant)| (tenant.asked.sums(now, window).1 / seconds, self.weight(*no), *no))
             .collect();
-        callers.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)).then(a.2.cmp(&b.2)));
-        let (mut left, mut weights) = (self.s.rate, callers.iter().map(|caller| caller.1).sum::<f64>());
-        for (asks, weight, no) in callers {
+        tenants.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)).then(a.2.cmp(&b.2)));
+        let (mut left, mut weights) = (self.s.rate, tenants.iter().map(|tenant| tenant.1).sum::<f64>());
+        for (asks, weight, no) in tenants {
             let even = left * weight / weights.max(f64::MIN_POSITIVE);
             let share = (asks * (1.0 + self.a.increase)).min(even);
             (left, weights) = ((left - share).max(0.0), weights - weight);
-            if let Some(caller) = self.s.callers.get_mut(&no) {
-                (caller.share, caller.held) = (share, share < asks * (1.0 + self.a.increase));
+            if let Some(tenant) = self.s.tenants.get_mut(&no) {
+                (tenant.share, tenant.held) = (share, share < asks * (1.0 + self.a.increase));
             }
         }
     }
 
-    /// A caller's weight: its quota where one is stated, else the mean of those stated, else 1.
-    fn weight(&self, no: CallerNo) -> f64 {
-        let quotas = &self.prescription.callers;
+    /// A tenant's weight: its quota where one is stated, else the mean of those stated, else 1.
+    fn weight(&self, no: TenantId) -> f64 {
+        let quotas = &self.prescription.tenants;
         if quotas.is_empty() {
             return 1.0;
         }
-        let mean = quotas.values().map(|caller| caller.quota_per_s).sum::<f64>() / quotas.len() as f64;
-        quotas.get(&no).map_or(mean, |caller| caller.quota_per_s).max(f64::MIN_POSITIVE)
+        let mean = quotas.values().map(|tenant| tenant.quota_per_s).sum::<f64>() / quotas.len() as f64;
+        quotas.get(&no).map_or(mean, |tenant| tenant.quota_per_s).max(f64::MIN_POSITIVE)
     }
 
-    /// Guards against a memory that grows with every caller ever seen: one that asked nothing for a window
+    /// Guards against a memory that grows with every tenant ever seen: one that asked nothing for a window
     /// is forgotten, as it would start anew with a full bucket.
     fn forget_callers(&mut self) {
         let (now, window) = (self.s.now, self.a.window);
-        self.s.callers.retain(|_, caller| caller.asked.sums(now, window).1 > 0.0);
+        self.s.tenants.retain(|_, tenant| tenant.asked.sums(now, window).1 > 0.0);
     }
 
     // ---- queries
 
     /// The loop that reads `RULES`: what the query is told, and when to come back if rejected.
     fn decide(&mut self, asked: &Asked) -> (Told, Tenths) {
-        let asked = &Asked { caller: self.known(asked.caller), ..*asked };
+        let asked = &Asked { tenant: self.known(asked.tenant), ..*asked };
         let (shard_requests, now, window) = (f64::from(asked.shard_requests), self.s.now, self.a.window);
-        self.caller(asked.caller).asked.count(now, window, 0.0, shard_requests);
+        self.tenant(asked.tenant).asked.count(now, window, 0.0, shard_requests);
         let rule = RULES.iter().find(|rule| rule.0 == self.mode && rule.1(self, asked));
         let Some(Rule(_, _, told, act)) = rule else { return (Told::Passed, Tenths::ZERO) };
         act(self, asked);
@@ -378,44 +378,44 @@
             self.s.turned.count(now, window, 0.0, 1.0);
             return (*told, Tenths::ZERO);
         }
-        self.caller(asked.caller).asked.count(now, window, shard_requests, 0.0);
+        self.tenant(asked.tenant).asked.count(now, window, shard_requests, 0.0);
         (*told, self.retry_after())
     }
 
-    /// Guards against a memory bounded by nothing: past the most, callers share one.
-    fn known(&self, no: CallerNo) -> CallerNo {
-        let full = self.s.callers.len() >= self.a.most_callers as usize;
-        if full && !self.s.callers.contains_key(&no) { CallerNo(u32::MAX) } else { no }
+    /// Guards against a memory bounded by nothing: past the most, tenants share one.
+    fn known(&self, no: TenantId) -> TenantId {
+        let full = self.s.tenants.len() >= self.a.most_callers as usize;
+        if full && !self.s.tenants.contains_key(&no) { TenantId(u32::MAX) } else { no }
     }
 
-    fn caller(&mut self, no: CallerNo) -> &mut Caller {
+    fn tenant(&mut self, no: TenantId) -> &mut Tenant {
         let now = self.s.now;
-        let even = self.rate_if_crowded() / (self.s.callers.len() + 1) as f64;
-        self.s.callers.entry(no).or_insert_with(|| Caller {
+        let even = self.rate_if_crowded() / (self.s.tenants.len() + 1) as f64;
+        self.s.tenants.entry(no).or_insert_with(|| Tenant {
             share: even,
             tokens: f64::INFINITY,
             counted_at: now,
-            ..Caller::default()
+            ..Tenant::default()
         })
     }
 
     fn count_try(&mut self, asked: &Asked) {
         let retry = f64::from(u8::from(asked.client_attempt > 0));
         let (now, window) = (self.s.now, self.a.window);
-        self.caller(asked.caller).tries.count(now, window, retry, 1.0 - retry);
+        self.tenant(asked.tenant).tries.count(now, window, retry, 1.0 - retry);
     }
 
-    /// A retry, and the caller's retries of late are past a share of its first tries and a few.
+    /// A retry, and the tenant's retries of late are past a share of its first tries and a few.
     fn retries_over(&mut self, asked: &Asked) -> bool {
         let (now, window, a) = (self.s.now, self.a.window, &self.a);
         let (share, floor) = (a.retry_share, a.retry_floor);
-        let (retries, firsts) = self.caller(asked.caller).tries.sums(now, window);
+        let (retries, firsts) = self.tenant(asked.tenant).tries.sums(now, window);
         asked.client_attempt > 0 && retries + 1.0 > floor + share * firsts
     }
 
-    /// Its caller asks for less than an even share: the bucket is for who asks for more.
+    /// Its tenant asks for less than an even share: the bucket is for who asks for more.
     fn within(&mut self, asked: &Asked) -> bool {
-        !self.caller(asked.caller).held
+        !self.tenant(asked.tenant).held
     }
 
     /// As `others_ask`, and its class takes partial answers.
@@ -424,45 +424,45 @@
         class.is_some_and(|c| c.min_coverage < c.complete_coverage) && self.others_ask(asked)
     }
 
-    /// Others ask too, and shares are kept: one caller alone has its excess cut by the module.
+    /// Others ask too, and shares are kept: one tenant alone has its excess cut by the module.
     fn others_ask(&mut self, asked: &Asked) -> bool {
         if !self.a.shares {
             return false;
         }
         let (now, window) = (self.s.now, self.a.window);
-        let others = self.s.callers.iter().filter(|(no, _)| **no != asked.caller);
-        others.clone().any(|(_, caller)| caller.asked.sums(now, window).1 > 0.0)
+        let others = self.s.tenants.iter().filter(|(no, _)| **no != asked.tenant);
+        others.clone().any(|(_, tenant)| tenant.asked.sums(now, window).1 > 0.0)
     }
 
     /// The bucket holds the query's shard requests, or is full.
     fn bucket_holds(&mut self, asked: &Asked) -> bool {
-        let depth = self.depth(asked.caller);
-        let caller = self.fill(asked.caller);
-        caller.tokens >= f64::from(asked.shard_requests) || caller.tokens >= depth
+        let depth = self.depth(asked.tenant);
+        let tenant = self.fill(asked.tenant);
+        tenant.tokens >= f64::from(asked.shard_requests) || tenant.tokens >= depth
     }
 
     fn take(&mut self, asked: &Asked) {
         self.count_try(asked);
-        self.fill(asked.caller).tokens -= f64::from(asked.shard_requests);
+        self.fill(asked.tenant).tokens -= f64::from(asked.shard_requests);
     }
 
-    fn depth(&mut self, no: CallerNo) -> f64 {
+    fn depth(&mut self, no: TenantId) -> f64 {
         let burst = self.a.burst.as_ms() / 1000.0;
-        (self.caller(no).share * burst).max(1.0)
+        (self.tenant(no).share * burst).max(1.0)
     }
 
     /// The bucket as it is now: its share since it was counted, up to its depth.
-    fn fill(&mut self, no: CallerNo) -> &mut Caller {
+    fn fill(&mut self, no: TenantId) -> &mut Tenant {
         let (now, depth) = (self.s.now, self.depth(no));
-        let caller = self.caller(no);
-        let since = (now - caller.counted_at).as_ms() / 1000.0;
-        caller.tokens = (caller.tokens + caller.share * since).min(depth);
-        caller.counted_at = now;
-        caller
+        let tenant = self.tenant(no);
+        let since = (now - tenant.counted_at).as_ms() / 1000.0;
+        tenant.tokens = (tenant.tokens + tenant.share * since).min(depth);
+        tenant.counted_at = now;
+        tenant
     }
 
     /// When a retry may find its budget again: after the half of a window in which a cut is judged; none
-    /// where the prescription does not let callers be told.
+    /// where the prescription does not let tenants be told.
     fn retry_after(&self) -> Tenths {
         let limits = &self.prescription.limits;
         let wait = self.a.window.times(HOLD).min(limits.max_retry_after).max(Tenths(1));
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! The door is open until the design's pressure (shard requests refused as full or timed out), or the module's own
 //! rejects, pass the allowance's level; then it is crowded, and lets in a rate of shard requests that it lowers while
-//! that lasts and raises while it does not, shared between callers by max-min fairness, each with a bucket.
-//! Retries while crowded have a budget by caller. `docs/admission.md` tells why; the tables stand in
+//! that lasts and raises while it does not, shared between tenants by max-min fairness, each with a bucket.
+//! Retries while crowded have a budget by tenant. `docs/admission.md` tells why; the tables stand in
 //! `door.rs`.
 //!
 //! ```
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,7 +1,7 @@
-//! What the door remembers, by how long it lives: a query for the turn in which it is asked, a caller
+//! What the door remembers, by how long it lives: a query for the turn in which it is asked, a tenant
 //! while it asks, the door for as long as the broker runs.
 
-use routing::{CallerNo, ClassId, GroupNo, QueryId, Tenths, Window};
+use routing::{ClassId, GroupNo, QueryId, TenantId, Tenths, Window};
 use std::collections::BTreeMap;
 
 /// A query that is asked in this turn.
@@ -9,16 +9,16 @@
 pub struct Asked {
     pub id: QueryId,
     pub group: GroupNo,
-    pub caller: CallerNo,
+    pub tenant: TenantId,
     pub class: ClassId,
     pub client_attempt: u32,
     /// Its shard requests, as they come in the same turn.
     pub shard_requests: u32,
 }
 
-/// A caller, while it asks.
+/// A tenant, while it asks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Caller {
+pub struct Tenant {
     /// Parts asked (as `all`); of these, in queries that were rejected (as `harmed`).
     pub asked: Window,
     /// Retries let in (as `harmed`), first tries let in (as `all`).
@@ -50,5 +50,5 @@
     /// Attempts that the module sent, and that ended finished (as `all`).
     pub sent: Window,
     pub delivered: Window,
-    pub callers: BTreeMap<CallerNo, Caller>,
+    pub tenants: BTreeMap<TenantId, Tenant>,
 }
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -4,7 +4,7 @@
 use routing::*;
 use rstest::rstest;
 
-/// One broker, two nodes, quotas as given, callers may be told when to come back.
+/// One broker, two nodes, quotas as given, tenants may be told when to come back.
 fn prescription(quotas: &[f64]) -> Prescription {
     let mut p = Prescription { brokers: 1, period: Tenths(50), ..Prescription::default() };
     p.layout = Layout { cells: 2, reach: 1, shards: 2, per_call: 1 };
@@ -26,7 +26,7 @@
     p.classes.insert(ClassId(1), RequestClass { min_coverage: 0.4, ..class.clone() });
     p.classes.insert(ClassId(0), class);
     for (no, quota) in quotas.iter().enumerate() {
-        p.callers.insert(CallerNo(no as u32), Caller { quota_per_s: *quota });
+        p.tenants.insert(TenantId(no as u32), Tenant { quota_per_s: *quota });
     }
     p
 }
@@ -38,16 +38,16 @@
 }
 
 impl Asking {
-    /// A query of a caller with so many shard requests, asked for the `client_attempt`th time.
-    fn ask(&mut self, caller: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
-        self.ask_of(ClassId(0), caller, shard_requests, client_attempt)
+    /// A query of a tenant with so many shard requests, asked for the `client_attempt`th time.
+    fn ask(&mut self, tenant: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
+        self.ask_of(ClassId(0), tenant, shard_requests, client_attempt)
     }
 
     /// The same, of a class.
     fn ask_of(
         &mut self,
         class: ClassId,
-        caller: u32,
+        tenant: u32,
         shard_requests: u32,
         client_attempt: u32,
     ) -> Vec<Input> {
@@ -58,7 +58,7 @@
             id,
             group,
             class,
-            caller: CallerNo(caller),
+            tenant: TenantId(tenant),
             time_left,
             work: Tenths::ZERO,
             client_attempt,
@@ -121,7 +121,7 @@
 
 fn by_caller(passed: &[Input]) -> Vec<(QueryId, u32)> {
     let taken = |input: &Input| match input {
-        Input::Query(new) => Some((new.id, new.caller.0)),
+        Input::Query(new) => Some((new.id, new.tenant.0)),
         _ => None,
     };
     passed.iter().filter_map(taken).collect()
@@ -146,12 +146,12 @@
     }
 }
 
-/// A door that its hosts' refusals have crowded: the callers ask twice what the hosts do, for ten seconds.
-fn crowded(door: &mut Door, hosts: &mut Hosts, asking: &mut Asking, callers: &[u32]) -> Tenths {
+/// A door that its hosts' refusals have crowded: the tenants ask twice what the hosts do, for ten seconds.
+fn crowded(door: &mut Door, hosts: &mut Hosts, asking: &mut Asking, tenants: &[u32]) -> Tenths {
     for at in 0..20 {
-        let shard_requests = (hosts.each_step * 2 / callers.len()) as u32;
+        let shard_requests = (hosts.each_step * 2 / tenants.len()) as u32;
         let heard: Vec<Input> =
-            callers.iter().flat_map(|caller| asking.ask(*caller, shard_requests, 0)).collect();
+            tenants.iter().flat_map(|tenant| asking.ask(*tenant, shard_requests, 0)).collect();
         hosts.step(door, Tenths(at * 5000), heard);
     }
     assert_eq!(door.mode(), Mode::Crowded);
@@ -238,7 +238,7 @@
     assert!(declines(&effects).is_empty() && queries(&passed).len() == 1);
 }
 
-/// Hosts that do 40 shard requests a second; one caller asks for 80, another for 8. The second passes, all of it;
+/// Hosts that do 40 shard requests a second; one tenant asks for 80, another for 8. The second passes, all of it;
 /// the first is rejected for what is beyond its share, at once.
 #[rstest]
 fn who_asks_most_is_held_to_its_share() {
@@ -257,8 +257,8 @@
         }
         let passed = by_caller(&passed);
         storm.0 += declines(&effects).len();
-        storm.1 += passed.iter().filter(|(_, caller)| *caller == 0).count();
-        quiet.0 += passed.iter().filter(|(_, caller)| *caller == 1).count();
+        storm.1 += passed.iter().filter(|(_, tenant)| *tenant == 0).count();
+        quiet.0 += passed.iter().filter(|(_, tenant)| *tenant == 1).count();
         quiet.1 += 1;
     }
     assert_eq!(door.mode(), Mode::Crowded);
@@ -289,7 +289,7 @@
     assert!(declined == 0 && least > 20, "declined {declined}, at the least share {least}");
 }
 
-/// A caller alone is never rejected for its share: its excess is the module's to cut.
+/// A tenant alone is never rejected for its share: its excess is the module's to cut.
 #[rstest]
 fn a_lone_caller_is_not_declined_for_its_share() {
     let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
@@ -323,7 +323,7 @@
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("open"))));
 }
 
-/// Where the prescription does not let callers be told when to come back, a rejection says nothing of it.
+/// Where the prescription does not let tenants be told when to come back, a rejection says nothing of it.
 #[rstest]
 fn no_time_to_come_back_where_none_may_be_told() {
     let mut p = prescription(&[]);
@@ -336,7 +336,7 @@
     assert_eq!(declines(&effects).first().map(|(_, wait)| *wait), Some(Tenths::ZERO));
 }
 
-/// Stated quotas weigh: of two callers that both ask for more than there is, the one with four times the
+/// Stated quotas weigh: of two tenants that both ask for more than there is, the one with four times the
 /// quota gets about four times the shard requests.
 #[rstest]
 fn quotas_weigh_the_shares() {
@@ -348,22 +348,22 @@
         now += Tenths(5000);
         let heard: Vec<Input> =
             (0..10).flat_map(|_| [asking.ask(0, 2, 0), asking.ask(1, 2, 0)]).flatten().collect();
-        for (_, caller) in by_caller(&hosts.step(&mut door, now, heard).0) {
-            passed[caller as usize] += 1;
+        for (_, tenant) in by_caller(&hosts.step(&mut door, now, heard).0) {
+            passed[tenant as usize] += 1;
         }
     }
     let ratio = passed[0] as f64 / passed[1].max(1) as f64;
     assert!((2.5..6.0).contains(&ratio), "{passed:?}");
 }
 
-/// Memory is bounded: past the most callers, the rest share one.
+/// Memory is bounded: past the most tenants, the rest share one.
 #[rstest]
 fn callers_past_the_most_share_one() {
     let mut door =
         Door::new(Allowance { most_callers: 3, ..Allowance::default() }, &prescription(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
-    let heard: Vec<Input> = (0..50).flat_map(|caller| asking.ask(caller, 1, 0)).collect();
+    let heard: Vec<Input> = (0..50).flat_map(|tenant| asking.ask(tenant, 1, 0)).collect();
     let (passed, effects) = door.pass(now, &heard);
     assert_eq!(queries(&passed).len() + declines(&effects).len(), 50);
 }
--- a/crates/broker-bench/src/demo.rs
+++ b/crates/broker-bench/src/demo.rs
@@ -27,7 +27,7 @@
         host_ms_per_s: 4000.0,
         shards: 16,
         drains: 0.4,
-        callers: 1,
+        tenants: 1,
         quota: None,
         effects: false,
         budget: None,
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -36,7 +36,7 @@
             Role::reissuable("report", REPORTS, REPORT_PARTS, 1.0, (3.0, 0.4)),
             Role::reissuable("lookup", 1.0 - REPORTS, LOOKUP_PARTS, 0.0, (1.0, 1.0)),
         ],
-        callers: vec![1.0; scenario.clients.callers.max(1) as usize],
+        tenants: vec![1.0; scenario.clients.tenants.max(1) as usize],
         quota_per_s: None,
         drains: 0.0,
         drain_for: 20_000,
@@ -45,7 +45,7 @@
     }
 }
 
-/// How much more each caller asks at a moment, and which share is how many times the work.
+/// How much more each tenant asks at a moment, and which share is how many times the work.
 struct Demand<'a>(&'a [Moment], usize);
 
 impl Demand<'_> {
@@ -53,9 +53,9 @@
         let (mut times, mut heavy) = (vec![1.0; self.1], (0.0, 1.0));
         for moment in self.0.iter().take_while(|moment| moment.at <= now) {
             match moment.act {
-                Act::Storm { times: more, caller, begins } => {
+                Act::Storm { times: more, tenant, begins } => {
                     let whose = times.iter_mut().enumerate();
-                    let theirs = whose.filter(|(no, _)| caller.is_none_or(|caller| caller as usize == *no));
+                    let theirs = whose.filter(|(no, _)| tenant.is_none_or(|tenant| tenant as usize == *no));
                     theirs.for_each(|(_, times)| *times *= if begins { more } else { 1.0 / more });
                 }
                 Act::Heavy { share, times, begins } => {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A caller drawn by how much each asks; with one caller no lot is drawn, so that a day stays as it was.
+/// A tenant drawn by how much each asks; with one tenant no lot is drawn, so that a day stays as it was.
 fn whose(rng: &mut fastrand::Rng, times: &[f64]) -> usize {
     if times.len() < 2 {
         return 0;
@@ -100,14 +100,14 @@
         .filter(|moment| matches!(moment.act, Act::Storm { .. } | Act::Heavy { .. }))
         .copied()
         .collect();
-    let demand = Demand(&changes, staging.callers.len());
+    let demand = Demand(&changes, staging.tenants.len());
     let mut entries: Vec<Entry> = (0..staging.hosts)
         .map(|host| Entry { at: 0, what: Happens::Host { host, event: HostEvent::Warm } })
         .collect();
     let mut at = 0.2;
     loop {
-        let (callers, share, more) = demand.at(Tenths::from_ms(at * 1000.0));
-        let times = callers.iter().sum::<f64>() / callers.len() as f64;
+        let (tenants, share, more) = demand.at(Tenths::from_ms(at * 1000.0));
+        let times = tenants.iter().sum::<f64>() / tenants.len() as f64;
         at += exponential(&mut rng) / (a_second * times);
         if at >= seconds {
             break;
@@ -124,9 +124,9 @@
             ((first + rank) % staging.shards, weight / total, us.max(100))
         };
         let shard_requests = (0..).zip(raw).map(shard_request).collect();
-        let caller = whose(&mut rng, &callers);
+        let tenant = whose(&mut rng, &tenants);
         entries
-            .push(Entry { at: (at * 10_000.0) as u64, what: Happens::Ask { class, caller, shard_requests } });
+            .push(Entry { at: (at * 10_000.0) as u64, what: Happens::Ask { class, tenant, shard_requests } });
     }
     Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 }
 }
@@ -234,14 +234,14 @@
     (mean, factor.map(|factor| factor * spread / n.sqrt()))
 }
 
-/// Each caller's service, the mean over days.
+/// Each tenant's service, the mean over days.
 fn by_caller(days: &[Outcome]) -> Vec<f64> {
-    let callers = days.iter().map(|day| day.by_caller.len()).max().unwrap_or(0);
+    let tenants = days.iter().map(|day| day.by_caller.len()).max().unwrap_or(0);
     let mean = |no: usize| {
         let told: Vec<f64> = days.iter().filter_map(|day| day.by_caller.get(no)?.told()).collect();
         told.iter().sum::<f64>() / told.len().max(1) as f64
     };
-    (0..callers).map(mean).collect()
+    (0..tenants).map(mean).collect()
 }
 
 pub fn told(days: &[Outcome], over: usize) -> Value {
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -57,8 +57,8 @@
     assert!(took.is_some_and(|took| took <= 8), "{took:?}: {}", outcome.json());
 }
 
-/// (d) One caller storms: behind the door the others are served as if it did not, and the cut does not
-/// fall on them. The module alone shares the harm out, and every caller is trimmed by it.
+/// (d) One tenant storms: behind the door the others are served as if it did not, and the cut does not
+/// fall on them. The module alone shares the harm out, and every tenant is trimmed by it.
 #[rstest]
 fn a_callers_storm_leaves_the_others_whole() {
     let name = "one-caller-storms";
@@ -68,10 +68,10 @@
             .map(|seed| Day { scenario: &scenario, hosts: 12, brokers: 6, halls: 3, seed, mind }.play())
             .collect();
         let told = told(&days, 35);
-        let callers: Vec<f64> =
+        let tenants: Vec<f64> =
             told["callers"].as_array().unwrap().iter().map(|c| c.as_f64().unwrap()).collect();
         assert!(days.iter().all(|day| day.broken.is_empty()), "{mind:?}");
-        callers[1..].to_vec()
+        tenants[1..].to_vec()
     };
     let (door, alone) = (quiet(Mind::Door), quiet(Mind::Module));
     assert!(door.iter().all(|share| *share >= 0.975), "behind the door: {door:?}");
--- a/crates/broker-bench/src/laboratory.rs
+++ b/crates/broker-bench/src/laboratory.rs
@@ -50,7 +50,7 @@
 }
 
 /// A scenario's days: service by the module, by the design alone and by the module behind its door; when
-/// the module's and the door's were sound again; rules broken by either; each caller's service, where
+/// the module's and the door's were sound again; rules broken by either; each tenant's service, where
 /// there are several.
 struct Row {
     name: &'static str,
@@ -60,7 +60,7 @@
     recovered: Vec<Option<usize>>,
     door_recovered: Vec<Option<usize>>,
     broken: Vec<&'static str>,
-    callers: [Vec<f64>; 2],
+    tenants: [Vec<f64>; 2],
 }
 
 /// The hall lost at the rush on loopback sockets beside virtual time, from one plan: both services, and
@@ -111,14 +111,14 @@
                 mine.iter().chain(&door).flat_map(|(day, _)| day.broken.keys().copied()).collect();
             broken.sort_unstable();
             broken.dedup();
-            let callers = [&mine, &door].map(|days| {
+            let tenants = [&mine, &door].map(|days| {
                 let days: Vec<_> = days.iter().map(|(day, _)| day).collect();
                 let all = days.first().map_or(0, |day| day.by_caller.len());
                 let mean = |no: usize| days.iter().filter_map(|d| d.by_caller[no].told()).sum::<f64>();
                 (0..all).map(|no| mean(no) / days.len().max(1) as f64).collect::<Vec<f64>>()
             });
             let (module, design, door_figure) = (mean(&mine), mean(&design), mean(&door));
-            Ok(Row { name, module, design, door: door_figure, recovered, door_recovered, broken, callers })
+            Ok(Row { name, module, design, door: door_figure, recovered, door_recovered, broken, tenants })
         })
         .collect::<Result<_, String>>()?;
     rows.sort_by(|a, b| a.module.total_cmp(&b.module));
@@ -133,13 +133,13 @@
             broken.join("; ")
         );
     }
-    for row in rows.iter().filter(|row| row.callers[0].len() > 1) {
-        let told = |callers: &[f64]| callers.iter().map(|c| format!("{c:.3}")).collect::<Vec<_>>().join(" ");
+    for row in rows.iter().filter(|row| row.tenants[0].len() > 1) {
+        let told = |tenants: &[f64]| tenants.iter().map(|c| format!("{c:.3}")).collect::<Vec<_>>().join(" ");
         println!(
             "{}: callers, module alone {}; behind the door {}",
             row.name,
-            told(&row.callers[0]),
-            told(&row.callers[1])
+            told(&row.tenants[0]),
+            told(&row.tenants[1])
         );
     }
     let means = |figure: fn(&Row) -> f64| rows.iter().map(figure).sum::<f64>() / rows.len().max(1) as f64;
@@ -158,7 +158,7 @@
         .map(|row| {
             let told = json!({"module": row.module, "design": row.design, "door": row.door,
                 "recovers_s": row.recovered, "door_recovers_s": row.door_recovered,
-                "callers": {"module": row.callers[0], "door": row.callers[1]}});
+                "callers": {"module": row.tenants[0], "door": row.tenants[1]}});
             (row.name.to_owned(), told)
         })
         .collect();
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -122,7 +122,7 @@
     cast: Cast,
     names: Vec<String>,
     cut_offs: Vec<u32>,
-    /// Callers have quotas, so that brokers know them by name.
+    /// Tenants have quotas, so that brokers know them by name.
     quotas: bool,
     catalog: Catalog,
     nodes: Vec<Node>,
@@ -199,7 +199,7 @@
             hasher: blake3::Hasher::new(),
             audit: Audit::new(scene::bounds(staging, SLACK), brokers.len()),
             brokers,
-            outcome: Outcome::new(scene::worth(staging), staging.callers.len()),
+            outcome: Outcome::new(scene::worth(staging), staging.tenants.len()),
             cast,
         };
         day.gather().await?;
@@ -269,8 +269,8 @@
         }
         while let Some(entry) = self.plan.pop_front_if(|entry| entry.at as i64 <= self.now.0) {
             match entry.what {
-                Happens::Ask { class, caller, shard_requests } => {
-                    self.ask(class, caller, &shard_requests).await?
+                Happens::Ask { class, tenant, shard_requests } => {
+                    self.ask(class, tenant, &shard_requests).await?
                 }
                 Happens::Host { host, event } => self.host_event(host as usize, event).await?,
             }
@@ -516,10 +516,10 @@
 
     // ---- clients
 
-    async fn ask(&mut self, class: usize, caller: usize, told: &[(u32, f64, u64)]) -> Result<(), NoFigure> {
+    async fn ask(&mut self, class: usize, tenant: usize, told: &[(u32, f64, u64)]) -> Result<(), NoFigure> {
         let no = self.queries.len();
         let broker = no % self.brokers.len();
-        let of = Of { class, caller, at: self.now };
+        let of = Of { class, tenant, at: self.now };
         self.outcome.ask(of);
         let weights: Vec<f64> = told.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, class, self.time_of(class), &weights);
@@ -527,7 +527,7 @@
         self.queries.push(Query { broker, of, first, shard_requests });
         let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
         let (left, body) = (u64::from(self.cut_offs[class]), script::body(&slices, "x"));
-        let by = scene::caller_name(caller);
+        let by = scene::tenant_name(tenant);
         let by = Some(&by[..]).filter(|_| self.quotas);
         let request = script::request_of(by, &format!("r{no}"), &self.names[class], left, &body);
         let fresh = self.idle[broker].pop().filter(|(since, _)| self.now - *since < IDLE);
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -23,7 +23,7 @@
     entries.extend(events.iter().map(|(at, no, event)| host(*at, *no, *event)));
     for no in 0..3 * a_second {
         let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 12, 0.25, 20_000)).collect();
-        let what = Happens::Ask { class: (no % 4) as usize, caller: 0, shard_requests };
+        let what = Happens::Ask { class: (no % 4) as usize, tenant: 0, shard_requests };
         entries.push(Entry { at: 1_000 + no * 10_000 / a_second, what });
     }
     entries.sort_by_key(|entry| entry.at);
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Of {
     pub class: usize,
-    pub caller: usize,
+    pub tenant: usize,
     pub at: Tenths,
 }
 
@@ -111,11 +111,11 @@
 const WINDOW: usize = 10;
 
 impl Outcome {
-    pub fn new(worth: Vec<Worth>, callers: usize) -> Outcome {
+    pub fn new(worth: Vec<Worth>, tenants: usize) -> Outcome {
         Outcome {
             service: Service::default(),
             by_class: vec![Service::default(); worth.len()],
-            by_caller: vec![Service::default(); callers],
+            by_caller: vec![Service::default(); tenants],
             worth,
             seconds: Vec::new(),
             latency: Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed")),
@@ -151,7 +151,7 @@
         second.service.asked += payoff;
         self.service.asked += payoff;
         self.by_class[of.class].asked += payoff;
-        self.by_caller[of.caller].asked += payoff;
+        self.by_caller[of.tenant].asked += payoff;
     }
 
     /// An answer that holds this share reaches its client.
@@ -170,7 +170,7 @@
             self.second(of.at).service.earned += earned;
             self.service.earned += earned;
             self.by_class[of.class].earned += earned;
-            self.by_caller[of.caller].earned += earned;
+            self.by_caller[of.tenant].earned += earned;
         }
     }
 
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,9 +13,9 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
-    NewQuery, NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo,
-    ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
+    NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
+    Standing, TenantId, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -28,7 +28,7 @@
     Random,
     /// The design's ordinary path, without the module's exceptions.
     Design,
-    /// The module behind its door: fair shares between callers, a rate that adapts, a budget for retries.
+    /// The module behind its door: fair shares between tenants, a rate that adapts, a budget for retries.
     Door,
 }
 
@@ -181,7 +181,7 @@
     pub fn new(plan: Plan, staging: &Staging, cast: Cast) -> World {
         let fleet = Fleet { hosts: staging.hosts, halls: 1, cells: cast.cells, brokers: cast.brokers };
         let weather = Weather::new(fleet, TRIP, TRIP, cast.seed);
-        let clients = Clients { retries: 0, backoff_ms: 0.0, honours: 1.0, impatient: 0.0, callers: 1 };
+        let clients = Clients { retries: 0, backoff_ms: 0.0, honours: 1.0, impatient: 0.0, tenants: 1 };
         World::scripted(plan, staging, cast, (weather, Vec::new(), clients))
     }
 
@@ -223,7 +223,7 @@
             plan,
             hasher: blake3::Hasher::new(),
             audit: Audit::new(scene::bounds(staging, TRIP), cast.brokers as usize),
-            outcome: Outcome::new(scene::worth(staging), staging.callers.len()),
+            outcome: Outcome::new(scene::worth(staging), staging.tenants.len()),
             cast,
         };
         for at in 0..world.plan.entries.len() {
@@ -298,7 +298,7 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Entry(at) => match self.plan.entries[at].what.clone() {
-                Happens::Ask { class, caller, shard_requests } => self.ask(class, caller, &shard_requests),
+                Happens::Ask { class, tenant, shard_requests } => self.ask(class, tenant, &shard_requests),
                 Happens::Host { host, event } => self.host_event(host as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
@@ -353,8 +353,8 @@
 
     // ---- clients
 
-    fn ask(&mut self, class: usize, caller: usize, told: &[(u32, f64, u64)]) {
-        let of = Of { class, caller, at: self.now };
+    fn ask(&mut self, class: usize, tenant: usize, told: &[(u32, f64, u64)]) {
+        let of = Of { class, tenant, at: self.now };
         self.outcome.ask(of);
         let (until, kills) = (self.now + self.cut_offs[class], self.weather.kills());
         self.requests.push(Request { of, until, shard_requests: told.to_vec(), tries: 0, kills });
@@ -371,11 +371,11 @@
         let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.class, left, &weights);
         let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
-        let (class, caller) = (ClassId(of.class as u16), CallerNo(of.caller as u32));
+        let (class, tenant) = (ClassId(of.class as u16), TenantId(of.tenant as u32));
         let work = Tenths::ZERO;
         let min_coverage_only = false;
         let new =
-            NewQuery { id, group, class, caller, time_left: left, work, client_attempt, min_coverage_only };
+            NewQuery { id, group, class, tenant, time_left: left, work, client_attempt, min_coverage_only };
         self.hear(broker, Input::Query(new));
         for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
             self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
@@ -396,7 +396,7 @@
         let broker = query.broker;
         self.audit.forgive(self.now, no);
         self.outcome.left += 1;
-        self.hear(broker, Input::CallerLeft(QueryId(no as u64)));
+        self.hear(broker, Input::ClientLeft(QueryId(no as u64)));
     }
 
     /// It was rejected, failed, or its broker is gone: the client asks again while it may, or that was all.
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -31,7 +31,7 @@
             role("booking", (1, 2), 1.0, 1.0, Repeats::Numbered(1000)),
             role("dispensing", (1, 2), 1.0, 1.0, Repeats::AtMostOnce),
         ],
-        callers: vec![1.0],
+        tenants: vec![1.0],
         quota_per_s: None,
         drains: 0.0,
         drain_for: 20_000,
@@ -53,7 +53,7 @@
     }
     for no in 0..12 * a_second {
         let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 16, 0.25, 20_000)).collect();
-        let what = Happens::Ask { class: (no % 4) as usize, caller: 0, shard_requests };
+        let what = Happens::Ask { class: (no % 4) as usize, tenant: 0, shard_requests };
         entries.push(Entry { at: 10_000 + no * 10_000 / a_second, what });
     }
     entries.sort_by_key(|entry| entry.at);
@@ -152,7 +152,7 @@
     for no in 0..3_000 {
         let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % shards, 0.25, 80_000)).collect();
         entries
-            .push(Entry { at: 1_000 + no * 20, what: Happens::Ask { class: 1, caller: 0, shard_requests } });
+            .push(Entry { at: 1_000 + no * 20, what: Happens::Ask { class: 1, tenant: 0, shard_requests } });
     }
     entries.sort_by_key(|entry| entry.at);
     let plan = Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 };
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -76,7 +76,7 @@
             Role::reissuable("report", 1.0, (8, 24), 1.0, (3.0, 0.4)),
             Role::reissuable("lookup", 3.0, (1, 4), 0.0, (1.0, 1.0)),
         ],
-        callers: vec![1.0],
+        tenants: vec![1.0],
         quota_per_s: None,
         drains: 0.5,
         drain_for: 20_000,
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -7,8 +7,8 @@
 use cluster_trace::plan::{Repeats, Staging};
 use node_emulator::{Build, Host, State};
 use routing::{
-    Caller, CallerNo, ClassId, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules,
-    Standing, Tenths,
+    ClassId, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Standing, Tenant,
+    TenantId, Tenths,
 };
 use serde_json::{Value, json};
 
@@ -17,14 +17,14 @@
 pub const TRIP: Tenths = Tenths(5);
 pub const PERIOD: Tenths = Tenths(50);
 pub const ROLL_LATE: Tenths = Tenths(10_000);
-/// Goal time of all classes, and the longest that a caller is told to stay away.
+/// Goal time of all classes, and the longest that a tenant is told to stay away.
 pub const GOAL: Tenths = Tenths(20_000);
 /// How long an attempt may still go to a node that the roll told to be draining or gone.
 const GRACE: Tenths = Tenths(2500);
 const ASK_WITHIN: Tenths = Tenths(100_000);
 const MOST_OPEN: u32 = 2000;
 const MOST_PUSHES: u32 = 3;
-/// What a query beyond its caller's quota is worth to the module; service counts all alike.
+/// What a query beyond its tenant's quota is worth to the module; service counts all alike.
 const OVER_SHARE: f64 = 0.1;
 /// Cells that hold a shard.
 const REACH: u32 = 2;
@@ -47,15 +47,15 @@
     Some(FurtherBudget { floor: budget.few, share: budget.share, window })
 }
 
-/// Of each caller, where there are quotas.
+/// Of each tenant, where there are quotas.
 fn quotas(staging: &Staging) -> Vec<f64> {
-    let all: f64 = staging.callers.iter().sum();
-    let quota = |quota: f64| staging.callers.iter().map(move |share| quota * share / all).collect();
+    let all: f64 = staging.tenants.iter().sum();
+    let quota = |quota: f64| staging.tenants.iter().map(move |share| quota * share / all).collect();
     staging.quota_per_s.map(quota).unwrap_or_default()
 }
 
-/// What a caller is called on the wire.
-pub fn caller_name(no: usize) -> String {
+/// What a tenant is called on the wire.
+pub fn tenant_name(no: usize) -> String {
     format!("u{no}")
 }
 
@@ -98,14 +98,14 @@
         };
         (ClassId(no as u16), class)
     };
-    let quota = |(no, quota_per_s)| (CallerNo(no), Caller { quota_per_s });
+    let quota = |(no, quota_per_s)| (TenantId(no), Tenant { quota_per_s });
     let build = build(cast);
     Prescription {
         brokers: cast.brokers,
         period: PERIOD,
         send_lag: TRIP,
         classes: staging.classes.iter().enumerate().map(class).collect(),
-        callers: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
+        tenants: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
         over_share_payoff: OVER_SHARE,
         layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
         limits: Limits {
@@ -145,7 +145,7 @@
     let all = |value: fn(&cluster_trace::plan::Cast) -> f64| {
         staging.classes.iter().map(value).collect::<Vec<f64>>()
     };
-    let tenant = |(no, quota): (usize, f64)| json!({"Name": caller_name(no), "QuotaRps": quota});
+    let tenant = |(no, quota): (usize, f64)| json!({"Name": tenant_name(no), "QuotaRps": quota});
     let tenants: Vec<Value> = quotas(staging).into_iter().enumerate().map(tenant).collect();
     let build = build(cast);
     let mut rules = json!({"AskWithinMs": ASK_WITHIN.as_ms(), "ColdFrom": build.cold_share,
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -130,10 +130,10 @@
     /// The share of removed machines that drain first.
     #[arg(long, default_value_t = 0.5)]
     pub drains: f64,
-    /// Callers that the trace's users are mapped onto: a user is one caller's, always.
-    #[arg(long, default_value_t = 1)]
-    pub callers: u32,
-    /// Queries a second that all callers together may ask within their shares; none: no quotas.
+    /// Tenants that the trace's users are mapped onto: a user is one tenant's, always.
+    #[arg(long = "callers", default_value_t = 1)]
+    pub tenants: u32,
+    /// Queries a second that all tenants together may ask within their shares; none: no quotas.
     #[arg(long)]
     pub quota: Option<f64>,
     /// Beside queries that may run again, a numbered and an at-most-once class.
@@ -184,7 +184,7 @@
             shards: self.shards,
             classes,
             // A few ask much, most ask little.
-            callers: (1..=self.callers.max(1)).map(|rank| 1.0 / f64::from(rank)).collect(),
+            tenants: (1..=self.tenants.max(1)).map(|rank| 1.0 / f64::from(rank)).collect(),
             quota_per_s: self.quota,
             drains: self.drains,
             drain_for: 20_000,
--- a/crates/broker-bench/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -147,7 +147,7 @@
     told
 }
 
-/// The document whose bytes on the wire are told: of this size, as an installation with thirty callers has.
+/// The document whose bytes on the wire are told: of this size, as an installation with thirty tenants has.
 const DOCUMENT: usize = 4096;
 
 fn bytes() -> (usize, usize) {
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,9 +8,9 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
-    NewQuery, NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
-    ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
+    NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
+    ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -27,7 +27,7 @@
     /// What the wire calls it.
     pub id: Bytes,
     pub class: ClassId,
-    pub caller: CallerNo,
+    pub tenant: TenantId,
     /// When its client stops waiting.
     pub until: Instant,
     pub work: Tenths,
@@ -287,7 +287,7 @@
         self.hear(Input::Prescription(Box::new(prescription)));
     }
 
-    /// Takes a query, unless a bound is reached. Dropping what comes back tells that the caller left.
+    /// Takes a query, unless a bound is reached. Dropping what comes back tells that the tenant left.
     pub fn take(self: &Rc<Self>, question: Question) -> Result<Taken, NotTaken> {
         let edition = self.edition();
         let mut book = self.book.borrow_mut();
@@ -323,7 +323,7 @@
             id,
             group,
             class: question.class,
-            caller: question.caller,
+            tenant: question.tenant,
             time_left: Tenths::ZERO, // filled in when the turn comes
             work: question.work,
             client_attempt: 0,
@@ -652,7 +652,7 @@
         let open: Vec<QueryId> = self.book.borrow().queries.keys().copied().collect();
         for id in &open {
             self.tell(*id, |_| Verdict::Scrap);
-            self.hear(Input::CallerLeft(*id));
+            self.hear(Input::ClientLeft(*id));
         }
         open.len()
     }
@@ -694,10 +694,10 @@
 }
 
 impl Drop for Taken {
-    /// Guards against work for callers that have left: dropped before its verdict, it tells the module.
+    /// Guards against work for tenants that have left: dropped before its verdict, it tells the module.
     fn drop(&mut self) {
         if self.desk.close(self.id).is_some() {
-            self.desk.hear(Input::CallerLeft(self.id));
+            self.desk.hear(Input::ClientLeft(self.id));
         }
     }
 }
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -19,9 +19,9 @@
         desk.nodes.listens(NodeId(1), Some(address), true);
         let shard_requests = vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }];
         let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
-        let (class, caller, until) = (ClassId(0), CallerNo(0), Instant::now());
+        let (class, tenant, until) = (ClassId(0), TenantId(0), Instant::now());
         let work = Tenths::ZERO;
-        let question = Question { id, class, caller, until, work, shard_requests, text, holds: 0 };
+        let question = Question { id, class, tenant, until, work, shard_requests, text, holds: 0 };
         let taken = desk.take(question).unwrap();
         let shard_request = *desk.book.borrow().shard_requests.keys().next().unwrap();
         desk.heard.take();
@@ -47,7 +47,7 @@
         let question = |id: &'static str| Question {
             id: Bytes::from_static(id.as_bytes()),
             class: ClassId(0),
-            caller: CallerNo(0),
+            tenant: TenantId(0),
             until: Instant::now(),
             work: Tenths::ZERO,
             shard_requests: vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }],
--- a/crates/broker/src/front.rs
+++ b/crates/broker/src/front.rs
@@ -375,7 +375,7 @@
         let said_last = request.head().connection_type() == ConnectionType::Close;
         let mut response = self.route(request, &line, arrived).await;
         line.wrong.set(if response.status().is_client_error() { line.wrong.get() + 1 } else { 0 });
-        // Guards against callers that come with the same again and again: another connection costs them more.
+        // Guards against tenants that come with the same again and again: another connection costs them more.
         let tired = line.wrong.get() >= self.counter.limits.wrong;
         let unread = has_body && !line.whole.get();
         if said_last || line.surplus || self.closing.get() || line.last.get() || tired || unread {
@@ -426,7 +426,7 @@
         first.inspect(|line| line.end(None)).is_some()
     }
 
-    /// Guards against callers that ask once and keep their connection: they may hold only so many to a
+    /// Guards against tenants that ask once and keep their connection: they may hold only so many to a
     /// broker, and ask no more of it once these are used up.
     fn keep_few(&self) {
         let lines = self.lines.borrow();
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -137,7 +137,7 @@
         Ok(Limits {
             client_lines: lines - surplus_lines,
             surplus_lines,
-            // Callers hold a third of the descriptors at the most; idle ones must leave them some of it.
+            // Tenants hold a third of the descriptors at the most; idle ones must leave them some of it.
             kept_lines: (sockets / 5).min(lines / 2),
             node_lines: (for_peers / 3).min(quarter / BUFFERS),
             held: quarter,
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -7,7 +7,7 @@
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{CallerNo, ClassId, EffectKind, ShardNo, Tenths};
+use routing::{ClassId, EffectKind, ShardNo, TenantId, Tenths};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -197,9 +197,9 @@
     let class = edition.names.class(header(CATEGORY).ok_or("no category")?);
     let class = class.filter(|class| edition.classes.contains_key(class));
     let class = class.ok_or_else(|| unknown("an unknown category"))?;
-    // A caller that the settings do not name has no share of its own.
-    let caller = header(CALLER).map_or(Some(CallerNo(0)), |caller| edition.names.caller(caller));
-    let caller = caller.unwrap_or(CallerNo(u32::MAX));
+    // A tenant that the settings do not name has no share of its own.
+    let tenant = header(CALLER).map_or(Some(TenantId(0)), |tenant| edition.names.tenant(tenant));
+    let tenant = tenant.unwrap_or(TenantId(u32::MAX));
     let digits = header(TIME_LEFT).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let time_left: u64 = digits.and_then(|text| text.parse().ok()).ok_or("no time left told")?;
     let time_left = Duration::from_millis(time_left).min(limits.longest_wait);
@@ -229,7 +229,7 @@
     Ok(Question {
         id: Bytes::copy_from_slice(id.as_bytes()),
         class,
-        caller,
+        tenant,
         until: arrived + time_left,
         work: Tenths::from_ms(work.unwrap_or(0.0).max(0.0) / 1000.0),
         shard_requests: asked.shard_requests.iter().map(shard_request).collect(),
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -7,7 +7,7 @@
 use broker::Order;
 use broker::desk::{Question, RequestedShard, Verdict};
 use bytes::Bytes;
-use routing::{CallerNo, ClassId, ShardNo, Tenths};
+use routing::{ClassId, ShardNo, TenantId, Tenths};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -44,7 +44,7 @@
     Question {
         id: Bytes::from_static(id.as_bytes()),
         class: ClassId(class),
-        caller: CallerNo(0),
+        tenant: TenantId(0),
         until: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
         shard_requests: vec![RequestedShard { shard: ShardNo(3), weight: 1.0 }],
@@ -304,7 +304,7 @@
     });
 }
 
-/// A caller that only another deployment has is served, without a share of its own.
+/// A tenant that only another deployment has is served, without a share of its own.
 #[rstest]
 fn serves_a_caller_that_the_settings_do_not_name() {
     play(async {
--- a/crates/cluster-trace/src/judge.rs
+++ b/crates/cluster-trace/src/judge.rs
@@ -50,7 +50,7 @@
         /// Microseconds, where the row tells of a whole span.
         end: Option<u64>,
         instances: u64,
-        caller: Option<Id>,
+        tenant: Option<Id>,
         class: Option<Id>,
         priority: u64,
     },
@@ -128,7 +128,7 @@
     task: &'a str,
     machine: &'a str,
     event: &'a str,
-    caller: &'a str,
+    tenant: &'a str,
     class: &'a str,
     priority: u64,
     instances: Option<u64>,
@@ -181,7 +181,7 @@
             (Role::Task, _) => fields.task = text,
             (Role::Machine, _) => fields.machine = text,
             (Role::Event, _) => fields.event = text,
-            (Role::Caller, _) => fields.caller = text,
+            (Role::Tenant, _) => fields.tenant = text,
             (Role::Class, _) => fields.class = text,
             _ => {}
         }
@@ -289,7 +289,7 @@
             event: event.unwrap_or(WorkEvent::Span),
             end: fields.end,
             instances: fields.instances.unwrap_or(1),
-            caller: Id::of(fields.caller),
+            tenant: Id::of(fields.tenant),
             class: Id::of(fields.class),
             priority: fields.priority,
         }
--- a/crates/cluster-trace/src/layout.rs
+++ b/crates/cluster-trace/src/layout.rs
@@ -35,7 +35,7 @@
     Machine,
     /// What happened, a code of the layout.
     Event,
-    Caller,
+    Tenant,
     Class,
     Priority,
     Cpu,
@@ -79,7 +79,7 @@
         Column("task index",                      Count(u32::MAX as u64), true, Task),
         Column("machine ID",                      Count(u64::MAX),       false, Machine),
         Column("event type",                      Code(&["0", "1", "2", "3", "4", "5", "6", "7", "8"]), true, Event),
-        Column("user",                            Id,                    false, Caller),
+        Column("user",                            Id,                    false, Tenant),
         Column("scheduling class",                Count(3),              false, Class),
         Column("priority",                        Count(11),             true,  Priority),
         Column("CPU request",                     Number(1e6),           false, Cpu),
@@ -133,7 +133,7 @@
     ] },
     Layout { name: "azure-2017-vmtable", unit: Unit::Seconds, sorted: Sorted::No, columns: &[
         Column("vmid",               Id,          true,  Task),
-        Column("subscriptionid",     Id,          true,  Caller),
+        Column("subscriptionid",     Id,          true,  Tenant),
         Column("deploymentid",       Id,          true,  Job),
         Column("vmcreated",          Time,        true,  At),
         Column("vmdeleted",          Time,        true,  End),
--- a/crates/cluster-trace/src/ledger.rs
+++ b/crates/cluster-trace/src/ledger.rs
@@ -165,8 +165,8 @@
     (row.at, &row.machine, row.cpu.map(f64::to_bits), row.memory.map(f64::to_bits)).hash(&mut hasher);
     match &row.what {
         What::Machine { event } => (0_u8, *event as u8).hash(&mut hasher),
-        What::Work { job, task, event, end, instances, caller, class, priority } => {
-            (1_u8, job, task, *event as u8, end, instances, caller, class, priority).hash(&mut hasher);
+        What::Work { job, task, event, end, instances, tenant, class, priority } => {
+            (1_u8, job, task, *event as u8, end, instances, tenant, class, priority).hash(&mut hasher);
         }
     }
     hasher.finish()
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -28,9 +28,9 @@
     pub host_ms_per_s: f64,
     pub shards: u32,
     pub classes: Vec<Cast>,
-    /// The callers' shares of the trace's users: a user is one caller's, always.
-    pub callers: Vec<f64>,
-    /// Queries a second that all callers together may ask, split by their shares; none: no quotas.
+    /// The tenants' shares of the trace's users: a user is one tenant's, always.
+    pub tenants: Vec<f64>,
+    /// Queries a second that all tenants together may ask, split by their shares; none: no quotas.
     pub quota_per_s: Option<f64>,
     /// The share of removed machines that drain first; the others die.
     pub drains: f64,
@@ -114,7 +114,7 @@
 pub enum Happens {
     Ask {
         class: usize,
-        caller: usize,
+        tenant: usize,
         /// Shard, weight and microseconds of work of each shard request, heaviest first.
         shard_requests: Vec<(u32, f64, u64)>,
     },
@@ -204,7 +204,7 @@
     at: u64,
     /// In the trace's unit.
     units: f64,
-    caller: Option<Id>,
+    tenant: Option<Id>,
     class: Option<Id>,
     /// Its job and task in one number.
     piece: u64,
@@ -243,7 +243,7 @@
                 "parts",
             ),
             (staging.classes.iter().any(|c| c.shard_requests.1 > staging.shards), "parts"),
-            (staging.callers.is_empty(), "callers"),
+            (staging.tenants.is_empty(), "callers"),
         ];
         if let Some((_, name)) = wrong.into_iter().find(|(wrong, _)| *wrong) {
             return Err(NoPlan::Staging(name));
@@ -262,7 +262,7 @@
     pub fn take(&mut self, row: &Row) -> Result<(), NoPlan> {
         match row.what {
             What::Machine { event } => self.machine(row, event),
-            What::Work { job, task, event, end, instances, caller, class, .. } => {
+            What::Work { job, task, event, end, instances, tenant, class, .. } => {
                 // A job is in or out whole, by its name alone.
                 let name = job.map_or(0, |job| job.0);
                 if lot(self.staging.seed, SAMPLE, name) >= self.staging.sample {
@@ -273,7 +273,7 @@
                 let piece = name ^ task.map_or(0, |task| task.0.rotate_left(17));
                 let within = row.at >= self.staging.from && row.at < self.staging.to;
                 let key = (job, task);
-                let work = Work { at: row.at.max(self.staging.from), units, caller, class, piece };
+                let work = Work { at: row.at.max(self.staging.from), units, tenant, class, piece };
                 match (event, end) {
                     // A row that tells of the whole span.
                     (_, Some(end)) if within || row.at < self.staging.from && end > self.staging.from => {
@@ -398,7 +398,7 @@
         let name = |id: Option<Id>| id.map_or(0, |id| id.0);
         let class =
             pick(staging.classes.iter().map(|c| c.share), lot(staging.seed, CATEGORY, name(work.class)));
-        let caller = pick(staging.callers.iter().copied(), lot(staging.seed, CALLER, name(work.caller)));
+        let tenant = pick(staging.tenants.iter().copied(), lot(staging.seed, CALLER, name(work.tenant)));
         let cast = &staging.classes[class];
         let mut rng =
             fastrand::Rng::with_seed(staging.seed ^ PARTS.rotate_left(32) ^ work.piece ^ no.rotate_left(48));
@@ -410,7 +410,7 @@
             let us = (work_ms * 1000.0 / f64::from(count)) as u64;
             ((first + rank) % staging.shards, weight / total, us.max(LEAST_US))
         });
-        Happens::Ask { class, caller, shard_requests: shard_requests.collect() }
+        Happens::Ask { class, tenant, shard_requests: shard_requests.collect() }
     }
 }
 
@@ -428,8 +428,8 @@
                 };
                 write!(f, "host {host} {word}")
             }
-            Happens::Ask { class, caller, shard_requests } => {
-                write!(f, "ask {class} {caller}")?;
+            Happens::Ask { class, tenant, shard_requests } => {
+                write!(f, "ask {class} {tenant}")?;
                 shard_requests
                     .iter()
                     .try_for_each(|(shard, weight, us)| write!(f, " {shard}:{weight:.6}:{us}"))
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -28,7 +28,7 @@
         host_ms_per_s: 1000.0,
         shards: 16,
         classes: vec![cast("report", 1.0, (4, 8)), cast("lookup", 3.0, (1, 2))],
-        callers: vec![1.0, 2.0],
+        tenants: vec![1.0, 2.0],
         quota_per_s: None,
         drains: 0.0,
         drain_for: 5000,
@@ -45,7 +45,7 @@
         event,
         end: end.map(|second| second * SECOND),
         instances: 1,
-        caller: id("u", job % 5),
+        tenant: id("u", job % 5),
         class: id("c", job % 3),
         priority: 0,
     };
@@ -79,10 +79,10 @@
 
 fn asks(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
     let ask = |entry: &cluster_trace::plan::Entry| match &entry.what {
-        Happens::Ask { class, caller, shard_requests } => Some((
+        Happens::Ask { class, tenant, shard_requests } => Some((
             entry.at,
             *class,
-            *caller,
+            *tenant,
             shard_requests.iter().map(|shard_request| shard_request.2).sum(),
         )),
         Happens::Host { .. } => None,
@@ -139,12 +139,12 @@
     assert!(few.iter().all(|at| some.contains(at)) && some.iter().all(|at| all.contains(at)));
 }
 
-/// A user is one caller's, always.
+/// A user is one tenant's, always.
 #[rstest]
 fn maps_users_onto_callers() {
     let plan = plan(staging(), &rows()).unwrap();
-    let callers: Vec<usize> = asks(&plan).iter().map(|ask| ask.2).collect();
-    assert!(callers.contains(&0) && callers.contains(&1));
+    let tenants: Vec<usize> = asks(&plan).iter().map(|ask| ask.2).collect();
+    assert!(tenants.contains(&0) && tenants.contains(&1));
 }
 
 /// What was running as the window began is asked for at its beginning: spans that reach into it, and tasks
--- a/crates/cluster-trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -104,10 +104,10 @@
 fn reads_quoted_fields() {
     let text = sound(TASK).replace("fadkjh=", "\"fad,\"\"kjh\"");
     let verdicts = read(TASK, text.as_bytes());
-    let [Verdict::Taken(Row { what: What::Work { caller, .. }, .. })] = &verdicts[..] else {
+    let [Verdict::Taken(Row { what: What::Work { tenant, .. }, .. })] = &verdicts[..] else {
         panic!("{verdicts:?}")
     };
-    assert_eq!(*caller, Id::of("fad,\"kjh"));
+    assert_eq!(*tenant, Id::of("fad,\"kjh"));
 }
 
 fn packed(text: &[u8]) -> Vec<u8> {
--- a/crates/config-rollout/src/trial.rs
+++ b/crates/config-rollout/src/trial.rs
@@ -2,7 +2,7 @@
 //! under it that ended badly with the share before, beyond noise; and it holds its tongue while nodes are
 //! lost, for a hall that fell in the same minute looks the same from here.
 //!
-//! What it can't tell: a version that brings nodes down (it takes that for a cloud); a trouble of callers or
+//! What it can't tell: a version that brings nodes down (it takes that for a cloud); a trouble of tenants or
 //! of the way to them that began in the same span as the version; harm too rare for the traffic that there
 //! was.
 
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -33,7 +33,7 @@
     LateRoll,
     /// Discovery tells nothing.
     SilentRoll,
-    /// `size` times as much is asked; with `caller`, by that caller alone.
+    /// `size` times as much is asked; with `tenant`, by that tenant alone.
     Storm,
     /// Of the queries the share `size` is `times` as much work.
     Heavy,
@@ -103,7 +103,7 @@
     pub to: bool,
     pub from: bool,
     /// Whose traffic a storm is; none: everybody's.
-    pub caller: Option<u32>,
+    pub tenant: Option<u32>,
 }
 
 /// What a host does with work that is given up.
@@ -131,8 +131,8 @@
     pub honours: f64,
     /// The share that leaves before its time is up, at half of it.
     pub impatient: f64,
-    /// How many callers ask, each as much as the others.
-    pub callers: u32,
+    /// How many tenants ask, each as much as the others.
+    pub tenants: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -238,13 +238,13 @@
             backoff_ms: clients.number("backoff_ms", CLIENTS),
             honours: clients.number("honours", CLIENTS),
             impatient: clients.number("impatient", CLIENTS),
-            callers: clients.number("callers", CLIENTS) as u32,
+            tenants: clients.number("callers", CLIENTS) as u32,
         };
-        let strange = troubles.iter().filter_map(|t: &Trouble| Some((t, t.caller?)));
-        for (trouble, caller) in strange.filter(|(_, caller)| *caller >= clients.callers) {
+        let strange = troubles.iter().filter_map(|t: &Trouble| Some((t, t.tenant?)));
+        for (trouble, tenant) in strange.filter(|(_, tenant)| *tenant >= clients.tenants) {
             let line = reading.line(&trouble.name, Some("caller"));
-            let (section, key, holds) = (trouble.name.clone(), "caller".to_owned(), caller.to_string());
-            let allowed = format!("under {}, the number of callers", clients.callers);
+            let (section, key, holds) = (trouble.name.clone(), "caller".to_owned(), tenant.to_string());
+            let allowed = format!("under {}, the number of callers", clients.tenants);
             reading.mistakes.push(Mistake::Value { line, section, key, holds, allowed });
         }
         if !reading.mistakes.is_empty() {
@@ -398,7 +398,7 @@
             drain_s: number("drain_s"),
             to: way != "from",
             from: way != "to",
-            caller: place("caller"),
+            tenant: place("caller"),
         })
     }
 
--- a/crates/fault-scenarios/src/script.rs
+++ b/crates/fault-scenarios/src/script.rs
@@ -86,7 +86,7 @@
     Storm {
         times: f64,
         /// Whose; none: everybody's.
-        caller: Option<u32>,
+        tenant: Option<u32>,
         begins: bool,
     },
     Heavy {
@@ -174,7 +174,7 @@
             }
             What::LateRoll => span(&|begins| Act::LateRoll { more: Tenths::from_ms(size), begins }),
             What::SilentRoll => span(&|begins| Act::SilentRoll { begins }),
-            What::Storm => span(&|begins| Act::Storm { times: size, caller: self.caller, begins }),
+            What::Storm => span(&|begins| Act::Storm { times: size, tenant: self.tenant, begins }),
             What::Heavy => span(&|begins| Act::Heavy { share: size, times: self.times, begins }),
             What::Killer => span(&|begins| Act::Killer { share: size, begins }),
             What::Lopsided => span(&|begins| Act::Lopsided { share: size, begins }),
--- a/crates/node-emulator/src/script.rs
+++ b/crates/node-emulator/src/script.rs
@@ -190,7 +190,7 @@
 
 // ---- discovery
 
-/// The head of the next request; none: the caller has gone.
+/// The head of the next request; none: the tenant has gone.
 async fn read_head(from: &mut (impl AsyncBufReadExt + Unpin)) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -327,7 +327,7 @@
         self.kept.changed.notify_waiters();
     }
 
-    /// Callers that have heard all there is, and wait for more.
+    /// Tenants that have heard all there is, and wait for more.
     pub fn waiting(&self) -> usize {
         self.kept.waiting.get()
     }
@@ -402,11 +402,11 @@
     request_of(None, id, class, left_ms, body)
 }
 
-/// The same, by a caller that is named.
-pub fn request_of(caller: Option<&str>, id: &str, class: &str, left_ms: u64, body: &str) -> String {
-    let caller = caller.map_or(String::new(), |caller| format!("X-Account: {caller}\r\n"));
+/// The same, by a tenant that is named.
+pub fn request_of(tenant: Option<&str>, id: &str, class: &str, left_ms: u64, body: &str) -> String {
+    let tenant = tenant.map_or(String::new(), |tenant| format!("X-Account: {tenant}\r\n"));
     format!(
-        "POST /api HTTP/1.1\r\nHost: backend.local\r\n{caller}X-Correlation-Id: {id}\r\n\
+        "POST /api HTTP/1.1\r\nHost: backend.local\r\n{tenant}X-Correlation-Id: {id}\r\n\
          X-Service-Class: {class}\r\nX-Time-Left-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -9,7 +9,7 @@
 }
 
 ids! {
-    /// One query, as its caller asked for it.
+    /// One query, as its tenant asked for it.
     QueryId(u64);
     /// One part of a query.
     ShardRequestId(u64);
@@ -27,8 +27,8 @@
     CellNo(u32);
     /// A place in the list of classes.
     ClassId(u16);
-    /// A place in the list of callers that share the service.
-    CallerNo(u32);
+    /// A place in the list of tenants that share the service.
+    TenantId(u32);
     /// A place in the list of zones.
     ZoneNo(u16);
 }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,7 +1,7 @@
 //! What a broker hears.
 
 use crate::ids::{
-    AttemptNumber, CallerNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, ZoneNo,
+    AttemptNumber, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId, ZoneNo,
 };
 use crate::prescription::Prescription;
 use crate::time::Tenths;
@@ -24,8 +24,8 @@
     ResponseStarted(ShardRequestId),
     /// The one end of an attempt.
     AttemptEnded(AttemptResult),
-    /// The caller has left, or its time is up.
-    CallerLeft(QueryId),
+    /// The tenant has left, or its time is up.
+    ClientLeft(QueryId),
     /// A wake-up that was asked for.
     Woken,
     /// What came of a probe.
@@ -75,14 +75,14 @@
     pub id: QueryId,
     pub group: GroupNo,
     pub class: ClassId,
-    pub caller: CallerNo,
-    /// How long its caller will wait.
+    pub tenant: TenantId,
+    /// How long its tenant will wait.
     pub time_left: Tenths,
     /// The work of all its shard requests, roughly, where that is told; else none.
     pub work: Tenths,
-    /// How often its caller asked for it before, where that is told; else 0.
+    /// How often its tenant asked for it before, where that is told; else 0.
     pub client_attempt: u32,
-    /// Only its minimum coverage is to be sent: what stands before the module holds its caller to a share.
+    /// Only its minimum coverage is to be sent: what stands before the module holds its tenant to a share.
     pub min_coverage_only: bool,
 }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -7,7 +7,7 @@
 use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
 use crate::inputs::{AttemptOutcome, AttemptResult, Input, NewQuery, Roll};
 use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription, RequestClass};
-use crate::state::Signal::{self, CallerLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
+use crate::state::Signal::{self, ClientLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
 use crate::state::{
     ClassPolicy, Due, Fate, Instance, Line, Node, Push, Query, ShardRequest, ShardRequestState,
@@ -92,7 +92,7 @@
     Row(&[Answered], Said,       |_, _| true,           Over,     |_, _| ()),
     Row(ANY,         CutOffNear, Broker::has_least,     Answered, Broker::answer),
     Row(ANY,         CutOffNear, |_, _| true,           Over,     Broker::give_up),
-    Row(ANY,         CallerLeft, |_, _| true,           Over,     |_, _| ()),
+    Row(ANY,         ClientLeft, |_, _| true,           Over,     |_, _| ()),
 ];
 
 /// What an attempt's end tells: what became of the effect, whether it is harm that counts as pressure, whether
@@ -153,7 +153,7 @@
         Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, prescription: p }
     }
 
-    /// Takes a new prescription. What outlives the old one goes by what it means: rates by caller, payoffs by
+    /// Takes a new prescription. What outlives the old one goes by what it means: rates by tenant, payoffs by
     /// class, attempts by time. The old one binds on, beside the new, for as long as a window of its rules
     /// reaches back. Guards against a change that would let twice the budget through in one window.
     fn prescribe(&mut self, prescription: Prescription) {
@@ -165,8 +165,8 @@
         let alike = |a: &ClassPolicy, b: &ClassPolicy| (a.payoff, a.least) == (b.payoff, b.least);
         let same = |no: &_| old.rows.get(no).zip(new.rows.get(no)).is_some_and(|(a, b)| alike(a, b));
         self.s.pays.retain(|no, _| same(no));
-        let named = |no: &_| new.prescription.callers.contains_key(no);
-        self.s.callers.retain(|no, rate| named(no) || rate.read(now, SPAN) >= START);
+        let named = |no: &_| new.prescription.tenants.contains_key(no);
+        self.s.tenants.retain(|no, rate| named(no) || rate.read(now, SPAN) >= START);
         self.s.past.push((now + binds, old));
     }
 
@@ -207,7 +207,7 @@
             Input::ShardRequest(new) => self.s.add_shard_request(new),
             Input::ResponseStarted(shard_request) => self.s.bind(shard_request),
             Input::AttemptEnded(outcome) => self.push_ended(outcome),
-            Input::CallerLeft(id) => self.signal(*id, CallerLeft),
+            Input::ClientLeft(id) => self.signal(*id, ClientLeft),
             Input::Probed(probed) => self.s.note_probed(probed),
             Input::Woken | Input::Aside => {}
         }
@@ -281,7 +281,7 @@
 
     /// Guards against queries that bring down every node that begins a shard request: two nodes fell with one, and
     /// none brought one. Dropped shard requests wait for a first one as proof; once given up it is barred while its
-    /// caller may repeat it. Harm: one caught in a hall's fall.
+    /// tenant may repeat it. Harm: one caught in a hall's fall.
     fn kills(&self, r: &Query) -> bool {
         r.fallen.len() > 1 && r.weight(&[ShardRequestState::In]) == 0.0
     }
@@ -352,7 +352,7 @@
 
     /// The room for what pays so much for each shard request that it sends.
     fn room_for(&self, r: &Query, pays: f64) -> f64 {
-        let earns = if r.within_share { 1.0 } else { r.terms.prescription.over_share_payoff };
+        let earns = if r.within_quota { 1.0 } else { r.terms.prescription.over_share_payoff };
         let best = self.s.pays.values().map(|p| p[0]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         self.s.room * (CROWDED + (1.0 - CROWDED) * earns * pays / best)
     }
@@ -374,7 +374,7 @@
     /// What is turned away counts as refused, so that pressure rises and the cut sets in.
     fn turn_away(&mut self, r: &mut Query) {
         let shard_requests = self.plan(r, true).len() as f64;
-        self.s.count_harm(SPAN, r.within_share, shard_requests, shard_requests);
+        self.s.count_harm(SPAN, r.within_quota, shard_requests, shard_requests);
         self.give_up(r);
     }
 
@@ -401,7 +401,7 @@
     /// weight share a rank, else many would collapse to a few as B passes 1. A shard request out of reach counts as
     /// cut: else a hot or dead shard's heavy shard request is sent for nothing while light ones are trimmed.
     fn plan(&mut self, r: &Query, min_coverage_only: bool) -> Vec<usize> {
-        let base = self.base(r.within_share);
+        let base = self.base(r.within_quota);
         let row = &r.row;
         let (mut rank, mut level) = (0, f64::INFINITY);
         let mut order: Vec<(bool, usize)> = Vec::new();
@@ -475,7 +475,7 @@
     }
 
     fn take(&mut self, new: &NewQuery) {
-        let NewQuery { id, class, caller, time_left, work, .. } = *new;
+        let NewQuery { id, class, tenant, time_left, work, .. } = *new;
         let now = self.s.now;
         let terms = self.terms.clone();
         let Some(row) = terms.rows.get(&class).cloned() else {
@@ -487,15 +487,15 @@
         let goal_at = now + goal - row.goal.times(GOAL_MARGIN) - turns;
         let cut_off_at = now + time_left - turns.times(2.0);
         self.s.agenda.extend(row.two_steps.then_some((goal_at - row.goal.times(0.5), Due::Halfway(id))));
-        let rate = self.s.callers.entry(caller).or_default();
+        let rate = self.s.tenants.entry(tenant).or_default();
         rate.add(now, SPAN, 1.0);
-        // A caller's share is split evenly over the brokers: this one sees no other's traffic.
-        let within_share = p.callers.get(&caller).is_none_or(|caller| {
-            let mine = caller.quota_per_s / f64::from(p.brokers.max(1));
+        // A tenant's share is split evenly over the brokers: this one sees no other's traffic.
+        let within_quota = p.tenants.get(&tenant).is_none_or(|tenant| {
+            let mine = tenant.quota_per_s / f64::from(p.brokers.max(1));
             rate.count <= (mine * SPAN.as_ms() / 1000.0).max(1.0)
         });
         let times = [goal_at, cut_off_at];
-        self.s.hold(Query::taken(new, (terms, row), within_share, goal, times));
+        self.s.hold(Query::taken(new, (terms, row), within_quota, goal, times));
     }
 
     // ---- attempts
@@ -539,7 +539,7 @@
             return self.later(goal, Due::Again(shard_request.id));
         };
         let no = AttemptNumber(shard_request.attempts.len() as u16);
-        let (id, within_share, class, out) = (shard_request.id, r.within_share, r.class, self.s.out_at_turn);
+        let (id, within_quota, class, out) = (shard_request.id, r.within_quota, r.class, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
         self.s.further.extend(further.then_some((now, id, no)));
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
@@ -547,7 +547,7 @@
         let call = self.s.board(node, per_call, cold.then_some(class), lull);
         shard_request.stage = ShardRequestState::Out;
         shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
-        let ticket = Ticket { node, call, within_share, class, goal, out, crowded, lull, silent: false };
+        let ticket = Ticket { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
         self.s.tickets.insert((id, no), ticket);
         let life = (r.goal_at + late_life).min(r.cut_off_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
@@ -753,7 +753,7 @@
         }
         if fate != Fate::Void && outcome.end != AttemptOutcome::Cancelled {
             self.s.falls.count(now, SPAN, f64::from(u8::from(down)), 1.0);
-            self.s.count_harm(SPAN, ticket.within_share, f64::from(u8::from(harm)), 1.0);
+            self.s.count_harm(SPAN, ticket.within_quota, f64::from(u8::from(harm)), 1.0);
             self.s.refused.count(now, SPAN, f64::from(u8::from(harm)), 1.0);
             self.fit_room(ticket, outcome.took);
         }
@@ -904,11 +904,11 @@
     }
 
     /// Pressure is the share of shard requests refused as full or timed out; where few were heard of, out of as many
-    /// as make one of them the starting level. One caller's storm would lift it for all: who is within its
-    /// share is not judged by the harm that callers beyond theirs come to.
-    fn base(&mut self, within_share: bool) -> f64 {
+    /// as make one of them the starting level. One tenant's storm would lift it for all: who is within its
+    /// share is not judged by the harm that tenants beyond theirs come to.
+    fn base(&mut self, within_quota: bool) -> f64 {
         let [all, within] = self.s.pressure.each_ref().map(|g| g.share(self.s.now, SPAN, 1.0 / START));
-        let pressure = if within_share { within } else { within.max(all) };
+        let pressure = if within_quota { within } else { within.max(all) };
         self.s.note_cutting(pressure, pressure > START);
         1.0 + (FULL_BASE - 1.0) * ((pressure - START) / (1.0 - START)).max(0.0)
     }
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/prescription.rs
@@ -1,11 +1,11 @@
 //! What a broker is handed when it starts: how the service is to be served.
 
-use crate::ids::{CallerNo, CellNo, ClassId, ShardNo, ZoneNo};
+use crate::ids::{CellNo, ClassId, ShardNo, TenantId, ZoneNo};
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
 /// Everything a broker is told at its start, and anew with `Input::Prescription`. A prescription itself never
-/// changes: a query keeps the one under which it was taken. Numbers of classes and callers stay with
+/// changes: a query keeps the one under which it was taken. Numbers of classes and tenants stay with
 /// what they name for as long as the broker runs: one that is struck from a prescription leaves a gap.
 #[derive(Clone, Debug, Default)]
 pub struct Prescription {
@@ -17,8 +17,8 @@
     /// The longest that an attempt may take from its turn to its node.
     pub send_lag: Tenths,
     pub classes: BTreeMap<ClassId, RequestClass>,
-    pub callers: BTreeMap<CallerNo, Caller>,
-    /// A query beyond its caller's share earns this part of its payoff.
+    pub tenants: BTreeMap<TenantId, Tenant>,
+    /// A query beyond its tenant's share earns this part of its payoff.
     pub over_share_payoff: f64,
     pub layout: Layout,
     pub limits: Limits,
@@ -66,7 +66,7 @@
 
 /// One who shares the service with others.
 #[derive(Clone, Debug, Default)]
-pub struct Caller {
+pub struct Tenant {
     /// Queries a second, over all brokers, within its share.
     pub quota_per_s: f64,
 }
@@ -99,7 +99,7 @@
     /// A shard request may have two attempts out at once.
     pub copies: bool,
     pub allow_cancel: bool,
-    /// Callers are told how long to stay away, up to `max_retry_after`.
+    /// Tenants are told how long to stay away, up to `max_retry_after`.
     pub retry_after: bool,
     pub max_retry_after: Tenths,
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::effects::Effect;
 use crate::ids::{
-    AttemptNumber, CallNo, CallerNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId,
+    AttemptNumber, CallNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId,
     ZoneNo,
 };
 use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
@@ -42,7 +42,7 @@
 pub struct Ticket {
     pub node: NodeId,
     pub call: CallNo,
-    pub within_share: bool,
+    pub within_quota: bool,
     pub class: ClassId,
     /// The goal time of its class.
     pub goal: Tenths,
@@ -108,7 +108,7 @@
     GoalNear,
     CutOffNear,
     Said,
-    CallerLeft,
+    ClientLeft,
 }
 
 #[derive(Clone, Debug)]
@@ -119,9 +119,9 @@
     /// Those under which it was taken, to its end.
     pub terms: Arc<Terms>,
     pub row: Arc<ClassPolicy>,
-    pub within_share: bool,
+    pub within_quota: bool,
     pub stage: Stage,
-    /// Its goal time, or what its caller will wait if that is less.
+    /// Its goal time, or what its tenant will wait if that is less.
     pub goal: Tenths,
     pub goal_at: Tenths,
     pub cut_off_at: Tenths,
@@ -353,7 +353,7 @@
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
     pub paces: BTreeMap<ClassId, Pace>,
-    /// Over all shard requests, and over those of callers within their share.
+    /// Over all shard requests, and over those of tenants within their share.
     pub pressure: [Window; 2],
     /// Of attempts, those refused as full or timed out.
     pub refused: Window,
@@ -369,7 +369,7 @@
     pub out_at_turn: f64,
     /// What each class pays for a shard request, of late: over the minimum coverage, and over the whole.
     pub pays: BTreeMap<ClassId, [f64; 2]>,
-    pub callers: BTreeMap<CallerNo, Fading>,
+    pub tenants: BTreeMap<TenantId, Fading>,
     /// Questions not asked again until then.
     pub barred: BTreeMap<(ClassId, BTreeSet<ShardNo>), Tenths>,
     pub taken: VecDeque<Tenths>,
@@ -390,7 +390,7 @@
     pub fn taken(
         new: &NewQuery,
         (terms, row): (Arc<Terms>, Arc<ClassPolicy>),
-        within_share: bool,
+        within_quota: bool,
         goal: Tenths,
         [goal_at, cut_off_at]: [Tenths; 2],
     ) -> Query {
@@ -400,7 +400,7 @@
             class: new.class,
             terms,
             row,
-            within_share,
+            within_quota,
             stage: Stage::Taken,
             goal,
             goal_at,
@@ -730,8 +730,8 @@
     }
 
     /// Adds to both gauges, or to the one over all shard requests.
-    pub fn count_harm(&mut self, span: Tenths, within_share: bool, harmed: f64, all: f64) {
-        for gauge in self.pressure.iter_mut().take(1 + usize::from(within_share)) {
+    pub fn count_harm(&mut self, span: Tenths, within_quota: bool, harmed: f64, all: f64) {
+        for gauge in self.pressure.iter_mut().take(1 + usize::from(within_quota)) {
             gauge.count(self.now, span, harmed, all);
         }
     }
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -81,10 +81,10 @@
                 p.classes.remove(&ClassId(no as u16));
             }
             "caller" => {
-                let no = value(&words, "no", p.callers.len() as u32);
-                p.callers.insert(CallerNo(no), Caller { quota_per_s: words[1].parse().unwrap() });
+                let no = value(&words, "no", p.tenants.len() as u32);
+                p.tenants.insert(TenantId(no), Tenant { quota_per_s: words[1].parse().unwrap() });
             }
-            "no-caller" => _ = p.callers.remove(&CallerNo(words[1].parse().unwrap())),
+            "no-caller" => _ = p.tenants.remove(&TenantId(words[1].parse().unwrap())),
             // What was said of the prescription since is in force from here on.
             "prescribe" => {
                 self.done.clear();
@@ -178,7 +178,7 @@
             "take" => {
                 let (rid, group) = (QueryId(id(words[1])), GroupNo(id(words[1]) as u32));
                 let class = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
-                let (class, caller) = (ClassId(class as u16), CallerNo(value(&words, "caller", 0)));
+                let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "caller", 0)));
                 let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
                 self.open.insert(rid);
                 if self.prescription.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
@@ -188,7 +188,7 @@
                     id: rid,
                     group,
                     class,
-                    caller,
+                    tenant,
                     time_left,
                     work,
                     client_attempt: value(&words, "attempt", 0),
@@ -199,7 +199,7 @@
             "more" => return self.shard_requests(QueryId(id(words[1])), &words),
             "left" => {
                 self.open.remove(&QueryId(id(words[1])));
-                Input::CallerLeft(QueryId(id(words[1])))
+                Input::ClientLeft(QueryId(id(words[1])))
             }
             "told" => {
                 let queue = words[2].parse().map(|queue| (Told::Queue, queue)).into_iter();
--- a/crates/settings/src/catalogue.rs
+++ b/crates/settings/src/catalogue.rs
@@ -1,15 +1,15 @@
-//! Which number a class or a caller has. A number, once given, stays with its name for as long as the
+//! Which number a class or a tenant has. A number, once given, stays with its name for as long as the
 //! broker runs, through all versions of its prescription, and is never given to another: what the module
 //! remembers by number goes by meaning.
 
-use routing::{CallerNo, ClassId};
+use routing::{ClassId, TenantId};
 use std::collections::BTreeMap;
 
 /// Names with their numbers. Those that are no longer in use keep theirs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalogue {
     classes: Numbers,
-    callers: Numbers,
+    tenants: Numbers,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -40,20 +40,20 @@
 impl Catalogue {
     pub fn in_order<'a>(
         classes: impl Iterator<Item = &'a str>,
-        callers: impl Iterator<Item = &'a str>,
+        tenants: impl Iterator<Item = &'a str>,
     ) -> Catalogue {
-        Catalogue { classes: Numbers::in_order(classes), callers: Numbers::in_order(callers) }
+        Catalogue { classes: Numbers::in_order(classes), tenants: Numbers::in_order(tenants) }
     }
 
     /// The same, and a number for each name that has none.
     pub(crate) fn with<'a>(
         &self,
         classes: impl Iterator<Item = &'a str>,
-        callers: impl Iterator<Item = &'a str>,
+        tenants: impl Iterator<Item = &'a str>,
     ) -> Catalogue {
         let mut more = self.clone();
         classes.for_each(|name| more.classes.add(name));
-        callers.for_each(|name| more.callers.add(name));
+        tenants.for_each(|name| more.tenants.add(name));
         more
     }
 
@@ -61,16 +61,16 @@
         self.classes.known.get(name).map(|no| ClassId(*no as u16))
     }
 
-    pub fn caller(&self, name: &str) -> Option<CallerNo> {
-        self.callers.known.get(name).map(|no| CallerNo(*no as u32))
+    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+        self.tenants.known.get(name).map(|no| TenantId(*no as u32))
     }
 
     pub(crate) fn class_at(&self, name: &str) -> usize {
         self.classes.known.get(name).copied().unwrap_or(usize::MAX)
     }
 
-    pub(crate) fn caller_at(&self, name: &str) -> usize {
-        self.callers.known.get(name).copied().unwrap_or(usize::MAX)
+    pub(crate) fn tenant_at(&self, name: &str) -> usize {
+        self.tenants.known.get(name).copied().unwrap_or(usize::MAX)
     }
 
     pub fn classes(&self) -> impl Iterator<Item = (&str, ClassId)> {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -52,7 +52,7 @@
 
 /// The most mistakes that are told of one document.
 const MOST: usize = 100;
-/// Names in a list of classes, callers or zones.
+/// Names in a list of classes, tenants or zones.
 const MOST_NAMES: usize = 10_000;
 
 /// All that is wrong with a document, as far as it can be told; nothing: it can be used.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,7 @@
 pub use revise::{Change, Revised, compare, revise};
 
 use routing::{
-    Caller, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Tenths, Told,
+    EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Tenant, Tenths, Told,
     ZoneNo,
 };
 use text::Text;
@@ -62,12 +62,12 @@
     prescribe(&text, names, |at, _| at, |at, _| at)
 }
 
-/// Makes the prescription, with the numbers that these give to classes and callers.
+/// Makes the prescription, with the numbers that these give to classes and tenants.
 fn prescribe(
     text: &Text,
     names: Catalogue,
     class_no: impl Fn(usize, &str) -> usize,
-    caller_no: impl Fn(usize, &str) -> usize,
+    tenant_no: impl Fn(usize, &str) -> usize,
 ) -> Result<Intake, String> {
     let lines = Lines {
         idle: text.limits.conn_idle_ms.map(Tenths::from_ms),
@@ -97,9 +97,9 @@
         let no = u16::try_from(class_no(at, &service.name));
         Ok((routing::ClassId(no.map_err(|_| "settings: too many categories")?), class))
     });
-    let callers = text.tenants.iter().enumerate().map(|(at, tenant)| {
-        let no = routing::CallerNo(caller_no(at, &tenant.name) as u32);
-        (no, Caller { quota_per_s: tenant.quota_rps })
+    let tenants = text.tenants.iter().enumerate().map(|(at, tenant)| {
+        let no = routing::TenantId(tenant_no(at, &tenant.name) as u32);
+        (no, Tenant { quota_per_s: tenant.quota_rps })
     });
     let rules = &text.rules;
     let prescription = Prescription {
@@ -108,7 +108,7 @@
         period: Tenths::from_ms(text.period_ms),
         send_lag: Tenths::ZERO,
         classes: classes.collect::<Result<_, String>>()?,
-        callers: callers.collect(),
+        tenants: tenants.collect(),
         over_share_payoff: text.over_share_worth,
         layout: Layout {
             cells: text.domain.cells,
--- a/crates/settings/src/revise.rs
+++ b/crates/settings/src/revise.rs
@@ -130,8 +130,8 @@
         text.services.iter().map(|service| &service.name[..]),
         text.tenants.iter().map(|tenant| &tenant.name[..]),
     );
-    let (class, caller) = (|_, name: &str| names.class_at(name), |_, name: &str| names.caller_at(name));
-    let intake = prescribe(&text, names.clone(), class, caller).map_err(unread)?;
+    let (class, tenant) = (|_, name: &str| names.class_at(name), |_, name: &str| names.tenant_at(name));
+    let intake = prescribe(&text, names.clone(), class, tenant).map_err(unread)?;
     Ok(Revised { intake, document, changes })
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -43,8 +43,8 @@
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.effect, class.min_coverage), (EffectKind::Numbered, 0.4));
     assert!(read.rules.further.is_none());
-    assert_eq!((names.class("report"), names.caller("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
-    assert_eq!((&zones[0][..], read.callers[&routing::CallerNo(0)].quota_per_s), ("north", 2.5));
+    assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
+    assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
     assert_eq!((report, read.load_by_probe), (vec![routing::Told::Queue], false));
     assert_eq!((lines.idle, lines.connect, lines.shard_requests), (Some(Tenths(150_000)), None, Some(32)));
 }
@@ -151,9 +151,9 @@
     let goals: Vec<_> =
         taken.intake.prescription.classes.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
     assert_eq!(goals, [(1, 20_000), (2, 1000)]);
-    let callers: Vec<_> =
-        taken.intake.prescription.callers.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
-    assert_eq!(callers, [(1, 9.0)]);
+    let tenants: Vec<_> =
+        taken.intake.prescription.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+    assert_eq!(tenants, [(1, 9.0)]);
     assert_eq!(taken.intake.names.class("report"), Some(ClassId(0)));
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CallerNo, CellNo, ClassId, Effect, GroupNo, Input,
-    NewQuery, NewShardRequest, NodeId, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
+    NewShardRequest, NodeId, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -131,7 +131,7 @@
                 Input::ResponseStarted(shard_request)
             }
             20 => self.finished()?,
-            21 => Input::CallerLeft(QueryId(self.u64()?)),
+            21 => Input::ClientLeft(QueryId(self.u64()?)),
             22 => {
                 self.u64()?;
                 Input::Woken
@@ -152,7 +152,7 @@
     }
 
     fn knock(&mut self) -> Result<Input, BadFrame> {
-        let (id, class, caller) = (self.u64()?, ClassId(self.u16()?), CallerNo(self.u32()?));
+        let (id, class, tenant) = (self.u64()?, ClassId(self.u16()?), TenantId(self.u32()?));
         let _key = self.u64()?;
         let time_left = self.span()?;
         let hint = self.span()?;
@@ -164,7 +164,7 @@
                 id: QueryId(id),
                 group,
                 class,
-                caller,
+                tenant,
                 time_left,
                 work,
                 client_attempt: 0,
