--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -6,7 +6,7 @@
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
 use routing::{
-    AttemptOutcome, AttemptResult, Effect, GroupNo, Input, NewQuery, Prescription, QueryId, TenantId, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, Effect, GroupNo, Input, NewQuery, QueryId, TenantId, Tenths,
 };
 use std::collections::BTreeSet;
 
@@ -117,7 +117,7 @@
 pub struct Door {
     a: Allowance,
     mode: Mode,
-    prescription: Prescription,
+    broker_config: BrokerConfig,
     s: Instance,
     /// What each query was told, by the door's count, since it began: passed, retries, share, least.
     pub counts: [u64; 4],
@@ -127,10 +127,10 @@
 
 impl Door {
     /// A door that is open, or what is wrong with the allowance.
-    pub fn new(allowance: Allowance, prescription: &Prescription) -> Result<Door, Vec<Wrong>> {
+    pub fn new(allowance: Allowance, broker_config: &BrokerConfig) -> Result<Door, Vec<Wrong>> {
         allowance.check()?;
-        let (mode, prescription, s) = (Open, prescription.clone(), Instance::default());
-        Ok(Door { a: allowance, mode, prescription, s, counts: [0; 4], began: Tenths(i64::MAX) })
+        let (mode, broker_config, s) = (Open, broker_config.clone(), Instance::default());
+        Ok(Door { a: allowance, mode, broker_config, s, counts: [0; 4], began: Tenths(i64::MAX) })
     }
 
     pub fn mode(&self) -> Mode {
@@ -153,7 +153,7 @@
         for input in heard {
             match input {
                 Input::AttemptEnded(outcome) => self.ended(outcome),
-                Input::Prescription(new) => self.prescription = (**new).clone(),
+                Input::Config(new) => self.broker_config = (**new).clone(),
                 Input::Query(new) => asked.push(Asked {
                     id: new.id,
                     group: new.group,
@@ -347,7 +347,7 @@
 
     /// A tenant's weight: its quota where one is stated, else the mean of those stated, else 1.
     fn weight(&self, no: TenantId) -> f64 {
-        let quotas = &self.prescription.tenants;
+        let quotas = &self.broker_config.tenants;
         if quotas.is_empty() {
             return 1.0;
         }
@@ -420,7 +420,7 @@
 
     /// As `others_ask`, and its class takes partial answers.
     fn partial(&mut self, asked: &Asked) -> bool {
-        let class = self.prescription.classes.get(&asked.class);
+        let class = self.broker_config.classes.get(&asked.class);
         class.is_some_and(|c| c.min_coverage < c.complete_coverage) && self.others_ask(asked)
     }
 
@@ -462,9 +462,9 @@
     }
 
     /// When a retry may find its budget again: after the half of a window in which a cut is judged; none
-    /// where the prescription does not let tenants be told.
+    /// where the configuration does not let tenants be told.
     fn retry_after(&self) -> Tenths {
-        let limits = &self.prescription.limits;
+        let limits = &self.broker_config.limits;
         let wait = self.a.window.times(HOLD).min(limits.max_retry_after).max(Tenths(1));
         if limits.retry_after { wait } else { Tenths::ZERO }
     }
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,9 +1,9 @@
 //! The door before one broker's module: who gets in when there is not room for all.
 //!
-//! A front makes a [`Door`] from an [`Allowance`] and the broker's [`Prescription`], and puts it with the
+//! A front makes a [`Door`] from an [`Allowance`] and the broker's [`Configuration`], and puts it with the
 //! module in a [`Gated`]; it then calls [`Gated::turn`] where it called [`Broker::turn`]. The door sees every
 //! input before the module does and every effect after. It holds nothing back: each query is passed on
-//! or rejected in the same turn, with the time to come back where the prescription allows one. No I/O, no
+//! or rejected in the same turn, with the time to come back where the configuration allows one. No I/O, no
 //! clock: time comes in with each turn.
 //!
 //! The door is open until the design's pressure (shard requests refused as full or timed out), or the module's own
@@ -14,16 +14,16 @@
 //!
 //! ```
 //! use admission::{Allowance, Door, Gated};
-//! use routing::{Broker, Input, Prescription, Tenths};
+//! use routing::{Broker, Input, Configuration, Tenths};
 //!
-//! let prescription = Prescription::default();
-//! let door = Door::new(Allowance::default(), &prescription).expect("the defaults are sound");
-//! let mut gated = Gated::new(door, Broker::start(prescription, 7, Tenths(0)));
+//! let configuration = Configuration::default();
+//! let door = Door::new(Allowance::default(), &configuration).expect("the defaults are sound");
+//! let mut gated = Gated::new(door, Broker::start(configuration, 7, Tenths(0)));
 //! assert!(gated.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 //!
 //! [`Broker::turn`]: routing::Broker::turn
-//! [`Prescription`]: routing::Prescription
+//! [`Configuration`]: routing::Configuration
 
 mod allowance;
 mod door;
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -5,11 +5,11 @@
 use rstest::rstest;
 
 /// One broker, two nodes, quotas as given, tenants may be told when to come back.
-fn prescription(quotas: &[f64]) -> Prescription {
-    let mut p = Prescription { brokers: 1, period: Tenths(50), ..Prescription::default() };
+fn broker_config(quotas: &[f64]) -> BrokerConfig {
+    let mut p = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
     p.layout = Layout { cells: 2, reach: 1, shards: 2, per_call: 1 };
     p.limits = Limits {
-        most_open: 1000,
+        max_open: 1000,
         max_attempts: 3,
         retry_after: true,
         max_retry_after: Tenths(20_000),
@@ -161,7 +161,7 @@
 /// On a calm day the door changes nothing: the module behind it does what it does alone, to the effect.
 #[rstest]
 fn a_calm_door_changes_nothing() {
-    let p = prescription(&[]);
+    let p = broker_config(&[]);
     let roll = Roll {
         kind: RollKind::Full,
         entries: (0..2)
@@ -204,7 +204,7 @@
 /// Harm past the level crowds the door; a rate of shard requests is let in, and it says so.
 #[rstest]
 fn harm_crowds_the_door() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
     let mut asking = Asking::default();
     let mut said = Vec::new();
     for at in 0..20 {
@@ -222,7 +222,7 @@
 #[rstest]
 fn retries_past_their_budget_are_declined_at_once() {
     let mut door =
-        Door::new(Allowance { retry_floor: 2.0, ..Allowance::default() }, &prescription(&[])).unwrap();
+        Door::new(Allowance { retry_floor: 2.0, ..Allowance::default() }, &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
     let heard: Vec<Input> = (0..40).flat_map(|_| asking.ask(0, 1, 1)).collect();
@@ -242,7 +242,7 @@
 /// the first is rejected for what is beyond its share, at once.
 #[rstest]
 fn who_asks_most_is_held_to_its_share() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
     let (mut storm, mut quiet) = ((0, 0), (0, 0));
@@ -271,7 +271,7 @@
 /// rejected: the heaviest shard requests earn most of its payoff for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
     let (mut declined, mut least) = (0, 0);
@@ -292,7 +292,7 @@
 /// A tenant alone is never rejected for its share: its excess is the module's to cut.
 #[rstest]
 fn a_lone_caller_is_not_declined_for_its_share() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
     for _ in 0..20 {
@@ -308,7 +308,7 @@
 /// Once less is asked than the hosts do, the rate comes up, and the door opens.
 #[rstest]
 fn calm_opens_the_door_again() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
     let mut said = Vec::new();
@@ -323,10 +323,10 @@
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("open"))));
 }
 
-/// Where the prescription does not let tenants be told when to come back, a rejection says nothing of it.
+/// Where the configuration does not let tenants be told when to come back, a rejection says nothing of it.
 #[rstest]
 fn no_time_to_come_back_where_none_may_be_told() {
-    let mut p = prescription(&[]);
+    let mut p = broker_config(&[]);
     p.limits.retry_after = false;
     let mut door =
         Door::new(Allowance { retry_floor: 0.0, retry_share: 0.0, ..Allowance::default() }, &p).unwrap();
@@ -340,7 +340,7 @@
 /// quota gets about four times the shard requests.
 #[rstest]
 fn quotas_weigh_the_shares() {
-    let mut door = Door::new(Allowance::default(), &prescription(&[4.0, 1.0])).unwrap();
+    let mut door = Door::new(Allowance::default(), &broker_config(&[4.0, 1.0])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
     let mut passed = [0_usize; 2];
@@ -360,7 +360,7 @@
 #[rstest]
 fn callers_past_the_most_share_one() {
     let mut door =
-        Door::new(Allowance { most_callers: 3, ..Allowance::default() }, &prescription(&[])).unwrap();
+        Door::new(Allowance { most_callers: 3, ..Allowance::default() }, &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
     let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
     let heard: Vec<Input> = (0..50).flat_map(|tenant| asking.ask(tenant, 1, 0)).collect();
@@ -374,5 +374,5 @@
     let wrong = Allowance { level: 1.5, decrease: 0.0, most_callers: 0, ..Allowance::default() };
     let keys: Vec<&str> = wrong.check().unwrap_err().iter().map(|wrong| wrong.key).collect();
     assert_eq!(keys, ["level", "decrease", "most_callers"]);
-    assert!(Door::new(wrong, &Prescription::default()).is_err());
+    assert!(Door::new(wrong, &BrokerConfig::default()).is_err());
 }
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -11,7 +11,7 @@
 //! | 6 | shard requests that reach hosts again, in any window, beside what was asked in it |
 
 use crate::outcome::Outcome;
-use routing::{EffectKind, FurtherBudget, Standing, Tenths};
+use routing::{Idempotency, RetryBudget, Standing, Tenths};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the rules are for one class.
@@ -19,15 +19,15 @@
 pub struct Kind {
     pub cut_off: Tenths,
     pub least: f64,
-    pub effect: EffectKind,
-    pub repeat_window: Tenths,
+    pub effect: Idempotency,
+    pub dedup_window: Tenths,
 }
 
 /// What is measured against.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub kinds: Vec<Kind>,
-    pub budget: Option<FurtherBudget>,
+    pub budget: Option<RetryBudget>,
     pub grace: Tenths,
     /// How much later than it was done something may reach who is looked at.
     pub slack: Tenths,
@@ -179,15 +179,15 @@
         *arrivals += 1;
         let (asked, again, ran) = (*asked, *arrivals > 1, *may_have_run);
         let Asked { broker, kind, ended, .. } = self.asked[asked];
-        let Kind { effect, repeat_window, .. } = self.bounds.kinds[kind];
+        let Kind { effect, dedup_window, .. } = self.bounds.kinds[kind];
         if ended.is_some_and(|ended| sent - ended > slack) {
             self.breaks(now, "1: a part sent after the final answer");
         }
         match (effect, ran) {
-            (EffectKind::AtMostOnce, Some(_)) => {
+            (Idempotency::AtMostOnce, Some(_)) => {
                 self.breaks(now, "2: at-most-once, sent again though it may have run")
             }
-            (EffectKind::Numbered, Some(first)) if now - first > repeat_window + slack => {
+            (Idempotency::IdempotencyKey, Some(first)) if now - first > dedup_window + slack => {
                 self.breaks(now, "2: numbered, sent again outside its window");
             }
             _ => {}
@@ -205,7 +205,7 @@
 
     /// Guards against windows that are judged at their ends only: each further attempt ends one.
     fn spend(&mut self, now: Tenths, broker: usize) {
-        let Some(FurtherBudget { floor, share, window }) = self.bounds.budget.clone() else { return };
+        let Some(RetryBudget { floor, share, window }) = self.bounds.budget.clone() else { return };
         let slack = self.bounds.slack;
         let books = &mut self.books[broker];
         books.again.push_back(now);
@@ -258,7 +258,7 @@
         let may_have_run = self.shard_requests[shard_requests.clone()]
             .iter()
             .any(|shard_request| shard_request.may_have_run.is_some());
-        if effect == EffectKind::AtMostOnce && *end == Final::Declined && may_have_run {
+        if effect == Idempotency::AtMostOnce && *end == Final::Declined && may_have_run {
             self.breaks(now, "2: at-most-once, declined though it may have run");
         }
         let Final::Answered { whole, held } = end else { return Some(0.0) };
@@ -340,13 +340,13 @@
     const READY: (Standing, Tenths) = (Standing::Ready, Tenths(0));
 
     fn audit() -> Audit {
-        let kind = |effect, least| Kind { cut_off: Tenths(1000), least, effect, repeat_window: Tenths(500) };
+        let kind = |effect, least| Kind { cut_off: Tenths(1000), least, effect, dedup_window: Tenths(500) };
         let kinds = vec![
-            kind(EffectKind::Reissuable, 0.4),
-            kind(EffectKind::Numbered, 1.0),
-            kind(EffectKind::AtMostOnce, 1.0),
+            kind(Idempotency::Idempotent, 0.4),
+            kind(Idempotency::IdempotencyKey, 1.0),
+            kind(Idempotency::AtMostOnce, 1.0),
         ];
-        let budget = Some(FurtherBudget { floor: 1.0, share: 0.5, window: Tenths(100) });
+        let budget = Some(RetryBudget { floor: 1.0, share: 0.5, window: Tenths(100) });
         Audit::new(Bounds { kinds, budget, grace: Tenths(50), slack: Tenths(5) }, 1)
     }
 
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -3,8 +3,8 @@
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, GroupNo, Input, Layout, NewQuery,
-    NewShardRequest, NodeId, Prescription, QueryId, RequestClass, ShardRequestId, Standing, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, CellNo, ClassId, Effect, GroupNo, Input, Layout, NewQuery,
+    NewShardRequest, NodeId, QueryId, RequestClass, ShardRequestId, Standing, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,13 +57,13 @@
 const ROUNDING: f64 = 0.00005;
 
 impl Baseline {
-    pub fn new(how: How, prescription: &Prescription, seed: u64) -> Baseline {
+    pub fn new(how: How, broker_config: &BrokerConfig, seed: u64) -> Baseline {
         Baseline {
             how,
             rng: fastrand::Rng::with_seed(seed),
-            layout: prescription.layout.clone(),
-            period: prescription.period,
-            classes: prescription.classes.clone(),
+            layout: broker_config.layout.clone(),
+            period: broker_config.period,
+            classes: broker_config.classes.clone(),
             nodes: BTreeMap::new(),
             groups: BTreeMap::new(),
             open: BTreeMap::new(),
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,8 +13,8 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
-    NewShardRequest, NodeId, Prescription, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, GroupNo,
+    Input, NewQuery, NewShardRequest, NodeId, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
     Standing, TenantId, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
@@ -167,7 +167,7 @@
     weather: Weather,
     script: Vec<Moment>,
     clients: Clients,
-    prescription: Prescription,
+    broker_config: BrokerConfig,
     cut_offs: Vec<Tenths>,
     /// Mean work of a shard request, by class, in microseconds: what a shard request counts for at a cold host.
     means: Vec<u64>,
@@ -191,11 +191,11 @@
         cast: Cast,
         (weather, script, clients): (Weather, Vec<Moment>, Clients),
     ) -> World {
-        let prescription = scene::prescription(staging, &cast);
-        let cut_offs = prescription.classes.values().map(|class| class.cut_off).collect();
+        let broker_config = scene::broker_config(staging, &cast);
+        let cut_offs = broker_config.classes.values().map(|class| class.cut_off).collect();
         let seat = |no: u32| {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
-            let decider = decider(&cast, &prescription, seed, Tenths(0));
+            let decider = decider(&cast, &broker_config, seed, Tenths(0));
             Seat { decider, heard: Vec::new(), last_turn: Tenths(-PERIOD.0), turn_at: None, wake_at: None }
         };
         let seats = (0..cast.brokers).map(seat).collect();
@@ -217,7 +217,7 @@
             weather,
             script,
             clients,
-            prescription,
+            broker_config,
             cut_offs,
             means: means(&plan, staging.classes.len()),
             plan,
@@ -473,7 +473,7 @@
         let seed = self.cast.seed ^ (broker as u64).rotate_left(32) ^ self.now.0 as u64;
         let now = self.now;
         self.seats[broker] = Seat {
-            decider: decider(&self.cast, &self.prescription, seed, now),
+            decider: decider(&self.cast, &self.broker_config, seed, now),
             heard: Vec::new(),
             last_turn: now,
             turn_at: None,
@@ -775,14 +775,14 @@
     sums.into_iter().map(|(work, count)| work / count.max(1)).collect()
 }
 
-fn decider(cast: &Cast, prescription: &Prescription, seed: u64, now: Tenths) -> Decider {
-    let baseline = |how| Decider::Baseline(Box::new(Baseline::new(how, prescription, seed)));
+fn decider(cast: &Cast, broker_config: &BrokerConfig, seed: u64, now: Tenths) -> Decider {
+    let baseline = |how| Decider::Baseline(Box::new(Baseline::new(how, broker_config, seed)));
     match cast.mind {
-        Mind::Module => Decider::Module(Box::new(Broker::start(prescription.clone(), seed, now))),
+        Mind::Module => Decider::Module(Box::new(Broker::start(broker_config.clone(), seed, now))),
         Mind::Door => {
-            let door = Door::new(Allowance::default(), prescription)
+            let door = Door::new(Allowance::default(), broker_config)
                 .unwrap_or_else(|_| unreachable!("the door's defaults are sound"));
-            Decider::Gated(Box::new(Gated::new(door, Broker::start(prescription.clone(), seed, now))))
+            Decider::Gated(Box::new(Gated::new(door, Broker::start(broker_config.clone(), seed, now))))
         }
         Mind::Random => baseline(How::Random),
         Mind::Design => baseline(How::Design),
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -7,7 +7,7 @@
 use cluster_trace::plan::{Repeats, Staging};
 use node_emulator::{Build, Host, State};
 use routing::{
-    ClassId, EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Standing, Tenant,
+    BrokerConfig, ClassId, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules, Standing, Tenant,
     TenantId, Tenths,
 };
 use serde_json::{Value, json};
@@ -29,11 +29,11 @@
 /// Cells that hold a shard.
 const REACH: u32 = 2;
 
-fn effect(repeats: Repeats) -> (EffectKind, Tenths) {
+fn effect(repeats: Repeats) -> (Idempotency, Tenths) {
     match repeats {
-        Repeats::Reissuable => (EffectKind::Reissuable, Tenths::ZERO),
-        Repeats::Numbered(window) => (EffectKind::Numbered, Tenths::from_ms(f64::from(window))),
-        Repeats::AtMostOnce => (EffectKind::AtMostOnce, Tenths::ZERO),
+        Repeats::Reissuable => (Idempotency::Idempotent, Tenths::ZERO),
+        Repeats::Numbered(window) => (Idempotency::IdempotencyKey, Tenths::from_ms(f64::from(window))),
+        Repeats::AtMostOnce => (Idempotency::AtMostOnce, Tenths::ZERO),
     }
 }
 
@@ -41,10 +41,10 @@
     Tenths::from_ms(f64::from(told.cut_off))
 }
 
-fn budget(staging: &Staging) -> Option<FurtherBudget> {
+fn budget(staging: &Staging) -> Option<RetryBudget> {
     let budget = staging.budget?;
     let window = Tenths::from_ms(f64::from(budget.window_ms));
-    Some(FurtherBudget { floor: budget.few, share: budget.share, window })
+    Some(RetryBudget { floor: budget.few, share: budget.share, window })
 }
 
 /// Of each tenant, where there are quotas.
@@ -83,9 +83,9 @@
     }
 }
 
-pub fn prescription(staging: &Staging, cast: &Cast) -> Prescription {
+pub fn broker_config(staging: &Staging, cast: &Cast) -> BrokerConfig {
     let class = |(no, told): (usize, &cluster_trace::plan::Cast)| {
-        let (effect, repeat_window) = effect(told.repeats);
+        let (effect, dedup_window) = effect(told.repeats);
         let class = RequestClass {
             goal_time: GOAL.min(cut_off(told)),
             cut_off: cut_off(told),
@@ -93,14 +93,14 @@
             min_coverage: told.least,
             complete_coverage: 1.0,
             effect,
-            repeat_window,
+            dedup_window,
             ..RequestClass::default()
         };
         (ClassId(no as u16), class)
     };
     let quota = |(no, quota_per_s)| (TenantId(no), Tenant { quota_per_s });
     let build = build(cast);
-    Prescription {
+    BrokerConfig {
         brokers: cast.brokers,
         period: PERIOD,
         send_lag: TRIP,
@@ -109,7 +109,7 @@
         over_share_payoff: OVER_SHARE,
         layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
         limits: Limits {
-            most_open: MOST_OPEN,
+            max_open: MOST_OPEN,
             max_attempts: MOST_PUSHES,
             copies: true,
             allow_cancel: true,
@@ -125,7 +125,7 @@
             drain_grace: GRACE,
             further: budget(staging),
         },
-        ..Prescription::default()
+        ..BrokerConfig::default()
     }
 }
 
@@ -134,9 +134,9 @@
     let service = |told: &cluster_trace::plan::Cast| {
         let (kind, window) = effect(told.repeats);
         let word = match kind {
-            EffectKind::Reissuable => "idempotent",
-            EffectKind::Numbered => "deduplicated",
-            EffectKind::AtMostOnce => "at_most_once",
+            Idempotency::Idempotent => "idempotent",
+            Idempotency::IdempotencyKey => "deduplicated",
+            Idempotency::AtMostOnce => "at_most_once",
         };
         json!({"Name": told.name, "OnTimeMs": GOAL.min(cut_off(told)).as_ms(), "DeadlineMs": told.cut_off,
             "Worth": told.payoff, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
@@ -168,8 +168,8 @@
 
 pub fn bounds(staging: &Staging, slack: Tenths) -> Bounds {
     let kind = |told: &cluster_trace::plan::Cast| {
-        let (effect, repeat_window) = effect(told.repeats);
-        Kind { cut_off: cut_off(told), least: told.least, effect, repeat_window }
+        let (effect, dedup_window) = effect(told.repeats);
+        Kind { cut_off: cut_off(told), least: told.least, effect, dedup_window }
     };
     let kinds = staging.classes.iter().map(kind).collect();
     Bounds { kinds, budget: budget(staging), grace: GRACE, slack }
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,8 +8,8 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
-    NewShardRequest, NodeId, Prescription, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, GroupNo,
+    Input, NewQuery, NewShardRequest, NodeId, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
     ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 use settings::Intake;
@@ -194,9 +194,9 @@
 }
 
 /// The module alone, or behind a door whose allowance the operator's file has checked.
-fn decider(prescription: Prescription, seed: u64, now: Tenths, door: Option<Allowance>) -> Decider {
-    let door = door.and_then(|allowance| Door::new(allowance, &prescription).ok());
-    let broker = Broker::start(prescription, seed, now);
+fn decider(broker_config: BrokerConfig, seed: u64, now: Tenths, door: Option<Allowance>) -> Decider {
+    let door = door.and_then(|allowance| Door::new(allowance, &broker_config).ok());
+    let broker = Broker::start(broker_config, seed, now);
     match door {
         Some(door) => Decider::Gated(Box::new(Gated::new(door, broker))),
         None => Decider::Alone(broker),
@@ -214,14 +214,14 @@
         door: Option<Allowance>,
     ) -> Rc<Desk> {
         let edition = Rc::new(Edition::new(&intake));
-        let Intake { prescription, zones, .. } = intake;
+        let Intake { broker_config, zones, .. } = intake;
         // The roll tells starts in Unix time, so the clock counts from there, and only ever forward.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = since.unwrap_or(Tenths((unix.as_micros() / 100) as i64));
         Rc::new(Desk {
             nodes: Nodes::new(limits.clone()),
             limits,
-            broker: RefCell::new(decider(prescription, seed, now, door)),
+            broker: RefCell::new(decider(broker_config, seed, now, door)),
             started: (Instant::now(), now),
             heard: RefCell::new(vec![Input::Woken]),
             book: RefCell::default(),
@@ -282,9 +282,9 @@
 
     /// Takes queries under a new edition from now on. Both change in one step: what a front has read under
     /// the old one has been heard before this, what it reads from now on is heard after.
-    pub fn prescribe(&self, edition: Edition, prescription: Prescription) {
+    pub fn prescribe(&self, edition: Edition, broker_config: BrokerConfig) {
         self.edition.replace(Rc::new(edition));
-        self.hear(Input::Prescription(Box::new(prescription)));
+        self.hear(Input::Config(Box::new(broker_config)));
     }
 
     /// Takes a query, unless a bound is reached. Dropping what comes back tells that the tenant left.
@@ -295,7 +295,7 @@
         // Guards against wide queries that are all but answered and keep others out: a shard request that has its
         // value is no longer open, though its query is.
         let held = book.queries.len() + book.lacking;
-        let full = self.ended.get() || held + question.shard_requests.len() + 1 > edition.most_open;
+        let full = self.ended.get() || held + question.shard_requests.len() + 1 > edition.max_open;
         if full || book.bytes + bytes > self.limits.held {
             edition
                 .count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -12,7 +12,7 @@
 fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let mut intake = Intake::default();
-        intake.prescription.limits.most_open = 10;
+        intake.broker_config.limits.max_open = 10;
         let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &intake).unwrap();
         let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
@@ -41,7 +41,7 @@
 fn takes_nothing_once_it_ended() {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let mut intake = Intake::default();
-        intake.prescription.limits.most_open = 10;
+        intake.broker_config.limits.max_open = 10;
         let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &intake).unwrap();
         let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
         let question = |id: &'static str| Question {
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -1,7 +1,7 @@
-//! One edition of the prescription, as fronts read it. It never changes; the desk puts a newer one in its
+//! One edition of the configuration, as fronts read it. It never changes; the desk puts a newer one in its
 //! place, and a query keeps the one under which it was taken.
 
-use routing::{ClassId, Prescription, RequestClass, Tenths};
+use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
 use settings::{Catalogue, Intake};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     pub classes: BTreeMap<ClassId, RequestClass>,
     pub shards: u32,
     /// Queries and shard requests held at once.
-    pub most_open: usize,
+    pub max_open: usize,
     /// What a client is told that is rejected at a bound, where clients are told when to come again.
     pub retry_after: Tenths,
     /// How what was taken under it has ended.
@@ -34,14 +34,14 @@
 
 impl Edition {
     pub fn new(intake: &Intake) -> Edition {
-        let p: &Prescription = &intake.prescription;
+        let p: &BrokerConfig = &intake.broker_config;
         let goal = p.classes.values().map(|class| class.goal_time).min().unwrap_or_default();
         let retry_after = goal.min(p.limits.max_retry_after);
         Edition {
             names: intake.names.clone(),
             classes: p.classes.clone(),
             shards: p.layout.shards,
-            most_open: p.limits.most_open as usize,
+            max_open: p.limits.max_open as usize,
             retry_after: if p.limits.retry_after { retry_after } else { Tenths::ZERO },
             tally: Cell::default(),
         }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -74,7 +74,7 @@
     let listener = TcpListener::bind(order.listen).await?;
     let listens = listener.local_addr()?;
     let limits = Rc::new(order.limits);
-    if order.intake.prescription.classes.values().any(|class| class.second_parts > 0) {
+    if order.intake.broker_config.classes.values().any(|class| class.second_parts > 0) {
         warn!("a category has a second step, which this protocol lacks: its retrievals are declined");
     }
     let desk = Desk::new(order.intake, order.seed, limits.clone(), order.since, fitting.admission);
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -119,7 +119,7 @@
         // Clients come and go by hundreds, nodes are few: two thirds of the descriptors, and one.
         let lines = (for_peers * 2 / 3).min(quarter / BUFFERS);
         let surplus_lines = lines / 8;
-        let p = &intake.prescription;
+        let p = &intake.broker_config;
         let line_parts = intake.lines.shard_requests.unwrap_or(1).max(1) as usize;
         let connect = intake.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
         // No longer than that both clocks count from the call: what it costs grows with the calls.
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -7,7 +7,7 @@
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{ClassId, EffectKind, ShardNo, TenantId, Tenths};
+use routing::{ClassId, Idempotency, ShardNo, TenantId, Tenths};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -143,7 +143,7 @@
 /// of a class that has one holds nothing.
 fn can_be_carried(edition: &Edition, request: &Request, class: ClassId) -> bool {
     edition.classes.get(&class).is_some_and(|class| {
-        let marked = class.effect == EffectKind::Numbered && request.headers().contains_key(MARK);
+        let marked = class.effect == Idempotency::IdempotencyKey && request.headers().contains_key(MARK);
         !marked && class.second_parts == 0
     })
 }
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -93,11 +93,11 @@
             Machine { memory_mb: file.limits.memory_mb.max(0.0) as usize, sockets: file.limits.sockets };
         let limits = Limits::new(machine, &intake)?;
         // From its turn to its last byte an attempt may have to wait for a connection.
-        intake.prescription.send_lag = limits.unsent + limits.period;
+        intake.broker_config.send_lag = limits.unsent + limits.period;
         // Discovery is asked here; what the settings call automatic, the agent's watch brings about.
-        intake.prescription.roll_on_request = true;
+        intake.broker_config.roll_on_request = true;
         // After a call that failed the module may wait no longer than what it then misses stays untold.
-        let rules = &mut intake.prescription.rules;
+        let rules = &mut intake.broker_config.rules;
         rules.ask_within = rules.ask_within.min(limits.untold);
         Ok(Order {
             name: env("EDGE_NAME").or(file.name).ok_or("`name` is missing")?,
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -8,7 +8,7 @@
 use config_rollout::{Sample, VersionId};
 use config_rollout_client::{Post, Restored, Seat, Shown, csds, follow, restore, show};
 use operator_config::Control;
-use routing::Prescription;
+use routing::BrokerConfig;
 use serde_json::json;
 use settings::{Document, Intake, check};
 use std::io;
@@ -24,7 +24,7 @@
 pub struct Follower {
     post: Post,
     restored: Restored,
-    start: Prescription,
+    start: BrokerConfig,
     status: Option<TcpListener>,
 }
 
@@ -45,7 +45,7 @@
     if version.number > 0 {
         info!(number = version.number, digest = %version.digest, "version taken up again, as it was kept");
         let own = std::mem::replace(&mut order.intake, restored.runs.intake.clone());
-        let (kept, own) = (&mut order.intake.prescription, own.prescription);
+        let (kept, own) = (&mut order.intake.broker_config, own.broker_config);
         keep_waits(kept, &own);
     }
     let status = control.status.map(TcpListener::bind).transpose()?;
@@ -59,7 +59,7 @@
         count_every: control.count_every,
         seed: order.seed,
     };
-    Ok(Follower { post, restored, start: order.intake.prescription.clone(), status })
+    Ok(Follower { post, restored, start: order.intake.broker_config.clone(), status })
 }
 
 impl Follower {
@@ -123,22 +123,22 @@
 }
 
 /// What the start worked out for sockets holds in every version: a document has the settings' own figures.
-fn keep_waits(to: &mut Prescription, start: &Prescription) {
+fn keep_waits(to: &mut BrokerConfig, start: &BrokerConfig) {
     (to.send_lag, to.roll_on_request) = (start.send_lag, start.roll_on_request);
     to.rules.ask_within = start.rules.ask_within;
 }
 
 /// Does at the desk what is asked. What is shown changes in the same step as what is taken under: nobody can
 /// see one without the other.
-async fn sit(desk: Rc<Desk>, start: Prescription, mut heard: mpsc::Receiver<Word>, shown: Arc<Shown>) {
+async fn sit(desk: Rc<Desk>, start: BrokerConfig, mut heard: mpsc::Receiver<Word>, shown: Arc<Shown>) {
     while let Some(word) = heard.recv().await {
         match word {
             Word::Prescribe { version, mut intake, done } => {
-                let p = &mut intake.prescription;
+                let p = &mut intake.broker_config;
                 keep_waits(p, &start);
                 // Zones have the numbers of the start here, whatever order a version lists them in.
                 p.zone = start.zone;
-                desk.prescribe(Edition::new(&intake), intake.prescription);
+                desk.prescribe(Edition::new(&intake), intake.broker_config);
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
--- a/crates/broker/src/versions/tests.rs
+++ b/crates/broker/src/versions/tests.rs
@@ -8,9 +8,9 @@
 #[rstest]
 fn a_version_keeps_the_waits_of_sockets() {
     let mut start =
-        Prescription { send_lag: Tenths(20_100), roll_on_request: true, ..Prescription::default() };
+        BrokerConfig { send_lag: Tenths(20_100), roll_on_request: true, ..BrokerConfig::default() };
     start.rules.ask_within = Tenths(60_000);
-    let mut version = Prescription::default();
+    let mut version = BrokerConfig::default();
     version.rules.ask_within = Tenths(500_000);
     keep_waits(&mut version, &start);
     let kept = (version.send_lag, version.roll_on_request, version.rules.ask_within);
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -16,8 +16,8 @@
     #[values(60.0, 250.0, 1000.0, 5000.0)] grace: f64,
 ) {
     let mut intake = Intake::default();
-    intake.prescription.rules.ask_within = Tenths::from_ms(ask_within);
-    intake.prescription.rules.drain_grace = Tenths::from_ms(grace);
+    intake.broker_config.rules.ask_within = Tenths::from_ms(ask_within);
+    intake.broker_config.rules.drain_grace = Tenths::from_ms(grace);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     assert!(limits.agent);
     let told = Duration::from_secs(6).max(limits.watch + Duration::from_secs(2));
@@ -36,7 +36,7 @@
 fn leaves_before_the_kill(#[case] deadline: f64, #[case] kill: u64) {
     let mut intake = Intake::default();
     let class = routing::RequestClass { cut_off: Tenths::from_ms(deadline), ..Default::default() };
-    intake.prescription.classes.insert(routing::ClassId(0), class);
+    intake.broker_config.classes.insert(routing::ClassId(0), class);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     let answered = limits.leave_within + limits.last_answers;
     assert!(answered < Duration::from_millis(kill));
--- a/crates/config-rollout-client/src/follow.rs
+++ b/crates/config-rollout-client/src/follow.rs
@@ -1,5 +1,5 @@
 //! The loop that carries out: streams in, wake-ups, counts; effects out. It waits for the broker's word on
-//! each prescription before it answers a service, so that no answer runs ahead of what is applied.
+//! each configuration before it answers a service, so that no answer runs ahead of what is applied.
 
 use crate::shelf::{Restored, Shelf};
 use crate::wire::{self, Kept, MOST_ON_WIRE, Version};
@@ -26,13 +26,13 @@
 use tonic::transport::Endpoint;
 use tracing::{info, warn};
 
-/// What takes prescriptions: the broker, on its own thread.
+/// What takes configurations: the broker, on its own thread.
 pub trait Seat {
     /// Takes queries under it from now on; done when that is so.
     fn prescribe(&mut self, version: VersionId, intake: Intake) -> impl Future<Output = ()>;
     /// The same contents have another number.
     fn relabel(&mut self, version: VersionId) -> impl Future<Output = ()>;
-    /// How what was taken under the running prescription ended, since it was taken over. None: the broker is
+    /// How what was taken under the running configuration ended, since it was taken over. None: the broker is
     /// gone.
     fn count(&mut self) -> impl Future<Output = Option<Sample>>;
 }
@@ -58,7 +58,7 @@
 pub struct Shown {
     pub name: String,
     pub installation: String,
-    /// Set in the same step in which the broker takes a prescription over.
+    /// Set in the same step in which the broker takes a configuration over.
     pub runs: ArcSwap<VersionId>,
     /// What the keeper says beside that.
     pub report: ArcSwap<Report>,
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which version of its prescription a broker runs. Decisions only: no I/O, no clock, no sockets; chance from
+//! Which version of its configuration a broker runs. Decisions only: no I/O, no clock, no sockets; chance from
 //! a seed.
 //!
 //! A program makes one [`Keeper`] and gives it all that it hears, one [`Input`] at a time with the moment; it
--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// One version of an installation's prescription. Number 0 is a broker's own file.
+/// One version of an installation's configuration. Number 0 is a broker's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionId {
     pub number: u64,
--- a/crates/routing/src/prescription.rs
+++ b/crates/routing/src/config.rs
@@ -4,11 +4,11 @@
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
-/// Everything a broker is told at its start, and anew with `Input::Prescription`. A prescription itself never
+/// Everything a broker is told at its start, and anew with `Input::Configuration`. A configuration itself never
 /// changes: a query keeps the one under which it was taken. Numbers of classes and tenants stay with
-/// what they name for as long as the broker runs: one that is struck from a prescription leaves a gap.
+/// what they name for as long as the broker runs: one that is struck from a configuration leaves a gap.
 #[derive(Clone, Debug, Default)]
-pub struct Prescription {
+pub struct BrokerConfig {
     /// How many brokers serve together.
     pub brokers: u32,
     pub zone: ZoneNo,
@@ -47,19 +47,19 @@
     pub complete_coverage: f64,
     /// Parts of a second step, asked for after the first answer; 0 for none.
     pub second_parts: u32,
-    pub effect: EffectKind,
+    pub effect: Idempotency,
     /// Numbered only: how long repeats are dropped, from the first attempt that may have run.
-    pub repeat_window: Tenths,
+    pub dedup_window: Tenths,
 }
 
 /// What a repeat of a shard request would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum EffectKind {
+pub enum Idempotency {
     /// May run again.
     #[default]
-    Reissuable,
+    Idempotent,
     /// Carries a mark by which a repeat is dropped, for a time.
-    Numbered,
+    IdempotencyKey,
     /// Must never run twice.
     AtMostOnce,
 }
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     /// The most queries and shard requests held at once.
-    pub most_open: u32,
+    pub max_open: u32,
     /// The most attempts for one shard request.
     pub max_attempts: u32,
     /// A shard request may have two attempts out at once.
@@ -118,12 +118,12 @@
     pub ask_within: Tenths,
     /// Nothing new goes to a node later than this after it was told to drain, or to be gone.
     pub drain_grace: Tenths,
-    pub further: Option<FurtherBudget>,
+    pub further: Option<RetryBudget>,
 }
 
 /// The stated budget for attempts beyond a shard request's first.
 #[derive(Clone, Debug, Default)]
-pub struct FurtherBudget {
+pub struct RetryBudget {
     pub floor: f64,
     /// For each query and shard request taken.
     pub share: f64,
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,9 +1,9 @@
 //! What a broker hears.
 
+use crate::config::BrokerConfig;
 use crate::ids::{
     AttemptNumber, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId, ZoneNo,
 };
-use crate::prescription::Prescription;
 use crate::time::Tenths;
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     RollFailed,
     /// What is taken from now on is served so; what is open keeps what it was taken under. The period, the
     /// zone and the way to a node (`send_lag`) must stay as they were at the start.
-    Prescription(Box<Prescription>),
+    Config(Box<BrokerConfig>),
     /// A query is handed over; its shard requests follow in the same turn.
     Query(NewQuery),
     ShardRequest(NewShardRequest),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,29 +1,29 @@
 //! The decisions of a broker that reads many shards for one query.
 //!
 //! A front (a program that owns sockets or a simulator's wire) makes one [`Broker`] from a
-//! [`Prescription`], a seed and the time, then hands it everything heard in [`Broker::turn`]
+//! [`Configuration`], a seed and the time, then hands it everything heard in [`Broker::turn`]
 //! and carries out the [`Effect`]s that come back, in their order. The library does no I/O
 //! and reads no clock.
 //!
 //! ```
-//! use routing::{Broker, Input, Prescription, Tenths};
+//! use routing::{Broker, Input, Configuration, Tenths};
 //!
-//! let mut broker = Broker::start(Prescription::default(), 7, Tenths(0));
+//! let mut broker = Broker::start(Configuration::default(), 7, Tenths(0));
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 
+mod config;
 mod effects;
 mod ids;
 mod inputs;
 mod policy;
-mod prescription;
 mod state;
 mod time;
 
+pub use config::*;
 pub use effects::Effect;
 pub use ids::*;
 pub use inputs::*;
 pub use policy::Broker;
-pub use prescription::*;
 pub use state::Window;
 pub use time::Tenths;
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,12 +1,12 @@
 //! All decisions of one broker. Make it with `Broker::start`, then give `Broker::turn` what has been heard
 //! and carry out what comes back. What it hears is in `inputs.rs`, what it does in `effects.rs`, what it is
-//! handed at start in `prescription.rs`, what it remembers in `state.rs`; `docs/design.md` tells why. Read
+//! handed at start in `configuration.rs`, what it remembers in `state.rs`; `docs/design.md` tells why. Read
 //! `TABLE` first, the life of a query, then `ENDS`, what each end of an attempt means. The rest serves them.
 
+use crate::config::{BrokerConfig, Idempotency, Layout, RequestClass, RetryBudget};
 use crate::effects::Effect;
 use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
 use crate::inputs::{AttemptOutcome, AttemptResult, Input, NewQuery, Roll};
-use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription, RequestClass};
 use crate::state::Signal::{self, ClientLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
 use crate::state::{
@@ -122,17 +122,17 @@
 }
 
 impl Broker {
-    /// A broker that has just started and knows nothing but its prescription.
-    pub fn start(prescription: Prescription, seed: u64, now: Tenths) -> Broker {
-        let room = f64::from(prescription.limits.most_open) * CROWDED;
+    /// A broker that has just started and knows nothing but its configuration.
+    pub fn start(broker_config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
+        let room = f64::from(broker_config.limits.max_open) * CROWDED;
         let mut s = Instance { now, roll_silent: true, room, ..Instance::default() };
-        s.agenda.extend(prescription.roll_on_request.then_some((now, Due::FollowRoll)));
-        let (terms, rng) = (Arc::new(Broker::read(prescription)), fastrand::Rng::with_seed(seed));
+        s.agenda.extend(broker_config.roll_on_request.then_some((now, Due::FollowRoll)));
+        let (terms, rng) = (Arc::new(Broker::read(broker_config)), fastrand::Rng::with_seed(seed));
         Broker { terms, rng, seed, s }
     }
 
-    /// What decisions need of a prescription, worked out once.
-    fn read(p: Prescription) -> Terms {
+    /// What decisions need of a configuration, worked out once.
+    fn read(p: BrokerConfig) -> Terms {
         let row = |c: &RequestClass| ClassPolicy {
             goal: c.goal_time.min(c.cut_off),
             stretch: c.goal_stretch,
@@ -143,29 +143,29 @@
             whole: c.complete_coverage,
             two_steps: c.second_parts > 0,
             effect: c.effect,
-            repeat_window: c.repeat_window,
+            dedup_window: c.dedup_window,
             payoff: c.payoff,
         };
         // A broker's own restraint where none is stated: one node's outage must not double the load.
-        let own = FurtherBudget { floor: p.limits.max_attempts.into(), share: OWN_FURTHER, window: SPAN };
+        let own = RetryBudget { floor: p.limits.max_attempts.into(), share: OWN_FURTHER, window: SPAN };
         let rows = p.classes.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
         let shortest_goal = p.classes.values().map(|c| c.goal_time.min(c.cut_off)).min().unwrap_or(SPAN);
-        Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, prescription: p }
+        Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, broker_config: p }
     }
 
-    /// Takes a new prescription. What outlives the old one goes by what it means: rates by tenant, payoffs by
+    /// Takes a new configuration. What outlives the old one goes by what it means: rates by tenant, payoffs by
     /// class, attempts by time. The old one binds on, beside the new, for as long as a window of its rules
     /// reaches back. Guards against a change that would let twice the budget through in one window.
-    fn prescribe(&mut self, prescription: Prescription) {
-        let old = std::mem::replace(&mut self.terms, Arc::new(Broker::read(prescription)));
-        let rules = &old.prescription.rules;
+    fn prescribe(&mut self, broker_config: BrokerConfig) {
+        let old = std::mem::replace(&mut self.terms, Arc::new(Broker::read(broker_config)));
+        let rules = &old.broker_config.rules;
         let binds = (old.further.window + self.leaves_by()).max(rules.warm_after).max(rules.fall_window);
         let (now, new) = (self.s.now, &self.terms);
-        self.s.room = self.s.room.min(f64::from(new.prescription.limits.most_open.max(1)));
+        self.s.room = self.s.room.min(f64::from(new.broker_config.limits.max_open.max(1)));
         let alike = |a: &ClassPolicy, b: &ClassPolicy| (a.payoff, a.least) == (b.payoff, b.least);
         let same = |no: &_| old.rows.get(no).zip(new.rows.get(no)).is_some_and(|(a, b)| alike(a, b));
         self.s.pays.retain(|no, _| same(no));
-        let named = |no: &_| new.prescription.tenants.contains_key(no);
+        let named = |no: &_| new.broker_config.tenants.contains_key(no);
         self.s.tenants.retain(|no, rate| named(no) || rate.read(now, SPAN) >= START);
         self.s.past.push((now + binds, old));
     }
@@ -202,7 +202,7 @@
         match input {
             Input::Roll(roll) => self.read_roll(roll),
             Input::RollFailed => self.roll_failed(),
-            Input::Prescription(new) => self.prescribe((**new).clone()),
+            Input::Config(new) => self.prescribe((**new).clone()),
             Input::Query(new) => self.take(new),
             Input::ShardRequest(new) => self.s.add_shard_request(new),
             Input::ResponseStarted(shard_request) => self.s.bind(shard_request),
@@ -234,7 +234,7 @@
             act(self, &mut r);
         }
         match r.stage {
-            Over => self.s.let_go(&r, r.terms.prescription.limits.allow_cancel),
+            Over => self.s.let_go(&r, r.terms.broker_config.limits.allow_cancel),
             Answered => {
                 self.s.put(r);
                 self.signal(id, Said);
@@ -292,12 +292,12 @@
 
     /// Where only a probe brings a load report, holders are asked before the first shard requests go out.
     fn may_probe(&mut self, r: &Query) -> bool {
-        r.terms.prescription.load_by_probe && r.probed.is_none() && !self.without_news(r).is_empty()
+        r.terms.broker_config.load_by_probe && r.probed.is_none() && !self.without_news(r).is_empty()
     }
 
     /// Who holds a shard request of it and told nothing a moment ago.
     fn without_news(&self, r: &Query) -> BTreeSet<NodeId> {
-        let (now, wait, layout) = (self.s.now, r.row.goal.times(WORD), &r.terms.prescription.layout);
+        let (now, wait, layout) = (self.s.now, r.row.goal.times(WORD), &r.terms.broker_config.layout);
         let old = |id: &NodeId| {
             let node = &self.s.nodes[id];
             let asked = node.probe_out.is_some_and(|at| now - at <= r.row.goal);
@@ -313,7 +313,7 @@
     /// Word of a holder may still come in time to choose by it.
     fn awaits_word(&mut self, r: &Query) -> bool {
         let asked = r.probed.filter(|at| self.s.now - *at < r.row.goal.times(WORD));
-        let (layout, silent) = (&r.terms.prescription.layout, |id| self.s.nodes[&id].probe_out.is_some());
+        let (layout, silent) = (&r.terms.broker_config.layout, |id| self.s.nodes[&id].probe_out.is_some());
         asked.is_some()
             && r.shard_requests
                 .iter()
@@ -346,13 +346,13 @@
     /// nothing of nodes, so the span forgets, and one is tried again. Harm: what luck would have served.
     fn unlikely(&mut self, r: &Query) -> bool {
         let refused = self.s.refused.share(self.s.now, SPAN, 1.0 / START);
-        let misses = refused.powi(r.terms.prescription.limits.max_attempts.max(1) as i32);
+        let misses = refused.powi(r.terms.broker_config.limits.max_attempts.max(1) as i32);
         r.row.least >= r.row.whole && (1.0 - misses).powi(r.shard_requests.len() as i32) < UNLIKELY
     }
 
     /// The room for what pays so much for each shard request that it sends.
     fn room_for(&self, r: &Query, pays: f64) -> f64 {
-        let earns = if r.within_quota { 1.0 } else { r.terms.prescription.over_share_payoff };
+        let earns = if r.within_quota { 1.0 } else { r.terms.broker_config.over_share_payoff };
         let best = self.s.pays.values().map(|p| p[0]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         self.s.room * (CROWDED + (1.0 - CROWDED) * earns * pays / best)
     }
@@ -438,7 +438,7 @@
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
         let anew = r.probed.is_some() && self.s.tickets.is_empty();
         let idle = |n: &Node| n.calls.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
-        let layout = &r.terms.prescription.layout;
+        let layout = &r.terms.broker_config.layout;
         let usable = self
             .s
             .holders_of(layout, shard_request)
@@ -455,7 +455,7 @@
     }
 
     fn clear_parts(&mut self, r: &mut Query) {
-        self.s.drop_parts(r, r.terms.prescription.limits.allow_cancel);
+        self.s.drop_parts(r, r.terms.broker_config.limits.allow_cancel);
         r.second_step = true;
     }
 
@@ -464,11 +464,11 @@
         if self.kills(r) {
             self.s.bar(r, self.s.now + r.row.cut_off);
         }
-        let (limits, goal) = (&r.terms.prescription.limits, r.row.goal);
+        let (limits, goal) = (&r.terms.broker_config.limits, r.row.goal);
         let mut fates = r.shard_requests.iter().flat_map(|p| &p.attempts).map(|attempt| attempt.fate);
         let never_ran = fates.all(|fate| matches!(fate, Fate::NeverRan | Fate::Void));
-        let harmless =
-            self.effects_of(r).all(|(kind, _)| kind == EffectKind::Reissuable) || never_ran && !r.second_step;
+        let harmless = self.effects_of(r).all(|(kind, _)| kind == Idempotency::Idempotent)
+            || never_ran && !r.second_step;
         let retry_after = if limits.retry_after { goal.min(limits.max_retry_after) } else { Tenths::ZERO };
         let (query, scrap) = (r.id, Effect::Fail { query: r.id });
         self.s.effects.push(if harmless { Effect::Reject { query, retry_after } } else { scrap });
@@ -481,7 +481,7 @@
         let Some(row) = terms.rows.get(&class).cloned() else {
             return self.s.effects.push(Effect::Fail { query: id });
         };
-        let p = &terms.prescription;
+        let p = &terms.broker_config;
         let turns = p.period.times(2.0);
         let goal = (row.goal + work.times(row.stretch)).min(row.cut_off).min(time_left);
         let goal_at = now + goal - row.goal.times(GOAL_MARGIN) - turns;
@@ -531,7 +531,7 @@
         }
         let shard_request = &mut r.shard_requests[at];
         let may = !held && (!further || self.further_left());
-        let Some(node) = self.choose(&r.terms.prescription.layout, r.class, shard_request).filter(|_| may)
+        let Some(node) = self.choose(&r.terms.broker_config.layout, r.class, shard_request).filter(|_| may)
         else {
             // No holder may have it now, or the budget is spent: it waits while that can help.
             shard_request.stage =
@@ -543,7 +543,7 @@
         let crowded = out >= self.s.room * CROWDED;
         self.s.further.extend(further.then_some((now, id, no)));
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
-        let (cold, per_call) = (self.is_cold(node), self.terms.prescription.layout.per_call);
+        let (cold, per_call) = (self.is_cold(node), self.terms.broker_config.layout.per_call);
         let call = self.s.board(node, per_call, cold.then_some(class), lull);
         shard_request.stage = ShardRequestState::Out;
         shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
@@ -583,13 +583,13 @@
         let score = |node: &Node| {
             let joins = node
                 .riding
-                .is_some_and(|(_, shard_requests)| shard_requests < self.terms.prescription.layout.per_call);
+                .is_some_and(|(_, shard_requests)| shard_requests < self.terms.broker_config.layout.per_call);
             self.latency(node).0 as f64 * ((node.calls.len() + usize::from(!joins)) as f64 + self.load(node))
         };
         let scored: Vec<(f64, NodeId)> = worth.map(|id| (score(&self.s.nodes[id]), *id)).collect();
         let best = scored.iter().map(|s| s.0).fold(f64::INFINITY, f64::min);
         let close = scored.iter().filter(|s| s.0 <= best * (1.0 + START)).map(|s| s.1);
-        let zone = self.terms.prescription.zone;
+        let zone = self.terms.broker_config.zone;
         let key = |id: &NodeId| (self.s.nodes[id].zone != zone, self.s.nodes[id].riding.is_none());
         let first = close.clone().map(|id| key(&id)).min()?;
         let tied: Vec<NodeId> = close.filter(|id| key(id) == first).collect();
@@ -653,10 +653,10 @@
             let here = node.map_or(average, |n| self.latency(n)).max(now - attempt.sent);
             let deaf = silent && self.deaf_line(id, no);
             let lost = overtaken || silent;
-            let limits = &r.terms.prescription.limits;
+            let limits = &r.terms.broker_config.limits;
             let may = limits.copies || (overtaken || deaf) && limits.allow_cancel;
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
-            let other = self.choose(&r.terms.prescription.layout, r.class, &r.shard_requests[at]);
+            let other = self.choose(&r.terms.broker_config.layout, r.class, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
             let faster = elsewhere.is_some_and(|there| there < here && now + there < r.goal_at);
             if again && faster && self.further_left() {
@@ -686,20 +686,20 @@
         let then = self.s.now + self.leaves_by();
         let pays = row.payoff / r.shard_requests.len() as f64;
         let best = self.s.pays.values().map(|p| p[1]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
-        let further = f64::from(r.terms.prescription.limits.max_attempts.max(1) - 1) * pays / best;
+        let further = f64::from(r.terms.broker_config.limits.max_attempts.max(1) - 1) * pays / best;
         shard_request.attempts.len() <= (further + 0.5) as usize
             && self.effects_of(r).all(|(effect, window)| match (effect, first) {
-                (_, None) | (EffectKind::Reissuable, _) => true,
-                (EffectKind::Numbered, Some(first)) => then - first <= window,
-                (EffectKind::AtMostOnce, Some(_)) => false,
+                (_, None) | (Idempotency::Idempotent, _) => true,
+                (Idempotency::IdempotencyKey, Some(first)) => then - first <= window,
+                (Idempotency::AtMostOnce, Some(_)) => false,
             })
     }
 
     /// What a repeat would do, and the window: as it was taken, and as its class is now. Guards against a
     /// change that the nodes know of already: what either forbids is not done.
-    fn effects_of<'a>(&'a self, r: &'a Query) -> impl Iterator<Item = (EffectKind, Tenths)> + 'a {
+    fn effects_of<'a>(&'a self, r: &'a Query) -> impl Iterator<Item = (Idempotency, Tenths)> + 'a {
         let now = self.terms.rows.get(&r.class);
-        std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.repeat_window))
+        std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.dedup_window))
     }
 
     fn push_ended(&mut self, outcome: &AttemptResult) {
@@ -747,7 +747,7 @@
             let lost = blame || outcome.end == AttemptOutcome::Cancelled && silent && outcome.took > average;
             let [lost, told] = [lost, ticket.silent].map(|is| f64::from(u8::from(is)));
             self.s.lost_lines[line as usize].count(now, LONG, lost - told, 1.0 - told);
-            if cut_line && outcome.took <= self.terms.prescription.period.times(2.0) {
+            if cut_line && outcome.took <= self.terms.broker_config.period.times(2.0) {
                 self.s.note_dropped(lull, LONG);
             }
         }
@@ -789,7 +789,7 @@
     /// Little's law: with so many shard requests out this one took so long, so at the target latency there is room for
     /// fewer, or for more. It grows only where it is used.
     fn fit_room(&mut self, ticket: &Ticket, took: Tenths) {
-        let (room, most) = (self.s.room, f64::from(self.terms.prescription.limits.most_open.max(1)));
+        let (room, most) = (self.s.room, f64::from(self.terms.broker_config.limits.max_open.max(1)));
         let ratio = ticket.goal.times(ROOM_TARGET).over(took).min(ROOM_GROW);
         let fits = if ratio < 1.0 { ticket.out.min(room) * ratio } else { room * ratio };
         if ratio < 1.0 || ticket.crowded {
@@ -818,7 +818,7 @@
 
     fn is_cold(&self, id: NodeId) -> bool {
         let warm_after =
-            self.binding().map(|terms| terms.prescription.rules.warm_after).max().unwrap_or_default();
+            self.binding().map(|terms| terms.broker_config.rules.warm_after).max().unwrap_or_default();
         self.s.nodes[&id].started.is_some_and(|at| self.s.now - at < warm_after)
     }
 
@@ -835,7 +835,7 @@
     /// shard requests, draws lots over these. Guards against brokers that send one each at once. Harm: it is asked
     /// later.
     fn bears(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId, terms: &Terms) -> bool {
-        let (p, node, now) = (&terms.prescription, &self.s.nodes[&id], self.s.now);
+        let (p, node, now) = (&terms.broker_config, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
         let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(class, unheard));
         let age = (now - node.started.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_after);
@@ -872,14 +872,14 @@
     fn follow_roll(&mut self) {
         if self.s.roll_silent {
             self.s.effects.push(Effect::FollowRoll);
-            let wait = self.terms.prescription.rules.ask_within.max(SPAN).times(0.5);
+            let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(0.5);
             self.s.agenda.insert((self.s.now + wait, Due::FollowRoll));
         }
     }
 
     /// The roll's service is shared and finite: each failure doubles the wait, and lots are drawn.
     fn roll_failed(&mut self) {
-        let wait = self.terms.prescription.rules.ask_within.max(SPAN).times(AGAIN);
+        let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(AGAIN);
         let doubled = wait.times(f64::from(1 << self.s.roll_failures.min(3)) * (0.5 + self.rng.f64()));
         (self.s.roll_failures, self.s.roll_silent) = (self.s.roll_failures + 1, true);
         self.s.agenda.retain(|(_, due)| *due != Due::FollowRoll);
@@ -889,7 +889,7 @@
     /// Guards against attempts that wait for a connection and reach their node in another window than their
     /// turn's: two turns, and what the front may need to send one. Harm: a few further attempts less.
     fn leaves_by(&self) -> Tenths {
-        self.terms.prescription.period.times(2.0) + self.terms.prescription.send_lag
+        self.terms.broker_config.period.times(2.0) + self.terms.broker_config.send_lag
     }
 
     fn is_whole(&self, r: &Query) -> bool {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,13 +1,13 @@
 //! What a broker remembers, grouped by how long it lives: for one attempt, for one query (with
 //! its shard requests), for one node, for the instance.
 
+use crate::config::{BrokerConfig, Idempotency, Layout, RetryBudget};
 use crate::effects::Effect;
 use crate::ids::{
     AttemptNumber, CallNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId,
     ZoneNo,
 };
 use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
-use crate::prescription::{EffectKind, FurtherBudget, Layout, Prescription};
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -276,12 +276,12 @@
     pub all: Fading,
 }
 
-/// A prescription, and what decisions read of it, worked out once.
+/// A configuration, and what decisions read of it, worked out once.
 #[derive(Debug, Default)]
 pub struct Terms {
-    pub prescription: Prescription,
+    pub broker_config: BrokerConfig,
     pub rows: BTreeMap<ClassId, Arc<ClassPolicy>>,
-    pub further: FurtherBudget,
+    pub further: RetryBudget,
     pub shortest_goal: Tenths,
 }
 
@@ -298,8 +298,8 @@
     pub least: f64,
     pub whole: f64,
     pub two_steps: bool,
-    pub effect: EffectKind,
-    pub repeat_window: Tenths,
+    pub effect: Idempotency,
+    pub dedup_window: Tenths,
     pub payoff: f64,
 }
 
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 struct Play {
-    prescription: Prescription,
+    broker_config: BrokerConfig,
     names: Vec<String>,
     broker: Option<Broker>,
     now: Tenths,
@@ -41,14 +41,14 @@
 
 impl Play {
     fn new() -> Play {
-        let mut prescription = Prescription { brokers: 1, period: Tenths(50), ..Prescription::default() };
-        prescription.layout = Layout { cells: 1, reach: 1, shards: 1, per_call: 1 };
-        (prescription.limits.most_open, prescription.limits.max_attempts) = (1000, 3);
-        Play { prescription, ..Play::default() }
+        let mut broker_config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
+        broker_config.layout = Layout { cells: 1, reach: 1, shards: 1, per_call: 1 };
+        (broker_config.limits.max_open, broker_config.limits.max_attempts) = (1000, 3);
+        Play { broker_config, ..Play::default() }
     }
 
     fn statement(&mut self, words: Words) {
-        let p = &mut self.prescription;
+        let p = &mut self.broker_config;
         match words[0] {
             "lag" => p.send_lag = Tenths::from_ms(words[1].parse().unwrap()),
             "brokers" => p.brokers = words[1].parse().unwrap(),
@@ -68,11 +68,11 @@
                     complete_coverage: value(&words, "whole", 1.0),
                     second_parts: value(&words, "second", 0),
                     effect: match value(&words, "kind", String::new()).as_str() {
-                        "numbered" => EffectKind::Numbered,
-                        "at-most-once" => EffectKind::AtMostOnce,
-                        _ => EffectKind::Reissuable,
+                        "numbered" => Idempotency::IdempotencyKey,
+                        "at-most-once" => Idempotency::AtMostOnce,
+                        _ => Idempotency::Idempotent,
                     },
-                    repeat_window: span(&words, "window", 0.0),
+                    dedup_window: span(&words, "window", 0.0),
                 };
                 p.classes.insert(ClassId(no as u16), class);
             }
@@ -85,10 +85,10 @@
                 p.tenants.insert(TenantId(no), Tenant { quota_per_s: words[1].parse().unwrap() });
             }
             "no-caller" => _ = p.tenants.remove(&TenantId(words[1].parse().unwrap())),
-            // What was said of the prescription since is in force from here on.
+            // What was said of the configuration since is in force from here on.
             "prescribe" => {
                 self.done.clear();
-                self.inputs.push(Input::Prescription(Box::new(p.clone())));
+                self.inputs.push(Input::Config(Box::new(p.clone())));
             }
             "layout" => {
                 p.layout = Layout {
@@ -100,7 +100,7 @@
             }
             "limits" => {
                 p.limits.max_attempts = value(&words, "pushes", 3);
-                p.limits.most_open = value(&words, "open", 1000);
+                p.limits.max_open = value(&words, "open", 1000);
                 (p.limits.copies, p.limits.allow_cancel) =
                     (words.contains(&"copies"), words.contains(&"withdraw"));
             }
@@ -116,8 +116,7 @@
             }
             "budget" => {
                 let (floor, share) = (value(&words, "floor", 0.0), value(&words, "share", 0.0));
-                p.rules.further =
-                    Some(FurtherBudget { floor, share, window: span(&words, "window", 1000.0) });
+                p.rules.further = Some(RetryBudget { floor, share, window: span(&words, "window", 1000.0) });
             }
             "at" => self.go_to(Tenths::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
             ">" => {
@@ -181,7 +180,7 @@
                 let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "caller", 0)));
                 let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
                 self.open.insert(rid);
-                if self.prescription.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
+                if self.broker_config.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
                     self.leading_on.insert(rid);
                 }
                 self.inputs.push(Input::Query(NewQuery {
@@ -286,9 +285,9 @@
     }
 
     fn turn(&mut self) {
-        let (prescription, now) = (&self.prescription, self.now);
+        let (broker_config, now) = (&self.broker_config, self.now);
         let new = self.broker.is_none();
-        let broker = self.broker.get_or_insert_with(|| Broker::start(prescription.clone(), 1, now));
+        let broker = self.broker.get_or_insert_with(|| Broker::start(broker_config.clone(), 1, now));
         if self.inputs.is_empty() && !new {
             return;
         }
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -37,7 +37,7 @@
     // What the shape does not decide is as it was.
     assert_eq!((&new["name"], &settings["Services"]), (&old()["name"], &old()["settings"]["Services"]));
     assert_eq!(settings["Limits"]["MaxOpen"], json!(111));
-    assert!(settings::read(settings.to_string().as_bytes()).unwrap().prescription.load_by_probe);
+    assert!(settings::read(settings.to_string().as_bytes()).unwrap().broker_config.load_by_probe);
     let left: Vec<&str> = made.left.iter().map(|(name, _)| &name[..]).collect();
     assert_eq!(left, ["Rules.Colour", "HostTypes", "WeightKind", "known"]);
 }
--- a/crates/settings/src/catalogue.rs
+++ b/crates/settings/src/catalogue.rs
@@ -1,5 +1,5 @@
 //! Which number a class or a tenant has. A number, once given, stays with its name for as long as the
-//! broker runs, through all versions of its prescription, and is never given to another: what the module
+//! broker runs, through all versions of its configuration, and is never given to another: what the module
 //! remembers by number goes by meaning.
 
 use routing::{ClassId, TenantId};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings text, turned into the library's prescription and what a front needs beside it. Decides
+//! The settings text, turned into the library's configuration and what a front needs beside it. Decides
 //! nothing about queries.
 //!
 //! - [`read`] takes the text of one start, as the platform gives it: keys it does not know are skipped.
@@ -25,15 +25,14 @@
 pub use revise::{Change, Revised, compare, revise};
 
 use routing::{
-    EffectKind, FurtherBudget, Layout, Limits, Prescription, RequestClass, Rules, Tenant, Tenths, Told,
-    ZoneNo,
+    BrokerConfig, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules, Tenant, Tenths, Told, ZoneNo,
 };
 use text::Text;
 
 /// What a settings text holds for one broker.
 #[derive(Clone, Debug, Default)]
 pub struct Intake {
-    pub prescription: Prescription,
+    pub broker_config: BrokerConfig,
     pub names: Catalogue,
     pub zones: Vec<String>,
     pub lines: Lines,
@@ -62,7 +61,7 @@
     prescribe(&text, names, |at, _| at, |at, _| at)
 }
 
-/// Makes the prescription, with the numbers that these give to classes and tenants.
+/// Makes the configuration, with the numbers that these give to classes and tenants.
 fn prescribe(
     text: &Text,
     names: Catalogue,
@@ -87,12 +86,12 @@
             complete_coverage: *whole,
             second_parts: text.domain.fetch_parts.get(at).copied().unwrap_or(0),
             effect: match service.effect.as_str() {
-                "idempotent" => EffectKind::Reissuable,
-                "deduplicated" => EffectKind::Numbered,
-                "at_most_once" => EffectKind::AtMostOnce,
+                "idempotent" => Idempotency::Idempotent,
+                "deduplicated" => Idempotency::IdempotencyKey,
+                "at_most_once" => Idempotency::AtMostOnce,
                 other => return Err(format!("settings: `Effect` is `{other}`")),
             },
-            repeat_window: Tenths::from_ms(service.dedup_window_ms),
+            dedup_window: Tenths::from_ms(service.dedup_window_ms),
         };
         let no = u16::try_from(class_no(at, &service.name));
         Ok((routing::ClassId(no.map_err(|_| "settings: too many categories")?), class))
@@ -102,7 +101,7 @@
         (no, Tenant { quota_per_s: tenant.quota_rps })
     });
     let rules = &text.rules;
-    let prescription = Prescription {
+    let broker_config = BrokerConfig {
         brokers: text.instances,
         zone: ZoneNo(text.zone),
         period: Tenths::from_ms(text.period_ms),
@@ -117,7 +116,7 @@
             per_call: text.domain.per_call.max(1),
         },
         limits: Limits {
-            most_open: text.limits.max_open,
+            max_open: text.limits.max_open,
             max_attempts: text.limits.max_attempts,
             copies: text.limits.second_copies,
             allow_cancel: text.limits.may_cancel,
@@ -131,7 +130,7 @@
             fall_window: Tenths::from_ms(rules.overload_for_ms),
             ask_within: Tenths::from_ms(rules.ask_within_ms),
             drain_grace: Tenths::from_ms(rules.stop_sending_within_ms),
-            further: rules.budget_window_ms.map(|window| FurtherBudget {
+            further: rules.budget_window_ms.map(|window| RetryBudget {
                 floor: rules.extra_floor.unwrap_or(0.0),
                 share: rules.resend_ratio.unwrap_or(0.0),
                 window: Tenths::from_ms(window),
@@ -142,7 +141,7 @@
         late_scrap_price: text.prices.late_fail,
     };
     let report = text.stats.fields.iter().map(|name| told(name)).collect();
-    Ok(Intake { prescription, names, zones: text.areas.clone(), lines, report })
+    Ok(Intake { broker_config, names, zones: text.areas.clone(), lines, report })
 }
 
 /// What a value of a load report is, by its name.
--- a/crates/settings/src/revise.rs
+++ b/crates/settings/src/revise.rs
@@ -1,5 +1,5 @@
 //! What a running broker takes over from a new document: which keys differ, when each applies, and the
-//! prescription in the numbers that the broker already uses.
+//! configuration in the numbers that the broker already uses.
 
 use crate::check::{Mistake, check};
 use crate::document::Document;
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -38,10 +38,10 @@
 #[rstest]
 fn reads_what_a_broker_and_its_front_need() {
     let text = with("/Surprise", json!([1])).to_string();
-    let Intake { prescription: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
-    assert_eq!((read.period, read.limits.most_open, read.roll_on_request), (Tenths(50), 111, false));
+    let Intake { broker_config: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
+    assert_eq!((read.period, read.limits.max_open, read.roll_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
-    assert_eq!((class.effect, class.min_coverage), (EffectKind::Numbered, 0.4));
+    assert_eq!((class.effect, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.further.is_none());
     assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
@@ -61,7 +61,7 @@
     value["Limits"]["Probes"] = probes;
     value["Limits"].as_object_mut().unwrap().retain(|_, value| !value.is_null());
     let read = super::read(value.to_string().as_bytes()).unwrap();
-    assert_eq!(read.prescription.load_by_probe, is);
+    assert_eq!(read.broker_config.load_by_probe, is);
 }
 
 #[rstest]
@@ -149,10 +149,10 @@
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
     let taken = taken_over(&new).unwrap();
     let goals: Vec<_> =
-        taken.intake.prescription.classes.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
+        taken.intake.broker_config.classes.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
     assert_eq!(goals, [(1, 20_000), (2, 1000)]);
     let tenants: Vec<_> =
-        taken.intake.prescription.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+        taken.intake.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
     assert_eq!(tenants, [(1, 9.0)]);
     assert_eq!(taken.intake.names.class("report"), Some(ClassId(0)));
 }
@@ -164,7 +164,7 @@
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
     let taken = taken_over(&new).unwrap();
-    assert_eq!(taken.intake.prescription.zone, ZoneNo(0));
+    assert_eq!(taken.intake.broker_config.zone, ZoneNo(0));
     assert!(taken.changes.iter().all(|change| matches!(change.applies, Applies::Live | Applies::Own)));
 }
 
@@ -270,7 +270,7 @@
             let document = document(&text);
             if check(&document).is_empty() {
                 let read = super::super::read(text.to_string().as_bytes()).unwrap();
-                let mut broker = routing::Broker::start(read.prescription, 1, Tenths(0));
+                let mut broker = routing::Broker::start(read.broker_config, 1, Tenths(0));
                 broker.turn(Tenths(10), &[routing::Input::Woken]);
                 // A broker that runs it finds nothing changed.
                 prop_assert_eq!(compare(&document, &document), vec![]);
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -86,7 +86,7 @@
 
 fn start(text: &[u8], seed: u64, now: Tenths) -> (Seat, Vec<Told>) {
     match settings::read(text) {
-        Ok(intake) => (Seat::Sound(Box::new(Broker::start(intake.prescription, seed, now))), intake.report),
+        Ok(intake) => (Seat::Sound(Box::new(Broker::start(intake.broker_config, seed, now))), intake.report),
         Err(why) => (Seat::Broken(why), Vec::new()),
     }
 }
