--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -79,7 +79,7 @@
     /// ask. They are not trimmed by it.
     Share,
     /// Passed, to be served at its minimum coverage only: as `Share`, but its class takes partial answers.
-    /// The heaviest shard requests earn most of its payoff for a few attempts, where a rejection earns nothing.
+    /// The heaviest shard requests earn most of its priority weight for a few attempts, where a rejection earns nothing.
     Least,
 }
 
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -16,9 +16,9 @@
         ..Limits::default()
     };
     let class = RequestClass {
-        goal_time: Tenths(10_000),
-        cut_off: Tenths(20_000),
-        payoff: 1.0,
+        latency_objective: Tenths(10_000),
+        deadline: Tenths(20_000),
+        priority_weight: 1.0,
         min_coverage: 1.0,
         complete_coverage: 1.0,
         ..RequestClass::default()
@@ -268,7 +268,7 @@
 }
 
 /// Where a class takes partial answers, what is beyond a share is served at its minimum coverage, not
-/// rejected: the heaviest shard requests earn most of its payoff for a few attempts.
+/// rejected: the heaviest shard requests earn most of its priority weight for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
     let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -17,7 +17,7 @@
 /// What the rules are for one class.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    pub cut_off: Tenths,
+    pub deadline: Tenths,
     pub least: f64,
     pub effect: Idempotency,
     pub dedup_window: Tenths,
@@ -161,7 +161,7 @@
         self.shard_requests.extend(weights.iter().map(shard_request));
         let shard_requests = first..self.shard_requests.len();
         let taken = 1 + shard_requests.len();
-        let until = now + left.min(self.bounds.kinds[kind].cut_off);
+        let until = now + left.min(self.bounds.kinds[kind].deadline);
         self.asked.push(Asked { broker, kind, until, shard_requests, ended: None, forgiven: false });
         self.books[broker].taken.extend(std::iter::repeat_n(now, taken));
         PartNo(first)
@@ -250,8 +250,8 @@
             self.breaks(now, "1: a second final answer");
             return None;
         }
-        let cut_off = self.bounds.kinds[kind].cut_off;
-        self.nears(now, "1: a final answer, of the client's time", 1.0 - (until - now).over(cut_off));
+        let deadline = self.bounds.kinds[kind].deadline;
+        self.nears(now, "1: a final answer, of the client's time", 1.0 - (until - now).over(deadline));
         if now > until + self.bounds.slack {
             self.breaks(now, "1: a final answer past the client's time");
         }
@@ -340,7 +340,7 @@
     const READY: (Standing, Tenths) = (Standing::Ready, Tenths(0));
 
     fn audit() -> Audit {
-        let kind = |effect, least| Kind { cut_off: Tenths(1000), least, effect, dedup_window: Tenths(500) };
+        let kind = |effect, least| Kind { deadline: Tenths(1000), least, effect, dedup_window: Tenths(500) };
         let kinds = vec![
             kind(Idempotency::Idempotent, 0.4),
             kind(Idempotency::IdempotencyKey, 1.0),
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -104,7 +104,7 @@
     fn take(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
         let margin = self.period.times(4.0);
-        let goal = self.classes.get(&new.class).map_or(Tenths::ZERO, |class| class.goal_time);
+        let goal = self.classes.get(&new.class).map_or(Tenths::ZERO, |class| class.latency_objective);
         let (goal, until) = (now + goal - margin, now + new.time_left - margin);
         self.open.insert(new.id, Open { class: new.class, goal, until, shard_requests: Vec::new() });
         effects.push(Effect::Wake { after: goal.min(until) - now });
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -251,7 +251,7 @@
     broken.sort_unstable();
     broken.dedup();
     let all = days.iter().flat_map(|day| &day.nearest);
-    // The first rule is nearest to its limit whenever a client waits to its cut-off; the others are the news.
+    // The first rule is nearest to its limit whenever a client waits to its deadline; the others are the news.
     let nearest = all.filter(|(rule, _)| !rule.starts_with('1') && !rule.starts_with('5'));
     let nearest = nearest
         .max_by(|a, b| a.1.ratio.total_cmp(&b.1.ratio))
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -178,7 +178,7 @@
             last,
             plan: plan.entries.into(),
             names: staging.classes.iter().map(|told| told.name.clone()).collect(),
-            cut_offs: staging.classes.iter().map(|told| told.cut_off).collect(),
+            cut_offs: staging.classes.iter().map(|told| told.deadline).collect(),
             quotas: staging.quota_per_s.is_some(),
             catalog,
             told: vec![(Standing::Gone, Tenths(0)); hosts.len()],
--- a/crates/broker-bench/src/outcome.rs
+++ b/crates/broker-bench/src/outcome.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct Worth {
     pub name: String,
-    pub payoff: f64,
+    pub priority_weight: f64,
     pub goal: Tenths,
 }
 
@@ -144,29 +144,29 @@
     }
 
     pub fn ask(&mut self, of: Of) {
-        let payoff = self.worth[of.class].payoff;
+        let priority_weight = self.worth[of.class].priority_weight;
         self.queries += 1;
         let second = self.second(of.at);
         second.asked += 1;
-        second.service.asked += payoff;
-        self.service.asked += payoff;
-        self.by_class[of.class].asked += payoff;
-        self.by_caller[of.tenant].asked += payoff;
+        second.service.asked += priority_weight;
+        self.service.asked += priority_weight;
+        self.by_class[of.class].asked += priority_weight;
+        self.by_caller[of.tenant].asked += priority_weight;
     }
 
     /// An answer that holds this share reaches its client.
     pub fn answer(&mut self, now: Tenths, of: Of, share: f64) {
         let took = now - of.at;
         self.answered += 1;
-        // What can't be recorded is longer than any cut-off.
+        // What can't be recorded is longer than any deadline.
         self.latency.record(took.0.max(0) as u64).unwrap_or_default();
         let second = self.second(now);
         second.answered += 1;
         second.latencies.push(took.0.max(0) as u32);
-        let Worth { payoff, goal, .. } = self.worth[of.class];
+        let Worth { priority_weight, goal, .. } = self.worth[of.class];
         if took <= goal {
             // A partial answer earns the share that it holds.
-            let earned = payoff * share;
+            let earned = priority_weight * share;
             self.second(of.at).service.earned += earned;
             self.service.earned += earned;
             self.by_class[of.class].earned += earned;
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -104,7 +104,7 @@
 const RISES: Tenths = Tenths(30_000);
 
 const SECOND: Tenths = Tenths(10_000);
-/// How long after its last entry a day goes on: longer than any cut-off.
+/// How long after its last entry a day goes on: longer than any deadline.
 const REST: Tenths = Tenths(200_000);
 
 struct ShardRequest {
@@ -192,7 +192,7 @@
         (weather, script, clients): (Weather, Vec<Moment>, Clients),
     ) -> World {
         let broker_config = scene::broker_config(staging, &cast);
-        let cut_offs = broker_config.classes.values().map(|class| class.cut_off).collect();
+        let cut_offs = broker_config.classes.values().map(|class| class.deadline).collect();
         let seat = |no: u32| {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
             let decider = decider(&cast, &broker_config, seed, Tenths(0));
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/rehearse/tests.rs
@@ -5,13 +5,13 @@
 
 /// Four kinds of classes, eight hosts, a tight budget.
 pub fn staging() -> Staging {
-    let role = |name: &str, shard_requests, payoff, least, repeats| Role {
+    let role = |name: &str, shard_requests, priority_weight, least, repeats| Role {
         name: name.to_owned(),
         share: 1.0,
         shard_requests,
         skew: 1.0,
-        cut_off: 5000,
-        payoff,
+        deadline: 5000,
+        priority_weight,
         least,
         repeats,
     };
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -139,7 +139,7 @@
     let all = "Service (payoff answered within the goal time over payoff asked for)";
     row(&mut put, all, share(&outcome.service));
     for (worth, service) in outcome.worth.iter().zip(&outcome.by_class) {
-        let name = format!("… of category {} (payoff {})", worth.name, worth.payoff);
+        let name = format!("… of category {} (payoff {})", worth.name, worth.priority_weight);
         row(&mut put, &name, share(service));
     }
     if outcome.by_caller.len() > 1 {
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -37,8 +37,8 @@
     }
 }
 
-fn cut_off(told: &cluster_trace::plan::Cast) -> Tenths {
-    Tenths::from_ms(f64::from(told.cut_off))
+fn deadline(told: &cluster_trace::plan::Cast) -> Tenths {
+    Tenths::from_ms(f64::from(told.deadline))
 }
 
 fn budget(staging: &Staging) -> Option<RetryBudget> {
@@ -87,9 +87,9 @@
     let class = |(no, told): (usize, &cluster_trace::plan::Cast)| {
         let (effect, dedup_window) = effect(told.repeats);
         let class = RequestClass {
-            goal_time: GOAL.min(cut_off(told)),
-            cut_off: cut_off(told),
-            payoff: told.payoff,
+            latency_objective: GOAL.min(deadline(told)),
+            deadline: deadline(told),
+            priority_weight: told.priority_weight,
             min_coverage: told.least,
             complete_coverage: 1.0,
             effect,
@@ -106,7 +106,7 @@
         send_lag: TRIP,
         classes: staging.classes.iter().enumerate().map(class).collect(),
         tenants: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
-        over_share_payoff: OVER_SHARE,
+        over_quota_weight: OVER_SHARE,
         layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
         limits: Limits {
             max_open: MOST_OPEN,
@@ -138,8 +138,8 @@
             Idempotency::IdempotencyKey => "deduplicated",
             Idempotency::AtMostOnce => "at_most_once",
         };
-        json!({"Name": told.name, "OnTimeMs": GOAL.min(cut_off(told)).as_ms(), "DeadlineMs": told.cut_off,
-            "Worth": told.payoff, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
+        json!({"Name": told.name, "OnTimeMs": GOAL.min(deadline(told)).as_ms(), "DeadlineMs": told.deadline,
+            "Worth": told.priority_weight, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
     };
     let services: Vec<Value> = staging.classes.iter().map(service).collect();
     let all = |value: fn(&cluster_trace::plan::Cast) -> f64| {
@@ -169,7 +169,7 @@
 pub fn bounds(staging: &Staging, slack: Tenths) -> Bounds {
     let kind = |told: &cluster_trace::plan::Cast| {
         let (effect, dedup_window) = effect(told.repeats);
-        Kind { cut_off: cut_off(told), least: told.least, effect, dedup_window }
+        Kind { deadline: deadline(told), least: told.least, effect, dedup_window }
     };
     let kinds = staging.classes.iter().map(kind).collect();
     Bounds { kinds, budget: budget(staging), grace: GRACE, slack }
@@ -178,8 +178,8 @@
 pub fn worth(staging: &Staging) -> Vec<Worth> {
     let worth = |told: &cluster_trace::plan::Cast| Worth {
         name: told.name.clone(),
-        payoff: told.payoff,
-        goal: GOAL.min(cut_off(told)),
+        priority_weight: told.priority_weight,
+        goal: GOAL.min(deadline(told)),
     };
     staging.classes.iter().map(worth).collect()
 }
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -154,13 +154,13 @@
     pub fn staging(&self) -> Staging {
         let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as u64;
         let widest = self.shards.max(1);
-        let cast = |name: &str, share, payoff, least, repeats| Cast {
+        let cast = |name: &str, share, priority_weight, least, repeats| Cast {
             name: name.to_owned(),
             share,
             shard_requests: if least < 1.0 { (widest.div_ceil(2), widest) } else { (1, widest.min(4)) },
             skew: if least < 1.0 { 1.0 } else { 0.0 },
-            cut_off: 5000,
-            payoff,
+            deadline: 5000,
+            priority_weight,
             least,
             repeats,
         };
@@ -398,9 +398,9 @@
     let staging = planned.staging();
     println!("# assumed, of which the trace has nothing: {} shards; by category:", staging.shards);
     for (no, cast) in staging.classes.iter().enumerate() {
-        let Cast { name, share, shard_requests, skew, cut_off, payoff, least, repeats } = cast;
+        let Cast { name, share, shard_requests, skew, deadline, priority_weight, least, repeats } = cast;
         println!(
-            "#   {no} {name}: share {share}, parts {} to {}, skew {skew}, cut-off {cut_off} ms, payoff {payoff}, \
+            "#   {no} {name}: share {share}, parts {} to {}, skew {skew}, cut-off {deadline} ms, payoff {priority_weight}, \
              least share {least}, {repeats}",
             shard_requests.0, shard_requests.1
         );
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -64,8 +64,8 @@
     id: Bytes,
     /// The one under which it was taken, to its end.
     edition: Rc<Edition>,
-    /// When its goal time is over.
-    goal_at: Tenths,
+    /// When its latency objective is over.
+    objective_at: Tenths,
     /// An attempt of it found its node down, or lost its connection.
     fell: bool,
     until: Tenths,
@@ -86,7 +86,7 @@
 impl Open {
     /// Counts its end under its edition.
     fn count(&self, verdict: &Verdict, now: Tenths) {
-        let late = now > self.goal_at;
+        let late = now > self.objective_at;
         self.edition.count(|tally| {
             tally.ended += 1;
             let badly = match verdict {
@@ -316,8 +316,9 @@
         let group = GroupNo(id.0 as u32);
         let until = self.tenths(question.until);
         let class = edition.classes.get(&question.class);
-        let goal = class.map_or(Tenths::ZERO, |c| c.goal_time + question.work.times(c.goal_stretch));
-        let (goal_at, fell) = (self.tenths(Instant::now()) + goal, false);
+        let goal =
+            class.map_or(Tenths::ZERO, |c| c.latency_objective + question.work.times(c.objective_stretch));
+        let (objective_at, fell) = (self.tenths(Instant::now()) + goal, false);
         let mut heard = self.heard.borrow_mut();
         heard.push(Input::Query(NewQuery {
             id,
@@ -341,7 +342,8 @@
         }
         let (tell, verdict) = oneshot::channel();
         let Question { id: wire_id, text, .. } = question;
-        let open = Open { id: wire_id, edition, goal_at, fell, until, shard_requests, text, bytes, tell };
+        let open =
+            Open { id: wire_id, edition, objective_at, fell, until, shard_requests, text, bytes, tell };
         book.queries.insert(id, open);
         self.bell.notify_one();
         Ok(Taken { desk: self.clone(), id, verdict })
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -23,7 +23,7 @@
 pub struct Tally {
     /// All that have ended but those whose client left.
     pub ended: u64,
-    /// Answered after the goal time, rejected, failed, or turned away at the front.
+    /// Answered after the latency objective, rejected, failed, or turned away at the front.
     pub late: u64,
     pub declined: u64,
     pub scrapped: u64,
@@ -35,7 +35,7 @@
 impl Edition {
     pub fn new(intake: &Intake) -> Edition {
         let p: &BrokerConfig = &intake.broker_config;
-        let goal = p.classes.values().map(|class| class.goal_time).min().unwrap_or_default();
+        let goal = p.classes.values().map(|class| class.latency_objective).min().unwrap_or_default();
         let retry_after = goal.min(p.limits.max_retry_after);
         Edition {
             names: intake.names.clone(),
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -132,7 +132,7 @@
         // They share the few descriptors that are set aside.
         let watch_calls = OWN as u32 / 3;
         let agent = !p.roll_on_request;
-        let longest = p.classes.values().map(|class| class.cut_off).max().unwrap_or_default();
+        let longest = p.classes.values().map(|class| class.deadline).max().unwrap_or_default();
         let idle = intake.lines.idle.map_or(Duration::from_secs(10), span);
         Ok(Limits {
             client_lines: lines - surplus_lines,
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -35,7 +35,7 @@
 #[case(90_000.0, 3700)]
 fn leaves_before_the_kill(#[case] deadline: f64, #[case] kill: u64) {
     let mut intake = Intake::default();
-    let class = routing::RequestClass { cut_off: Tenths::from_ms(deadline), ..Default::default() };
+    let class = routing::RequestClass { deadline: Tenths::from_ms(deadline), ..Default::default() };
     intake.broker_config.classes.insert(routing::ClassId(0), class);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     let answered = limits.leave_within + limits.last_answers;
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -818,7 +818,7 @@
     });
 }
 
-/// Load told by probe only, and waited for by a fiftieth of this goal time.
+/// Load told by probe only, and waited for by a fiftieth of this latency objective.
 fn load_by_probe(config: &mut Value, goal_ms: f64) {
     config["settings"]["Stats"] = json!({"Via": "pull", "Fields": ["qps", "queue", "util"]});
     config["settings"]["Limits"]["Probes"] = json!(true);
--- a/crates/cluster-trace/src/plan.rs
+++ b/crates/cluster-trace/src/plan.rs
@@ -2,7 +2,7 @@
 //! assumptions and seed give the same plan, byte for byte.
 //!
 //! What is the trace's: when work arrives, how much it is beside the rest, whose it is, when machines come
-//! and go. What no trace has is an assumption, told with the plan: shard requests, weights, shards, payoff, cut-off
+//! and go. What no trace has is an assumption, told with the plan: shard requests, weights, shards, priority weight, deadline
 //! ([`Staging`]).
 
 use crate::judge::{Id, MachineEvent, Row, What, WorkEvent};
@@ -53,24 +53,24 @@
     /// Weights fall as 1 / rank to this power; 0 for even ones.
     pub skew: f64,
     /// Milliseconds.
-    pub cut_off: u32,
-    pub payoff: f64,
+    pub deadline: u32,
+    pub priority_weight: f64,
     /// The minimum coverage of the weight that an answer may hold.
     pub least: f64,
     pub repeats: Repeats,
 }
 
 impl Cast {
-    /// A class whose queries may run again, with five seconds to its cut-off.
+    /// A class whose queries may run again, with five seconds to its deadline.
     pub fn reissuable(
         name: &str,
         share: f64,
         shard_requests: (u32, u32),
         skew: f64,
-        (payoff, least): (f64, f64),
+        (priority_weight, least): (f64, f64),
     ) -> Cast {
         let (name, repeats) = (name.to_owned(), Repeats::Reissuable);
-        Cast { name, share, shard_requests, skew, cut_off: 5000, payoff, least, repeats }
+        Cast { name, share, shard_requests, skew, deadline: 5000, priority_weight, least, repeats }
     }
 }
 
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -12,8 +12,8 @@
         share,
         shard_requests,
         skew: 1.0,
-        cut_off: 5000,
-        payoff: 1.0,
+        deadline: 5000,
+        priority_weight: 1.0,
         least: 1.0,
         repeats: Repeats::Reissuable,
     };
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -18,8 +18,8 @@
     pub send_lag: Tenths,
     pub classes: BTreeMap<ClassId, RequestClass>,
     pub tenants: BTreeMap<TenantId, Tenant>,
-    /// A query beyond its tenant's share earns this part of its payoff.
-    pub over_share_payoff: f64,
+    /// A query beyond its tenant's share earns this part of its priority weight.
+    pub over_quota_weight: f64,
     pub layout: Layout,
     pub limits: Limits,
     pub rules: Rules,
@@ -27,20 +27,20 @@
     pub roll_on_request: bool,
     /// Nodes may be probed, and tell their load only then.
     pub load_by_probe: bool,
-    /// What payoff that ended unserved after its goal time costs.
-    pub late_scrap_price: f64,
+    /// What priority weight that ended unserved after its latency objective costs.
+    pub late_failure_cost: f64,
 }
 
 /// A kind of query.
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
-    pub goal_time: Tenths,
-    /// Extra goal time, as a multiple of the work that a query is expected to be.
-    pub goal_stretch: f64,
-    pub cut_off: Tenths,
-    pub payoff: f64,
-    /// The part of the payoff that an answer after the goal time earns.
-    pub late_share: f64,
+    pub latency_objective: Tenths,
+    /// Extra latency objective, as a multiple of the work that a query is expected to be.
+    pub objective_stretch: f64,
+    pub deadline: Tenths,
+    pub priority_weight: f64,
+    /// The part of the priority weight that an answer after the latency objective earns.
+    pub late_weight_share: f64,
     /// The least weight an answer may hold.
     pub min_coverage: f64,
     /// The weight from which an answer is whole.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -32,28 +32,28 @@
 const NEWEST: f64 = 0.25;
 /// So many latencies make a mean that luck does not bend.
 const STEADY: f64 = 32.0;
-/// Before anything was heard, a shard request lasts this share of the shortest goal time.
+/// Before anything was heard, a shard request lasts this share of the shortest latency objective.
 const GUESS: f64 = 0.125;
-/// Patience with an attempt, in average latencies, and its bounds (the lower for room too) in goal times.
+/// Patience with an attempt, in average latencies, and its bounds (the lower for room too) in latency objectives.
 const PATIENCE: f64 = 3.0;
 const PATIENCE_BOUNDS: [f64; 2] = [0.2, 0.5];
-/// Single shard requests spread this far about a smoothed latency; past the goal time they are out of reach.
+/// Single shard requests spread this far about a smoothed latency; past the latency objective they are out of reach.
 const SPREAD: f64 = 1.5;
-/// A waiting shard request tries again after this share of its goal time, the roll after one of its silence.
+/// A waiting shard request tries again after this share of its latency objective, the roll after one of its silence.
 const AGAIN: f64 = 0.05;
 /// Where no budget is stated, further attempts stay under this share of what was taken in `SPAN`.
 const OWN_FURTHER: f64 = 0.25;
-/// Room for shard requests out aims at shard requests that take this share of the goal time, grows by this factor at the most
+/// Room for shard requests out aims at shard requests that take this share of the latency objective, grows by this factor at the most
 /// in the time of one, and only where this share of it was used: all may use that, and the rest as far as
 /// they pay.
 const ROOM_TARGET: f64 = 0.25;
 const ROOM_GROW: f64 = 1.5;
 const CROWDED: f64 = 0.5;
-/// Word of holders' load is waited for, and is news, for this share of the goal time; a holder that told
+/// Word of holders' load is waited for, and is news, for this share of the latency objective; a holder that told
 /// nothing counts as one with so many shard requests ahead.
 const WORD: f64 = 0.02;
 const UNHEARD: f64 = 32.0;
-/// Answers leave before the goal time by two turns and this share of it.
+/// Answers leave before the latency objective by two turns and this share of it.
 const GOAL_MARGIN: f64 = 0.02;
 /// Chance of being whole under which nothing is sent; deviations by which chance may pass what is meant.
 const UNLIKELY: f64 = 0.03;
@@ -134,22 +134,23 @@
     /// What decisions need of a configuration, worked out once.
     fn read(p: BrokerConfig) -> Terms {
         let row = |c: &RequestClass| ClassPolicy {
-            goal: c.goal_time.min(c.cut_off),
-            stretch: c.goal_stretch,
-            cut_off: c.cut_off,
-            late_life: (c.cut_off - c.goal_time).max(Tenths::ZERO).times(c.late_share),
-            late_pays: c.late_share > p.late_scrap_price,
+            goal: c.latency_objective.min(c.deadline),
+            stretch: c.objective_stretch,
+            deadline: c.deadline,
+            late_life: (c.deadline - c.latency_objective).max(Tenths::ZERO).times(c.late_weight_share),
+            late_pays: c.late_weight_share > p.late_failure_cost,
             least: c.min_coverage.min(c.complete_coverage),
             whole: c.complete_coverage,
             two_steps: c.second_parts > 0,
             effect: c.effect,
             dedup_window: c.dedup_window,
-            payoff: c.payoff,
+            priority_weight: c.priority_weight,
         };
         // A broker's own restraint where none is stated: one node's outage must not double the load.
         let own = RetryBudget { floor: p.limits.max_attempts.into(), share: OWN_FURTHER, window: SPAN };
         let rows = p.classes.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
-        let shortest_goal = p.classes.values().map(|c| c.goal_time.min(c.cut_off)).min().unwrap_or(SPAN);
+        let shortest_goal =
+            p.classes.values().map(|c| c.latency_objective.min(c.deadline)).min().unwrap_or(SPAN);
         Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, broker_config: p }
     }
 
@@ -162,7 +163,8 @@
         let binds = (old.further.window + self.leaves_by()).max(rules.warm_after).max(rules.fall_window);
         let (now, new) = (self.s.now, &self.terms);
         self.s.room = self.s.room.min(f64::from(new.broker_config.limits.max_open.max(1)));
-        let alike = |a: &ClassPolicy, b: &ClassPolicy| (a.payoff, a.least) == (b.payoff, b.least);
+        let alike =
+            |a: &ClassPolicy, b: &ClassPolicy| (a.priority_weight, a.least) == (b.priority_weight, b.least);
         let same = |no: &_| old.rows.get(no).zip(new.rows.get(no)).is_some_and(|(a, b)| alike(a, b));
         self.s.pays.retain(|no, _| same(no));
         let named = |no: &_| new.broker_config.tenants.contains_key(no);
@@ -247,7 +249,7 @@
 
     /// All that was sent has ended, enough is in for the whole, or a first step has had half of its time.
     fn complete(&mut self, r: &Query) -> bool {
-        let halfway = self.leads_on(r) && self.s.now + r.row.goal.times(0.5) >= r.goal_at;
+        let halfway = self.leads_on(r) && self.s.now + r.row.goal.times(0.5) >= r.objective_at;
         let settled = r.weight(&[ShardRequestState::Wanted, ShardRequestState::Out]) == 0.0;
         self.has_least(r) && (self.is_whole(r) || settled || halfway)
     }
@@ -320,15 +322,15 @@
                 .any(|shard_request| self.s.holders_of(layout, shard_request).any(silent))
     }
 
-    /// Guards against queues that outgrow the goal time: a query waits, and is then turned away, while
+    /// Guards against queues that outgrow the latency objective: a query waits, and is then turned away, while
     /// even its minimum coverage passes the room, or is out of reach. With nothing out, one is always taken,
     /// however wide, so that room can grow again. Harm: what a lucky replica would have served is not.
     fn no_room(&mut self, r: &Query) -> bool {
         let lost: f64 = r.shard_requests.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
         let (out, need) = (self.s.tickets.len(), self.plan(r, true).len());
-        let (payoff, least) = (r.row.payoff, r.row.least);
-        let pays = payoff * least / need.max(1) as f64;
-        self.s.note_pays(r.class, [pays, payoff / r.shard_requests.len().max(1) as f64], NEWEST);
+        let (priority_weight, least) = (r.row.priority_weight, r.row.least);
+        let pays = priority_weight * least / need.max(1) as f64;
+        self.s.note_pays(r.class, [pays, priority_weight / r.shard_requests.len().max(1) as f64], NEWEST);
         let far = !self.reaches_least(r, 1.0 - lost);
         out > 0 && ((out + need) as f64 > self.room_for(r, pays) || far) || far && r.probed.is_some()
     }
@@ -338,7 +340,7 @@
     fn may_wait(&mut self, r: &Query) -> bool {
         let line = ((self.s.waiting.len() + 1) * r.shard_requests.len()) as f64;
         let short = self.s.waiting.contains(&r.id) || line <= self.s.room;
-        short && r.goal_at - self.s.now > r.row.goal.times(1.0 - PATIENCE_BOUNDS[0]) && self.no_room(r)
+        short && r.objective_at - self.s.now > r.row.goal.times(1.0 - PATIENCE_BOUNDS[0]) && self.no_room(r)
     }
 
     /// Guards against nodes that drown in shard requests nobody can use: where a query needs all of many shard requests,
@@ -352,7 +354,7 @@
 
     /// The room for what pays so much for each shard request that it sends.
     fn room_for(&self, r: &Query, pays: f64) -> f64 {
-        let earns = if r.within_quota { 1.0 } else { r.terms.broker_config.over_share_payoff };
+        let earns = if r.within_quota { 1.0 } else { r.terms.broker_config.over_quota_weight };
         let best = self.s.pays.values().map(|p| p[0]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         self.s.room * (CROWDED + (1.0 - CROWDED) * earns * pays / best)
     }
@@ -445,7 +447,7 @@
             .filter(|id| self.has_room(*id, r.class, shard_request.id));
         let wait = |n: &Node| if idle(n) { Tenths::ZERO } else { self.latency(n) + n.queue() };
         let least = usable.map(|id| wait(&self.s.nodes[&id])).min();
-        least.is_none_or(|wait| self.s.now + wait.times(SPREAD) > r.goal_at)
+        least.is_none_or(|wait| self.s.now + wait.times(SPREAD) > r.objective_at)
     }
 
     fn answer(&mut self, r: &mut Query) {
@@ -462,7 +464,7 @@
     /// A rejection where asking again is harmless, else a failure.
     fn give_up(&mut self, r: &mut Query) {
         if self.kills(r) {
-            self.s.bar(r, self.s.now + r.row.cut_off);
+            self.s.bar(r, self.s.now + r.row.deadline);
         }
         let (limits, goal) = (&r.terms.broker_config.limits, r.row.goal);
         let mut fates = r.shard_requests.iter().flat_map(|p| &p.attempts).map(|attempt| attempt.fate);
@@ -483,10 +485,10 @@
         };
         let p = &terms.broker_config;
         let turns = p.period.times(2.0);
-        let goal = (row.goal + work.times(row.stretch)).min(row.cut_off).min(time_left);
-        let goal_at = now + goal - row.goal.times(GOAL_MARGIN) - turns;
-        let cut_off_at = now + time_left - turns.times(2.0);
-        self.s.agenda.extend(row.two_steps.then_some((goal_at - row.goal.times(0.5), Due::Halfway(id))));
+        let goal = (row.goal + work.times(row.stretch)).min(row.deadline).min(time_left);
+        let objective_at = now + goal - row.goal.times(GOAL_MARGIN) - turns;
+        let deadline_at = now + time_left - turns.times(2.0);
+        self.s.agenda.extend(row.two_steps.then_some((objective_at - row.goal.times(0.5), Due::Halfway(id))));
         let rate = self.s.tenants.entry(tenant).or_default();
         rate.add(now, SPAN, 1.0);
         // A tenant's share is split evenly over the brokers: this one sees no other's traffic.
@@ -494,7 +496,7 @@
             let mine = tenant.quota_per_s / f64::from(p.brokers.max(1));
             rate.count <= (mine * SPAN.as_ms() / 1000.0).max(1.0)
         });
-        let times = [goal_at, cut_off_at];
+        let times = [objective_at, deadline_at];
         self.s.hold(Query::taken(new, (terms, row), within_quota, goal, times));
     }
 
@@ -549,7 +551,7 @@
         shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
         let ticket = Ticket { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
         self.s.tickets.insert((id, no), ticket);
-        let life = (r.goal_at + late_life).min(r.cut_off_at) - now;
+        let life = (r.objective_at + late_life).min(r.deadline_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
         self.s.agenda.insert((now + self.patience(r.goal), Due::Look(id, no)));
     }
@@ -658,7 +660,7 @@
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
             let other = self.choose(&r.terms.broker_config.layout, r.class, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
-            let faster = elsewhere.is_some_and(|there| there < here && now + there < r.goal_at);
+            let faster = elsewhere.is_some_and(|there| there < here && now + there < r.objective_at);
             if again && faster && self.further_left() {
                 if limits.copies {
                     self.s.want(&mut r.shard_requests[at]);
@@ -684,7 +686,7 @@
             .filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
         let first = ran.map(|p| p.sent).min();
         let then = self.s.now + self.leaves_by();
-        let pays = row.payoff / r.shard_requests.len() as f64;
+        let pays = row.priority_weight / r.shard_requests.len() as f64;
         let best = self.s.pays.values().map(|p| p[1]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
         let further = f64::from(r.terms.broker_config.limits.max_attempts.max(1) - 1) * pays / best;
         shard_request.attempts.len() <= (further + 0.5) as usize
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -44,7 +44,7 @@
     pub call: CallNo,
     pub within_quota: bool,
     pub class: ClassId,
-    /// The goal time of its class.
+    /// The latency objective of its class.
     pub goal: Tenths,
     /// Parts out after the turn in which it was sent.
     pub out: f64,
@@ -89,7 +89,7 @@
     Taken,
     /// Parts are out or waiting.
     Asking,
-    /// Past its goal time, nothing more is sent.
+    /// Past its latency objective, nothing more is sent.
     Overdue,
     /// An answer has been given.
     Answered,
@@ -121,10 +121,10 @@
     pub row: Arc<ClassPolicy>,
     pub within_quota: bool,
     pub stage: Stage,
-    /// Its goal time, or what its tenant will wait if that is less.
+    /// Its latency objective, or what its tenant will wait if that is less.
     pub goal: Tenths,
-    pub goal_at: Tenths,
-    pub cut_off_at: Tenths,
+    pub objective_at: Tenths,
+    pub deadline_at: Tenths,
     pub second_step: bool,
     /// The first step's answer was whole.
     pub first_whole: bool,
@@ -290,17 +290,17 @@
 pub struct ClassPolicy {
     pub goal: Tenths,
     pub stretch: f64,
-    pub cut_off: Tenths,
+    pub deadline: Tenths,
     /// How long after its goal an attempt may still be of use.
     pub late_life: Tenths,
-    /// An answer after the goal time is worth waiting for.
+    /// An answer after the latency objective is worth waiting for.
     pub late_pays: bool,
     pub least: f64,
     pub whole: f64,
     pub two_steps: bool,
     pub effect: Idempotency,
     pub dedup_window: Tenths,
-    pub payoff: f64,
+    pub priority_weight: f64,
 }
 
 /// What comes due at a time.
@@ -310,7 +310,7 @@
     CutOff(QueryId),
     /// An attempt's patience is up.
     Look(ShardRequestId, AttemptNumber),
-    /// A first step has had half of the goal time.
+    /// A first step has had half of the latency objective.
     Halfway(QueryId),
     /// A query that waits for room looks again.
     Room(QueryId),
@@ -392,7 +392,7 @@
         (terms, row): (Arc<Terms>, Arc<ClassPolicy>),
         within_quota: bool,
         goal: Tenths,
-        [goal_at, cut_off_at]: [Tenths; 2],
+        [objective_at, deadline_at]: [Tenths; 2],
     ) -> Query {
         Query {
             id: new.id,
@@ -403,8 +403,8 @@
             within_quota,
             stage: Stage::Taken,
             goal,
-            goal_at,
-            cut_off_at,
+            objective_at,
+            deadline_at,
             second_step: false,
             first_whole: false,
             fallen: BTreeSet::new(),
@@ -511,8 +511,8 @@
         self.taken.push_back(self.now);
         self.groups.insert(r.group, r.id);
         self.fresh.insert(r.id);
-        self.agenda.insert((r.goal_at, Due::Goal(r.id)));
-        self.agenda.insert((r.cut_off_at, Due::CutOff(r.id)));
+        self.agenda.insert((r.objective_at, Due::Goal(r.id)));
+        self.agenda.insert((r.deadline_at, Due::CutOff(r.id)));
         self.put(r);
     }
 
@@ -544,8 +544,8 @@
         self.groups.remove(&r.group);
         self.waiting.remove(&r.id);
         self.probing.remove(&r.id);
-        self.agenda.remove(&(r.goal_at, Due::Goal(r.id)));
-        self.agenda.remove(&(r.cut_off_at, Due::CutOff(r.id)));
+        self.agenda.remove(&(r.objective_at, Due::Goal(r.id)));
+        self.agenda.remove(&(r.deadline_at, Due::CutOff(r.id)));
     }
 
     /// Strikes a first step's shard requests, likewise.
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -59,11 +59,11 @@
                     self.names.len() - 1
                 });
                 let class = RequestClass {
-                    goal_time: span(&words, "goal", 1000.0),
-                    goal_stretch: value(&words, "stretch", 0.0),
-                    cut_off: span(&words, "cut-off", 3000.0),
-                    payoff: value(&words, "payoff", 1.0),
-                    late_share: value(&words, "late", 0.0),
+                    latency_objective: span(&words, "goal", 1000.0),
+                    objective_stretch: value(&words, "stretch", 0.0),
+                    deadline: span(&words, "cut-off", 3000.0),
+                    priority_weight: value(&words, "payoff", 1.0),
+                    late_weight_share: value(&words, "late", 0.0),
                     min_coverage: value(&words, "least", 1.0),
                     complete_coverage: value(&words, "whole", 1.0),
                     second_parts: value(&words, "second", 0),
@@ -112,7 +112,7 @@
                 p.rules.ask_within = span(&words, "ask-within", 10_000.0);
                 p.roll_on_request = words.contains(&"roll-on-request");
                 p.load_by_probe = words.contains(&"load-by-probe");
-                p.late_scrap_price = value(&words, "late-scrap", 0.05);
+                p.late_failure_cost = value(&words, "late-scrap", 0.05);
             }
             "budget" => {
                 let (floor, share) = (value(&words, "floor", 0.0), value(&words, "share", 0.0));
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -217,14 +217,14 @@
         let allowed = format!("a place in `Areas`, less than {},", text.areas.len());
         mistakes.push(wrong("Zone", text.zone.to_string(), allowed));
     }
-    // Two turns before the goal time and four before the cut-off an answer must be on its way: with less time
+    // Two turns before the latency objective and four before the deadline an answer must be on its way: with less time
     // than that each query would be given up as it is taken.
     let turns = text.period_ms * 4.0;
     for (at, service) in text.services.iter().enumerate() {
         let field = |name: &str| format!("Services[{at}].{name}");
-        let (goal, cut_off) = (service.on_time_ms, service.deadline_ms);
-        if goal > cut_off {
-            let allowed = format!("at most `DeadlineMs`, {cut_off},");
+        let (goal, deadline) = (service.on_time_ms, service.deadline_ms);
+        if goal > deadline {
+            let allowed = format!("at most `DeadlineMs`, {deadline},");
             mistakes.push(wrong(field("OnTimeMs"), goal.to_string(), allowed));
         }
         if goal <= turns {
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -45,7 +45,7 @@
 
 /// The longest time that may be told.
 const DAY: f64 = 86_400_000.0;
-/// The longest cut-off: the longest that a client may say it waits.
+/// The longest deadline: the longest that a client may say it waits.
 const LONGEST: f64 = 600_000.0;
 
 /// Keys that stand in a list have `[]` behind the list's name.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -77,11 +77,11 @@
         let least = text.domain.min_share.get(at).ok_or("settings: `MinShare` is too short")?;
         let whole = text.domain.complete_from.get(at).ok_or("settings: `CompleteFrom` is too short")?;
         let class = RequestClass {
-            goal_time: Tenths::from_ms(service.on_time_ms),
-            goal_stretch: service.aim_stretch,
-            cut_off: Tenths::from_ms(service.deadline_ms),
-            payoff: service.worth,
-            late_share: service.late_share,
+            latency_objective: Tenths::from_ms(service.on_time_ms),
+            objective_stretch: service.aim_stretch,
+            deadline: Tenths::from_ms(service.deadline_ms),
+            priority_weight: service.worth,
+            late_weight_share: service.late_weight_share,
             min_coverage: *least,
             complete_coverage: *whole,
             second_parts: text.domain.fetch_parts.get(at).copied().unwrap_or(0),
@@ -108,7 +108,7 @@
         send_lag: Tenths::ZERO,
         classes: classes.collect::<Result<_, String>>()?,
         tenants: tenants.collect(),
-        over_share_payoff: text.over_share_worth,
+        over_quota_weight: text.over_share_worth,
         layout: Layout {
             cells: text.domain.cells,
             reach: text.domain.reach,
@@ -138,7 +138,7 @@
         },
         roll_on_request: text.registry_mode == "subscribe",
         load_by_probe: text.limits.probes && text.stats.via == "pull",
-        late_scrap_price: text.prices.late_fail,
+        late_failure_cost: text.prices.late_fail,
     };
     let report = text.stats.fields.iter().map(|name| told(name)).collect();
     Ok(Intake { broker_config, names, zones: text.areas.clone(), lines, report })
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -149,7 +149,7 @@
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
     let taken = taken_over(&new).unwrap();
     let goals: Vec<_> =
-        taken.intake.broker_config.classes.iter().map(|(no, c)| (no.0, c.goal_time.0)).collect();
+        taken.intake.broker_config.classes.iter().map(|(no, c)| (no.0, c.latency_objective.0)).collect();
     assert_eq!(goals, [(1, 20_000), (2, 1000)]);
     let tenants: Vec<_> =
         taken.intake.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
