--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -162,10 +162,10 @@
 #[rstest]
 fn a_calm_door_changes_nothing() {
     let p = broker_config(&[]);
-    let roll = Roll {
-        kind: RollKind::Full,
+    let roll = EndpointList {
+        kind: EndpointListKind::Snapshot,
         entries: (0..2)
-            .map(|node| RollEntry {
+            .map(|node| Endpoint {
                 node: NodeId(node),
                 zone: ZoneNo(0),
                 cell: CellNo(node as u32),
@@ -178,7 +178,7 @@
     let mut gated = Gated::new(door, Broker::start(p.clone(), 3, Tenths(0)));
     let mut alone = Broker::start(p, 3, Tenths(0));
     let mut asking = Asking::default();
-    let mut heard = vec![Input::Roll(roll)];
+    let mut heard = vec![Input::EndpointList(roll)];
     for at in 1..200 {
         heard.extend(asking.ask(at % 3, 2, at % 2));
         let (now, both) = (Tenths(i64::from(at) * 100), std::mem::take(&mut heard));
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -76,7 +76,7 @@
         let (mut effects, mut fresh) = (Vec::new(), Vec::new());
         for input in heard {
             match input {
-                Input::Roll(roll) => {
+                Input::EndpointList(roll) => {
                     for entry in roll.entries.iter() {
                         match entry.standing {
                             Standing::Ready => {
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -176,7 +176,7 @@
     }
 
     /// The same day as hosts' events of a plan, which sockets can play as virtual time does: hosts that are
-    /// lost, drained, released, or crawl, and what is asked, storms too. Ways, the roll's troubles and
+    /// lost, drained, released, or crawl, and what is asked, storms too. Ways, the endpoint list's troubles and
     /// clients' repeats are not; a scenario with them is told so, by its trouble.
     pub fn on_sockets(&self) -> Result<(Plan, Staging, Cast), String> {
         let Parts { script, staging, mut plan, cast, mut weather } = self.shard_requests();
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -95,7 +95,7 @@
     assert!(door < alone, "seconds until sound, over three seeds: {door} behind the door, {alone} alone");
 }
 
-/// (c) Gray failure: hosts that stay ready on the roll and answer what they can, at a twentieth of their
+/// (c) Gray failure: hosts that stay ready on the endpoint list and answer what they can, at a twentieth of their
 /// speed. What the answers take steers around them; a choice that does not look, at random, loses a fifth.
 #[rstest]
 #[case("gray-third-at-the-rush")]
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -4,7 +4,7 @@
 //! Sockets and clocks are not deterministic; this is how the day is all the same. There is one clock,
 //! tokio's, paused: it moves a millisecond at a time, and only when every party is idle. Idle is no guess by
 //! waiting: each broker's open queries must be those that clients wait for, its attempts those that hosts
-//! hold or have just heard, and its question for changes of the roll must lie at discovery; whatever is on
+//! hold or have just heard, and its question for changes of the endpoint list must lie at discovery; whatever is on
 //! its way, in either direction, makes one of them differ. Then one thing happens, in a stated order, and the
 //! parties come to rest again. A machine that is too busy makes this slow, never different; past a stated
 //! patience there is no figure at all.
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -1,5 +1,5 @@
 //! A plan played in virtual time: brokers of the product's own module, unchanged, or a baseline; model hosts;
-//! a roll that is late as discovery is; and what a script lets befall them. The rules are checked by what
+//! an endpoint list that is late as discovery is; and what a script lets befall them. The rules are checked by what
 //! hosts and clients got, not by the brokers' word. One thread, one agenda: the same plan and seed give the
 //! same decisions, to the byte.
 
@@ -13,9 +13,9 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, GroupNo,
-    Input, NewQuery, NewShardRequest, NodeId, QueryId, Roll, RollEntry, RollKind, ShardNo, ShardRequestId,
-    Standing, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
+    EndpointList, EndpointListKind, GroupNo, Input, NewQuery, NewShardRequest, NodeId, QueryId, ShardNo,
+    ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -98,7 +98,7 @@
     AttemptOutcome::ConnectionLost,
     AttemptOutcome::Errored,
 ];
-/// How late the roll tells of a host that fell silent.
+/// How late the endpoint list tells of a host that fell silent.
 const SILENT_LATE: Tenths = Tenths(60_000);
 /// How long a host is gone that a query brought down.
 const RISES: Tenths = Tenths(30_000);
@@ -155,7 +155,7 @@
     seats: Vec<Seat>,
     hosts: Vec<Host>,
     host_due: Vec<Option<Tenths>>,
-    /// What the roll last told of each host, and when.
+    /// What the endpoint list last told of each host, and when.
     told: Vec<(Standing, Tenths)>,
     host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, AttemptNumber, usize)>,
     next_job: u64,
@@ -499,14 +499,17 @@
 
     fn full_roll(&mut self, broker: usize) {
         let all = (0..self.hosts.len()).map(|host| self.entry(host));
-        let entries: Vec<RollEntry> = all.filter(|entry| entry.standing != Standing::Gone).collect();
+        let entries: Vec<Endpoint> = all.filter(|entry| entry.standing != Standing::Gone).collect();
         for host in 0..self.hosts.len() {
             let standing = scene::standing(self.hosts[host].state());
             if standing != self.told[host].0 {
                 self.told[host] = (standing, self.now);
             }
         }
-        self.hear(broker, Input::Roll(Roll { kind: RollKind::Full, entries: entries.into() }));
+        self.hear(
+            broker,
+            Input::EndpointList(EndpointList { kind: EndpointListKind::Snapshot, entries: entries.into() }),
+        );
     }
 
     // ---- hosts
@@ -530,7 +533,7 @@
         }
     }
 
-    /// Its process is gone, and what it had is dropped; the roll tells of it late.
+    /// Its process is gone, and what it had is dropped; the endpoint list tells of it late.
     fn fall(&mut self, host: usize) {
         for job in self.hosts[host].die() {
             if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
@@ -555,15 +558,15 @@
         }
     }
 
-    /// The roll will tell of it, unless it is silent then.
+    /// The endpoint list will tell of it, unless it is silent then.
     fn tell_later(&mut self, host: usize, late: Tenths) {
         if let Some(more) = self.weather.roll() {
             self.at(self.now + late + more, Event::Told { host });
         }
     }
 
-    fn entry(&self, host: usize) -> RollEntry {
-        RollEntry {
+    fn entry(&self, host: usize) -> Endpoint {
+        Endpoint {
             node: NodeId(host as u64),
             zone: ZoneNo(self.weather.hall_of(host) as u16),
             cell: CellNo(host as u32 % self.cast.cells),
@@ -579,8 +582,8 @@
         let entry = self.entry(host);
         self.told[host] = (entry.standing, self.now);
         for broker in 0..self.seats.len() {
-            let roll = Roll { kind: RollKind::Changes, entries: [entry.clone()].into() };
-            self.hear(broker, Input::Roll(roll));
+            let roll = EndpointList { kind: EndpointListKind::Delta, entries: [entry.clone()].into() };
+            self.hear(broker, Input::EndpointList(roll));
         }
     }
 
@@ -741,7 +744,7 @@
                 seat.wake_at = Some(seat.wake_at.map_or(at, |sooner| sooner.min(at)));
             }
             // No hosts of a rehearsal tell their load by probe, and no broker of one is told that they do.
-            Effect::Probe { .. } | Effect::CloseIdle { .. } | Effect::FollowRoll | Effect::Say(_) => {}
+            Effect::Probe { .. } | Effect::CloseIdle { .. } | Effect::WatchEndpoints | Effect::Say(_) => {}
         }
     }
 
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -12,14 +12,14 @@
 };
 use serde_json::{Value, json};
 
-/// One way through the network, the least time between turns, and how late the roll tells of starts and
+/// One way through the network, the least time between turns, and how late the endpoint list tells of starts and
 /// deaths.
 pub const TRIP: Tenths = Tenths(5);
 pub const PERIOD: Tenths = Tenths(50);
 pub const ROLL_LATE: Tenths = Tenths(10_000);
 /// Goal time of all classes, and the longest that a tenant is told to stay away.
 pub const GOAL: Tenths = Tenths(20_000);
-/// How long an attempt may still go to a node that the roll told to be draining or gone.
+/// How long an attempt may still go to a node that the endpoint list told to be draining or gone.
 const GRACE: Tenths = Tenths(2500);
 const ASK_WITHIN: Tenths = Tenths(100_000);
 const MOST_OPEN: u32 = 2000;
--- a/crates/broker-bench/src/weather.rs
+++ b/crates/broker-bench/src/weather.rs
@@ -1,5 +1,5 @@
 //! What the troubles of a day come to at a moment: which hosts stand how, which ways are cut or long, what
-//! the roll tells, what clients ask. Decisions and state only; [`crate::rehearse`] carries them out.
+//! the endpoint list tells, what clients ask. Decisions and state only; [`crate::rehearse`] carries them out.
 
 use fault_scenarios::{Act, Book, Change, Fleet};
 use routing::Tenths;
@@ -83,7 +83,7 @@
         self.fleet.hall_of(host as u32)
     }
 
-    /// How much later than usual the roll tells; none: it tells nothing.
+    /// How much later than usual the endpoint list tells; none: it tells nothing.
     pub fn roll(&self) -> Option<Tenths> {
         (self.roll_silent == 0).then_some(self.roll_more)
     }
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,9 +8,9 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, GroupNo,
-    Input, NewQuery, NewShardRequest, NodeId, Probed, QueryId, Roll, RollEntry, RollKind, ShardNo,
-    ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
+    EndpointList, EndpointListKind, GroupNo, Input, NewQuery, NewShardRequest, NodeId, Probed, QueryId,
+    ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -189,7 +189,7 @@
     ready: Cell<bool>,
     /// The process ends: nothing is taken any more.
     ended: Cell<bool>,
-    /// Rung when the module wants the roll followed.
+    /// Rung when the module wants the endpoint list followed.
     pub roll_wanted: Notify,
 }
 
@@ -215,7 +215,7 @@
     ) -> Rc<Desk> {
         let edition = Rc::new(Edition::new(&intake));
         let Intake { broker_config, zones, .. } = intake;
-        // The roll tells starts in Unix time, so the clock counts from there, and only ever forward.
+        // The endpoint list tells starts in Unix time, so the clock counts from there, and only ever forward.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = since.unwrap_or(Tenths((unix.as_micros() / 100) as i64));
         Rc::new(Desk {
@@ -256,7 +256,7 @@
         self.ready.get()
     }
 
-    /// How many nodes the roll tells to be ready.
+    /// How many nodes the endpoint list tells to be ready.
     pub fn ready_nodes(&self) -> usize {
         self.names.borrow().ready.len()
     }
@@ -380,13 +380,13 @@
     // ---- what discovery calls
 
     pub fn roll_failed(&self) {
-        self.hear(Input::RollFailed);
+        self.hear(Input::EndpointListFailed);
     }
 
-    /// Puts a roll into the module's ids.
-    pub fn hear_roll(&self, kind: RollKind, listing: Listing) {
+    /// Puts an endpoint list into the module's ids.
+    pub fn hear_roll(&self, kind: EndpointListKind, listing: Listing) {
         let names = &mut *self.names.borrow_mut();
-        if kind != RollKind::Changes {
+        if kind != EndpointListKind::Delta {
             names.ready.clear();
             let listed: HashSet<&str> = listing.nodes.iter().map(|node| &node.name[..]).collect();
             names.nodes.retain(|name, node| {
@@ -418,7 +418,7 @@
                 names.zones.push(told.zone);
                 names.zones.len() - 1
             });
-            entries.push(RollEntry {
+            entries.push(Endpoint {
                 node,
                 zone: ZoneNo(zone as u16),
                 cell: CellNo(told.cell),
@@ -426,7 +426,7 @@
                 started: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
             });
         }
-        self.hear(Input::Roll(Roll { kind, entries: entries.into() }));
+        self.hear(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
     }
 
     // ---- turns
@@ -575,7 +575,7 @@
                     let at = now + after;
                     self.wake_at.set(Some(self.wake_at.get().map_or(at, |sooner| sooner.min(at))));
                 }
-                Effect::FollowRoll => self.roll_wanted.notify_one(),
+                Effect::WatchEndpoints => self.roll_wanted.notify_one(),
                 Effect::Say(line) => info!("{line}"),
             }
         }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -36,7 +36,7 @@
 use front::Front;
 use limits::Limits;
 use retrieval::{Counter, Wrongs};
-use routing::RollKind;
+use routing::EndpointListKind;
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -81,7 +81,7 @@
     // Guards against drains that an agent has and that count as told from the first moment: it is heard before
     // anything is sent, and what was known before is not used.
     if let Some(known) = order.known.filter(|_| !limits.agent) {
-        desk.hear_roll(RollKind::Remembered, known);
+        desk.hear_roll(EndpointListKind::Cached, known);
     }
     let counter = Counter { desk: desk.clone(), limits: limits.clone(), wrongs: Wrongs::default() };
     let front = Front::new(counter);
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -67,7 +67,7 @@
     pub untold: Tenths,
     /// A call for all nodes is given up after this.
     pub list_within: Duration,
-    /// Where the settings call the roll automatic, discovery is an agent on the broker's own machine.
+    /// Where the settings call the endpoint list automatic, discovery is an agent on the broker's own machine.
     pub agent: bool,
     /// The wait that discovery is asked for, and what its answer may take beyond that.
     pub watch: Duration,
@@ -131,7 +131,7 @@
         let watch_anew = (span(p.rules.drain_grace) + SOCKETS) / 3;
         // They share the few descriptors that are set aside.
         let watch_calls = OWN as u32 / 3;
-        let agent = !p.roll_on_request;
+        let agent = !p.watch_on_request;
         let longest = p.classes.values().map(|class| class.deadline).max().unwrap_or_default();
         let idle = intake.lines.idle.map_or(Duration::from_secs(10), span);
         Ok(Limits {
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -18,7 +18,7 @@
         match Order::reread(&source) {
             Ok(place) => {
                 info!("a new config: discovery is at {place}");
-                // Also where it names the same place: the roll is asked for anew.
+                // Also where it names the same place: the endpoint list is asked for anew.
                 discovery.send_replace(place);
             }
             Err(why) => warn!("the new config is not used, the old one holds: {why}"),
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -1,4 +1,4 @@
-//! Discovery: asks for the roll of nodes and follows its changes.
+//! Discovery: asks for the endpoint list and follows its changes.
 
 use crate::desk::Desk;
 use crate::limits::Limits;
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy::{self, connect::HttpConnector};
 use hyper_util::rt::TokioExecutor;
-use routing::RollKind;
+use routing::EndpointListKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Keeps its connections; reads an answer without a length up to its end, and takes no reset for one.
 type Client = legacy::Client<HttpConnector, Empty<Bytes>>;
 
-/// Each time that the desk asks for it, follows the roll until a call fails, and says so. Where discovery has
+/// Each time that the desk asks for it, follows the endpoint list until a call fails, and says so. Where discovery has
 /// moved, the old watch is dropped and the new place is asked for all nodes at once. An agent on this machine is
 /// called until it answers: guards against drains that it has, and that count as told, while the broker waits longer
 /// after each failure, as it must where discovery is shared.
@@ -68,7 +68,7 @@
     }
     loop {
         let revision = listing.revision;
-        let kind = if listing.all { RollKind::Full } else { RollKind::Changes };
+        let kind = if listing.all { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
         desk.hear_roll(kind, listing);
         let url = format!("{list}?after={revision}&wait_ms={}", limits.watch.as_millis());
         listing = call(limits, client, &url, limits.watch + limits.watch_slack).await?;
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -95,7 +95,7 @@
         // From its turn to its last byte an attempt may have to wait for a connection.
         intake.broker_config.send_lag = limits.unsent + limits.period;
         // Discovery is asked here; what the settings call automatic, the agent's watch brings about.
-        intake.broker_config.roll_on_request = true;
+        intake.broker_config.watch_on_request = true;
         // After a call that failed the module may wait no longer than what it then misses stays untold.
         let rules = &mut intake.broker_config.rules;
         rules.ask_within = rules.ask_within.min(limits.untold);
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -124,7 +124,7 @@
 
 /// What the start worked out for sockets holds in every version: a document has the settings' own figures.
 fn keep_waits(to: &mut BrokerConfig, start: &BrokerConfig) {
-    (to.send_lag, to.roll_on_request) = (start.send_lag, start.roll_on_request);
+    (to.send_lag, to.watch_on_request) = (start.send_lag, start.watch_on_request);
     to.rules.ask_within = start.rules.ask_within;
 }
 
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -23,8 +23,8 @@
     pub layout: Layout,
     pub limits: Limits,
     pub rules: Rules,
-    /// The roll of nodes comes only to those who follow it.
-    pub roll_on_request: bool,
+    /// The endpoint list comes only to those who follow it.
+    pub watch_on_request: bool,
     /// Nodes may be probed, and tell their load only then.
     pub load_by_probe: bool,
     /// What priority weight that ended unserved after its latency objective costs.
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -22,8 +22,8 @@
     Probe { node: NodeId },
     /// Be woken after this time.
     Wake { after: Tenths },
-    /// Ask to be sent the roll's changes from now on.
-    FollowRoll,
+    /// Ask to be sent the endpoint list's changes from now on.
+    WatchEndpoints,
     /// A line for the people on call.
     Say(String),
 }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Word of the nodes.
-    Roll(Roll),
-    /// A call for the roll failed, or the following of it broke off; the old roll still holds.
-    RollFailed,
+    EndpointList(EndpointList),
+    /// A call for the endpoint list failed, or the following of it broke off; the old roll still holds.
+    EndpointListFailed,
     /// What is taken from now on is served so; what is open keeps what it was taken under. The period, the
     /// zone and the way to a node (`send_lag`) must stay as they were at the start.
     Config(Box<BrokerConfig>),
@@ -34,25 +34,25 @@
     Aside,
 }
 
-/// A roll of nodes: all of them, or those that changed.
+/// A endpoint list: all of them, or those that changed.
 #[derive(Clone, Debug)]
-pub struct Roll {
-    pub kind: RollKind,
-    pub entries: Arc<[RollEntry]>,
+pub struct EndpointList {
+    pub kind: EndpointListKind,
+    pub entries: Arc<[Endpoint]>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RollKind {
+pub enum EndpointListKind {
     /// Those that changed.
-    Changes,
+    Delta,
     /// All; who is not on it is gone.
-    Full,
+    Snapshot,
     /// All, as this broker last saw it; possibly stale.
-    Remembered,
+    Cached,
 }
 
 #[derive(Clone, Debug)]
-pub struct RollEntry {
+pub struct Endpoint {
     pub node: NodeId,
     pub zone: ZoneNo,
     pub cell: CellNo,
@@ -61,7 +61,7 @@
     pub started: Option<Tenths>,
 }
 
-/// What the roll says of a node.
+/// What the endpoint list says of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
     Ready,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -6,7 +6,7 @@
 use crate::config::{BrokerConfig, Idempotency, Layout, RequestClass, RetryBudget};
 use crate::effects::Effect;
 use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
-use crate::inputs::{AttemptOutcome, AttemptResult, Input, NewQuery, Roll};
+use crate::inputs::{AttemptOutcome, AttemptResult, EndpointList, Input, NewQuery};
 use crate::state::Signal::{self, ClientLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
 use crate::state::{
@@ -39,7 +39,7 @@
 const PATIENCE_BOUNDS: [f64; 2] = [0.2, 0.5];
 /// Single shard requests spread this far about a smoothed latency; past the latency objective they are out of reach.
 const SPREAD: f64 = 1.5;
-/// A waiting shard request tries again after this share of its latency objective, the roll after one of its silence.
+/// A waiting shard request tries again after this share of its latency objective, the endpoint list after one of its silence.
 const AGAIN: f64 = 0.05;
 /// Where no budget is stated, further attempts stay under this share of what was taken in `SPAN`.
 const OWN_FURTHER: f64 = 0.25;
@@ -126,7 +126,7 @@
     pub fn start(broker_config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
         let room = f64::from(broker_config.limits.max_open) * CROWDED;
         let mut s = Instance { now, roll_silent: true, room, ..Instance::default() };
-        s.agenda.extend(broker_config.roll_on_request.then_some((now, Due::FollowRoll)));
+        s.agenda.extend(broker_config.watch_on_request.then_some((now, Due::FollowRoll)));
         let (terms, rng) = (Arc::new(Broker::read(broker_config)), fastrand::Rng::with_seed(seed));
         Broker { terms, rng, seed, s }
     }
@@ -202,8 +202,8 @@
 
     fn hear(&mut self, input: &Input) {
         match input {
-            Input::Roll(roll) => self.read_roll(roll),
-            Input::RollFailed => self.roll_failed(),
+            Input::EndpointList(roll) => self.read_roll(roll),
+            Input::EndpointListFailed => self.roll_failed(),
             Input::Config(new) => self.prescribe((**new).clone()),
             Input::Query(new) => self.take(new),
             Input::ShardRequest(new) => self.s.add_shard_request(new),
@@ -780,7 +780,7 @@
                 (node.failures, node.heard_at) = (0, now);
                 node.answered = node.answered.max(now - outcome.took);
             }
-            // It may come back cold before the roll says so: taken to start when last seen down. One lost
+            // It may come back cold before the endpoint list says so: taken to start when last seen down. One lost
             // connection is not enough, or resets would starve sound nodes: a fallen one refuses the next.
             if down && fate == Fate::NeverRan && node.failures > 1 {
                 (node.started, node.start_heard) = (node.started.max(Some(now)), now);
@@ -861,25 +861,25 @@
         (now - heard).over(window) * steady + lot(heard.0 as u64) - sent(heard) / cost >= 1.0
     }
 
-    // ---- the roll
+    // ---- the endpoint list
 
     /// A new process under an old id: nothing heard of the old one holds.
-    fn read_roll(&mut self, roll: &Roll) {
+    fn read_roll(&mut self, roll: &EndpointList) {
         for id in self.s.read_roll(roll) {
             self.s.amend(id, |node| (node.latency, node.failures, node.told) = (None, 0, None));
         }
     }
 
-    /// Follows the roll, and comes due again to ask once more where no word has come at all.
+    /// Follows the endpoint list, and comes due again to ask once more where no word has come at all.
     fn follow_roll(&mut self) {
         if self.s.roll_silent {
-            self.s.effects.push(Effect::FollowRoll);
+            self.s.effects.push(Effect::WatchEndpoints);
             let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(0.5);
             self.s.agenda.insert((self.s.now + wait, Due::FollowRoll));
         }
     }
 
-    /// The roll's service is shared and finite: each failure doubles the wait, and lots are drawn.
+    /// The endpoint list's service is shared and finite: each failure doubles the wait, and lots are drawn.
     fn roll_failed(&mut self) {
         let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(AGAIN);
         let doubled = wait.times(f64::from(1 << self.s.roll_failures.min(3)) * (0.5 + self.rng.f64()));
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -7,7 +7,9 @@
     AttemptNumber, CallNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId,
     ZoneNo,
 };
-use crate::inputs::{NewQuery, NewShardRequest, Probed, Roll, RollEntry, RollKind, Standing, Told};
+use crate::inputs::{
+    Endpoint, EndpointList, EndpointListKind, NewQuery, NewShardRequest, Probed, Standing, Told,
+};
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -376,7 +378,7 @@
     pub further: VecDeque<(Tenths, ShardRequestId, AttemptNumber)>,
     /// When shard requests were asked for.
     pub asked: VecDeque<Tenths>,
-    /// No word of the roll has come since it was last asked for.
+    /// No word of the endpoint list has come since it was last asked for.
     pub roll_silent: bool,
     pub roll_failures: u32,
     /// Terms that are no longer the newest, and until when they still bind: a window of theirs reaches back.
@@ -640,8 +642,8 @@
         }
     }
 
-    /// Enters what the roll says of a node; tells whether its process is newer than the one known.
-    pub fn enter(&mut self, entry: &RollEntry) -> bool {
+    /// Enters what the endpoint list says of a node; tells whether its process is newer than the one known.
+    pub fn enter(&mut self, entry: &Endpoint) -> bool {
         self.nodes.entry(entry.node).or_default();
         let (mut newer, now) = (false, self.now);
         self.amend(entry.node, |node| {
@@ -653,19 +655,19 @@
         newer
     }
 
-    /// Takes a roll in, and tells which nodes run a newer process than the one known.
-    pub fn read_roll(&mut self, roll: &Roll) -> Vec<NodeId> {
-        if roll.kind != RollKind::Remembered {
+    /// Takes an endpoint list in, and tells which nodes run a newer process than the one known.
+    pub fn read_roll(&mut self, roll: &EndpointList) -> Vec<NodeId> {
+        if roll.kind != EndpointListKind::Cached {
             (self.roll_failures, self.roll_silent) = (0, false);
         }
-        if roll.kind != RollKind::Changes {
+        if roll.kind != EndpointListKind::Delta {
             self.unlist(roll);
         }
         roll.entries.iter().filter(|entry| self.enter(entry)).map(|entry| entry.node).collect()
     }
 
     /// What a full roll does not name is gone.
-    pub fn unlist(&mut self, roll: &Roll) {
+    pub fn unlist(&mut self, roll: &EndpointList) {
         let listed: BTreeSet<NodeId> = roll.entries.iter().map(|entry| entry.node).collect();
         let gone: Vec<NodeId> = self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
         for id in gone {
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -110,7 +110,7 @@
                 p.rules.fall_multiple = value(&words, "multiple", 3.0);
                 p.rules.fall_window = span(&words, "window", 1000.0);
                 p.rules.ask_within = span(&words, "ask-within", 10_000.0);
-                p.roll_on_request = words.contains(&"roll-on-request");
+                p.watch_on_request = words.contains(&"roll-on-request");
                 p.load_by_probe = words.contains(&"load-by-probe");
                 p.late_failure_cost = value(&words, "late-scrap", 0.05);
             }
@@ -148,12 +148,12 @@
     fn hear(&mut self, words: Words) {
         self.done.clear();
         let input = match words[0] {
-            "roll" if words[1] == "failed" => Input::RollFailed,
+            "roll" if words[1] == "failed" => Input::EndpointListFailed,
             "roll" => {
                 let kind = match words[1] {
-                    "full" => RollKind::Full,
-                    "remembered" => RollKind::Remembered,
-                    _ => RollKind::Changes,
+                    "full" => EndpointListKind::Snapshot,
+                    "remembered" => EndpointListKind::Cached,
+                    _ => EndpointListKind::Delta,
                 };
                 let entries = words[2..].iter().map(|word| {
                     let mut fields = word.split(':');
@@ -170,9 +170,9 @@
                     };
                     let started = fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms);
                     let zone = ZoneNo(fields.next().map_or(0, |zone| zone.parse().unwrap()));
-                    RollEntry { node, zone, cell, standing, started }
+                    Endpoint { node, zone, cell, standing, started }
                 });
-                Input::Roll(Roll { kind, entries: entries.collect() })
+                Input::EndpointList(EndpointList { kind, entries: entries.collect() })
             }
             "take" => {
                 let (rid, group) = (QueryId(id(words[1])), GroupNo(id(words[1]) as u32));
@@ -338,7 +338,7 @@
             }
             Effect::Probe { node } => format!("probe {}", name(node.0)),
             Effect::CloseIdle { node } => format!("close {}", name(node.0)),
-            Effect::FollowRoll => "follow".to_owned(),
+            Effect::WatchEndpoints => "follow".to_owned(),
             Effect::Say(line) => format!("say {line}"),
         });
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -136,7 +136,7 @@
                 window: Tenths::from_ms(window),
             }),
         },
-        roll_on_request: text.registry_mode == "subscribe",
+        watch_on_request: text.registry_mode == "subscribe",
         load_by_probe: text.limits.probes && text.stats.via == "pull",
         late_failure_cost: text.prices.late_fail,
     };
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -39,7 +39,7 @@
 fn reads_what_a_broker_and_its_front_need() {
     let text = with("/Surprise", json!([1])).to_string();
     let Intake { broker_config: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
-    assert_eq!((read.period, read.limits.max_open, read.roll_on_request), (Tenths(50), 111, false));
+    assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.effect, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.further.is_none());
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the brokers of one process: hands each what it heard, collects what it does.
 
 use crate::wire::{Batch, Event, Reply};
-use routing::{Broker, Input, Probed, Roll, RollEntry, RollKind, Tenths, Told};
+use routing::{Broker, Endpoint, EndpointList, EndpointListKind, Input, Probed, Tenths, Told};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     seats: BTreeMap<u16, Seat>,
     /// What the values of a load report are, for each broker.
     reports: BTreeMap<u16, Vec<Told>>,
-    lists: BTreeMap<u16, Arc<[RollEntry]>>,
+    lists: BTreeMap<u16, Arc<[Endpoint]>>,
 }
 
 impl Host {
@@ -36,7 +36,7 @@
                     heard.remove(&broker);
                 }
                 Event::List { number, entries } => _ = self.lists.insert(number, entries.into()),
-                Event::Roll { broker, number, form } => {
+                Event::EndpointList { broker, number, form } => {
                     let input = self.roll(number, form)?;
                     self.hear(&mut heard, broker, input)?;
                 }
@@ -73,14 +73,14 @@
 
     fn roll(&self, number: u16, form: u8) -> Result<Input, String> {
         let kind = match form {
-            0 => RollKind::Changes,
-            1 => RollKind::Full,
-            2 => RollKind::Remembered,
-            3 => return Ok(Input::RollFailed),
+            0 => EndpointListKind::Delta,
+            1 => EndpointListKind::Snapshot,
+            2 => EndpointListKind::Cached,
+            3 => return Ok(Input::EndpointListFailed),
             other => return Err(format!("list form {other} is unknown")),
         };
         let entries = self.lists.get(&number).ok_or_else(|| format!("list {number} never came"))?.clone();
-        Ok(Input::Roll(Roll { kind, entries }))
+        Ok(Input::EndpointList(EndpointList { kind, entries }))
     }
 }
 
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -71,7 +71,7 @@
 #[case(Effect::Say("two servers unknown".into()), "58 0300 1300 74776f207365727665727320756e6b6e6f776e")]
 #[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
 #[case(Effect::Respond { query: QueryId(1), complete: true }, "5c 0300 0100000000000000 01")]
-#[case(Effect::FollowRoll, "5a 0300 01")]
+#[case(Effect::WatchEndpoints, "5a 0300 01")]
 fn encodes(#[case] effect: Effect, #[case] record: &str) {
     let mut reply = Reply::default();
     reply.effect(3, &effect);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, GroupNo, Input, NewQuery,
-    NewShardRequest, NodeId, QueryId, RollEntry, ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, Endpoint, GroupNo, Input,
+    NewQuery, NewShardRequest, NodeId, QueryId, ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -19,8 +19,8 @@
 pub enum Event {
     Start { broker: u16, seed: u64, settings: Vec<u8> },
     Stop { broker: u16 },
-    List { number: u16, entries: Vec<RollEntry> },
-    Roll { broker: u16, number: u16, form: u8 },
+    List { number: u16, entries: Vec<Endpoint> },
+    EndpointList { broker: u16, number: u16, form: u8 },
     Probed { broker: u16, node: NodeId, sound: bool, report: Vec<f32> },
     Heard { broker: u16, input: Input },
 }
@@ -83,7 +83,7 @@
         (0..self.u8()?).map(|_| self.f32()).collect()
     }
 
-    fn entry(&mut self) -> Result<RollEntry, BadFrame> {
+    fn entry(&mut self) -> Result<Endpoint, BadFrame> {
         let (node, zone) = (self.node()?, ZoneNo(self.u16()?));
         let _kind = self.u16()?;
         let cell = CellNo(self.u16()?.into());
@@ -97,7 +97,7 @@
         let _size = self.f32()?;
         let started = self.f64()?;
         let started = (started > 0.0).then(|| Tenths::from_ms(started));
-        Ok(RollEntry { node, zone, cell, standing, started })
+        Ok(Endpoint { node, zone, cell, standing, started })
     }
 
     fn event(&mut self) -> Result<Event, BadFrame> {
@@ -121,7 +121,7 @@
             17 => {
                 let (number, form) = (self.u16()?, self.u8()?);
                 let _version = self.u32()?;
-                return Ok(Event::Roll { broker, number, form });
+                return Ok(Event::EndpointList { broker, number, form });
             }
             18 => self.knock()?,
             19 => {
@@ -272,7 +272,7 @@
                 self.records.put_u64_le(0);
                 self.records.put_f64_le(after.as_ms());
             }
-            Effect::FollowRoll => {
+            Effect::WatchEndpoints => {
                 self.record(90, broker);
                 self.records.put_u8(1);
             }
