--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -168,9 +168,9 @@
             .map(|node| Endpoint {
                 node: NodeId(node),
                 zone: ZoneNo(0),
-                cell: CellNo(node as u32),
-                standing: Standing::Ready,
-                started: None,
+                placement_group: CellNo(node as u32),
+                state: EndpointState::Ready,
+                started_at: None,
             })
             .collect(),
     };
--- a/crates/broker-bench/src/audit.rs
+++ b/crates/broker-bench/src/audit.rs
@@ -11,7 +11,7 @@
 //! | 6 | shard requests that reach hosts again, in any window, beside what was asked in it |
 
 use crate::outcome::Outcome;
-use routing::{Idempotency, RetryBudget, Standing, Tenths};
+use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the rules are for one class.
@@ -169,7 +169,13 @@
 
     /// A shard request reaches a host, of which its broker was last told this, then. `sent`: when it left, where that
     /// is known.
-    pub fn arrived(&mut self, now: Tenths, sent: Tenths, shard_request: PartNo, told: (Standing, Tenths)) {
+    pub fn arrived(
+        &mut self,
+        now: Tenths,
+        sent: Tenths,
+        shard_request: PartNo,
+        told: (EndpointState, Tenths),
+    ) {
         let (slack, grace) = (self.bounds.slack, self.bounds.grace);
         let Some(ShardRequest { asked, arrivals, may_have_run, .. }) =
             self.shard_requests.get_mut(shard_request.0)
@@ -192,10 +198,10 @@
             }
             _ => {}
         }
-        if told.0 != Standing::Ready {
+        if told.0 != EndpointState::Ready {
             self.nears(now, "3: sent after the word, of the grace", (sent - told.1).over(grace));
         }
-        if told.0 != Standing::Ready && sent - told.1 > grace + slack {
+        if told.0 != EndpointState::Ready && sent - told.1 > grace + slack {
             self.breaks(now, "3: sent past the grace to a host that drains or is gone");
         }
         if again {
@@ -337,7 +343,7 @@
     use super::*;
     use rstest::rstest;
 
-    const READY: (Standing, Tenths) = (Standing::Ready, Tenths(0));
+    const READY: (EndpointState, Tenths) = (EndpointState::Ready, Tenths(0));
 
     fn audit() -> Audit {
         let kind = |effect, least| Kind { deadline: Tenths(1000), least, effect, dedup_window: Tenths(500) };
@@ -365,8 +371,8 @@
     fn tells_how_near_a_rule_came() {
         let mut audit = audit();
         audit.asked(Tenths(0), 0, 0, Tenths(1000), &[0.5, 0.5]);
-        audit.arrived(Tenths(25), Tenths(25), PartNo(0), (Standing::Draining, Tenths(0)));
-        audit.arrived(Tenths(30), Tenths(30), PartNo(0), (Standing::Draining, Tenths(10)));
+        audit.arrived(Tenths(25), Tenths(25), PartNo(0), (EndpointState::Draining, Tenths(0)));
+        audit.arrived(Tenths(30), Tenths(30), PartNo(0), (EndpointState::Draining, Tenths(10)));
         audit.strained(Tenths(40), 0.75);
         audit.strained(Tenths(50), 0.25);
         let told: Vec<(u8, f64, Tenths)> = audit
@@ -418,7 +424,7 @@
             let mut end = |end: Final| _ = audit.ends(now, 0, &end);
             match word {
                 "a" => audit.arrived(now, now, shard_request, READY),
-                "d" => audit.arrived(now, now, shard_request, (Standing::Draining, Tenths(0))),
+                "d" => audit.arrived(now, now, shard_request, (EndpointState::Draining, Tenths(0))),
                 "t" => audit.taken(now, shard_request),
                 "m" => audit.made(now, shard_request),
                 "A" => end(Final::Answered { whole: true, held: shard_requests }),
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -3,8 +3,8 @@
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    AttemptOutcome, AttemptResult, BrokerConfig, CellNo, ClassId, Effect, GroupNo, Input, Layout, NewQuery,
-    NewShardRequest, NodeId, QueryId, RequestClass, ShardRequestId, Standing, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, CellNo, ClassId, Effect, EndpointState, GroupNo, Input,
+    Layout, NewQuery, NewShardRequest, NodeId, QueryId, RequestClass, ShardRequestId, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -78,9 +78,9 @@
             match input {
                 Input::EndpointList(roll) => {
                     for entry in roll.entries.iter() {
-                        match entry.standing {
-                            Standing::Ready => {
-                                let node = Node { cell: entry.cell, latency: None, out: 0 };
+                        match entry.state {
+                            EndpointState::Ready => {
+                                let node = Node { cell: entry.placement_group, latency: None, out: 0 };
                                 self.nodes.entry(entry.node).or_insert(node);
                             }
                             _ => _ = self.nodes.remove(&entry.node),
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -17,7 +17,7 @@
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
 use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
 use node_emulator::{Host, JobNo, Load, State, Taken};
-use routing::{Standing, Tenths};
+use routing::{EndpointState, Tenths};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
@@ -132,7 +132,7 @@
     inbox: Vec<(usize, usize, Heard)>,
     /// When discovery will tell of a host, and what it told last.
     telling: VecDeque<(Tenths, usize)>,
-    told: Vec<(Standing, Tenths)>,
+    told: Vec<(EndpointState, Tenths)>,
     brokers: Vec<Running>,
     /// Idle connections of clients by broker, and since when.
     idle: Vec<Vec<(Tenths, Client)>>,
@@ -181,7 +181,7 @@
             cut_offs: staging.classes.iter().map(|told| told.deadline).collect(),
             quotas: staging.quota_per_s.is_some(),
             catalog,
-            told: vec![(Standing::Gone, Tenths(0)); hosts.len()],
+            told: vec![(EndpointState::Removed, Tenths(0)); hosts.len()],
             nodes,
             hosts,
             heard,
@@ -510,7 +510,7 @@
         let entry = json!({"id": id, "host_port": self.nodes[host].address.to_string(), "locality": "hall",
             "cell": host as u32 % self.cast.cells, "phase": phase, "up_since_ms": started.unwrap_or(0.0)});
         self.catalog.set(&id, entry);
-        self.told[host] = (scene::standing(state), self.now);
+        self.told[host] = (scene::endpoint_state(state), self.now);
         self.rest().await
     }
 
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -14,8 +14,8 @@
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, GroupNo, Input, NewQuery, NewShardRequest, NodeId, QueryId, ShardNo,
-    ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
+    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
+    QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -156,7 +156,7 @@
     hosts: Vec<Host>,
     host_due: Vec<Option<Tenths>>,
     /// What the endpoint list last told of each host, and when.
-    told: Vec<(Standing, Tenths)>,
+    told: Vec<(EndpointState, Tenths)>,
     host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, AttemptNumber, usize)>,
     next_job: u64,
     jobs_of: BTreeMap<(usize, ShardRequestId, AttemptNumber), JobNo>,
@@ -206,7 +206,7 @@
             agenda: BinaryHeap::new(),
             seats,
             host_due: vec![None; hosts.len()],
-            told: vec![(Standing::Gone, Tenths(0)); hosts.len()],
+            told: vec![(EndpointState::Removed, Tenths(0)); hosts.len()],
             hosts,
             host_jobs: BTreeMap::new(),
             next_job: 0,
@@ -499,11 +499,11 @@
 
     fn full_roll(&mut self, broker: usize) {
         let all = (0..self.hosts.len()).map(|host| self.entry(host));
-        let entries: Vec<Endpoint> = all.filter(|entry| entry.standing != Standing::Gone).collect();
+        let entries: Vec<Endpoint> = all.filter(|entry| entry.state != EndpointState::Removed).collect();
         for host in 0..self.hosts.len() {
-            let standing = scene::standing(self.hosts[host].state());
-            if standing != self.told[host].0 {
-                self.told[host] = (standing, self.now);
+            let state = scene::endpoint_state(self.hosts[host].state());
+            if state != self.told[host].0 {
+                self.told[host] = (state, self.now);
             }
         }
         self.hear(
@@ -569,9 +569,9 @@
         Endpoint {
             node: NodeId(host as u64),
             zone: ZoneNo(self.weather.hall_of(host) as u16),
-            cell: CellNo(host as u32 % self.cast.cells),
-            standing: scene::standing(self.hosts[host].state()),
-            started: self.hosts[host].started(),
+            placement_group: CellNo(host as u32 % self.cast.cells),
+            state: scene::endpoint_state(self.hosts[host].state()),
+            started_at: self.hosts[host].started(),
         }
     }
 
@@ -580,7 +580,7 @@
             return;
         }
         let entry = self.entry(host);
-        self.told[host] = (entry.standing, self.now);
+        self.told[host] = (entry.state, self.now);
         for broker in 0..self.seats.len() {
             let roll = EndpointList { kind: EndpointListKind::Delta, entries: [entry.clone()].into() };
             self.hear(broker, Input::EndpointList(roll));
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -7,8 +7,8 @@
 use cluster_trace::plan::{Repeats, Staging};
 use node_emulator::{Build, Host, State};
 use routing::{
-    BrokerConfig, ClassId, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules, Standing, Tenant,
-    TenantId, Tenths,
+    BrokerConfig, ClassId, EndpointState, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules,
+    Tenant, TenantId, Tenths,
 };
 use serde_json::{Value, json};
 
@@ -75,11 +75,11 @@
     host
 }
 
-pub fn standing(state: State) -> Standing {
+pub fn endpoint_state(state: State) -> EndpointState {
     match state {
-        State::Ready => Standing::Ready,
-        State::Draining => Standing::Draining,
-        State::Dead => Standing::Gone,
+        State::Ready => EndpointState::Ready,
+        State::Draining => EndpointState::Draining,
+        State::Dead => EndpointState::Removed,
     }
 }
 
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, GroupNo, Input, NewQuery, NewShardRequest, NodeId, Probed, QueryId,
-    ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
+    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId, Probed,
+    QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -399,18 +399,18 @@
         }
         let mut entries = Vec::with_capacity(listing.nodes.len());
         for told in listing.nodes {
-            let standing = Standing::from(told.standing);
-            self.ready.set(self.ready.get() || standing == Standing::Ready);
+            let state = EndpointState::from(told.state);
+            self.ready.set(self.ready.get() || state == EndpointState::Ready);
             let next = names.last_node + 1;
             let node = *names.nodes.entry(told.name.clone()).or_insert(NodeId(next));
             names.last_node = names.last_node.max(node.0);
-            match standing {
-                Standing::Ready => names.ready.insert(node),
+            match state {
+                EndpointState::Ready => names.ready.insert(node),
                 _ => names.ready.remove(&node),
             };
-            let address = (standing != Standing::Gone).then_some(told.address);
-            self.nodes.listens(node, address, standing == Standing::Ready);
-            if standing == Standing::Gone {
+            let address = (state != EndpointState::Removed).then_some(told.address);
+            self.nodes.listens(node, address, state == EndpointState::Ready);
+            if state == EndpointState::Removed {
                 names.nodes.remove(&told.name);
             }
             let known = names.zones.iter().position(|zone| *zone == told.zone);
@@ -421,9 +421,9 @@
             entries.push(Endpoint {
                 node,
                 zone: ZoneNo(zone as u16),
-                cell: CellNo(told.cell),
-                standing,
-                started: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
+                placement_group: CellNo(told.cell),
+                state,
+                started_at: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
             });
         }
         self.hear(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
--- a/crates/broker/src/listing.rs
+++ b/crates/broker/src/listing.rs
@@ -1,6 +1,6 @@
 //! Nodes as discovery writes them down, in its own words.
 
-use routing::Standing;
+use routing::EndpointState;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     pub zone: String,
     pub cell: u32,
     #[serde(rename = "phase")]
-    pub standing: ListedStanding,
+    pub state: ListedStanding,
     /// In Unix time; 0 for long ago.
     #[serde(rename = "up_since_ms", default)]
     pub started_ms: f64,
@@ -38,12 +38,12 @@
     Gone,
 }
 
-impl From<ListedStanding> for Standing {
-    fn from(listed: ListedStanding) -> Standing {
+impl From<ListedStanding> for EndpointState {
+    fn from(listed: ListedStanding) -> EndpointState {
         match listed {
-            ListedStanding::Ready => Standing::Ready,
-            ListedStanding::Draining => Standing::Draining,
-            ListedStanding::Gone => Standing::Gone,
+            ListedStanding::Ready => EndpointState::Ready,
+            ListedStanding::Draining => EndpointState::Draining,
+            ListedStanding::Gone => EndpointState::Removed,
         }
     }
 }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -55,19 +55,19 @@
 pub struct Endpoint {
     pub node: NodeId,
     pub zone: ZoneNo,
-    pub cell: CellNo,
-    pub standing: Standing,
+    pub placement_group: CellNo,
+    pub state: EndpointState,
     /// When it last started; none: long ago.
-    pub started: Option<Tenths>,
+    pub started_at: Option<Tenths>,
 }
 
 /// What the endpoint list says of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -783,7 +783,7 @@
             // It may come back cold before the endpoint list says so: taken to start when last seen down. One lost
             // connection is not enough, or resets would starve sound nodes: a fallen one refuses the next.
             if down && fate == Fate::NeverRan && node.failures > 1 {
-                (node.started, node.start_heard) = (node.started.max(Some(now)), now);
+                (node.started_at, node.start_heard) = (node.started_at.max(Some(now)), now);
             }
         });
     }
@@ -821,7 +821,7 @@
     fn is_cold(&self, id: NodeId) -> bool {
         let warm_after =
             self.binding().map(|terms| terms.broker_config.rules.warm_after).max().unwrap_or_default();
-        self.s.nodes[&id].started.is_some_and(|at| self.s.now - at < warm_after)
+        self.s.nodes[&id].started_at.is_some_and(|at| self.s.now - at < warm_after)
     }
 
     /// Rule 4, whatever the other brokers send: a cold node gets this broker's even share of what one that
@@ -840,7 +840,7 @@
         let (p, node, now) = (&terms.broker_config, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
         let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(class, unheard));
-        let age = (now - node.started.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_after);
+        let age = (now - node.started_at.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_after);
         if age >= 1.0 {
             return true;
         }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -8,7 +8,7 @@
     ZoneNo,
 };
 use crate::inputs::{
-    Endpoint, EndpointList, EndpointListKind, NewQuery, NewShardRequest, Probed, Standing, Told,
+    Endpoint, EndpointList, EndpointListKind, EndpointState, NewQuery, NewShardRequest, Probed, Told,
 };
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -151,9 +151,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Node {
     pub zone: ZoneNo,
-    pub cell: CellNo,
-    pub standing: Standing,
-    pub started: Option<Tenths>,
+    pub placement_group: CellNo,
+    pub state: EndpointState,
+    pub started_at: Option<Tenths>,
     /// When this broker heard of that start.
     pub start_heard: Tenths,
     pub latency: Option<Tenths>,
@@ -484,14 +484,15 @@
     /// Changes a node that is known, and keeps the sums over the ready ones right.
     pub fn amend(&mut self, id: NodeId, change: impl FnOnce(&mut Node)) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
-        let figures = |node: &Node| match (node.standing, node.latency) {
-            (Standing::Ready, Some(latency)) => (1_usize, 1_usize, latency.0),
-            (Standing::Ready, None) => (1, 0, 0),
+        let figures = |node: &Node| match (node.state, node.latency) {
+            (EndpointState::Ready, Some(latency)) => (1_usize, 1_usize, latency.0),
+            (EndpointState::Ready, None) => (1, 0, 0),
             _ => (0, 0, 0),
         };
-        let (was, was_zone, before) = (node.cell, node.zone, figures(node));
+        let (was, was_zone, before) = (node.placement_group, node.zone, figures(node));
         change(node);
-        let (cell, zone, after, idle) = (node.cell, node.zone, figures(node), node.calls.is_empty());
+        let (placement_group, zone, after, idle) =
+            (node.placement_group, node.zone, figures(node), node.calls.is_empty());
         self.ready = self.ready + after.0 - before.0;
         self.ready_heard = self.ready_heard + after.1 - before.1;
         self.latencies = Tenths(self.latencies.0 + after.2 - before.2);
@@ -499,12 +500,12 @@
         *from = (from.0 - before.1, from.1 - before.2);
         let to = self.zones.entry(zone).or_default();
         *to = (to.0 + after.1, to.1 + after.2);
-        if before.0 == 1 && (after.0 == 0 || was != cell) {
+        if before.0 == 1 && (after.0 == 0 || was != placement_group) {
             self.holders.get_mut(&was).into_iter().for_each(|set| _ = set.remove(&id));
         }
-        if after.0 == 1 && (before.0 == 0 || was != cell) {
-            self.holders.entry(cell).or_default().insert(id);
-        } else if after.0 == 0 && idle && self.nodes[&id].standing == Standing::Gone {
+        if after.0 == 1 && (before.0 == 0 || was != placement_group) {
+            self.holders.entry(placement_group).or_default().insert(id);
+        } else if after.0 == 0 && idle && self.nodes[&id].state == EndpointState::Removed {
             self.nodes.remove(&id);
         }
     }
@@ -647,10 +648,10 @@
         self.nodes.entry(entry.node).or_default();
         let (mut newer, now) = (false, self.now);
         self.amend(entry.node, |node| {
-            newer = entry.started > node.started;
+            newer = entry.started_at > node.started_at;
             node.start_heard = if newer { now } else { node.start_heard };
-            node.started = node.started.max(entry.started);
-            (node.zone, node.cell, node.standing) = (entry.zone, entry.cell, entry.standing);
+            node.started_at = node.started_at.max(entry.started_at);
+            (node.zone, node.placement_group, node.state) = (entry.zone, entry.placement_group, entry.state);
         });
         newer
     }
@@ -671,7 +672,7 @@
         let listed: BTreeSet<NodeId> = roll.entries.iter().map(|entry| entry.node).collect();
         let gone: Vec<NodeId> = self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
         for id in gone {
-            self.amend(id, |node| node.standing = Standing::Gone);
+            self.amend(id, |node| node.state = EndpointState::Removed);
         }
     }
 
@@ -700,7 +701,9 @@
         layout: &'a Layout,
         shard_request: &ShardRequest,
     ) -> impl Iterator<Item = NodeId> + 'a {
-        let ids = layout.cells_of(shard_request.shard).filter_map(|cell| self.holders.get(&cell));
+        let ids = layout
+            .cells_of(shard_request.shard)
+            .filter_map(|placement_group| self.holders.get(&placement_group));
         ids.flatten().copied()
     }
 
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -158,19 +158,19 @@
                 let entries = words[2..].iter().map(|word| {
                     let mut fields = word.split(':');
                     let node = NodeId(id(fields.next().unwrap()));
-                    let cell = CellNo(fields.next().unwrap().parse().unwrap());
-                    let standing = match fields.next() {
-                        Some("draining") => Standing::Draining,
-                        Some("gone") => Standing::Gone,
-                        _ => Standing::Ready,
+                    let placement_group = CellNo(fields.next().unwrap().parse().unwrap());
+                    let state = match fields.next() {
+                        Some("draining") => EndpointState::Draining,
+                        Some("gone") => EndpointState::Removed,
+                        _ => EndpointState::Ready,
                     };
-                    match standing {
-                        Standing::Ready => self.barred.remove(&node),
+                    match state {
+                        EndpointState::Ready => self.barred.remove(&node),
                         _ => self.barred.insert(node),
                     };
-                    let started = fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms);
+                    let started_at = fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms);
                     let zone = ZoneNo(fields.next().map_or(0, |zone| zone.parse().unwrap()));
-                    Endpoint { node, zone, cell, standing, started }
+                    Endpoint { node, zone, placement_group, state, started_at }
                 });
                 Input::EndpointList(EndpointList { kind, entries: entries.collect() })
             }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, Endpoint, GroupNo, Input,
-    NewQuery, NewShardRequest, NodeId, QueryId, ShardNo, ShardRequestId, Standing, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, Endpoint, EndpointState, GroupNo,
+    Input, NewQuery, NewShardRequest, NodeId, QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -86,18 +86,18 @@
     fn entry(&mut self) -> Result<Endpoint, BadFrame> {
         let (node, zone) = (self.node()?, ZoneNo(self.u16()?));
         let _kind = self.u16()?;
-        let cell = CellNo(self.u16()?.into());
+        let placement_group = CellNo(self.u16()?.into());
         let at = self.at();
-        let standing = match self.u8()? {
-            0 => Standing::Gone,
-            1 => Standing::Ready,
-            2 => Standing::Draining,
+        let state = match self.u8()? {
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             other => return Err(BadFrame { what: format!("standing {other} is unknown"), at }),
         };
         let _size = self.f32()?;
-        let started = self.f64()?;
-        let started = (started > 0.0).then(|| Tenths::from_ms(started));
-        Ok(Endpoint { node, zone, cell, standing, started })
+        let started_at = self.f64()?;
+        let started_at = (started_at > 0.0).then(|| Tenths::from_ms(started_at));
+        Ok(Endpoint { node, zone, placement_group, state, started_at })
     }
 
     fn event(&mut self) -> Result<Event, BadFrame> {
