--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId, Probed,
-    QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
+    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
+    ProbeResult, QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -618,7 +618,7 @@
         for (node, words) in self.nodes.fetch_told() {
             let sound = words.is_some();
             let report = words.map(|words| read_report(&words)).unwrap_or_default();
-            self.hear(Input::Probed(Probed { node, sound, report }));
+            self.hear(Input::ProbeEnded(ProbeResult { node, sound, report }));
         }
     }
 
--- a/crates/broker/src/frame.rs
+++ b/crates/broker/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames between the broker and a node: a length, a letter, the rest.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use routing::{AttemptOutcome, Told};
+use routing::{AttemptOutcome, LoadMetric};
 use std::io;
 use tokio_util::codec::Decoder;
 
@@ -122,10 +122,10 @@
 }
 
 /// Reads a load report, `name=value` with commas between. What can't be read, or is no number, is passed over.
-pub fn read_report(words: &[u8]) -> Vec<(Told, f64)> {
+pub fn read_report(words: &[u8]) -> Vec<(LoadMetric, f64)> {
     let words = std::str::from_utf8(words).unwrap_or_default();
     let values = words.split(',').take(REPORTED).filter_map(|field| field.split_once('='));
-    values.filter_map(|(name, value)| Some((settings::told(name), value.parse().ok()?))).collect()
+    values.filter_map(|(name, value)| Some((settings::load_metric(name), value.parse().ok()?))).collect()
 }
 
 /// Reads `ID END SCORE REPORT`, a line feed, and the value. No decision reads the report: one that can't be
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -29,9 +29,9 @@
     /// A wake-up that was asked for.
     Woken,
     /// What came of a probe.
-    Probed(Probed),
+    ProbeEnded(ProbeResult),
     /// Word from another broker: heard, and not acted on.
-    Aside,
+    Ignored,
 }
 
 /// A endpoint list: all of them, or those that changed.
@@ -105,23 +105,23 @@
 
 /// What came of a probe.
 #[derive(Clone, Debug)]
-pub struct Probed {
+pub struct ProbeResult {
     pub node: NodeId,
     /// It was answered; else it failed, or its time was up.
     pub sound: bool,
     /// The node's load report; empty where none came.
-    pub report: Vec<(Told, f64)>,
+    pub report: Vec<(LoadMetric, f64)>,
 }
 
 /// A value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LoadMetric {
     /// Parts that wait.
-    Queue,
+    QueueLength,
     /// Parts served a second.
-    Rate,
+    ServiceRate,
     /// One that no decision reads.
-    Aside,
+    Ignored,
 }
 
 /// How an attempt ended.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -210,8 +210,8 @@
             Input::ResponseStarted(shard_request) => self.s.bind(shard_request),
             Input::AttemptEnded(outcome) => self.push_ended(outcome),
             Input::ClientLeft(id) => self.signal(*id, ClientLeft),
-            Input::Probed(probed) => self.s.note_probed(probed),
-            Input::Woken | Input::Aside => {}
+            Input::ProbeEnded(probed) => self.s.note_probed(probed),
+            Input::Woken | Input::Ignored => {}
         }
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -8,7 +8,8 @@
     ZoneNo,
 };
 use crate::inputs::{
-    Endpoint, EndpointList, EndpointListKind, EndpointState, NewQuery, NewShardRequest, Probed, Told,
+    Endpoint, EndpointList, EndpointListKind, EndpointState, LoadMetric, NewQuery, NewShardRequest,
+    ProbeResult,
 };
 use crate::time::Tenths;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -594,11 +595,15 @@
     }
 
     /// Keeps what a probe told; who waits for word looks again.
-    pub fn note_probed(&mut self, probed: &Probed) {
-        let sound = |told: &&(Told, f64)| told.1.is_finite() && told.1 >= 0.0;
+    pub fn note_probed(&mut self, probed: &ProbeResult) {
+        let sound = |told: &&(LoadMetric, f64)| told.1.is_finite() && told.1 >= 0.0;
         let number = |told| probed.report.iter().filter(sound).find(|t| t.0 == told).map(|t| t.1);
-        let load =
-            Load { at: self.now, sound: probed.sound, queue: number(Told::Queue), rate: number(Told::Rate) };
+        let load = Load {
+            at: self.now,
+            sound: probed.sound,
+            queue: number(LoadMetric::QueueLength),
+            rate: number(LoadMetric::ServiceRate),
+        };
         if let Some(node) = self.nodes.get_mut(&probed.node) {
             (node.probe_out, node.told) = (None, Some(load));
         }
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -201,10 +201,10 @@
                 Input::ClientLeft(QueryId(id(words[1])))
             }
             "told" => {
-                let queue = words[2].parse().map(|queue| (Told::Queue, queue)).into_iter();
-                let rate = words.get(3).map(|rate| (Told::Rate, rate.parse().unwrap()));
+                let queue = words[2].parse().map(|queue| (LoadMetric::QueueLength, queue)).into_iter();
+                let rate = words.get(3).map(|rate| (LoadMetric::ServiceRate, rate.parse().unwrap()));
                 let (node, report) = (NodeId(id(words[1])), queue.chain(rate).collect());
-                Input::Probed(Probed { node, sound: words[2] != "none", report })
+                Input::ProbeEnded(ProbeResult { node, sound: words[2] != "none", report })
             }
             "flowing" => Input::ResponseStarted(ShardRequestId(id(words[1]))),
             "end" => return self.end(words[1], words[2]),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,8 @@
 pub use revise::{Change, Revised, compare, revise};
 
 use routing::{
-    BrokerConfig, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules, Tenant, Tenths, Told, ZoneNo,
+    BrokerConfig, Idempotency, Layout, Limits, LoadMetric, RequestClass, RetryBudget, Rules, Tenant, Tenths,
+    ZoneNo,
 };
 use text::Text;
 
@@ -37,7 +38,7 @@
     pub zones: Vec<String>,
     pub lines: Lines,
     /// What the values of a load report are, in their order.
-    pub report: Vec<Told>,
+    pub report: Vec<LoadMetric>,
 }
 
 /// What holds for a connection to a node; none where the text is silent.
@@ -140,16 +141,16 @@
         load_by_probe: text.limits.probes && text.stats.via == "pull",
         late_failure_cost: text.prices.late_fail,
     };
-    let report = text.stats.fields.iter().map(|name| told(name)).collect();
+    let report = text.stats.fields.iter().map(|name| load_metric(name)).collect();
     Ok(Intake { broker_config, names, zones: text.areas.clone(), lines, report })
 }
 
 /// What a value of a load report is, by its name.
-pub fn told(name: &str) -> Told {
+pub fn load_metric(name: &str) -> LoadMetric {
     match name {
-        "queue" => Told::Queue,
-        "qps" => Told::Rate,
-        _ => Told::Aside,
+        "queue" => LoadMetric::QueueLength,
+        "qps" => LoadMetric::ServiceRate,
+        _ => LoadMetric::Ignored,
     }
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -45,7 +45,7 @@
     assert!(read.rules.further.is_none());
     assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
-    assert_eq!((report, read.load_by_probe), (vec![routing::Told::Queue], false));
+    assert_eq!((report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
     assert_eq!((lines.idle, lines.connect, lines.shard_requests), (Some(Tenths(150_000)), None, Some(32)));
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the brokers of one process: hands each what it heard, collects what it does.
 
 use crate::wire::{Batch, Event, Reply};
-use routing::{Broker, Endpoint, EndpointList, EndpointListKind, Input, Probed, Tenths, Told};
+use routing::{Broker, Endpoint, EndpointList, EndpointListKind, Input, LoadMetric, ProbeResult, Tenths};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 pub struct Host {
     seats: BTreeMap<u16, Seat>,
     /// What the values of a load report are, for each broker.
-    reports: BTreeMap<u16, Vec<Told>>,
+    reports: BTreeMap<u16, Vec<LoadMetric>>,
     lists: BTreeMap<u16, Arc<[Endpoint]>>,
 }
 
@@ -43,7 +43,7 @@
                 Event::Probed { broker, node, sound, report } => {
                     let fields = self.reports.get(&broker).into_iter().flatten().copied();
                     let report = fields.zip(report.into_iter().map(f64::from)).collect();
-                    self.hear(&mut heard, broker, Input::Probed(Probed { node, sound, report }))?;
+                    self.hear(&mut heard, broker, Input::ProbeEnded(ProbeResult { node, sound, report }))?;
                 }
                 Event::Heard { broker, input } => self.hear(&mut heard, broker, input)?,
             }
@@ -84,7 +84,7 @@
     }
 }
 
-fn start(text: &[u8], seed: u64, now: Tenths) -> (Seat, Vec<Told>) {
+fn start(text: &[u8], seed: u64, now: Tenths) -> (Seat, Vec<LoadMetric>) {
     match settings::read(text) {
         Ok(intake) => (Seat::Sound(Box::new(Broker::start(intake.broker_config, seed, now))), intake.report),
         Err(why) => (Seat::Broken(why), Vec::new()),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -144,7 +144,7 @@
                 let _sender = self.u32()?;
                 let count = usize::from(self.u16()?);
                 self.bytes(count)?;
-                Input::Aside
+                Input::Ignored
             }
             _ => return Ok(Event::Stop { broker }),
         };
