--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/door.rs
@@ -6,7 +6,7 @@
 use Found::{Calm, Harmed};
 use Mode::{Crowded, Open};
 use routing::{
-    AttemptOutcome, AttemptResult, BrokerConfig, Effect, GroupNo, Input, NewQuery, QueryId, TenantId, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, Effect, GroupId, Input, NewQuery, QueryId, TenantId, Tenths,
 };
 use std::collections::BTreeSet;
 
@@ -170,7 +170,7 @@
             }
         }
         let mut effects = self.step();
-        let (mut groups, mut ids) = (BTreeSet::<GroupNo>::new(), BTreeSet::<QueryId>::new());
+        let (mut groups, mut ids) = (BTreeSet::<GroupId>::new(), BTreeSet::<QueryId>::new());
         let mut least = BTreeSet::<QueryId>::new();
         for asked in &asked {
             match self.decide(asked) {
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,14 +1,14 @@
 //! What the door remembers, by how long it lives: a query for the turn in which it is asked, a tenant
 //! while it asks, the door for as long as the broker runs.
 
-use routing::{ClassId, GroupNo, QueryId, TenantId, Tenths, Window};
+use routing::{ClassId, GroupId, QueryId, TenantId, Tenths, Window};
 use std::collections::BTreeMap;
 
 /// A query that is asked in this turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
     pub id: QueryId,
-    pub group: GroupNo,
+    pub group: GroupId,
     pub tenant: TenantId,
     pub class: ClassId,
     pub client_attempt: u32,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/door.rs
@@ -7,13 +7,13 @@
 /// One broker, two nodes, quotas as given, tenants may be told when to come back.
 fn broker_config(quotas: &[f64]) -> BrokerConfig {
     let mut p = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
-    p.layout = Layout { cells: 2, reach: 1, shards: 2, per_call: 1 };
-    p.limits = Limits {
+    p.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
+    p.limits = RequestLimits {
         max_open: 1000,
         max_attempts: 3,
         retry_after: true,
         max_retry_after: Tenths(20_000),
-        ..Limits::default()
+        ..RequestLimits::default()
     };
     let class = RequestClass {
         latency_objective: Tenths(10_000),
@@ -52,7 +52,7 @@
         client_attempt: u32,
     ) -> Vec<Input> {
         self.next += 1;
-        let (id, group) = (QueryId(self.next), GroupNo(self.next as u32));
+        let (id, group) = (QueryId(self.next), GroupId(self.next as u32));
         let time_left = Tenths(20_000);
         let new = NewQuery {
             id,
@@ -69,7 +69,7 @@
             let shard_request = NewShardRequest {
                 id: ShardRequestId(self.next * 100 + u64::from(no)),
                 group,
-                shard: ShardNo(0),
+                shard: ShardId(0),
                 weight: 1.0,
             };
             heard.push(Input::ShardRequest(shard_request));
@@ -167,8 +167,8 @@
         entries: (0..2)
             .map(|node| Endpoint {
                 node: NodeId(node),
-                zone: ZoneNo(0),
-                placement_group: CellNo(node as u32),
+                zone: ZoneId(0),
+                placement_group: PlacementGroupId(node as u32),
                 state: EndpointState::Ready,
                 started_at: None,
             })
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -3,8 +3,8 @@
 //! no health, no cold shares). They hear and do what the module does, and are no part of the product.
 
 use routing::{
-    AttemptOutcome, AttemptResult, BrokerConfig, CellNo, ClassId, Effect, EndpointState, GroupNo, Input,
-    Layout, NewQuery, NewShardRequest, NodeId, QueryId, RequestClass, ShardRequestId, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointState, GroupId, Input, NewQuery,
+    NewShardRequest, NodeId, PlacementGroupId, QueryId, RequestClass, ShardLayout, ShardRequestId, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
 }
 
 struct Node {
-    cell: CellNo,
+    cell: PlacementGroupId,
     latency: Option<f64>,
     out: u32,
 }
@@ -38,11 +38,11 @@
 pub struct Baseline {
     how: How,
     rng: fastrand::Rng,
-    layout: Layout,
+    layout: ShardLayout,
     period: Tenths,
     classes: BTreeMap<ClassId, RequestClass>,
     nodes: BTreeMap<NodeId, Node>,
-    groups: BTreeMap<GroupNo, QueryId>,
+    groups: BTreeMap<GroupId, QueryId>,
     open: BTreeMap<QueryId, Open>,
     owner: BTreeMap<ShardRequestId, QueryId>,
     /// Parts that ended as full or timed out, and all, smoothed; and when.
@@ -158,7 +158,7 @@
     }
 
     fn choose(&mut self, shard_request: &NewShardRequest) -> Option<NodeId> {
-        let cells: BTreeSet<CellNo> = self.layout.cells_of(shard_request.shard).collect();
+        let cells: BTreeSet<PlacementGroupId> = self.layout.groups_of(shard_request.shard).collect();
         let holders: Vec<(NodeId, &Node)> = self
             .nodes
             .iter()
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -13,9 +13,9 @@
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
-    QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
+    EndpointList, EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId,
+    PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -370,7 +370,7 @@
         let (shard_requests, left) = (shard_requests.clone(), until - self.now);
         let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.class, left, &weights);
-        let (id, group) = (QueryId(no as u64), GroupNo(no as u32));
+        let (id, group) = (QueryId(no as u64), GroupId(no as u32));
         let (class, tenant) = (ClassId(of.class as u16), TenantId(of.tenant as u32));
         let work = Tenths::ZERO;
         let min_coverage_only = false;
@@ -379,7 +379,7 @@
         self.hear(broker, Input::Query(new));
         for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
             self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
-            let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardNo(*shard), *weight);
+            let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardId(*shard), *weight);
             self.hear(broker, Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
         let shard_requests = first..first + shard_requests.len();
@@ -568,8 +568,8 @@
     fn entry(&self, host: usize) -> Endpoint {
         Endpoint {
             node: NodeId(host as u64),
-            zone: ZoneNo(self.weather.hall_of(host) as u16),
-            placement_group: CellNo(host as u32 % self.cast.cells),
+            zone: ZoneId(self.weather.hall_of(host) as u16),
+            placement_group: PlacementGroupId(host as u32 % self.cast.cells),
             state: scene::endpoint_state(self.hosts[host].state()),
             started_at: self.hosts[host].started(),
         }
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -7,8 +7,8 @@
 use cluster_trace::plan::{Repeats, Staging};
 use node_emulator::{Build, Host, State};
 use routing::{
-    BrokerConfig, ClassId, EndpointState, Idempotency, Layout, Limits, RequestClass, RetryBudget, Rules,
-    Tenant, TenantId, Tenths,
+    BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
+    ShardLayout, Tenant, TenantId, Tenths,
 };
 use serde_json::{Value, json};
 
@@ -107,23 +107,28 @@
         classes: staging.classes.iter().enumerate().map(class).collect(),
         tenants: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
         over_quota_weight: OVER_SHARE,
-        layout: Layout { cells: cast.cells, reach: REACH, shards: staging.shards, per_call: 1 },
-        limits: Limits {
+        layout: ShardLayout {
+            placement_groups: cast.cells,
+            replica_groups: REACH,
+            shards: staging.shards,
+            max_batch_size: 1,
+        },
+        limits: RequestLimits {
             max_open: MOST_OPEN,
             max_attempts: MOST_PUSHES,
-            copies: true,
+            allow_hedging: true,
             allow_cancel: true,
             retry_after: true,
             max_retry_after: GOAL,
         },
-        rules: Rules {
-            cold_share: build.cold_share,
-            warm_after: build.warm_after,
-            fall_multiple: build.fall_multiple,
-            fall_window: build.fall_window,
-            ask_within: ASK_WITHIN,
+        rules: SafetyRules {
+            initial_capacity_share: build.initial_capacity_share,
+            warm_up_period: build.warm_up_period,
+            overload_factor: build.overload_factor,
+            overload_window: build.overload_window,
+            endpoint_list_max_age: ASK_WITHIN,
             drain_grace: GRACE,
-            further: budget(staging),
+            retry_budget: budget(staging),
         },
         ..BrokerConfig::default()
     }
@@ -148,9 +153,9 @@
     let tenant = |(no, quota): (usize, f64)| json!({"Name": tenant_name(no), "QuotaRps": quota});
     let tenants: Vec<Value> = quotas(staging).into_iter().enumerate().map(tenant).collect();
     let build = build(cast);
-    let mut rules = json!({"AskWithinMs": ASK_WITHIN.as_ms(), "ColdFrom": build.cold_share,
-        "WarmUpMs": build.warm_after.as_ms(), "OverloadFactor": build.fall_multiple,
-        "OverloadForMs": build.fall_window.as_ms(), "StopSendingWithinMs": GRACE.as_ms()});
+    let mut rules = json!({"AskWithinMs": ASK_WITHIN.as_ms(), "ColdFrom": build.initial_capacity_share,
+        "WarmUpMs": build.warm_up_period.as_ms(), "OverloadFactor": build.overload_factor,
+        "OverloadForMs": build.overload_window.as_ms(), "StopSendingWithinMs": GRACE.as_ms()});
     if let Some(budget) = staging.budget {
         rules["ExtraFloor"] = json!(budget.few);
         rules["ResendRatio"] = json!(budget.share);
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -8,9 +8,9 @@
 use admission_control::{Allowance, Door, Gated};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, CellNo, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, EndpointState, GroupNo, Input, NewQuery, NewShardRequest, NodeId,
-    ProbeResult, QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
+    EndpointList, EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId,
+    PlacementGroupId, ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
 };
 use settings::Intake;
 use std::cell::{Cell, RefCell};
@@ -39,14 +39,14 @@
 }
 
 pub struct RequestedShard {
-    pub shard: ShardNo,
+    pub shard: ShardId,
     pub weight: f64,
 }
 
 /// The final word on a query.
 #[derive(Debug)]
 pub enum Verdict {
-    Answer { whole: bool, items: Vec<(ShardNo, Bytes)> },
+    Answer { whole: bool, items: Vec<(ShardId, Bytes)> },
     Decline { retry_after: Tenths },
     Scrap,
 }
@@ -77,7 +77,7 @@
 
 struct OpenShardRequest {
     query: QueryId,
-    shard: ShardNo,
+    shard: ShardId,
     wire_id: Bytes,
     attempts: u16,
     value: Option<Bytes>,
@@ -313,7 +313,7 @@
         let id = QueryId(next());
         let shard_requests: Vec<ShardRequestId> =
             question.shard_requests.iter().map(|_| ShardRequestId(next())).collect();
-        let group = GroupNo(id.0 as u32);
+        let group = GroupId(id.0 as u32);
         let until = self.tenths(question.until);
         let class = edition.classes.get(&question.class);
         let goal =
@@ -350,7 +350,7 @@
     }
 
     /// Strikes a query from the book; what of it was not written yet is not sent any more.
-    fn close(&self, id: QueryId) -> Option<(Open, Vec<(ShardNo, Bytes)>)> {
+    fn close(&self, id: QueryId) -> Option<(Open, Vec<(ShardId, Bytes)>)> {
         let mut book = self.book.borrow_mut();
         let open = book.queries.remove(&id)?;
         let mut shard_requests = Vec::with_capacity(open.shard_requests.len());
@@ -420,8 +420,8 @@
             });
             entries.push(Endpoint {
                 node,
-                zone: ZoneNo(zone as u16),
-                placement_group: CellNo(told.cell),
+                zone: ZoneId(zone as u16),
+                placement_group: PlacementGroupId(told.cell),
                 state,
                 started_at: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
             });
@@ -659,7 +659,7 @@
         open.len()
     }
 
-    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardNo, Bytes)>) -> Verdict) {
+    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardId, Bytes)>) -> Verdict) {
         if let Some((open, items)) = self.close(id) {
             let verdict = verdict(items);
             open.count(&verdict, self.tenths(Instant::now()));
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -17,7 +17,7 @@
         let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
         desk.nodes.listens(NodeId(1), Some(address), true);
-        let shard_requests = vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }];
+        let shard_requests = vec![RequestedShard { shard: ShardId(0), weight: 1.0 }];
         let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
         let (class, tenant, until) = (ClassId(0), TenantId(0), Instant::now());
         let work = Tenths::ZERO;
@@ -50,7 +50,7 @@
             tenant: TenantId(0),
             until: Instant::now(),
             work: Tenths::ZERO,
-            shard_requests: vec![RequestedShard { shard: ShardNo(0), weight: 1.0 }],
+            shard_requests: vec![RequestedShard { shard: ShardId(0), weight: 1.0 }],
             text: Bytes::new(),
             holds: 0,
         };
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -124,7 +124,7 @@
         let connect = intake.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
         // No longer than that both clocks count from the call: what it costs grows with the calls.
         let longest_watch = TOLD_AFTER_SILENCE - TOLD_AFTER_WAIT;
-        let watch = (span(p.rules.ask_within) / 10).clamp(Duration::from_secs(1), longest_watch);
+        let watch = (span(p.rules.endpoint_list_max_age) / 10).clamp(Duration::from_secs(1), longest_watch);
         // Half is for noticing that it fell silent, half for the call that takes its place.
         let watch_slack = TOLD_AFTER_WAIT / 2;
         // In a third of the grace it is called, in one it answers, in the last the shard requests that wait are taken back.
@@ -147,7 +147,7 @@
             frame: 64 * KIB,
             id: 128,
             weight_slack: 0.01,
-            call_parts: (p.layout.per_call.max(1) as usize).min(line_parts),
+            call_parts: (p.layout.max_batch_size.max(1) as usize).min(line_parts),
             line_parts,
             connect: span(connect),
             half_frame: span(connect) / 4,
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -7,7 +7,7 @@
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{ClassId, Idempotency, ShardNo, TenantId, Tenths};
+use routing::{ClassId, Idempotency, ShardId, TenantId, Tenths};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -223,7 +223,7 @@
         Cow::Owned(text) => Bytes::from(text),
     };
     let shard_request = |shard_request: &AskedPart| RequestedShard {
-        shard: ShardNo(shard_request.shard),
+        shard: ShardId(shard_request.shard),
         weight: shard_request.weight,
     };
     Ok(Question {
@@ -238,7 +238,7 @@
     })
 }
 
-fn answer(whole: bool, items: &[(ShardNo, Bytes)], most: usize) -> Response<Bytes> {
+fn answer(whole: bool, items: &[(ShardId, Bytes)], most: usize) -> Response<Bytes> {
     let mut texts = Vec::with_capacity(items.len());
     for (shard, value) in items {
         // A frame that brings no text is a bad one, so all of them are.
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -98,7 +98,7 @@
         intake.broker_config.watch_on_request = true;
         // After a call that failed the module may wait no longer than what it then misses stays untold.
         let rules = &mut intake.broker_config.rules;
-        rules.ask_within = rules.ask_within.min(limits.untold);
+        rules.endpoint_list_max_age = rules.endpoint_list_max_age.min(limits.untold);
         Ok(Order {
             name: env("EDGE_NAME").or(file.name).ok_or("`name` is missing")?,
             listen: address("listen", file.listen)?,
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -125,7 +125,7 @@
 /// What the start worked out for sockets holds in every version: a document has the settings' own figures.
 fn keep_waits(to: &mut BrokerConfig, start: &BrokerConfig) {
     (to.send_lag, to.watch_on_request) = (start.send_lag, start.watch_on_request);
-    to.rules.ask_within = start.rules.ask_within;
+    to.rules.endpoint_list_max_age = start.rules.endpoint_list_max_age;
 }
 
 /// Does at the desk what is asked. What is shown changes in the same step as what is taken under: nobody can
--- a/crates/broker/src/versions/tests.rs
+++ b/crates/broker/src/versions/tests.rs
@@ -9,10 +9,10 @@
 fn a_version_keeps_the_waits_of_sockets() {
     let mut start =
         BrokerConfig { send_lag: Tenths(20_100), watch_on_request: true, ..BrokerConfig::default() };
-    start.rules.ask_within = Tenths(60_000);
+    start.rules.endpoint_list_max_age = Tenths(60_000);
     let mut version = BrokerConfig::default();
-    version.rules.ask_within = Tenths(500_000);
+    version.rules.endpoint_list_max_age = Tenths(500_000);
     keep_waits(&mut version, &start);
-    let kept = (version.send_lag, version.watch_on_request, version.rules.ask_within);
+    let kept = (version.send_lag, version.watch_on_request, version.rules.endpoint_list_max_age);
     assert_eq!(kept, (Tenths(20_100), true, Tenths(60_000)));
 }
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -12,11 +12,11 @@
 /// has been noticed, and an agent was called anew and heard with a third of the drain's grace to spare.
 #[rstest]
 fn a_silent_watch_is_noticed_in_time(
-    #[values(500.0, 10_000.0, 50_000.0, 600_000.0)] ask_within: f64,
+    #[values(500.0, 10_000.0, 50_000.0, 600_000.0)] endpoint_list_max_age: f64,
     #[values(60.0, 250.0, 1000.0, 5000.0)] grace: f64,
 ) {
     let mut intake = Intake::default();
-    intake.broker_config.rules.ask_within = Tenths::from_ms(ask_within);
+    intake.broker_config.rules.endpoint_list_max_age = Tenths::from_ms(endpoint_list_max_age);
     intake.broker_config.rules.drain_grace = Tenths::from_ms(grace);
     let limits = Limits::new(MACHINE, &intake).unwrap();
     assert!(limits.agent);
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -7,7 +7,7 @@
 use broker::Order;
 use broker::desk::{Question, RequestedShard, Verdict};
 use bytes::Bytes;
-use routing::{ClassId, ShardNo, TenantId, Tenths};
+use routing::{ClassId, ShardId, TenantId, Tenths};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -47,7 +47,7 @@
         tenant: TenantId(0),
         until: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
-        shard_requests: vec![RequestedShard { shard: ShardNo(3), weight: 1.0 }],
+        shard_requests: vec![RequestedShard { shard: ShardId(3), weight: 1.0 }],
         holds: text.len(),
         text,
     }
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -31,13 +31,13 @@
     /// Jobs that wait at the most; one more is turned away.
     pub queue: usize,
     /// Just started it does this share of its work...
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// ...and is warm after this; between, its share grows evenly.
-    pub warm_after: Tenths,
+    pub warm_up_period: Tenths,
     /// Sent more than this multiple of what it can do, while cold...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ...over this long, it falls over.
-    pub fall_window: Tenths,
+    pub overload_window: Tenths,
     /// So many jobs warm it, however long that takes; none: time does.
     pub warm_jobs: Option<u32>,
     pub cancel: Cancel,
@@ -60,10 +60,10 @@
         Build {
             cores: 4,
             queue: 64,
-            cold_share: 0.2,
-            warm_after: Tenths(170_000),
-            fall_multiple: 3.0,
-            fall_window: Tenths(10_000),
+            initial_capacity_share: 0.2,
+            warm_up_period: Tenths(170_000),
+            overload_factor: 3.0,
+            overload_window: Tenths(10_000),
             warm_jobs: None,
             cancel: Cancel::All,
         }
@@ -228,14 +228,14 @@
         let Some(started) = self.started else { return self.speed };
         let age = match self.build.warm_jobs {
             Some(jobs) => f64::from(self.done) / f64::from(jobs.max(1)),
-            None => (now - started).max(Tenths::ZERO).over(self.build.warm_after),
+            None => (now - started).max(Tenths::ZERO).over(self.build.warm_up_period),
         };
         let age = age.min(1.0);
-        self.speed * (self.build.cold_share + (1.0 - self.build.cold_share) * age)
+        self.speed * (self.build.initial_capacity_share + (1.0 - self.build.initial_capacity_share) * age)
     }
 
     pub fn is_cold(&self, now: Tenths) -> bool {
-        self.started.is_some_and(|started| now - started < self.build.warm_after)
+        self.started.is_some_and(|started| now - started < self.build.warm_up_period)
     }
 
     /// A job is sent, of so many microseconds at full speed.
@@ -269,12 +269,12 @@
 
     /// Whether what was sent to it over the window, with this, is more than it bears while cold.
     fn falls_by(&mut self, now: Tenths, us: u64) -> bool {
-        let since = now - self.build.fall_window;
+        let since = now - self.build.overload_window;
         while self.sent.pop_front_if(|(at, _)| *at < since).is_some() {}
         self.sent.push_back((now, us));
         let sent: u64 = self.sent.iter().map(|(_, us)| us).sum();
-        let can = self.build.cores as f64 * self.share(now) * self.build.fall_window.as_ms() * 1000.0;
-        self.strain = sent as f64 / (self.build.fall_multiple * can).max(1.0);
+        let can = self.build.cores as f64 * self.share(now) * self.build.overload_window.as_ms() * 1000.0;
+        self.strain = sent as f64 / (self.build.overload_factor * can).max(1.0);
         self.strain > 1.0
     }
 
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,6 +1,6 @@
 //! What a broker is handed when it starts: how the service is to be served.
 
-use crate::ids::{CellNo, ClassId, ShardNo, TenantId, ZoneNo};
+use crate::ids::{ClassId, PlacementGroupId, ShardId, TenantId, ZoneId};
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 pub struct BrokerConfig {
     /// How many brokers serve together.
     pub brokers: u32,
-    pub zone: ZoneNo,
+    pub zone: ZoneId,
     /// The least time between two turns.
     pub period: Tenths,
     /// The longest that an attempt may take from its turn to its node.
@@ -20,9 +20,9 @@
     pub tenants: BTreeMap<TenantId, Tenant>,
     /// A query beyond its tenant's share earns this part of its priority weight.
     pub over_quota_weight: f64,
-    pub layout: Layout,
-    pub limits: Limits,
-    pub rules: Rules,
+    pub layout: ShardLayout,
+    pub limits: RequestLimits,
+    pub rules: SafetyRules,
     /// The endpoint list comes only to those who follow it.
     pub watch_on_request: bool,
     /// Nodes may be probed, and tell their load only then.
@@ -73,31 +73,31 @@
 
 /// Which nodes hold which shard.
 #[derive(Clone, Debug, Default)]
-pub struct Layout {
-    pub cells: u32,
+pub struct ShardLayout {
+    pub placement_groups: u32,
     /// Cells in a row that hold a shard.
-    pub reach: u32,
+    pub replica_groups: u32,
     pub shards: u32,
     /// The most shard requests that share a call.
-    pub per_call: u32,
+    pub max_batch_size: u32,
 }
 
-impl Layout {
+impl ShardLayout {
     /// The cells whose nodes hold a shard.
-    pub fn cells_of(&self, shard: ShardNo) -> impl Iterator<Item = CellNo> + '_ {
-        let cells = self.cells.max(1);
-        (0..self.reach.min(cells)).map(move |j| CellNo((shard.0 % cells + j) % cells))
+    pub fn groups_of(&self, shard: ShardId) -> impl Iterator<Item = PlacementGroupId> + '_ {
+        let groups = self.placement_groups.max(1);
+        (0..self.replica_groups.min(groups)).map(move |j| PlacementGroupId((shard.0 % groups + j) % groups))
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Limits {
+pub struct RequestLimits {
     /// The most queries and shard requests held at once.
     pub max_open: u32,
     /// The most attempts for one shard request.
     pub max_attempts: u32,
     /// A shard request may have two attempts out at once.
-    pub copies: bool,
+    pub allow_hedging: bool,
     pub allow_cancel: bool,
     /// Tenants are told how long to stay away, up to `max_retry_after`.
     pub retry_after: bool,
@@ -105,20 +105,20 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct SafetyRules {
     /// A node starts with this share of its capacity, or more.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// It is warm no later than this.
-    pub warm_after: Tenths,
+    pub warm_up_period: Tenths,
     /// Sent more than this multiple of what it can do...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ...for this long, a cold node falls over.
-    pub fall_window: Tenths,
+    pub overload_window: Tenths,
     /// Without a live roll, what was listed this long ago counts as told.
-    pub ask_within: Tenths,
+    pub endpoint_list_max_age: Tenths,
     /// Nothing new goes to a node later than this after it was told to drain, or to be gone.
     pub drain_grace: Tenths,
-    pub further: Option<RetryBudget>,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// The stated budget for attempts beyond a shard request's first.
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -14,21 +14,21 @@
     /// One part of a query.
     ShardRequestId(u64);
     /// What ties the shard requests to their query when they are handed over.
-    GroupNo(u32);
+    GroupId(u32);
     /// An attempt of a shard request: 0 for the first, counted up in sending order.
     AttemptNumber(u16);
     /// A call that carries one or more attempts to one node.
-    CallNo(u64);
+    BatchId(u64);
     /// A node: its address and port.
     NodeId(u64);
     /// A shard of the data.
-    ShardNo(u32);
+    ShardId(u32);
     /// A cell of nodes; cells decide who holds which shard.
-    CellNo(u32);
+    PlacementGroupId(u32);
     /// A place in the list of classes.
     ClassId(u16);
     /// A place in the list of tenants that share the service.
     TenantId(u32);
     /// A place in the list of zones.
-    ZoneNo(u16);
+    ZoneId(u16);
 }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -2,7 +2,8 @@
 
 use crate::config::BrokerConfig;
 use crate::ids::{
-    AttemptNumber, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId, ZoneNo,
+    AttemptNumber, ClassId, GroupId, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId,
+    ZoneId,
 };
 use crate::time::Tenths;
 use std::sync::Arc;
@@ -54,8 +55,8 @@
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     pub node: NodeId,
-    pub zone: ZoneNo,
-    pub placement_group: CellNo,
+    pub zone: ZoneId,
+    pub placement_group: PlacementGroupId,
     pub state: EndpointState,
     /// When it last started; none: long ago.
     pub started_at: Option<Tenths>,
@@ -73,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct NewQuery {
     pub id: QueryId,
-    pub group: GroupNo,
+    pub group: GroupId,
     pub class: ClassId,
     pub tenant: TenantId,
     /// How long its tenant will wait.
@@ -89,8 +90,8 @@
 #[derive(Clone, Debug)]
 pub struct NewShardRequest {
     pub id: ShardRequestId,
-    pub group: GroupNo,
-    pub shard: ShardNo,
+    pub group: GroupId,
+    pub shard: ShardId,
     pub weight: f64,
 }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -3,7 +3,7 @@
 //! handed at start in `configuration.rs`, what it remembers in `state.rs`; `docs/design.md` tells why. Read
 //! `TABLE` first, the life of a query, then `ENDS`, what each end of an attempt means. The rest serves them.
 
-use crate::config::{BrokerConfig, Idempotency, Layout, RequestClass, RetryBudget};
+use crate::config::{BrokerConfig, Idempotency, RequestClass, RetryBudget, ShardLayout};
 use crate::effects::Effect;
 use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
 use crate::inputs::{AttemptOutcome, AttemptResult, EndpointList, Input, NewQuery};
@@ -151,7 +151,12 @@
         let rows = p.classes.iter().map(|(no, c)| (*no, Arc::new(row(c)))).collect();
         let shortest_goal =
             p.classes.values().map(|c| c.latency_objective.min(c.deadline)).min().unwrap_or(SPAN);
-        Terms { rows, further: p.rules.further.clone().unwrap_or(own), shortest_goal, broker_config: p }
+        Terms {
+            rows,
+            retry_budget: p.rules.retry_budget.clone().unwrap_or(own),
+            shortest_goal,
+            broker_config: p,
+        }
     }
 
     /// Takes a new configuration. What outlives the old one goes by what it means: rates by tenant, payoffs by
@@ -160,7 +165,8 @@
     fn prescribe(&mut self, broker_config: BrokerConfig) {
         let old = std::mem::replace(&mut self.terms, Arc::new(Broker::read(broker_config)));
         let rules = &old.broker_config.rules;
-        let binds = (old.further.window + self.leaves_by()).max(rules.warm_after).max(rules.fall_window);
+        let binds =
+            (old.retry_budget.window + self.leaves_by()).max(rules.warm_up_period).max(rules.overload_window);
         let (now, new) = (self.s.now, &self.terms);
         self.s.room = self.s.room.min(f64::from(new.broker_config.limits.max_open.max(1)));
         let alike =
@@ -182,7 +188,7 @@
         self.s.now = now;
         self.s.average = self.s.mean_latency();
         self.s.past.retain(|(until, _)| *until > now);
-        let longest = self.binding().map(|terms| terms.further.window).max().unwrap_or_default();
+        let longest = self.binding().map(|terms| terms.retry_budget.window).max().unwrap_or_default();
         self.s.forget(now - longest + self.leaves_by(), now - longest - self.leaves_by());
         for input in inputs {
             self.hear(input);
@@ -522,9 +528,9 @@
     fn push(&mut self, r: &mut Query, at: usize) {
         let now = self.s.now;
         let (goal, late_life) = (r.row.goal, r.row.late_life);
-        let further = !r.shard_requests[at].attempts.is_empty();
-        let held = further && self.kills(r);
-        if held && r.weight(&[ShardRequestState::Out]) == 0.0 || further && !self.may_push_again(r, at, true)
+        let is_retry = !r.shard_requests[at].attempts.is_empty();
+        let held = is_retry && self.kills(r);
+        if held && r.weight(&[ShardRequestState::Out]) == 0.0 || is_retry && !self.may_push_again(r, at, true)
         {
             // It brings nodes down, or waited so long that another attempt is no longer harmless.
             r.shard_requests[at].stage =
@@ -532,7 +538,7 @@
             return;
         }
         let shard_request = &mut r.shard_requests[at];
-        let may = !held && (!further || self.further_left());
+        let may = !held && (!is_retry || self.has_retry_budget());
         let Some(node) = self.choose(&r.terms.broker_config.layout, r.class, shard_request).filter(|_| may)
         else {
             // No holder may have it now, or the budget is spent: it waits while that can help.
@@ -543,10 +549,10 @@
         let no = AttemptNumber(shard_request.attempts.len() as u16);
         let (id, within_quota, class, out) = (shard_request.id, r.within_quota, r.class, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
-        self.s.further.extend(further.then_some((now, id, no)));
+        self.s.retries.extend(is_retry.then_some((now, id, no)));
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
-        let (cold, per_call) = (self.is_cold(node), self.terms.broker_config.layout.per_call);
-        let call = self.s.board(node, per_call, cold.then_some(class), lull);
+        let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
+        let call = self.s.board(node, max_batch_size, cold.then_some(class), lull);
         shard_request.stage = ShardRequestState::Out;
         shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
         let ticket = Ticket { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
@@ -572,7 +578,12 @@
 
     /// The replica rule: least smoothed latency x (own calls out + 1), where joining a call of this turn
     /// opens no other. Close calls go to the own zone, then to a call of this turn, then by lot.
-    fn choose(&mut self, layout: &Layout, class: ClassId, shard_request: &ShardRequest) -> Option<NodeId> {
+    fn choose(
+        &mut self,
+        layout: &ShardLayout,
+        class: ClassId,
+        shard_request: &ShardRequest,
+    ) -> Option<NodeId> {
         let open = |id: &NodeId| shard_request.attempts.iter().all(|p| p.node != *id || p.fate != Fate::Out);
         let tried = |id: &NodeId| shard_request.attempts.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
@@ -583,9 +594,9 @@
         let all_tried = usable.iter().all(tried);
         let worth = usable.iter().filter(|id| all_tried || !tried(id));
         let score = |node: &Node| {
-            let joins = node
-                .riding
-                .is_some_and(|(_, shard_requests)| shard_requests < self.terms.broker_config.layout.per_call);
+            let joins = node.riding.is_some_and(|(_, shard_requests)| {
+                shard_requests < self.terms.broker_config.layout.max_batch_size
+            });
             self.latency(node).0 as f64 * ((node.calls.len() + usize::from(!joins)) as f64 + self.load(node))
         };
         let scored: Vec<(f64, NodeId)> = worth.map(|id| (score(&self.s.nodes[id]), *id)).collect();
@@ -656,13 +667,13 @@
             let deaf = silent && self.deaf_line(id, no);
             let lost = overtaken || silent;
             let limits = &r.terms.broker_config.limits;
-            let may = limits.copies || (overtaken || deaf) && limits.allow_cancel;
+            let may = limits.allow_hedging || (overtaken || deaf) && limits.allow_cancel;
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
             let other = self.choose(&r.terms.broker_config.layout, r.class, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
             let faster = elsewhere.is_some_and(|there| there < here && now + there < r.objective_at);
-            if again && faster && self.further_left() {
-                if limits.copies {
+            if again && faster && self.has_retry_budget() {
+                if limits.allow_hedging {
                     self.s.want(&mut r.shard_requests[at]);
                 } else {
                     self.s.effects.push(Effect::Cancel { shard_request: id, attempt: no });
@@ -688,8 +699,8 @@
         let then = self.s.now + self.leaves_by();
         let pays = row.priority_weight / r.shard_requests.len() as f64;
         let best = self.s.pays.values().map(|p| p[1]).fold(pays, f64::max).max(f64::MIN_POSITIVE);
-        let further = f64::from(r.terms.broker_config.limits.max_attempts.max(1) - 1) * pays / best;
-        shard_request.attempts.len() <= (further + 0.5) as usize
+        let most_retries = f64::from(r.terms.broker_config.limits.max_attempts.max(1) - 1) * pays / best;
+        shard_request.attempts.len() <= (most_retries + 0.5) as usize
             && self.effects_of(r).all(|(effect, window)| match (effect, first) {
                 (_, None) | (Idempotency::Idempotent, _) => true,
                 (Idempotency::IdempotencyKey, Some(first)) => then - first <= window,
@@ -709,7 +720,7 @@
         let ticket = self.s.tickets.remove(&(outcome.shard_request, outcome.attempt));
         ticket.iter().for_each(|ticket| self.learn(ticket, outcome, end));
         if end.1 == Fate::Void {
-            self.s.further.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.attempt));
+            self.s.retries.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.attempt));
         }
         let Some((mut r, at)) = self.s.lift(outcome.shard_request) else { return };
         let (rid, was) = (r.id, r.shard_requests[at].stage);
@@ -819,9 +830,9 @@
     }
 
     fn is_cold(&self, id: NodeId) -> bool {
-        let warm_after =
-            self.binding().map(|terms| terms.broker_config.rules.warm_after).max().unwrap_or_default();
-        self.s.nodes[&id].started_at.is_some_and(|at| self.s.now - at < warm_after)
+        let warm_up_period =
+            self.binding().map(|terms| terms.broker_config.rules.warm_up_period).max().unwrap_or_default();
+        self.s.nodes[&id].started_at.is_some_and(|at| self.s.now - at < warm_up_period)
     }
 
     /// Rule 4, whatever the other brokers send: a cold node gets this broker's even share of what one that
@@ -839,13 +850,13 @@
     fn bears(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId, terms: &Terms) -> bool {
         let (p, node, now) = (&terms.broker_config, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
-        let (window, heard, cost) = (rules.fall_window, node.start_heard, self.s.pace(class, unheard));
-        let age = (now - node.started_at.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_after);
+        let (window, heard, cost) = (rules.overload_window, node.start_heard, self.s.pace(class, unheard));
+        let age = (now - node.started_at.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_up_period);
         if age >= 1.0 {
             return true;
         }
-        let share = rules.cold_share + (1.0 - rules.cold_share) * age;
-        let bears = window.times(rules.fall_multiple * share).0.max(1) as f64;
+        let share = rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age;
+        let bears = window.times(rules.overload_factor * share).0.max(1) as f64;
         let sent = |from| node.sent_cold(from).map(|class| self.s.pace(class, unheard)).sum::<f64>();
         let lately = sent(now - window);
         if bears / all >= cost || p.brokers <= 1 || lately > 0.0 && node.failures > 1 {
@@ -874,14 +885,14 @@
     fn follow_roll(&mut self) {
         if self.s.roll_silent {
             self.s.effects.push(Effect::WatchEndpoints);
-            let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(0.5);
+            let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(0.5);
             self.s.agenda.insert((self.s.now + wait, Due::FollowRoll));
         }
     }
 
     /// The endpoint list's service is shared and finite: each failure doubles the wait, and lots are drawn.
     fn roll_failed(&mut self) {
-        let wait = self.terms.broker_config.rules.ask_within.max(SPAN).times(AGAIN);
+        let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(AGAIN);
         let doubled = wait.times(f64::from(1 << self.s.roll_failures.min(3)) * (0.5 + self.rng.f64()));
         (self.s.roll_failures, self.s.roll_silent) = (self.s.roll_failures + 1, true);
         self.s.agenda.retain(|(_, due)| *due != Due::FollowRoll);
@@ -917,13 +928,13 @@
 
     /// Rule 6, and the broker's own restraint: in any window a few, plus a share of what was taken. What was
     /// taken counts over a window shorter by the way to a node, further attempts over a longer.
-    fn further_left(&self) -> bool {
+    fn has_retry_budget(&self) -> bool {
         let slack = self.leaves_by();
-        self.binding().all(|Terms { further, .. }| {
-            let since = self.s.now - further.window;
+        self.binding().all(|Terms { retry_budget, .. }| {
+            let since = self.s.now - retry_budget.window;
             let taken = self.s.taken.len() - self.s.taken.partition_point(|at| *at < since + slack);
-            let spent = self.s.further.len() - self.s.further.partition_point(|f| f.0 < since - slack);
-            (spent + 1) as f64 <= further.floor + further.share * taken as f64
+            let spent = self.s.retries.len() - self.s.retries.partition_point(|f| f.0 < since - slack);
+            (spent + 1) as f64 <= retry_budget.floor + retry_budget.share * taken as f64
         })
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,11 +1,11 @@
 //! What a broker remembers, grouped by how long it lives: for one attempt, for one query (with
 //! its shard requests), for one node, for the instance.
 
-use crate::config::{BrokerConfig, Idempotency, Layout, RetryBudget};
+use crate::config::{BrokerConfig, Idempotency, RetryBudget, ShardLayout};
 use crate::effects::Effect;
 use crate::ids::{
-    AttemptNumber, CallNo, CellNo, ClassId, GroupNo, NodeId, QueryId, ShardNo, ShardRequestId, TenantId,
-    ZoneNo,
+    AttemptNumber, BatchId, ClassId, GroupId, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId,
+    TenantId, ZoneId,
 };
 use crate::inputs::{
     Endpoint, EndpointList, EndpointListKind, EndpointState, LoadMetric, NewQuery, NewShardRequest,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Ticket {
     pub node: NodeId,
-    pub call: CallNo,
+    pub call: BatchId,
     pub within_quota: bool,
     pub class: ClassId,
     /// The latency objective of its class.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct ShardRequest {
     pub id: ShardRequestId,
-    pub shard: ShardNo,
+    pub shard: ShardId,
     pub weight: f64,
     pub stage: ShardRequestState,
     /// Its answer has begun to flow: bound to one attempt.
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug)]
 pub struct Query {
     pub id: QueryId,
-    pub group: GroupNo,
+    pub group: GroupId,
     pub class: ClassId,
     /// Those under which it was taken, to its end.
     pub terms: Arc<Terms>,
@@ -151,8 +151,8 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    pub zone: ZoneNo,
-    pub placement_group: CellNo,
+    pub zone: ZoneId,
+    pub placement_group: PlacementGroupId,
     pub state: EndpointState,
     pub started_at: Option<Tenths>,
     /// When this broker heard of that start.
@@ -165,13 +165,13 @@
     /// Failures in a row.
     pub failures: u32,
     pub failed_at: Tenths,
-    pub calls: BTreeMap<CallNo, Call>,
+    pub calls: BTreeMap<BatchId, Call>,
     /// A probe that is not answered yet was sent then.
     pub probe_out: Option<Tenths>,
     /// What it told of itself, and when; none while a probe is out.
     pub told: Option<Load>,
     /// The call of this turn, and how many shard requests it carries.
-    pub riding: Option<(CallNo, u32)>,
+    pub riding: Option<(BatchId, u32)>,
     pub line: Option<(Line, Tenths)>,
     /// When attempts went to it while it was cold.
     pub cold_pushes: VecDeque<(Tenths, ClassId)>,
@@ -284,7 +284,7 @@
 pub struct Terms {
     pub broker_config: BrokerConfig,
     pub rows: BTreeMap<ClassId, Arc<ClassPolicy>>,
-    pub further: RetryBudget,
+    pub retry_budget: RetryBudget,
     pub shortest_goal: Tenths,
 }
 
@@ -329,17 +329,17 @@
     pub effects: Vec<Effect>,
     pub nodes: BTreeMap<NodeId, Node>,
     /// The ready nodes of each cell.
-    pub holders: BTreeMap<CellNo, BTreeSet<NodeId>>,
+    pub holders: BTreeMap<PlacementGroupId, BTreeSet<NodeId>>,
     /// Over the ready nodes: how many, how many of them were heard of, the sum of their latencies.
     pub ready: usize,
     pub ready_heard: usize,
     pub latencies: Tenths,
     /// The same for each zone: how many were heard of, and the sum.
-    pub zones: BTreeMap<ZoneNo, (usize, i64)>,
+    pub zones: BTreeMap<ZoneId, (usize, i64)>,
     /// Nodes that a call of this turn goes to.
     pub boarded: Vec<NodeId>,
     pub queries: BTreeMap<QueryId, Query>,
-    pub groups: BTreeMap<GroupNo, QueryId>,
+    pub groups: BTreeMap<GroupId, QueryId>,
     pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
     pub tickets: BTreeMap<(ShardRequestId, AttemptNumber), Ticket>,
     pub agenda: BTreeSet<(Tenths, Due)>,
@@ -352,7 +352,7 @@
     pub probing: BTreeSet<QueryId>,
     /// Parts to be sent this turn, in order.
     pub wanted: Vec<ShardRequestId>,
-    pub next_call: CallNo,
+    pub next_call: BatchId,
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
     pub paces: BTreeMap<ClassId, Pace>,
@@ -374,9 +374,9 @@
     pub pays: BTreeMap<ClassId, [f64; 2]>,
     pub tenants: BTreeMap<TenantId, Fading>,
     /// Questions not asked again until then.
-    pub barred: BTreeMap<(ClassId, BTreeSet<ShardNo>), Tenths>,
+    pub barred: BTreeMap<(ClassId, BTreeSet<ShardId>), Tenths>,
     pub taken: VecDeque<Tenths>,
-    pub further: VecDeque<(Tenths, ShardRequestId, AttemptNumber)>,
+    pub retries: VecDeque<(Tenths, ShardRequestId, AttemptNumber)>,
     /// When shard requests were asked for.
     pub asked: VecDeque<Tenths>,
     /// No word of the endpoint list has come since it was last asked for.
@@ -419,7 +419,7 @@
     }
 
     /// What it asks for; one that comes again asks for the same.
-    pub fn question(&self) -> (ClassId, BTreeSet<ShardNo>) {
+    pub fn question(&self) -> (ClassId, BTreeSet<ShardId>) {
         (self.class, self.shard_requests.iter().map(|shard_request| shard_request.shard).collect())
     }
 
@@ -450,7 +450,7 @@
     }
 
     /// A shard request's attempt has come to its end.
-    pub fn leave(&mut self, call: CallNo) {
+    pub fn leave(&mut self, call: BatchId) {
         if let Some(call) = self.calls.get_mut(&call) {
             call.parts_out -= 1;
         }
@@ -477,7 +477,7 @@
     }
 
     /// The mean over a zone's ready nodes, as far as they were heard of, together with `more` at `average`.
-    pub fn zone_mean(&self, zone: ZoneNo, average: Tenths, more: f64) -> Tenths {
+    pub fn zone_mean(&self, zone: ZoneId, average: Tenths, more: f64) -> Tenths {
         let (heard, sum) = self.zones.get(&zone).copied().unwrap_or_default();
         Tenths(((sum as f64 + more * average.0 as f64) / (heard as f64 + more)) as i64)
     }
@@ -621,14 +621,14 @@
     pub fn board(
         &mut self,
         id: NodeId,
-        per_call: u32,
+        max_batch_size: u32,
         cold: Option<ClassId>,
         line: Option<(Line, Tenths)>,
-    ) -> CallNo {
+    ) -> BatchId {
         let now = self.now;
         let node = self.nodes.entry(id).or_default();
         let (call, shard_requests) = match node.riding {
-            Some((call, shard_requests)) if shard_requests < per_call => (call, shard_requests + 1),
+            Some((call, shard_requests)) if shard_requests < max_batch_size => (call, shard_requests + 1),
             _ => {
                 self.next_call.0 += 1;
                 (self.next_call, 1)
@@ -688,10 +688,10 @@
     }
 
     /// Drops what was taken, and what was pushed further, before these moments.
-    pub fn forget(&mut self, taken: Tenths, further: Tenths) {
+    pub fn forget(&mut self, taken: Tenths, retries: Tenths) {
         while self.taken.pop_front_if(|at| *at < taken).is_some() {}
         while self.asked.pop_front_if(|at| *at < taken).is_some() {}
-        while self.further.pop_front_if(|attempt| attempt.0 < further).is_some() {}
+        while self.retries.pop_front_if(|retry| retry.0 < retries).is_some() {}
     }
 
     /// An attempt was dropped at once after such a lull; the shortest known counts, if it was seen in the span.
@@ -703,11 +703,11 @@
     /// The ready nodes that hold a shard request's shard.
     pub fn holders_of<'a>(
         &'a self,
-        layout: &'a Layout,
+        layout: &'a ShardLayout,
         shard_request: &ShardRequest,
     ) -> impl Iterator<Item = NodeId> + 'a {
         let ids = layout
-            .cells_of(shard_request.shard)
+            .groups_of(shard_request.shard)
             .filter_map(|placement_group| self.holders.get(&placement_group));
         ids.flatten().copied()
     }
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -42,7 +42,8 @@
 impl Play {
     fn new() -> Play {
         let mut broker_config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
-        broker_config.layout = Layout { cells: 1, reach: 1, shards: 1, per_call: 1 };
+        broker_config.layout =
+            ShardLayout { placement_groups: 1, replica_groups: 1, shards: 1, max_batch_size: 1 };
         (broker_config.limits.max_open, broker_config.limits.max_attempts) = (1000, 3);
         Play { broker_config, ..Play::default() }
     }
@@ -91,32 +92,33 @@
                 self.inputs.push(Input::Config(Box::new(p.clone())));
             }
             "layout" => {
-                p.layout = Layout {
-                    cells: value(&words, "cells", 1),
-                    reach: value(&words, "reach", 1),
+                p.layout = ShardLayout {
+                    placement_groups: value(&words, "cells", 1),
+                    replica_groups: value(&words, "reach", 1),
                     shards: value(&words, "shards", 1),
-                    per_call: value(&words, "per-call", 1),
+                    max_batch_size: value(&words, "per-call", 1),
                 }
             }
             "limits" => {
                 p.limits.max_attempts = value(&words, "pushes", 3);
                 p.limits.max_open = value(&words, "open", 1000);
-                (p.limits.copies, p.limits.allow_cancel) =
+                (p.limits.allow_hedging, p.limits.allow_cancel) =
                     (words.contains(&"copies"), words.contains(&"withdraw"));
             }
             "rules" => {
-                p.rules.cold_share = value(&words, "cold", 0.2);
-                p.rules.warm_after = span(&words, "warm", 10_000.0);
-                p.rules.fall_multiple = value(&words, "multiple", 3.0);
-                p.rules.fall_window = span(&words, "window", 1000.0);
-                p.rules.ask_within = span(&words, "ask-within", 10_000.0);
+                p.rules.initial_capacity_share = value(&words, "cold", 0.2);
+                p.rules.warm_up_period = span(&words, "warm", 10_000.0);
+                p.rules.overload_factor = value(&words, "multiple", 3.0);
+                p.rules.overload_window = span(&words, "window", 1000.0);
+                p.rules.endpoint_list_max_age = span(&words, "ask-within", 10_000.0);
                 p.watch_on_request = words.contains(&"roll-on-request");
                 p.load_by_probe = words.contains(&"load-by-probe");
                 p.late_failure_cost = value(&words, "late-scrap", 0.05);
             }
             "budget" => {
                 let (floor, share) = (value(&words, "floor", 0.0), value(&words, "share", 0.0));
-                p.rules.further = Some(RetryBudget { floor, share, window: span(&words, "window", 1000.0) });
+                p.rules.retry_budget =
+                    Some(RetryBudget { floor, share, window: span(&words, "window", 1000.0) });
             }
             "at" => self.go_to(Tenths::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
             ">" => {
@@ -158,7 +160,7 @@
                 let entries = words[2..].iter().map(|word| {
                     let mut fields = word.split(':');
                     let node = NodeId(id(fields.next().unwrap()));
-                    let placement_group = CellNo(fields.next().unwrap().parse().unwrap());
+                    let placement_group = PlacementGroupId(fields.next().unwrap().parse().unwrap());
                     let state = match fields.next() {
                         Some("draining") => EndpointState::Draining,
                         Some("gone") => EndpointState::Removed,
@@ -169,13 +171,13 @@
                         _ => self.barred.insert(node),
                     };
                     let started_at = fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms);
-                    let zone = ZoneNo(fields.next().map_or(0, |zone| zone.parse().unwrap()));
+                    let zone = ZoneId(fields.next().map_or(0, |zone| zone.parse().unwrap()));
                     Endpoint { node, zone, placement_group, state, started_at }
                 });
                 Input::EndpointList(EndpointList { kind, entries: entries.collect() })
             }
             "take" => {
-                let (rid, group) = (QueryId(id(words[1])), GroupNo(id(words[1]) as u32));
+                let (rid, group) = (QueryId(id(words[1])), GroupId(id(words[1]) as u32));
                 let class = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
                 let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "caller", 0)));
                 let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
@@ -217,8 +219,8 @@
     fn shard_requests(&mut self, rid: QueryId, words: &Words) {
         for word in words.iter().filter(|word| word.contains(':')) {
             let fields: Words = word.split(':').collect();
-            let (shard_request, group) = (ShardRequestId(id(fields[0])), GroupNo(rid.0 as u32));
-            let (shard, weight) = (ShardNo(fields[1].parse().unwrap()), fields[2].parse().unwrap());
+            let (shard_request, group) = (ShardRequestId(id(fields[0])), GroupId(rid.0 as u32));
+            let (shard, weight) = (ShardId(fields[1].parse().unwrap()), fields[2].parse().unwrap());
             self.shard_requests.insert(shard_request, rid);
             self.inputs.push(Input::ShardRequest(NewShardRequest {
                 id: shard_request,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,8 +25,8 @@
 pub use revise::{Change, Revised, compare, revise};
 
 use routing::{
-    BrokerConfig, Idempotency, Layout, Limits, LoadMetric, RequestClass, RetryBudget, Rules, Tenant, Tenths,
-    ZoneNo,
+    BrokerConfig, Idempotency, LoadMetric, RequestClass, RequestLimits, RetryBudget, SafetyRules,
+    ShardLayout, Tenant, Tenths, ZoneId,
 };
 use text::Text;
 
@@ -104,34 +104,34 @@
     let rules = &text.rules;
     let broker_config = BrokerConfig {
         brokers: text.instances,
-        zone: ZoneNo(text.zone),
+        zone: ZoneId(text.zone),
         period: Tenths::from_ms(text.period_ms),
         send_lag: Tenths::ZERO,
         classes: classes.collect::<Result<_, String>>()?,
         tenants: tenants.collect(),
         over_quota_weight: text.over_share_worth,
-        layout: Layout {
-            cells: text.domain.cells,
-            reach: text.domain.reach,
+        layout: ShardLayout {
+            placement_groups: text.domain.cells,
+            replica_groups: text.domain.reach,
             shards: text.domain.ranges,
-            per_call: text.domain.per_call.max(1),
+            max_batch_size: text.domain.per_call.max(1),
         },
-        limits: Limits {
+        limits: RequestLimits {
             max_open: text.limits.max_open,
             max_attempts: text.limits.max_attempts,
-            copies: text.limits.second_copies,
+            allow_hedging: text.limits.second_copies,
             allow_cancel: text.limits.may_cancel,
             retry_after: text.limits.retry_after,
             max_retry_after: Tenths::from_ms(text.limits.max_retry_after_ms),
         },
-        rules: Rules {
-            cold_share: rules.cold_from,
-            warm_after: Tenths::from_ms(rules.warm_up_ms),
-            fall_multiple: rules.overload_factor,
-            fall_window: Tenths::from_ms(rules.overload_for_ms),
-            ask_within: Tenths::from_ms(rules.ask_within_ms),
+        rules: SafetyRules {
+            initial_capacity_share: rules.cold_from,
+            warm_up_period: Tenths::from_ms(rules.warm_up_ms),
+            overload_factor: rules.overload_factor,
+            overload_window: Tenths::from_ms(rules.overload_for_ms),
+            endpoint_list_max_age: Tenths::from_ms(rules.ask_within_ms),
             drain_grace: Tenths::from_ms(rules.stop_sending_within_ms),
-            further: rules.budget_window_ms.map(|window| RetryBudget {
+            retry_budget: rules.budget_window_ms.map(|window| RetryBudget {
                 floor: rules.extra_floor.unwrap_or(0.0),
                 share: rules.resend_ratio.unwrap_or(0.0),
                 window: Tenths::from_ms(window),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.effect, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
-    assert!(read.rules.further.is_none());
+    assert!(read.rules.retry_budget.is_none());
     assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
     assert_eq!((report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
@@ -164,7 +164,7 @@
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
     let taken = taken_over(&new).unwrap();
-    assert_eq!(taken.intake.broker_config.zone, ZoneNo(0));
+    assert_eq!(taken.intake.broker_config.zone, ZoneId(0));
     assert!(taken.changes.iter().all(|change| matches!(change.applies, Applies::Live | Applies::Own)));
 }
 
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -55,10 +55,10 @@
     };
     assert_eq!(
         (shard_request.id, shard_request.shard, shard_request.weight),
-        (ShardRequestId(0x9_af5d_5d3a_91c4), ShardNo(0), 0.125)
+        (ShardRequestId(0x9_af5d_5d3a_91c4), ShardId(0), 0.125)
     );
     assert_eq!((entries[0].started_at, entries[1].started_at), (None, Some(Tenths(61_000))));
-    assert_eq!((entries[1].node, entries[1].zone), (NodeId(0x1fbc_f211_900a), ZoneNo(1)));
+    assert_eq!((entries[1].node, entries[1].zone), (NodeId(0x1fbc_f211_900a), ZoneId(1)));
     assert_eq!(
         (outcome.end, outcome.took, outcome.node),
         (AttemptOutcome::Succeeded, Tenths(185), entries[0].node)
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,9 @@
 
 use bytes::{Buf, BufMut};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CellNo, ClassId, Effect, Endpoint, EndpointState, GroupNo,
-    Input, NewQuery, NewShardRequest, NodeId, QueryId, ShardNo, ShardRequestId, TenantId, Tenths, ZoneNo,
+    AttemptNumber, AttemptOutcome, AttemptResult, ClassId, Effect, Endpoint, EndpointState, GroupId, Input,
+    NewQuery, NewShardRequest, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId, Tenths,
+    ZoneId,
 };
 
 /// Why a frame could not be read, and at which of its bytes.
@@ -84,9 +85,9 @@
     }
 
     fn entry(&mut self) -> Result<Endpoint, BadFrame> {
-        let (node, zone) = (self.node()?, ZoneNo(self.u16()?));
+        let (node, zone) = (self.node()?, ZoneId(self.u16()?));
         let _kind = self.u16()?;
-        let placement_group = CellNo(self.u16()?.into());
+        let placement_group = PlacementGroupId(self.u16()?.into());
         let at = self.at();
         let state = match self.u8()? {
             0 => EndpointState::Removed,
@@ -156,7 +157,7 @@
         let _key = self.u64()?;
         let time_left = self.span()?;
         let hint = self.span()?;
-        let group = GroupNo(self.f32()?.to_bits());
+        let group = GroupId(self.f32()?.to_bits());
         let (slice, heft) = (self.f32()?, self.f32()?);
         let work = if self.u8()? & 1 == 1 { hint } else { Tenths::ZERO };
         if slice < 0.0 {
@@ -171,7 +172,7 @@
                 min_coverage_only: false,
             }));
         }
-        let shard = ShardNo(slice as u32);
+        let shard = ShardId(slice as u32);
         Ok(Input::ShardRequest(NewShardRequest { id: ShardRequestId(id), group, shard, weight: heft.into() }))
     }
 
