--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,6 +1,6 @@
 //! The door before one broker's module: who gets in when there is not room for all.
 //!
-//! A front makes a [`Door`] from an [`Allowance`] and the broker's [`Configuration`], and puts it with the
+//! A front makes a [`Door`] from an [`Allowance`] and the broker's [`BrokerConfig`], and puts it with the
 //! module in a [`Gated`]; it then calls [`Gated::turn`] where it called [`Broker::turn`]. The door sees every
 //! input before the module does and every effect after. It holds nothing back: each query is passed on
 //! or rejected in the same turn, with the time to come back where the configuration allows one. No I/O, no
@@ -13,17 +13,17 @@
 //! `door.rs`.
 //!
 //! ```
-//! use admission::{Allowance, Door, Gated};
-//! use routing::{Broker, Input, Configuration, Tenths};
+//! use admission_control::{Allowance, Door, Gated};
+//! use routing::{Broker, Input, BrokerConfig, Tenths};
 //!
-//! let configuration = Configuration::default();
+//! let configuration = BrokerConfig::default();
 //! let door = Door::new(Allowance::default(), &configuration).expect("the defaults are sound");
 //! let mut gated = Gated::new(door, Broker::start(configuration, 7, Tenths(0)));
 //! assert!(gated.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 //!
 //! [`Broker::turn`]: routing::Broker::turn
-//! [`Configuration`]: routing::Configuration
+//! [`BrokerConfig`]: routing::BrokerConfig
 
 mod allowance;
 mod door;
--- a/crates/cluster-trace/src/lib.rs
+++ b/crates/cluster-trace/src/lib.rs
@@ -11,7 +11,7 @@
 //! Decisions (`judge`, `order`, `ledger`, `plan`) do no I/O; `lines` and `reader` do nothing else.
 //!
 //! ```
-//! use trace::{Reader, Verdict, layout};
+//! use cluster_trace::{Reader, Verdict, layout};
 //!
 //! let text = "0,,1,0,5,0\n";
 //! let rows = Reader::new(layout("google-2011-machine-events").unwrap(), text.as_bytes()).unwrap();
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! ```
 //! use routing::Tenths;
-//! use control::{Digest, Effect, Input, Keeper, Memory, Patience, VersionId};
+//! use config_rollout::{Digest, Effect, Input, Keeper, Memory, Patience, VersionId};
 //!
 //! let own = VersionId { number: 0, digest: Digest::of(b"the broker's own file") };
 //! let mut keeper = Keeper::new(Patience::default(), 1, Memory::of(own), 7, Tenths(0));
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -7,7 +7,7 @@
 //! with the product.
 //!
 //! ```
-//! use incidents::{Fleet, Scenario};
+//! use fault_scenarios::{Fleet, Scenario};
 //!
 //! let text = "[scenario]\nabout = a hall is lost\n[north]\nwhat = lose\nhall = 0\nat = 10\nfor = 5\n";
 //! let scenario = Scenario::read("north-lost", text).unwrap();
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! ```
 //! use routing::Tenths;
-//! use ledger_host::{Build, Host, JobNo, Taken};
+//! use node_emulator::{Build, Host, JobNo, Taken};
 //!
 //! let mut host = Host::new(Build { cores: 1, ..Build::default() }, None);
 //! assert_eq!(host.take(Tenths(0), JobNo(1), 2000), Taken::Begun);
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,9 +2,9 @@
 //! or with an empty one, everything in it is off.
 //!
 //! ```
-//! let fitting = operator::read("[control]\nservices = 127.0.0.1:18000\ninstallation = north\n").unwrap();
+//! let fitting = operator_config::read("[control]\nservices = 127.0.0.1:18000\ninstallation = north\n").unwrap();
 //! assert_eq!(fitting.control.unwrap().installation, "north");
-//! let mistakes = operator::read("[control]\nservise = 127.0.0.1:18000\n").unwrap_err();
+//! let mistakes = operator_config::read("[control]\nservise = 127.0.0.1:18000\n").unwrap_err();
 //! assert_eq!(mistakes[0].to_string(), "line 2: `servise` is no key of [control]: `services` is the nearest");
 //! ```
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,14 @@
 //! The decisions of a broker that reads many shards for one query.
 //!
 //! A front (a program that owns sockets or a simulator's wire) makes one [`Broker`] from a
-//! [`Configuration`], a seed and the time, then hands it everything heard in [`Broker::turn`]
+//! [`BrokerConfig`], a seed and the time, then hands it everything heard in [`Broker::turn`]
 //! and carries out the [`Effect`]s that come back, in their order. The library does no I/O
 //! and reads no clock.
 //!
 //! ```
-//! use routing::{Broker, Input, Configuration, Tenths};
+//! use routing::{Broker, Input, BrokerConfig, Tenths};
 //!
-//! let mut broker = Broker::start(Configuration::default(), 7, Tenths(0));
+//! let mut broker = Broker::start(BrokerConfig::default(), 7, Tenths(0));
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -6,8 +6,8 @@
 //!   that stands against the new one. What a deployment's shape decides is never taken from the old file.
 //!
 //! ```
-//! let shape = reshape::Shape::read("[load]\ntold = pull\nprobes = true\n").unwrap();
-//! let mistakes = reshape::reshape(b"{\"settings\": {}}", &shape, None).unwrap_err();
+//! let shape = settings_migration::Shape::read("[load]\ntold = pull\nprobes = true\n").unwrap();
+//! let mistakes = settings_migration::reshape(b"{\"settings\": {}}", &shape, None).unwrap_err();
 //! assert!(mistakes.iter().any(|m| m.contains("`Domain` is missing")));
 //! ```
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,8 +6,8 @@
 //! - [`revise`] turns a document into what a running broker takes over, or lists why it can't be.
 //!
 //! ```
-//! let document = intake::Document::parse(br#"{"PeriodMs": 5.0, "Rulez": {}}"#, 1 << 20).unwrap();
-//! let mistakes = intake::check(&document);
+//! let document = settings::Document::parse(br#"{"PeriodMs": 5.0, "Rulez": {}}"#, 1 << 20).unwrap();
+//! let mistakes = settings::check(&document);
 //! assert!(mistakes.iter().any(|m| m.to_string() == "`Rulez` is unknown: `Rules` is the nearest key"));
 //! ```
 
