--- a/crates/admission-control/src/allowance.rs
+++ b/crates/admission-control/src/config.rs
@@ -1,14 +1,14 @@
-//! What the door allows: the operator's figures, and what is wrong with them. Their defaults, and what each
-//! does, stand with the decisions in `door.rs`.
+//! What the admission controller allows: the operator's figures, and what is wrong with them. Their defaults, and what each
+//! does, stand with the decisions in `admission.rs`.
 
 use routing::Tenths;
 use thiserror::Error;
 
-/// How the door shares what there is. `Allowance::default()` is what `docs/operate-admission.md` lists.
+/// How the admission controller shares what there is. `AdmissionConfig::default()` is what `docs/operate-admission.md` lists.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Allowance {
+pub struct AdmissionConfig {
     /// The share of shard requests refused as full or timed out, or of queries that the module turned away, above
-    /// which the door is crowded. Over 0, under 1.
+    /// which the admission controller is crowded. Over 0, under 1.
     pub level: f64,
     /// Over which harm, what is asked and retries are counted; a step is a tenth of it. 100 ms at least.
     pub window: Tenths,
@@ -16,7 +16,7 @@
     pub decrease: f64,
     /// ...and by one and this at each step that finds none. Over 0, 1 at the most.
     pub increase: f64,
-    /// The door opens once the rate is this many times what is asked. 1 at least.
+    /// The admission controller opens once the rate is this many times what is asked. 1 at least.
     pub open_above: f64,
     /// A tenant's bucket holds its share for so long. 0 and up.
     pub burst: Tenths,
@@ -34,15 +34,15 @@
 /// One figure that can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("`{key}` is {holds}: {allowed}")]
-pub struct Wrong {
+pub struct InvalidValue {
     pub key: &'static str,
     pub holds: String,
     pub allowed: &'static str,
 }
 
-impl Allowance {
+impl AdmissionConfig {
     /// All that is wrong, at once.
-    pub fn check(&self) -> Result<(), Vec<Wrong>> {
+    pub fn check(&self) -> Result<(), Vec<InvalidValue>> {
         let ratio = |x: f64| x > 0.0 && x < 1.0;
         let rows: [(&'static str, f64, bool, &'static str); 9] = [
             ("level", self.level, ratio(self.level), "over 0 and under 1"),
@@ -55,10 +55,10 @@
             ("retry_floor", self.retry_floor, self.retry_floor >= 0.0, "0 and up"),
             ("most_callers", f64::from(self.most_callers), self.most_callers >= 1, "1 at least"),
         ];
-        let wrong: Vec<Wrong> = rows
+        let wrong: Vec<InvalidValue> = rows
             .into_iter()
             .filter(|(_, value, sound, _)| !sound || !value.is_finite())
-            .map(|(key, value, _, allowed)| Wrong { key, holds: value.to_string(), allowed })
+            .map(|(key, value, _, allowed)| InvalidValue { key, holds: value.to_string(), allowed })
             .collect();
         if wrong.is_empty() { Ok(()) } else { Err(wrong) }
     }
--- a/crates/admission-control/src/door.rs
+++ b/crates/admission-control/src/controller.rs
@@ -1,22 +1,22 @@
-//! The door's decisions. Read `STEPS` first, what the door is at each step of its window, then `RULES`,
+//! The admission controller's decisions. Read `STEPS` first, what the admission controller is at each step of its window, then `RULES`,
 //! what becomes of a query; the rest serves them. `docs/admission.md` tells why.
 
-use crate::allowance::{Allowance, Wrong};
-use crate::state::{Asked, Instance, Tenant};
+use crate::config::{AdmissionConfig, InvalidValue};
+use crate::state::{Asked, ControllerState, Tenant};
 use Found::{Calm, Harmed};
-use Mode::{Crowded, Open};
+use Mode::{Normal, Overloaded};
 use routing::{
     AttemptOutcome, AttemptResult, BrokerConfig, Effect, GroupId, Input, NewQuery, QueryId, TenantId, Tenths,
 };
 use std::collections::BTreeSet;
 
-/// The starting values (`Allowance::default()`): the design's starting level of pressure and its window;
+/// The starting values (`AdmissionConfig::default()`): the design's starting level of pressure and its window;
 /// a decrease and an increase as in congestion control, which halve the rate in three steps and double it in
 /// seven; open again at twice what is asked; a second's burst; retries a fifth of first tries and three,
 /// as the retry budgets of well-known proxies have it.
-impl Default for Allowance {
-    fn default() -> Allowance {
-        Allowance {
+impl Default for AdmissionConfig {
+    fn default() -> AdmissionConfig {
+        AdmissionConfig {
             level: 0.1,
             window: Tenths(50_000),
             decrease: 0.8,
@@ -38,12 +38,12 @@
 /// Harm is judged over this share of the window: what the last steps found, not the whole window's past.
 const LATELY: f64 = 0.2;
 
-/// Whether the door lets in all, or a rate.
+/// Whether the admission controller lets in all, or a rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
-    Open,
-    Crowded,
+    Normal,
+    Overloaded,
 }
 
 /// What a step finds.
@@ -53,54 +53,54 @@
     Harmed,
 }
 
-type StepGuard = fn(&Door) -> bool;
-type StepAct = fn(&mut Door);
+type StepGuard = fn(&AdmissionController) -> bool;
+type StepAct = fn(&mut AdmissionController);
 
 /// At a mode, on what a step finds, if the guard holds: the next mode, and what is done.
 struct Step(Mode, Found, StepGuard, Mode, StepAct);
 
 #[rustfmt::skip]
 const STEPS: &[Step] = &[
-    Step(Open,    Harmed, |_| true,    Crowded, Door::close_in),
-    Step(Open,    Calm,   |_| true,    Open,    |_| ()),
-    Step(Crowded, Harmed, Door::may_cut, Crowded, Door::slow_down),
-    Step(Crowded, Harmed, |_| true,    Crowded, |_| ()),
-    Step(Crowded, Calm,   Door::roomy, Open,    Door::open_up),
-    Step(Crowded, Calm,   |_| true,    Crowded, Door::speed_up),
+    Step(Normal,    Harmed, |_| true,    Overloaded, AdmissionController::close_in),
+    Step(Normal,    Calm,   |_| true,    Normal,    |_| ()),
+    Step(Overloaded, Harmed, AdmissionController::may_cut, Overloaded, AdmissionController::slow_down),
+    Step(Overloaded, Harmed, |_| true,    Overloaded, |_| ()),
+    Step(Overloaded, Calm,   AdmissionController::roomy, Normal,    AdmissionController::open_up),
+    Step(Overloaded, Calm,   |_| true,    Overloaded, AdmissionController::speed_up),
 ];
 
 /// What a query is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    Passed,
+pub enum Decision {
+    Admit,
     /// Declined: its tenant's retries are over their budget.
-    Retries,
+    RejectRetryBudget,
     /// Declined: its tenant asks for more than its share, its bucket does not hold the shard requests, and others
     /// ask. They are not trimmed by it.
-    Share,
+    RejectQuota,
     /// Passed, to be served at its minimum coverage only: as `Share`, but its class takes partial answers.
     /// The heaviest shard requests earn most of its priority weight for a few attempts, where a rejection earns nothing.
-    Least,
+    AdmitAtMinCoverage,
 }
 
-type AskGuard = fn(&mut Door, &Asked) -> bool;
-type AskAct = fn(&mut Door, &Asked);
+type AskGuard = fn(&mut AdmissionController, &Asked) -> bool;
+type AskAct = fn(&mut AdmissionController, &Asked);
 
 /// At a mode, if the guard holds: what the query is told, and what is done.
-struct Rule(Mode, AskGuard, Told, AskAct);
+struct Rule(Mode, AskGuard, Decision, AskAct);
 
 #[rustfmt::skip]
 const RULES: &[Rule] = &[
-    Rule(Open,    |_, _| true,        Told::Passed,  Door::count_try),
-    Rule(Crowded, Door::retries_over, Told::Retries, |_, _| ()),
-    Rule(Crowded, Door::within,       Told::Passed,  Door::take),
-    Rule(Crowded, Door::bucket_holds, Told::Passed,  Door::take),
-    Rule(Crowded, Door::partial,      Told::Least,   Door::count_try),
-    Rule(Crowded, Door::others_ask,   Told::Share,   |_, _| ()),
-    Rule(Crowded, |_, _| true,        Told::Passed,  Door::count_try),
+    Rule(Normal,    |_, _| true,        Decision::Admit,  AdmissionController::count_try),
+    Rule(Overloaded, AdmissionController::retries_over, Decision::RejectRetryBudget, |_, _| ()),
+    Rule(Overloaded, AdmissionController::within,       Decision::Admit,  AdmissionController::take),
+    Rule(Overloaded, AdmissionController::bucket_holds, Decision::Admit,  AdmissionController::take),
+    Rule(Overloaded, AdmissionController::partial,      Decision::AdmitAtMinCoverage,   AdmissionController::count_try),
+    Rule(Overloaded, AdmissionController::others_ask,   Decision::RejectQuota,   |_, _| ()),
+    Rule(Overloaded, |_, _| true,        Decision::Admit,  AdmissionController::count_try),
 ];
 
-/// What an attempt's end is to the door: whether it counts, and whether it is harm. As the module's pressure.
+/// What an attempt's end is to the admission controller: whether it counts, and whether it is harm. As the module's pressure.
 #[rustfmt::skip]
 const ENDS: &[(AttemptOutcome, bool, bool)] = &[
     (AttemptOutcome::Succeeded,     true,  false),
@@ -113,24 +113,34 @@
     (AttemptOutcome::NotSent,      false, false),
 ];
 
-/// The door before one broker's module.
-pub struct Door {
-    a: Allowance,
+/// The admission controller before one broker's module.
+pub struct AdmissionController {
+    a: AdmissionConfig,
     mode: Mode,
     broker_config: BrokerConfig,
-    s: Instance,
-    /// What each query was told, by the door's count, since it began: passed, retries, share, least.
+    s: ControllerState,
+    /// What each query was told, by the admission controller's count, since it began: passed, retries, share, least.
     pub counts: [u64; 4],
     /// When it first heard anything.
     began: Tenths,
 }
 
-impl Door {
-    /// A door that is open, or what is wrong with the allowance.
-    pub fn new(allowance: Allowance, broker_config: &BrokerConfig) -> Result<Door, Vec<Wrong>> {
+impl AdmissionController {
+    /// An admission controller that is open, or what is wrong with the configuration.
+    pub fn new(
+        allowance: AdmissionConfig,
+        broker_config: &BrokerConfig,
+    ) -> Result<AdmissionController, Vec<InvalidValue>> {
         allowance.check()?;
-        let (mode, broker_config, s) = (Open, broker_config.clone(), Instance::default());
-        Ok(Door { a: allowance, mode, broker_config, s, counts: [0; 4], began: Tenths(i64::MAX) })
+        let (mode, broker_config, s) = (Normal, broker_config.clone(), ControllerState::default());
+        Ok(AdmissionController {
+            a: allowance,
+            mode,
+            broker_config,
+            s,
+            counts: [0; 4],
+            began: Tenths(i64::MAX),
+        })
     }
 
     pub fn mode(&self) -> Mode {
@@ -174,9 +184,9 @@
         let mut least = BTreeSet::<QueryId>::new();
         for asked in &asked {
             match self.decide(asked) {
-                (Told::Passed, _) => {}
-                (Told::Least, _) => _ = least.insert(asked.id),
-                (Told::Retries | Told::Share, retry_after) => {
+                (Decision::Admit, _) => {}
+                (Decision::AdmitAtMinCoverage, _) => _ = least.insert(asked.id),
+                (Decision::RejectRetryBudget | Decision::RejectQuota, retry_after) => {
                     groups.insert(asked.group);
                     ids.insert(asked.id);
                     effects.push(Effect::Reject { query: asked.id, retry_after });
@@ -227,12 +237,12 @@
             }
         }
         self.forget_callers();
-        if self.mode == Crowded {
+        if self.mode == Overloaded {
             self.share_out();
         }
         let word = match (was, self.mode) {
-            (Open, Crowded) => format!("door crowded: {:.0} parts a second are let in", self.s.rate),
-            (Crowded, Open) => "door open: all are let in again".to_owned(),
+            (Normal, Overloaded) => format!("door crowded: {:.0} parts a second are let in", self.s.rate),
+            (Overloaded, Normal) => "door open: all are let in again".to_owned(),
             _ => return Vec::new(),
         };
         vec![Effect::Say(word)]
@@ -291,7 +301,7 @@
         self.s.rate = 0.0;
     }
 
-    /// The rate is well over what is asked: the door need not be crowded.
+    /// The rate is well over what is asked: the admission controller need not be crowded.
     fn roomy(&self) -> bool {
         self.s.rate >= self.a.open_above * self.asked_rate()
     }
@@ -306,7 +316,7 @@
         self.a.window.as_ms() / 1000.0
     }
 
-    /// Seconds of the window that the door has seen: a door that began lately has counted less.
+    /// Seconds of the window that the admission controller has seen: an admission controller that began lately has counted less.
     fn seen(&self) -> f64 {
         let since = (self.s.now - self.began).min(self.a.window);
         (since.as_ms() / 1000.0).max(self.seconds() / STEPS_A_WINDOW as f64)
@@ -319,7 +329,7 @@
     }
 
     fn rate_if_crowded(&self) -> f64 {
-        if self.mode == Crowded { self.s.rate } else { 0.0 }
+        if self.mode == Overloaded { self.s.rate } else { 0.0 }
     }
 
     /// Max-min fairness by water-filling: tenants in the order of what they ask for, by weight; who asks
@@ -365,15 +375,15 @@
     // ---- queries
 
     /// The loop that reads `RULES`: what the query is told, and when to come back if rejected.
-    fn decide(&mut self, asked: &Asked) -> (Told, Tenths) {
+    fn decide(&mut self, asked: &Asked) -> (Decision, Tenths) {
         let asked = &Asked { tenant: self.known(asked.tenant), ..*asked };
         let (shard_requests, now, window) = (f64::from(asked.shard_requests), self.s.now, self.a.window);
         self.tenant(asked.tenant).asked.count(now, window, 0.0, shard_requests);
         let rule = RULES.iter().find(|rule| rule.0 == self.mode && rule.1(self, asked));
-        let Some(Rule(_, _, told, act)) = rule else { return (Told::Passed, Tenths::ZERO) };
+        let Some(Rule(_, _, told, act)) = rule else { return (Decision::Admit, Tenths::ZERO) };
         act(self, asked);
         self.counts[*told as usize] += 1;
-        if !matches!(told, Told::Retries | Told::Share) {
+        if !matches!(told, Decision::RejectRetryBudget | Decision::RejectQuota) {
             self.s.let_in.count(now, window, 0.0, shard_requests);
             self.s.turned.count(now, window, 0.0, 1.0);
             return (*told, Tenths::ZERO);
--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,5 +1,5 @@
-//! What the door remembers, by how long it lives: a query for the turn in which it is asked, a tenant
-//! while it asks, the door for as long as the broker runs.
+//! What the admission controller remembers, by how long it lives: a query for the turn in which it is asked, a tenant
+//! while it asks, the admission controller for as long as the broker runs.
 
 use routing::{ClassId, GroupId, QueryId, TenantId, Tenths, Window};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     pub asked: Window,
     /// Retries let in (as `harmed`), first tries let in (as `all`).
     pub tries: Window,
-    /// Parts a second, while the door is crowded; and whether that is less than it asks for.
+    /// Parts a second, while the admission controller is crowded; and whether that is less than it asks for.
     pub share: f64,
     pub held: bool,
     /// Parts in its bucket, and when they were counted.
@@ -31,9 +31,9 @@
     pub counted_at: Tenths,
 }
 
-/// The door's own.
+/// The admission controller's own.
 #[derive(Debug, Default)]
-pub struct Instance {
+pub struct ControllerState {
     pub now: Tenths,
     /// Parts let in a second, while crowded.
     pub rate: f64,
--- a/crates/admission-control/tests/door.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -1,6 +1,6 @@
-//! The door's decisions, each case a failure it is there for.
+//! The admission controller's decisions, each case a failure it is there for.
 
-use admission_control::{Allowance, Door, Gated, Mode};
+use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker, Mode};
 use routing::*;
 use rstest::rstest;
 
@@ -89,7 +89,7 @@
     (0..count).map(|no| Input::AttemptEnded(outcome(no))).collect()
 }
 
-/// The module attempts each shard request that the door passed; of one at its minimum coverage, the first.
+/// The module attempts each shard request that the admission controller passed; of one at its minimum coverage, the first.
 fn pushed(passed: &[Input]) -> Vec<Effect> {
     let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
     let mut attempt = |input: &Input| match input {
@@ -134,31 +134,41 @@
 }
 
 impl Hosts {
-    /// A step of half a second: what ended comes in with what is asked, the door passes, the module attempts.
-    fn step(&mut self, door: &mut Door, now: Tenths, mut heard: Vec<Input>) -> (Vec<Input>, Vec<Effect>) {
+    /// A step of half a second: what ended comes in with what is asked, the admission controller passes, the module attempts.
+    fn step(
+        &mut self,
+        admission: &mut AdmissionController,
+        now: Tenths,
+        mut heard: Vec<Input>,
+    ) -> (Vec<Input>, Vec<Effect>) {
         let done = std::mem::take(&mut self.out).len();
         heard.extend(ended(AttemptOutcome::Succeeded, done.min(self.each_step)));
         heard.extend(ended(AttemptOutcome::Overloaded, done.saturating_sub(self.each_step)));
-        let (passed, effects) = door.pass(now, &heard);
+        let (passed, effects) = admission.pass(now, &heard);
         self.out = pushed(&passed);
-        door.saw(&self.out);
+        admission.saw(&self.out);
         (passed, effects)
     }
 }
 
-/// A door that its hosts' refusals have crowded: the tenants ask twice what the hosts do, for ten seconds.
-fn crowded(door: &mut Door, hosts: &mut Hosts, asking: &mut Asking, tenants: &[u32]) -> Tenths {
+/// An admission controller that its hosts' refusals have crowded: the tenants ask twice what the hosts do, for ten seconds.
+fn crowded(
+    admission: &mut AdmissionController,
+    hosts: &mut Hosts,
+    asking: &mut Asking,
+    tenants: &[u32],
+) -> Tenths {
     for at in 0..20 {
         let shard_requests = (hosts.each_step * 2 / tenants.len()) as u32;
         let heard: Vec<Input> =
             tenants.iter().flat_map(|tenant| asking.ask(*tenant, shard_requests, 0)).collect();
-        hosts.step(door, Tenths(at * 5000), heard);
+        hosts.step(admission, Tenths(at * 5000), heard);
     }
-    assert_eq!(door.mode(), Mode::Crowded);
+    assert_eq!(admission.mode(), Mode::Overloaded);
     Tenths(100_000)
 }
 
-/// On a calm day the door changes nothing: the module behind it does what it does alone, to the effect.
+/// On a calm day the admission controller changes nothing: the module behind it does what it does alone, to the effect.
 #[rstest]
 fn a_calm_door_changes_nothing() {
     let p = broker_config(&[]);
@@ -174,15 +184,15 @@
             })
             .collect(),
     };
-    let door = Door::new(Allowance::default(), &p).unwrap();
-    let mut gated = Gated::new(door, Broker::start(p.clone(), 3, Tenths(0)));
+    let admission = AdmissionController::new(AdmissionConfig::default(), &p).unwrap();
+    let mut admitted = AdmittedBroker::new(admission, Broker::start(p.clone(), 3, Tenths(0)));
     let mut alone = Broker::start(p, 3, Tenths(0));
     let mut asking = Asking::default();
     let mut heard = vec![Input::EndpointList(roll)];
     for at in 1..200 {
         heard.extend(asking.ask(at % 3, 2, at % 2));
         let (now, both) = (Tenths(i64::from(at) * 100), std::mem::take(&mut heard));
-        let effects = gated.turn(now, &both);
+        let effects = admitted.turn(now, &both);
         assert_eq!(effects, alone.turn(now, &both), "at {now:?}");
         // What was pushed is finished by the next turn.
         for effect in effects {
@@ -198,22 +208,22 @@
             }
         }
     }
-    assert_eq!(gated.door.mode(), Mode::Open);
+    assert_eq!(admitted.admission.mode(), Mode::Normal);
 }
 
-/// Harm past the level crowds the door; a rate of shard requests is let in, and it says so.
+/// Harm past the level crowds the admission controller; a rate of shard requests is let in, and it says so.
 #[rstest]
 fn harm_crowds_the_door() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
     let mut asking = Asking::default();
     let mut said = Vec::new();
     for at in 0..20 {
         let mut heard = asking.ask(0, 2, 0);
         heard.extend(ended(if at < 10 { AttemptOutcome::Succeeded } else { AttemptOutcome::Overloaded }, 4));
-        said.extend(door.pass(Tenths(at * 5000), &heard).1);
+        said.extend(admission.pass(Tenths(at * 5000), &heard).1);
     }
-    assert_eq!(door.mode(), Mode::Crowded);
-    assert!(door.rate() > 0.0);
+    assert_eq!(admission.mode(), Mode::Overloaded);
+    assert!(admission.rate() > 0.0);
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("crowded"))));
 }
 
@@ -221,12 +231,15 @@
 /// back, and never reach the module; first tries still pass.
 #[rstest]
 fn retries_past_their_budget_are_declined_at_once() {
-    let mut door =
-        Door::new(Allowance { retry_floor: 2.0, ..Allowance::default() }, &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(
+        AdmissionConfig { retry_floor: 2.0, ..AdmissionConfig::default() },
+        &broker_config(&[]),
+    )
+    .unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
+    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
     let heard: Vec<Input> = (0..40).flat_map(|_| asking.ask(0, 1, 1)).collect();
-    let (passed, effects) = hosts.step(&mut door, now, heard);
+    let (passed, effects) = hosts.step(&mut admission, now, heard);
     let declined = declines(&effects);
     assert!(!declined.is_empty(), "{effects:?}");
     assert!(declined.iter().all(|(_, wait)| *wait > Tenths::ZERO && *wait <= Tenths(20_000)));
@@ -234,7 +247,7 @@
     assert!(declined.iter().all(|(id, _)| !passed_ids.contains(id)));
     let shard_requests = passed.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
     assert_eq!(shard_requests, passed_ids.len(), "the declined ones' parts stay away from the module too");
-    let (passed, effects) = door.pass(now, &asking.ask(0, 1, 0));
+    let (passed, effects) = admission.pass(now, &asking.ask(0, 1, 0));
     assert!(declines(&effects).is_empty() && queries(&passed).len() == 1);
 }
 
@@ -242,15 +255,15 @@
 /// the first is rejected for what is beyond its share, at once.
 #[rstest]
 fn who_asks_most_is_held_to_its_share() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
+    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
     let (mut storm, mut quiet) = ((0, 0), (0, 0));
     for step in 0..40 {
         now += Tenths(5000);
         let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask(0, 4, 0)).collect();
         heard.extend(asking.ask(1, 4, 0));
-        let (passed, effects) = hosts.step(&mut door, now, heard);
+        let (passed, effects) = hosts.step(&mut admission, now, heard);
         if step < 20 {
             // What each asked before is still in the window.
             continue;
@@ -261,7 +274,7 @@
         quiet.0 += passed.iter().filter(|(_, tenant)| *tenant == 1).count();
         quiet.1 += 1;
     }
-    assert_eq!(door.mode(), Mode::Crowded);
+    assert_eq!(admission.mode(), Mode::Overloaded);
     assert_eq!(quiet.0, quiet.1, "the quiet caller passes, within its share");
     assert_eq!(quiet.1, 20);
     assert!(storm.0 > 60 && storm.1 > 20, "declined and passed of the first: {storm:?}");
@@ -271,15 +284,15 @@
 /// rejected: the heaviest shard requests earn most of its priority weight for a few attempts.
 #[rstest]
 fn beyond_a_share_a_partial_one_has_its_least_share() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
+    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
     let (mut declined, mut least) = (0, 0);
     for step in 0..40 {
         now += Tenths(5000);
         let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask_of(ClassId(1), 0, 4, 0)).collect();
         heard.extend(asking.ask(1, 4, 0));
-        let (passed, effects) = hosts.step(&mut door, now, heard);
+        let (passed, effects) = hosts.step(&mut admission, now, heard);
         if step >= 20 {
             declined += declines(&effects).len();
             least +=
@@ -292,34 +305,34 @@
 /// A tenant alone is never rejected for its share: its excess is the module's to cut.
 #[rstest]
 fn a_lone_caller_is_not_declined_for_its_share() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
+    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
     for _ in 0..20 {
         now += Tenths(5000);
         let heard: Vec<Input> = (0..10).flat_map(|_| asking.ask(0, 4, 0)).collect();
-        let (passed, effects) = hosts.step(&mut door, now, heard);
+        let (passed, effects) = hosts.step(&mut admission, now, heard);
         assert!(declines(&effects).is_empty(), "{effects:?}");
         assert_eq!(queries(&passed).len(), 10);
     }
-    assert_eq!(door.mode(), Mode::Crowded);
+    assert_eq!(admission.mode(), Mode::Overloaded);
 }
 
-/// Once less is asked than the hosts do, the rate comes up, and the door opens.
+/// Once less is asked than the hosts do, the rate comes up, and the admission controller opens.
 #[rstest]
 fn calm_opens_the_door_again() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
+    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
     let mut said = Vec::new();
     for _ in 0..200 {
         now += Tenths(5000);
-        said.extend(hosts.step(&mut door, now, asking.ask(0, 8, 0)).1);
-        if door.mode() == Mode::Open {
+        said.extend(hosts.step(&mut admission, now, asking.ask(0, 8, 0)).1);
+        if admission.mode() == Mode::Normal {
             break;
         }
     }
-    assert_eq!(door.mode(), Mode::Open, "{:.1}", door.rate());
+    assert_eq!(admission.mode(), Mode::Normal, "{:.1}", admission.rate());
     assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("open"))));
 }
 
@@ -328,11 +341,14 @@
 fn no_time_to_come_back_where_none_may_be_told() {
     let mut p = broker_config(&[]);
     p.limits.retry_after = false;
-    let mut door =
-        Door::new(Allowance { retry_floor: 0.0, retry_share: 0.0, ..Allowance::default() }, &p).unwrap();
+    let mut admission = AdmissionController::new(
+        AdmissionConfig { retry_floor: 0.0, retry_share: 0.0, ..AdmissionConfig::default() },
+        &p,
+    )
+    .unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
-    let (_, effects) = door.pass(now, &asking.ask(0, 1, 3));
+    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
+    let (_, effects) = admission.pass(now, &asking.ask(0, 1, 3));
     assert_eq!(declines(&effects).first().map(|(_, wait)| *wait), Some(Tenths::ZERO));
 }
 
@@ -340,15 +356,16 @@
 /// quota gets about four times the shard requests.
 #[rstest]
 fn quotas_weigh_the_shares() {
-    let mut door = Door::new(Allowance::default(), &broker_config(&[4.0, 1.0])).unwrap();
+    let mut admission =
+        AdmissionController::new(AdmissionConfig::default(), &broker_config(&[4.0, 1.0])).unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut door, &mut hosts, &mut asking, &[0, 1]);
+    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
     let mut passed = [0_usize; 2];
     for _ in 0..40 {
         now += Tenths(5000);
         let heard: Vec<Input> =
             (0..10).flat_map(|_| [asking.ask(0, 2, 0), asking.ask(1, 2, 0)]).flatten().collect();
-        for (_, tenant) in by_caller(&hosts.step(&mut door, now, heard).0) {
+        for (_, tenant) in by_caller(&hosts.step(&mut admission, now, heard).0) {
             passed[tenant as usize] += 1;
         }
     }
@@ -359,20 +376,23 @@
 /// Memory is bounded: past the most tenants, the rest share one.
 #[rstest]
 fn callers_past_the_most_share_one() {
-    let mut door =
-        Door::new(Allowance { most_callers: 3, ..Allowance::default() }, &broker_config(&[])).unwrap();
+    let mut admission = AdmissionController::new(
+        AdmissionConfig { most_callers: 3, ..AdmissionConfig::default() },
+        &broker_config(&[]),
+    )
+    .unwrap();
     let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut door, &mut hosts, &mut asking, &[0]);
+    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
     let heard: Vec<Input> = (0..50).flat_map(|tenant| asking.ask(tenant, 1, 0)).collect();
-    let (passed, effects) = door.pass(now, &heard);
+    let (passed, effects) = admission.pass(now, &heard);
     assert_eq!(queries(&passed).len() + declines(&effects).len(), 50);
 }
 
 /// Every figure that can't be used is named at once.
 #[rstest]
 fn an_allowance_that_cant_be_used_is_named_whole() {
-    let wrong = Allowance { level: 1.5, decrease: 0.0, most_callers: 0, ..Allowance::default() };
+    let wrong = AdmissionConfig { level: 1.5, decrease: 0.0, most_callers: 0, ..AdmissionConfig::default() };
     let keys: Vec<&str> = wrong.check().unwrap_err().iter().map(|wrong| wrong.key).collect();
     assert_eq!(keys, ["level", "decrease", "most_callers"]);
-    assert!(Door::new(wrong, &BrokerConfig::default()).is_err());
+    assert!(AdmissionController::new(wrong, &BrokerConfig::default()).is_err());
 }
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -57,7 +57,7 @@
     assert!(took.is_some_and(|took| took <= 8), "{took:?}: {}", outcome.json());
 }
 
-/// (d) One tenant storms: behind the door the others are served as if it did not, and the cut does not
+/// (d) One tenant storms: behind the admission controller the others are served as if it did not, and the cut does not
 /// fall on them. The module alone shares the harm out, and every tenant is trimmed by it.
 #[rstest]
 fn a_callers_storm_leaves_the_others_whole() {
@@ -73,12 +73,12 @@
         assert!(days.iter().all(|day| day.broken.is_empty()), "{mind:?}");
         tenants[1..].to_vec()
     };
-    let (door, alone) = (quiet(Mind::Door), quiet(Mind::Module));
+    let (door, alone) = (quiet(Mind::AdmissionController), quiet(Mind::Module));
     assert!(door.iter().all(|share| *share >= 0.975), "behind the door: {door:?}");
     assert!(alone.iter().all(|share| *share < 0.975), "the module alone: {alone:?}");
 }
 
-/// (b) Retries behind the door have a budget: the storm kept going by them is over sooner still.
+/// (b) Retries behind the admission controller have a budget: the storm kept going by them is over sooner still.
 #[rstest]
 fn retries_behind_the_door_are_over_sooner() {
     let name = "retries-keep-it-going";
@@ -91,7 +91,7 @@
             })
             .sum()
     };
-    let (door, alone) = (took(Mind::Door), took(Mind::Module));
+    let (door, alone) = (took(Mind::AdmissionController), took(Mind::Module));
     assert!(door < alone, "seconds until sound, over three seeds: {door} behind the door, {alone} alone");
 }
 
--- a/crates/broker-bench/src/laboratory.rs
+++ b/crates/broker-bench/src/laboratory.rs
@@ -50,7 +50,7 @@
 }
 
 /// A scenario's days: service by the module, by the design alone and by the module behind its door; when
-/// the module's and the door's were sound again; rules broken by either; each tenant's service, where
+/// the module's and the admission controller's were sound again; rules broken by either; each tenant's service, where
 /// there are several.
 struct Row {
     name: &'static str,
@@ -92,7 +92,7 @@
     let large_kb = peak_kb();
     let seeds: Vec<u64> = (FIRST_SEED..FIRST_SEED + sizes.seeds).collect();
     let (hosts, brokers) = sizes.small;
-    let minds = [Mind::Module, Mind::Design, Mind::Door];
+    let minds = [Mind::Module, Mind::Design, Mind::AdmissionController];
     let mut rows: Vec<Row> = LIBRARY
         .par_iter()
         .map(|(name, _)| {
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -8,7 +8,7 @@
 use crate::outcome::{Of, Outcome, Standings};
 use crate::scene::{self, PERIOD, ROLL_LATE, TRIP};
 use crate::weather::{Do, Weather};
-use admission_control::{Allowance, Door, Gated};
+use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
 use fault_scenarios::{Change, Clients, Fleet, Moment};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
@@ -29,7 +29,7 @@
     /// The design's ordinary path, without the module's exceptions.
     Design,
     /// The module behind its door: fair shares between tenants, a rate that adapts, a budget for retries.
-    Door,
+    AdmissionController,
 }
 
 /// What a rehearsal is played with, beside the plan.
@@ -133,7 +133,7 @@
 
 enum Decider {
     Module(Box<Broker>),
-    Gated(Box<Gated>),
+    AdmittedBroker(Box<AdmittedBroker>),
     Baseline(Box<Baseline>),
 }
 
@@ -684,7 +684,7 @@
         heard.push(Input::Woken);
         let effects = match &mut seat.decider {
             Decider::Module(module) => module.turn(self.now, &heard),
-            Decider::Gated(gated) => gated.turn(self.now, &heard),
+            Decider::Admitted(gated) => gated.turn(self.now, &heard),
             Decider::Baseline(baseline) => baseline.turn(self.now, &heard),
         };
         for effect in effects {
@@ -782,10 +782,13 @@
     let baseline = |how| Decider::Baseline(Box::new(Baseline::new(how, broker_config, seed)));
     match cast.mind {
         Mind::Module => Decider::Module(Box::new(Broker::start(broker_config.clone(), seed, now))),
-        Mind::Door => {
-            let door = Door::new(Allowance::default(), broker_config)
+        Mind::AdmissionController => {
+            let door = AdmissionController::new(AdmissionConfig::default(), broker_config)
                 .unwrap_or_else(|_| unreachable!("the door's defaults are sound"));
-            Decider::Gated(Box::new(Gated::new(door, Broker::start(broker_config.clone(), seed, now))))
+            Decider::Admitted(Box::new(AdmittedBroker::new(
+                door,
+                Broker::start(broker_config.clone(), seed, now),
+            )))
         }
         Mind::Random => baseline(How::Random),
         Mind::Design => baseline(How::Design),
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -5,7 +5,7 @@
 use crate::limits::{Limits, span};
 use crate::listing::Listing;
 use crate::nodes::{AttemptId, Ended, Nodes, Sending};
-use admission_control::{Allowance, Door, Gated};
+use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use bytes::Bytes;
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
@@ -162,14 +162,14 @@
 #[allow(clippy::large_enum_variant)]
 enum Decider {
     Alone(Broker),
-    Gated(Box<Gated>),
+    Admitted(Box<AdmittedBroker>),
 }
 
 impl Decider {
     fn turn(&mut self, now: Tenths, heard: &[Input]) -> Vec<Effect> {
         match self {
             Decider::Alone(broker) => broker.turn(now, heard),
-            Decider::Gated(gated) => gated.turn(now, heard),
+            Decider::Admitted(gated) => gated.turn(now, heard),
         }
     }
 }
@@ -193,25 +193,25 @@
     pub roll_wanted: Notify,
 }
 
-/// The module alone, or behind a door whose allowance the operator's file has checked.
-fn decider(broker_config: BrokerConfig, seed: u64, now: Tenths, door: Option<Allowance>) -> Decider {
-    let door = door.and_then(|allowance| Door::new(allowance, &broker_config).ok());
+/// The module alone, or behind an admission controller whose configuration the operator's file has checked.
+fn decider(broker_config: BrokerConfig, seed: u64, now: Tenths, door: Option<AdmissionConfig>) -> Decider {
+    let door = door.and_then(|allowance| AdmissionController::new(allowance, &broker_config).ok());
     let broker = Broker::start(broker_config, seed, now);
     match door {
-        Some(door) => Decider::Gated(Box::new(Gated::new(door, broker))),
+        Some(door) => Decider::Admitted(Box::new(AdmittedBroker::new(door, broker))),
         None => Decider::Alone(broker),
     }
 }
 
 impl Desk {
-    /// `since`: the Unix time of this moment, where it is not the machine's that counts. `door`: the door's
-    /// allowance, where there is to be one.
+    /// `since`: the Unix time of this moment, where it is not the machine's that counts. `door`: the admission controller's
+    /// configuration, where there is to be one.
     pub fn new(
         intake: Intake,
         seed: u64,
         limits: Rc<Limits>,
         since: Option<Tenths>,
-        door: Option<Allowance>,
+        door: Option<AdmissionConfig>,
     ) -> Rc<Desk> {
         let edition = Rc::new(Edition::new(&intake));
         let Intake { broker_config, zones, .. } = intake;
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -797,12 +797,12 @@
     assert_eq!((order.listen.to_string(), &order.name[..]), ("127.0.0.7:99".to_owned(), "n1"));
 }
 
-/// Behind the door, as the operator's file switches it on, what the nodes give is answered as before.
+/// Behind the admission controller, as the operator's file switches it on, what the nodes give is answered as before.
 #[rstest]
 fn answers_behind_the_door() {
     play(async {
         let fitting = broker::Fitting {
-            admission: Some(admission_control::Allowance::default()),
+            admission: Some(admission_control::AdmissionConfig::default()),
             ..Default::default()
         };
         let mut stage = Stage::fitted(1, |_| (), |_| (), fitting).await;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use keys::{KEYS, Key};
 
-use admission_control::Allowance;
+use admission_control::AdmissionConfig;
 use config_rollout::Patience;
 use ini::{Ini, ParseOption};
 use routing::Tenths;
@@ -26,8 +26,8 @@
 pub struct Fitting {
     pub log: LogForm,
     pub control: Option<Control>,
-    /// The door before the module, where it is switched on.
-    pub admission: Option<Allowance>,
+    /// The admission controller before the module, where it is switched on.
+    pub admission: Option<AdmissionConfig>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -175,11 +175,11 @@
     Fitting { log, control, admission }
 }
 
-/// The door's allowance, where it is on. Keys of it with the door off are said to do nothing.
-fn door(taken: &mut Taken) -> Option<Allowance> {
+/// The admission controller's configuration, where it is on. Keys of it with the admission controller off are said to do nothing.
+fn door(taken: &mut Taken) -> Option<AdmissionConfig> {
     let number = |name: &str| taken.number("admission", name);
     let time = |name: &str| Tenths::from_ms(number(name));
-    let allowance = Allowance {
+    let allowance = AdmissionConfig {
         level: number("level"),
         window: time("window_ms"),
         decrease: number("decrease"),
@@ -289,11 +289,11 @@
         }
     }
 
-    /// The door's keys stand for its defaults: the file, the page and the decisions say the same.
+    /// The admission controller's keys stand for its defaults: the file, the page and the decisions say the same.
     #[rstest]
     fn the_door_is_on_with_the_defaults_of_its_decisions() {
         let fitting = read("[admission]\ndoor = on\n").unwrap();
-        assert_eq!(fitting.admission, Some(Allowance::default()));
+        assert_eq!(fitting.admission, Some(AdmissionConfig::default()));
         let told = read("[admission]\ndoor = on\nshares = off\nwindow_ms = 2000\n").unwrap();
         let allowance = told.admission.unwrap();
         assert_eq!((allowance.shares, allowance.window), (false, Tenths(20_000)));
