--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the brokers of a fleet share. So far: shares of one bounded budget, lent by leases ([`Purse`]). It has no
-//! clock, no sockets and no chance: whoever holds it tells the time of its own process, and carries the letters.
+//! What the brokers of a fleet share. So far: shares of one bounded budget, lent by leases ([`LeasedBudget`]). It has no
+//! clock, no sockets and no chance: whoever holds it tells the time of its own process, and carries the messages.
 //!
 //! Each of `brokers` owns an even share of `whole` units a window, and may lend a shard request of it that it has not spent
 //! lately. Whoever hears nothing has its own share, less what it lent until those leases are over. What all
-//! spend in any window is never more than the whole: not with letters lost, late, doubled, out of order, not with
+//! spend in any window is never more than the whole: not with messages lost, late, doubled, out of order, not with
 //! processes killed, stopped and continued, or started anew.
 //!
 //! | stage of a lease | event | next | act |
@@ -19,35 +19,35 @@
 //!
 //! ```
 //! use routing::Tenths;
-//! use quota_lease::{Incarnation, Name, Party, Purse, Terms};
+//! use quota_lease::{Incarnation, BrokerId, InstanceId, LeasedBudget, LeaseConfig};
 //!
-//! let terms = Terms { whole: 12, brokers: 3, window: Tenths(100), lease: Tenths(1000), ..Terms::default() };
-//! let mut one = Purse::start(terms.clone(), Party(Name(0), Incarnation(7)), Tenths(0));
-//! let mut other = Purse::start(terms, Party(Name(1), Incarnation(8)), Tenths(0));
+//! let config = LeaseConfig { whole: 12, brokers: 3, window: Tenths(100), lease: Tenths(1000), ..LeaseConfig::default() };
+//! let mut one = LeasedBudget::start(config.clone(), InstanceId(BrokerId(0), Incarnation(7)), Tenths(0));
+//! let mut other = LeasedBudget::start(config, InstanceId(BrokerId(1), Incarnation(8)), Tenths(0));
 //! let later = Tenths(5000); // both have run for longer than a lease
 //! assert_eq!(one.left(later), 4);
-//! let ask = one.ask(later, Name(1), 2).unwrap();
+//! let ask = one.ask(later, BrokerId(1), 2).unwrap();
 //! let grant = other.hear(later, &ask).unwrap();
 //! assert_eq!(one.hear(later, &grant), None);
 //! assert_eq!((one.left(later), other.left(later)), (6, 2));
 //! ```
 
-mod purse;
+mod leased_budget;
 
-pub use purse::Purse;
+pub use leased_budget::LeasedBudget;
 
 use routing::Tenths;
 
 /// A broker's number in its fleet; the same after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Name(pub u16);
+pub struct BrokerId(pub u16);
 
 /// Drawn at start: a process under an old name is told from the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Party(pub Name, pub Incarnation);
+pub struct InstanceId(pub BrokerId, pub Incarnation);
 
 /// Counted up by the borrower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -55,26 +55,26 @@
 
 /// What is said of a lease; its units are part of the whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Word {
+pub enum LeaseMessage {
     Ask(u32),
     Grant(u32),
-    Back,
+    GiveBack,
 }
 
 /// One message. An ask goes to whoever has the name; a grant, and what is given back, to one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Letter {
-    pub from: Party,
-    pub to: Name,
+pub struct Message {
+    pub from: InstanceId,
+    pub to: BrokerId,
     /// None: whoever has the name.
     pub process: Option<Incarnation>,
     pub lease: LeaseNo,
-    pub word: Word,
+    pub word: LeaseMessage,
 }
 
 /// The budget, and how it is lent. Times are of each process's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// Units that all brokers together may spend in any window.
     pub whole: u32,
     pub brokers: u32,
@@ -87,9 +87,9 @@
     pub most_leases: usize,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for LeaseConfig {
+    fn default() -> LeaseConfig {
+        LeaseConfig {
             whole: 0,
             brokers: 1,
             window: Tenths(10_000),
--- a/crates/quota-lease/tests/drift.rs
+++ b/crates/quota-lease/tests/drift.rs
@@ -1,7 +1,7 @@
 //! Brokers whose clocks run apart, over a network that loses, doubles and delays, with processes that stand still or
 //! start anew: what all spend in a window, by a clock that none of them sees. Also that lending is of use.
 
-use quota_lease::{Incarnation, Letter, Name, Party, Purse, Terms};
+use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeasedBudget, Message};
 use routing::Tenths;
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 const OFF: f64 = 0.005;
 
 struct Broker {
-    purse: Purse,
+    leased_budget: LeasedBudget,
     rate: f64,
     /// Stands still until then.
     still: i64,
@@ -24,23 +24,23 @@
     }
 }
 
-fn terms() -> Terms {
+fn config() -> LeaseConfig {
     let (window, lease) = (Tenths(WINDOW), Tenths(20_000));
-    Terms { whole: 40, brokers: BROKERS as u32, window, lease, drift: 100, most_leases: 16 }
+    LeaseConfig { whole: 40, brokers: BROKERS as u32, window, lease, drift: 100, most_leases: 16 }
 }
 
 fn start(no: usize, rng: &mut fastrand::Rng, real: i64) -> Broker {
     let rate = 1.0 + OFF * (2.0 * rng.f64() - 1.0);
     let now = Tenths((real as f64 * rate) as i64);
-    let me = Party(Name(no as u16), Incarnation(rng.u64(..)));
-    Broker { purse: Purse::start(terms(), me, now), rate, still: 0 }
+    let me = InstanceId(BrokerId(no as u16), Incarnation(rng.u64(..)));
+    Broker { leased_budget: LeasedBudget::start(config(), me, now), rate, still: 0 }
 }
 
 /// Plays a seed: the most that was spent in a window, and what one broker that needs more than its share could spend.
 fn play(seed: u64, loss: f64, lends: bool) -> (u32, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut brokers: Vec<Broker> = (0..BROKERS).map(|no| start(no, &mut rng, 0)).collect();
-    let mut letters: Vec<(i64, Letter)> = Vec::new();
+    let mut messages: Vec<(i64, Message)> = Vec::new();
     let mut spent: Vec<(i64, u32)> = Vec::new();
     let (mut most, mut hungry) = (0, 0);
     for real in (0..SECONDS * 10_000).step_by(50) {
@@ -55,38 +55,38 @@
                 let rate = brokers[no].rate;
                 brokers[no] = start(no, &mut rng, real);
                 brokers[no].rate = rate;
-                let me = Party(Name(no as u16), Incarnation(rng.u64(..)));
-                brokers[no].purse = Purse::start(terms(), me, now);
+                let me = InstanceId(BrokerId(no as u16), Incarnation(rng.u64(..)));
+                brokers[no].leased_budget = LeasedBudget::start(config(), me, now);
                 continue;
             }
             1 => brokers[no].still = real + rng.i64(0..60_000),
             _ => {}
         }
         let mut out = Vec::new();
-        let heard: Vec<Letter> = {
-            let due = |(at, letter): &(i64, Letter)| *at <= real && usize::from(letter.to.0) == no;
-            let heard = letters.iter().filter(|l| due(l)).map(|(_, letter)| *letter).collect();
-            letters.retain(|l| !due(l));
+        let heard: Vec<Message> = {
+            let due = |(at, message): &(i64, Message)| *at <= real && usize::from(message.to.0) == no;
+            let heard = messages.iter().filter(|l| due(l)).map(|(_, message)| *message).collect();
+            messages.retain(|l| !due(l));
             heard
         };
-        out.extend(heard.iter().filter_map(|letter| brokers[no].purse.hear(now, letter)));
-        let purse = &mut brokers[no].purse;
+        out.extend(heard.iter().filter_map(|message| brokers[no].leased_budget.hear(now, message)));
+        let leased_budget = &mut brokers[no].leased_budget;
         // The first always needs more than it has, the others now and then.
         let need = if no == 0 { 30 } else { rng.u32(0..9) };
-        let units = need.min(purse.left(now));
-        if units > 0 && purse.spend(now, units) {
+        let units = need.min(leased_budget.left(now));
+        if units > 0 && leased_budget.spend(now, units) {
             spent.push((real, units));
             hungry += if no == 0 { units } else { 0 };
         }
         if lends && no == 0 && rng.u32(0..4) == 0 {
-            out.extend(purse.ask(now, Name(rng.u16(1..BROKERS as u16)), 4));
+            out.extend(leased_budget.ask(now, BrokerId(rng.u16(1..BROKERS as u16)), 4));
         }
-        let held = purse.held_leases(now).next().filter(|_| rng.u32(0..40) == 0);
-        out.extend(held.and_then(|lease| purse.give_back(lease)));
-        for letter in out {
+        let held = leased_budget.held_leases(now).next().filter(|_| rng.u32(0..40) == 0);
+        out.extend(held.and_then(|lease| leased_budget.give_back(lease)));
+        for message in out {
             for _ in 0..rng.usize(1..3) {
                 if rng.f64() >= loss {
-                    letters.push((real + rng.i64(0..5000), letter));
+                    messages.push((real + rng.i64(0..5000), message));
                 }
             }
         }
--- a/crates/quota-lease/tests/model.rs
+++ b/crates/quota-lease/tests/model.rs
@@ -1,7 +1,7 @@
-//! Every state of three brokers that lend each other: letters lost, doubled and out of order, processes that stand still
-//! or start anew. The machine is `Purse` itself. Standing still is in it, as none has to do anything.
+//! Every state of three brokers that lend each other: messages lost, doubled and out of order, processes that stand still
+//! or start anew. The machine is `LeasedBudget` itself. Standing still is in it, as none has to do anything.
 
-use quota_lease::{Incarnation, LeaseNo, Letter, Name, Party, Purse, Terms};
+use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseNo, LeasedBudget, Message};
 use routing::Tenths;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: i64,
-    purses: Vec<Purse>,
+    purses: Vec<LeasedBudget>,
     /// Whatever was sent may be heard at any time, any number of times, or never.
-    letters: BTreeSet<Letter>,
+    messages: BTreeSet<Message>,
     /// Units spent at each of the last ticks.
     spent: Vec<u32>,
     asks: u32,
@@ -36,14 +36,14 @@
     Tick,
     Spend(usize),
     Ask(usize, u16),
-    Hear(usize, Letter),
+    Hear(usize, Message),
     GiveBack(usize, LeaseNo),
     StartAnew(usize),
 }
 
 impl Fleet {
-    fn purse(&self, no: usize, incarnation: u64, began: i64) -> Purse {
-        let terms = Terms {
+    fn leased_budget(&self, no: usize, incarnation: u64, began: i64) -> LeasedBudget {
+        let config = LeaseConfig {
             whole: SHARE * u32::from(BROKERS),
             brokers: BROKERS.into(),
             window: Tenths(self.window),
@@ -51,7 +51,7 @@
             drift: 1_000_000,
             most_leases: 4,
         };
-        Purse::start(terms, Party(Name(no as u16), Incarnation(incarnation)), Tenths(began))
+        LeasedBudget::start(config, InstanceId(BrokerId(no as u16), Incarnation(incarnation)), Tenths(began))
     }
 }
 
@@ -60,8 +60,8 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let purses = (0..BROKERS.into()).map(|no| self.purse(no, 0, -100)).collect();
-        vec![State { now: 0, purses, letters: BTreeSet::new(), spent: vec![0], asks: 0, crashes: 0 }]
+        let purses = (0..BROKERS.into()).map(|no| self.leased_budget(no, 0, -100)).collect();
+        vec![State { now: 0, purses, messages: BTreeSet::new(), spent: vec![0], asks: 0, crashes: 0 }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -69,20 +69,20 @@
         if state.now < self.last {
             actions.push(Action::Tick);
         }
-        for (no, purse) in state.purses.iter().enumerate() {
-            if purse.left(now) > 0 {
+        for (no, leased_budget) in state.purses.iter().enumerate() {
+            if leased_budget.left(now) > 0 {
                 actions.push(Action::Spend(no));
             }
             if state.asks < self.asks {
                 let others = (0..BROKERS).filter(|other| usize::from(*other) != no);
                 actions.extend(others.map(|other| Action::Ask(no, other)));
             }
-            actions.extend(purse.held_leases(now).map(|lease| Action::GiveBack(no, lease)));
+            actions.extend(leased_budget.held_leases(now).map(|lease| Action::GiveBack(no, lease)));
             if state.crashes < self.crashes {
                 actions.push(Action::StartAnew(no));
             }
         }
-        actions.extend(state.letters.iter().map(|letter| Action::Hear(letter.to.0.into(), *letter)));
+        actions.extend(state.messages.iter().map(|message| Action::Hear(message.to.0.into(), *message)));
     }
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
@@ -95,7 +95,7 @@
                 next.spent.drain(..kept);
                 // What is over is struck, so that states which differ by it alone are one.
                 let now = Tenths(next.now);
-                next.purses.iter_mut().for_each(|purse| _ = purse.spend(now, 0));
+                next.purses.iter_mut().for_each(|leased_budget| _ = leased_budget.spend(now, 0));
             }
             Action::Spend(no) => {
                 next.purses[no].spend(now, 1).then_some(())?;
@@ -103,13 +103,13 @@
             }
             Action::Ask(no, of) => {
                 next.asks += 1;
-                next.letters.extend(next.purses[no].ask(now, Name(of), 1));
+                next.messages.extend(next.purses[no].ask(now, BrokerId(of), 1));
             }
-            Action::Hear(no, letter) => next.letters.extend(next.purses[no].hear(now, &letter)),
-            Action::GiveBack(no, lease) => next.letters.extend(next.purses[no].give_back(lease)),
+            Action::Hear(no, message) => next.messages.extend(next.purses[no].hear(now, &message)),
+            Action::GiveBack(no, lease) => next.messages.extend(next.purses[no].give_back(lease)),
             Action::StartAnew(no) => {
                 next.crashes += 1;
-                next.purses[no] = self.purse(no, 1, state.now);
+                next.purses[no] = self.leased_budget(no, 1, state.now);
             }
         }
         (next != *state).then_some(next)
@@ -121,7 +121,7 @@
                 state.spent.iter().sum::<u32>() <= SHARE * u32::from(BROKERS)
             }),
             Property::sometimes("a lease is spent", |_, state: &State| {
-                let held = |p: &Purse| p.held_leases(Tenths(state.now)).next().is_some();
+                let held = |p: &LeasedBudget| p.held_leases(Tenths(state.now)).next().is_some();
                 state.purses.iter().any(|p| held(p) && p.left(Tenths(state.now)) == 0)
             }),
         ]
