--- a/crates/broker-bench/src/fleet.rs
+++ b/crates/broker-bench/src/fleet.rs
@@ -3,7 +3,8 @@
 //! model.
 
 use config_rollout::{
-    Digest, Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Sample, StreamNo, VersionId,
+    Digest, Effect, Input, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy, Sample, StreamNo,
+    VersionId,
 };
 use routing::Tenths;
 use std::cmp::Reverse;
@@ -12,7 +13,7 @@
 /// How brokers call again.
 #[derive(Clone, Debug)]
 pub enum Manner {
-    Keeper(Box<Patience>),
+    RolloutController(Box<RolloutPolicy>),
     /// After this wait, every time.
     FixedWait(Tenths),
 }
@@ -60,7 +61,7 @@
 }
 
 enum Mind {
-    Keeper(Box<Keeper>),
+    RolloutController(Box<RolloutController>),
     Fixed(Tenths),
 }
 
@@ -100,10 +101,10 @@
     pub fn new(brokers: usize, manner: &Manner, seed: u64, life: Option<Tenths>) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut mind = || match manner {
-            Manner::Keeper(patience) => Mind::Keeper(Box::new(Keeper::new(
+            Manner::RolloutController(patience) => Mind::RolloutController(Box::new(RolloutController::new(
                 (**patience).clone(),
                 1,
-                Memory::of(version(0)),
+                PersistedState::of(version(0)),
                 rng.u64(..),
                 Tenths(0),
             ))),
@@ -135,7 +136,7 @@
             let at = Tenths(fleet.rng.i64(0..SECOND));
             fleet.at(at, Event::Count(no));
             match fleet.brokers[no].mind {
-                Mind::Keeper(_) => fleet.hear(no, Input::Start),
+                Mind::RolloutController(_) => fleet.hear(no, Input::Start),
                 Mind::Fixed(_) => fleet.call(no),
             }
         }
@@ -176,7 +177,7 @@
         match event {
             Event::Service(happening) => self.serve(happening),
             Event::Due(no) => match self.brokers[no].mind {
-                Mind::Keeper(_) => self.hear(no, Input::Due),
+                Mind::RolloutController(_) => self.hear(no, Input::Due),
                 Mind::Fixed(_) => self.call(no),
             },
             Event::Called(no, stream) => {
@@ -197,7 +198,7 @@
                 broker.counts.ready = 100;
                 let counts = broker.counts;
                 self.at(self.now + Tenths(SECOND), Event::Count(no));
-                if matches!(self.brokers[no].mind, Mind::Keeper(_)) {
+                if matches!(self.brokers[no].mind, Mind::RolloutController(_)) {
                     self.hear(no, Input::Counted(counts));
                 }
             }
@@ -256,7 +257,7 @@
             let at = self.trip();
             self.at(at, Event::Came(no, stream, 0));
         }
-        if matches!(self.brokers[no].mind, Mind::Keeper(_)) {
+        if matches!(self.brokers[no].mind, Mind::RolloutController(_)) {
             self.hear(no, Input::Opened(stream));
         }
     }
@@ -264,7 +265,7 @@
     fn ended(&mut self, no: usize, stream: StreamNo) {
         self.brokers[no].up = false;
         match self.brokers[no].mind {
-            Mind::Keeper(_) => self.hear(no, Input::Ended { stream, why: "cut".to_owned() }),
+            Mind::RolloutController(_) => self.hear(no, Input::Ended { stream, why: "cut".to_owned() }),
             Mind::Fixed(wait) => self.at(self.now + wait, Event::Due(no)),
         }
     }
@@ -274,7 +275,7 @@
         let nonce = Nonce(self.brokers[no].nonce.to_string());
         let offer = if number == 0 { Offer::Nothing } else { Offer::Sound(version(number)) };
         match self.brokers[no].mind {
-            Mind::Keeper(_) => self.hear(no, Input::Came { stream, nonce, offer }),
+            Mind::RolloutController(_) => self.hear(no, Input::Came { stream, nonce, offer }),
             Mind::Fixed(_) => {
                 if number > 0 && self.brokers[no].runs.number != number {
                     self.run(no, version(number));
@@ -292,8 +293,8 @@
     }
 
     fn hear(&mut self, no: usize, input: Input) {
-        let Mind::Keeper(keeper) = &mut self.brokers[no].mind else { return };
-        for effect in keeper.hear(self.now, input) {
+        let Mind::RolloutController(controller) = &mut self.brokers[no].mind else { return };
+        for effect in controller.hear(self.now, input) {
             match effect {
                 Effect::Call { .. } => self.call(no),
                 Effect::HangUp { .. } => self.brokers[no].stream.0 += 1,
@@ -311,8 +312,8 @@
                 Effect::Subscribe { .. } | Effect::Keep(_) | Effect::Remember | Effect::Say(_) => {}
             }
         }
-        let Mind::Keeper(keeper) = &self.brokers[no].mind else { return };
+        let Mind::RolloutController(controller) = &self.brokers[no].mind else { return };
         self.outcome.looks += 1;
-        self.outcome.wrong_reports += u64::from(keeper.runs() != self.brokers[no].runs);
+        self.outcome.wrong_reports += u64::from(controller.runs() != self.brokers[no].runs);
     }
 }
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -133,7 +133,7 @@
 
 enum Decider {
     Module(Box<Broker>),
-    AdmittedBroker(Box<AdmittedBroker>),
+    Admitted(Box<AdmittedBroker>),
     Baseline(Box<Baseline>),
 }
 
--- a/crates/broker-bench/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -2,7 +2,7 @@
 //! wait; then one whose streams are dropped all the while; then a version that fails.
 
 use crate::fleet::{Fleet, Happening, Manner, Outcome, SECOND};
-use config_rollout::{Digest, Patience, VersionId};
+use config_rollout::{Digest, RolloutPolicy, VersionId};
 use config_rollout_client::wire::{self, TYPE_URL, Version};
 use envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use hdrhistogram::Histogram;
@@ -26,9 +26,9 @@
 pub fn measure(brokers: usize, seed: u64) -> bool {
     let rate = brokers as f64 * CALLS_SHARE;
     let bound = rate + DEVIATIONS * rate.sqrt();
-    let patience = Patience::default().spread(brokers as u32, rate);
+    let patience = RolloutPolicy::default().spread(brokers as u32, rate);
     let longest = patience.longest_wait.as_ms() / 1000.0;
-    let keeper = Manner::Keeper(Box::new(patience));
+    let controller = Manner::RolloutController(Box::new(patience));
     let fixed = Manner::FixedWait(Tenths(SECOND));
     let mut figures = Map::new();
     let mut pass = true;
@@ -40,7 +40,7 @@
         "", "median s", "99th s", "last s", "worst calls/s", "wrong"
     );
     for (name, down) in [("restart, 1 s", 1), ("restart, 30 s", 30), ("restart, 10 min", 600)] {
-        for (manner, who) in [(&keeper, "keeper"), (&fixed, "fixed wait")] {
+        for (manner, who) in [(&controller, "keeper"), (&fixed, "fixed wait")] {
             let outcome = restart(brokers, manner, seed, down);
             let arrivals = outcome.arrivals.get(&2).cloned().unwrap_or_default();
             let told = tell(&format!("{name}, {who}"), &outcome, &arrivals, 100 + down);
@@ -53,12 +53,12 @@
             figures.insert(format!("down_{down}s_{}", who.replace(' ', "_")), told.json());
         }
     }
-    let dropped = drops(brokers, &keeper, seed);
+    let dropped = drops(brokers, &controller, seed);
     let arrivals = dropped.arrivals.get(&6).cloned().unwrap_or_default();
     let told = tell("drops, streams of 20 s", &dropped, &arrivals, 30);
     pass &= dropped.at_end.get(&6) == Some(&brokers) && dropped.wrong_reports == 0;
     figures.insert("drops".to_owned(), told.json());
-    let failed = fails(brokers, &keeper, seed);
+    let failed = fails(brokers, &controller, seed);
     let told = tell("a version that fails, out", &failed, &failed.withdrawals, 30);
     pass &=
         failed.at_end.get(&1) == Some(&brokers) && failed.wrong_reports == 0 && told.last <= WITHDRAWN_WITHIN;
@@ -173,18 +173,18 @@
     /// The measure can fail: brokers that wait a fixed second break the bound that keepers keep.
     #[rstest]
     fn a_fixed_wait_breaks_the_bound() {
-        let patience = Patience::default().spread(300, 30.0);
-        let keeper = restart(300, &Manner::Keeper(Box::new(patience)), 3, 1);
+        let patience = RolloutPolicy::default().spread(300, 30.0);
+        let controller = restart(300, &Manner::RolloutController(Box::new(patience)), 3, 1);
         let fixed = restart(300, &Manner::FixedWait(Tenths(SECOND)), 3, 1);
         let worst = |outcome: &Outcome| outcome.calls.range(101..).map(|(_, calls)| *calls).max().unwrap();
-        assert!(worst(&keeper) <= 58 && worst(&fixed) == 300, "{} {}", worst(&keeper), worst(&fixed));
-        assert_eq!((keeper.at_end.get(&2), keeper.wrong_reports), (Some(&300), 0));
+        assert!(worst(&controller) <= 58 && worst(&fixed) == 300, "{} {}", worst(&controller), worst(&fixed));
+        assert_eq!((controller.at_end.get(&2), controller.wrong_reports), (Some(&300), 0));
     }
 
     /// One seed, one outcome.
     #[rstest]
     fn is_the_same_by_seed() {
-        let manner = Manner::Keeper(Box::default());
+        let manner = Manner::RolloutController(Box::default());
         let play = || drops(50, &manner, 9);
         let (one, other) = (play(), play());
         assert_eq!((one.arrivals, one.calls), (other.arrivals, other.calls));
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -6,7 +6,7 @@
 use crate::desk::Desk;
 use crate::edition::{Edition, Tally};
 use config_rollout::{Sample, VersionId};
-use config_rollout_client::{Post, Restored, Seat, Shown, csds, follow, restore, show};
+use config_rollout_client::{Post, RestoredState, Seat, Shown, csds, follow, restore, show};
 use operator_config::Control;
 use routing::BrokerConfig;
 use serde_json::json;
@@ -23,7 +23,7 @@
 /// A broker's versions, prepared before it serves.
 pub struct Follower {
     post: Post,
-    restored: Restored,
+    restored: RestoredState,
     start: BrokerConfig,
     status: Option<TcpListener>,
 }
@@ -92,16 +92,16 @@
 }
 
 /// What the thread beside asks of the broker's.
-enum Word {
+enum LogEvent {
     Prescribe { version: VersionId, intake: Box<Intake>, done: oneshot::Sender<()> },
     Relabel { version: VersionId, done: oneshot::Sender<()> },
     Count { tell: oneshot::Sender<Sample> },
 }
 
-struct Remote(mpsc::Sender<Word>);
+struct Remote(mpsc::Sender<LogEvent>);
 
 impl Remote {
-    async fn say<T>(&self, word: impl FnOnce(oneshot::Sender<T>) -> Word) -> Option<T> {
+    async fn say<T>(&self, word: impl FnOnce(oneshot::Sender<T>) -> LogEvent) -> Option<T> {
         let (tell, told) = oneshot::channel();
         self.0.send(word(tell)).await.ok()?;
         told.await.ok()
@@ -110,15 +110,15 @@
 
 impl Seat for Remote {
     async fn prescribe(&mut self, version: VersionId, intake: Intake) {
-        self.say(|done| Word::Prescribe { version, intake: Box::new(intake), done }).await;
+        self.say(|done| LogEvent::Prescribe { version, intake: Box::new(intake), done }).await;
     }
 
     async fn relabel(&mut self, version: VersionId) {
-        self.say(|done| Word::Relabel { version, done }).await;
+        self.say(|done| LogEvent::Relabel { version, done }).await;
     }
 
     async fn count(&mut self) -> Option<Sample> {
-        self.say(|tell| Word::Count { tell }).await
+        self.say(|tell| LogEvent::Count { tell }).await
     }
 }
 
@@ -130,10 +130,10 @@
 
 /// Does at the desk what is asked. What is shown changes in the same step as what is taken under: nobody can
 /// see one without the other.
-async fn sit(desk: Rc<Desk>, start: BrokerConfig, mut heard: mpsc::Receiver<Word>, shown: Arc<Shown>) {
+async fn sit(desk: Rc<Desk>, start: BrokerConfig, mut heard: mpsc::Receiver<LogEvent>, shown: Arc<Shown>) {
     while let Some(word) = heard.recv().await {
         match word {
-            Word::Prescribe { version, mut intake, done } => {
+            LogEvent::Prescribe { version, mut intake, done } => {
                 let p = &mut intake.broker_config;
                 keep_waits(p, &start);
                 // Zones have the numbers of the start here, whatever order a version lists them in.
@@ -142,11 +142,11 @@
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
-            Word::Relabel { version, done } => {
+            LogEvent::Relabel { version, done } => {
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
-            Word::Count { tell } => {
+            LogEvent::Count { tell } => {
                 let Tally { ended, late, declined, scrapped, turned_away, by_nodes } =
                     desk.edition().tally.get();
                 let bad = late + declined + scrapped + turned_away;
--- a/crates/config-rollout-client/src/follow.rs
+++ b/crates/config-rollout-client/src/follow.rs
@@ -1,13 +1,13 @@
 //! The loop that carries out: streams in, wake-ups, counts; effects out. It waits for the broker's word on
 //! each configuration before it answers a service, so that no answer runs ahead of what is applied.
 
-use crate::shelf::{Restored, Shelf};
+use crate::shelf::{RestoredState, Shelf};
 use crate::wire::{self, Kept, MOST_ON_WIRE, Version};
 use crate::{csds, keep};
 use arc_swap::ArcSwap;
 use config_rollout::{
-    Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Report, Sample, ServiceNo, StreamNo, VersionId,
-    Word,
+    Effect, Input, LogEvent, Nonce, Offer, PersistedState, Report, RolloutController, RolloutPolicy, Sample,
+    ServiceNo, StreamNo, VersionId,
 };
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
@@ -44,7 +44,7 @@
     pub name: String,
     pub installation: String,
     pub services: Vec<SocketAddr>,
-    pub patience: Patience,
+    pub patience: RolloutPolicy,
     /// Bytes of a document.
     pub document: usize,
     pub keep: Option<PathBuf>,
@@ -66,13 +66,18 @@
 
 impl Shown {
     pub fn new(post: &Post, runs: VersionId) -> Arc<Shown> {
-        let keeper =
-            Keeper::new(post.patience.clone(), post.services.len(), Memory::of(runs), post.seed, unix_now());
+        let controller = RolloutController::new(
+            post.patience.clone(),
+            post.services.len(),
+            PersistedState::of(runs),
+            post.seed,
+            unix_now(),
+        );
         Arc::new(Shown {
             name: post.name.clone(),
             installation: post.installation.clone(),
             runs: ArcSwap::from_pointee(runs),
-            report: ArcSwap::from_pointee(keeper.report()),
+            report: ArcSwap::from_pointee(controller.report()),
         })
     }
 }
@@ -88,13 +93,19 @@
 const WAITING: usize = 16;
 
 /// Follows until the broker is gone.
-pub async fn follow<S: Seat>(post: Post, restored: Restored, seat: S, shown: Arc<Shown>) {
+pub async fn follow<S: Seat>(post: Post, restored: RestoredState, seat: S, shown: Arc<Shown>) {
     let (tell, mut heard) = mpsc::channel(WAITING);
     let clock = Clock { started: Instant::now(), unix: unix_now() };
-    let keeper =
-        Keeper::new(post.patience.clone(), post.services.len(), restored.memory, post.seed, clock.now());
+    let controller = RolloutController::new(
+        post.patience.clone(),
+        post.services.len(),
+        restored.memory,
+        post.seed,
+        clock.now(),
+    );
     let shelf = Shelf::new(restored.start, restored.runs);
-    let mut follower = Follower { post, keeper, shelf, seat, shown, clock, tell, line: None, wake_at: None };
+    let mut follower =
+        Follower { post, controller, shelf, seat, shown, clock, tell, line: None, wake_at: None };
     let mut counting = interval(follower.post.count_every);
     counting.set_missed_tick_behavior(MissedTickBehavior::Delay);
     follower.hear(Input::Start).await;
@@ -150,7 +161,7 @@
 
 struct Follower<S> {
     post: Post,
-    keeper: Keeper,
+    controller: RolloutController,
     shelf: Shelf,
     seat: S,
     shown: Arc<Shown>,
@@ -183,7 +194,7 @@
             Ok(read) => read,
             Err(offer) => return offer,
         };
-        if self.keeper.would_apply(version)
+        if self.controller.would_apply(version)
             && let Err(why) = self.shelf.check(version, &document)
         {
             return Offer::Broken { number: Some(version.number), why };
@@ -192,10 +203,10 @@
     }
 
     async fn hear(&mut self, input: Input) {
-        for effect in self.keeper.hear(self.clock.now(), input) {
+        for effect in self.controller.hear(self.clock.now(), input) {
             self.carry_out(effect).await;
         }
-        self.shown.report.store(Arc::new(self.keeper.report()));
+        self.shown.report.store(Arc::new(self.controller.report()));
     }
 
     async fn carry_out(&mut self, effect: Effect) {
@@ -282,7 +293,7 @@
             installation: self.post.installation.clone(),
             note: String::new(),
         });
-        let kept = Kept::of(&self.keeper.memory(), version);
+        let kept = Kept::of(&self.controller.memory(), version);
         let written =
             tokio::task::spawn_blocking(move || keep::write(&path, &kept).map_err(|e| e.to_string()));
         let written = written.await.map_err(|e| e.to_string()).and_then(|written| written);
@@ -292,27 +303,29 @@
         written.is_ok()
     }
 
-    fn say(&self, word: &Word) {
+    fn say(&self, word: &LogEvent) {
         let address = |service: &ServiceNo| {
             self.post.services.get(service.0).map_or(String::new(), SocketAddr::to_string)
         };
         match word {
-            Word::Applied(v) => info!(number = v.number, digest = %v.digest, "version applied, on trial"),
-            Word::Relabelled(v) => info!(number = v.number, digest = %v.digest, "version has a new number"),
-            Word::Confirmed(v) => info!(number = v.number, digest = %v.digest, "version confirmed"),
-            Word::Unproven(v, why) => {
+            LogEvent::Applied(v) => info!(number = v.number, digest = %v.digest, "version applied, on trial"),
+            LogEvent::Relabelled(v) => {
+                info!(number = v.number, digest = %v.digest, "version has a new number")
+            }
+            LogEvent::Confirmed(v) => info!(number = v.number, digest = %v.digest, "version confirmed"),
+            LogEvent::Unproven(v, why) => {
                 warn!(number = v.number, digest = %v.digest, reason = why, "version stays, not proven");
             }
-            Word::TurnedDown { number, why } => warn!(number, reason = why, "version turned down"),
-            Word::Withdrawn { version, runs, why } => warn!(
+            LogEvent::TurnedDown { number, why } => warn!(number, reason = why, "version turned down"),
+            LogEvent::Withdrawn { version, runs, why } => warn!(
                 number = version.number, digest = %version.digest, runs = runs.number, reason = why,
                 "version withdrawn"
             ),
-            Word::Clouded(v, why) => {
+            LogEvent::Clouded(v, why) => {
                 warn!(number = v.number, digest = %v.digest, reason = why, "trial makes a pause");
             }
-            Word::Reached(service) => info!(service = address(service), "control service reached"),
-            Word::Gone { service, why } => {
+            LogEvent::Reached(service) => info!(service = address(service), "control service reached"),
+            LogEvent::Gone { service, why } => {
                 warn!(service = address(service), reason = why, "control service gone, what runs is kept");
             }
         }
--- a/crates/config-rollout-client/src/shelf.rs
+++ b/crates/config-rollout-client/src/shelf.rs
@@ -3,7 +3,7 @@
 
 use crate::keep;
 use crate::wire::{Kept, Version};
-use config_rollout::{Digest, Memory, VersionId};
+use config_rollout::{Digest, PersistedState, VersionId};
 use settings::{Catalogue, Document, Intake, Mistake, Revised, revise};
 use std::path::Path;
 
@@ -75,10 +75,10 @@
 
 /// What a broker starts from: its own file, or what it kept.
 #[derive(Debug)]
-pub struct Restored {
+pub struct RestoredState {
     pub start: Document,
     pub runs: Shelved,
-    pub memory: Memory,
+    pub memory: PersistedState,
     /// Why a kept file was passed over.
     pub passed_over: Option<String>,
 }
@@ -91,13 +91,13 @@
     file: Option<&Path>,
     installation: &str,
     most: usize,
-) -> Restored {
+) -> RestoredState {
     let version = VersionId { number: 0, digest: Digest::of(&own.canonical()) };
     let fallback = Shelved { version, document: own.clone(), intake: intake.clone() };
     let begin = |runs: Shelved, kept: Option<&Kept>, passed_over| {
-        let fresh = Memory::of(runs.version);
+        let fresh = PersistedState::of(runs.version);
         let memory = kept.map_or(fresh, |kept| kept.memory(runs.version));
-        Restored { start: own.clone(), runs, memory, passed_over }
+        RestoredState { start: own.clone(), runs, memory, passed_over }
     };
     let Some(path) = file else { return begin(fallback, None, None) };
     let named = |why: String| Some(format!("{}: {why}", path.display()));
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,7 +1,7 @@
 //! The project's own resource in xDS's transport, and how a response is read. A version's number stands in
 //! the response's `version_info` too, so that operators of other proxies see it where they look for it.
 
-use config_rollout::{Digest, Memory, Offer, VersionId};
+use config_rollout::{Digest, Offer, PersistedState, VersionId};
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use envoy_types::pb::google::protobuf::Any;
 use envoy_types::pb::google::rpc::Status;
@@ -117,7 +117,7 @@
 }
 
 impl Kept {
-    pub fn of(memory: &Memory, version: Option<Version>) -> Kept {
+    pub fn of(memory: &PersistedState, version: Option<Version>) -> Kept {
         let mut withdrawn: Vec<_> = memory.withdrawn.iter().collect();
         withdrawn.sort_by_key(|(version, _)| std::cmp::Reverse(version.number));
         withdrawn.truncate(KEPT_WITHDRAWN);
@@ -131,8 +131,8 @@
     }
 
     /// The memory, with what the broker goes on with.
-    pub fn memory(&self, confirmed: VersionId) -> Memory {
-        Memory {
+    pub fn memory(&self, confirmed: VersionId) -> PersistedState {
+        PersistedState {
             confirmed,
             highest: self.highest,
             withdrawn: self.withdrawn.iter().filter_map(|w| Some((w.id()?, w.why.clone()))).collect(),
--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -3,11 +3,11 @@
 
 use crate::effects::Effect;
 use crate::inputs::{Input, Nonce, Offer, ServiceNo, StreamNo};
-use crate::line::{self, Line};
-use crate::patience::Patience;
-use crate::trial::{Past, Sample, Sky, Trial, Verdict};
+use crate::policy::RolloutPolicy;
+use crate::probation::{Past, Probation, ProbationCondition, Sample, Verdict};
+use crate::subscription::{self, Subscription};
 use crate::version::VersionId;
-use crate::versions::{Event, Memory, Refusal, Say, Standing, Versions};
+use crate::versions::{Event, PersistedState, Rejection, Say, Standing, Versions};
 use routing::Tenths;
 use std::collections::VecDeque;
 
@@ -18,16 +18,16 @@
 
 /// Which version a broker runs, and how it came to.
 #[derive(Debug)]
-pub struct Keeper {
-    patience: Patience,
-    line: Line,
+pub struct RolloutController {
+    patience: RolloutPolicy,
+    subscription: Subscription,
     versions: Versions,
     /// Counts of settled versions, and those of the one on trial, which join them when it is confirmed.
     past: Past,
     during: Vec<(Tenths, Sample)>,
     /// The running version's counts as last told.
     counts: Sample,
-    trial: Option<Trial>,
+    trial: Option<Probation>,
     /// Nonces that were answered on the stream, the newest last.
     answered: VecDeque<Nonce>,
 }
@@ -43,17 +43,23 @@
     /// Its trial ended without a verdict, and why.
     pub unproven: Option<String>,
     pub confirmed: VersionId,
-    pub last_refusal: Option<Refusal>,
+    pub last_refusal: Option<Rejection>,
     /// The service whose stream is up.
     pub service: Option<ServiceNo>,
 }
 
-impl Keeper {
+impl RolloutController {
     /// Of a broker with this memory, that may ask so many services.
-    pub fn new(patience: Patience, services: usize, memory: Memory, seed: u64, now: Tenths) -> Keeper {
+    pub fn new(
+        patience: RolloutPolicy,
+        services: usize,
+        memory: PersistedState,
+        seed: u64,
+        now: Tenths,
+    ) -> RolloutController {
         let rng = fastrand::Rng::with_seed(seed);
-        Keeper {
-            line: Line::new(patience.clone(), services, rng),
+        RolloutController {
+            subscription: Subscription::new(patience.clone(), services, rng),
             versions: Versions::new(memory, now),
             past: Past::default(),
             during: Vec::new(),
@@ -69,11 +75,11 @@
             runs: self.versions.runs(),
             since: self.versions.since(),
             standing: self.versions.standing(),
-            clouded: self.trial.as_ref().is_some_and(|trial| trial.sky() == Sky::Overcast),
+            clouded: self.trial.as_ref().is_some_and(|trial| trial.sky() == ProbationCondition::Overcast),
             unproven: self.versions.unproven().map(str::to_owned),
             confirmed: self.versions.confirmed(),
             last_refusal: self.versions.last_refusal().cloned(),
-            service: self.line.stream().map(|_| self.line.service()),
+            service: self.subscription.stream().map(|_| self.subscription.service()),
         }
     }
 
@@ -82,7 +88,7 @@
     }
 
     /// What must outlast the process.
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> PersistedState {
         self.versions.memory()
     }
 
@@ -99,27 +105,27 @@
 
     pub fn hear(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let asleep_until = self.line.next_due();
+        let asleep_until = self.subscription.next_due();
         match input {
-            Input::Start => self.line.hear(now, line::Event::Began, &mut effects),
-            Input::Due => self.line.hear(now, line::Event::Due, &mut effects),
-            Input::Opened(stream) if self.line.is_current(stream) => {
+            Input::Start => self.subscription.hear(now, subscription::Event::Began, &mut effects),
+            Input::Due => self.subscription.hear(now, subscription::Event::Due, &mut effects),
+            Input::Opened(stream) if self.subscription.is_current(stream) => {
                 self.answered.clear();
-                self.line.hear(now, line::Event::Opened, &mut effects);
+                self.subscription.hear(now, subscription::Event::Opened, &mut effects);
                 effects.push(Effect::Subscribe { stream, runs: self.versions.runs() });
             }
-            Input::Ended { stream, why } if self.line.is_current(stream) => {
-                self.line.note_gone(&why, &mut effects);
-                self.line.hear(now, line::Event::Ended, &mut effects);
+            Input::Ended { stream, why } if self.subscription.is_current(stream) => {
+                self.subscription.note_gone(&why, &mut effects);
+                self.subscription.hear(now, subscription::Event::Ended, &mut effects);
             }
-            Input::Came { stream, nonce, offer } if self.line.is_current(stream) => {
+            Input::Came { stream, nonce, offer } if self.subscription.is_current(stream) => {
                 self.came(now, stream, nonce, &offer, &mut effects);
             }
             // Words of streams that are over.
             Input::Opened(_) | Input::Ended { .. } | Input::Came { .. } => {}
             Input::Counted(sample) => self.counted(now, sample, &mut effects),
         }
-        if let Some(due) = self.line.next_due().filter(|due| Some(*due) != asleep_until) {
+        if let Some(due) = self.subscription.next_due().filter(|due| Some(*due) != asleep_until) {
             effects.push(Effect::WakeAt(due));
         }
         effects
@@ -135,7 +141,7 @@
         offer: &Offer,
         effects: &mut Vec<Effect>,
     ) {
-        self.line.hear(now, line::Event::Heard, effects);
+        self.subscription.hear(now, subscription::Event::Heard, effects);
         if self.answered.contains(&nonce) {
             return;
         }
@@ -148,7 +154,7 @@
         match event {
             Event::Newer => {
                 let before = self.trial.take().map(|trial| trial.follow(now));
-                self.trial = before.or_else(|| Some(Trial::new(self.patience.clone(), &self.past, now)));
+                self.trial = before.or_else(|| Some(Probation::new(self.patience.clone(), &self.past, now)));
                 self.counts_anew();
             }
             Event::Returned => {
@@ -163,7 +169,7 @@
         };
         effects.push(Effect::Answer { stream, nonce, runs: self.versions.runs(), refusal });
         if matches!(event, Event::Older | Event::Forked) {
-            self.line.hear(now, line::Event::Suspected, effects);
+            self.subscription.hear(now, subscription::Event::Suspected, effects);
         }
     }
 
@@ -194,7 +200,7 @@
         self.versions.judged(now, event, &why, effects);
         if event == Event::Failed {
             self.counts_anew();
-            if let (Some(stream), Some(nonce)) = (self.line.stream(), self.answered.back()) {
+            if let (Some(stream), Some(nonce)) = (self.subscription.stream(), self.answered.back()) {
                 let (nonce, runs) = (nonce.clone(), self.versions.runs());
                 effects.push(Effect::TellWithdrawn { stream, nonce, runs, why });
             }
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -43,16 +43,16 @@
     PutBack(VersionId),
     /// This version is confirmed: keep its contents, for a withdrawal and for a restart.
     Keep(VersionId),
-    /// Write down [`crate::Memory`], before what comes next is done.
+    /// Write down [`crate::PersistedState`], before what comes next is done.
     Remember,
     /// Be told `Due` at this moment.
     WakeAt(Tenths),
-    Say(Word),
+    Say(LogEvent),
 }
 
 /// What the log is told of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum LogEvent {
     Applied(VersionId),
     Relabelled(VersionId),
     Confirmed(VersionId),
--- a/crates/config-rollout/src/inputs.rs
+++ b/crates/config-rollout/src/inputs.rs
@@ -1,6 +1,6 @@
 //! What a keeper hears.
 
-use crate::trial::Sample;
+use crate::probation::Sample;
 use crate::version::VersionId;
 
 /// A place in the list of control services.
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -4,7 +4,7 @@
 use routing::Tenths;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Patience {
+pub struct RolloutPolicy {
     /// The wait before a call is drawn from 0 to this; each failure in a row doubles it...
     pub first_wait: Tenths,
     /// ...up to this.
@@ -29,10 +29,10 @@
     pub margin: f64,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
+impl Default for RolloutPolicy {
+    fn default() -> RolloutPolicy {
         let seconds = |s: i64| Tenths(s * 10_000);
-        Patience {
+        RolloutPolicy {
             first_wait: seconds(1),
             longest_wait: seconds(60),
             calls: 10,
@@ -48,10 +48,10 @@
     }
 }
 
-impl Patience {
+impl RolloutPolicy {
     /// Waits by which a fleet of so many brokers, all cut off at once, come back at this rate a second at the
     /// most, on average over the first wait.
-    pub fn spread(mut self, brokers: u32, calls_per_s: f64) -> Patience {
+    pub fn spread(mut self, brokers: u32, calls_per_s: f64) -> RolloutPolicy {
         let seconds = f64::from(brokers) / calls_per_s.max(0.001);
         self.first_wait = self.first_wait.max(Tenths((seconds * 10_000.0) as i64));
         self.longest_wait = self.longest_wait.max(self.first_wait);
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -6,8 +6,8 @@
 //! of the way to them that began in the same span as the version; harm too rare for the traffic that there
 //! was.
 
-use crate::patience::Patience;
-use Sky::{Clear, Overcast};
+use crate::policy::RolloutPolicy;
+use ProbationCondition::{Clear, Overcast};
 use routing::Tenths;
 use std::collections::VecDeque;
 
@@ -51,7 +51,7 @@
 
 /// Whether nodes are being lost while a version is on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sky {
+pub enum ProbationCondition {
     Clear,
     Overcast,
 }
@@ -68,22 +68,22 @@
     Clouded(String),
 }
 
-type Guard = fn(&Trial, &Look) -> bool;
-type Act = fn(&mut Trial, &Look) -> Verdict;
+type Guard = fn(&Probation, &Look) -> bool;
+type Act = fn(&mut Probation, &Look) -> Verdict;
 
-struct Row(&'static [Sky], Guard, Sky, Act);
+struct Row(&'static [ProbationCondition], Guard, ProbationCondition, Act);
 
 /// Under a sky, if the guard holds: the next sky, and the verdict. The first row that fits is taken.
 #[rustfmt::skip]
 const TABLE: &[Row] = &[
-    Row(&[Clear],    Trial::loses_nodes, Overcast, Trial::pause),
-    Row(&[Clear],    Trial::is_too_long, Clear,    Trial::give_up),
-    Row(&[Overcast], Trial::is_too_long, Clear,    Trial::give_up_lost),
-    Row(&[Overcast], Trial::loses_nodes, Overcast, Trial::skip),
-    Row(&[Overcast], |_, _| true,        Clear,    Trial::begin_anew),
-    Row(&[Clear],    Trial::is_worse,    Clear,    Trial::blame),
-    Row(&[Clear],    Trial::is_over,     Clear,    Trial::prove),
-    Row(&[Clear],    |_, _| true,        Clear,    Trial::wait),
+    Row(&[Clear],    Probation::loses_nodes, Overcast, Probation::pause),
+    Row(&[Clear],    Probation::is_too_long, Clear,    Probation::give_up),
+    Row(&[Overcast], Probation::is_too_long, Clear,    Probation::give_up_lost),
+    Row(&[Overcast], Probation::loses_nodes, Overcast, Probation::skip),
+    Row(&[Overcast], |_, _| true,        Clear,    Probation::begin_anew),
+    Row(&[Clear],    Probation::is_worse,    Clear,    Probation::blame),
+    Row(&[Clear],    Probation::is_over,     Clear,    Probation::prove),
+    Row(&[Clear],    |_, _| true,        Clear,    Probation::wait),
 ];
 
 /// How many standard deviations a difference must lie off: it is looked at again and again, so that two would
@@ -150,29 +150,29 @@
 }
 
 #[derive(Debug)]
-pub struct Trial {
-    patience: Patience,
+pub struct Probation {
+    patience: RolloutPolicy,
     before: Level,
     began: Tenths,
     /// When the sky was last clear, and the counts at that time.
     clear_since: (Tenths, Sample),
-    sky: Sky,
+    sky: ProbationCondition,
 }
 
-impl Trial {
+impl Probation {
     /// Of a version that is applied now, after this past.
-    pub fn new(patience: Patience, past: &Past, now: Tenths) -> Trial {
+    pub fn new(patience: RolloutPolicy, past: &Past, now: Tenths) -> Probation {
         let clear_since = (now, Sample::default());
-        Trial { patience, before: past.level(), began: now, clear_since, sky: Clear }
+        Probation { patience, before: past.level(), began: now, clear_since, sky: Clear }
     }
 
     /// Of one that takes the place of another on trial: the measure stays what was before both.
-    pub fn follow(&self, now: Tenths) -> Trial {
+    pub fn follow(&self, now: Tenths) -> Probation {
         let (patience, before) = (self.patience.clone(), self.before.clone());
-        Trial { patience, before, began: now, clear_since: (now, Sample::default()), sky: Clear }
+        Probation { patience, before, began: now, clear_since: (now, Sample::default()), sky: Clear }
     }
 
-    pub fn sky(&self) -> Sky {
+    pub fn sky(&self) -> ProbationCondition {
         self.sky
     }
 
@@ -193,7 +193,7 @@
 
     /// Fewer nodes than before, or more queries that found theirs down.
     fn loses_nodes(&self, look: &Look) -> bool {
-        let Patience { least_ended, margin, .. } = self.patience;
+        let RolloutPolicy { least_ended, margin, .. } = self.patience;
         let usual = self.before.at_most(least_ended, |sample| sample.by_nodes, 0.0);
         let (least, _) = wilson(look.after.by_nodes, look.after.ended);
         (look.after.ready as f64) < self.before.ready as f64 * READY_LEFT || least > usual + margin
@@ -205,7 +205,7 @@
 
     /// The share that ended badly with sound nodes is beyond what it was, by more than noise and the margin.
     fn is_worse(&self, look: &Look) -> bool {
-        let Patience { least_ended, margin, .. } = self.patience;
+        let RolloutPolicy { least_ended, margin, .. } = self.patience;
         let usual = self.before.at_most(least_ended, Sample::unblamed, USUAL);
         let (least, _) = wilson(look.after.unblamed(), look.after.ended);
         look.after.ended >= least_ended && least > usual + margin
@@ -214,7 +214,7 @@
     /// Time and queries enough, and what was seen does not look worse. One that does, though not beyond
     /// noise, is looked at on.
     fn is_over(&self, look: &Look) -> bool {
-        let Patience { least_ended, margin, trial, .. } = self.patience;
+        let RolloutPolicy { least_ended, margin, trial, .. } = self.patience;
         let usual = self.before.at_most(least_ended, Sample::unblamed, USUAL);
         let looks_worse = look.after.unblamed() as f64 > (usual + margin) * look.after.ended as f64;
         look.now - self.clear_since.0 >= trial && look.after.ended >= least_ended && !looks_worse
@@ -306,7 +306,7 @@
 
     /// Plays a trial, a second at a time, to its first word; with the second.
     fn play(past: &Past, each: impl Fn(i64, &mut Sample)) -> (i64, Verdict) {
-        let mut trial = Trial::new(Patience::default(), past, Tenths(61 * SECOND));
+        let mut trial = Probation::new(RolloutPolicy::default(), past, Tenths(61 * SECOND));
         let mut counts = Sample { ready: 100, ..Sample::default() };
         for second in 1..=1000 {
             each(second, &mut counts);
@@ -365,8 +365,8 @@
     /// more.
     #[rstest]
     fn what_looks_worse_is_not_proven() {
-        let patience = Patience { trial: Tenths(3 * SECOND), margin: 0.2, ..Patience::default() };
-        let mut trial = Trial::new(patience, &Past::default(), Tenths(0));
+        let patience = RolloutPolicy { trial: Tenths(3 * SECOND), margin: 0.2, ..RolloutPolicy::default() };
+        let mut trial = Probation::new(patience, &Past::default(), Tenths(0));
         let words = (1..=60).map(|second: i64| {
             let (ended, ready) = (second as u64 * 10, 5);
             trial.judge(Tenths(second * SECOND), Sample { ended, bad: ended, by_nodes: 0, ready })
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -1,9 +1,9 @@
 //! The way to a control service: when to call, which of several, when to give up. Guards against a service
 //! that is stormed as it comes back, and against one that takes calls and drops them.
 
-use crate::effects::{Effect, Word};
+use crate::effects::{Effect, LogEvent};
 use crate::inputs::{ServiceNo, StreamNo};
-use crate::patience::Patience;
+use crate::policy::RolloutPolicy;
 use Event::{Began, Due, Ended, Heard, Opened, Suspected};
 use State::{Calling, Open, Resting, Waiting};
 use routing::Tenths;
@@ -33,8 +33,8 @@
     Suspected,
 }
 
-type Guard = fn(&Line, Tenths) -> bool;
-type Act = fn(&mut Line, Tenths, &mut Vec<Effect>);
+type Guard = fn(&Subscription, Tenths) -> bool;
+type Act = fn(&mut Subscription, Tenths, &mut Vec<Effect>);
 
 struct Row(&'static [State], Event, Guard, State, Act);
 
@@ -42,13 +42,13 @@
 /// taken; where none fits, nothing happens.
 #[rustfmt::skip]
 const TABLE: &[Row] = &[
-    Row(&[Resting],       Began,     |_, _| true,      Calling, Line::call),
-    Row(&[Waiting],       Due,       Line::is_due,     Calling, Line::call),
-    Row(&[Calling],       Opened,    |_, _| true,      Open,    Line::up),
-    Row(&[Calling, Open], Due,       Line::is_overdue, Waiting, Line::hang_up),
-    Row(&[Open],          Heard,     |_, _| true,      Open,    Line::heard),
-    Row(&[Calling, Open], Ended,     |_, _| true,      Waiting, Line::wait),
-    Row(&[Open],          Suspected, Line::has_other,  Waiting, Line::leave),
+    Row(&[Resting],       Began,     |_, _| true,      Calling, Subscription::call),
+    Row(&[Waiting],       Due,       Subscription::is_due,     Calling, Subscription::call),
+    Row(&[Calling],       Opened,    |_, _| true,      Open,    Subscription::up),
+    Row(&[Calling, Open], Due,       Subscription::is_overdue, Waiting, Subscription::hang_up),
+    Row(&[Open],          Heard,     |_, _| true,      Open,    Subscription::heard),
+    Row(&[Calling, Open], Ended,     |_, _| true,      Waiting, Subscription::wait),
+    Row(&[Open],          Suspected, Subscription::has_other,  Waiting, Subscription::leave),
 ];
 
 /// The most that a wait is doubled, so that the doubling does not overflow.
@@ -61,8 +61,8 @@
 }
 
 #[derive(Debug)]
-pub struct Line {
-    patience: Patience,
+pub struct Subscription {
+    patience: RolloutPolicy,
     rng: fastrand::Rng,
     state: State,
     stream: StreamNo,
@@ -79,11 +79,11 @@
     told: Option<Told>,
 }
 
-impl Line {
+impl Subscription {
     /// The service to begin with is drawn, so that a fleet spreads over them.
-    pub fn new(patience: Patience, services: usize, mut rng: fastrand::Rng) -> Line {
+    pub fn new(patience: RolloutPolicy, services: usize, mut rng: fastrand::Rng) -> Subscription {
         let service = ServiceNo(rng.usize(..services.max(1)));
-        Line {
+        Subscription {
             patience,
             rng,
             state: Resting,
@@ -127,7 +127,7 @@
     /// Tells once that a service can't be reached, and why.
     pub fn note_gone(&mut self, why: &str, effects: &mut Vec<Effect>) {
         if self.told.replace(Told::Gone) != Some(Told::Gone) {
-            effects.push(Effect::Say(Word::Gone { service: self.service, why: why.to_owned() }));
+            effects.push(Effect::Say(LogEvent::Gone { service: self.service, why: why.to_owned() }));
         }
     }
 
@@ -173,7 +173,7 @@
     fn heard(&mut self, _: Tenths, effects: &mut Vec<Effect>) {
         self.due = None;
         if self.told.replace(Told::Reached) != Some(Told::Reached) {
-            effects.push(Effect::Say(Word::Reached(self.service)));
+            effects.push(Effect::Say(LogEvent::Reached(self.service)));
         }
     }
 
@@ -221,18 +221,18 @@
     use super::*;
     use rstest::rstest;
 
-    fn line(services: usize) -> Line {
-        Line::new(Patience::default(), services, fastrand::Rng::with_seed(3))
+    fn line(services: usize) -> Subscription {
+        Subscription::new(RolloutPolicy::default(), services, fastrand::Rng::with_seed(3))
     }
 
-    fn hear(line: &mut Line, now: i64, event: Event) -> Vec<Effect> {
+    fn hear(line: &mut Subscription, now: i64, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         line.hear(Tenths(now), event, &mut effects);
         effects
     }
 
     /// Plays a service that refuses each call, and gives the moments of the calls.
-    fn refused(line: &mut Line, calls: usize) -> Vec<i64> {
+    fn refused(line: &mut Subscription, calls: usize) -> Vec<i64> {
         let mut at = vec![0];
         hear(line, 0, Began);
         while at.len() < calls {
@@ -259,8 +259,8 @@
     /// A service that takes each call and drops it at once gets no more calls than the budget.
     #[rstest]
     fn keeps_the_budget_of_calls() {
-        let mut line = Line::new(
-            Patience { longest_wait: Tenths(10), first_wait: Tenths(10), ..Patience::default() },
+        let mut line = Subscription::new(
+            RolloutPolicy { longest_wait: Tenths(10), first_wait: Tenths(10), ..RolloutPolicy::default() },
             1,
             fastrand::Rng::with_seed(5),
         );
@@ -277,7 +277,7 @@
     fn only_a_stream_that_held_ends_the_row_of_failures(#[case] held: i64, #[case] doublings: i64) {
         let mut waits = Vec::new();
         for seed in 0..200 {
-            let mut line = Line::new(Patience::default(), 1, fastrand::Rng::with_seed(seed));
+            let mut line = Subscription::new(RolloutPolicy::default(), 1, fastrand::Rng::with_seed(seed));
             hear(&mut line, 0, Began);
             hear(&mut line, 1, Ended);
             let due = line.next_due().unwrap().0;
@@ -305,7 +305,7 @@
         assert!(hear(&mut line, 149_999, Due).is_empty());
         let effects = hear(&mut line, 150_000, Due);
         assert!(
-            matches!(effects[..], [Effect::HangUp { .. }, Effect::Say(Word::Gone { .. })]),
+            matches!(effects[..], [Effect::HangUp { .. }, Effect::Say(LogEvent::Gone { .. })]),
             "{effects:?}"
         );
         assert_eq!(line.state(), Waiting);
--- a/crates/config-rollout/src/versions.rs
+++ b/crates/config-rollout/src/versions.rs
@@ -1,7 +1,7 @@
 //! What a broker runs, and what is to be said to each offer. Guards against brokers that drift apart, against
 //! a service that lost its state or forked, and against a version that is taken twice.
 
-use crate::effects::{Effect, Word};
+use crate::effects::{Effect, LogEvent};
 use crate::inputs::Offer;
 use crate::version::{Digest, VersionId};
 use Event::{Broken, Clouded, Failed, Forked, Newer, Nothing, Older, Proven, Renumbered, Returned, Same};
@@ -95,7 +95,7 @@
 
 /// Why a version was not taken, or not kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Its number, where that could be read.
     pub number: Option<u64>,
     pub why: String,
@@ -110,7 +110,7 @@
 
 /// What must outlast the process, where there is a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Memory {
+pub struct PersistedState {
     /// What it goes on with.
     pub confirmed: VersionId,
     /// The highest number accepted.
@@ -121,10 +121,10 @@
     pub trying: Option<(VersionId, u32)>,
 }
 
-impl Memory {
+impl PersistedState {
     /// Of a broker that has none but what it runs.
-    pub fn of(runs: VersionId) -> Memory {
-        Memory { confirmed: runs, highest: runs.number, withdrawn: Vec::new(), trying: None }
+    pub fn of(runs: VersionId) -> PersistedState {
+        PersistedState { confirmed: runs, highest: runs.number, withdrawn: Vec::new(), trying: None }
     }
 }
 
@@ -139,7 +139,7 @@
     highest: u64,
     known: BTreeMap<u64, Digest>,
     withdrawn: BTreeMap<Digest, (u64, String)>,
-    last_refusal: Option<Refusal>,
+    last_refusal: Option<Rejection>,
     trying: Option<(VersionId, u32)>,
     /// The running version's trial ended without a verdict, and why.
     unproven: Option<String>,
@@ -147,8 +147,8 @@
 
 impl Versions {
     /// Of a broker with this memory, that runs what it confirmed: its own file, or what it kept from before.
-    pub fn new(memory: Memory, now: Tenths) -> Versions {
-        let Memory { confirmed: runs, highest, withdrawn, trying } = memory;
+    pub fn new(memory: PersistedState, now: Tenths) -> Versions {
+        let PersistedState { confirmed: runs, highest, withdrawn, trying } = memory;
         let withdrawn = withdrawn.into_iter().map(|(version, why)| (version.digest, (version.number, why)));
         let mut versions = Versions {
             runs,
@@ -175,14 +175,14 @@
         self.trying = None;
         self.highest = self.highest.max(version.number);
         self.withdrawn.insert(version.digest, (version.number, why.clone()));
-        self.last_refusal = Some(Refusal { number: Some(version.number), why, at: now });
+        self.last_refusal = Some(Rejection { number: Some(version.number), why, at: now });
     }
 
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> PersistedState {
         let version = |(digest, (number, why)): (&Digest, &(u64, String))| {
             (VersionId { number: *number, digest: *digest }, why.clone())
         };
-        Memory {
+        PersistedState {
             confirmed: self.confirmed,
             highest: self.highest,
             withdrawn: self.withdrawn.iter().map(version).collect(),
@@ -210,7 +210,7 @@
         self.highest
     }
 
-    pub fn last_refusal(&self) -> Option<&Refusal> {
+    pub fn last_refusal(&self) -> Option<&Rejection> {
         self.last_refusal.as_ref()
     }
 
@@ -283,12 +283,12 @@
 
     fn turn_down(&mut self, occasion: &Occasion, effects: &mut Vec<Effect>) {
         let number = occasion.number;
-        let refusal = Refusal { number, why: occasion.why.to_owned(), at: occasion.now };
+        let refusal = Rejection { number, why: occasion.why.to_owned(), at: occasion.now };
         // Told once while a service repeats itself.
         let again =
             self.last_refusal.as_ref().is_some_and(|last| (&last.why, last.number) == (&refusal.why, number));
         if !again {
-            effects.push(Effect::Say(Word::TurnedDown { number, why: refusal.why.clone() }));
+            effects.push(Effect::Say(LogEvent::TurnedDown { number, why: refusal.why.clone() }));
         }
         self.last_refusal = Some(refusal);
     }
@@ -299,7 +299,7 @@
         (self.runs, self.since, self.unproven) = (version, occasion.now, None);
         let strikes = self.trying.filter(|(tried, _)| *tried == version).map_or(0, |(_, strikes)| strikes);
         self.trying = Some((version, strikes + 1));
-        effects.extend([Effect::Remember, Effect::Apply(version), Effect::Say(Word::Applied(version))]);
+        effects.extend([Effect::Remember, Effect::Apply(version), Effect::Say(LogEvent::Applied(version))]);
     }
 
     /// The same contents under a higher number: nothing is applied, and what was proven stays so.
@@ -307,7 +307,7 @@
         let Some(version) = occasion.version else { return };
         self.accept(version);
         self.runs = version;
-        effects.extend([Effect::Relabel(version), Effect::Say(Word::Relabelled(version))]);
+        effects.extend([Effect::Relabel(version), Effect::Say(LogEvent::Relabelled(version))]);
         if self.standing == Settled {
             self.confirmed = version;
             effects.push(Effect::Keep(version));
@@ -334,13 +334,13 @@
 
     fn confirm(&mut self, _: &Occasion, effects: &mut Vec<Effect>) {
         (self.confirmed, self.trying) = (self.runs, None);
-        effects.extend([Effect::Keep(self.runs), Effect::Say(Word::Confirmed(self.runs))]);
+        effects.extend([Effect::Keep(self.runs), Effect::Say(LogEvent::Confirmed(self.runs))]);
     }
 
     fn confirm_unproven(&mut self, occasion: &Occasion, effects: &mut Vec<Effect>) {
         (self.confirmed, self.trying) = (self.runs, None);
         self.unproven = Some(occasion.why.to_owned());
-        let word = Word::Unproven(self.runs, occasion.why.to_owned());
+        let word = LogEvent::Unproven(self.runs, occasion.why.to_owned());
         effects.extend([Effect::Keep(self.runs), Effect::Say(word)]);
     }
 
@@ -356,13 +356,14 @@
         }
         self.withdrawn.insert(failed.digest, (failed.number, why.clone()));
         (self.runs, self.since, self.unproven) = (self.confirmed, occasion.now, None);
-        self.last_refusal = Some(Refusal { number: Some(failed.number), why: why.clone(), at: occasion.now });
+        self.last_refusal =
+            Some(Rejection { number: Some(failed.number), why: why.clone(), at: occasion.now });
         self.trying = None;
         effects.extend([Effect::PutBack(self.runs), Effect::Remember]);
-        effects.push(Effect::Say(Word::Withdrawn { version: failed, runs: self.runs, why }));
+        effects.push(Effect::Say(LogEvent::Withdrawn { version: failed, runs: self.runs, why }));
     }
 
     fn tell_cloud(&mut self, occasion: &Occasion, effects: &mut Vec<Effect>) {
-        effects.push(Effect::Say(Word::Clouded(self.runs, occasion.why.to_owned())));
+        effects.push(Effect::Say(LogEvent::Clouded(self.runs, occasion.why.to_owned())));
     }
 }
--- a/crates/config-rollout/tests/life.rs
+++ b/crates/config-rollout/tests/life.rs
@@ -1,8 +1,8 @@
 //! Versions and their life, as the keeper decides it: single cases, then random sequences.
 
 use config_rollout::{
-    Digest, Effect, Input, Keeper, Memory, Nonce, Offer, Patience, Sample, Standing, StreamNo, VersionId,
-    Word,
+    Digest, Effect, Input, LogEvent, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy, Sample,
+    Standing, StreamNo, VersionId,
 };
 use proptest::prelude::*;
 use routing::Tenths;
@@ -15,7 +15,7 @@
 
 /// A keeper, and what a program around it would have done.
 struct Play {
-    keeper: Keeper,
+    controller: RolloutController,
     now: i64,
     stream: StreamNo,
     calling: bool,
@@ -27,21 +27,21 @@
     answers: BTreeMap<(StreamNo, Nonce), usize>,
     refusals: Vec<String>,
     kept: VersionId,
-    written: Option<Memory>,
+    written: Option<PersistedState>,
     counts: Sample,
-    words: Vec<Word>,
+    words: Vec<LogEvent>,
 }
 
 impl Play {
     fn new(services: usize) -> Play {
-        Play::with(services, Memory::of(version(0, "own")))
+        Play::with(services, PersistedState::of(version(0, "own")))
     }
 
     /// Of a broker that was started anew with this memory.
-    fn with(services: usize, memory: Memory) -> Play {
+    fn with(services: usize, memory: PersistedState) -> Play {
         let own = memory.confirmed;
         let mut play = Play {
-            keeper: Keeper::new(Patience::default(), services, memory, 1, Tenths(0)),
+            controller: RolloutController::new(RolloutPolicy::default(), services, memory, 1, Tenths(0)),
             now: 0,
             stream: StreamNo(0),
             calling: false,
@@ -81,7 +81,7 @@
     }
 
     fn hear(&mut self, input: Input) {
-        for effect in self.keeper.hear(Tenths(self.now), input) {
+        for effect in self.controller.hear(Tenths(self.now), input) {
             match effect {
                 Effect::Call { stream, .. } => (self.stream, self.calling, self.up) = (stream, true, false),
                 Effect::HangUp { .. } => (self.calling, self.up) = (false, false),
@@ -119,12 +119,12 @@
                     assert_eq!(version, self.applied);
                     self.kept = version;
                 }
-                Effect::Remember => self.written = Some(self.keeper.memory()),
+                Effect::Remember => self.written = Some(self.controller.memory()),
                 Effect::WakeAt(at) => assert!(at.0 >= self.now),
                 Effect::Say(word) => self.words.push(word),
             }
         }
-        assert_eq!(self.keeper.report().runs, self.applied, "the report is not what is applied");
+        assert_eq!(self.controller.report().runs, self.applied, "the report is not what is applied");
     }
 
     fn offer(&mut self, offer: Offer) {
@@ -160,9 +160,9 @@
 fn takes_what_is_newer_and_says_so() {
     let mut play = Play::connected(1);
     play.sound(1, "a");
-    assert_eq!((play.applied, play.keeper.report().standing), (version(1, "a"), Standing::OnTrial));
+    assert_eq!((play.applied, play.controller.report().standing), (version(1, "a"), Standing::OnTrial));
     play.serve(61, 0);
-    assert_eq!((play.kept, play.keeper.report().standing), (version(1, "a"), Standing::Settled));
+    assert_eq!((play.kept, play.controller.report().standing), (version(1, "a"), Standing::Settled));
     assert!(play.refusals.is_empty());
 }
 
@@ -239,7 +239,7 @@
     }
     // Going back is a higher number with older contents.
     play.sound(4, "good");
-    assert_eq!((play.applied, play.keeper.report().standing), (version(4, "good"), Standing::Settled));
+    assert_eq!((play.applied, play.controller.report().standing), (version(4, "good"), Standing::Settled));
     play.sound(5, "better");
     play.serve(61, 0);
     assert_eq!(play.kept, version(5, "better"));
@@ -277,7 +277,7 @@
         }
     }
     assert_eq!(play.applied, version(3, "c"));
-    let gone = play.words.iter().filter(|word| matches!(word, Word::Gone { .. })).count();
+    let gone = play.words.iter().filter(|word| matches!(word, LogEvent::Gone { .. })).count();
     assert_eq!(gone, 1, "told once");
     play.open();
     play.sound(number, contents);
@@ -290,12 +290,12 @@
 #[rstest]
 fn leaves_a_service_that_disagrees() {
     let mut play = Play::connected(2);
-    let first = play.keeper.report().service;
+    let first = play.controller.report().service;
     play.sound(1, "a");
     play.sound(1, "b");
     assert!(!play.up);
     play.open();
-    assert_ne!(play.keeper.report().service, first);
+    assert_ne!(play.controller.report().service, first);
     assert_eq!(play.applied, version(1, "a"));
 }
 
@@ -319,7 +319,7 @@
 /// A version that ends the process before any trial could judge it is tried three times, and no more.
 #[rstest]
 fn does_not_end_the_process_for_ever() {
-    let mut memory = Memory::of(version(0, "own"));
+    let mut memory = PersistedState::of(version(0, "own"));
     for _ in 0..3 {
         let mut play = Play::with(1, memory);
         play.open();
@@ -392,11 +392,11 @@
             if !play.up {
                 play.open();
             }
-            prop_assert!(play.keeper.highest() >= highest);
-            highest = play.keeper.highest();
+            prop_assert!(play.controller.highest() >= highest);
+            highest = play.controller.highest();
             prop_assert!(play.answers.values().all(|answers| *answers == 1));
             for word in &play.words {
-                if let Word::Withdrawn { version, .. } = word {
+                if let LogEvent::Withdrawn { version, .. } = word {
                     withdrawn.insert(version.digest);
                 }
             }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -13,7 +13,7 @@
 pub use keys::{KEYS, Key};
 
 use admission_control::AdmissionConfig;
-use config_rollout::Patience;
+use config_rollout::RolloutPolicy;
 use ini::{Ini, ParseOption};
 use routing::Tenths;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 pub struct Control {
     pub services: Vec<SocketAddr>,
     pub installation: String,
-    pub patience: Patience,
+    pub patience: RolloutPolicy,
     /// Bytes of a document.
     pub document: usize,
     pub count_every: Duration,
@@ -225,7 +225,7 @@
     }
     let number = |name: &str| taken.number("control", name);
     let time = |name: &str| Tenths::from_ms(number(name));
-    let patience = Patience {
+    let patience = RolloutPolicy {
         first_wait: time("first_wait_ms"),
         longest_wait: time("longest_wait_ms"),
         calls: number("calls_per_minute") as usize,
