--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -12,7 +12,7 @@
     EndpointList, EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId,
     PlacementGroupId, ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
 };
-use settings::Intake;
+use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -207,14 +207,14 @@
     /// `since`: the Unix time of this moment, where it is not the machine's that counts. `door`: the admission controller's
     /// configuration, where there is to be one.
     pub fn new(
-        intake: Intake,
+        broker_settings: BrokerSettings,
         seed: u64,
         limits: Rc<Limits>,
         since: Option<Tenths>,
         door: Option<AdmissionConfig>,
     ) -> Rc<Desk> {
-        let edition = Rc::new(Edition::new(&intake));
-        let Intake { broker_config, zones, .. } = intake;
+        let edition = Rc::new(Edition::new(&broker_settings));
+        let BrokerSettings { broker_config, zones, .. } = broker_settings;
         // The endpoint list tells starts in Unix time, so the clock counts from there, and only ever forward.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = since.unwrap_or(Tenths((unix.as_micros() / 100) as i64));
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -11,10 +11,10 @@
 #[case(|_, shard_request| Effect::Cancel { shard_request, attempt: AttemptNumber(0) })]
 fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
-        let mut intake = Intake::default();
-        intake.broker_config.limits.max_open = 10;
-        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &intake).unwrap();
-        let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
+        let mut broker_settings = BrokerSettings::default();
+        broker_settings.broker_config.limits.max_open = 10;
+        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
+        let desk = Desk::new(broker_settings, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
         desk.nodes.listens(NodeId(1), Some(address), true);
         let shard_requests = vec![RequestedShard { shard: ShardId(0), weight: 1.0 }];
@@ -40,10 +40,10 @@
 #[rstest]
 fn takes_nothing_once_it_ended() {
     actix_rt::Runtime::new().unwrap().block_on(async {
-        let mut intake = Intake::default();
-        intake.broker_config.limits.max_open = 10;
-        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &intake).unwrap();
-        let desk = Desk::new(intake, 1, Rc::new(limits), None, None);
+        let mut broker_settings = BrokerSettings::default();
+        broker_settings.broker_config.limits.max_open = 10;
+        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
+        let desk = Desk::new(broker_settings, 1, Rc::new(limits), None, None);
         let question = |id: &'static str| Question {
             id: Bytes::from_static(id.as_bytes()),
             class: ClassId(0),
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -2,12 +2,12 @@
 //! place, and a query keeps the one under which it was taken.
 
 use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
-use settings::{Catalogue, Intake};
+use settings::{BrokerSettings, NameRegistry};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
 pub struct Edition {
-    pub names: Catalogue,
+    pub names: NameRegistry,
     pub classes: BTreeMap<ClassId, RequestClass>,
     pub shards: u32,
     /// Queries and shard requests held at once.
@@ -33,12 +33,12 @@
 }
 
 impl Edition {
-    pub fn new(intake: &Intake) -> Edition {
-        let p: &BrokerConfig = &intake.broker_config;
+    pub fn new(broker_settings: &BrokerSettings) -> Edition {
+        let p: &BrokerConfig = &broker_settings.broker_config;
         let goal = p.classes.values().map(|class| class.latency_objective).min().unwrap_or_default();
         let retry_after = goal.min(p.limits.max_retry_after);
         Edition {
-            names: intake.names.clone(),
+            names: broker_settings.names.clone(),
             classes: p.classes.clone(),
             shards: p.layout.shards,
             max_open: p.limits.max_open as usize,
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -4,15 +4,15 @@
 use crate::desk::Desk;
 use crate::limits::{Limits, Machine};
 use rstest::rstest;
-use settings::Intake;
+use settings::BrokerSettings;
 use std::io::{Read, Write};
 
 /// A front that knows no node, and keeps so many idle connections.
 fn front(kept_lines: usize) -> Rc<Front> {
     let machine = Machine { memory_mb: 192, sockets: 1024 };
-    let limits = Limits::new(machine, &Intake::default()).unwrap();
+    let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
     let limits = Rc::new(Limits { kept_lines, ..limits });
-    let desk = Desk::new(Intake::default(), 1, limits.clone(), None, None);
+    let desk = Desk::new(BrokerSettings::default(), 1, limits.clone(), None, None);
     Front::new(Counter { desk, limits, wrongs: Default::default() })
 }
 
@@ -87,9 +87,9 @@
 fn takes_the_last_in_line_as_there_is_room() {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let machine = Machine { memory_mb: 192, sockets: 64 };
-        let limits = Rc::new(Limits::new(machine, &Intake::default()).unwrap());
+        let limits = Rc::new(Limits::new(machine, &BrokerSettings::default()).unwrap());
         let most = limits.client_lines + limits.surplus_lines;
-        let desk = Desk::new(Intake::default(), 1, limits.clone(), None, None);
+        let desk = Desk::new(BrokerSettings::default(), 1, limits.clone(), None, None);
         let front = Front::new(Counter { desk, limits, wrongs: Default::default() });
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -74,10 +74,10 @@
     let listener = TcpListener::bind(order.listen).await?;
     let listens = listener.local_addr()?;
     let limits = Rc::new(order.limits);
-    if order.intake.broker_config.classes.values().any(|class| class.second_parts > 0) {
+    if order.broker_settings.broker_config.classes.values().any(|class| class.second_parts > 0) {
         warn!("a category has a second step, which this protocol lacks: its retrievals are declined");
     }
-    let desk = Desk::new(order.intake, order.seed, limits.clone(), order.since, fitting.admission);
+    let desk = Desk::new(order.broker_settings, order.seed, limits.clone(), order.since, fitting.admission);
     // Guards against drains that an agent has and that count as told from the first moment: it is heard before
     // anything is sent, and what was known before is not used.
     if let Some(known) = order.known.filter(|_| !limits.agent) {
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -1,7 +1,7 @@
 //! All sizes, counts and times of the broker on sockets, filled at start and handed down.
 
 use routing::Tenths;
-use settings::Intake;
+use settings::BrokerSettings;
 use std::time::Duration;
 
 /// What the machine gives the broker.
@@ -105,7 +105,7 @@
 
 impl Limits {
     /// An error says what the machine has too little of.
-    pub fn new(machine: Machine, intake: &Intake) -> Result<Limits, String> {
+    pub fn new(machine: Machine, broker_settings: &BrokerSettings) -> Result<Limits, String> {
         let Machine { memory_mb, sockets } = machine;
         let for_peers = sockets.saturating_sub(OWN);
         if for_peers < OWN {
@@ -119,9 +119,9 @@
         // Clients come and go by hundreds, nodes are few: two thirds of the descriptors, and one.
         let lines = (for_peers * 2 / 3).min(quarter / BUFFERS);
         let surplus_lines = lines / 8;
-        let p = &intake.broker_config;
-        let line_parts = intake.lines.shard_requests.unwrap_or(1).max(1) as usize;
-        let connect = intake.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
+        let p = &broker_settings.broker_config;
+        let line_parts = broker_settings.lines.shard_requests.unwrap_or(1).max(1) as usize;
+        let connect = broker_settings.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
         // No longer than that both clocks count from the call: what it costs grows with the calls.
         let longest_watch = TOLD_AFTER_SILENCE - TOLD_AFTER_WAIT;
         let watch = (span(p.rules.endpoint_list_max_age) / 10).clamp(Duration::from_secs(1), longest_watch);
@@ -133,7 +133,7 @@
         let watch_calls = OWN as u32 / 3;
         let agent = !p.watch_on_request;
         let longest = p.classes.values().map(|class| class.deadline).max().unwrap_or_default();
-        let idle = intake.lines.idle.map_or(Duration::from_secs(10), span);
+        let idle = broker_settings.lines.idle.map_or(Duration::from_secs(10), span);
         Ok(Limits {
             client_lines: lines - surplus_lines,
             surplus_lines,
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -5,7 +5,7 @@
 use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use settings::Intake;
+use settings::BrokerSettings;
 use std::net::SocketAddr;
 
 /// All that one broker starts from.
@@ -15,8 +15,8 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    pub intake: Intake,
-    /// The text of the settings that `intake` was read from.
+    pub broker_settings: BrokerSettings,
+    /// The text of the settings that `broker_settings` was read from.
     pub settings: String,
     /// The nodes as this broker last had them.
     pub known: Option<Listing>,
@@ -83,7 +83,7 @@
     /// Reads a config file's text. What the environment says of name and addresses comes first.
     pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Order, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let mut intake = settings::read(file.settings.get().as_bytes())?;
+        let mut broker_settings = settings::read(file.settings.get().as_bytes())?;
         let address = |name: &str, told: Option<String>| -> Result<SocketAddr, String> {
             let variable = format!("EDGE_{}", name.to_uppercase());
             let text = env(&variable).or(told).ok_or(format!("`{name}` is missing"))?;
@@ -91,20 +91,20 @@
         };
         let machine =
             Machine { memory_mb: file.limits.memory_mb.max(0.0) as usize, sockets: file.limits.sockets };
-        let limits = Limits::new(machine, &intake)?;
+        let limits = Limits::new(machine, &broker_settings)?;
         // From its turn to its last byte an attempt may have to wait for a connection.
-        intake.broker_config.send_lag = limits.unsent + limits.period;
+        broker_settings.broker_config.send_lag = limits.unsent + limits.period;
         // Discovery is asked here; what the settings call automatic, the agent's watch brings about.
-        intake.broker_config.watch_on_request = true;
+        broker_settings.broker_config.watch_on_request = true;
         // After a call that failed the module may wait no longer than what it then misses stays untold.
-        let rules = &mut intake.broker_config.rules;
+        let rules = &mut broker_settings.broker_config.rules;
         rules.endpoint_list_max_age = rules.endpoint_list_max_age.min(limits.untold);
         Ok(Order {
             name: env("EDGE_NAME").or(file.name).ok_or("`name` is missing")?,
             listen: address("listen", file.listen)?,
             discovery: address("discovery", file.discovery)?,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|e| format!("`seed`: {e}"))?,
-            intake,
+            broker_settings,
             settings: file.settings.get().to_owned(),
             known: file.known,
             limits,
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -10,7 +10,7 @@
 use operator_config::Control;
 use routing::BrokerConfig;
 use serde_json::json;
-use settings::{Document, Intake, check};
+use settings::{BrokerSettings, Document, check};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -37,15 +37,15 @@
         return Err(wrong(format!("settings: {mistake}")));
     }
     let Control { installation, document, keep, .. } = &control;
-    let restored = restore(own, &order.intake, keep.as_deref(), installation, *document);
+    let restored = restore(own, &order.broker_settings, keep.as_deref(), installation, *document);
     if let Some(why) = &restored.passed_over {
         warn!(reason = why, "the kept version is passed over, the broker begins with its own file");
     }
     let version = restored.runs.version;
     if version.number > 0 {
         info!(number = version.number, digest = %version.digest, "version taken up again, as it was kept");
-        let own = std::mem::replace(&mut order.intake, restored.runs.intake.clone());
-        let (kept, own) = (&mut order.intake.broker_config, own.broker_config);
+        let own = std::mem::replace(&mut order.broker_settings, restored.runs.broker_settings.clone());
+        let (kept, own) = (&mut order.broker_settings.broker_config, own.broker_config);
         keep_waits(kept, &own);
     }
     let status = control.status.map(TcpListener::bind).transpose()?;
@@ -59,7 +59,7 @@
         count_every: control.count_every,
         seed: order.seed,
     };
-    Ok(Follower { post, restored, start: order.intake.broker_config.clone(), status })
+    Ok(Follower { post, restored, start: order.broker_settings.broker_config.clone(), status })
 }
 
 impl Follower {
@@ -93,7 +93,7 @@
 
 /// What the thread beside asks of the broker's.
 enum LogEvent {
-    Prescribe { version: VersionId, intake: Box<Intake>, done: oneshot::Sender<()> },
+    Prescribe { version: VersionId, broker_settings: Box<BrokerSettings>, done: oneshot::Sender<()> },
     Relabel { version: VersionId, done: oneshot::Sender<()> },
     Count { tell: oneshot::Sender<Sample> },
 }
@@ -109,8 +109,9 @@
 }
 
 impl Seat for Remote {
-    async fn prescribe(&mut self, version: VersionId, intake: Intake) {
-        self.say(|done| LogEvent::Prescribe { version, intake: Box::new(intake), done }).await;
+    async fn prescribe(&mut self, version: VersionId, broker_settings: BrokerSettings) {
+        self.say(|done| LogEvent::Prescribe { version, broker_settings: Box::new(broker_settings), done })
+            .await;
     }
 
     async fn relabel(&mut self, version: VersionId) {
@@ -133,12 +134,12 @@
 async fn sit(desk: Rc<Desk>, start: BrokerConfig, mut heard: mpsc::Receiver<LogEvent>, shown: Arc<Shown>) {
     while let Some(word) = heard.recv().await {
         match word {
-            LogEvent::Prescribe { version, mut intake, done } => {
-                let p = &mut intake.broker_config;
+            LogEvent::Prescribe { version, mut broker_settings, done } => {
+                let p = &mut broker_settings.broker_config;
                 keep_waits(p, &start);
                 // Zones have the numbers of the start here, whatever order a version lists them in.
                 p.zone = start.zone;
-                desk.prescribe(Edition::new(&intake), intake.broker_config);
+                desk.prescribe(Edition::new(&broker_settings), broker_settings.broker_config);
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
--- a/crates/config-rollout-client/src/follow.rs
+++ b/crates/config-rollout-client/src/follow.rs
@@ -13,7 +13,7 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use routing::Tenths;
-use settings::Intake;
+use settings::BrokerSettings;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
 /// What takes configurations: the broker, on its own thread.
 pub trait Seat {
     /// Takes queries under it from now on; done when that is so.
-    fn prescribe(&mut self, version: VersionId, intake: Intake) -> impl Future<Output = ()>;
+    fn prescribe(&mut self, version: VersionId, broker_settings: BrokerSettings) -> impl Future<Output = ()>;
     /// The same contents have another number.
     fn relabel(&mut self, version: VersionId) -> impl Future<Output = ()>;
     /// How what was taken under the running configuration ended, since it was taken over. None: the broker is
@@ -226,8 +226,8 @@
             }
             Effect::Apply(version) => {
                 if let Some(applied) = self.shelf.apply(version) {
-                    let intake = applied.intake.clone();
-                    self.seat.prescribe(version, intake).await;
+                    let broker_settings = applied.broker_settings.clone();
+                    self.seat.prescribe(version, broker_settings).await;
                 }
             }
             Effect::Relabel(version) => {
@@ -235,8 +235,8 @@
                 self.seat.relabel(version).await;
             }
             Effect::PutBack(version) => {
-                let intake = self.shelf.put_back().intake.clone();
-                self.seat.prescribe(version, intake).await;
+                let broker_settings = self.shelf.put_back().broker_settings.clone();
+                self.seat.prescribe(version, broker_settings).await;
             }
             Effect::Keep(version) => {
                 self.shelf.confirm();
--- a/crates/config-rollout-client/src/shelf.rs
+++ b/crates/config-rollout-client/src/shelf.rs
@@ -4,7 +4,7 @@
 use crate::keep;
 use crate::wire::{Kept, Version};
 use config_rollout::{Digest, PersistedState, VersionId};
-use settings::{Catalogue, Document, Intake, Mistake, Revised, revise};
+use settings::{BrokerSettings, Document, Mistake, NameRegistry, Revised, revise};
 use std::path::Path;
 
 /// A version with its contents.
@@ -13,7 +13,7 @@
     pub version: VersionId,
     /// As it was offered, so that its digest is the version's.
     pub document: Document,
-    pub intake: Intake,
+    pub broker_settings: BrokerSettings,
 }
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// What this process started with: what a version may not change while it runs.
     start: Document,
     /// The numbers of all names so far.
-    names: Catalogue,
+    names: NameRegistry,
     offered: Option<Shelved>,
     pub runs: Shelved,
     pub confirmed: Shelved,
@@ -30,22 +30,22 @@
 impl Shelf {
     /// Of a broker that runs this, confirmed, and whose own file is `start`.
     pub fn new(start: Document, runs: Shelved) -> Shelf {
-        let names = runs.intake.names.clone();
+        let names = runs.broker_settings.names.clone();
         Shelf { start, names, offered: None, confirmed: runs.clone(), runs }
     }
 
     /// Checks an offer and keeps it at hand; an error lists all that is wrong with it.
     pub fn check(&mut self, version: VersionId, document: &Document) -> Result<(), String> {
-        let Revised { intake, .. } =
+        let Revised { broker_settings, .. } =
             revise(&self.start, &self.names, document).map_err(|mistakes| list(&mistakes))?;
-        self.offered = Some(Shelved { version, document: document.clone(), intake });
+        self.offered = Some(Shelved { version, document: document.clone(), broker_settings });
         Ok(())
     }
 
     /// Takes the offer over; none if it is not the one that was checked last.
     pub fn apply(&mut self, version: VersionId) -> Option<&Shelved> {
         let offered = self.offered.take().filter(|offered| offered.version == version)?;
-        self.names = offered.intake.names.clone();
+        self.names = offered.broker_settings.names.clone();
         self.runs = offered;
         Some(&self.runs)
     }
@@ -57,7 +57,7 @@
     /// The confirmed one again, in the numbers of now.
     pub fn put_back(&mut self) -> &Shelved {
         self.runs = self.confirmed.clone();
-        self.runs.intake.names = self.names.clone();
+        self.runs.broker_settings.names = self.names.clone();
         &self.runs
     }
 
@@ -87,13 +87,13 @@
 /// broker with this own document; else the own document, as version 0.
 pub fn restore(
     own: Document,
-    intake: &Intake,
+    broker_settings: &BrokerSettings,
     file: Option<&Path>,
     installation: &str,
     most: usize,
 ) -> RestoredState {
     let version = VersionId { number: 0, digest: Digest::of(&own.canonical()) };
-    let fallback = Shelved { version, document: own.clone(), intake: intake.clone() };
+    let fallback = Shelved { version, document: own.clone(), broker_settings: broker_settings.clone() };
     let begin = |runs: Shelved, kept: Option<&Kept>, passed_over| {
         let fresh = PersistedState::of(runs.version);
         let memory = kept.map_or(fresh, |kept| kept.memory(runs.version));
@@ -106,7 +106,7 @@
         Err(keep::NotKept::Absent) => return begin(fallback, None, None),
         Err(why) => return begin(fallback, None, named(why.to_string())),
     };
-    match kept.version.as_ref().map(|version| take_kept(&own, intake, version, installation, most)) {
+    match kept.version.as_ref().map(|version| take_kept(&own, broker_settings, version, installation, most)) {
         Some(Ok(runs)) => begin(runs, Some(&kept), None),
         // Its numbers and refusals hold, though its contents can't be taken over by this broker.
         Some(Err(why)) => begin(fallback, Some(&kept), named(why)),
@@ -116,12 +116,12 @@
 
 fn take_kept(
     own: &Document,
-    intake: &Intake,
+    broker_settings: &BrokerSettings,
     kept: &Version,
     installation: &str,
     most: usize,
 ) -> Result<Shelved, String> {
     let (version, document) = kept.open(installation, most)?;
-    let revised = revise(own, &intake.names, &document).map_err(|mistakes| list(&mistakes))?;
-    Ok(Shelved { version, document, intake: revised.intake })
+    let revised = revise(own, &broker_settings.names, &document).map_err(|mistakes| list(&mistakes))?;
+    Ok(Shelved { version, document, broker_settings: revised.broker_settings })
 }
--- a/crates/settings/src/catalogue.rs
+++ b/crates/settings/src/catalogue.rs
@@ -7,7 +7,7 @@
 
 /// Names with their numbers. Those that are no longer in use keep theirs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Catalogue {
+pub struct NameRegistry {
     classes: Numbers,
     tenants: Numbers,
 }
@@ -37,12 +37,12 @@
     }
 }
 
-impl Catalogue {
+impl NameRegistry {
     pub fn in_order<'a>(
         classes: impl Iterator<Item = &'a str>,
         tenants: impl Iterator<Item = &'a str>,
-    ) -> Catalogue {
-        Catalogue { classes: Numbers::in_order(classes), tenants: Numbers::in_order(tenants) }
+    ) -> NameRegistry {
+        NameRegistry { classes: Numbers::in_order(classes), tenants: Numbers::in_order(tenants) }
     }
 
     /// The same, and a number for each name that has none.
@@ -50,7 +50,7 @@
         &self,
         classes: impl Iterator<Item = &'a str>,
         tenants: impl Iterator<Item = &'a str>,
-    ) -> Catalogue {
+    ) -> NameRegistry {
         let mut more = self.clone();
         classes.for_each(|name| more.classes.add(name));
         tenants.for_each(|name| more.tenants.add(name));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
 mod revise;
 mod text;
 
-pub use catalogue::Catalogue;
+pub use catalogue::NameRegistry;
 pub use check::{Mistake, check};
 pub use document::{Document, Unreadable};
 pub use fields::{Applies, FIELDS, Field, Form};
@@ -32,9 +32,9 @@
 
 /// What a settings text holds for one broker.
 #[derive(Clone, Debug, Default)]
-pub struct Intake {
+pub struct BrokerSettings {
     pub broker_config: BrokerConfig,
-    pub names: Catalogue,
+    pub names: NameRegistry,
     pub zones: Vec<String>,
     pub lines: Lines,
     /// What the values of a load report are, in their order.
@@ -53,9 +53,9 @@
 }
 
 /// Reads a settings text, or says which key is amiss. Numbers go by the order in the text.
-pub fn read(text: &[u8]) -> Result<Intake, String> {
+pub fn read(text: &[u8]) -> Result<BrokerSettings, String> {
     let text: Text = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
-    let names = Catalogue::in_order(
+    let names = NameRegistry::in_order(
         text.services.iter().map(|service| &service.name[..]),
         text.tenants.iter().map(|tenant| &tenant.name[..]),
     );
@@ -65,10 +65,10 @@
 /// Makes the configuration, with the numbers that these give to classes and tenants.
 fn prescribe(
     text: &Text,
-    names: Catalogue,
+    names: NameRegistry,
     class_no: impl Fn(usize, &str) -> usize,
     tenant_no: impl Fn(usize, &str) -> usize,
-) -> Result<Intake, String> {
+) -> Result<BrokerSettings, String> {
     let lines = Lines {
         idle: text.limits.conn_idle_ms.map(Tenths::from_ms),
         connect: text.limits.connect_timeout_ms.map(Tenths::from_ms),
@@ -142,7 +142,7 @@
         late_failure_cost: text.prices.late_fail,
     };
     let report = text.stats.fields.iter().map(|name| load_metric(name)).collect();
-    Ok(Intake { broker_config, names, zones: text.areas.clone(), lines, report })
+    Ok(BrokerSettings { broker_config, names, zones: text.areas.clone(), lines, report })
 }
 
 /// What a value of a load report is, by its name.
--- a/crates/settings/src/revise.rs
+++ b/crates/settings/src/revise.rs
@@ -5,7 +5,7 @@
 use crate::document::Document;
 use crate::fields::{Applies, FIELDS, Form};
 use crate::text::Text;
-use crate::{Catalogue, Intake, prescribe};
+use crate::{BrokerSettings, NameRegistry, prescribe};
 use serde_json::Value;
 
 /// A key that differs between two documents. Items of a list are compared by their `Name`, where they have
@@ -21,7 +21,7 @@
 /// A document that a running broker can take over.
 #[derive(Clone, Debug)]
 pub struct Revised {
-    pub intake: Intake,
+    pub broker_settings: BrokerSettings,
     /// With the broker's own keys filled in.
     pub document: Document,
     pub changes: Vec<Change>,
@@ -83,7 +83,7 @@
 
 /// Makes what a broker takes over of `new`, while it runs with `running` and these numbers; or tells all that
 /// stands against it. The broker's own keys are `running`'s; `new` leaves them out, or says the same.
-pub fn revise(running: &Document, names: &Catalogue, new: &Document) -> Result<Revised, Vec<Mistake>> {
+pub fn revise(running: &Document, names: &NameRegistry, new: &Document) -> Result<Revised, Vec<Mistake>> {
     let mut document = new.clone();
     for field in FIELDS.iter().filter(|field| field.3 == Applies::Own) {
         if let (None, Some(own)) = (new.get(field.0), running.get(field.0)) {
@@ -131,8 +131,8 @@
         text.tenants.iter().map(|tenant| &tenant.name[..]),
     );
     let (class, tenant) = (|_, name: &str| names.class_at(name), |_, name: &str| names.tenant_at(name));
-    let intake = prescribe(&text, names.clone(), class, tenant).map_err(unread)?;
-    Ok(Revised { intake, document, changes })
+    let broker_settings = prescribe(&text, names.clone(), class, tenant).map_err(unread)?;
+    Ok(Revised { broker_settings, document, changes })
 }
 
 fn zone_name(document: &Document) -> Option<String> {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -38,7 +38,8 @@
 #[rstest]
 fn reads_what_a_broker_and_its_front_need() {
     let text = with("/Surprise", json!([1])).to_string();
-    let Intake { broker_config: read, names, zones, lines, report } = super::read(text.as_bytes()).unwrap();
+    let BrokerSettings { broker_config: read, names, zones, lines, report } =
+        super::read(text.as_bytes()).unwrap();
     assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.effect, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
@@ -148,13 +149,18 @@
     new["Services"].as_array_mut().unwrap().reverse();
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
     let taken = taken_over(&new).unwrap();
-    let goals: Vec<_> =
-        taken.intake.broker_config.classes.iter().map(|(no, c)| (no.0, c.latency_objective.0)).collect();
+    let goals: Vec<_> = taken
+        .broker_settings
+        .broker_config
+        .classes
+        .iter()
+        .map(|(no, c)| (no.0, c.latency_objective.0))
+        .collect();
     assert_eq!(goals, [(1, 20_000), (2, 1000)]);
     let tenants: Vec<_> =
-        taken.intake.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+        taken.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
     assert_eq!(tenants, [(1, 9.0)]);
-    assert_eq!(taken.intake.names.class("report"), Some(ClassId(0)));
+    assert_eq!(taken.broker_settings.names.class("report"), Some(ClassId(0)));
 }
 
 /// What is the broker's own is left out, and filled in: the zone by its name.
@@ -164,7 +170,7 @@
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
     let taken = taken_over(&new).unwrap();
-    assert_eq!(taken.intake.broker_config.zone, ZoneId(0));
+    assert_eq!(taken.broker_settings.broker_config.zone, ZoneId(0));
     assert!(taken.changes.iter().all(|change| matches!(change.applies, Applies::Live | Applies::Own)));
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -86,7 +86,10 @@
 
 fn start(text: &[u8], seed: u64, now: Tenths) -> (Seat, Vec<LoadMetric>) {
     match settings::read(text) {
-        Ok(intake) => (Seat::Sound(Box::new(Broker::start(intake.broker_config, seed, now))), intake.report),
+        Ok(broker_settings) => (
+            Seat::Sound(Box::new(Broker::start(broker_settings.broker_config, seed, now))),
+            broker_settings.report,
+        ),
         Err(why) => (Seat::Broken(why), Vec::new()),
     }
 }
