--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -13,7 +13,7 @@
 use crate::outcome::{Of, Outcome, Standings};
 use crate::rehearse::Cast;
 use crate::scene::{self, ROLL_LATE};
-use broker::{Order, Running};
+use broker::{Running, StartupConfig};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
 use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
 use node_emulator::{Host, JobNo, Load, State, Taken};
@@ -166,7 +166,7 @@
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 16384},
                 "settings": scene::settings(staging, &cast)});
             let mut order =
-                Order::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
+                StartupConfig::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
             order.since = Some(SINCE);
             brokers.push(broker::start(order).await?);
         }
@@ -324,8 +324,8 @@
 
     /// What is on its way, told by the counts alone.
     fn under_way(&self) -> Option<&'static str> {
-        let open: usize = self.brokers.iter().map(|broker| broker.desk.open_queries()).sum();
-        let out: usize = self.brokers.iter().map(|broker| broker.desk.count_out()).sum();
+        let open: usize = self.brokers.iter().map(|broker| broker.engine.open_queries()).sum();
+        let out: usize = self.brokers.iter().map(|broker| broker.engine.count_out()).sum();
         if open != self.waiting {
             return Some("a request or an answer");
         }
@@ -360,7 +360,7 @@
     /// Whether what brokers have out is, shard request by shard request, what hosts hold or have just heard.
     fn hold_what_is_out(&self) -> bool {
         let mut out: Vec<_> =
-            self.brokers.iter().flat_map(|broker| broker.desk.attempts_in_flight()).collect();
+            self.brokers.iter().flat_map(|broker| broker.engine.attempts_in_flight()).collect();
         out.sort();
         let address = |host: usize| self.nodes[host].address;
         let mut held: Vec<_> =
--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -1,7 +1,7 @@
 //! The command line. Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the words, or in a file
 //! that was checked; 3 a broker could not be asked.
 
-use crate::{Source, serve, versions};
+use crate::{ConfigSource, serve, versions};
 use clap::{Parser, Subcommand};
 use operator_config::Fitting;
 use serde_json::{Value, json};
@@ -133,7 +133,7 @@
             return tell(Path::new(&path), &mistakes, false);
         }
     }
-    serve(&Source { config }, fitting)
+    serve(&ConfigSource { config }, fitting)
 }
 
 fn read_operator(path: &Path) -> Result<Fitting, Vec<String>> {
@@ -157,7 +157,7 @@
     };
     let unset =
         |name: &str| matches!(name, "EDGE_LISTEN" | "EDGE_DISCOVERY").then(|| "127.0.0.1:0".to_owned());
-    if let Err(why) = crate::Order::read(made.text.as_bytes(), unset) {
+    if let Err(why) = crate::StartupConfig::read(made.text.as_bytes(), unset) {
         return tell(old, &[why], as_json);
     }
     let written =
@@ -216,7 +216,7 @@
             serde_json::from_slice::<Value>(&text).is_ok_and(|file| file.get(&key).is_none())
         }))
     };
-    if let Err(why) = crate::Order::read(&text, named)
+    if let Err(why) = crate::StartupConfig::read(&text, named)
         && mistakes.is_empty()
     {
         mistakes.push(why);
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -1,10 +1,10 @@
-//! The desk: owns the module, its clock and its wake-ups, and knows by which ids it calls things.
+//! The engine: owns the module, its clock and its wake-ups, and knows by which ids it calls things.
 
-use crate::edition::Edition;
+use crate::edition::ConfigEpoch;
 use crate::frame::{CalledPart, read_report};
 use crate::limits::{Limits, span};
-use crate::listing::Listing;
-use crate::nodes::{AttemptId, Ended, Nodes, Sending};
+use crate::listing::NodeList;
+use crate::nodes::{AttemptId, Ended, NodePool, Sending};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use bytes::Bytes;
 use routing::{
@@ -23,7 +23,7 @@
 use tracing::info;
 
 /// A query as a front hands it over.
-pub struct Question {
+pub struct QueryRequest {
     /// What the wire calls it.
     pub id: Bytes,
     pub class: ClassId,
@@ -45,25 +45,25 @@
 
 /// The final word on a query.
 #[derive(Debug)]
-pub enum Verdict {
-    Answer { whole: bool, items: Vec<(ShardId, Bytes)> },
-    Decline { retry_after: Tenths },
-    Scrap,
+pub enum QueryOutcome {
+    Response { whole: bool, items: Vec<(ShardId, Bytes)> },
+    Rejected { retry_after: Tenths },
+    Failed,
 }
 
 /// Why a query was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum AdmissionError {
     /// As much is held as may be.
-    Full,
+    Overloaded,
     /// One of that id is open.
-    Known,
+    DuplicateId,
 }
 
 struct Open {
     id: Bytes,
     /// The one under which it was taken, to its end.
-    edition: Rc<Edition>,
+    epoch: Rc<ConfigEpoch>,
     /// When its latency objective is over.
     objective_at: Tenths,
     /// An attempt of it found its node down, or lost its connection.
@@ -72,7 +72,7 @@
     shard_requests: Vec<ShardRequestId>,
     text: Bytes,
     bytes: usize,
-    tell: oneshot::Sender<Verdict>,
+    tell: oneshot::Sender<QueryOutcome>,
 }
 
 struct OpenShardRequest {
@@ -85,15 +85,15 @@
 
 impl Open {
     /// Counts its end under its edition.
-    fn count(&self, verdict: &Verdict, now: Tenths) {
+    fn count(&self, verdict: &QueryOutcome, now: Tenths) {
         let late = now > self.objective_at;
-        self.edition.count(|tally| {
+        self.epoch.count(|tally| {
             tally.ended += 1;
             let badly = match verdict {
-                Verdict::Answer { .. } if late => &mut tally.late,
-                Verdict::Answer { .. } => return,
-                Verdict::Decline { .. } => &mut tally.declined,
-                Verdict::Scrap => &mut tally.scrapped,
+                QueryOutcome::Response { .. } if late => &mut tally.late,
+                QueryOutcome::Response { .. } => return,
+                QueryOutcome::Rejected { .. } => &mut tally.declined,
+                QueryOutcome::Failed => &mut tally.scrapped,
             };
             *badly += 1;
             tally.by_nodes += u64::from(self.fell);
@@ -174,16 +174,16 @@
     }
 }
 
-pub struct Desk {
+pub struct Engine {
     limits: Rc<Limits>,
-    nodes: Rc<Nodes>,
+    nodes: Rc<NodePool>,
     broker: RefCell<Decider>,
     started: (Instant, Tenths),
     heard: RefCell<Vec<Input>>,
     book: RefCell<Book>,
     attempts: RefCell<Pushes>,
     names: RefCell<Names>,
-    edition: RefCell<Rc<Edition>>,
+    epoch: RefCell<Rc<ConfigEpoch>>,
     wake_at: Cell<Option<Tenths>>,
     bell: Notify,
     ready: Cell<bool>,
@@ -203,7 +203,7 @@
     }
 }
 
-impl Desk {
+impl Engine {
     /// `since`: the Unix time of this moment, where it is not the machine's that counts. `door`: the admission controller's
     /// configuration, where there is to be one.
     pub fn new(
@@ -212,14 +212,14 @@
         limits: Rc<Limits>,
         since: Option<Tenths>,
         door: Option<AdmissionConfig>,
-    ) -> Rc<Desk> {
-        let edition = Rc::new(Edition::new(&broker_settings));
+    ) -> Rc<Engine> {
+        let epoch = Rc::new(ConfigEpoch::new(&broker_settings));
         let BrokerSettings { broker_config, zones, .. } = broker_settings;
         // The endpoint list tells starts in Unix time, so the clock counts from there, and only ever forward.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = since.unwrap_or(Tenths((unix.as_micros() / 100) as i64));
-        Rc::new(Desk {
-            nodes: Nodes::new(limits.clone()),
+        Rc::new(Engine {
+            nodes: NodePool::new(limits.clone()),
             limits,
             broker: RefCell::new(decider(broker_config, seed, now, door)),
             started: (Instant::now(), now),
@@ -227,7 +227,7 @@
             book: RefCell::default(),
             attempts: RefCell::default(),
             names: RefCell::new(Names { zones, ..Names::default() }),
-            edition: RefCell::new(edition),
+            epoch: RefCell::new(epoch),
             wake_at: Cell::default(),
             bell: Notify::new(),
             ready: Cell::default(),
@@ -276,33 +276,32 @@
     }
 
     /// The edition under which queries are taken now.
-    pub fn edition(&self) -> Rc<Edition> {
-        self.edition.borrow().clone()
+    pub fn epoch(&self) -> Rc<ConfigEpoch> {
+        self.epoch.borrow().clone()
     }
 
     /// Takes queries under a new edition from now on. Both change in one step: what a front has read under
     /// the old one has been heard before this, what it reads from now on is heard after.
-    pub fn prescribe(&self, edition: Edition, broker_config: BrokerConfig) {
-        self.edition.replace(Rc::new(edition));
+    pub fn prescribe(&self, epoch: ConfigEpoch, broker_config: BrokerConfig) {
+        self.epoch.replace(Rc::new(epoch));
         self.hear(Input::Config(Box::new(broker_config)));
     }
 
     /// Takes a query, unless a bound is reached. Dropping what comes back tells that the tenant left.
-    pub fn take(self: &Rc<Self>, question: Question) -> Result<Taken, NotTaken> {
-        let edition = self.edition();
+    pub fn take(self: &Rc<Self>, question: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
+        let epoch = self.epoch();
         let mut book = self.book.borrow_mut();
         let bytes = question.id.len() * (question.shard_requests.len() + 1) + question.holds;
         // Guards against wide queries that are all but answered and keep others out: a shard request that has its
         // value is no longer open, though its query is.
         let held = book.queries.len() + book.lacking;
-        let full = self.ended.get() || held + question.shard_requests.len() + 1 > edition.max_open;
+        let full = self.ended.get() || held + question.shard_requests.len() + 1 > epoch.max_open;
         if full || book.bytes + bytes > self.limits.held {
-            edition
-                .count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
-            return Err(NotTaken::Full);
+            epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+            return Err(AdmissionError::Overloaded);
         }
         if !book.wire_ids.insert(question.id.clone()) {
-            return Err(NotTaken::Known);
+            return Err(AdmissionError::DuplicateId);
         }
         book.bytes += bytes;
         book.lacking += question.shard_requests.len();
@@ -315,7 +314,7 @@
             question.shard_requests.iter().map(|_| ShardRequestId(next())).collect();
         let group = GroupId(id.0 as u32);
         let until = self.tenths(question.until);
-        let class = edition.classes.get(&question.class);
+        let class = epoch.classes.get(&question.class);
         let goal =
             class.map_or(Tenths::ZERO, |c| c.latency_objective + question.work.times(c.objective_stretch));
         let (objective_at, fell) = (self.tenths(Instant::now()) + goal, false);
@@ -341,12 +340,11 @@
             );
         }
         let (tell, verdict) = oneshot::channel();
-        let Question { id: wire_id, text, .. } = question;
-        let open =
-            Open { id: wire_id, edition, objective_at, fell, until, shard_requests, text, bytes, tell };
+        let QueryRequest { id: wire_id, text, .. } = question;
+        let open = Open { id: wire_id, epoch, objective_at, fell, until, shard_requests, text, bytes, tell };
         book.queries.insert(id, open);
         self.bell.notify_one();
-        Ok(Taken { desk: self.clone(), id, verdict })
+        Ok(AcceptedQuery { engine: self.clone(), id, verdict })
     }
 
     /// Strikes a query from the book; what of it was not written yet is not sent any more.
@@ -369,11 +367,11 @@
     }
 
     /// Counts bytes that are held before their query is taken; none: there is no room for them.
-    pub fn hold(self: &Rc<Self>, bytes: usize) -> Option<Held> {
+    pub fn hold(self: &Rc<Self>, bytes: usize) -> Option<ReservedMemory> {
         let mut book = self.book.borrow_mut();
         (book.bytes + bytes <= self.limits.held).then(|| {
             book.bytes += bytes;
-            Held { desk: self.clone(), bytes }
+            ReservedMemory { engine: self.clone(), bytes }
         })
     }
 
@@ -384,7 +382,7 @@
     }
 
     /// Puts an endpoint list into the module's ids.
-    pub fn hear_roll(&self, kind: EndpointListKind, listing: Listing) {
+    pub fn hear_roll(&self, kind: EndpointListKind, listing: NodeList) {
         let names = &mut *self.names.borrow_mut();
         if kind != EndpointListKind::Delta {
             names.ready.clear();
@@ -563,12 +561,12 @@
                     self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
                 }
                 Effect::Respond { query, complete: whole } => {
-                    self.tell(query, |items| Verdict::Answer { whole, items });
+                    self.tell(query, |items| QueryOutcome::Response { whole, items });
                 }
                 Effect::Reject { query, retry_after } => {
-                    self.tell(query, |_| Verdict::Decline { retry_after });
+                    self.tell(query, |_| QueryOutcome::Rejected { retry_after });
                 }
-                Effect::Fail { query } => self.tell(query, |_| Verdict::Scrap),
+                Effect::Fail { query } => self.tell(query, |_| QueryOutcome::Failed),
                 Effect::Probe { node } => self.nodes.probe(node),
                 Effect::CloseIdle { node } => self.nodes.close_idle(node),
                 Effect::Wake { after } => {
@@ -653,13 +651,13 @@
         self.ended.set(true);
         let open: Vec<QueryId> = self.book.borrow().queries.keys().copied().collect();
         for id in &open {
-            self.tell(*id, |_| Verdict::Scrap);
+            self.tell(*id, |_| QueryOutcome::Failed);
             self.hear(Input::ClientLeft(*id));
         }
         open.len()
     }
 
-    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardId, Bytes)>) -> Verdict) {
+    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardId, Bytes)>) -> QueryOutcome) {
         if let Some((open, items)) = self.close(id) {
             let verdict = verdict(items);
             open.count(&verdict, self.tenths(Instant::now()));
@@ -670,36 +668,36 @@
 }
 
 /// Bytes that are counted for as long as this lives.
-pub struct Held {
-    desk: Rc<Desk>,
+pub struct ReservedMemory {
+    engine: Rc<Engine>,
     bytes: usize,
 }
 
-impl Drop for Held {
+impl Drop for ReservedMemory {
     fn drop(&mut self) {
-        self.desk.book.borrow_mut().bytes -= self.bytes;
+        self.engine.book.borrow_mut().bytes -= self.bytes;
     }
 }
 
 /// A query that was taken and waits for its verdict.
-pub struct Taken {
-    desk: Rc<Desk>,
+pub struct AcceptedQuery {
+    engine: Rc<Engine>,
     id: QueryId,
-    verdict: oneshot::Receiver<Verdict>,
+    verdict: oneshot::Receiver<QueryOutcome>,
 }
 
-impl Taken {
+impl AcceptedQuery {
     /// Waits for the final word.
-    pub async fn verdict(mut self) -> Verdict {
-        (&mut self.verdict).await.unwrap_or(Verdict::Scrap)
+    pub async fn verdict(mut self) -> QueryOutcome {
+        (&mut self.verdict).await.unwrap_or(QueryOutcome::Failed)
     }
 }
 
-impl Drop for Taken {
+impl Drop for AcceptedQuery {
     /// Guards against work for tenants that have left: dropped before its verdict, it tells the module.
     fn drop(&mut self) {
-        if self.desk.close(self.id).is_some() {
-            self.desk.hear(Input::ClientLeft(self.id));
+        if self.engine.close(self.id).is_some() {
+            self.engine.hear(Input::ClientLeft(self.id));
         }
     }
 }
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -14,25 +14,25 @@
         let mut broker_settings = BrokerSettings::default();
         broker_settings.broker_config.limits.max_open = 10;
         let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
-        let desk = Desk::new(broker_settings, 1, Rc::new(limits), None, None);
+        let engine = Engine::new(broker_settings, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
-        desk.nodes.listens(NodeId(1), Some(address), true);
+        engine.nodes.listens(NodeId(1), Some(address), true);
         let shard_requests = vec![RequestedShard { shard: ShardId(0), weight: 1.0 }];
         let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
         let (class, tenant, until) = (ClassId(0), TenantId(0), Instant::now());
         let work = Tenths::ZERO;
-        let question = Question { id, class, tenant, until, work, shard_requests, text, holds: 0 };
-        let taken = desk.take(question).unwrap();
-        let shard_request = *desk.book.borrow().shard_requests.keys().next().unwrap();
-        desk.heard.take();
+        let question = QueryRequest { id, class, tenant, until, work, shard_requests, text, holds: 0 };
+        let taken = engine.take(question).unwrap();
+        let shard_request = *engine.book.borrow().shard_requests.keys().next().unwrap();
+        engine.heard.take();
         let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: Tenths(1000) };
-        desk.carry_out(Tenths(0), vec![attempt, end(taken.id, shard_request)]);
-        let heard = desk.heard.take();
+        engine.carry_out(Tenths(0), vec![attempt, end(taken.id, shard_request)]);
+        let heard = engine.heard.take();
         assert!(
             matches!(&heard[..], [Input::AttemptEnded(o)] if o.end == AttemptOutcome::NotSent),
             "{heard:?}"
         );
-        assert!(desk.nodes.fetch_ended().is_empty());
+        assert!(engine.nodes.fetch_ended().is_empty());
     });
 }
 
@@ -43,8 +43,8 @@
         let mut broker_settings = BrokerSettings::default();
         broker_settings.broker_config.limits.max_open = 10;
         let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
-        let desk = Desk::new(broker_settings, 1, Rc::new(limits), None, None);
-        let question = |id: &'static str| Question {
+        let engine = Engine::new(broker_settings, 1, Rc::new(limits), None, None);
+        let question = |id: &'static str| QueryRequest {
             id: Bytes::from_static(id.as_bytes()),
             class: ClassId(0),
             tenant: TenantId(0),
@@ -54,9 +54,9 @@
             text: Bytes::new(),
             holds: 0,
         };
-        let open = desk.take(question("a")).unwrap();
-        assert_eq!(desk.end_open(), 1);
-        assert!(matches!(open.verdict().await, Verdict::Scrap));
-        assert!(matches!(desk.take(question("b")), Err(NotTaken::Full)));
+        let open = engine.take(question("a")).unwrap();
+        assert_eq!(engine.end_open(), 1);
+        assert!(matches!(open.verdict().await, QueryOutcome::Failed));
+        assert!(matches!(engine.take(question("b")), Err(AdmissionError::Overloaded)));
     });
 }
--- a/crates/broker/src/edition.rs
+++ b/crates/broker/src/edition.rs
@@ -1,4 +1,4 @@
-//! One edition of the configuration, as fronts read it. It never changes; the desk puts a newer one in its
+//! One edition of the configuration, as fronts read it. It never changes; the engine puts a newer one in its
 //! place, and a query keeps the one under which it was taken.
 
 use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-pub struct Edition {
+pub struct ConfigEpoch {
     pub names: NameRegistry,
     pub classes: BTreeMap<ClassId, RequestClass>,
     pub shards: u32,
@@ -15,12 +15,12 @@
     /// What a client is told that is rejected at a bound, where clients are told when to come again.
     pub retry_after: Tenths,
     /// How what was taken under it has ended.
-    pub tally: Cell<Tally>,
+    pub tally: Cell<EpochCounts>,
 }
 
 /// How queries ended, counted up from the first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct EpochCounts {
     /// All that have ended but those whose client left.
     pub ended: u64,
     /// Answered after the latency objective, rejected, failed, or turned away at the front.
@@ -32,12 +32,12 @@
     pub by_nodes: u64,
 }
 
-impl Edition {
-    pub fn new(broker_settings: &BrokerSettings) -> Edition {
+impl ConfigEpoch {
+    pub fn new(broker_settings: &BrokerSettings) -> ConfigEpoch {
         let p: &BrokerConfig = &broker_settings.broker_config;
         let goal = p.classes.values().map(|class| class.latency_objective).min().unwrap_or_default();
         let retry_after = goal.min(p.limits.max_retry_after);
-        Edition {
+        ConfigEpoch {
             names: broker_settings.names.clone(),
             classes: p.classes.clone(),
             shards: p.layout.shards,
@@ -47,7 +47,7 @@
         }
     }
 
-    pub fn count(&self, add: impl FnOnce(&mut Tally)) {
+    pub fn count(&self, add: impl FnOnce(&mut EpochCounts)) {
         let mut tally = self.tally.get();
         add(&mut tally);
         self.tally.set(tally);
--- a/crates/broker/src/front.rs
+++ b/crates/broker/src/front.rs
@@ -1,7 +1,7 @@
 //! The HTTP server that clients reach: accepts, routes, and keeps its connections within bounds.
 
 use crate::limits::Limits;
-use crate::retrieval::{self, Counter, decline, plain};
+use crate::retrieval::{self, QueryHandler, decline, plain};
 use actix_http::error::DispatchError;
 use actix_http::header::{ALLOW, HeaderValue};
 use actix_http::{ConnectionType, HttpService, KeepAlive, Method, Payload, Request, Response, StatusCode};
@@ -185,8 +185,8 @@
     }
 }
 
-pub struct Front {
-    counter: Counter,
+pub struct HttpServer {
+    counter: QueryHandler,
     lines: RefCell<Vec<Rc<Line>>>,
     /// Rung when a line has ended.
     line_ended: Notify,
@@ -197,9 +197,9 @@
     closed: Notify,
 }
 
-impl Front {
-    pub fn new(counter: Counter) -> Rc<Front> {
-        Rc::new(Front {
+impl HttpServer {
+    pub fn new(counter: QueryHandler) -> Rc<HttpServer> {
+        Rc::new(HttpServer {
             counter,
             lines: RefCell::default(),
             line_ended: Notify::new(),
@@ -402,7 +402,7 @@
         }
         if allowed == Method::POST {
             return match line.surplus {
-                true => decline(self.counter.desk.edition().retry_after),
+                true => decline(self.counter.engine.epoch().retry_after),
                 false => {
                     let whole = || line.whole.set(true);
                     let response = retrieval::serve(&self.counter, request, arrived, whole).await;
@@ -411,7 +411,7 @@
                 }
             };
         }
-        match self.counter.desk.can_serve() {
+        match self.counter.engine.can_serve() {
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "no node is known yet\n"),
         }
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -1,19 +1,19 @@
 //! What closing a connection does to what comes in that moment.
 
 use super::*;
-use crate::desk::Desk;
+use crate::desk::Engine;
 use crate::limits::{Limits, Machine};
 use rstest::rstest;
 use settings::BrokerSettings;
 use std::io::{Read, Write};
 
 /// A front that knows no node, and keeps so many idle connections.
-fn front(kept_lines: usize) -> Rc<Front> {
+fn front(kept_lines: usize) -> Rc<HttpServer> {
     let machine = Machine { memory_mb: 192, sockets: 1024 };
     let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
     let limits = Rc::new(Limits { kept_lines, ..limits });
-    let desk = Desk::new(BrokerSettings::default(), 1, limits.clone(), None, None);
-    Front::new(Counter { desk, limits, wrongs: Default::default() })
+    let engine = Engine::new(BrokerSettings::default(), 1, limits.clone(), None, None);
+    HttpServer::new(QueryHandler { engine, limits, wrongs: Default::default() })
 }
 
 const HEALTH: &[u8] = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -28,7 +28,7 @@
 }
 
 /// An idle connection that was answered once.
-async fn idle(front: &Front, address: SocketAddr) -> std::net::TcpStream {
+async fn idle(front: &HttpServer, address: SocketAddr) -> std::net::TcpStream {
     let served = || front.lines.borrow().iter().filter(|line| line.served.get()).count();
     let before = served();
     let mut idle = std::net::TcpStream::connect(address).unwrap();
@@ -89,8 +89,8 @@
         let machine = Machine { memory_mb: 192, sockets: 64 };
         let limits = Rc::new(Limits::new(machine, &BrokerSettings::default()).unwrap());
         let most = limits.client_lines + limits.surplus_lines;
-        let desk = Desk::new(BrokerSettings::default(), 1, limits.clone(), None, None);
-        let front = Front::new(Counter { desk, limits, wrongs: Default::default() });
+        let engine = Engine::new(BrokerSettings::default(), 1, limits.clone(), None, None);
+        let front = HttpServer::new(QueryHandler { engine, limits, wrongs: Default::default() });
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         actix_rt::spawn(front.clone().run(listener));
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
-//! let order = broker::Order::from_env()?;
+//! let order = broker::StartupConfig::from_env()?;
 //! let running = broker::start(order).await?; // within a single-threaded `actix_rt` runtime
 //! println!("serving on {}", running.listens);
 //! running.leave().await;
 //! # Ok(()) }
 //! ```
 //!
-//! A front of another kind takes the desk's place of `front` and `query`: it makes a
-//! [`desk::Question`], hands it to [`desk::Desk::take`] and waits for the [`desk::Verdict`].
+//! A front of another kind takes the engine's place of `front` and `query`: it makes a
+//! [`desk::QueryRequest`], hands it to [`desk::Engine::take`] and waits for the [`desk::QueryOutcome`].
 
 mod command;
 pub mod desk;
@@ -30,12 +30,12 @@
 
 pub use leave::word;
 pub use operator_config::{Control, Fitting, LogForm};
-pub use start::{Order, Source};
+pub use start::{ConfigSource, StartupConfig};
 
-use desk::Desk;
-use front::Front;
+use desk::Engine;
+use front::HttpServer;
 use limits::Limits;
-use retrieval::{Counter, Wrongs};
+use retrieval::{QueryHandler, RejectedRequests};
 use routing::EndpointListKind;
 use std::io;
 use std::net::SocketAddr;
@@ -51,22 +51,22 @@
 /// A broker that serves.
 pub struct Running {
     pub listens: SocketAddr,
-    pub desk: Rc<Desk>,
+    pub engine: Rc<Engine>,
     /// Where discovery is; it may move while the broker runs.
     pub discovery: watch::Sender<SocketAddr>,
     /// Where it tells what it runs.
     pub status: Option<SocketAddr>,
-    front: Rc<Front>,
+    front: Rc<HttpServer>,
     limits: Rc<Limits>,
 }
 
 /// Starts a broker on the current thread, within an `actix_rt` runtime.
-pub async fn start(order: Order) -> io::Result<Running> {
+pub async fn start(order: StartupConfig) -> io::Result<Running> {
     start_fitted(order, Fitting::default()).await
 }
 
 /// The same, fitted to an installation.
-pub async fn start_fitted(mut order: Order, fitting: Fitting) -> io::Result<Running> {
+pub async fn start_fitted(mut order: StartupConfig, fitting: Fitting) -> io::Result<Running> {
     let follower = match fitting.control {
         Some(control) => Some(versions::prepare(&mut order, control)?),
         None => None,
@@ -77,41 +77,43 @@
     if order.broker_settings.broker_config.classes.values().any(|class| class.second_parts > 0) {
         warn!("a category has a second step, which this protocol lacks: its retrievals are declined");
     }
-    let desk = Desk::new(order.broker_settings, order.seed, limits.clone(), order.since, fitting.admission);
+    let engine =
+        Engine::new(order.broker_settings, order.seed, limits.clone(), order.since, fitting.admission);
     // Guards against drains that an agent has and that count as told from the first moment: it is heard before
     // anything is sent, and what was known before is not used.
     if let Some(known) = order.known.filter(|_| !limits.agent) {
-        desk.hear_roll(EndpointListKind::Cached, known);
+        engine.hear_roll(EndpointListKind::Cached, known);
     }
-    let counter = Counter { desk: desk.clone(), limits: limits.clone(), wrongs: Wrongs::default() };
-    let front = Front::new(counter);
-    actix_rt::spawn(desk.clone().run());
+    let counter =
+        QueryHandler { engine: engine.clone(), limits: limits.clone(), wrongs: RejectedRequests::default() };
+    let front = HttpServer::new(counter);
+    actix_rt::spawn(engine.clone().run());
     let (discovery, place) = watch::channel(order.discovery);
-    actix_rt::spawn(roll::follow(desk.clone(), limits.clone(), place));
-    let status = follower.map(|follower| follower.begin(desk.clone())).transpose()?.flatten();
+    actix_rt::spawn(roll::follow(engine.clone(), limits.clone(), place));
+    let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(front.clone().run(listener));
     info!("{} serves on {listens}", order.name);
-    Ok(Running { listens, desk, discovery, status, front, limits })
+    Ok(Running { listens, engine, discovery, status, front, limits })
 }
 
 /// The program: bare, it starts as the environment says and serves until told to leave; with arguments, as
 /// the command line says.
 pub fn run() -> ExitCode {
     match std::env::args_os().len() {
-        0 | 1 => serve(&Source::default(), Fitting::default()),
+        0 | 1 => serve(&ConfigSource::default(), Fitting::default()),
         _ => command::run(),
     }
 }
 
 /// Serves until told to leave.
-fn serve(source: &Source, fitting: Fitting) -> ExitCode {
+fn serve(source: &ConfigSource, fitting: Fitting) -> ExitCode {
     log_to_standard_error(fitting.log);
     let served = actix_rt::Runtime::new().map_err(|e| e.to_string()).and_then(|runtime| {
         runtime.block_on(async {
             // Listened for before anything else: without that, either signal ends the process.
             let mut leave = word().map_err(|e| e.to_string())?;
             let anew = reload::word().map_err(|e| e.to_string())?;
-            let order = Order::from(source)?;
+            let order = StartupConfig::from(source)?;
             let running = start_fitted(order, fitting).await.map_err(|e| e.to_string())?;
             actix_rt::spawn(reload::follow(anew, source.clone(), running.discovery.clone()));
             leave.recv().await;
--- a/crates/broker/src/listing.rs
+++ b/crates/broker/src/listing.rs
@@ -6,7 +6,7 @@
 
 /// Nodes as discovery lists them: all, or those that changed.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listing {
+pub struct NodeList {
     pub revision: u64,
     #[serde(rename = "complete")]
     pub all: bool,
@@ -24,7 +24,7 @@
     pub zone: String,
     pub cell: u32,
     #[serde(rename = "phase")]
-    pub state: ListedStanding,
+    pub state: ListedState,
     /// In Unix time; 0 for long ago.
     #[serde(rename = "up_since_ms", default)]
     pub started_ms: f64,
@@ -32,18 +32,18 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedStanding {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
 }
 
-impl From<ListedStanding> for EndpointState {
-    fn from(listed: ListedStanding) -> EndpointState {
+impl From<ListedState> for EndpointState {
+    fn from(listed: ListedState) -> EndpointState {
         match listed {
-            ListedStanding::Ready => EndpointState::Ready,
-            ListedStanding::Draining => EndpointState::Draining,
-            ListedStanding::Gone => EndpointState::Removed,
+            ListedState::Ready => EndpointState::Ready,
+            ListedState::Draining => EndpointState::Draining,
+            ListedState::Gone => EndpointState::Removed,
         }
     }
 }
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -78,7 +78,7 @@
     closing: Cell<bool>,
 }
 
-pub struct Nodes {
+pub struct NodePool {
     limits: Rc<Limits>,
     addresses: RefCell<HashMap<NodeId, SocketAddr>>,
     lines: RefCell<HashMap<NodeId, Vec<Rc<Line>>>>,
@@ -91,9 +91,9 @@
     pub bell: Notify,
 }
 
-impl Nodes {
-    pub fn new(limits: Rc<Limits>) -> Rc<Nodes> {
-        Rc::new(Nodes {
+impl NodePool {
+    pub fn new(limits: Rc<Limits>) -> Rc<NodePool> {
+        Rc::new(NodePool {
             limits,
             addresses: RefCell::default(),
             lines: RefCell::default(),
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -1,6 +1,6 @@
 //! New configurations, on SIGHUP: what a running broker takes over from its file.
 
-use crate::{Order, Source};
+use crate::{ConfigSource, StartupConfig};
 use std::io;
 use std::net::SocketAddr;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -13,9 +13,9 @@
 }
 
 /// Each time, reads where discovery is now. A file that can't be used changes nothing.
-pub async fn follow(mut word: Signal, source: Source, discovery: watch::Sender<SocketAddr>) {
+pub async fn follow(mut word: Signal, source: ConfigSource, discovery: watch::Sender<SocketAddr>) {
     while word.recv().await.is_some() {
-        match Order::reread(&source) {
+        match StartupConfig::reread(&source) {
             Ok(place) => {
                 info!("a new config: discovery is at {place}");
                 // Also where it names the same place: the endpoint list is asked for anew.
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -1,7 +1,7 @@
 //! The life of one query on a socket, from its request to its answer.
 
-use crate::desk::{Desk, NotTaken, Question, RequestedShard, Verdict};
-use crate::edition::Edition;
+use crate::desk::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
+use crate::edition::ConfigEpoch;
 use crate::limits::Limits;
 use actix_http::header::{CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, UPGRADE};
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
@@ -58,17 +58,17 @@
 }
 
 /// What a query is served with.
-pub struct Counter {
-    pub desk: Rc<Desk>,
+pub struct QueryHandler {
+    pub engine: Rc<Engine>,
     pub limits: Rc<Limits>,
-    pub wrongs: Wrongs,
+    pub wrongs: RejectedRequests,
 }
 
 /// What was wrong with requests, summed up: a line for each would be a load under a flood.
 #[derive(Default)]
-pub struct Wrongs(RefCell<BTreeMap<(u16, &'static str), usize>>);
+pub struct RejectedRequests(RefCell<BTreeMap<(u16, &'static str), usize>>);
 
-impl Wrongs {
+impl RejectedRequests {
     pub fn note(&self, status: u16, why: &'static str) {
         *self.0.borrow_mut().entry((status, why)).or_default() += 1;
     }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Counter {
+impl QueryHandler {
     /// Tells a client what is wrong with its request, and the log in time.
     pub fn bad(&self, status: StatusCode, why: &'static str) -> Response<Bytes> {
         self.wrongs.note(status.as_u16(), why);
@@ -96,12 +96,12 @@
 /// Serves one query. Dropped on the way, because its client has gone, it tells the module so.
 /// `whole` is called once its request has come.
 pub async fn serve(
-    counter: &Counter,
+    counter: &QueryHandler,
     mut request: Request,
     arrived: Instant,
     whole: impl FnOnce(),
 ) -> Response<Bytes> {
-    let Counter { desk, limits, .. } = counter;
+    let QueryHandler { engine, limits, .. } = counter;
     let told = match told_length(&request) {
         Ok(told) => told.unwrap_or(limits.body),
         Err(why) => return counter.bad(StatusCode::BAD_REQUEST, why),
@@ -109,7 +109,7 @@
     if told > limits.body {
         return counter.bad(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long");
     }
-    let Some(held) = desk.hold(told) else { return decline(desk.edition().retry_after) };
+    let Some(held) = engine.hold(told) else { return decline(engine.epoch().retry_after) };
     let body = match timeout_at(arrived + limits.slow_client, read_body(&mut request, limits.body)).await {
         Ok(Ok(body)) => body,
         Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
@@ -117,32 +117,34 @@
     };
     whole();
     // One edition from here to the hand-over; nothing is waited for in between.
-    let edition = desk.edition();
-    let question = match read_question(limits, &edition, &request, &body, arrived) {
+    let epoch = engine.epoch();
+    let question = match read_question(limits, &epoch, &request, &body, arrived) {
         Ok(question) => question,
         Err(why) => return counter.bad(StatusCode::BAD_REQUEST, why),
     };
     drop((held, body));
-    if !can_be_carried(&edition, &request, question.class) {
-        return decline(edition.retry_after);
+    if !can_be_carried(&epoch, &request, question.class) {
+        return decline(epoch.retry_after);
     }
-    let verdict = match desk.take(question) {
+    let verdict = match engine.take(question) {
         Ok(taken) => taken.verdict().await,
-        Err(NotTaken::Full) => Verdict::Decline { retry_after: edition.retry_after },
-        Err(NotTaken::Known) => return counter.bad(StatusCode::BAD_REQUEST, "an id that is open already"),
+        Err(AdmissionError::Overloaded) => QueryOutcome::Rejected { retry_after: epoch.retry_after },
+        Err(AdmissionError::DuplicateId) => {
+            return counter.bad(StatusCode::BAD_REQUEST, "an id that is open already");
+        }
     };
     match verdict {
-        Verdict::Answer { whole, items } => answer(whole, &items, limits.body),
-        Verdict::Decline { retry_after } => decline(retry_after),
-        Verdict::Scrap => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
+        QueryOutcome::Response { whole, items } => answer(whole, &items, limits.body),
+        QueryOutcome::Rejected { retry_after } => decline(retry_after),
+        QueryOutcome::Failed => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
     }
 }
 
 /// Guards against effects twice, and answers less than they say: a numbered query's mark has no place in
 /// a call, so what brings one is not sent without it; and there is no second step, without which an answer
 /// of a class that has one holds nothing.
-fn can_be_carried(edition: &Edition, request: &Request, class: ClassId) -> bool {
-    edition.classes.get(&class).is_some_and(|class| {
+fn can_be_carried(epoch: &ConfigEpoch, request: &Request, class: ClassId) -> bool {
+    epoch.classes.get(&class).is_some_and(|class| {
         let marked = class.effect == Idempotency::IdempotencyKey && request.headers().contains_key(MARK);
         !marked && class.second_parts == 0
     })
@@ -175,11 +177,11 @@
 /// Takes out the fields that decide; the text that shard requests carry stays the bytes that came.
 fn read_question(
     limits: &Limits,
-    edition: &Edition,
+    epoch: &ConfigEpoch,
     request: &Request,
     body: &Bytes,
     arrived: Instant,
-) -> Result<Question, &'static str> {
+) -> Result<QueryRequest, &'static str> {
     let headers = request.headers();
     if [ID, CATEGORY, CALLER, TIME_LEFT].iter().any(|name| headers.get_all(*name).count() > 1) {
         return Err("a header that comes twice");
@@ -191,14 +193,14 @@
     }
     let unknown = |why| {
         // Counted, unlike what else is wrong: a new edition may have struck what its clients still ask for.
-        edition.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+        epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
         why
     };
-    let class = edition.names.class(header(CATEGORY).ok_or("no category")?);
-    let class = class.filter(|class| edition.classes.contains_key(class));
+    let class = epoch.names.class(header(CATEGORY).ok_or("no category")?);
+    let class = class.filter(|class| epoch.classes.contains_key(class));
     let class = class.ok_or_else(|| unknown("an unknown category"))?;
     // A tenant that the settings do not name has no share of its own.
-    let tenant = header(CALLER).map_or(Some(TenantId(0)), |tenant| edition.names.tenant(tenant));
+    let tenant = header(CALLER).map_or(Some(TenantId(0)), |tenant| epoch.names.tenant(tenant));
     let tenant = tenant.unwrap_or(TenantId(u32::MAX));
     let digits = header(TIME_LEFT).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let time_left: u64 = digits.and_then(|text| text.parse().ok()).ok_or("no time left told")?;
@@ -209,7 +211,7 @@
     if shards.is_empty() || shards.len() < asked.shard_requests.len() {
         return Err("no parts, or one twice");
     }
-    if shards.last().is_some_and(|shard| *shard >= edition.shards) {
+    if shards.last().is_some_and(|shard| *shard >= epoch.shards) {
         return Err(unknown("an unknown shard"));
     }
     let sum: f64 = asked.shard_requests.iter().map(|shard_request| shard_request.weight).sum();
@@ -226,7 +228,7 @@
         shard: ShardId(shard_request.shard),
         weight: shard_request.weight,
     };
-    Ok(Question {
+    Ok(QueryRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         class,
         tenant,
@@ -284,7 +286,7 @@
     /// However many wrong requests come, the log gets a line for each kind.
     #[rstest]
     fn sums_up_what_was_wrong() {
-        let wrongs = Wrongs::default();
+        let wrongs = RejectedRequests::default();
         (0..1000).for_each(|_| wrongs.note(400, "no id"));
         wrongs.note(413, "a body that is too long");
         assert_eq!(wrongs.take(), ["400: no id (1000 times)", "413: a body that is too long (1 times)"]);
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -1,8 +1,8 @@
 //! Discovery: asks for the endpoint list and follows its changes.
 
-use crate::desk::Desk;
+use crate::desk::Engine;
 use crate::limits::Limits;
-use crate::listing::Listing;
+use crate::listing::NodeList;
 use bytes::Bytes;
 use futures_util::stream::FuturesUnordered;
 use futures_util::{FutureExt, StreamExt};
@@ -20,15 +20,15 @@
 /// Keeps its connections; reads an answer without a length up to its end, and takes no reset for one.
 type Client = legacy::Client<HttpConnector, Empty<Bytes>>;
 
-/// Each time that the desk asks for it, follows the endpoint list until a call fails, and says so. Where discovery has
+/// Each time that the engine asks for it, follows the endpoint list until a call fails, and says so. Where discovery has
 /// moved, the old watch is dropped and the new place is asked for all nodes at once. An agent on this machine is
 /// called until it answers: guards against drains that it has, and that count as told, while the broker waits longer
 /// after each failure, as it must where discovery is shared.
-pub async fn follow(desk: Rc<Desk>, limits: Rc<Limits>, mut discovery: watch::Receiver<SocketAddr>) {
+pub async fn follow(engine: Rc<Engine>, limits: Rc<Limits>, mut discovery: watch::Receiver<SocketAddr>) {
     let client: Client = legacy::Client::builder(TokioExecutor::new()).build_http();
     loop {
         tokio::select! {
-            () = desk.roll_wanted.notified() => {}
+            () = engine.roll_wanted.notified() => {}
             Ok(()) = discovery.changed() => {}
         }
         loop {
@@ -36,11 +36,11 @@
             // Guards against an agent that lists and breaks off at once, again and again.
             let anew = tokio::time::Instant::now() + limits.watch_anew;
             tokio::select! {
-                Err(why) = watch(&desk, &limits, &client, place) => {
+                Err(why) = watch(&engine, &limits, &client, place) => {
                     warn!("the roll is not followed, the old one holds: {why}");
                     // What was wanted before this failure was this call; now the module says when.
-                    let _ = desk.roll_wanted.notified().now_or_never();
-                    desk.roll_failed();
+                    let _ = engine.roll_wanted.notified().now_or_never();
+                    engine.roll_failed();
                     if !limits.agent {
                         break;
                     }
@@ -53,7 +53,7 @@
 }
 
 async fn watch(
-    desk: &Desk,
+    engine: &Engine,
     limits: &Limits,
     client: &Client,
     discovery: SocketAddr,
@@ -69,14 +69,14 @@
     loop {
         let revision = listing.revision;
         let kind = if listing.all { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
-        desk.hear_roll(kind, listing);
+        engine.hear_roll(kind, listing);
         let url = format!("{list}?after={revision}&wait_ms={}", limits.watch.as_millis());
         listing = call(limits, client, &url, limits.watch + limits.watch_slack).await?;
     }
 }
 
 /// Calls every so often, the first time at once, until one of the calls that are still waiting is answered.
-async fn call_until_answered(limits: &Limits, client: &Client, url: &str) -> Listing {
+async fn call_until_answered(limits: &Limits, client: &Client, url: &str) -> NodeList {
     let mut waiting = FuturesUnordered::new();
     let mut beat = interval(limits.watch_anew);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -97,7 +97,7 @@
     }
 }
 
-async fn call(limits: &Limits, client: &Client, url: &str, within: Duration) -> Result<Listing, String> {
+async fn call(limits: &Limits, client: &Client, url: &str, within: Duration) -> Result<NodeList, String> {
     let exchange = async {
         let url = url.parse().map_err(|e| format!("{url}: {e}"))?;
         let response = client.get(url).await.map_err(|e| told(&e))?;
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -1,7 +1,7 @@
 //! What the broker is told when it starts: the environment and the config file.
 
 use crate::limits::{Limits, Machine};
-use crate::listing::Listing;
+use crate::listing::NodeList;
 use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -10,7 +10,7 @@
 
 /// All that one broker starts from.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -19,7 +19,7 @@
     /// The text of the settings that `broker_settings` was read from.
     pub settings: String,
     /// The nodes as this broker last had them.
-    pub known: Option<Listing>,
+    pub known: Option<NodeList>,
     pub limits: Limits,
     /// The Unix time at which its clock starts; none: the machine's. For days that are rehearsed.
     pub since: Option<Tenths>,
@@ -27,11 +27,11 @@
 
 /// Where a broker's own file is: named on the command line, or by the environment.
 #[derive(Clone, Debug, Default)]
-pub struct Source {
+pub struct ConfigSource {
     pub config: Option<String>,
 }
 
-impl Source {
+impl ConfigSource {
     fn variable(&self, name: &str) -> Option<String> {
         let told = self.config.clone().filter(|_| name == "EDGE_CONFIG");
         told.or_else(|| std::env::var(name).ok())
@@ -45,7 +45,7 @@
     discovery: Option<String>,
     seed: String,
     limits: FileLimits,
-    known: Option<Listing>,
+    known: Option<NodeList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -56,32 +56,33 @@
     sockets: usize,
 }
 
-impl Order {
+impl StartupConfig {
     /// Reads EDGE_* and the file that they name; an error is for whoever started the broker.
-    pub fn from_env() -> Result<Order, String> {
-        Order::from(&Source::default())
+    pub fn from_env() -> Result<StartupConfig, String> {
+        StartupConfig::from(&ConfigSource::default())
     }
 
     /// Reads what this source tells of.
-    pub fn from(source: &Source) -> Result<Order, String> {
-        Order::read_file(|name| source.variable(name))
+    pub fn from(source: &ConfigSource) -> Result<StartupConfig, String> {
+        StartupConfig::read_file(|name| source.variable(name))
     }
 
     /// Reads the file once more, for what a running broker takes over from it: where discovery is now. What
     /// the environment said of that held for the start.
-    pub fn reread(source: &Source) -> Result<SocketAddr, String> {
-        let order = Order::read_file(|name| source.variable(name).filter(|_| name != "EDGE_DISCOVERY"));
+    pub fn reread(source: &ConfigSource) -> Result<SocketAddr, String> {
+        let order =
+            StartupConfig::read_file(|name| source.variable(name).filter(|_| name != "EDGE_DISCOVERY"));
         order.map(|order| order.discovery)
     }
 
-    fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<Order, String> {
+    fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, String> {
         let path = env("EDGE_CONFIG").ok_or("EDGE_CONFIG is not set")?;
         let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        Order::read(&text, env).map_err(|e| format!("{path}: {e}"))
+        StartupConfig::read(&text, env).map_err(|e| format!("{path}: {e}"))
     }
 
     /// Reads a config file's text. What the environment says of name and addresses comes first.
-    pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Order, String> {
+    pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let mut broker_settings = settings::read(file.settings.get().as_bytes())?;
         let address = |name: &str, told: Option<String>| -> Result<SocketAddr, String> {
@@ -99,7 +100,7 @@
         // After a call that failed the module may wait no longer than what it then misses stays untold.
         let rules = &mut broker_settings.broker_config.rules;
         rules.endpoint_list_max_age = rules.endpoint_list_max_age.min(limits.untold);
-        Ok(Order {
+        Ok(StartupConfig {
             name: env("EDGE_NAME").or(file.name).ok_or("`name` is missing")?,
             listen: address("listen", file.listen)?,
             discovery: address("discovery", file.discovery)?,
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -1,10 +1,10 @@
-//! Versions from a control service, brought to the desk. The streams, the checks and the file live on a
+//! Versions from a control service, brought to the engine. The streams, the checks and the file live on a
 //! thread beside the broker's; here, on the broker's own, a version is taken over in one step between two
 //! turns.
 
-use crate::Order;
-use crate::desk::Desk;
-use crate::edition::{Edition, Tally};
+use crate::StartupConfig;
+use crate::desk::Engine;
+use crate::edition::{ConfigEpoch, EpochCounts};
 use config_rollout::{Sample, VersionId};
 use config_rollout_client::{Post, RestoredState, Seat, Shown, csds, follow, restore, show};
 use operator_config::Control;
@@ -29,7 +29,7 @@
 }
 
 /// Takes over what the broker kept, if it did, so that it serves under that from its first query on.
-pub fn prepare(order: &mut Order, control: Control) -> io::Result<Follower> {
+pub fn prepare(order: &mut StartupConfig, control: Control) -> io::Result<Follower> {
     let wrong = |why: String| io::Error::new(io::ErrorKind::InvalidInput, why);
     let own = Document::parse(order.settings.as_bytes(), control.document);
     let own = own.map_err(|why| wrong(format!("settings: {why}")))?;
@@ -64,12 +64,12 @@
 
 impl Follower {
     /// Begins to follow, on a thread of its own; where the status is told.
-    pub fn begin(self, desk: Rc<Desk>) -> io::Result<Option<SocketAddr>> {
+    pub fn begin(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         let Follower { post, restored, start, status } = self;
         let told_at = status.as_ref().map(TcpListener::local_addr).transpose()?;
         let shown = Shown::new(&post, restored.runs.version);
         let (words, heard) = mpsc::channel(1);
-        actix_rt::spawn(sit(desk, start, heard, shown.clone()));
+        actix_rt::spawn(sit(engine, start, heard, shown.clone()));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new().name("control".to_owned()).spawn(move || {
             runtime.block_on(async move {
@@ -129,9 +129,14 @@
     to.rules.endpoint_list_max_age = start.rules.endpoint_list_max_age;
 }
 
-/// Does at the desk what is asked. What is shown changes in the same step as what is taken under: nobody can
+/// Does at the engine what is asked. What is shown changes in the same step as what is taken under: nobody can
 /// see one without the other.
-async fn sit(desk: Rc<Desk>, start: BrokerConfig, mut heard: mpsc::Receiver<LogEvent>, shown: Arc<Shown>) {
+async fn sit(
+    engine: Rc<Engine>,
+    start: BrokerConfig,
+    mut heard: mpsc::Receiver<LogEvent>,
+    shown: Arc<Shown>,
+) {
     while let Some(word) = heard.recv().await {
         match word {
             LogEvent::Prescribe { version, mut broker_settings, done } => {
@@ -139,7 +144,7 @@
                 keep_waits(p, &start);
                 // Zones have the numbers of the start here, whatever order a version lists them in.
                 p.zone = start.zone;
-                desk.prescribe(Edition::new(&broker_settings), broker_settings.broker_config);
+                engine.prescribe(ConfigEpoch::new(&broker_settings), broker_settings.broker_config);
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
@@ -148,10 +153,10 @@
                 let _ = done.send(());
             }
             LogEvent::Count { tell } => {
-                let Tally { ended, late, declined, scrapped, turned_away, by_nodes } =
-                    desk.edition().tally.get();
+                let EpochCounts { ended, late, declined, scrapped, turned_away, by_nodes } =
+                    engine.epoch().tally.get();
                 let bad = late + declined + scrapped + turned_away;
-                let _ = tell.send(Sample { ended, bad, by_nodes, ready: desk.ready_nodes() as u64 });
+                let _ = tell.send(Sample { ended, bad, by_nodes, ready: engine.ready_nodes() as u64 });
             }
         }
     }
--- a/crates/broker/src/versions_off.rs
+++ b/crates/broker/src/versions_off.rs
@@ -1,7 +1,7 @@
 //! Stands in for versions from a control service where the program is built without them.
 
-use crate::Order;
-use crate::desk::Desk;
+use crate::StartupConfig;
+use crate::desk::Engine;
 use operator_config::Control;
 use std::convert::Infallible;
 use std::io;
@@ -15,12 +15,12 @@
 const WITHOUT: &str =
     "[control] is switched on, but this program is built without it (cargo build --features config-rollout)";
 
-pub fn prepare(_: &mut Order, _: Control) -> io::Result<Follower> {
+pub fn prepare(_: &mut StartupConfig, _: Control) -> io::Result<Follower> {
     Err(io::Error::other(WITHOUT))
 }
 
 impl Follower {
-    pub fn begin(self, _: Rc<Desk>) -> io::Result<Option<SocketAddr>> {
+    pub fn begin(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         match self.0 {}
     }
 }
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -4,8 +4,8 @@
 
 use super::stand_ins::*;
 use super::{BOTH, ONE};
-use broker::Order;
-use broker::desk::{Question, RequestedShard, Verdict};
+use broker::StartupConfig;
+use broker::desk::{QueryOutcome, QueryRequest, RequestedShard};
 use bytes::Bytes;
 use routing::{ClassId, ShardId, TenantId, Tenths};
 use rstest::rstest;
@@ -40,8 +40,8 @@
     json!({"revision": revision, "complete": true, "members": members})
 }
 
-fn question(id: &'static str, class: u16, text: Bytes) -> Question {
-    Question {
+fn question(id: &'static str, class: u16, text: Bytes) -> QueryRequest {
+    QueryRequest {
         id: Bytes::from_static(id.as_bytes()),
         class: ClassId(class),
         tenant: TenantId(0),
@@ -72,7 +72,7 @@
         client.write_all(first.as_bytes()).await.unwrap();
         if whole {
             client.write_all(last.as_bytes()).await.unwrap();
-            until(|| stage.broker.desk.open_queries() == 1).await;
+            until(|| stage.broker.engine.open_queries() == 1).await;
             // Once its request is in work, what comes behind it lies unread.
             client.set_nodelay(true).unwrap();
             let _ = client.try_write(behind.as_bytes());
@@ -80,11 +80,11 @@
         }
         let left = Instant::now();
         drop(client);
-        until(|| stage.broker.desk.open_queries() == 0).await;
+        until(|| stage.broker.engine.open_queries() == 0).await;
         // Its own time would be over in 100 s, its patience in 8 s.
         assert!(left.elapsed() < Duration::from_secs(4), "{:?}", left.elapsed());
         stage.discovery.reply(list(2, &[member(&stage.nodes, 0, "ready")]));
-        until(|| stage.broker.desk.can_serve()).await;
+        until(|| stage.broker.engine.can_serve()).await;
         let _other = stage.ask("stays", "lookup", ONE).await;
         assert_eq!(stage.call().await.2[0].id, "stays.3");
     });
@@ -103,9 +103,9 @@
         };
         let stage = Stage::with(1, slow, |_| ()).await;
         let client = stage.ask("gone", "lookup", ONE).await;
-        until(|| stage.broker.desk.count_out() == 1).await;
+        until(|| stage.broker.engine.count_out() == 1).await;
         drop(client);
-        until(|| stage.broker.desk.count_out() == 0).await;
+        until(|| stage.broker.engine.count_out() == 0).await;
         for _ in fillers {
             soon(full.accept()).await.unwrap();
         }
@@ -144,7 +144,7 @@
         let told = to_end(client).await;
         assert!(told.starts_with("HTTP/1.1 200"), "{told}");
         assert!(stage.is_silent());
-        assert_eq!(stage.broker.desk.open_queries(), 0);
+        assert_eq!(stage.broker.engine.open_queries(), 0);
     });
 }
 
@@ -187,11 +187,11 @@
             };
             stage.nodes[0].end(line, "a.3", 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200, "round {round}");
-            until(|| stage.broker.desk.count_out() == 0).await;
+            until(|| stage.broker.engine.count_out() == 0).await;
             pause(20).await; // turns are 5 ms apart: the next is at once
             // The system knows of the close, the broker does not yet.
             stage.nodes[0].close(line);
-            let taken = stage.broker.desk.take(question("once", 2, Bytes::from_static(b"q"))).unwrap();
+            let taken = stage.broker.engine.take(question("once", 2, Bytes::from_static(b"q"))).unwrap();
             let answered = actix_rt::spawn(taken.verdict());
             let line = loop {
                 if let (_, line, Heard::Call(_)) = stage.next().await {
@@ -200,7 +200,10 @@
             };
             stage.nodes[0].end(line, "once.3", 'S', "v").await;
             let verdict = soon(answered).await.unwrap();
-            assert!(matches!(verdict, Verdict::Answer { whole: true, .. }), "round {round}: {verdict:?}");
+            assert!(
+                matches!(verdict, QueryOutcome::Response { whole: true, .. }),
+                "round {round}: {verdict:?}"
+            );
         }
     });
 }
@@ -229,14 +232,14 @@
         let taken = Instant::now();
         for at in 0..200 {
             let id: &'static str = format!("q{at}").leak();
-            let one = stage.broker.desk.take(question(id, 2, text.clone())).unwrap();
+            let one = stage.broker.engine.take(question(id, 2, text.clone())).unwrap();
             verdicts.push((id, actix_rt::spawn(one.verdict())));
         }
         let (mut line, _) = soon(node.accept()).await.unwrap();
         // The first is whole and never answered: that it ends tells of the cut. By then nothing was read.
         let (_, verdict) = verdicts.remove(0);
         let verdict = soon(verdict).await.unwrap();
-        assert!(matches!(verdict, Verdict::Scrap), "{verdict:?}");
+        assert!(matches!(verdict, QueryOutcome::Failed), "{verdict:?}");
         assert!(
             taken.elapsed() < Duration::from_secs(3),
             "its moment was over after 0.3 s: {:?}",
@@ -246,8 +249,8 @@
         let _ = soon(line.read_to_end(&mut came)).await;
         for (id, verdict) in verdicts {
             match soon(verdict).await.unwrap() {
-                Verdict::Decline { .. } => declined.push(id),
-                Verdict::Scrap => {}
+                QueryOutcome::Rejected { .. } => declined.push(id),
+                QueryOutcome::Failed => {}
                 other => panic!("{id}: {other:?}"),
             }
         }
@@ -337,7 +340,7 @@
         client.write(HEALTH).await;
         assert_eq!(client.reply().await.unwrap().status, 503);
         let _waits = stage.ask("a", "lookup", ONE).await;
-        until(|| stage.broker.desk.open_queries() == 1).await;
+        until(|| stage.broker.engine.open_queries() == 1).await;
         // The first call lies on a connection that says nothing; the second is answered.
         let (_silent, _) = soon(agent.accept()).await.unwrap();
         let (mut second, _) = soon(agent.accept()).await.unwrap();
@@ -367,7 +370,7 @@
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let place = agent.local_addr().unwrap();
         let beat = Duration::from_secs(3);
-        let waits = move |order: &mut Order| {
+        let waits = move |order: &mut StartupConfig| {
             (order.discovery, order.limits.watch_anew, order.limits.list_within) = (place, beat, 3 * beat);
         };
         let stage = Stage::with(1, pushed, waits).await;
@@ -390,7 +393,7 @@
                 drop(first);
             }
         }
-        until(|| stage.broker.desk.can_serve()).await;
+        until(|| stage.broker.engine.can_serve()).await;
         assert!(called.elapsed() < beat, "only with the next call");
     });
 }
@@ -418,15 +421,15 @@
         }
         drop(first);
         if taken {
-            until(|| stage.broker.desk.can_serve()).await;
+            until(|| stage.broker.engine.can_serve()).await;
             return;
         }
         // The next call comes, and nothing was taken of the answer before.
         let (mut second, _) = soon(agent.accept()).await.unwrap();
         soon(second.read(&mut [0; 4096])).await.unwrap();
-        assert!(!stage.broker.desk.can_serve());
+        assert!(!stage.broker.engine.can_serve());
         answer_http(&mut second, &body).await;
-        until(|| stage.broker.desk.can_serve()).await;
+        until(|| stage.broker.engine.can_serve()).await;
     });
 }
 
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -3,7 +3,7 @@
 mod crossings;
 mod stand_ins;
 
-use broker::Order;
+use broker::StartupConfig;
 use rstest::rstest;
 use serde_json::{Value, json};
 use stand_ins::*;
@@ -74,7 +74,7 @@
         drop(client);
         assert_eq!(stage.next().await, (node, line, Heard::GiveUp("a.3".to_owned())));
         assert!(left.elapsed() < Duration::from_secs(5), "that was its time-out");
-        assert_eq!(stage.broker.desk.open_queries(), 0);
+        assert_eq!(stage.broker.engine.open_queries(), 0);
         // A value that comes all the same is nobody's; the connection serves on.
         stage.nodes[node].end(line, "a.3", 'S', "late").await;
         let mut other = stage.ask("b", "lookup", ONE).await;
@@ -179,7 +179,7 @@
 #[case::noise_behind_while_more_is_out([framed(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
 fn has_elsewhere_what_came_spoilt(#[case] bytes: Vec<u8>) {
     play(async {
-        let soon = |order: &mut Order| order.limits.half_frame = Duration::from_millis(50);
+        let soon = |order: &mut StartupConfig| order.limits.half_frame = Duration::from_millis(50);
         let mut stage = Stage::with(2, |_| (), soon).await;
         let mut client = stage.ask("a", "lookup", BOTH).await;
         let (first, line, shard_requests) = stage.call().await;
@@ -206,7 +206,7 @@
 #[rstest]
 fn puts_nothing_more_on_a_connection_that_fell_silent() {
     play(async {
-        let soon = |order: &mut Order| order.limits.unheard = Duration::from_millis(100);
+        let soon = |order: &mut StartupConfig| order.limits.unheard = Duration::from_millis(100);
         let mut stage = Stage::with(1, |_| (), soon).await;
         let mut first = stage.ask("a", "lookup", ONE).await;
         let (_, silent, _) = stage.call().await;
@@ -355,7 +355,7 @@
 #[rstest]
 fn calls_a_silent_agent_until_it_answers() {
     play(async {
-        let waits = |order: &mut Order| order.limits.list_within = Duration::from_millis(300);
+        let waits = |order: &mut StartupConfig| order.limits.list_within = Duration::from_millis(300);
         let mut stage = Stage::with(1, pushed, waits).await;
         // Doubling from two and a half seconds, twenty calls take minutes.
         let twenty = async {
@@ -399,7 +399,7 @@
 #[rstest]
 fn tells_a_long_watch_from_silence() {
     play(async {
-        let waits = |order: &mut Order| {
+        let waits = |order: &mut StartupConfig| {
             order.limits.watch = Duration::from_secs(8);
             order.limits.watch_slack = Duration::from_millis(300);
             order.limits.list_within = Duration::from_millis(300);
@@ -564,7 +564,7 @@
 #[rstest]
 fn lets_slow_clients_go() {
     play(async {
-        let quick = |order: &mut Order| {
+        let quick = |order: &mut StartupConfig| {
             order.limits.slow_client = Duration::from_millis(200);
             order.limits.sweep = Duration::from_millis(50);
         };
@@ -608,7 +608,7 @@
 fn silent_connections_make_room() {
     play(async {
         let few = |c: &mut Value| c["limits"]["sockets"] = json!(64);
-        let patient = |order: &mut Order| {
+        let patient = |order: &mut StartupConfig| {
             (order.limits.slow_client, order.limits.sweep) =
                 (Duration::from_secs(90), Duration::from_secs(90));
         };
@@ -785,7 +785,7 @@
         let stage = Stage::new(1).await;
         let mut text = config(&stage.nodes, "127.0.0.1:1");
         *text.pointer_mut(place).unwrap() = value;
-        let told = Order::read(text.to_string().as_bytes(), |_| None).unwrap_err();
+        let told = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap_err();
         assert!(told.contains(why), "{told}");
     });
 }
@@ -793,7 +793,7 @@
 #[rstest]
 fn the_environment_comes_first() {
     let env = |name: &str| (name == "EDGE_LISTEN").then(|| "127.0.0.7:99".to_owned());
-    let order = Order::read(config(&[], "127.0.0.1:1").to_string().as_bytes(), env).unwrap();
+    let order = StartupConfig::read(config(&[], "127.0.0.1:1").to_string().as_bytes(), env).unwrap();
     assert_eq!((order.listen.to_string(), &order.name[..]), ("127.0.0.7:99".to_owned(), "n1"));
 }
 
@@ -923,7 +923,7 @@
         let members: Vec<Value> = (0..2).map(|at| member(&stage.nodes, at, "ready")).collect();
         stage.discovery.called().await;
         stage.discovery.reply(json!({"revision": 7, "complete": true, "members": members}));
-        while !stage.broker.desk.can_serve() {
+        while !stage.broker.engine.can_serve() {
             pause(5).await;
         }
         // Shard 3 begins at cell 3 mod 2, and reaches no further.
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -1,6 +1,6 @@
 //! A broker among the scripted peers of `node_emulator::script`, as the tests want it.
 
-use broker::{Order, Running};
+use broker::{Running, StartupConfig};
 use node_emulator::script;
 pub use node_emulator::script::{Heard, Node, Reply, ShardRequest, framed, request};
 use serde_json::{Value, json};
@@ -74,7 +74,7 @@
     pub async fn with(
         nodes: usize,
         config: impl FnOnce(&mut Value),
-        order: impl FnOnce(&mut Order),
+        order: impl FnOnce(&mut StartupConfig),
     ) -> Stage {
         Stage::fitted(nodes, config, order, broker::Fitting::default()).await
     }
@@ -83,7 +83,7 @@
     pub async fn fitted(
         nodes: usize,
         config: impl FnOnce(&mut Value),
-        order: impl FnOnce(&mut Order),
+        order: impl FnOnce(&mut StartupConfig),
         fitting: broker::Fitting,
     ) -> Stage {
         let (tell, heard) = mpsc::unbounded_channel();
@@ -94,7 +94,7 @@
         let discovery = Discovery::start().await;
         let mut text = self::config(&all, &discovery.address().to_string());
         config(&mut text);
-        let mut read = Order::read(text.to_string().as_bytes(), |_| None).unwrap();
+        let mut read = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap();
         order(&mut read);
         let broker = broker::start_fitted(read, fitting).await.unwrap();
         Stage { broker, nodes: all, discovery, heard }
