--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -162,7 +162,7 @@
         let mut asked: Vec<Asked> = Vec::new();
         for input in heard {
             match input {
-                Input::AttemptEnded(outcome) => self.ended(outcome),
+                Input::AttemptEnded(result) => self.ended(result),
                 Input::Config(new) => self.broker_config = (**new).clone(),
                 Input::Query(new) => asked.push(Asked {
                     id: new.id,
@@ -481,13 +481,13 @@
 
     // ---- ends
 
-    fn ended(&mut self, outcome: &AttemptResult) {
-        if let Some((_, counts, harm)) = ENDS.iter().find(|end| end.0 == outcome.end).filter(|end| end.1) {
+    fn ended(&mut self, result: &AttemptResult) {
+        if let Some((_, counts, harm)) = ENDS.iter().find(|end| end.0 == result.outcome).filter(|end| end.1) {
             let (now, window) = (self.s.now, self.a.window);
             let (harm, counts) = (f64::from(u8::from(*harm)), f64::from(u8::from(*counts)));
             self.s.harm.count(now, window.times(LATELY), harm, counts);
         }
-        if outcome.end == AttemptOutcome::Succeeded {
+        if result.outcome == AttemptOutcome::Succeeded {
             self.s.delivered.count(self.s.now, self.a.window, 0.0, 1.0);
         }
     }
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -83,8 +83,8 @@
         shard_request: ShardRequestId(900_000 + no as u64),
         attempt: AttemptNumber(0),
         node: NodeId(1),
-        end,
-        took: Tenths(100),
+        outcome: end,
+        duration: Tenths(100),
     };
     (0..count).map(|no| Input::AttemptEnded(outcome(no))).collect()
 }
@@ -202,8 +202,8 @@
                     shard_request,
                     attempt: AttemptNumber(0),
                     node,
-                    end,
-                    took: Tenths(90),
+                    outcome: end,
+                    duration: Tenths(90),
                 }));
             }
         }
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -92,7 +92,7 @@
                     self.take(new, now, &mut effects);
                 }
                 Input::ShardRequest(new) => self.add(new),
-                Input::AttemptEnded(outcome) => self.ended(outcome, now),
+                Input::AttemptEnded(result) => self.ended(result, now),
                 _ => {}
             }
         }
@@ -180,24 +180,26 @@
         turned.min_by(|a, b| cost(a.1).total_cmp(&cost(b.1))).map(|(id, _)| *id)
     }
 
-    fn ended(&mut self, outcome: &AttemptResult, now: Tenths) {
+    fn ended(&mut self, result: &AttemptResult, now: Tenths) {
         self.fade(now);
         self.harm.1 += 1.0;
-        self.harm.0 +=
-            f64::from(u8::from(matches!(outcome.end, AttemptOutcome::Overloaded | AttemptOutcome::TimedOut)));
-        if let Some(node) = self.nodes.get_mut(&outcome.node) {
+        self.harm.0 += f64::from(u8::from(matches!(
+            result.outcome,
+            AttemptOutcome::Overloaded | AttemptOutcome::TimedOut
+        )));
+        if let Some(node) = self.nodes.get_mut(&result.node) {
             node.out = node.out.saturating_sub(1);
-            let took = outcome.took.0 as f64;
+            let took = result.duration.0 as f64;
             node.latency = Some(node.latency.map_or(took, |old| old + NEWEST * (took - old)));
         }
-        let Some(open) = self.owner.remove(&outcome.shard_request).and_then(|id| self.open.get_mut(&id))
+        let Some(open) = self.owner.remove(&result.shard_request).and_then(|id| self.open.get_mut(&id))
         else {
             return;
         };
-        let ok = outcome.end == AttemptOutcome::Succeeded;
+        let ok = result.outcome == AttemptOutcome::Succeeded;
         open.shard_requests
             .iter_mut()
-            .filter(|p| p.id == outcome.shard_request)
+            .filter(|p| p.id == result.shard_request)
             .for_each(|p| p.came = Some(ok));
     }
 
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -660,7 +660,16 @@
         *open = false;
         let (node, took) = (NodeId(*host as u64), self.now - *sent);
         shard_request.came |= end == AttemptOutcome::Succeeded;
-        self.hear(broker, Input::AttemptEnded(AttemptResult { shard_request: id, attempt, node, end, took }));
+        self.hear(
+            broker,
+            Input::AttemptEnded(AttemptResult {
+                shard_request: id,
+                attempt,
+                node,
+                outcome: end,
+                duration: took,
+            }),
+        );
     }
 
     // ---- brokers
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -478,8 +478,8 @@
                 shard_request,
                 attempt,
                 node,
-                end,
-                took,
+                outcome: end,
+                duration: took,
             }));
         }
     }
@@ -623,7 +623,13 @@
     fn never_sent(&self, node: NodeId, (shard_request, attempt): AttemptId) {
         self.attempts.borrow_mut().strike((shard_request, attempt));
         let (end, took) = (AttemptOutcome::NotSent, Tenths::ZERO);
-        self.hear(Input::AttemptEnded(AttemptResult { shard_request, attempt, node, end, took }));
+        self.hear(Input::AttemptEnded(AttemptResult {
+            shard_request,
+            attempt,
+            node,
+            outcome: end,
+            duration: took,
+        }));
     }
 
     /// A turn's attempts to one node, in calls of no more shard requests and bytes than a call may have.
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -29,7 +29,7 @@
         engine.carry_out(Tenths(0), vec![attempt, end(taken.id, shard_request)]);
         let heard = engine.heard.take();
         assert!(
-            matches!(&heard[..], [Input::AttemptEnded(o)] if o.end == AttemptOutcome::NotSent),
+            matches!(&heard[..], [Input::AttemptEnded(o)] if o.outcome == AttemptOutcome::NotSent),
             "{heard:?}"
         );
         assert!(engine.nodes.fetch_ended().is_empty());
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -100,8 +100,8 @@
     pub shard_request: ShardRequestId,
     pub attempt: AttemptNumber,
     pub node: NodeId,
-    pub end: AttemptOutcome,
-    pub took: Tenths,
+    pub outcome: AttemptOutcome,
+    pub duration: Tenths,
 }
 
 /// What came of a probe.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -214,7 +214,7 @@
             Input::Query(new) => self.take(new),
             Input::ShardRequest(new) => self.s.add_shard_request(new),
             Input::ResponseStarted(shard_request) => self.s.bind(shard_request),
-            Input::AttemptEnded(outcome) => self.push_ended(outcome),
+            Input::AttemptEnded(result) => self.push_ended(result),
             Input::ClientLeft(id) => self.signal(*id, ClientLeft),
             Input::ProbeEnded(probed) => self.s.note_probed(probed),
             Input::Woken | Input::Ignored => {}
@@ -715,24 +715,25 @@
         std::iter::once(&r.row).chain(now).map(|row| (row.effect, row.dedup_window))
     }
 
-    fn push_ended(&mut self, outcome: &AttemptResult) {
-        let Some(end) = ENDS.iter().find(|end| end.0 == outcome.end) else { return };
-        let ticket = self.s.tickets.remove(&(outcome.shard_request, outcome.attempt));
-        ticket.iter().for_each(|ticket| self.learn(ticket, outcome, end));
+    fn push_ended(&mut self, result: &AttemptResult) {
+        let Some(end) = ENDS.iter().find(|end| end.0 == result.outcome) else { return };
+        let ticket = self.s.tickets.remove(&(result.shard_request, result.attempt));
+        ticket.iter().for_each(|ticket| self.learn(ticket, result, end));
         if end.1 == Fate::Void {
-            self.s.retries.retain(|f| (f.1, f.2) != (outcome.shard_request, outcome.attempt));
+            self.s.retries.retain(|f| (f.1, f.2) != (result.shard_request, result.attempt));
         }
-        let Some((mut r, at)) = self.s.lift(outcome.shard_request) else { return };
+        let Some((mut r, at)) = self.s.lift(result.shard_request) else { return };
         let (rid, was) = (r.id, r.shard_requests[at].stage);
-        let fell = outcome.end == AttemptOutcome::ConnectionLost && ticket.is_some_and(|t| !t.on_kept_line());
-        r.fallen.extend(fell.then_some(outcome.node));
+        let fell =
+            result.outcome == AttemptOutcome::ConnectionLost && ticket.is_some_and(|t| !t.on_kept_line());
+        r.fallen.extend(fell.then_some(result.node));
         r.shard_requests[at]
             .attempts
-            .get_mut(outcome.attempt.0 as usize)
+            .get_mut(result.attempt.0 as usize)
             .into_iter()
             .for_each(|attempt| attempt.fate = end.1);
         let again = r.stage == Asking && self.may_push_again(&r, at, false);
-        let stage = match outcome.end {
+        let stage = match result.outcome {
             end if was == ShardRequestState::In || end == AttemptOutcome::Succeeded => ShardRequestState::In,
             _ if r.shard_requests[at].out() > 0 => ShardRequestState::Out,
             AttemptOutcome::NotSent => ShardRequestState::Lost,
@@ -743,7 +744,7 @@
         self.s.put(r);
         match stage {
             ShardRequestState::In if was != stage => self.signal(rid, PartIn),
-            ShardRequestState::Wanted => self.s.wanted.push(outcome.shard_request),
+            ShardRequestState::Wanted => self.s.wanted.push(result.shard_request),
             ShardRequestState::Lost if was != stage => self.signal(rid, PartLost),
             _ => {}
         }
@@ -751,45 +752,46 @@
 
     /// Keeps latencies and pressure. Guards against quick errors that would make a dead node look fast: a
     /// failure counts as the average latency at least, doubled for each failure in a row.
-    fn learn(&mut self, ticket: &Ticket, outcome: &AttemptResult, end: &End) {
+    fn learn(&mut self, ticket: &Ticket, result: &AttemptResult, end: &End) {
         let (now, average) = (self.s.now, self.average());
         let &End(_, fate, harm, blame, down) = end;
-        let cut_line = outcome.end == AttemptOutcome::ConnectionLost && ticket.on_kept_line();
+        let cut_line = result.outcome == AttemptOutcome::ConnectionLost && ticket.on_kept_line();
         if let Some((line, lull)) = ticket.lull.filter(|_| fate != Fate::Void) {
-            let silent = self.s.nodes.get(&ticket.node).is_none_or(|n| now - outcome.took >= n.heard_at);
-            let lost = blame || outcome.end == AttemptOutcome::Cancelled && silent && outcome.took > average;
+            let silent = self.s.nodes.get(&ticket.node).is_none_or(|n| now - result.duration >= n.heard_at);
+            let lost =
+                blame || result.outcome == AttemptOutcome::Cancelled && silent && result.duration > average;
             let [lost, told] = [lost, ticket.silent].map(|is| f64::from(u8::from(is)));
             self.s.lost_lines[line as usize].count(now, LONG, lost - told, 1.0 - told);
-            if cut_line && outcome.took <= self.terms.broker_config.period.times(2.0) {
+            if cut_line && result.duration <= self.terms.broker_config.period.times(2.0) {
                 self.s.note_dropped(lull, LONG);
             }
         }
-        if fate != Fate::Void && outcome.end != AttemptOutcome::Cancelled {
+        if fate != Fate::Void && result.outcome != AttemptOutcome::Cancelled {
             self.s.falls.count(now, SPAN, f64::from(u8::from(down)), 1.0);
             self.s.count_harm(SPAN, ticket.within_quota, f64::from(u8::from(harm)), 1.0);
             self.s.refused.count(now, SPAN, f64::from(u8::from(harm)), 1.0);
-            self.fit_room(ticket, outcome.took);
+            self.fit_room(ticket, result.duration);
         }
-        if outcome.end == AttemptOutcome::Succeeded {
-            self.s.paces.entry(ticket.class).or_default().note(outcome.took, STEADY);
+        if result.outcome == AttemptOutcome::Succeeded {
+            self.s.paces.entry(ticket.class).or_default().note(result.duration, STEADY);
         }
         self.s.amend(ticket.node, |node| {
             node.leave(ticket.call);
-            let early = node.latency.is_some_and(|l| outcome.took < l);
-            if fate == Fate::Void || cut_line || outcome.end == AttemptOutcome::Cancelled && early {
+            let early = node.latency.is_some_and(|l| result.duration < l);
+            if fate == Fate::Void || cut_line || result.outcome == AttemptOutcome::Cancelled && early {
                 return;
             }
             // Those out together fail together: one failure in a row, not many.
-            if blame && now - outcome.took >= node.failed_at {
+            if blame && now - result.duration >= node.failed_at {
                 (node.failures, node.failed_at) = ((node.failures + 1).min(16), now);
             }
             let penalty = average.times(f64::from(1 << node.failures)).min(ticket.goal);
-            let sample = if blame { outcome.took.max(penalty) } else { outcome.took };
+            let sample = if blame { result.duration.max(penalty) } else { result.duration };
             let old = node.latency.unwrap_or(sample);
             (node.latency, node.sampled_at) = (Some(old + (sample - old).times(NEWEST)), now);
-            if outcome.end == AttemptOutcome::Succeeded {
+            if result.outcome == AttemptOutcome::Succeeded {
                 (node.failures, node.heard_at) = (0, now);
-                node.answered = node.answered.max(now - outcome.took);
+                node.answered = node.answered.max(now - result.duration);
             }
             // It may come back cold before the endpoint list says so: taken to start when last seen down. One lost
             // connection is not enough, or resets would starve sound nodes: a fallen one refuses the next.
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -258,8 +258,8 @@
                         shard_request,
                         attempt,
                         node: *node,
-                        end,
-                        took,
+                        outcome: end,
+                        duration: took,
                     }));
                     if id(which) == shard_request.0 {
                         break;
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -47,7 +47,7 @@
     let [
         Event::Heard { broker: 3, input: Input::ShardRequest(shard_request) },
         Event::List { number: 0, entries },
-        Event::Heard { input: Input::AttemptEnded(outcome), .. },
+        Event::Heard { input: Input::AttemptEnded(result), .. },
         Event::Heard { input: Input::Woken, .. },
     ] = &batch.events[..]
     else {
@@ -60,7 +60,7 @@
     assert_eq!((entries[0].started_at, entries[1].started_at), (None, Some(Tenths(61_000))));
     assert_eq!((entries[1].node, entries[1].zone), (NodeId(0x1fbc_f211_900a), ZoneId(1)));
     assert_eq!(
-        (outcome.end, outcome.took, outcome.node),
+        (result.outcome, result.duration, result.node),
         (AttemptOutcome::Succeeded, Tenths(185), entries[0].node)
     );
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -194,7 +194,7 @@
         let took = self.span()?;
         let _closed = self.u8()?;
         self.report()?;
-        Ok(Input::AttemptEnded(AttemptResult { shard_request, attempt, node, end, took }))
+        Ok(Input::AttemptEnded(AttemptResult { shard_request, attempt, node, outcome: end, duration: took }))
     }
 }
 
