--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -10,9 +10,9 @@
 use crate::state::Signal::{self, ClientLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
 use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
 use crate::state::{
-    ClassPolicy, Due, Fate, Instance, Line, Node, Push, Query, ShardRequest, ShardRequestState,
+    Attempt, ClassPolicy, Due, Execution, Instance, Line, Node, Query, ShardRequest, ShardRequestState,
 };
-use crate::state::{Terms, Ticket};
+use crate::state::{InFlightAttempt, Terms};
 use crate::time::Tenths;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -97,19 +97,19 @@
 
 /// What an attempt's end tells: what became of the effect, whether it is harm that counts as pressure, whether
 /// the node is to blame, and whether its process looks down.
-struct End(AttemptOutcome, Fate, bool, bool, bool);
+struct End(AttemptOutcome, Execution, bool, bool, bool);
 
 #[rustfmt::skip]
 const ENDS: &[End] = &[
     //  end                    effect            harm   blame  down
-    End(AttemptOutcome::Succeeded,     Fate::MayHaveRun, false, false, false),
-    End(AttemptOutcome::Errored,      Fate::MayHaveRun, false, true,  false),
-    End(AttemptOutcome::Overloaded,         Fate::NeverRan,   true,  true,  false),
-    End(AttemptOutcome::TimedOut,     Fate::MayHaveRun, true,  true,  false),
-    End(AttemptOutcome::ConnectFailed, Fate::NeverRan,   false, true,  true),
-    End(AttemptOutcome::ConnectionLost,      Fate::MayHaveRun, false, true,  true),
-    End(AttemptOutcome::Cancelled,    Fate::MayHaveRun, false, false, false),
-    End(AttemptOutcome::NotSent,      Fate::Void,       false, false, false),
+    End(AttemptOutcome::Succeeded,     Execution::MaybeExecuted, false, false, false),
+    End(AttemptOutcome::Errored,      Execution::MaybeExecuted, false, true,  false),
+    End(AttemptOutcome::Overloaded,         Execution::NotExecuted,   true,  true,  false),
+    End(AttemptOutcome::TimedOut,     Execution::MaybeExecuted, true,  true,  false),
+    End(AttemptOutcome::ConnectFailed, Execution::NotExecuted,   false, true,  true),
+    End(AttemptOutcome::ConnectionLost,      Execution::MaybeExecuted, false, true,  true),
+    End(AttemptOutcome::Cancelled,    Execution::MaybeExecuted, false, false, false),
+    End(AttemptOutcome::NotSent,      Execution::Unsent,       false, false, false),
 ];
 
 /// Decides for one broker, from nothing but what that broker was told.
@@ -333,7 +333,7 @@
     /// however wide, so that room can grow again. Harm: what a lucky replica would have served is not.
     fn no_room(&mut self, r: &Query) -> bool {
         let lost: f64 = r.shard_requests.iter().filter(|p| self.hopeless(r, p)).map(|p| p.weight).sum();
-        let (out, need) = (self.s.tickets.len(), self.plan(r, true).len());
+        let (out, need) = (self.s.in_flight.len(), self.plan(r, true).len());
         let (priority_weight, least) = (r.row.priority_weight, r.row.least);
         let pays = priority_weight * least / need.max(1) as f64;
         self.s.note_pays(r.class, [pays, priority_weight / r.shard_requests.len().max(1) as f64], NEWEST);
@@ -389,7 +389,7 @@
     /// Sends what the design's cut leaves, or the minimum coverage where there is no room for more.
     fn ask(&mut self, r: &mut Query) {
         let (least, partial) = (r.row.least, r.row.least < r.row.whole);
-        let (mut sent, out) = (0.0, self.s.tickets.len());
+        let (mut sent, out) = (0.0, self.s.in_flight.len());
         let first = r.shard_requests.iter().all(|shard_request| shard_request.attempts.is_empty());
         r.scouting =
             first && r.shard_requests.len() > 1 && self.s.falls.share(self.s.now, SPAN, 1.0 / START) > START;
@@ -444,7 +444,7 @@
     /// slow pair of holders is used for what it can do, rather than all that touches it turned away.
     fn hopeless(&self, r: &Query, shard_request: &ShardRequest) -> bool {
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
-        let anew = r.probed.is_some() && self.s.tickets.is_empty();
+        let anew = r.probed.is_some() && self.s.in_flight.is_empty();
         let idle = |n: &Node| n.calls.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
         let layout = &r.terms.broker_config.layout;
         let usable = self
@@ -473,10 +473,12 @@
             self.s.bar(r, self.s.now + r.row.deadline);
         }
         let (limits, goal) = (&r.terms.broker_config.limits, r.row.goal);
-        let mut fates = r.shard_requests.iter().flat_map(|p| &p.attempts).map(|attempt| attempt.fate);
-        let never_ran = fates.all(|fate| matches!(fate, Fate::NeverRan | Fate::Void));
+        let mut executions =
+            r.shard_requests.iter().flat_map(|p| &p.attempts).map(|attempt| attempt.execution);
+        let not_executed =
+            executions.all(|execution| matches!(execution, Execution::NotExecuted | Execution::Unsent));
         let harmless = self.effects_of(r).all(|(kind, _)| kind == Idempotency::Idempotent)
-            || never_ran && !r.second_step;
+            || not_executed && !r.second_step;
         let retry_after = if limits.retry_after { goal.min(limits.max_retry_after) } else { Tenths::ZERO };
         let (query, scrap) = (r.id, Effect::Fail { query: r.id });
         self.s.effects.push(if harmless { Effect::Reject { query, retry_after } } else { scrap });
@@ -510,7 +512,7 @@
 
     /// Chooses a node for each wanted shard request; attempts of one turn to one node share its call.
     fn send_wanted(&mut self) {
-        self.s.out_at_turn = (self.s.tickets.len() + self.s.wanted.len()) as f64;
+        self.s.out_at_turn = (self.s.in_flight.len() + self.s.wanted.len()) as f64;
         for id in std::mem::take(&mut self.s.wanted) {
             let Some((mut r, at)) = self.s.lift(id) else { continue };
             if r.stage == Asking && r.shard_requests[at].stage == ShardRequestState::Wanted {
@@ -554,9 +556,10 @@
         let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
         let call = self.s.board(node, max_batch_size, cold.then_some(class), lull);
         shard_request.stage = ShardRequestState::Out;
-        shard_request.attempts.push(Push { node, sent: now, fate: Fate::Out });
-        let ticket = Ticket { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
-        self.s.tickets.insert((id, no), ticket);
+        shard_request.attempts.push(Attempt { node, sent: now, execution: Execution::InFlight });
+        let attempt =
+            InFlightAttempt { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
+        self.s.in_flight.insert((id, no), attempt);
         let life = (r.objective_at + late_life).min(r.deadline_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
         self.s.agenda.insert((now + self.patience(r.goal), Due::Look(id, no)));
@@ -584,7 +587,9 @@
         class: ClassId,
         shard_request: &ShardRequest,
     ) -> Option<NodeId> {
-        let open = |id: &NodeId| shard_request.attempts.iter().all(|p| p.node != *id || p.fate != Fate::Out);
+        let open = |id: &NodeId| {
+            shard_request.attempts.iter().all(|p| p.node != *id || p.execution != Execution::InFlight)
+        };
         let tried = |id: &NodeId| shard_request.attempts.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
             .s
@@ -637,9 +642,9 @@
     /// An attempt that went out on a kept connection after a lull is silent; whether so many were that it is
     /// lost.
     fn deaf_line(&mut self, id: ShardRequestId, no: AttemptNumber) -> bool {
-        let kept = self.s.tickets.get_mut(&(id, no)).filter(|t| t.on_kept_line());
-        let Some(ticket) = kept else { return false };
-        if !std::mem::replace(&mut ticket.silent, true) {
+        let kept = self.s.in_flight.get_mut(&(id, no)).filter(|t| t.on_reused_connection());
+        let Some(attempt) = kept else { return false };
+        if !std::mem::replace(&mut attempt.silent, true) {
             self.s.lost_lines[Line::Kept as usize].count(self.s.now, LONG, 1.0, 1.0);
         }
         self.lines_fail()
@@ -658,7 +663,7 @@
         let (attempt, now, average) =
             (&r.shard_requests[at].attempts[no.0 as usize], self.s.now, self.average());
         let waits = r.shard_requests[at].stage == ShardRequestState::Out && !r.shard_requests[at].flowing;
-        if r.stage == Asking && waits && attempt.fate == Fate::Out {
+        if r.stage == Asking && waits && attempt.execution == Execution::InFlight {
             let node = self.s.nodes.get(&attempt.node);
             let overtaken = node.is_some_and(|n| n.answered > attempt.sent + average);
             let heard = node.map_or(attempt.sent, |n| n.heard_at.max(attempt.sent));
@@ -691,10 +696,9 @@
     /// Whether another attempt of a shard request would keep rule 2 and its count. `copy`: while one is out.
     fn may_push_again(&self, r: &Query, at: usize, copy: bool) -> bool {
         let (row, shard_request) = (&r.row, &r.shard_requests[at]);
-        let ran = shard_request
-            .attempts
-            .iter()
-            .filter(|p| p.fate == Fate::MayHaveRun || copy && p.fate == Fate::Out);
+        let ran = shard_request.attempts.iter().filter(|p| {
+            p.execution == Execution::MaybeExecuted || copy && p.execution == Execution::InFlight
+        });
         let first = ran.map(|p| p.sent).min();
         let then = self.s.now + self.leaves_by();
         let pays = row.priority_weight / r.shard_requests.len() as f64;
@@ -717,21 +721,21 @@
 
     fn push_ended(&mut self, result: &AttemptResult) {
         let Some(end) = ENDS.iter().find(|end| end.0 == result.outcome) else { return };
-        let ticket = self.s.tickets.remove(&(result.shard_request, result.attempt));
-        ticket.iter().for_each(|ticket| self.learn(ticket, result, end));
-        if end.1 == Fate::Void {
+        let attempt = self.s.in_flight.remove(&(result.shard_request, result.attempt));
+        attempt.iter().for_each(|attempt| self.learn(attempt, result, end));
+        if end.1 == Execution::Unsent {
             self.s.retries.retain(|f| (f.1, f.2) != (result.shard_request, result.attempt));
         }
         let Some((mut r, at)) = self.s.lift(result.shard_request) else { return };
         let (rid, was) = (r.id, r.shard_requests[at].stage);
-        let fell =
-            result.outcome == AttemptOutcome::ConnectionLost && ticket.is_some_and(|t| !t.on_kept_line());
+        let fell = result.outcome == AttemptOutcome::ConnectionLost
+            && attempt.is_some_and(|t| !t.on_reused_connection());
         r.fallen.extend(fell.then_some(result.node));
         r.shard_requests[at]
             .attempts
             .get_mut(result.attempt.0 as usize)
             .into_iter()
-            .for_each(|attempt| attempt.fate = end.1);
+            .for_each(|attempt| attempt.execution = end.1);
         let again = r.stage == Asking && self.may_push_again(&r, at, false);
         let stage = match result.outcome {
             end if was == ShardRequestState::In || end == AttemptOutcome::Succeeded => ShardRequestState::In,
@@ -752,40 +756,43 @@
 
     /// Keeps latencies and pressure. Guards against quick errors that would make a dead node look fast: a
     /// failure counts as the average latency at least, doubled for each failure in a row.
-    fn learn(&mut self, ticket: &Ticket, result: &AttemptResult, end: &End) {
+    fn learn(&mut self, attempt: &InFlightAttempt, result: &AttemptResult, end: &End) {
         let (now, average) = (self.s.now, self.average());
-        let &End(_, fate, harm, blame, down) = end;
-        let cut_line = result.outcome == AttemptOutcome::ConnectionLost && ticket.on_kept_line();
-        if let Some((line, lull)) = ticket.lull.filter(|_| fate != Fate::Void) {
-            let silent = self.s.nodes.get(&ticket.node).is_none_or(|n| now - result.duration >= n.heard_at);
+        let &End(_, execution, harm, blame, down) = end;
+        let cut_line = result.outcome == AttemptOutcome::ConnectionLost && attempt.on_reused_connection();
+        if let Some((line, lull)) = attempt.lull.filter(|_| execution != Execution::Unsent) {
+            let silent = self.s.nodes.get(&attempt.node).is_none_or(|n| now - result.duration >= n.heard_at);
             let lost =
                 blame || result.outcome == AttemptOutcome::Cancelled && silent && result.duration > average;
-            let [lost, told] = [lost, ticket.silent].map(|is| f64::from(u8::from(is)));
+            let [lost, told] = [lost, attempt.silent].map(|is| f64::from(u8::from(is)));
             self.s.lost_lines[line as usize].count(now, LONG, lost - told, 1.0 - told);
             if cut_line && result.duration <= self.terms.broker_config.period.times(2.0) {
                 self.s.note_dropped(lull, LONG);
             }
         }
-        if fate != Fate::Void && result.outcome != AttemptOutcome::Cancelled {
+        if execution != Execution::Unsent && result.outcome != AttemptOutcome::Cancelled {
             self.s.falls.count(now, SPAN, f64::from(u8::from(down)), 1.0);
-            self.s.count_harm(SPAN, ticket.within_quota, f64::from(u8::from(harm)), 1.0);
+            self.s.count_harm(SPAN, attempt.within_quota, f64::from(u8::from(harm)), 1.0);
             self.s.refused.count(now, SPAN, f64::from(u8::from(harm)), 1.0);
-            self.fit_room(ticket, result.duration);
+            self.fit_room(attempt, result.duration);
         }
         if result.outcome == AttemptOutcome::Succeeded {
-            self.s.paces.entry(ticket.class).or_default().note(result.duration, STEADY);
+            self.s.paces.entry(attempt.class).or_default().note(result.duration, STEADY);
         }
-        self.s.amend(ticket.node, |node| {
-            node.leave(ticket.call);
+        self.s.amend(attempt.node, |node| {
+            node.leave(attempt.call);
             let early = node.latency.is_some_and(|l| result.duration < l);
-            if fate == Fate::Void || cut_line || result.outcome == AttemptOutcome::Cancelled && early {
+            if execution == Execution::Unsent
+                || cut_line
+                || result.outcome == AttemptOutcome::Cancelled && early
+            {
                 return;
             }
             // Those out together fail together: one failure in a row, not many.
             if blame && now - result.duration >= node.failed_at {
                 (node.failures, node.failed_at) = ((node.failures + 1).min(16), now);
             }
-            let penalty = average.times(f64::from(1 << node.failures)).min(ticket.goal);
+            let penalty = average.times(f64::from(1 << node.failures)).min(attempt.goal);
             let sample = if blame { result.duration.max(penalty) } else { result.duration };
             let old = node.latency.unwrap_or(sample);
             (node.latency, node.sampled_at) = (Some(old + (sample - old).times(NEWEST)), now);
@@ -795,7 +802,7 @@
             }
             // It may come back cold before the endpoint list says so: taken to start when last seen down. One lost
             // connection is not enough, or resets would starve sound nodes: a fallen one refuses the next.
-            if down && fate == Fate::NeverRan && node.failures > 1 {
+            if down && execution == Execution::NotExecuted && node.failures > 1 {
                 (node.started_at, node.start_heard) = (node.started_at.max(Some(now)), now);
             }
         });
@@ -803,11 +810,11 @@
 
     /// Little's law: with so many shard requests out this one took so long, so at the target latency there is room for
     /// fewer, or for more. It grows only where it is used.
-    fn fit_room(&mut self, ticket: &Ticket, took: Tenths) {
+    fn fit_room(&mut self, attempt: &InFlightAttempt, took: Tenths) {
         let (room, most) = (self.s.room, f64::from(self.terms.broker_config.limits.max_open.max(1)));
-        let ratio = ticket.goal.times(ROOM_TARGET).over(took).min(ROOM_GROW);
-        let fits = if ratio < 1.0 { ticket.out.min(room) * ratio } else { room * ratio };
-        if ratio < 1.0 || ticket.crowded {
+        let ratio = attempt.goal.times(ROOM_TARGET).over(took).min(ROOM_GROW);
+        let fits = if ratio < 1.0 { attempt.out.min(room) * ratio } else { room * ratio };
+        if ratio < 1.0 || attempt.crowded {
             self.s.room = (room + (fits - room) / room.max(1.0 / START)).clamp(1.0, most);
         }
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -17,20 +17,20 @@
 
 /// What is known of an attempt's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Out,
-    NeverRan,
-    MayHaveRun,
+pub enum Execution {
+    InFlight,
+    NotExecuted,
+    MaybeExecuted,
     /// It will not be heard of as far as the books go; the budget does not count it.
-    Void,
+    Unsent,
 }
 
 /// One attempt of a shard request.
 #[derive(Clone, Debug)]
-pub struct Push {
+pub struct Attempt {
     pub node: NodeId,
     pub sent: Tenths,
-    pub fate: Fate,
+    pub execution: Execution,
 }
 
 /// The connection that an attempt after a lull travels on.
@@ -42,7 +42,7 @@
 
 /// What an attempt leaves on the books until its end is heard, also past its query's end.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct InFlightAttempt {
     pub node: NodeId,
     pub call: BatchId,
     pub within_quota: bool,
@@ -59,8 +59,8 @@
     pub silent: bool,
 }
 
-impl Ticket {
-    pub fn on_kept_line(&self) -> bool {
+impl InFlightAttempt {
+    pub fn on_reused_connection(&self) -> bool {
         self.lull.is_some_and(|(line, _)| line == Line::Kept)
     }
 }
@@ -83,7 +83,7 @@
     pub stage: ShardRequestState,
     /// Its answer has begun to flow: bound to one attempt.
     pub flowing: bool,
-    pub attempts: Vec<Push>,
+    pub attempts: Vec<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -341,7 +341,7 @@
     pub queries: BTreeMap<QueryId, Query>,
     pub groups: BTreeMap<GroupId, QueryId>,
     pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
-    pub tickets: BTreeMap<(ShardRequestId, AttemptNumber), Ticket>,
+    pub in_flight: BTreeMap<(ShardRequestId, AttemptNumber), InFlightAttempt>,
     pub agenda: BTreeSet<(Tenths, Due)>,
     pub woken_at: Option<Tenths>,
     /// Queries that got shard requests in this turn.
@@ -432,7 +432,7 @@
 impl ShardRequest {
     /// How many of its attempts are out.
     pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.fate == Fate::Out).count()
+        self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 }
 
@@ -757,7 +757,8 @@
     fn withdraw_all(&mut self, r: &Query, allowed: bool) {
         for shard_request in r.shard_requests.iter().filter(|shard_request| allowed && !shard_request.flowing)
         {
-            let out = shard_request.attempts.iter().enumerate().filter(|(_, p)| p.fate == Fate::Out);
+            let out =
+                shard_request.attempts.iter().enumerate().filter(|(_, p)| p.execution == Execution::InFlight);
             let withdraw = |(no, _)| Effect::Cancel {
                 shard_request: shard_request.id,
                 attempt: AttemptNumber(no as u16),
