--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -7,8 +7,10 @@
 use crate::effects::Effect;
 use crate::ids::{AttemptNumber, ClassId, NodeId, QueryId, ShardRequestId};
 use crate::inputs::{AttemptOutcome, AttemptResult, EndpointList, Input, NewQuery};
-use crate::state::Signal::{self, ClientLeft, CutOffNear, GoalNear, PartIn, PartLost, Ready, Said};
-use crate::state::Stage::{self, Answered, Asking, Between, Over, Overdue, Taken};
+use crate::state::QueryEvent::{
+    self, ClientLeft, DeadlineNear, ObjectiveNear, Ready, ResponseReceived, ResponseSent, ShardRequestFailed,
+};
+use crate::state::QueryState::{self, BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{
     Attempt, ClassPolicy, Due, Execution, Instance, Line, Node, Query, ShardRequest, ShardRequestState,
 };
@@ -62,37 +64,37 @@
 type Guard = fn(&mut Broker, &Query) -> bool;
 type Act = fn(&mut Broker, &mut Query);
 
-struct Row(&'static [Stage], Signal, Guard, Stage, Act);
+struct Row(&'static [QueryState], QueryEvent, Guard, QueryState, Act);
 
-const ANY: &[Stage] = &[Taken, Asking, Overdue, Between];
+const OPEN: &[QueryState] = &[Pending, InFlight, PastObjective, BetweenPhases];
 
 /// The life of a query: at a stage, on a signal, if the guard holds, go to the next stage and act. The
 /// first row that fits is taken; where none fits, nothing happens.
 #[rustfmt::skip]
 const TABLE: &[Row] = &[
-    Row(&[Taken],    Ready,      |b, r| b.s.is_barred(r),   Over, Broker::give_up),
-    Row(&[Taken],    Ready,      Broker::may_probe,     Taken,    Broker::probe),
-    Row(&[Taken],    Ready,      Broker::awaits_word,   Taken,    |_, _| ()),
-    Row(&[Taken],    Ready,      Broker::unlikely,      Over,     Broker::give_up),
-    Row(&[Taken],    Ready,      Broker::may_wait,      Taken,    Broker::wait),
-    Row(&[Taken],    Ready,      Broker::no_room,       Over,     Broker::turn_away),
-    Row(&[Taken],    Ready,      |_, _| true,           Asking,   Broker::ask),
-    Row(&[Between],  Ready,      |_, _| true,           Asking,   Broker::ask),
-    Row(&[Asking],   PartIn,     |_, r| r.scouting,     Asking,   Broker::ask),
-    Row(&[Asking],   PartIn,     Broker::complete,      Answered, Broker::answer),
-    Row(&[Asking],   PartLost,   Broker::complete,      Answered, Broker::answer),
-    Row(&[Asking],   PartLost,   Broker::can_mend,      Asking,   Broker::ask),
-    Row(&[Asking],   PartLost,   Broker::beyond_hope,   Over,     Broker::give_up),
-    Row(&[Asking],   GoalNear,   Broker::has_least,     Answered, Broker::answer),
-    Row(&[Asking],   GoalNear,   Broker::late_is_worth, Overdue,  |_, _| ()),
-    Row(&[Asking],   GoalNear,   |_, _| true,           Over,     Broker::give_up),
-    Row(&[Overdue],  PartIn,     Broker::has_least,     Answered, Broker::answer),
-    Row(&[Overdue],  PartLost,   |b, r| !b.late_is_worth(r), Over, Broker::give_up),
-    Row(&[Answered], Said,       Broker::leads_on,      Between,  Broker::clear_parts),
-    Row(&[Answered], Said,       |_, _| true,           Over,     |_, _| ()),
-    Row(ANY,         CutOffNear, Broker::has_least,     Answered, Broker::answer),
-    Row(ANY,         CutOffNear, |_, _| true,           Over,     Broker::give_up),
-    Row(ANY,         ClientLeft, |_, _| true,           Over,     |_, _| ()),
+    Row(&[Pending],    Ready,      |b, r| b.s.is_barred(r),   Finished, Broker::give_up),
+    Row(&[Pending],    Ready,      Broker::may_probe,     Pending,    Broker::probe),
+    Row(&[Pending],    Ready,      Broker::awaits_word,   Pending,    |_, _| ()),
+    Row(&[Pending],    Ready,      Broker::unlikely,      Finished,     Broker::give_up),
+    Row(&[Pending],    Ready,      Broker::may_wait,      Pending,    Broker::wait),
+    Row(&[Pending],    Ready,      Broker::no_room,       Finished,     Broker::turn_away),
+    Row(&[Pending],    Ready,      |_, _| true,           InFlight,   Broker::ask),
+    Row(&[BetweenPhases],  Ready,      |_, _| true,           InFlight,   Broker::ask),
+    Row(&[InFlight],   ResponseReceived,     |_, r| r.scouting,     InFlight,   Broker::ask),
+    Row(&[InFlight],   ResponseReceived,     Broker::complete,      Responded, Broker::answer),
+    Row(&[InFlight],   ShardRequestFailed,   Broker::complete,      Responded, Broker::answer),
+    Row(&[InFlight],   ShardRequestFailed,   Broker::can_mend,      InFlight,   Broker::ask),
+    Row(&[InFlight],   ShardRequestFailed,   Broker::beyond_hope,   Finished,     Broker::give_up),
+    Row(&[InFlight],   ObjectiveNear,   Broker::has_least,     Responded, Broker::answer),
+    Row(&[InFlight],   ObjectiveNear,   Broker::late_is_worth, PastObjective,  |_, _| ()),
+    Row(&[InFlight],   ObjectiveNear,   |_, _| true,           Finished,     Broker::give_up),
+    Row(&[PastObjective],  ResponseReceived,     Broker::has_least,     Responded, Broker::answer),
+    Row(&[PastObjective],  ShardRequestFailed,   |b, r| !b.late_is_worth(r), Finished, Broker::give_up),
+    Row(&[Responded], ResponseSent,       Broker::leads_on,      BetweenPhases,  Broker::clear_parts),
+    Row(&[Responded], ResponseSent,       |_, _| true,           Finished,     |_, _| ()),
+    Row(OPEN,         DeadlineNear, Broker::has_least,     Responded, Broker::answer),
+    Row(OPEN,         DeadlineNear, |_, _| true,           Finished,     Broker::give_up),
+    Row(OPEN,         ClientLeft, |_, _| true,           Finished,     |_, _| ()),
 ];
 
 /// What an attempt's end tells: what became of the effect, whether it is harm that counts as pressure, whether
@@ -223,29 +225,29 @@
 
     fn come_due(&mut self, due: Due) {
         match due {
-            Due::Goal(id) => self.signal(id, GoalNear),
-            Due::CutOff(id) => self.signal(id, CutOffNear),
+            Due::Goal(id) => self.signal(id, ObjectiveNear),
+            Due::CutOff(id) => self.signal(id, DeadlineNear),
             Due::Look(shard_request, attempt) => self.look_after(shard_request, attempt),
             Due::Again(shard_request) => self.s.wanted.push(shard_request),
-            Due::Halfway(id) => self.signal(id, PartIn),
+            Due::Halfway(id) => self.signal(id, ResponseReceived),
             Due::Room(id) => self.signal(id, Ready),
             Due::FollowRoll => self.follow_roll(),
         }
     }
 
     /// The loop that reads `TABLE`.
-    fn signal(&mut self, id: QueryId, signal: Signal) {
+    fn signal(&mut self, id: QueryId, signal: QueryEvent) {
         let Some(mut r) = self.s.queries.remove(&id) else { return };
-        let row = TABLE.iter().find(|row| row.0.contains(&r.stage) && row.1 == signal && row.2(self, &r));
+        let row = TABLE.iter().find(|row| row.0.contains(&r.state) && row.1 == signal && row.2(self, &r));
         if let Some(Row(_, _, _, next, act)) = row {
-            r.stage = *next;
+            r.state = *next;
             act(self, &mut r);
         }
-        match r.stage {
-            Over => self.s.let_go(&r, r.terms.broker_config.limits.allow_cancel),
-            Answered => {
+        match r.state {
+            Finished => self.s.let_go(&r, r.terms.broker_config.limits.allow_cancel),
+            Responded => {
                 self.s.put(r);
-                self.signal(id, Said);
+                self.signal(id, ResponseSent);
             }
             _ => self.s.put(r),
         }
@@ -256,21 +258,21 @@
     /// All that was sent has ended, enough is in for the whole, or a first step has had half of its time.
     fn complete(&mut self, r: &Query) -> bool {
         let halfway = self.leads_on(r) && self.s.now + r.row.goal.times(0.5) >= r.objective_at;
-        let settled = r.weight(&[ShardRequestState::Wanted, ShardRequestState::Out]) == 0.0;
+        let settled = r.weight(&[ShardRequestState::Queued, ShardRequestState::InFlight]) == 0.0;
         self.has_least(r) && (self.is_whole(r) || settled || halfway)
     }
 
     fn has_least(&mut self, r: &Query) -> bool {
-        self.reaches_least(r, r.weight(&[ShardRequestState::In]))
+        self.reaches_least(r, r.weight(&[ShardRequestState::Received]))
     }
 
     /// Unsent light shard requests can stand in for lost ones.
     fn can_mend(&mut self, r: &Query) -> bool {
         let all = r.weight(&[
             ShardRequestState::Unsent,
-            ShardRequestState::Wanted,
-            ShardRequestState::Out,
-            ShardRequestState::In,
+            ShardRequestState::Queued,
+            ShardRequestState::InFlight,
+            ShardRequestState::Received,
         ]);
         self.beyond_hope(r) && self.reaches_least(r, all)
     }
@@ -279,19 +281,20 @@
     fn beyond_hope(&mut self, r: &Query) -> bool {
         !self.reaches_least(
             r,
-            r.weight(&[ShardRequestState::Wanted, ShardRequestState::Out, ShardRequestState::In]),
+            r.weight(&[ShardRequestState::Queued, ShardRequestState::InFlight, ShardRequestState::Received]),
         )
     }
 
     fn late_is_worth(&mut self, r: &Query) -> bool {
-        r.row.late_pays && self.reaches_least(r, r.weight(&[ShardRequestState::Out, ShardRequestState::In]))
+        r.row.late_pays
+            && self.reaches_least(r, r.weight(&[ShardRequestState::InFlight, ShardRequestState::Received]))
     }
 
     /// Guards against queries that bring down every node that begins a shard request: two nodes fell with one, and
     /// none brought one. Dropped shard requests wait for a first one as proof; once given up it is barred while its
     /// tenant may repeat it. Harm: one caught in a hall's fall.
     fn kills(&self, r: &Query) -> bool {
-        r.fallen.len() > 1 && r.weight(&[ShardRequestState::In]) == 0.0
+        r.fallen.len() > 1 && r.weight(&[ShardRequestState::Received]) == 0.0
     }
 
     fn leads_on(&mut self, r: &Query) -> bool {
@@ -397,7 +400,7 @@
             if !partial || out + count < self.s.room as usize || sent + ROUNDING < least {
                 let shard_request = &mut r.shard_requests[at];
                 sent += shard_request.weight;
-                if shard_request.stage == ShardRequestState::Unsent && (count == 0 || !r.scouting) {
+                if shard_request.state == ShardRequestState::Unsent && (count == 0 || !r.scouting) {
                     self.s.want(shard_request);
                 }
             }
@@ -417,7 +420,7 @@
             .shard_requests
             .iter()
             .enumerate()
-            .filter(|(_, shard_request)| shard_request.stage != ShardRequestState::Lost)
+            .filter(|(_, shard_request)| shard_request.state != ShardRequestState::Failed)
         {
             if shard_request.weight + ROUNDING < level {
                 (rank, level) = (at, shard_request.weight);
@@ -515,13 +518,13 @@
         self.s.out_at_turn = (self.s.in_flight.len() + self.s.wanted.len()) as f64;
         for id in std::mem::take(&mut self.s.wanted) {
             let Some((mut r, at)) = self.s.lift(id) else { continue };
-            if r.stage == Asking && r.shard_requests[at].stage == ShardRequestState::Wanted {
+            if r.state == InFlight && r.shard_requests[at].state == ShardRequestState::Queued {
                 self.push(&mut r, at);
             }
-            let (rid, lost) = (r.id, r.shard_requests[at].stage == ShardRequestState::Lost);
+            let (rid, lost) = (r.id, r.shard_requests[at].state == ShardRequestState::Failed);
             self.s.put(r);
             if lost {
-                self.signal(rid, PartLost);
+                self.signal(rid, ShardRequestFailed);
             }
         }
         self.s.close_calls();
@@ -532,11 +535,15 @@
         let (goal, late_life) = (r.row.goal, r.row.late_life);
         let is_retry = !r.shard_requests[at].attempts.is_empty();
         let held = is_retry && self.kills(r);
-        if held && r.weight(&[ShardRequestState::Out]) == 0.0 || is_retry && !self.may_push_again(r, at, true)
+        if held && r.weight(&[ShardRequestState::InFlight]) == 0.0
+            || is_retry && !self.may_push_again(r, at, true)
         {
             // It brings nodes down, or waited so long that another attempt is no longer harmless.
-            r.shard_requests[at].stage =
-                if r.shard_requests[at].out() > 0 { ShardRequestState::Out } else { ShardRequestState::Lost };
+            r.shard_requests[at].state = if r.shard_requests[at].out() > 0 {
+                ShardRequestState::InFlight
+            } else {
+                ShardRequestState::Failed
+            };
             return;
         }
         let shard_request = &mut r.shard_requests[at];
@@ -544,8 +551,8 @@
         let Some(node) = self.choose(&r.terms.broker_config.layout, r.class, shard_request).filter(|_| may)
         else {
             // No holder may have it now, or the budget is spent: it waits while that can help.
-            shard_request.stage =
-                if shard_request.out() > 0 { ShardRequestState::Out } else { ShardRequestState::Wanted };
+            shard_request.state =
+                if shard_request.out() > 0 { ShardRequestState::InFlight } else { ShardRequestState::Queued };
             return self.later(goal, Due::Again(shard_request.id));
         };
         let no = AttemptNumber(shard_request.attempts.len() as u16);
@@ -555,7 +562,7 @@
         let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
         let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
         let call = self.s.board(node, max_batch_size, cold.then_some(class), lull);
-        shard_request.stage = ShardRequestState::Out;
+        shard_request.state = ShardRequestState::InFlight;
         shard_request.attempts.push(Attempt { node, sent: now, execution: Execution::InFlight });
         let attempt =
             InFlightAttempt { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
@@ -662,8 +669,9 @@
         let Some((mut r, at)) = self.s.lift(id) else { return };
         let (attempt, now, average) =
             (&r.shard_requests[at].attempts[no.0 as usize], self.s.now, self.average());
-        let waits = r.shard_requests[at].stage == ShardRequestState::Out && !r.shard_requests[at].flowing;
-        if r.stage == Asking && waits && attempt.execution == Execution::InFlight {
+        let waits =
+            r.shard_requests[at].state == ShardRequestState::InFlight && !r.shard_requests[at].flowing;
+        if r.state == InFlight && waits && attempt.execution == Execution::InFlight {
             let node = self.s.nodes.get(&attempt.node);
             let overtaken = node.is_some_and(|n| n.answered > attempt.sent + average);
             let heard = node.map_or(attempt.sent, |n| n.heard_at.max(attempt.sent));
@@ -727,7 +735,7 @@
             self.s.retries.retain(|f| (f.1, f.2) != (result.shard_request, result.attempt));
         }
         let Some((mut r, at)) = self.s.lift(result.shard_request) else { return };
-        let (rid, was) = (r.id, r.shard_requests[at].stage);
+        let (rid, was) = (r.id, r.shard_requests[at].state);
         let fell = result.outcome == AttemptOutcome::ConnectionLost
             && attempt.is_some_and(|t| !t.on_reused_connection());
         r.fallen.extend(fell.then_some(result.node));
@@ -736,20 +744,22 @@
             .get_mut(result.attempt.0 as usize)
             .into_iter()
             .for_each(|attempt| attempt.execution = end.1);
-        let again = r.stage == Asking && self.may_push_again(&r, at, false);
-        let stage = match result.outcome {
-            end if was == ShardRequestState::In || end == AttemptOutcome::Succeeded => ShardRequestState::In,
-            _ if r.shard_requests[at].out() > 0 => ShardRequestState::Out,
-            AttemptOutcome::NotSent => ShardRequestState::Lost,
-            _ if again => ShardRequestState::Wanted,
-            _ => ShardRequestState::Lost,
+        let again = r.state == InFlight && self.may_push_again(&r, at, false);
+        let state = match result.outcome {
+            end if was == ShardRequestState::Received || end == AttemptOutcome::Succeeded => {
+                ShardRequestState::Received
+            }
+            _ if r.shard_requests[at].out() > 0 => ShardRequestState::InFlight,
+            AttemptOutcome::NotSent => ShardRequestState::Failed,
+            _ if again => ShardRequestState::Queued,
+            _ => ShardRequestState::Failed,
         };
-        r.shard_requests[at].stage = stage;
+        r.shard_requests[at].state = state;
         self.s.put(r);
-        match stage {
-            ShardRequestState::In if was != stage => self.signal(rid, PartIn),
-            ShardRequestState::Wanted => self.s.wanted.push(result.shard_request),
-            ShardRequestState::Lost if was != stage => self.signal(rid, PartLost),
+        match state {
+            ShardRequestState::Received if was != state => self.signal(rid, ResponseReceived),
+            ShardRequestState::Queued => self.s.wanted.push(result.shard_request),
+            ShardRequestState::Failed if was != state => self.signal(rid, ShardRequestFailed),
             _ => {}
         }
     }
@@ -915,8 +925,8 @@
     }
 
     fn is_whole(&self, r: &Query) -> bool {
-        let all_in = r.shard_requests.iter().all(|p| p.stage == ShardRequestState::In);
-        let enough = r.weight(&[ShardRequestState::In]) + ROUNDING >= r.row.whole;
+        let all_in = r.shard_requests.iter().all(|p| p.state == ShardRequestState::Received);
+        let enough = r.weight(&[ShardRequestState::Received]) + ROUNDING >= r.row.whole;
         if r.second_step { r.first_whole && all_in } else { enough }
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -69,10 +69,10 @@
 pub enum ShardRequestState {
     Unsent,
     /// To be sent, or waiting for a node that may have it.
-    Wanted,
-    Out,
-    In,
-    Lost,
+    Queued,
+    InFlight,
+    Received,
+    Failed,
 }
 
 #[derive(Clone, Debug)]
@@ -80,37 +80,37 @@
     pub id: ShardRequestId,
     pub shard: ShardId,
     pub weight: f64,
-    pub stage: ShardRequestState,
+    pub state: ShardRequestState,
     /// Its answer has begun to flow: bound to one attempt.
     pub flowing: bool,
     pub attempts: Vec<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum QueryState {
     /// Handed over, nothing sent.
-    Taken,
+    Pending,
     /// Parts are out or waiting.
-    Asking,
+    InFlight,
     /// Past its latency objective, nothing more is sent.
-    Overdue,
+    PastObjective,
     /// An answer has been given.
-    Answered,
+    Responded,
     /// Waits for the shard requests of its second step.
-    Between,
-    Over,
+    BetweenPhases,
+    Finished,
 }
 
 /// What moves a query on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum QueryEvent {
     /// All shard requests that came in this turn are in hand.
     Ready,
-    PartIn,
-    PartLost,
-    GoalNear,
-    CutOffNear,
-    Said,
+    ResponseReceived,
+    ShardRequestFailed,
+    ObjectiveNear,
+    DeadlineNear,
+    ResponseSent,
     ClientLeft,
 }
 
@@ -123,7 +123,7 @@
     pub terms: Arc<Terms>,
     pub row: Arc<ClassPolicy>,
     pub within_quota: bool,
-    pub stage: Stage,
+    pub state: QueryState,
     /// Its latency objective, or what its tenant will wait if that is less.
     pub goal: Tenths,
     pub objective_at: Tenths,
@@ -404,7 +404,7 @@
             terms,
             row,
             within_quota,
-            stage: Stage::Taken,
+            state: QueryState::Pending,
             goal,
             objective_at,
             deadline_at,
@@ -425,7 +425,7 @@
 
     /// The weight of the shard requests at these stages.
     pub fn weight(&self, stages: &[ShardRequestState]) -> f64 {
-        self.shard_requests.iter().filter(|p| stages.contains(&p.stage)).map(|p| p.weight).sum()
+        self.shard_requests.iter().filter(|p| stages.contains(&p.state)).map(|p| p.weight).sum()
     }
 }
 
@@ -521,7 +521,7 @@
     }
 
     pub fn put(&mut self, r: Query) {
-        if r.stage != Stage::Taken {
+        if r.state != QueryState::Pending {
             self.waiting.remove(&r.id);
             self.probing.remove(&r.id);
         }
@@ -530,7 +530,7 @@
 
     /// A shard request is to be sent this turn.
     pub fn want(&mut self, shard_request: &mut ShardRequest) {
-        shard_request.stage = ShardRequestState::Wanted;
+        shard_request.state = ShardRequestState::Queued;
         self.asked.push_back(self.now);
         self.wanted.push(shard_request.id);
     }
@@ -566,12 +566,12 @@
         let Some(id) = self.groups.get(&new.group) else { return };
         let Some(r) = self.queries.get_mut(id) else { return };
         self.fresh.insert(*id);
-        let (stage, flowing, attempts) = (ShardRequestState::Unsent, false, Vec::new());
+        let (state, flowing, attempts) = (ShardRequestState::Unsent, false, Vec::new());
         r.shard_requests.push(ShardRequest {
             id: new.id,
             shard: new.shard,
             weight: new.weight,
-            stage,
+            state,
             flowing,
             attempts,
         });
