--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -12,7 +12,7 @@
 };
 use crate::state::QueryState::{self, BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{
-    Attempt, ClassPolicy, Due, Execution, Instance, Line, Node, Query, ShardRequest, ShardRequestState,
+    Attempt, ClassPolicy, Execution, Instance, Line, Node, Query, ShardRequest, ShardRequestState, Timer,
 };
 use crate::state::{InFlightAttempt, Terms};
 use crate::time::Tenths;
@@ -128,7 +128,7 @@
     pub fn start(broker_config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
         let room = f64::from(broker_config.limits.max_open) * CROWDED;
         let mut s = Instance { now, roll_silent: true, room, ..Instance::default() };
-        s.agenda.extend(broker_config.watch_on_request.then_some((now, Due::FollowRoll)));
+        s.timers.extend(broker_config.watch_on_request.then_some((now, Timer::WatchEndpoints)));
         let (terms, rng) = (Arc::new(Broker::read(broker_config)), fastrand::Rng::with_seed(seed));
         Broker { terms, rng, seed, s }
     }
@@ -195,9 +195,9 @@
         for input in inputs {
             self.hear(input);
         }
-        while let Some(&(at, due)) = self.s.agenda.first().filter(|(at, _)| *at <= now) {
-            self.s.agenda.remove(&(at, due));
-            self.come_due(due);
+        while let Some(&(at, timer)) = self.s.timers.first().filter(|(at, _)| *at <= now) {
+            self.s.timers.remove(&(at, timer));
+            self.come_due(timer);
         }
         for id in std::mem::take(&mut self.s.fresh) {
             self.s.rank_parts(id);
@@ -223,15 +223,15 @@
         }
     }
 
-    fn come_due(&mut self, due: Due) {
-        match due {
-            Due::Goal(id) => self.signal(id, ObjectiveNear),
-            Due::CutOff(id) => self.signal(id, DeadlineNear),
-            Due::Look(shard_request, attempt) => self.look_after(shard_request, attempt),
-            Due::Again(shard_request) => self.s.wanted.push(shard_request),
-            Due::Halfway(id) => self.signal(id, ResponseReceived),
-            Due::Room(id) => self.signal(id, Ready),
-            Due::FollowRoll => self.follow_roll(),
+    fn come_due(&mut self, timer: Timer) {
+        match timer {
+            Timer::Objective(id) => self.signal(id, ObjectiveNear),
+            Timer::Deadline(id) => self.signal(id, DeadlineNear),
+            Timer::AttemptCheck(shard_request, attempt) => self.look_after(shard_request, attempt),
+            Timer::Resend(shard_request) => self.s.wanted.push(shard_request),
+            Timer::FirstPhaseHalfway(id) => self.signal(id, ResponseReceived),
+            Timer::AdmissionCheck(id) => self.signal(id, Ready),
+            Timer::WatchEndpoints => self.follow_roll(),
         }
     }
 
@@ -374,12 +374,12 @@
         self.without_news(r).into_iter().for_each(|id| self.s.probe(id));
         r.probed = Some(self.s.now);
         self.s.probing.insert(r.id);
-        self.s.agenda.insert((self.s.now + r.row.goal.times(WORD), Due::Room(r.id)));
+        self.s.timers.insert((self.s.now + r.row.goal.times(WORD), Timer::AdmissionCheck(r.id)));
     }
 
     fn wait(&mut self, r: &mut Query) {
         self.s.waiting.insert(r.id);
-        self.later(r.row.goal, Due::Room(r.id));
+        self.later(r.row.goal, Timer::AdmissionCheck(r.id));
     }
 
     /// What is turned away counts as refused, so that pressure rises and the cut sets in.
@@ -499,7 +499,9 @@
         let goal = (row.goal + work.times(row.stretch)).min(row.deadline).min(time_left);
         let objective_at = now + goal - row.goal.times(GOAL_MARGIN) - turns;
         let deadline_at = now + time_left - turns.times(2.0);
-        self.s.agenda.extend(row.two_steps.then_some((objective_at - row.goal.times(0.5), Due::Halfway(id))));
+        self.s.timers.extend(
+            row.two_steps.then_some((objective_at - row.goal.times(0.5), Timer::FirstPhaseHalfway(id))),
+        );
         let rate = self.s.tenants.entry(tenant).or_default();
         rate.add(now, SPAN, 1.0);
         // A tenant's share is split evenly over the brokers: this one sees no other's traffic.
@@ -553,7 +555,7 @@
             // No holder may have it now, or the budget is spent: it waits while that can help.
             shard_request.state =
                 if shard_request.out() > 0 { ShardRequestState::InFlight } else { ShardRequestState::Queued };
-            return self.later(goal, Due::Again(shard_request.id));
+            return self.later(goal, Timer::Resend(shard_request.id));
         };
         let no = AttemptNumber(shard_request.attempts.len() as u16);
         let (id, within_quota, class, out) = (shard_request.id, r.within_quota, r.class, self.s.out_at_turn);
@@ -569,7 +571,7 @@
         self.s.in_flight.insert((id, no), attempt);
         let life = (r.objective_at + late_life).min(r.deadline_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
-        self.s.agenda.insert((now + self.patience(r.goal), Due::Look(id, no)));
+        self.s.timers.insert((now + self.patience(r.goal), Timer::AttemptCheck(id, no)));
     }
 
     /// What a node told to wait there; one that left its probe unanswered comes after all that did answer.
@@ -657,8 +659,8 @@
         self.lines_fail()
     }
 
-    fn later(&mut self, goal: Tenths, due: Due) {
-        self.s.agenda.insert((self.s.now + goal.times(AGAIN).max(Tenths(1)), due));
+    fn later(&mut self, goal: Tenths, timer: Timer) {
+        self.s.timers.insert((self.s.now + goal.times(AGAIN).max(Tenths(1)), timer));
     }
 
     /// Guards against shard requests that no answer comes to (a node hung, silent or cut off, an answer lost): once
@@ -692,7 +694,7 @@
                     self.s.effects.push(Effect::Cancel { shard_request: id, attempt: no });
                 }
             } else {
-                self.later(r.goal, Due::Look(id, no));
+                self.later(r.goal, Timer::AttemptCheck(id, no));
                 if r.scouting {
                     self.ask(&mut r);
                 }
@@ -905,7 +907,7 @@
         if self.s.roll_silent {
             self.s.effects.push(Effect::WatchEndpoints);
             let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(0.5);
-            self.s.agenda.insert((self.s.now + wait, Due::FollowRoll));
+            self.s.timers.insert((self.s.now + wait, Timer::WatchEndpoints));
         }
     }
 
@@ -914,8 +916,8 @@
         let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(AGAIN);
         let doubled = wait.times(f64::from(1 << self.s.roll_failures.min(3)) * (0.5 + self.rng.f64()));
         (self.s.roll_failures, self.s.roll_silent) = (self.s.roll_failures + 1, true);
-        self.s.agenda.retain(|(_, due)| *due != Due::FollowRoll);
-        self.s.agenda.insert((self.s.now + doubled, Due::FollowRoll));
+        self.s.timers.retain(|(_, timer)| *timer != Timer::WatchEndpoints);
+        self.s.timers.insert((self.s.now + doubled, Timer::WatchEndpoints));
     }
 
     /// Guards against attempts that wait for a connection and reach their node in another window than their
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -308,18 +308,18 @@
 
 /// What comes due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    Goal(QueryId),
-    CutOff(QueryId),
+pub enum Timer {
+    Objective(QueryId),
+    Deadline(QueryId),
     /// An attempt's patience is up.
-    Look(ShardRequestId, AttemptNumber),
+    AttemptCheck(ShardRequestId, AttemptNumber),
     /// A first step has had half of the latency objective.
-    Halfway(QueryId),
+    FirstPhaseHalfway(QueryId),
     /// A query that waits for room looks again.
-    Room(QueryId),
+    AdmissionCheck(QueryId),
     /// A waiting shard request tries again.
-    Again(ShardRequestId),
-    FollowRoll,
+    Resend(ShardRequestId),
+    WatchEndpoints,
 }
 
 /// What lives as long as the broker.
@@ -342,7 +342,7 @@
     pub groups: BTreeMap<GroupId, QueryId>,
     pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
     pub in_flight: BTreeMap<(ShardRequestId, AttemptNumber), InFlightAttempt>,
-    pub agenda: BTreeSet<(Tenths, Due)>,
+    pub timers: BTreeSet<(Tenths, Timer)>,
     pub woken_at: Option<Tenths>,
     /// Queries that got shard requests in this turn.
     pub fresh: BTreeSet<QueryId>,
@@ -515,8 +515,8 @@
         self.taken.push_back(self.now);
         self.groups.insert(r.group, r.id);
         self.fresh.insert(r.id);
-        self.agenda.insert((r.objective_at, Due::Goal(r.id)));
-        self.agenda.insert((r.deadline_at, Due::CutOff(r.id)));
+        self.timers.insert((r.objective_at, Timer::Objective(r.id)));
+        self.timers.insert((r.deadline_at, Timer::Deadline(r.id)));
         self.put(r);
     }
 
@@ -548,8 +548,8 @@
         self.groups.remove(&r.group);
         self.waiting.remove(&r.id);
         self.probing.remove(&r.id);
-        self.agenda.remove(&(r.objective_at, Due::Goal(r.id)));
-        self.agenda.remove(&(r.deadline_at, Due::CutOff(r.id)));
+        self.timers.remove(&(r.objective_at, Timer::Objective(r.id)));
+        self.timers.remove(&(r.deadline_at, Timer::Deadline(r.id)));
     }
 
     /// Strikes a first step's shard requests, likewise.
@@ -769,7 +769,7 @@
 
     /// One wake-up is under way for the first thing on the agenda.
     pub fn ask_to_be_woken(&mut self) {
-        let Some(&(at, _)) = self.agenda.first() else { return };
+        let Some(&(at, _)) = self.timers.first() else { return };
         if self.woken_at.is_none_or(|woken| woken <= self.now || woken > at) {
             self.woken_at = Some(at);
             self.effects.push(Effect::Wake { after: at - self.now });
