--- a/crates/admission-control/src/state.rs
+++ b/crates/admission-control/src/state.rs
@@ -1,7 +1,7 @@
 //! What the admission controller remembers, by how long it lives: a query for the turn in which it is asked, a tenant
 //! while it asks, the admission controller for as long as the broker runs.
 
-use routing::{ClassId, GroupId, QueryId, TenantId, Tenths, Window};
+use routing::{ClassId, GroupId, QueryId, TenantId, Tenths, SlidingWindow};
 use std::collections::BTreeMap;
 
 /// A query that is asked in this turn.
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tenant {
     /// Parts asked (as `all`); of these, in queries that were rejected (as `harmed`).
-    pub asked: Window,
+    pub asked: SlidingWindow,
     /// Retries let in (as `harmed`), first tries let in (as `all`).
-    pub tries: Window,
+    pub tries: SlidingWindow,
     /// Parts a second, while the admission controller is crowded; and whether that is less than it asks for.
     pub share: f64,
     pub held: bool,
@@ -42,13 +42,13 @@
     pub cut_at: Tenths,
     pub peak: f64,
     /// Parts refused as full or timed out (as `harmed`), of all that ended.
-    pub harm: Window,
+    pub harm: SlidingWindow,
     /// Queries that the module rejected (as `harmed`), of all let in.
-    pub turned: Window,
+    pub turned: SlidingWindow,
     /// Parts let in (as `all`).
-    pub let_in: Window,
+    pub let_in: SlidingWindow,
     /// Attempts that the module sent, and that ended finished (as `all`).
-    pub sent: Window,
-    pub delivered: Window,
+    pub sent: SlidingWindow,
+    pub delivered: SlidingWindow,
     pub tenants: BTreeMap<TenantId, Tenant>,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -25,5 +25,5 @@
 pub use ids::*;
 pub use inputs::*;
 pub use policy::Broker;
-pub use state::Window;
+pub use state::SlidingWindow;
 pub use time::Tenths;
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -789,7 +789,7 @@
             self.fit_room(attempt, result.duration);
         }
         if result.outcome == AttemptOutcome::Succeeded {
-            self.s.paces.entry(attempt.class).or_default().note(result.duration, STEADY);
+            self.s.baseline_latencies.entry(attempt.class).or_default().note(result.duration, STEADY);
         }
         self.s.amend(attempt.node, |node| {
             node.leave(attempt.call);
@@ -871,14 +871,16 @@
     fn bears(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId, terms: &Terms) -> bool {
         let (p, node, now) = (&terms.broker_config, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
-        let (window, heard, cost) = (rules.overload_window, node.start_heard, self.s.pace(class, unheard));
+        let (window, heard, cost) =
+            (rules.overload_window, node.start_heard, self.s.baseline_latency(class, unheard));
         let age = (now - node.started_at.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_up_period);
         if age >= 1.0 {
             return true;
         }
         let share = rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age;
         let bears = window.times(rules.overload_factor * share).0.max(1) as f64;
-        let sent = |from| node.sent_cold(from).map(|class| self.s.pace(class, unheard)).sum::<f64>();
+        let sent =
+            |from| node.sent_cold(from).map(|class| self.s.baseline_latency(class, unheard)).sum::<f64>();
         let lately = sent(now - window);
         if bears / all >= cost || p.brokers <= 1 || lately > 0.0 && node.failures > 1 {
             return lately == 0.0 || node.failures <= 1 && lately + cost <= bears / all;
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -190,13 +190,13 @@
 
 /// How long a class's shard requests take: the least that their smoothed latency ever was.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct BaselineLatency {
     heard: f64,
     mean: f64,
     pub least: Option<Tenths>,
 }
 
-impl Pace {
+impl BaselineLatency {
     /// Takes in a latency; before so many were heard there is no pace.
     pub fn note(&mut self, took: Tenths, steady: f64) {
         self.heard = (self.heard + 1.0).min(steady);
@@ -210,12 +210,12 @@
 
 /// A count that fades with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingCounter {
     pub count: f64,
     pub at: Tenths,
 }
 
-impl Fading {
+impl DecayingCounter {
     pub fn read(&self, now: Tenths, span: Tenths) -> f64 {
         self.count * (-(now - self.at).over(span)).exp()
     }
@@ -230,14 +230,14 @@
 /// when the span has passed it. Guards against a storm whose many ends outweigh what came after it for
 /// many spans, as counts that fade alike would: the share would stay high while fewer shard requests are sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct SlidingWindow {
     /// Harmed and all, by slice; and when the newest slice began.
     slices: [(f64, f64); crate::policy::SLICES],
     newest: usize,
     began: Tenths,
 }
 
-impl Window {
+impl SlidingWindow {
     /// Moves on to the slice of `now`, clearing those that the span has passed.
     fn roll(&mut self, now: Tenths, span: Tenths) {
         let count = self.slices.len();
@@ -274,9 +274,9 @@
 
 /// The share of shard requests that came to harm, of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauge {
-    pub harmed: Fading,
-    pub all: Fading,
+pub struct LossRatio {
+    pub harmed: DecayingCounter,
+    pub all: DecayingCounter,
 }
 
 /// A configuration, and what decisions read of it, worked out once.
@@ -355,16 +355,16 @@
     pub next_call: BatchId,
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
-    pub paces: BTreeMap<ClassId, Pace>,
+    pub baseline_latencies: BTreeMap<ClassId, BaselineLatency>,
     /// Over all shard requests, and over those of tenants within their share.
-    pub pressure: [Window; 2],
+    pub pressure: [SlidingWindow; 2],
     /// Of attempts, those refused as full or timed out.
-    pub refused: Window,
+    pub refused: SlidingWindow,
     pub cutting: bool,
     /// Of all attempts, those that found their node down or saw it fall.
-    pub falls: Gauge,
+    pub falls: LossRatio,
     /// Of attempts after a lull, those lost: on kept connections, and on fresh ones.
-    pub lost_lines: [Gauge; 2],
+    pub lost_lines: [LossRatio; 2],
     /// The shortest lull after which an attempt was dropped at once, and when that was last seen.
     pub dropped: Option<(Tenths, Tenths)>,
     /// How many shard requests this broker may have out.
@@ -372,7 +372,7 @@
     pub out_at_turn: f64,
     /// What each class pays for a shard request, of late: over the minimum coverage, and over the whole.
     pub pays: BTreeMap<ClassId, [f64; 2]>,
-    pub tenants: BTreeMap<TenantId, Fading>,
+    pub tenants: BTreeMap<TenantId, DecayingCounter>,
     /// Questions not asked again until then.
     pub barred: BTreeMap<(ClassId, BTreeSet<ShardId>), Tenths>,
     pub taken: VecDeque<Tenths>,
@@ -458,7 +458,7 @@
     }
 }
 
-impl Gauge {
+impl LossRatio {
     pub fn count(&mut self, now: Tenths, span: Tenths, harmed: f64, all: f64) {
         self.harmed.add(now, span, harmed);
         self.all.add(now, span, all);
@@ -713,8 +713,8 @@
     }
 
     /// How long a class's shard requests take, in tenths of a millisecond; `unheard` where too few were heard of.
-    pub fn pace(&self, class: ClassId, unheard: Tenths) -> f64 {
-        let least = self.paces.get(&class).and_then(|pace| pace.least);
+    pub fn baseline_latency(&self, class: ClassId, unheard: Tenths) -> f64 {
+        let least = self.baseline_latencies.get(&class).and_then(|baseline_latency| baseline_latency.least);
         least.unwrap_or(unheard).max(Tenths(1)).0 as f64
     }
 
