--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -12,7 +12,8 @@
 };
 use crate::state::QueryState::{self, BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{
-    Attempt, ClassPolicy, Execution, Instance, Line, Node, Query, ShardRequest, ShardRequestState, Timer,
+    Attempt, ClassPolicy, ConnectionUse, Execution, Instance, Node, Query, ShardRequest, ShardRequestState,
+    Timer,
 };
 use crate::state::{InFlightAttempt, Terms};
 use crate::time::Tenths;
@@ -561,13 +562,22 @@
         let (id, within_quota, class, out) = (shard_request.id, r.within_quota, r.class, self.s.out_at_turn);
         let crowded = out >= self.s.room * CROWDED;
         self.s.retries.extend(is_retry.then_some((now, id, no)));
-        let lull = self.line_after_lull(node, r.row.least >= r.row.whole);
+        let idle_period = self.connection_for(node, r.row.least >= r.row.whole);
         let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
-        let call = self.s.board(node, max_batch_size, cold.then_some(class), lull);
+        let call = self.s.board(node, max_batch_size, cold.then_some(class), idle_period);
         shard_request.state = ShardRequestState::InFlight;
         shard_request.attempts.push(Attempt { node, sent: now, execution: Execution::InFlight });
-        let attempt =
-            InFlightAttempt { node, call, within_quota, class, goal, out, crowded, lull, silent: false };
+        let attempt = InFlightAttempt {
+            node,
+            call,
+            within_quota,
+            class,
+            goal,
+            out,
+            crowded,
+            idle_period,
+            silent: false,
+        };
         self.s.in_flight.insert((id, no), attempt);
         let life = (r.objective_at + late_life).min(r.deadline_at) - now;
         self.s.effects.push(Effect::Send { shard_request: id, node, timeout: life.max(Tenths(1)) });
@@ -627,36 +637,37 @@
     /// lull are dropped at once, where a dead node would refuse the connection, or a fifth of them come to
     /// nothing on kept ones, and half as many on fresh. Then idle ones are closed before an attempt. Harm:
     /// handshakes.
-    fn line_after_lull(&mut self, id: NodeId, sure: bool) -> Option<(Line, Tenths)> {
+    fn connection_for(&mut self, id: NodeId, sure: bool) -> Option<(ConnectionUse, Tenths)> {
         let (now, node) = (self.s.now, &self.s.nodes[&id]);
-        let lull = now - node.heard_at;
+        let idle_period = now - node.heard_at;
         let idle = node.calls.is_empty() && node.heard_at > Tenths::ZERO;
-        if !idle || lull < self.terms.shortest_goal.times(PATIENCE_BOUNDS[0]) {
-            return node.riding.and(node.line);
+        if !idle || idle_period < self.terms.shortest_goal.times(PATIENCE_BOUNDS[0]) {
+            return node.riding.and(node.connection);
         }
-        let dropped = self.s.dropped.is_some_and(|(after, at)| lull >= after && now - at < LONG);
-        let sure = sure && lull > self.terms.shortest_goal.times(PATIENCE_BOUNDS[1]);
-        if !dropped && !sure && !self.lines_fail() {
-            return Some((Line::Kept, lull));
+        let dropped = self.s.dropped.is_some_and(|(after, at)| idle_period >= after && now - at < LONG);
+        let sure = sure && idle_period > self.terms.shortest_goal.times(PATIENCE_BOUNDS[1]);
+        if !dropped && !sure && !self.connections_fail() {
+            return Some((ConnectionUse::Reused, idle_period));
         }
         self.s.effects.push(Effect::CloseIdle { node: id });
-        Some((Line::Fresh, lull))
+        Some((ConnectionUse::New, idle_period))
     }
 
-    fn lines_fail(&self) -> bool {
-        let [kept, fresh] = self.s.lost_lines.each_ref().map(|g| g.share(self.s.now, LONG, 1.0 / START));
+    fn connections_fail(&self) -> bool {
+        let [kept, fresh] =
+            self.s.lost_connections.each_ref().map(|g| g.share(self.s.now, LONG, 1.0 / START));
         kept >= 2.0 * START && fresh <= kept / 2.0
     }
 
     /// An attempt that went out on a kept connection after a lull is silent; whether so many were that it is
     /// lost.
-    fn deaf_line(&mut self, id: ShardRequestId, no: AttemptNumber) -> bool {
+    fn note_unresponsive(&mut self, id: ShardRequestId, no: AttemptNumber) -> bool {
         let kept = self.s.in_flight.get_mut(&(id, no)).filter(|t| t.on_reused_connection());
         let Some(attempt) = kept else { return false };
         if !std::mem::replace(&mut attempt.silent, true) {
-            self.s.lost_lines[Line::Kept as usize].count(self.s.now, LONG, 1.0, 1.0);
+            self.s.lost_connections[ConnectionUse::Reused as usize].count(self.s.now, LONG, 1.0, 1.0);
         }
-        self.lines_fail()
+        self.connections_fail()
     }
 
     fn later(&mut self, goal: Tenths, timer: Timer) {
@@ -679,10 +690,10 @@
             let heard = node.map_or(attempt.sent, |n| n.heard_at.max(attempt.sent));
             let silent = now - heard >= self.patience(r.goal);
             let here = node.map_or(average, |n| self.latency(n)).max(now - attempt.sent);
-            let deaf = silent && self.deaf_line(id, no);
+            let unresponsive = silent && self.note_unresponsive(id, no);
             let lost = overtaken || silent;
             let limits = &r.terms.broker_config.limits;
-            let may = limits.allow_hedging || (overtaken || deaf) && limits.allow_cancel;
+            let may = limits.allow_hedging || (overtaken || unresponsive) && limits.allow_cancel;
             let again = lost && may && r.shard_requests[at].out() == 1 && self.may_push_again(&r, at, true);
             let other = self.choose(&r.terms.broker_config.layout, r.class, &r.shard_requests[at]);
             let elsewhere = other.map(|id| self.latency(&self.s.nodes[&id]));
@@ -772,14 +783,14 @@
         let (now, average) = (self.s.now, self.average());
         let &End(_, execution, harm, blame, down) = end;
         let cut_line = result.outcome == AttemptOutcome::ConnectionLost && attempt.on_reused_connection();
-        if let Some((line, lull)) = attempt.lull.filter(|_| execution != Execution::Unsent) {
+        if let Some((line, idle_period)) = attempt.idle_period.filter(|_| execution != Execution::Unsent) {
             let silent = self.s.nodes.get(&attempt.node).is_none_or(|n| now - result.duration >= n.heard_at);
             let lost =
                 blame || result.outcome == AttemptOutcome::Cancelled && silent && result.duration > average;
             let [lost, told] = [lost, attempt.silent].map(|is| f64::from(u8::from(is)));
-            self.s.lost_lines[line as usize].count(now, LONG, lost - told, 1.0 - told);
+            self.s.lost_connections[line as usize].count(now, LONG, lost - told, 1.0 - told);
             if cut_line && result.duration <= self.terms.broker_config.period.times(2.0) {
-                self.s.note_dropped(lull, LONG);
+                self.s.note_dropped(idle_period, LONG);
             }
         }
         if execution != Execution::Unsent && result.outcome != AttemptOutcome::Cancelled {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -35,9 +35,9 @@
 
 /// The connection that an attempt after a lull travels on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    Kept,
-    Fresh,
+pub enum ConnectionUse {
+    Reused,
+    New,
 }
 
 /// What an attempt leaves on the books until its end is heard, also past its query's end.
@@ -54,14 +54,14 @@
     /// They used much of the room that this one had.
     pub crowded: bool,
     /// It opened a call after a lull: on the connection kept, or on a fresh one.
-    pub lull: Option<(Line, Tenths)>,
+    pub idle_period: Option<(ConnectionUse, Tenths)>,
     /// It was counted as lost while it is still out.
     pub silent: bool,
 }
 
 impl InFlightAttempt {
     pub fn on_reused_connection(&self) -> bool {
-        self.lull.is_some_and(|(line, _)| line == Line::Kept)
+        self.idle_period.is_some_and(|(line, _)| line == ConnectionUse::Reused)
     }
 }
 
@@ -172,7 +172,7 @@
     pub told: Option<Load>,
     /// The call of this turn, and how many shard requests it carries.
     pub riding: Option<(BatchId, u32)>,
-    pub line: Option<(Line, Tenths)>,
+    pub connection: Option<(ConnectionUse, Tenths)>,
     /// When attempts went to it while it was cold.
     pub cold_pushes: VecDeque<(Tenths, ClassId)>,
 }
@@ -364,7 +364,7 @@
     /// Of all attempts, those that found their node down or saw it fall.
     pub falls: LossRatio,
     /// Of attempts after a lull, those lost: on kept connections, and on fresh ones.
-    pub lost_lines: [LossRatio; 2],
+    pub lost_connections: [LossRatio; 2],
     /// The shortest lull after which an attempt was dropped at once, and when that was last seen.
     pub dropped: Option<(Tenths, Tenths)>,
     /// How many shard requests this broker may have out.
@@ -623,7 +623,7 @@
         id: NodeId,
         max_batch_size: u32,
         cold: Option<ClassId>,
-        line: Option<(Line, Tenths)>,
+        line: Option<(ConnectionUse, Tenths)>,
     ) -> BatchId {
         let now = self.now;
         let node = self.nodes.entry(id).or_default();
@@ -634,7 +634,7 @@
                 (self.next_call, 1)
             }
         };
-        (node.riding, node.line) = (Some((call, shard_requests)), line);
+        (node.riding, node.connection) = (Some((call, shard_requests)), line);
         self.boarded.push(id);
         node.calls.entry(call).or_insert(Call { sent: now, parts_out: 0 }).parts_out += 1;
         node.cold_pushes.extend(cold.map(|class| (now, class)));
@@ -695,9 +695,9 @@
     }
 
     /// An attempt was dropped at once after such a lull; the shortest known counts, if it was seen in the span.
-    pub fn note_dropped(&mut self, lull: Tenths, span: Tenths) {
+    pub fn note_dropped(&mut self, idle_period: Tenths, span: Tenths) {
         let known = self.dropped.filter(|(_, at)| self.now - *at < span);
-        self.dropped = Some((known.map_or(lull, |(after, _)| after.min(lull)), self.now));
+        self.dropped = Some((known.map_or(idle_period, |(after, _)| after.min(idle_period)), self.now));
     }
 
     /// The ready nodes that hold a shard request's shard.
