--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -449,7 +449,7 @@
     fn hopeless(&self, r: &Query, shard_request: &ShardRequest) -> bool {
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
         let anew = r.probed.is_some() && self.s.in_flight.is_empty();
-        let idle = |n: &Node| n.calls.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
+        let idle = |n: &Node| n.batches.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
         let layout = &r.terms.broker_config.layout;
         let usable = self
             .s
@@ -530,7 +530,7 @@
                 self.signal(rid, ShardRequestFailed);
             }
         }
-        self.s.close_calls();
+        self.s.close_batches();
     }
 
     fn push(&mut self, r: &mut Query, at: usize) {
@@ -564,7 +564,7 @@
         self.s.retries.extend(is_retry.then_some((now, id, no)));
         let idle_period = self.connection_for(node, r.row.least >= r.row.whole);
         let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
-        let call = self.s.board(node, max_batch_size, cold.then_some(class), idle_period);
+        let call = self.s.join_batch(node, max_batch_size, cold.then_some(class), idle_period);
         shard_request.state = ShardRequestState::InFlight;
         shard_request.attempts.push(Attempt { node, sent: now, execution: Execution::InFlight });
         let attempt = InFlightAttempt {
@@ -618,16 +618,17 @@
         let all_tried = usable.iter().all(tried);
         let worth = usable.iter().filter(|id| all_tried || !tried(id));
         let score = |node: &Node| {
-            let joins = node.riding.is_some_and(|(_, shard_requests)| {
+            let joins = node.open_batch.is_some_and(|(_, shard_requests)| {
                 shard_requests < self.terms.broker_config.layout.max_batch_size
             });
-            self.latency(node).0 as f64 * ((node.calls.len() + usize::from(!joins)) as f64 + self.load(node))
+            self.latency(node).0 as f64
+                * ((node.batches.len() + usize::from(!joins)) as f64 + self.load(node))
         };
         let scored: Vec<(f64, NodeId)> = worth.map(|id| (score(&self.s.nodes[id]), *id)).collect();
         let best = scored.iter().map(|s| s.0).fold(f64::INFINITY, f64::min);
         let close = scored.iter().filter(|s| s.0 <= best * (1.0 + START)).map(|s| s.1);
         let zone = self.terms.broker_config.zone;
-        let key = |id: &NodeId| (self.s.nodes[id].zone != zone, self.s.nodes[id].riding.is_none());
+        let key = |id: &NodeId| (self.s.nodes[id].zone != zone, self.s.nodes[id].open_batch.is_none());
         let first = close.clone().map(|id| key(&id)).min()?;
         let tied: Vec<NodeId> = close.filter(|id| key(id) == first).collect();
         Some(tied[self.rng.usize(..tied.len())])
@@ -640,9 +641,9 @@
     fn connection_for(&mut self, id: NodeId, sure: bool) -> Option<(ConnectionUse, Tenths)> {
         let (now, node) = (self.s.now, &self.s.nodes[&id]);
         let idle_period = now - node.heard_at;
-        let idle = node.calls.is_empty() && node.heard_at > Tenths::ZERO;
+        let idle = node.batches.is_empty() && node.heard_at > Tenths::ZERO;
         if !idle || idle_period < self.terms.shortest_goal.times(PATIENCE_BOUNDS[0]) {
-            return node.riding.and(node.connection);
+            return node.open_batch.and(node.connection);
         }
         let dropped = self.s.dropped.is_some_and(|(after, at)| idle_period >= after && now - at < LONG);
         let sure = sure && idle_period > self.terms.shortest_goal.times(PATIENCE_BOUNDS[1]);
@@ -853,7 +854,7 @@
             let age = (self.s.now - node.sampled_at).over(SPAN);
             average + (latency - average).times((-age).exp())
         });
-        let silence = node.calls.values().next().map(|call| self.s.now - call.sent.max(node.heard_at));
+        let silence = node.batches.values().next().map(|call| self.s.now - call.sent.max(node.heard_at));
         heard.max(silence.unwrap_or(Tenths::ZERO))
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -144,7 +144,7 @@
 
 /// A call that is out at a node.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Batch {
     pub sent: Tenths,
     pub parts_out: u32,
 }
@@ -165,13 +165,13 @@
     /// Failures in a row.
     pub failures: u32,
     pub failed_at: Tenths,
-    pub calls: BTreeMap<BatchId, Call>,
+    pub batches: BTreeMap<BatchId, Batch>,
     /// A probe that is not answered yet was sent then.
     pub probe_out: Option<Tenths>,
     /// What it told of itself, and when; none while a probe is out.
     pub told: Option<Load>,
     /// The call of this turn, and how many shard requests it carries.
-    pub riding: Option<(BatchId, u32)>,
+    pub open_batch: Option<(BatchId, u32)>,
     pub connection: Option<(ConnectionUse, Tenths)>,
     /// When attempts went to it while it was cold.
     pub cold_pushes: VecDeque<(Tenths, ClassId)>,
@@ -337,7 +337,7 @@
     /// The same for each zone: how many were heard of, and the sum.
     pub zones: BTreeMap<ZoneId, (usize, i64)>,
     /// Nodes that a call of this turn goes to.
-    pub boarded: Vec<NodeId>,
+    pub nodes_with_open_batch: Vec<NodeId>,
     pub queries: BTreeMap<QueryId, Query>,
     pub groups: BTreeMap<GroupId, QueryId>,
     pub shard_requests: BTreeMap<ShardRequestId, (QueryId, usize)>,
@@ -352,7 +352,7 @@
     pub probing: BTreeSet<QueryId>,
     /// Parts to be sent this turn, in order.
     pub wanted: Vec<ShardRequestId>,
-    pub next_call: BatchId,
+    pub last_batch: BatchId,
     /// Smoothed latency over the nodes heard of.
     pub average: Option<Tenths>,
     pub baseline_latencies: BTreeMap<ClassId, BaselineLatency>,
@@ -451,10 +451,10 @@
 
     /// A shard request's attempt has come to its end.
     pub fn leave(&mut self, call: BatchId) {
-        if let Some(call) = self.calls.get_mut(&call) {
+        if let Some(call) = self.batches.get_mut(&call) {
             call.parts_out -= 1;
         }
-        self.calls.retain(|_, call| call.parts_out > 0);
+        self.batches.retain(|_, call| call.parts_out > 0);
     }
 }
 
@@ -493,7 +493,7 @@
         let (was, was_zone, before) = (node.placement_group, node.zone, figures(node));
         change(node);
         let (placement_group, zone, after, idle) =
-            (node.placement_group, node.zone, figures(node), node.calls.is_empty());
+            (node.placement_group, node.zone, figures(node), node.batches.is_empty());
         self.ready = self.ready + after.0 - before.0;
         self.ready_heard = self.ready_heard + after.1 - before.1;
         self.latencies = Tenths(self.latencies.0 + after.2 - before.2);
@@ -618,7 +618,7 @@
     }
 
     /// The call that an attempt of this turn to this node travels in.
-    pub fn board(
+    pub fn join_batch(
         &mut self,
         id: NodeId,
         max_batch_size: u32,
@@ -627,24 +627,24 @@
     ) -> BatchId {
         let now = self.now;
         let node = self.nodes.entry(id).or_default();
-        let (call, shard_requests) = match node.riding {
+        let (call, shard_requests) = match node.open_batch {
             Some((call, shard_requests)) if shard_requests < max_batch_size => (call, shard_requests + 1),
             _ => {
-                self.next_call.0 += 1;
-                (self.next_call, 1)
+                self.last_batch.0 += 1;
+                (self.last_batch, 1)
             }
         };
-        (node.riding, node.connection) = (Some((call, shard_requests)), line);
-        self.boarded.push(id);
-        node.calls.entry(call).or_insert(Call { sent: now, parts_out: 0 }).parts_out += 1;
+        (node.open_batch, node.connection) = (Some((call, shard_requests)), line);
+        self.nodes_with_open_batch.push(id);
+        node.batches.entry(call).or_insert(Batch { sent: now, parts_out: 0 }).parts_out += 1;
         node.cold_pushes.extend(cold.map(|class| (now, class)));
         call
     }
 
     /// The turn's calls leave; what is sent later travels in others.
-    pub fn close_calls(&mut self) {
-        for id in self.boarded.drain(..) {
-            self.nodes.get_mut(&id).into_iter().for_each(|node| node.riding = None);
+    pub fn close_batches(&mut self) {
+        for id in self.nodes_with_open_batch.drain(..) {
+            self.nodes.get_mut(&id).into_iter().for_each(|node| node.open_batch = None);
         }
     }
 
