--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -128,7 +128,7 @@
     /// A broker that has just started and knows nothing but its configuration.
     pub fn start(broker_config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
         let room = f64::from(broker_config.limits.max_open) * CROWDED;
-        let mut s = Instance { now, roll_silent: true, room, ..Instance::default() };
+        let mut s = Instance { now, endpoint_list_is_stale: true, room, ..Instance::default() };
         s.timers.extend(broker_config.watch_on_request.then_some((now, Timer::WatchEndpoints)));
         let (terms, rng) = (Arc::new(Broker::read(broker_config)), fastrand::Rng::with_seed(seed));
         Broker { terms, rng, seed, s }
@@ -211,8 +211,8 @@
 
     fn hear(&mut self, input: &Input) {
         match input {
-            Input::EndpointList(roll) => self.read_roll(roll),
-            Input::EndpointListFailed => self.roll_failed(),
+            Input::EndpointList(list) => self.apply_endpoint_list(list),
+            Input::EndpointListFailed => self.endpoint_list_failed(),
             Input::Config(new) => self.prescribe((**new).clone()),
             Input::Query(new) => self.take(new),
             Input::ShardRequest(new) => self.s.add_shard_request(new),
@@ -232,7 +232,7 @@
             Timer::Resend(shard_request) => self.s.wanted.push(shard_request),
             Timer::FirstPhaseHalfway(id) => self.signal(id, ResponseReceived),
             Timer::AdmissionCheck(id) => self.signal(id, Ready),
-            Timer::WatchEndpoints => self.follow_roll(),
+            Timer::WatchEndpoints => self.watch_endpoints(),
         }
     }
 
@@ -312,12 +312,12 @@
         let (now, wait, layout) = (self.s.now, r.row.goal.times(WORD), &r.terms.broker_config.layout);
         let old = |id: &NodeId| {
             let node = &self.s.nodes[id];
-            let asked = node.probe_out.is_some_and(|at| now - at <= r.row.goal);
+            let asked = node.probe_sent_at.is_some_and(|at| now - at <= r.row.goal);
             !asked && node.told.is_none_or(|told| now - told.at > wait)
         };
         r.shard_requests
             .iter()
-            .flat_map(|shard_request| self.s.holders_of(layout, shard_request))
+            .flat_map(|shard_request| self.s.replicas_of(layout, shard_request))
             .filter(old)
             .collect()
     }
@@ -325,11 +325,12 @@
     /// Word of a holder may still come in time to choose by it.
     fn awaits_word(&mut self, r: &Query) -> bool {
         let asked = r.probed.filter(|at| self.s.now - *at < r.row.goal.times(WORD));
-        let (layout, silent) = (&r.terms.broker_config.layout, |id| self.s.nodes[&id].probe_out.is_some());
+        let (layout, silent) =
+            (&r.terms.broker_config.layout, |id| self.s.nodes[&id].probe_sent_at.is_some());
         asked.is_some()
             && r.shard_requests
                 .iter()
-                .any(|shard_request| self.s.holders_of(layout, shard_request).any(silent))
+                .any(|shard_request| self.s.replicas_of(layout, shard_request).any(silent))
     }
 
     /// Guards against queues that outgrow the latency objective: a query waits, and is then turned away, while
@@ -449,11 +450,13 @@
     fn hopeless(&self, r: &Query, shard_request: &ShardRequest) -> bool {
         // Guards against a blackout that lasts: with nothing out, failures alone keep none from being asked.
         let anew = r.probed.is_some() && self.s.in_flight.is_empty();
-        let idle = |n: &Node| n.batches.is_empty() && (n.failures == 0 || anew) && n.queue() == Tenths::ZERO;
+        let idle = |n: &Node| {
+            n.batches.is_empty() && (n.consecutive_failures == 0 || anew) && n.queue() == Tenths::ZERO
+        };
         let layout = &r.terms.broker_config.layout;
         let usable = self
             .s
-            .holders_of(layout, shard_request)
+            .replicas_of(layout, shard_request)
             .filter(|id| self.has_room(*id, r.class, shard_request.id));
         let wait = |n: &Node| if idle(n) { Tenths::ZERO } else { self.latency(n) + n.queue() };
         let least = usable.map(|id| wait(&self.s.nodes[&id])).min();
@@ -563,8 +566,9 @@
         let crowded = out >= self.s.room * CROWDED;
         self.s.retries.extend(is_retry.then_some((now, id, no)));
         let idle_period = self.connection_for(node, r.row.least >= r.row.whole);
-        let (cold, max_batch_size) = (self.is_cold(node), self.terms.broker_config.layout.max_batch_size);
-        let call = self.s.join_batch(node, max_batch_size, cold.then_some(class), idle_period);
+        let (warming_up, max_batch_size) =
+            (self.is_warming_up(node), self.terms.broker_config.layout.max_batch_size);
+        let call = self.s.join_batch(node, max_batch_size, warming_up.then_some(class), idle_period);
         shard_request.state = ShardRequestState::InFlight;
         shard_request.attempts.push(Attempt { node, sent: now, execution: Execution::InFlight });
         let attempt = InFlightAttempt {
@@ -586,7 +590,7 @@
 
     /// What a node told to wait there; one that left its probe unanswered comes after all that did answer.
     fn load(&self, node: &Node) -> f64 {
-        match (node.probe_out, node.told) {
+        match (node.probe_sent_at, node.told) {
             (None, None) => 0.0,
             (None, Some(load)) if load.sound => load.queue.unwrap_or(0.0),
             _ => UNHEARD,
@@ -612,7 +616,7 @@
         let tried = |id: &NodeId| shard_request.attempts.iter().any(|p| p.node == *id);
         let usable: Vec<NodeId> = self
             .s
-            .holders_of(layout, shard_request)
+            .replicas_of(layout, shard_request)
             .filter(|id| open(id) && self.has_room(*id, class, shard_request.id))
             .collect();
         let all_tried = usable.iter().all(tried);
@@ -640,8 +644,8 @@
     /// handshakes.
     fn connection_for(&mut self, id: NodeId, sure: bool) -> Option<(ConnectionUse, Tenths)> {
         let (now, node) = (self.s.now, &self.s.nodes[&id]);
-        let idle_period = now - node.heard_at;
-        let idle = node.batches.is_empty() && node.heard_at > Tenths::ZERO;
+        let idle_period = now - node.last_success_at;
+        let idle = node.batches.is_empty() && node.last_success_at > Tenths::ZERO;
         if !idle || idle_period < self.terms.shortest_goal.times(PATIENCE_BOUNDS[0]) {
             return node.open_batch.and(node.connection);
         }
@@ -687,8 +691,8 @@
             r.shard_requests[at].state == ShardRequestState::InFlight && !r.shard_requests[at].flowing;
         if r.state == InFlight && waits && attempt.execution == Execution::InFlight {
             let node = self.s.nodes.get(&attempt.node);
-            let overtaken = node.is_some_and(|n| n.answered > attempt.sent + average);
-            let heard = node.map_or(attempt.sent, |n| n.heard_at.max(attempt.sent));
+            let overtaken = node.is_some_and(|n| n.newest_answered_sent_at > attempt.sent + average);
+            let heard = node.map_or(attempt.sent, |n| n.last_success_at.max(attempt.sent));
             let silent = now - heard >= self.patience(r.goal);
             let here = node.map_or(average, |n| self.latency(n)).max(now - attempt.sent);
             let unresponsive = silent && self.note_unresponsive(id, no);
@@ -785,7 +789,8 @@
         let &End(_, execution, harm, blame, down) = end;
         let cut_line = result.outcome == AttemptOutcome::ConnectionLost && attempt.on_reused_connection();
         if let Some((line, idle_period)) = attempt.idle_period.filter(|_| execution != Execution::Unsent) {
-            let silent = self.s.nodes.get(&attempt.node).is_none_or(|n| now - result.duration >= n.heard_at);
+            let silent =
+                self.s.nodes.get(&attempt.node).is_none_or(|n| now - result.duration >= n.last_success_at);
             let lost =
                 blame || result.outcome == AttemptOutcome::Cancelled && silent && result.duration > average;
             let [lost, told] = [lost, attempt.silent].map(|is| f64::from(u8::from(is)));
@@ -814,20 +819,20 @@
             }
             // Those out together fail together: one failure in a row, not many.
             if blame && now - result.duration >= node.failed_at {
-                (node.failures, node.failed_at) = ((node.failures + 1).min(16), now);
+                (node.consecutive_failures, node.failed_at) = ((node.consecutive_failures + 1).min(16), now);
             }
-            let penalty = average.times(f64::from(1 << node.failures)).min(attempt.goal);
+            let penalty = average.times(f64::from(1 << node.consecutive_failures)).min(attempt.goal);
             let sample = if blame { result.duration.max(penalty) } else { result.duration };
             let old = node.latency.unwrap_or(sample);
-            (node.latency, node.sampled_at) = (Some(old + (sample - old).times(NEWEST)), now);
+            (node.latency, node.latency_sampled_at) = (Some(old + (sample - old).times(NEWEST)), now);
             if result.outcome == AttemptOutcome::Succeeded {
-                (node.failures, node.heard_at) = (0, now);
-                node.answered = node.answered.max(now - result.duration);
+                (node.consecutive_failures, node.last_success_at) = (0, now);
+                node.newest_answered_sent_at = node.newest_answered_sent_at.max(now - result.duration);
             }
             // It may come back cold before the endpoint list says so: taken to start when last seen down. One lost
             // connection is not enough, or resets would starve sound nodes: a fallen one refuses the next.
-            if down && execution == Execution::NotExecuted && node.failures > 1 {
-                (node.started_at, node.start_heard) = (node.started_at.max(Some(now)), now);
+            if down && execution == Execution::NotExecuted && node.consecutive_failures > 1 {
+                (node.started_at, node.start_known_at) = (node.started_at.max(Some(now)), now);
             }
         });
     }
@@ -851,10 +856,11 @@
         let (all, zone) = (self.average(), self.s.zone_mean(node.zone, self.average(), 1.0 / NEWEST));
         let average = if zone > all.times(SPREAD) { zone } else { all };
         let heard = node.latency.map_or(average, |latency| {
-            let age = (self.s.now - node.sampled_at).over(SPAN);
+            let age = (self.s.now - node.latency_sampled_at).over(SPAN);
             average + (latency - average).times((-age).exp())
         });
-        let silence = node.batches.values().next().map(|call| self.s.now - call.sent.max(node.heard_at));
+        let silence =
+            node.batches.values().next().map(|call| self.s.now - call.sent.max(node.last_success_at));
         heard.max(silence.unwrap_or(Tenths::ZERO))
     }
 
@@ -862,7 +868,7 @@
         self.s.average.unwrap_or(self.terms.shortest_goal.times(GUESS)).max(Tenths(1))
     }
 
-    fn is_cold(&self, id: NodeId) -> bool {
+    fn is_warming_up(&self, id: NodeId) -> bool {
         let warm_up_period =
             self.binding().map(|terms| terms.broker_config.rules.warm_up_period).max().unwrap_or_default();
         self.s.nodes[&id].started_at.is_some_and(|at| self.s.now - at < warm_up_period)
@@ -872,7 +878,7 @@
     /// does one shard request at a time bears in a window, by the share it has warmed to; shard requests count as long as their
     /// class's ever were on average. While it fails again and again it gets one attempt a window.
     fn has_room(&self, id: NodeId, class: ClassId, shard_request: ShardRequestId) -> bool {
-        !self.is_cold(id) || self.binding().all(|terms| self.bears(id, class, shard_request, terms))
+        !self.is_warming_up(id) || self.binding().all(|terms| self.bears(id, class, shard_request, terms))
     }
 
     /// Where an even share is under a shard request a window, all send by chance, so little that by `LUCK` it stays
@@ -884,18 +890,19 @@
         let (p, node, now) = (&terms.broker_config, &self.s.nodes[&id], self.s.now);
         let (rules, all, unheard) = (&p.rules, f64::from(p.brokers.max(1)), self.average());
         let (window, heard, cost) =
-            (rules.overload_window, node.start_heard, self.s.baseline_latency(class, unheard));
+            (rules.overload_window, node.start_known_at, self.s.baseline_latency(class, unheard));
         let age = (now - node.started_at.unwrap_or_default()).max(Tenths::ZERO).over(rules.warm_up_period);
         if age >= 1.0 {
             return true;
         }
         let share = rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age;
         let bears = window.times(rules.overload_factor * share).0.max(1) as f64;
-        let sent =
-            |from| node.sent_cold(from).map(|class| self.s.baseline_latency(class, unheard)).sum::<f64>();
+        let sent = |from| {
+            node.slow_start_sent_since(from).map(|class| self.s.baseline_latency(class, unheard)).sum::<f64>()
+        };
         let lately = sent(now - window);
-        if bears / all >= cost || p.brokers <= 1 || lately > 0.0 && node.failures > 1 {
-            return lately == 0.0 || node.failures <= 1 && lately + cost <= bears / all;
+        if bears / all >= cost || p.brokers <= 1 || lately > 0.0 && node.consecutive_failures > 1 {
+            return lately == 0.0 || node.consecutive_failures <= 1 && lately + cost <= bears / all;
         }
         let steady = ((LUCK * LUCK + 4.0 * bears / cost).sqrt() - LUCK).powi(2) / 4.0 / all;
         let (asked, span) = self.s.asked_lately(window);
@@ -910,15 +917,15 @@
     // ---- the endpoint list
 
     /// A new process under an old id: nothing heard of the old one holds.
-    fn read_roll(&mut self, roll: &EndpointList) {
-        for id in self.s.read_roll(roll) {
-            self.s.amend(id, |node| (node.latency, node.failures, node.told) = (None, 0, None));
+    fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        for id in self.s.apply_endpoint_list(list) {
+            self.s.amend(id, |node| (node.latency, node.consecutive_failures, node.told) = (None, 0, None));
         }
     }
 
     /// Follows the endpoint list, and comes due again to ask once more where no word has come at all.
-    fn follow_roll(&mut self) {
-        if self.s.roll_silent {
+    fn watch_endpoints(&mut self) {
+        if self.s.endpoint_list_is_stale {
             self.s.effects.push(Effect::WatchEndpoints);
             let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(0.5);
             self.s.timers.insert((self.s.now + wait, Timer::WatchEndpoints));
@@ -926,10 +933,12 @@
     }
 
     /// The endpoint list's service is shared and finite: each failure doubles the wait, and lots are drawn.
-    fn roll_failed(&mut self) {
+    fn endpoint_list_failed(&mut self) {
         let wait = self.terms.broker_config.rules.endpoint_list_max_age.max(SPAN).times(AGAIN);
-        let doubled = wait.times(f64::from(1 << self.s.roll_failures.min(3)) * (0.5 + self.rng.f64()));
-        (self.s.roll_failures, self.s.roll_silent) = (self.s.roll_failures + 1, true);
+        let doubled =
+            wait.times(f64::from(1 << self.s.endpoint_list_failures.min(3)) * (0.5 + self.rng.f64()));
+        (self.s.endpoint_list_failures, self.s.endpoint_list_is_stale) =
+            (self.s.endpoint_list_failures + 1, true);
         self.s.timers.retain(|(_, timer)| *timer != Timer::WatchEndpoints);
         self.s.timers.insert((self.s.now + doubled, Timer::WatchEndpoints));
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -156,30 +156,30 @@
     pub state: EndpointState,
     pub started_at: Option<Tenths>,
     /// When this broker heard of that start.
-    pub start_heard: Tenths,
+    pub start_known_at: Tenths,
     pub latency: Option<Tenths>,
-    pub sampled_at: Tenths,
-    pub heard_at: Tenths,
+    pub latency_sampled_at: Tenths,
+    pub last_success_at: Tenths,
     /// When the newest attempt that it answered was sent.
-    pub answered: Tenths,
+    pub newest_answered_sent_at: Tenths,
     /// Failures in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     pub failed_at: Tenths,
     pub batches: BTreeMap<BatchId, Batch>,
     /// A probe that is not answered yet was sent then.
-    pub probe_out: Option<Tenths>,
+    pub probe_sent_at: Option<Tenths>,
     /// What it told of itself, and when; none while a probe is out.
-    pub told: Option<Load>,
+    pub told: Option<LoadReport>,
     /// The call of this turn, and how many shard requests it carries.
     pub open_batch: Option<(BatchId, u32)>,
     pub connection: Option<(ConnectionUse, Tenths)>,
     /// When attempts went to it while it was cold.
-    pub cold_pushes: VecDeque<(Tenths, ClassId)>,
+    pub slow_start_attempts: VecDeque<(Tenths, ClassId)>,
 }
 
 /// A load report, as far as a node tells these.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct LoadReport {
     pub at: Tenths,
     pub sound: bool,
     /// Parts that wait.
@@ -329,7 +329,7 @@
     pub effects: Vec<Effect>,
     pub nodes: BTreeMap<NodeId, Node>,
     /// The ready nodes of each cell.
-    pub holders: BTreeMap<PlacementGroupId, BTreeSet<NodeId>>,
+    pub replicas_by_group: BTreeMap<PlacementGroupId, BTreeSet<NodeId>>,
     /// Over the ready nodes: how many, how many of them were heard of, the sum of their latencies.
     pub ready: usize,
     pub ready_heard: usize,
@@ -380,8 +380,8 @@
     /// When shard requests were asked for.
     pub asked: VecDeque<Tenths>,
     /// No word of the endpoint list has come since it was last asked for.
-    pub roll_silent: bool,
-    pub roll_failures: u32,
+    pub endpoint_list_is_stale: bool,
+    pub endpoint_list_failures: u32,
     /// Terms that are no longer the newest, and until when they still bind: a window of theirs reaches back.
     pub past: Vec<(Tenths, Arc<Terms>)>,
 }
@@ -445,8 +445,8 @@
     }
 
     /// What went to it while it was cold, from then on.
-    pub fn sent_cold(&self, from: Tenths) -> impl Iterator<Item = ClassId> + '_ {
-        self.cold_pushes.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, class)| *class)
+    pub fn slow_start_sent_since(&self, from: Tenths) -> impl Iterator<Item = ClassId> + '_ {
+        self.slow_start_attempts.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, class)| *class)
     }
 
     /// A shard request's attempt has come to its end.
@@ -502,10 +502,10 @@
         let to = self.zones.entry(zone).or_default();
         *to = (to.0 + after.1, to.1 + after.2);
         if before.0 == 1 && (after.0 == 0 || was != placement_group) {
-            self.holders.get_mut(&was).into_iter().for_each(|set| _ = set.remove(&id));
+            self.replicas_by_group.get_mut(&was).into_iter().for_each(|set| _ = set.remove(&id));
         }
         if after.0 == 1 && (before.0 == 0 || was != placement_group) {
-            self.holders.entry(placement_group).or_default().insert(id);
+            self.replicas_by_group.entry(placement_group).or_default().insert(id);
         } else if after.0 == 0 && idle && self.nodes[&id].state == EndpointState::Removed {
             self.nodes.remove(&id);
         }
@@ -589,7 +589,7 @@
     /// Asks a node anew; what it told before no longer counts.
     pub fn probe(&mut self, id: NodeId) {
         if let Some(node) = self.nodes.get_mut(&id) {
-            (node.probe_out, node.told) = (Some(self.now), None);
+            (node.probe_sent_at, node.told) = (Some(self.now), None);
             self.effects.push(Effect::Probe { node: id });
         }
     }
@@ -598,14 +598,14 @@
     pub fn note_probed(&mut self, probed: &ProbeResult) {
         let sound = |told: &&(LoadMetric, f64)| told.1.is_finite() && told.1 >= 0.0;
         let number = |told| probed.report.iter().filter(sound).find(|t| t.0 == told).map(|t| t.1);
-        let load = Load {
+        let load = LoadReport {
             at: self.now,
             sound: probed.sound,
             queue: number(LoadMetric::QueueLength),
             rate: number(LoadMetric::ServiceRate),
         };
         if let Some(node) = self.nodes.get_mut(&probed.node) {
-            (node.probe_out, node.told) = (None, Some(load));
+            (node.probe_sent_at, node.told) = (None, Some(load));
         }
         self.fresh.extend(&self.probing);
     }
@@ -622,7 +622,7 @@
         &mut self,
         id: NodeId,
         max_batch_size: u32,
-        cold: Option<ClassId>,
+        warming_up: Option<ClassId>,
         line: Option<(ConnectionUse, Tenths)>,
     ) -> BatchId {
         let now = self.now;
@@ -637,7 +637,7 @@
         (node.open_batch, node.connection) = (Some((call, shard_requests)), line);
         self.nodes_with_open_batch.push(id);
         node.batches.entry(call).or_insert(Batch { sent: now, parts_out: 0 }).parts_out += 1;
-        node.cold_pushes.extend(cold.map(|class| (now, class)));
+        node.slow_start_attempts.extend(warming_up.map(|class| (now, class)));
         call
     }
 
@@ -649,12 +649,12 @@
     }
 
     /// Enters what the endpoint list says of a node; tells whether its process is newer than the one known.
-    pub fn enter(&mut self, entry: &Endpoint) -> bool {
+    pub fn apply_endpoint(&mut self, entry: &Endpoint) -> bool {
         self.nodes.entry(entry.node).or_default();
         let (mut newer, now) = (false, self.now);
         self.amend(entry.node, |node| {
             newer = entry.started_at > node.started_at;
-            node.start_heard = if newer { now } else { node.start_heard };
+            node.start_known_at = if newer { now } else { node.start_known_at };
             node.started_at = node.started_at.max(entry.started_at);
             (node.zone, node.placement_group, node.state) = (entry.zone, entry.placement_group, entry.state);
         });
@@ -662,19 +662,19 @@
     }
 
     /// Takes an endpoint list in, and tells which nodes run a newer process than the one known.
-    pub fn read_roll(&mut self, roll: &EndpointList) -> Vec<NodeId> {
-        if roll.kind != EndpointListKind::Cached {
-            (self.roll_failures, self.roll_silent) = (0, false);
+    pub fn apply_endpoint_list(&mut self, list: &EndpointList) -> Vec<NodeId> {
+        if list.kind != EndpointListKind::Cached {
+            (self.endpoint_list_failures, self.endpoint_list_is_stale) = (0, false);
         }
-        if roll.kind != EndpointListKind::Delta {
-            self.unlist(roll);
+        if list.kind != EndpointListKind::Delta {
+            self.remove_unlisted(list);
         }
-        roll.entries.iter().filter(|entry| self.enter(entry)).map(|entry| entry.node).collect()
+        list.entries.iter().filter(|entry| self.apply_endpoint(entry)).map(|entry| entry.node).collect()
     }
 
     /// What a full roll does not name is gone.
-    pub fn unlist(&mut self, roll: &EndpointList) {
-        let listed: BTreeSet<NodeId> = roll.entries.iter().map(|entry| entry.node).collect();
+    pub fn remove_unlisted(&mut self, list: &EndpointList) {
+        let listed: BTreeSet<NodeId> = list.entries.iter().map(|entry| entry.node).collect();
         let gone: Vec<NodeId> = self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
         for id in gone {
             self.amend(id, |node| node.state = EndpointState::Removed);
@@ -701,14 +701,14 @@
     }
 
     /// The ready nodes that hold a shard request's shard.
-    pub fn holders_of<'a>(
+    pub fn replicas_of<'a>(
         &'a self,
         layout: &'a ShardLayout,
         shard_request: &ShardRequest,
     ) -> impl Iterator<Item = NodeId> + 'a {
         let ids = layout
             .groups_of(shard_request.shard)
-            .filter_map(|placement_group| self.holders.get(&placement_group));
+            .filter_map(|placement_group| self.replicas_by_group.get(&placement_group));
         ids.flatten().copied()
     }
 
