--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -120,7 +120,7 @@
     pub group: GroupId,
     pub class: ClassId,
     /// Those under which it was taken, to its end.
-    pub terms: Arc<Terms>,
+    pub terms: Arc<EffectiveConfig>,
     pub row: Arc<ClassPolicy>,
     pub within_quota: bool,
     pub state: QueryState,
@@ -281,8 +281,8 @@
 
 /// A configuration, and what decisions read of it, worked out once.
 #[derive(Debug, Default)]
-pub struct Terms {
-    pub broker_config: BrokerConfig,
+pub struct EffectiveConfig {
+    pub config: BrokerConfig,
     pub rows: BTreeMap<ClassId, Arc<ClassPolicy>>,
     pub retry_budget: RetryBudget,
     pub shortest_goal: Tenths,
@@ -324,7 +324,7 @@
 
 /// What lives as long as the broker.
 #[derive(Debug, Default)]
-pub struct Instance {
+pub struct BrokerState {
     pub now: Tenths,
     pub effects: Vec<Effect>,
     pub nodes: BTreeMap<NodeId, Node>,
@@ -383,7 +383,7 @@
     pub endpoint_list_is_stale: bool,
     pub endpoint_list_failures: u32,
     /// Terms that are no longer the newest, and until when they still bind: a window of theirs reaches back.
-    pub past: Vec<(Tenths, Arc<Terms>)>,
+    pub past: Vec<(Tenths, Arc<EffectiveConfig>)>,
 }
 
 // What follows keeps the books; it decides nothing.
@@ -392,7 +392,7 @@
     /// As it is taken, before its shard requests are in hand.
     pub fn taken(
         new: &NewQuery,
-        (terms, row): (Arc<Terms>, Arc<ClassPolicy>),
+        (terms, row): (Arc<EffectiveConfig>, Arc<ClassPolicy>),
         within_quota: bool,
         goal: Tenths,
         [objective_at, deadline_at]: [Tenths; 2],
@@ -470,7 +470,7 @@
     }
 }
 
-impl Instance {
+impl BrokerState {
     /// The mean of the smoothed latencies of the ready nodes that were heard of.
     pub fn mean_latency(&self) -> Option<Tenths> {
         (self.ready_heard > 0).then(|| Tenths(self.latencies.0 / self.ready_heard as i64))
