--- a/crates/admission-control/src/admitted_broker.rs
+++ b/crates/admission-control/src/admitted_broker.rs
@@ -1,25 +1,29 @@
-//! The admission controller and the module together, turned as the module alone is.
+//! A broker behind its admission controller, driven as the broker alone is.
 
 use crate::controller::AdmissionController;
 use routing::{Broker, Effect, Input, Tenths};
 
-/// A broker's module behind its door.
+/// A broker behind its admission controller.
 pub struct AdmittedBroker {
+    /// Decides which queries reach the broker.
     pub admission: AdmissionController,
+    /// Routes the queries that are admitted.
     pub broker: Broker,
 }
 
 impl AdmittedBroker {
+    /// Puts the controller in front of the broker.
     pub fn new(admission: AdmissionController, broker: Broker) -> AdmittedBroker {
         AdmittedBroker { admission, broker }
     }
 
-    /// As `Broker::turn`: the admission controller's rejects come first, then what the module did with the rest.
-    pub fn turn(&mut self, now: Tenths, heard: &[Input]) -> Vec<Effect> {
-        let (passed, mut effects) = self.admission.pass(now, heard);
-        let done = self.broker.turn(now, &passed);
-        self.admission.saw(&done);
-        effects.extend(done);
+    /// As [`Broker::turn`]: the controller's rejections come first, then what the broker did with the rest.
+    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+        let filtered = self.admission.filter_inputs(now, inputs);
+        let broker_effects = self.broker.turn(now, &filtered.inputs);
+        self.admission.record_effects(&broker_effects);
+        let mut effects = filtered.effects;
+        effects.extend(broker_effects);
         effects
     }
 }
--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -1,65 +1,111 @@
-//! What the admission controller allows: the operator's figures, and what is wrong with them. Their defaults, and what each
-//! does, stand with the decisions in `admission.rs`.
+//! The operator's settings of admission control, their defaults, and what is wrong with them.
 
 use routing::Tenths;
 use thiserror::Error;
 
-/// How the admission controller shares what there is. `AdmissionConfig::default()` is what `docs/operate-admission.md` lists.
+/// The settings of admission control, named as the operator's keys are (`docs/operate-admission.md`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// The share of shard requests refused as full or timed out, or of queries that the module turned away, above
-    /// which the admission controller is crowded. Over 0, under 1.
+    /// The share of shard requests refused as overloaded or timed out, or of queries that the broker
+    /// rejected, above which the controller is overloaded. Over 0, under 1.
     pub level: f64,
-    /// Over which harm, what is asked and retries are counted; a step is a tenth of it. 100 ms at least.
+    /// Over which losses, requested shard requests and retries are counted; a step is a tenth of it. 100 ms
+    /// at least.
     pub window: Tenths,
-    /// While crowded, the rate is multiplied by this at each step that finds harm. Over 0, under 1.
+    /// While overloaded, the admitted rate is multiplied by this at a step above the level. Over 0, under 1.
     pub decrease: f64,
-    /// ...and by one and this at each step that finds none. Over 0, 1 at the most.
+    /// ...and by one and this at each step below the level. Over 0, 1 at the most.
     pub increase: f64,
-    /// The admission controller opens once the rate is this many times what is asked. 1 at least.
+    /// The mode is normal again once the admitted rate is this many times the requested rate. 1 at least.
     pub open_above: f64,
-    /// A tenant's bucket holds its share for so long. 0 and up.
+    /// A tenant's token bucket holds its share for so long. 0 and up.
     pub burst: Tenths,
-    /// While crowded, a tenant's retries within the window may be this share of its first tries...
+    /// While overloaded, a tenant's retries within the window may be this share of its first attempts...
     pub retry_share: f64,
     /// ...and so many more. 0 and up.
     pub retry_floor: f64,
     /// The most tenants that are told apart; any more share one bucket. 1 at least.
     pub most_callers: u32,
-    /// While crowded, who asks for more than its share is rejected for the rest, while others ask. Off:
-    /// only retries have a budget, and the module's cut falls on all alike.
+    /// While overloaded, a tenant that asks for more than its share is rejected for the rest, while others
+    /// ask. Off: only retries have a budget, and the broker's cutoff falls on all tenants alike.
     pub shares: bool,
 }
 
-/// One figure that can't be used.
+impl Default for AdmissionConfig {
+    /// The design's starting level of pressure and its window; a decrease and an increase as in congestion
+    /// control, which halve the rate in three steps and double it in seven; normal again at twice what is
+    /// requested; a second's burst; retries a fifth of first attempts and three, as the retry budgets of
+    /// well-known proxies have it.
+    fn default() -> AdmissionConfig {
+        AdmissionConfig {
+            level: 0.1,
+            window: Tenths(50_000),
+            decrease: 0.8,
+            increase: 0.1,
+            open_above: 2.0,
+            burst: Tenths(10_000),
+            retry_share: 0.2,
+            retry_floor: 3.0,
+            most_callers: 10_000,
+            shares: true,
+        }
+    }
+}
+
+/// One setting whose value can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("`{key}` is {holds}: {allowed}")]
 pub struct InvalidValue {
+    /// The operator's key.
     pub key: &'static str,
+    /// The value that it has.
     pub holds: String,
+    /// The values that it may have.
     pub allowed: &'static str,
 }
 
+/// A numeric setting and whether its value lies within its bounds.
+struct Check {
+    key: &'static str,
+    value: f64,
+    is_within_bounds: bool,
+    allowed: &'static str,
+}
+
 impl AdmissionConfig {
-    /// All that is wrong, at once.
+    /// Checks every setting.
+    ///
+    /// # Errors
+    /// All values that can't be used, at once.
     pub fn check(&self) -> Result<(), Vec<InvalidValue>> {
-        let ratio = |x: f64| x > 0.0 && x < 1.0;
-        let rows: [(&'static str, f64, bool, &'static str); 9] = [
-            ("level", self.level, ratio(self.level), "over 0 and under 1"),
-            ("window_ms", self.window.as_ms(), self.window >= Tenths(1000), "100 at least"),
-            ("decrease", self.decrease, ratio(self.decrease), "over 0 and under 1"),
-            ("increase", self.increase, self.increase > 0.0 && self.increase <= 1.0, "over 0, 1 at most"),
-            ("open_above", self.open_above, self.open_above >= 1.0, "1 at least"),
-            ("burst_ms", self.burst.as_ms(), self.burst >= Tenths::ZERO, "0 and up"),
-            ("retry_share", self.retry_share, self.retry_share >= 0.0, "0 and up"),
-            ("retry_floor", self.retry_floor, self.retry_floor >= 0.0, "0 and up"),
-            ("most_callers", f64::from(self.most_callers), self.most_callers >= 1, "1 at least"),
-        ];
-        let wrong: Vec<InvalidValue> = rows
+        let invalid_values: Vec<InvalidValue> = self
+            .checks()
             .into_iter()
-            .filter(|(_, value, sound, _)| !sound || !value.is_finite())
-            .map(|(key, value, _, allowed)| InvalidValue { key, holds: value.to_string(), allowed })
+            .filter(|check| !check.is_within_bounds || !check.value.is_finite())
+            .map(|check| InvalidValue {
+                key: check.key,
+                holds: check.value.to_string(),
+                allowed: check.allowed,
+            })
             .collect();
-        if wrong.is_empty() { Ok(()) } else { Err(wrong) }
+        if invalid_values.is_empty() { Ok(()) } else { Err(invalid_values) }
+    }
+
+    #[rustfmt::skip]
+    fn checks(&self) -> [Check; 9] {
+        let check = |key, value, is_within_bounds, allowed| Check { key, value, is_within_bounds, allowed };
+        let is_open_ratio = |value: f64| value > 0.0 && value < 1.0;
+        let is_increase = self.increase > 0.0 && self.increase <= 1.0;
+        [
+            check("level", self.level, is_open_ratio(self.level), "over 0 and under 1"),
+            check("window_ms", self.window.as_ms(), self.window >= Tenths(1000), "100 at least"),
+            check("decrease", self.decrease, is_open_ratio(self.decrease), "over 0 and under 1"),
+            check("increase", self.increase, is_increase, "over 0, 1 at most"),
+            check("open_above", self.open_above, self.open_above >= 1.0, "1 at least"),
+            check("burst_ms", self.burst.as_ms(), self.burst >= Tenths::ZERO, "0 and up"),
+            check("retry_share", self.retry_share, self.retry_share >= 0.0, "0 and up"),
+            check("retry_floor", self.retry_floor, self.retry_floor >= 0.0, "0 and up"),
+            check("most_callers", f64::from(self.most_callers), self.most_callers >= 1, "1 at least"),
+        ]
     }
 }
--- /dev/null
+++ b/crates/admission-control/src/fair_share.rs
@@ -0,0 +1,50 @@
+//! Max-min fairness by water-filling, weighted by quotas.
+
+use routing::{BrokerConfig, TenantId};
+
+/// What a tenant requests.
+pub(crate) struct Demand {
+    pub tenant: TenantId,
+    /// Shard requests a second.
+    pub per_second: f64,
+    pub weight: f64,
+}
+
+/// What a tenant gets.
+pub(crate) struct Share {
+    pub tenant: TenantId,
+    /// Shard requests a second.
+    pub per_second: f64,
+    /// Less than it requests, with the headroom.
+    pub is_limited: bool,
+}
+
+/// Shares a rate between tenants, in the order of their demand by weight: a tenant that requests less than an
+/// even share of what is left gets what it requests and `headroom` (a ratio) more; the rest is split among
+/// the others.
+pub(crate) fn max_min_shares(per_second: f64, headroom: f64, mut demands: Vec<Demand>) -> Vec<Share> {
+    let demand_by_weight = |demand: &Demand| demand.per_second / demand.weight;
+    demands.sort_by(|a, b| demand_by_weight(a).total_cmp(&demand_by_weight(b)).then(a.tenant.cmp(&b.tenant)));
+    let mut remaining_rate = per_second;
+    let mut remaining_weight = demands.iter().map(|demand| demand.weight).sum::<f64>();
+    let mut shares = Vec::with_capacity(demands.len());
+    for Demand { tenant, per_second, weight } in demands {
+        let even_share = remaining_rate * weight / remaining_weight.max(f64::MIN_POSITIVE);
+        let wanted = per_second * (1.0 + headroom);
+        let share = wanted.min(even_share);
+        remaining_rate = (remaining_rate - share).max(0.0);
+        remaining_weight -= weight;
+        shares.push(Share { tenant, per_second: share, is_limited: share < wanted });
+    }
+    shares
+}
+
+/// A tenant's weight: its quota where one is configured, else the mean of those configured, else 1.
+pub(crate) fn tenant_weight(broker_config: &BrokerConfig, tenant: TenantId) -> f64 {
+    let quotas = &broker_config.tenants;
+    if quotas.is_empty() {
+        return 1.0;
+    }
+    let mean = quotas.values().map(|quota| quota.quota_per_s).sum::<f64>() / quotas.len() as f64;
+    quotas.get(&tenant).map_or(mean, |quota| quota.quota_per_s).max(f64::MIN_POSITIVE)
+}
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,35 +1,52 @@
-//! The admission controller before one broker's module: who gets in when there is not room for all.
+//! Admission control in front of one broker: which queries are admitted when there is no capacity for all.
 //!
-//! A front makes a [`AdmissionController`] from an [`AdmissionConfig`] and the broker's [`BrokerConfig`], and puts it with the
-//! module in a [`AdmittedBroker`]; it then calls [`AdmittedBroker::turn`] where it called [`Broker::turn`]. The admission controller sees every
-//! input before the module does and every effect after. It holds nothing back: each query is passed on
-//! or rejected in the same turn, with the time to come back where the configuration allows one. No I/O, no
-//! clock: time comes in with each turn.
+//! A program makes an [`AdmissionController`] from an [`AdmissionConfig`] and the broker's [`BrokerConfig`],
+//! and puts it with the [`Broker`] in an [`AdmittedBroker`]; it then calls [`AdmittedBroker::turn`] where it
+//! called [`Broker::turn`]. The controller sees every input before the broker does and every effect after. It
+//! delays nothing: each query is admitted or rejected in the same turn, with a time to retry after where the
+//! configuration allows one. No I/O, no clock: time comes in with each turn.
 //!
-//! The admission controller is open until the design's pressure (shard requests refused as full or timed out), or the module's own
-//! rejects, pass the configuration's level; then it is crowded, and lets in a rate of shard requests that it lowers while
-//! that lasts and raises while it does not, shared between tenants by max-min fairness, each with a bucket.
-//! Retries while crowded have a budget by tenant. `docs/admission.md` tells why; the tables stand in
-//! `admission.rs`.
+//! The controller is in [`Mode::Normal`] until the share of shard requests lost to overloaded nodes, or the
+//! broker's own rejections, exceed the configured level. In [`Mode::Overloaded`] it admits a limited rate of
+//! shard requests, which it lowers while that lasts and raises while it does not. The rate is shared between
+//! tenants by max-min fairness, each with a token bucket, and retries have a budget by tenant.
+//! `docs/admission.md` gives the reasons.
+//!
+//! Read `mode.rs` (the table of modes) and `rules.rs` (the table of decisions) first; `controller.rs` is the
+//! loop that reads both.
 //!
 //! ```
 //! use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 //! use routing::{Broker, Input, BrokerConfig, Tenths};
 //!
 //! let configuration = BrokerConfig::default();
-//! let admission = AdmissionController::new(AdmissionConfig::default(), &configuration).expect("the defaults are sound");
+//! let admission = AdmissionController::new(AdmissionConfig::default(), &configuration)
+//!     .expect("the defaults are valid");
 //! let mut admitted = AdmittedBroker::new(admission, Broker::start(configuration, 7, Tenths(0)));
 //! assert!(admitted.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 //!
+//! [`Broker`]: routing::Broker
 //! [`Broker::turn`]: routing::Broker::turn
 //! [`BrokerConfig`]: routing::BrokerConfig
 
+#![warn(missing_docs)]
+
+mod adaptive_rate;
 mod admitted_broker;
 mod config;
 mod controller;
-mod state;
+mod fair_share;
+mod load_statistics;
+mod mode;
+mod offered_query;
+mod outcomes;
+mod rules;
+mod tenants;
+mod token_bucket;
 
 pub use admitted_broker::AdmittedBroker;
 pub use config::{AdmissionConfig, InvalidValue};
-pub use controller::{AdmissionController, Decision, Mode};
+pub use controller::{AdmissionController, FilteredTurn};
+pub use mode::Mode;
+pub use rules::{Decision, DecisionCounts};
--- /dev/null
+++ b/crates/admission-control/src/offered_query.rs
@@ -0,0 +1,35 @@
+//! A query as the controller sees it, for the turn in which it comes.
+
+use routing::{ClassId, GroupId, NewQuery, QueryId, TenantId};
+
+/// A query that is offered in this turn.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OfferedQuery {
+    pub id: QueryId,
+    pub group: GroupId,
+    pub tenant: TenantId,
+    pub class: ClassId,
+    /// How often the client sent it before: 0 is a first attempt, more is a retry.
+    pub client_attempt: u32,
+    /// Its shard requests, as they come in the same turn.
+    pub shard_requests: u32,
+}
+
+impl OfferedQuery {
+    /// The query before its shard requests are counted.
+    pub fn new(query: &NewQuery) -> OfferedQuery {
+        OfferedQuery {
+            id: query.id,
+            group: query.group,
+            tenant: query.tenant,
+            class: query.class,
+            client_attempt: query.client_attempt,
+            shard_requests: 0,
+        }
+    }
+
+    /// Whether the client sent it before.
+    pub fn is_retry(&self) -> bool {
+        self.client_attempt > 0
+    }
+}
--- /dev/null
+++ b/crates/admission-control/src/tenants.rs
@@ -0,0 +1,133 @@
+//! The tenants that asked within the window: what each requested and retried, its share and its token bucket.
+
+use crate::fair_share::{Demand, Share};
+use crate::token_bucket::TokenBucket;
+use routing::{TenantId, Tenths, Window};
+use std::collections::BTreeMap;
+
+/// The tenant that all share who come past the most that are told apart.
+const OVERFLOW_TENANT: TenantId = TenantId(u32::MAX);
+
+/// One tenant, while it asks.
+pub(crate) struct TenantUsage {
+    /// Shard requests requested (`all`).
+    requested: Window,
+    /// Retries admitted (`harmed`), first attempts admitted (`all`).
+    attempts: Window,
+    /// Its share while overloaded, in shard requests a second.
+    pub share_per_second: f64,
+    /// The share is less than it requests.
+    pub is_limited: bool,
+    /// Holds its share of a burst.
+    pub bucket: TokenBucket,
+}
+
+impl TenantUsage {
+    /// Counts the shard requests of a query that it sent.
+    pub fn record_requested(&mut self, now: Tenths, window: Tenths, shard_requests: f64) {
+        self.requested.count(now, window, 0.0, shard_requests);
+    }
+
+    /// Counts an admitted query, as a retry or as a first attempt.
+    pub fn record_admitted(&mut self, now: Tenths, window: Tenths, is_retry: bool) {
+        let (retries, first_attempts) = if is_retry { (1.0, 0.0) } else { (0.0, 1.0) };
+        self.attempts.count(now, window, retries, first_attempts);
+    }
+
+    /// Shard requests that it requested within the window.
+    pub fn requested(&self, now: Tenths, window: Tenths) -> f64 {
+        self.requested.sums(now, window).1
+    }
+
+    /// Whether one more retry exceeds `ratio` of its first attempts and `floor`.
+    pub fn is_over_retry_budget(&self, now: Tenths, window: Tenths, ratio: f64, floor: f64) -> bool {
+        let (retries, first_attempts) = self.attempts.sums(now, window);
+        retries + 1.0 > floor + ratio * first_attempts
+    }
+
+    /// Adds to its bucket what its share gave since it was last filled.
+    pub fn fill_bucket(&mut self, now: Tenths, burst: Tenths) {
+        self.bucket.fill(now, self.share_per_second, burst);
+    }
+
+    /// Whether its bucket, as last filled, holds so many shard requests, or is full.
+    pub fn bucket_covers(&self, shard_requests: f64, burst: Tenths) -> bool {
+        self.bucket.covers(shard_requests, self.share_per_second, burst)
+    }
+}
+
+/// All tenants that asked within the window.
+pub(crate) struct TenantTable {
+    window: Tenths,
+    max_tenants: usize,
+    tenants: BTreeMap<TenantId, TenantUsage>,
+}
+
+impl TenantTable {
+    /// A table of nobody, of `max_tenants` at the most and one that the rest share.
+    pub fn new(window: Tenths, max_tenants: usize) -> TenantTable {
+        TenantTable { window, max_tenants, tenants: BTreeMap::new() }
+    }
+
+    /// The tenant under which one is counted. Guards against memory without bound: past the most, tenants
+    /// share one.
+    pub fn counted_as(&self, tenant: TenantId) -> TenantId {
+        let is_full = self.tenants.len() >= self.max_tenants;
+        if is_full && !self.tenants.contains_key(&tenant) { OVERFLOW_TENANT } else { tenant }
+    }
+
+    /// A tenant; a new one starts with a full bucket and an even share of the rate.
+    pub fn get_or_insert(&mut self, tenant: TenantId, now: Tenths, per_second: f64) -> &mut TenantUsage {
+        let even_share = per_second / (self.tenants.len() + 1) as f64;
+        self.tenants.entry(tenant).or_insert_with(|| TenantUsage {
+            requested: Window::default(),
+            attempts: Window::default(),
+            share_per_second: even_share,
+            is_limited: false,
+            bucket: TokenBucket::full(now),
+        })
+    }
+
+    /// Shard requests that all tenants requested within the window.
+    pub fn requested(&self, now: Tenths) -> f64 {
+        self.tenants.values().map(|usage| usage.requested(now, self.window)).sum()
+    }
+
+    /// Whether any other tenant asked within the window.
+    pub fn has_others(&self, tenant: TenantId, now: Tenths) -> bool {
+        let mut others = self.tenants.iter().filter(|(id, _)| **id != tenant);
+        others.any(|(_, usage)| usage.requested(now, self.window) > 0.0)
+    }
+
+    /// What each tenant requests a second, counted over `elapsed_s` seconds.
+    pub fn demands(&self, now: Tenths, elapsed_s: f64, weight: impl Fn(TenantId) -> f64) -> Vec<Demand> {
+        let demand = |(tenant, usage): (&TenantId, &TenantUsage)| Demand {
+            tenant: *tenant,
+            per_second: usage.requested(now, self.window) / elapsed_s,
+            weight: weight(*tenant),
+        };
+        self.tenants.iter().map(demand).collect()
+    }
+
+    /// Gives each tenant its share.
+    pub fn set_shares(&mut self, shares: Vec<Share>) {
+        for share in shares {
+            if let Some(usage) = self.tenants.get_mut(&share.tenant) {
+                usage.share_per_second = share.per_second;
+                usage.is_limited = share.is_limited;
+            }
+        }
+    }
+
+    /// Fills all buckets.
+    pub fn refill_buckets(&mut self) {
+        self.tenants.values_mut().for_each(|usage| usage.bucket.refill_whole());
+    }
+
+    /// Guards against memory that grows with every tenant ever seen: one that asked nothing for a window is
+    /// forgotten, as it would start anew with a full bucket.
+    pub fn forget_idle(&mut self, now: Tenths) {
+        let window = self.window;
+        self.tenants.retain(|_, usage| usage.requested(now, window) > 0.0);
+    }
+}
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -1,14 +1,15 @@
 //! The admission controller's decisions, each case a failure it is there for.
 
-use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker, Mode};
+use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker, FilteredTurn, Mode};
 use routing::*;
 use rstest::rstest;
+use std::collections::BTreeSet;
 
 /// One broker, two nodes, quotas as given, tenants may be told when to come back.
 fn broker_config(quotas: &[f64]) -> BrokerConfig {
-    let mut p = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
-    p.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
-    p.limits = RequestLimits {
+    let mut config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
+    config.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
+    config.limits = RequestLimits {
         max_open: 1000,
         max_attempts: 3,
         retry_after: true,
@@ -23,38 +24,38 @@
         complete_coverage: 1.0,
         ..RequestClass::default()
     };
-    p.classes.insert(ClassId(1), RequestClass { min_coverage: 0.4, ..class.clone() });
-    p.classes.insert(ClassId(0), class);
-    for (no, quota) in quotas.iter().enumerate() {
-        p.tenants.insert(TenantId(no as u32), Tenant { quota_per_s: *quota });
+    config.classes.insert(ClassId(1), RequestClass { min_coverage: 0.4, ..class.clone() });
+    config.classes.insert(ClassId(0), class);
+    for (tenant, quota) in quotas.iter().enumerate() {
+        config.tenants.insert(TenantId(tenant as u32), Tenant { quota_per_s: *quota });
     }
-    p
+    config
 }
 
-/// Hands out ids, and what a turn brings.
+/// Makes queries with ids of their own, as inputs of a turn.
 #[derive(Default)]
-struct Asking {
-    next: u64,
+struct QueryMaker {
+    last_id: u64,
 }
 
-impl Asking {
+impl QueryMaker {
     /// A query of a tenant with so many shard requests, asked for the `client_attempt`th time.
-    fn ask(&mut self, tenant: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
-        self.ask_of(ClassId(0), tenant, shard_requests, client_attempt)
+    fn query(&mut self, tenant: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
+        self.query_of_class(ClassId(0), tenant, shard_requests, client_attempt)
     }
 
     /// The same, of a class.
-    fn ask_of(
+    fn query_of_class(
         &mut self,
         class: ClassId,
         tenant: u32,
         shard_requests: u32,
         client_attempt: u32,
     ) -> Vec<Input> {
-        self.next += 1;
-        let (id, group) = (QueryId(self.next), GroupId(self.next as u32));
+        self.last_id += 1;
+        let (id, group) = (QueryId(self.last_id), GroupId(self.last_id as u32));
         let time_left = Tenths(20_000);
-        let new = NewQuery {
+        let query = NewQuery {
             id,
             group,
             class,
@@ -64,115 +65,129 @@
             client_attempt,
             min_coverage_only: false,
         };
-        let mut heard = vec![Input::Query(new)];
-        for no in 0..shard_requests {
+        let mut inputs = vec![Input::Query(query)];
+        for index in 0..shard_requests {
             let shard_request = NewShardRequest {
-                id: ShardRequestId(self.next * 100 + u64::from(no)),
+                id: ShardRequestId(self.last_id * 100 + u64::from(index)),
                 group,
                 shard: ShardId(0),
                 weight: 1.0,
             };
-            heard.push(Input::ShardRequest(shard_request));
+            inputs.push(Input::ShardRequest(shard_request));
         }
-        heard
+        inputs
     }
 }
 
-fn ended(end: AttemptOutcome, count: usize) -> Vec<Input> {
-    let outcome = |no: usize| AttemptResult {
-        shard_request: ShardRequestId(900_000 + no as u64),
+fn attempts_ended(outcome: AttemptOutcome, count: usize) -> Vec<Input> {
+    let result = |index: usize| AttemptResult {
+        shard_request: ShardRequestId(900_000 + index as u64),
         attempt: AttemptNumber(0),
         node: NodeId(1),
-        outcome: end,
+        outcome,
         duration: Tenths(100),
     };
-    (0..count).map(|no| Input::AttemptEnded(outcome(no))).collect()
+    (0..count).map(|index| Input::AttemptEnded(result(index))).collect()
 }
 
-/// The module attempts each shard request that the admission controller passed; of one at its minimum coverage, the first.
-fn pushed(passed: &[Input]) -> Vec<Effect> {
-    let (mut least, mut first) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
-    let mut attempt = |input: &Input| match input {
-        Input::Query(new) if new.min_coverage_only => {
-            least.insert(new.group);
+/// What a broker would send for admitted inputs: each shard request; of a query at its minimum coverage, the
+/// first.
+fn sends(admitted: &[Input]) -> Vec<Effect> {
+    let (mut at_min_coverage, mut already_sent) = (BTreeSet::new(), BTreeSet::new());
+    let mut send = |input: &Input| match input {
+        Input::Query(query) if query.min_coverage_only => {
+            at_min_coverage.insert(query.group);
             None
         }
         Input::ShardRequest(shard_request)
-            if !least.contains(&shard_request.group) || first.insert(shard_request.group) =>
+            if !at_min_coverage.contains(&shard_request.group)
+                || already_sent.insert(shard_request.group) =>
         {
             Some(Effect::Send { shard_request: shard_request.id, node: NodeId(1), timeout: Tenths(10_000) })
         }
         _ => None,
     };
-    passed.iter().filter_map(&mut attempt).collect()
+    admitted.iter().filter_map(&mut send).collect()
 }
 
-fn declines(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
-    let declined = |effect: &Effect| match effect {
+fn rejections(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
+    let rejection = |effect: &Effect| match effect {
         Effect::Reject { query, retry_after } => Some((*query, *retry_after)),
         _ => None,
     };
-    effects.iter().filter_map(declined).collect()
+    effects.iter().filter_map(rejection).collect()
 }
 
-fn queries(passed: &[Input]) -> Vec<QueryId> {
-    by_caller(passed).into_iter().map(|(id, _)| id).collect()
+fn query_ids(inputs: &[Input]) -> Vec<QueryId> {
+    ids_and_tenants(inputs).into_iter().map(|(id, _)| id).collect()
 }
 
-fn by_caller(passed: &[Input]) -> Vec<(QueryId, u32)> {
-    let taken = |input: &Input| match input {
-        Input::Query(new) => Some((new.id, new.tenant.0)),
+fn ids_and_tenants(inputs: &[Input]) -> Vec<(QueryId, u32)> {
+    let id_and_tenant = |input: &Input| match input {
+        Input::Query(query) => Some((query.id, query.tenant.0)),
         _ => None,
     };
-    passed.iter().filter_map(taken).collect()
+    inputs.iter().filter_map(id_and_tenant).collect()
 }
 
-/// Hosts that finish so many shard requests a step, of those passed the step before, and refuse the rest as full.
-struct Hosts {
-    each_step: usize,
-    out: Vec<Effect>,
+/// Nodes that finish so many shard requests a step, of those admitted the step before, and refuse the rest as
+/// overloaded.
+struct Nodes {
+    served_per_step: usize,
+    in_flight: Vec<Effect>,
 }
 
-impl Hosts {
-    /// A step of half a second: what ended comes in with what is asked, the admission controller passes, the module attempts.
+impl Nodes {
+    fn new(served_per_step: usize) -> Nodes {
+        Nodes { served_per_step, in_flight: Vec::new() }
+    }
+
+    /// A step of half a second: the controller gets new inputs with what ended, and what it admits is sent.
     fn step(
         &mut self,
         admission: &mut AdmissionController,
         now: Tenths,
-        mut heard: Vec<Input>,
-    ) -> (Vec<Input>, Vec<Effect>) {
-        let done = std::mem::take(&mut self.out).len();
-        heard.extend(ended(AttemptOutcome::Succeeded, done.min(self.each_step)));
-        heard.extend(ended(AttemptOutcome::Overloaded, done.saturating_sub(self.each_step)));
-        let (passed, effects) = admission.pass(now, &heard);
-        self.out = pushed(&passed);
-        admission.saw(&self.out);
-        (passed, effects)
+        mut inputs: Vec<Input>,
+    ) -> FilteredTurn {
+        let in_flight = std::mem::take(&mut self.in_flight).len();
+        let succeeded = in_flight.min(self.served_per_step);
+        let overloaded = in_flight.saturating_sub(self.served_per_step);
+        inputs.extend(attempts_ended(AttemptOutcome::Succeeded, succeeded));
+        inputs.extend(attempts_ended(AttemptOutcome::Overloaded, overloaded));
+        let filtered = admission.filter_inputs(now, &inputs);
+        self.in_flight = sends(&filtered.inputs);
+        admission.record_effects(&self.in_flight);
+        filtered
     }
 }
 
-/// An admission controller that its hosts' refusals have crowded: the tenants ask twice what the hosts do, for ten seconds.
-fn crowded(
+/// Overloads the controller by refusals: the tenants ask twice what the nodes serve, for ten seconds.
+fn overload(
     admission: &mut AdmissionController,
-    hosts: &mut Hosts,
-    asking: &mut Asking,
+    nodes: &mut Nodes,
+    queries: &mut QueryMaker,
     tenants: &[u32],
 ) -> Tenths {
-    for at in 0..20 {
-        let shard_requests = (hosts.each_step * 2 / tenants.len()) as u32;
-        let heard: Vec<Input> =
-            tenants.iter().flat_map(|tenant| asking.ask(*tenant, shard_requests, 0)).collect();
-        hosts.step(admission, Tenths(at * 5000), heard);
+    for step in 0..20 {
+        let shard_requests = (nodes.served_per_step * 2 / tenants.len()) as u32;
+        let inputs: Vec<Input> =
+            tenants.iter().flat_map(|tenant| queries.query(*tenant, shard_requests, 0)).collect();
+        nodes.step(admission, Tenths(step * 5000), inputs);
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
     Tenths(100_000)
 }
 
-/// On a calm day the admission controller changes nothing: the module behind it does what it does alone, to the effect.
+fn controller(config: AdmissionConfig) -> AdmissionController {
+    AdmissionController::new(config, &broker_config(&[])).unwrap()
+}
+
+/// In normal mode the controller changes nothing: the broker behind it does what it does alone, to the
+/// effect.
 #[rstest]
-fn a_calm_door_changes_nothing() {
-    let p = broker_config(&[]);
-    let roll = EndpointList {
+fn normal_mode_changes_nothing() {
+    let config = broker_config(&[]);
+    let endpoint_list = EndpointList {
         kind: EndpointListKind::Snapshot,
         entries: (0..2)
             .map(|node| Endpoint {
@@ -184,25 +199,24 @@
             })
             .collect(),
     };
-    let admission = AdmissionController::new(AdmissionConfig::default(), &p).unwrap();
-    let mut admitted = AdmittedBroker::new(admission, Broker::start(p.clone(), 3, Tenths(0)));
-    let mut alone = Broker::start(p, 3, Tenths(0));
-    let mut asking = Asking::default();
-    let mut heard = vec![Input::EndpointList(roll)];
+    let admission = AdmissionController::new(AdmissionConfig::default(), &config).unwrap();
+    let mut admitted = AdmittedBroker::new(admission, Broker::start(config.clone(), 3, Tenths(0)));
+    let mut alone = Broker::start(config, 3, Tenths(0));
+    let mut queries = QueryMaker::default();
+    let mut inputs = vec![Input::EndpointList(endpoint_list)];
     for at in 1..200 {
-        heard.extend(asking.ask(at % 3, 2, at % 2));
-        let (now, both) = (Tenths(i64::from(at) * 100), std::mem::take(&mut heard));
-        let effects = admitted.turn(now, &both);
-        assert_eq!(effects, alone.turn(now, &both), "at {now:?}");
-        // What was pushed is finished by the next turn.
+        inputs.extend(queries.query(at % 3, 2, at % 2));
+        let (now, turn_inputs) = (Tenths(i64::from(at) * 100), std::mem::take(&mut inputs));
+        let effects = admitted.turn(now, &turn_inputs);
+        assert_eq!(effects, alone.turn(now, &turn_inputs), "at {now:?}");
+        // What was sent has succeeded by the next turn.
         for effect in effects {
             if let Effect::Send { shard_request, node, .. } = effect {
-                let end = AttemptOutcome::Succeeded;
-                heard.push(Input::AttemptEnded(AttemptResult {
+                inputs.push(Input::AttemptEnded(AttemptResult {
                     shard_request,
                     attempt: AttemptNumber(0),
                     node,
-                    outcome: end,
+                    outcome: AttemptOutcome::Succeeded,
                     duration: Tenths(90),
                 }));
             }
@@ -211,145 +225,160 @@
     assert_eq!(admitted.admission.mode(), Mode::Normal);
 }
 
-/// Harm past the level crowds the admission controller; a rate of shard requests is let in, and it says so.
+/// Losses above the level make the mode overloaded; a rate of shard requests is admitted, and a log line says
+/// so.
 #[rstest]
-fn harm_crowds_the_door() {
-    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
-    let mut asking = Asking::default();
-    let mut said = Vec::new();
-    for at in 0..20 {
-        let mut heard = asking.ask(0, 2, 0);
-        heard.extend(ended(if at < 10 { AttemptOutcome::Succeeded } else { AttemptOutcome::Overloaded }, 4));
-        said.extend(admission.pass(Tenths(at * 5000), &heard).1);
+fn losses_above_the_level_limit_the_rate() {
+    let mut admission = controller(AdmissionConfig::default());
+    let mut queries = QueryMaker::default();
+    let mut effects = Vec::new();
+    for step in 0..20 {
+        let outcome = if step < 10 { AttemptOutcome::Succeeded } else { AttemptOutcome::Overloaded };
+        let mut inputs = queries.query(0, 2, 0);
+        inputs.extend(attempts_ended(outcome, 4));
+        effects.extend(admission.filter_inputs(Tenths(step * 5000), &inputs).effects);
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
     assert!(admission.rate() > 0.0);
-    assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("crowded"))));
+    assert!(effects.iter().any(|effect| {
+        matches!(effect, Effect::Say(line) if line.starts_with("admission overloaded: ")
+            && line.ends_with(" shard requests a second admitted"))
+    }));
 }
 
-/// While crowded, retries past a share of first tries and a few are rejected at once, told when to come
-/// back, and never reach the module; first tries still pass.
+/// While overloaded, retries past a share of first attempts and a few are rejected at once, with a time to
+/// retry after, and never reach the broker; first attempts are still admitted.
 #[rstest]
-fn retries_past_their_budget_are_declined_at_once() {
-    let mut admission = AdmissionController::new(
-        AdmissionConfig { retry_floor: 2.0, ..AdmissionConfig::default() },
-        &broker_config(&[]),
-    )
-    .unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
-    let heard: Vec<Input> = (0..40).flat_map(|_| asking.ask(0, 1, 1)).collect();
-    let (passed, effects) = hosts.step(&mut admission, now, heard);
-    let declined = declines(&effects);
-    assert!(!declined.is_empty(), "{effects:?}");
-    assert!(declined.iter().all(|(_, wait)| *wait > Tenths::ZERO && *wait <= Tenths(20_000)));
-    let passed_ids: Vec<QueryId> = queries(&passed);
-    assert!(declined.iter().all(|(id, _)| !passed_ids.contains(id)));
-    let shard_requests = passed.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
-    assert_eq!(shard_requests, passed_ids.len(), "the declined ones' parts stay away from the module too");
-    let (passed, effects) = admission.pass(now, &asking.ask(0, 1, 0));
-    assert!(declines(&effects).is_empty() && queries(&passed).len() == 1);
+fn retries_past_their_budget_are_rejected_at_once() {
+    let mut admission = controller(AdmissionConfig { retry_floor: 2.0, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let inputs: Vec<Input> = (0..40).flat_map(|_| queries.query(0, 1, 1)).collect();
+    let turn = nodes.step(&mut admission, now, inputs);
+    let rejected = rejections(&turn.effects);
+    assert!(!rejected.is_empty(), "{:?}", turn.effects);
+    assert!(
+        rejected
+            .iter()
+            .all(|(_, retry_after)| { *retry_after > Tenths::ZERO && *retry_after <= Tenths(20_000) })
+    );
+    let admitted_ids: Vec<QueryId> = query_ids(&turn.inputs);
+    assert!(rejected.iter().all(|(id, _)| !admitted_ids.contains(id)));
+    let shard_requests = turn.inputs.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
+    assert_eq!(shard_requests, admitted_ids.len(), "a rejected query's shard requests are kept back too");
+    let turn = admission.filter_inputs(now, &queries.query(0, 1, 0));
+    assert!(rejections(&turn.effects).is_empty() && query_ids(&turn.inputs).len() == 1);
 }
 
-/// Hosts that do 40 shard requests a second; one tenant asks for 80, another for 8. The second passes, all of it;
-/// the first is rejected for what is beyond its share, at once.
+/// Nodes that serve 40 shard requests a second; one tenant asks for 80, another for 8. The second is admitted
+/// whole; the first is rejected for what is beyond its share, at once.
 #[rstest]
-fn who_asks_most_is_held_to_its_share() {
-    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
-    let (mut storm, mut quiet) = ((0, 0), (0, 0));
+fn the_largest_tenant_is_held_to_its_share() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let (mut large_rejected, mut large_admitted) = (0, 0);
+    let (mut small_admitted, mut small_offered) = (0, 0);
     for step in 0..40 {
         now += Tenths(5000);
-        let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask(0, 4, 0)).collect();
-        heard.extend(asking.ask(1, 4, 0));
-        let (passed, effects) = hosts.step(&mut admission, now, heard);
+        let mut inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
+        inputs.extend(queries.query(1, 4, 0));
+        let turn = nodes.step(&mut admission, now, inputs);
         if step < 20 {
             // What each asked before is still in the window.
             continue;
         }
-        let passed = by_caller(&passed);
-        storm.0 += declines(&effects).len();
-        storm.1 += passed.iter().filter(|(_, tenant)| *tenant == 0).count();
-        quiet.0 += passed.iter().filter(|(_, tenant)| *tenant == 1).count();
-        quiet.1 += 1;
+        let admitted = ids_and_tenants(&turn.inputs);
+        large_rejected += rejections(&turn.effects).len();
+        large_admitted += admitted.iter().filter(|(_, tenant)| *tenant == 0).count();
+        small_admitted += admitted.iter().filter(|(_, tenant)| *tenant == 1).count();
+        small_offered += 1;
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
-    assert_eq!(quiet.0, quiet.1, "the quiet caller passes, within its share");
-    assert_eq!(quiet.1, 20);
-    assert!(storm.0 > 60 && storm.1 > 20, "declined and passed of the first: {storm:?}");
+    assert_eq!(small_admitted, small_offered, "the small tenant is admitted, within its share");
+    assert_eq!(small_offered, 20);
+    assert!(
+        large_rejected > 60 && large_admitted > 20,
+        "of the large tenant: rejected {large_rejected}, admitted {large_admitted}"
+    );
 }
 
 /// Where a class takes partial answers, what is beyond a share is served at its minimum coverage, not
 /// rejected: the heaviest shard requests earn most of its priority weight for a few attempts.
 #[rstest]
-fn beyond_a_share_a_partial_one_has_its_least_share() {
-    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
-    let (mut declined, mut least) = (0, 0);
+fn beyond_its_share_a_partial_query_is_admitted_at_min_coverage() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let (mut rejected, mut at_min_coverage) = (0, 0);
     for step in 0..40 {
         now += Tenths(5000);
-        let mut heard: Vec<Input> = (0..10).flat_map(|_| asking.ask_of(ClassId(1), 0, 4, 0)).collect();
-        heard.extend(asking.ask(1, 4, 0));
-        let (passed, effects) = hosts.step(&mut admission, now, heard);
+        let mut inputs: Vec<Input> =
+            (0..10).flat_map(|_| queries.query_of_class(ClassId(1), 0, 4, 0)).collect();
+        inputs.extend(queries.query(1, 4, 0));
+        let turn = nodes.step(&mut admission, now, inputs);
         if step >= 20 {
-            declined += declines(&effects).len();
-            least +=
-                passed.iter().filter(|i| matches!(i, Input::Query(new) if new.min_coverage_only)).count();
+            let is_at_min_coverage =
+                |input: &&Input| matches!(input, Input::Query(query) if query.min_coverage_only);
+            rejected += rejections(&turn.effects).len();
+            at_min_coverage += turn.inputs.iter().filter(is_at_min_coverage).count();
         }
     }
-    assert!(declined == 0 && least > 20, "declined {declined}, at the least share {least}");
+    assert!(
+        rejected == 0 && at_min_coverage > 20,
+        "rejected {rejected}, at the minimum coverage {at_min_coverage}"
+    );
 }
 
-/// A tenant alone is never rejected for its share: its excess is the module's to cut.
+/// A tenant alone is never rejected for its share: its excess is the broker's to cut.
 #[rstest]
-fn a_lone_caller_is_not_declined_for_its_share() {
-    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
+fn a_lone_tenant_is_not_rejected_for_its_share() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     for _ in 0..20 {
         now += Tenths(5000);
-        let heard: Vec<Input> = (0..10).flat_map(|_| asking.ask(0, 4, 0)).collect();
-        let (passed, effects) = hosts.step(&mut admission, now, heard);
-        assert!(declines(&effects).is_empty(), "{effects:?}");
-        assert_eq!(queries(&passed).len(), 10);
+        let inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
+        let turn = nodes.step(&mut admission, now, inputs);
+        assert!(rejections(&turn.effects).is_empty(), "{:?}", turn.effects);
+        assert_eq!(query_ids(&turn.inputs).len(), 10);
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
 }
 
-/// Once less is asked than the hosts do, the rate comes up, and the admission controller opens.
+/// Once less is asked than the nodes serve, the rate is raised, and the mode is normal again.
 #[rstest]
-fn calm_opens_the_door_again() {
-    let mut admission = AdmissionController::new(AdmissionConfig::default(), &broker_config(&[])).unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
-    let mut said = Vec::new();
+fn mode_is_normal_again_once_load_falls() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let mut effects = Vec::new();
     for _ in 0..200 {
         now += Tenths(5000);
-        said.extend(hosts.step(&mut admission, now, asking.ask(0, 8, 0)).1);
+        effects.extend(nodes.step(&mut admission, now, queries.query(0, 8, 0)).effects);
         if admission.mode() == Mode::Normal {
             break;
         }
     }
     assert_eq!(admission.mode(), Mode::Normal, "{:.1}", admission.rate());
-    assert!(said.iter().any(|effect| matches!(effect, Effect::Say(word) if word.contains("open"))));
+    let normal_line = Effect::Say("admission normal: all admitted again".to_owned());
+    assert!(effects.contains(&normal_line));
 }
 
-/// Where the configuration does not let tenants be told when to come back, a rejection says nothing of it.
+/// Where the configuration does not let clients be sent a time to retry after, a rejection has none.
 #[rstest]
-fn no_time_to_come_back_where_none_may_be_told() {
-    let mut p = broker_config(&[]);
-    p.limits.retry_after = false;
+fn no_retry_after_where_the_configuration_forbids_it() {
+    let mut config = broker_config(&[]);
+    config.limits.retry_after = false;
     let mut admission = AdmissionController::new(
         AdmissionConfig { retry_floor: 0.0, retry_share: 0.0, ..AdmissionConfig::default() },
-        &p,
+        &config,
     )
     .unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
-    let (_, effects) = admission.pass(now, &asking.ask(0, 1, 3));
-    assert_eq!(declines(&effects).first().map(|(_, wait)| *wait), Some(Tenths::ZERO));
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
+    assert_eq!(rejections(&effects).first().map(|(_, retry_after)| *retry_after), Some(Tenths::ZERO));
 }
 
 /// Stated quotas weigh: of two tenants that both ask for more than there is, the one with four times the
@@ -358,41 +387,38 @@
 fn quotas_weigh_the_shares() {
     let mut admission =
         AdmissionController::new(AdmissionConfig::default(), &broker_config(&[4.0, 1.0])).unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let mut now = crowded(&mut admission, &mut hosts, &mut asking, &[0, 1]);
-    let mut passed = [0_usize; 2];
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let mut admitted = [0_usize; 2];
     for _ in 0..40 {
         now += Tenths(5000);
-        let heard: Vec<Input> =
-            (0..10).flat_map(|_| [asking.ask(0, 2, 0), asking.ask(1, 2, 0)]).flatten().collect();
-        for (_, tenant) in by_caller(&hosts.step(&mut admission, now, heard).0) {
-            passed[tenant as usize] += 1;
+        let inputs: Vec<Input> =
+            (0..10).flat_map(|_| [queries.query(0, 2, 0), queries.query(1, 2, 0)]).flatten().collect();
+        for (_, tenant) in ids_and_tenants(&nodes.step(&mut admission, now, inputs).inputs) {
+            admitted[tenant as usize] += 1;
         }
     }
-    let ratio = passed[0] as f64 / passed[1].max(1) as f64;
-    assert!((2.5..6.0).contains(&ratio), "{passed:?}");
+    let ratio = admitted[0] as f64 / admitted[1].max(1) as f64;
+    assert!((2.5..6.0).contains(&ratio), "{admitted:?}");
 }
 
 /// Memory is bounded: past the most tenants, the rest share one.
 #[rstest]
-fn callers_past_the_most_share_one() {
-    let mut admission = AdmissionController::new(
-        AdmissionConfig { most_callers: 3, ..AdmissionConfig::default() },
-        &broker_config(&[]),
-    )
-    .unwrap();
-    let (mut asking, mut hosts) = (Asking::default(), Hosts { each_step: 20, out: Vec::new() });
-    let now = crowded(&mut admission, &mut hosts, &mut asking, &[0]);
-    let heard: Vec<Input> = (0..50).flat_map(|tenant| asking.ask(tenant, 1, 0)).collect();
-    let (passed, effects) = admission.pass(now, &heard);
-    assert_eq!(queries(&passed).len() + declines(&effects).len(), 50);
+fn tenants_past_the_most_share_one() {
+    let mut admission = controller(AdmissionConfig { most_callers: 3, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let inputs: Vec<Input> = (0..50).flat_map(|tenant| queries.query(tenant, 1, 0)).collect();
+    let turn = admission.filter_inputs(now, &inputs);
+    assert_eq!(query_ids(&turn.inputs).len() + rejections(&turn.effects).len(), 50);
 }
 
-/// Every figure that can't be used is named at once.
+/// All values that can't be used are named at once.
 #[rstest]
-fn an_allowance_that_cant_be_used_is_named_whole() {
-    let wrong = AdmissionConfig { level: 1.5, decrease: 0.0, most_callers: 0, ..AdmissionConfig::default() };
-    let keys: Vec<&str> = wrong.check().unwrap_err().iter().map(|wrong| wrong.key).collect();
+fn invalid_values_are_named_all_at_once() {
+    let invalid =
+        AdmissionConfig { level: 1.5, decrease: 0.0, most_callers: 0, ..AdmissionConfig::default() };
+    let keys: Vec<&str> = invalid.check().unwrap_err().iter().map(|value| value.key).collect();
     assert_eq!(keys, ["level", "decrease", "most_callers"]);
-    assert!(AdmissionController::new(wrong, &BrokerConfig::default()).is_err());
+    assert!(AdmissionController::new(invalid, &BrokerConfig::default()).is_err());
 }
