--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -1,7 +1,8 @@
 //! What the nodes and the broker did of late: losses, rejections, and the shard requests that were served.
 
+use crate::mode::Window;
 use crate::outcomes::counted_rule;
-use routing::{AttemptOutcome, AttemptResult, Effect, Tenths, Window};
+use routing::{AttemptOutcome, AttemptResult, Effect, Tenths};
 
 /// The loss ratio is judged over this share of the window: what the last steps found, not the whole window's
 /// past.
@@ -64,17 +65,17 @@
     pub fn is_above(&self, level: f64, now: Tenths) -> bool {
         let min_count = 1.0 / level;
         let loss_ratio = self.losses.share(now, self.loss_window(), min_count);
-        let (rejected, _) = self.broker_rejections.sums(now, self.window);
-        let (_, admitted) = self.admitted.sums(now, self.window);
+        let rejected = self.broker_rejections.sums(now, self.window).marked;
+        let admitted = self.admitted.sums(now, self.window).total;
         loss_ratio > level || rejected / admitted.max(min_count) > level
     }
 
     /// Admitted shard requests that the nodes served within the window: the attempts that succeeded, times
     /// the shard requests admitted for each attempt sent.
     pub fn served(&self, now: Tenths) -> f64 {
-        let (_, succeeded) = self.succeeded.sums(now, self.window);
-        let (_, sent) = self.sent.sums(now, self.window);
-        let (_, admitted) = self.admitted.sums(now, self.window);
+        let succeeded = self.succeeded.sums(now, self.window).total;
+        let sent = self.sent.sums(now, self.window).total;
+        let admitted = self.admitted.sums(now, self.window).total;
         succeeded * admitted / sent.max(1.0)
     }
 
--- a/crates/admission-control/src/mode.rs
+++ b/crates/admission-control/src/mode.rs
@@ -5,7 +5,13 @@
 use Mode::{Normal, Overloaded};
 
 /// A step is this part of the window, as a slice of it is.
-pub(crate) const STEPS_PER_WINDOW: i64 = 10;
+pub(crate) const STEPS_PER_WINDOW: i64 = WINDOW_SLICES as i64;
+
+/// Slices in which the configured window is counted: one for each step.
+const WINDOW_SLICES: usize = 10;
+
+/// Counts over the configured window.
+pub(crate) type Window = routing::SlidingWindow<WINDOW_SLICES>;
 
 /// Losses found within this share of the window after a decrease are taken as those of before it: they are
 /// not seen at once, as an attempt that finds a long queue times out late.
--- a/crates/admission-control/src/tenants.rs
+++ b/crates/admission-control/src/tenants.rs
@@ -1,8 +1,9 @@
 //! The tenants that asked within the window: what each requested and retried, its share and its token bucket.
 
 use crate::fair_share::{Demand, Share};
+use crate::mode::Window;
 use crate::token_bucket::TokenBucket;
-use routing::{TenantId, Tenths, Window};
+use routing::{TenantId, Tenths};
 use std::collections::BTreeMap;
 
 /// The tenant that all share who come past the most that are told apart.
@@ -36,13 +37,13 @@
 
     /// Shard requests that it requested within the window.
     pub fn requested(&self, now: Tenths, window: Tenths) -> f64 {
-        self.requested.sums(now, window).1
+        self.requested.sums(now, window).total
     }
 
     /// Whether one more retry exceeds `ratio` of its first attempts and `floor`.
     pub fn is_over_retry_budget(&self, now: Tenths, window: Tenths, ratio: f64, floor: f64) -> bool {
-        let (retries, first_attempts) = self.attempts.sums(now, window);
-        retries + 1.0 > floor + ratio * first_attempts
+        let admitted = self.attempts.sums(now, window);
+        admitted.marked + 1.0 > floor + ratio * admitted.total
     }
 
     /// Adds to its bucket what its share gave since it was last filled.
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -4,8 +4,8 @@
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
-/// Everything a broker is told at its start, and anew with `Input::Configuration`. A configuration itself never
-/// changes: a query keeps the one under which it was taken. Numbers of classes and tenants stay with
+/// Everything a broker is told at its start, and anew with `Input::Configuration`. A configuration itself
+/// never changes: a query keeps the one under which it was taken. Numbers of classes and tenants stay with
 /// what they name for as long as the broker runs: one that is struck from a configuration leaves a gap.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerConfig {
--- /dev/null
+++ b/crates/routing/src/effective_config.rs
@@ -0,0 +1,75 @@
+//! A configuration with what decisions read of it, worked out once.
+
+use crate::config::{BrokerConfig, Idempotency, RequestClass, RetryBudget};
+use crate::ids::ClassId;
+use crate::time::Tenths;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What decisions read of a request class.
+#[derive(Debug)]
+pub(crate) struct ClassPolicy {
+    /// The latency objective, or the deadline if that is sooner.
+    pub(crate) latency_objective: Tenths,
+    pub(crate) objective_stretch: f64,
+    pub(crate) deadline: Tenths,
+    /// How long after its objective an attempt may still be of use.
+    pub(crate) useful_after_objective: Tenths,
+    /// The share of its weight that a response after the objective is worth.
+    pub(crate) late_weight_share: f64,
+    pub(crate) min_coverage: f64,
+    pub(crate) complete_coverage: f64,
+    pub(crate) has_second_phase: bool,
+    pub(crate) idempotency: Idempotency,
+    pub(crate) dedup_window: Tenths,
+    pub(crate) priority_weight: f64,
+}
+
+impl ClassPolicy {
+    fn of(class: &RequestClass) -> ClassPolicy {
+        let after_objective = (class.deadline - class.latency_objective).max(Tenths::ZERO);
+        ClassPolicy {
+            latency_objective: class.latency_objective.min(class.deadline),
+            objective_stretch: class.objective_stretch,
+            deadline: class.deadline,
+            useful_after_objective: after_objective.times(class.late_weight_share),
+            late_weight_share: class.late_weight_share,
+            min_coverage: class.min_coverage.min(class.complete_coverage),
+            complete_coverage: class.complete_coverage,
+            has_second_phase: class.second_parts > 0,
+            idempotency: class.effect,
+            dedup_window: class.dedup_window,
+            priority_weight: class.priority_weight,
+        }
+    }
+}
+
+/// A broker's configuration and what is derived from it.
+#[derive(Debug, Default)]
+pub(crate) struct EffectiveConfig {
+    pub(crate) broker: BrokerConfig,
+    pub(crate) classes: BTreeMap<ClassId, Arc<ClassPolicy>>,
+    /// The stated budget, or the broker's own where none is stated.
+    pub(crate) retry_budget: RetryBudget,
+    /// Of all classes.
+    pub(crate) shortest_objective: Tenths,
+}
+
+impl EffectiveConfig {
+    /// Derives it; the budget counts where none is stated, the objective where there is no class.
+    pub(crate) fn derive(
+        broker: BrokerConfig,
+        default_budget: RetryBudget,
+        default_objective: Tenths,
+    ) -> EffectiveConfig {
+        let policies = broker.classes.iter().map(|(id, class)| (*id, Arc::new(ClassPolicy::of(class))));
+        let classes: BTreeMap<ClassId, Arc<ClassPolicy>> = policies.collect();
+        let shortest = classes.values().map(|policy| policy.latency_objective).min();
+        EffectiveConfig {
+            classes,
+            retry_budget: broker.rules.retry_budget.clone().unwrap_or(default_budget),
+            shortest_objective: shortest.unwrap_or(default_objective),
+            broker,
+        }
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,18 +12,21 @@
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 
+mod broker;
 mod config;
+mod effective_config;
 mod effects;
 mod ids;
 mod inputs;
 mod policy;
 mod state;
+mod statistics;
 mod time;
 
+pub use broker::Broker;
 pub use config::*;
 pub use effects::Effect;
 pub use ids::*;
 pub use inputs::*;
-pub use policy::Broker;
-pub use state::SlidingWindow;
+pub use statistics::{SlidingWindow, WindowCounts};
 pub use time::Tenths;
--- /dev/null
+++ b/crates/routing/src/statistics.rs
@@ -0,0 +1,131 @@
+//! Statistics over time, without decisions: what is counted, and over which span, is for whoever counts.
+
+use crate::time::Tenths;
+
+/// A count that decays exponentially.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct DecayingCounter {
+    /// The count as it was at `updated_at`.
+    pub count: f64,
+    /// When something was last added.
+    pub updated_at: Tenths,
+}
+
+impl DecayingCounter {
+    /// The count now, decayed by a factor of e for each `span` that has passed.
+    pub fn read(&self, now: Tenths, span: Tenths) -> f64 {
+        self.count * (-(now - self.updated_at).over(span)).exp()
+    }
+
+    /// Adds to the count.
+    pub fn add(&mut self, now: Tenths, span: Tenths, amount: f64) {
+        self.count = self.read(now, span) + amount;
+        self.updated_at = now;
+    }
+}
+
+/// What one slice of a [`SlidingWindow`] has counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct WindowCounts {
+    /// Events of the kind that is watched for.
+    pub marked: f64,
+    /// All events.
+    pub total: f64,
+}
+
+/// A share of events within a span, counted in `SLICES` slices of it: what a slice holds is forgotten when
+/// the span has passed it. Guards against a burst whose many events outweigh what follows it for many spans,
+/// as exponentially decaying counts would: the share would stay high while fewer events come in.
+#[derive(Clone, Copy, Debug)]
+pub struct SlidingWindow<const SLICES: usize> {
+    slices: [WindowCounts; SLICES],
+    newest: usize,
+    newest_began_at: Tenths,
+}
+
+impl<const SLICES: usize> Default for SlidingWindow<SLICES> {
+    fn default() -> SlidingWindow<SLICES> {
+        SlidingWindow { slices: [WindowCounts::default(); SLICES], newest: 0, newest_began_at: Tenths::ZERO }
+    }
+}
+
+impl<const SLICES: usize> SlidingWindow<SLICES> {
+    /// Moves on to the slice of `now`, clearing those that the span has passed.
+    fn advance(&mut self, now: Tenths, span: Tenths) {
+        let slice = Tenths((span.0 / SLICES as i64).max(1));
+        let steps = ((now - self.newest_began_at).0 / slice.0).clamp(0, SLICES as i64) as usize;
+        for _ in 0..steps {
+            self.newest = (self.newest + 1) % SLICES;
+            self.slices[self.newest] = WindowCounts::default();
+        }
+        if steps > 0 {
+            self.newest_began_at = Tenths(now.0 - (now.0 - self.newest_began_at.0) % slice.0);
+        }
+    }
+
+    /// Counts events: `marked` of the kind that is watched for, `total` of any.
+    pub fn count(&mut self, now: Tenths, span: Tenths, marked: f64, total: f64) {
+        self.advance(now, span);
+        let slice = &mut self.slices[self.newest];
+        slice.marked += marked;
+        slice.total += total;
+    }
+
+    /// The marked share of all events, or of `min_total` where fewer were counted.
+    pub fn share(&self, now: Tenths, span: Tenths, min_total: f64) -> f64 {
+        let sums = self.sums(now, span);
+        sums.marked / f64::max(sums.total, min_total)
+    }
+
+    /// What was counted within the span.
+    pub fn sums(&self, now: Tenths, span: Tenths) -> WindowCounts {
+        let mut window = *self;
+        window.advance(now, span);
+        let add = |sums: WindowCounts, slice: &WindowCounts| WindowCounts {
+            marked: sums.marked + slice.marked,
+            total: sums.total + slice.total,
+        };
+        window.slices.iter().fold(WindowCounts::default(), add)
+    }
+}
+
+/// The share of losses of late, by exponentially decaying counts.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct LossRatio {
+    lost: DecayingCounter,
+    total: DecayingCounter,
+}
+
+impl LossRatio {
+    /// Counts `lost` losses out of `total` events.
+    pub(crate) fn count(&mut self, now: Tenths, span: Tenths, lost: f64, total: f64) {
+        self.lost.add(now, span, lost);
+        self.total.add(now, span, total);
+    }
+
+    /// The lost share of all, or of `min_total` where fewer were counted.
+    pub(crate) fn share(&self, now: Tenths, span: Tenths, min_total: f64) -> f64 {
+        self.lost.read(now, span) / self.total.read(now, span).max(min_total)
+    }
+}
+
+/// How long something takes when nothing slows it: the lowest that its running mean ever was.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct BaselineLatency {
+    samples: f64,
+    mean: f64,
+    /// None until enough samples were taken.
+    pub(crate) lowest_mean: Option<Tenths>,
+}
+
+impl BaselineLatency {
+    /// Takes in a latency; the mean counts once `min_samples` were taken, and is over as many.
+    pub(crate) fn record(&mut self, latency: Tenths, min_samples: f64) {
+        self.samples = (self.samples + 1.0).min(min_samples);
+        self.mean += (latency.0 as f64 - self.mean) / self.samples;
+        if self.samples >= min_samples {
+            let mean = Tenths(self.mean as i64);
+            self.lowest_mean = Some(self.lowest_mean.map_or(mean, |lowest| lowest.min(mean)));
+        }
+    }
+}
