--- a/crates/routing/src/state/broker.rs
+++ b/crates/routing/src/state/broker.rs
@@ -211,7 +211,10 @@
     /// Remembers whether the cutoff is active, and logs when that changes.
     pub(crate) fn set_cutoff_active(&mut self, pressure: f64, active: bool) {
         if std::mem::replace(&mut self.cutoff_active, active) != active {
-            let change = if active { "light parts stay unsent" } else { "all parts are sent again" };
+            let change = match active {
+                true => "cutoff active, light shard requests stay unsent",
+                false => "cutoff inactive, all shard requests are sent",
+            };
             self.effects.push(Effect::Say(format!("pressure {pressure:.2}: {change}")));
         }
     }
@@ -220,7 +223,7 @@
     pub(crate) fn quarantine(&mut self, query: &Query, until: Tenths) {
         self.quarantined.insert(query.signature(), until);
         let lost_nodes = query.lost_nodes.len();
-        self.effects.push(Effect::Say(format!("barred: {lost_nodes} nodes fell with a retrieval")));
+        self.effects.push(Effect::Say(format!("quarantined: {lost_nodes} nodes lost with a query")));
     }
 
     /// Whether a query is refused; forgets those whose time is over.
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays the scenarios of `scenarios/*.txt`; `scenarios/README.md` tells their notation.
+//! Runs the scenarios of `scenarios/*.txt`; `scenarios/README.md` has their notation.
 
 use routing::*;
 use rstest::rstest;
@@ -7,6 +7,49 @@
 
 type Words<'a> = Vec<&'a str>;
 
+/// The keys that each statement takes, as `key=value`.
+const KEYS: &[(&str, &[&str])] = &[
+    (
+        "class",
+        &[
+            "objective",
+            "deadline",
+            "stretch",
+            "priority",
+            "min-coverage",
+            "complete-coverage",
+            "late-share",
+            "second-phase",
+            "idempotency",
+            "dedup-window",
+        ],
+    ),
+    ("tenant", &["id"]),
+    ("layout", &["groups", "replica-groups", "shards", "max-batch"]),
+    ("limits", &["attempts", "open"]),
+    (
+        "rules",
+        &[
+            "initial-capacity",
+            "warm-up",
+            "overload-factor",
+            "overload-window",
+            "list-max-age",
+            "late-failure",
+        ],
+    ),
+    ("retry-budget", &["floor", "ratio", "window"]),
+    ("query", &["tenant", "time-left", "work", "client-attempt"]),
+];
+
+/// Guards against a misspelt key, which would leave its default in force.
+fn check_keys(words: &Words) {
+    let known = KEYS.iter().find(|(statement, _)| *statement == words[0]).map_or(&[][..], |(_, keys)| keys);
+    for (key, _) in words[1..].iter().filter_map(|word| word.split_once('=')) {
+        assert!(known.contains(&key), "`{}` has no key `{key}`", words[0]);
+    }
+}
+
 /// The value behind `key=` in a line, or what stands for none.
 fn value<T: std::str::FromStr>(words: &Words, key: &str, none: T) -> T {
     let found = words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='));
@@ -22,101 +65,104 @@
 }
 
 #[derive(Default)]
-struct Play {
+struct ScenarioRunner {
     broker_config: BrokerConfig,
     names: Vec<String>,
     broker: Option<Broker>,
     now: Tenths,
-    wakes: BTreeSet<Tenths>,
+    wake_ups: BTreeSet<Tenths>,
     inputs: Vec<Input>,
-    /// All done since the last moment, as the notation puts it.
-    done: Vec<String>,
+    /// All effects since the last moment, as the notation puts it.
+    effects: Vec<String>,
     attempts: BTreeMap<ShardRequestId, Vec<(NodeId, Tenths, bool)>>,
     shard_requests: BTreeMap<ShardRequestId, QueryId>,
     open: BTreeSet<QueryId>,
-    barred: BTreeSet<NodeId>,
+    ineligible: BTreeSet<NodeId>,
     /// Queries that have a second step to come.
-    leading_on: BTreeSet<QueryId>,
+    awaiting_second_phase: BTreeSet<QueryId>,
 }
 
-impl Play {
-    fn new() -> Play {
+impl ScenarioRunner {
+    fn new() -> ScenarioRunner {
         let mut broker_config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
         broker_config.layout =
             ShardLayout { placement_groups: 1, replica_groups: 1, shards: 1, max_batch_size: 1 };
         (broker_config.limits.max_open, broker_config.limits.max_attempts) = (1000, 3);
-        Play { broker_config, ..Play::default() }
+        ScenarioRunner { broker_config, ..ScenarioRunner::default() }
     }
 
     fn statement(&mut self, words: Words) {
+        if words[0] != ">" {
+            check_keys(&words);
+        }
         let p = &mut self.broker_config;
         match words[0] {
-            "lag" => p.send_lag = Tenths::from_ms(words[1].parse().unwrap()),
+            "send-lag" => p.send_lag = Tenths::from_ms(words[1].parse().unwrap()),
             "brokers" => p.brokers = words[1].parse().unwrap(),
-            "category" => {
+            "class" => {
                 let known = self.names.iter().position(|name| name == words[1]);
                 let no = known.unwrap_or_else(|| {
                     self.names.push(words[1].to_owned());
                     self.names.len() - 1
                 });
                 let class = RequestClass {
-                    latency_objective: span(&words, "goal", 1000.0),
+                    latency_objective: span(&words, "objective", 1000.0),
                     objective_stretch: value(&words, "stretch", 0.0),
-                    deadline: span(&words, "cut-off", 3000.0),
-                    priority_weight: value(&words, "payoff", 1.0),
-                    late_weight_share: value(&words, "late", 0.0),
-                    min_coverage: value(&words, "least", 1.0),
-                    complete_coverage: value(&words, "whole", 1.0),
-                    second_parts: value(&words, "second", 0),
-                    effect: match value(&words, "kind", String::new()).as_str() {
-                        "numbered" => Idempotency::IdempotencyKey,
+                    deadline: span(&words, "deadline", 3000.0),
+                    priority_weight: value(&words, "priority", 1.0),
+                    late_weight_share: value(&words, "late-share", 0.0),
+                    min_coverage: value(&words, "min-coverage", 1.0),
+                    complete_coverage: value(&words, "complete-coverage", 1.0),
+                    second_parts: value(&words, "second-phase", 0),
+                    effect: match value(&words, "idempotency", String::new()).as_str() {
+                        "key" => Idempotency::IdempotencyKey,
                         "at-most-once" => Idempotency::AtMostOnce,
                         _ => Idempotency::Idempotent,
                     },
-                    dedup_window: span(&words, "window", 0.0),
+                    dedup_window: span(&words, "dedup-window", 0.0),
                 };
                 p.classes.insert(ClassId(no as u16), class);
             }
-            "strike" => {
+            "remove-class" => {
                 let no = self.names.iter().position(|name| name == words[1]).unwrap();
                 p.classes.remove(&ClassId(no as u16));
             }
-            "caller" => {
-                let no = value(&words, "no", p.tenants.len() as u32);
+            "tenant" => {
+                let no = value(&words, "id", p.tenants.len() as u32);
                 p.tenants.insert(TenantId(no), Tenant { quota_per_s: words[1].parse().unwrap() });
             }
-            "no-caller" => _ = p.tenants.remove(&TenantId(words[1].parse().unwrap())),
+            "remove-tenant" => _ = p.tenants.remove(&TenantId(words[1].parse().unwrap())),
             // What was said of the configuration since is in force from here on.
-            "prescribe" => {
-                self.done.clear();
+            "configure" => {
+                self.effects.clear();
                 self.inputs.push(Input::Config(Box::new(p.clone())));
             }
             "layout" => {
                 p.layout = ShardLayout {
-                    placement_groups: value(&words, "cells", 1),
-                    replica_groups: value(&words, "reach", 1),
+                    placement_groups: value(&words, "groups", 1),
+                    replica_groups: value(&words, "replica-groups", 1),
                     shards: value(&words, "shards", 1),
-                    max_batch_size: value(&words, "per-call", 1),
+                    max_batch_size: value(&words, "max-batch", 1),
                 }
             }
             "limits" => {
-                p.limits.max_attempts = value(&words, "pushes", 3);
+                p.limits.max_attempts = value(&words, "attempts", 3);
                 p.limits.max_open = value(&words, "open", 1000);
                 (p.limits.allow_hedging, p.limits.allow_cancel) =
-                    (words.contains(&"copies"), words.contains(&"withdraw"));
+                    (words.contains(&"hedging"), words.contains(&"cancel"));
             }
             "rules" => {
-                p.rules.initial_capacity_share = value(&words, "cold", 0.2);
-                p.rules.warm_up_period = span(&words, "warm", 10_000.0);
-                p.rules.overload_factor = value(&words, "multiple", 3.0);
-                p.rules.overload_window = span(&words, "window", 1000.0);
-                p.rules.endpoint_list_max_age = span(&words, "ask-within", 10_000.0);
-                p.watch_on_request = words.contains(&"roll-on-request");
+                p.rules.initial_capacity_share = value(&words, "initial-capacity", 0.2);
+                p.rules.warm_up_period = span(&words, "warm-up", 10_000.0);
+                p.rules.overload_factor = value(&words, "overload-factor", 3.0);
+                p.rules.overload_window = span(&words, "overload-window", 1000.0);
+                p.rules.endpoint_list_max_age = span(&words, "list-max-age", 10_000.0);
+                p.watch_on_request = words.contains(&"watch-on-request");
                 p.load_by_probe = words.contains(&"load-by-probe");
-                p.late_failure_cost = value(&words, "late-scrap", 0.05);
+                p.late_failure_cost = value(&words, "late-failure", 0.05);
             }
-            "budget" => {
-                let (floor, share) = (value(&words, "floor", 0.0), value(&words, "share", 0.0));
+            "retry-budget" => {
+                let (floor, share) = (value(&words, "floor", 0.0), value(&words, "ratio", 0.0));
                 p.rules.retry_budget =
                     Some(RetryBudget { floor, share, window: span(&words, "window", 1000.0) });
             }
@@ -124,37 +170,37 @@
             ">" => {
                 self.turn();
                 let wanted: Words = words[1..].to_vec();
-                let fits = |done: &String| {
-                    let done: Words = done.split(' ').collect();
-                    wanted.len() <= done.len()
-                        && wanted.iter().zip(&done).all(|(a, b)| a.split('|').any(|a| a == *b || a == "*"))
+                let fits = |effects: &String| {
+                    let effects: Words = effects.split(' ').collect();
+                    wanted.len() <= effects.len()
+                        && wanted.iter().zip(&effects).all(|(a, b)| a.split('|').any(|a| a == *b || a == "*"))
                 };
                 if wanted[0] == "no" {
                     let wanted = &wanted[1..].join(" ");
                     assert!(
-                        !self.done.iter().any(|done| done.starts_with(wanted)),
+                        !self.effects.iter().any(|effects| effects.starts_with(wanted)),
                         "{wanted} in {:?}",
-                        self.done
+                        self.effects
                     );
                 } else if wanted[0] == "count" {
-                    let found = self.done.iter().filter(|done| done.starts_with(wanted[1])).count();
-                    assert_eq!(found.to_string(), wanted[2], "{} in {:?}", wanted[1], self.done);
+                    let found = self.effects.iter().filter(|effects| effects.starts_with(wanted[1])).count();
+                    assert_eq!(found.to_string(), wanted[2], "{} in {:?}", wanted[1], self.effects);
                 } else {
-                    assert!(self.done.iter().any(fits), "{wanted:?} not in {:?}", self.done);
+                    assert!(self.effects.iter().any(fits), "{wanted:?} not in {:?}", self.effects);
                 }
             }
-            _ => self.hear(words),
+            _ => self.input(words),
         }
     }
 
-    fn hear(&mut self, words: Words) {
-        self.done.clear();
+    fn input(&mut self, words: Words) {
+        self.effects.clear();
         let input = match words[0] {
-            "roll" if words[1] == "failed" => Input::EndpointListFailed,
-            "roll" => {
+            "endpoints" if words[1] == "failed" => Input::EndpointListFailed,
+            "endpoints" => {
                 let kind = match words[1] {
-                    "full" => EndpointListKind::Snapshot,
-                    "remembered" => EndpointListKind::Cached,
+                    "snapshot" => EndpointListKind::Snapshot,
+                    "cached" => EndpointListKind::Cached,
                     _ => EndpointListKind::Delta,
                 };
                 let entries = words[2..].iter().map(|word| {
@@ -163,12 +209,12 @@
                     let placement_group = PlacementGroupId(fields.next().unwrap().parse().unwrap());
                     let state = match fields.next() {
                         Some("draining") => EndpointState::Draining,
-                        Some("gone") => EndpointState::Removed,
+                        Some("removed") => EndpointState::Removed,
                         _ => EndpointState::Ready,
                     };
                     match state {
-                        EndpointState::Ready => self.barred.remove(&node),
-                        _ => self.barred.insert(node),
+                        EndpointState::Ready => self.ineligible.remove(&node),
+                        _ => self.ineligible.insert(node),
                     };
                     let started_at = fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms);
                     let zone = ZoneId(fields.next().map_or(0, |zone| zone.parse().unwrap()));
@@ -176,39 +222,39 @@
                 });
                 Input::EndpointList(EndpointList { kind, entries: entries.collect() })
             }
-            "take" => {
-                let (rid, group) = (QueryId(id(words[1])), GroupId(id(words[1]) as u32));
+            "query" => {
+                let (query_id, group) = (QueryId(id(words[1])), GroupId(id(words[1]) as u32));
                 let class = self.names.iter().position(|name| name == words[2]).unwrap_or(99);
-                let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "caller", 0)));
-                let (time_left, work) = (span(&words, "left", 3000.0), span(&words, "work", 0.0));
-                self.open.insert(rid);
+                let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "tenant", 0)));
+                let (time_left, work) = (span(&words, "time-left", 3000.0), span(&words, "work", 0.0));
+                self.open.insert(query_id);
                 if self.broker_config.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
-                    self.leading_on.insert(rid);
+                    self.awaiting_second_phase.insert(query_id);
                 }
                 self.inputs.push(Input::Query(NewQuery {
-                    id: rid,
+                    id: query_id,
                     group,
                     class,
                     tenant,
                     time_left,
                     work,
-                    client_attempt: value(&words, "attempt", 0),
-                    min_coverage_only: words.contains(&"least-only"),
+                    client_attempt: value(&words, "client-attempt", 0),
+                    min_coverage_only: words.contains(&"min-coverage-only"),
                 }));
-                return self.shard_requests(rid, &words);
+                return self.shard_requests(query_id, &words);
             }
-            "more" => return self.shard_requests(QueryId(id(words[1])), &words),
-            "left" => {
+            "second-phase" => return self.shard_requests(QueryId(id(words[1])), &words),
+            "client-left" => {
                 self.open.remove(&QueryId(id(words[1])));
                 Input::ClientLeft(QueryId(id(words[1])))
             }
-            "told" => {
+            "load" => {
                 let queue = words[2].parse().map(|queue| (LoadMetric::QueueLength, queue)).into_iter();
                 let rate = words.get(3).map(|rate| (LoadMetric::ServiceRate, rate.parse().unwrap()));
                 let (node, report) = (NodeId(id(words[1])), queue.chain(rate).collect());
                 Input::ProbeEnded(ProbeResult { node, sound: words[2] != "none", report })
             }
-            "flowing" => Input::ResponseStarted(ShardRequestId(id(words[1]))),
+            "response-started" => Input::ResponseStarted(ShardRequestId(id(words[1]))),
             "end" => return self.end(words[1], words[2]),
             other => panic!("`{other}` is not a word of the notation"),
         };
@@ -216,12 +262,12 @@
     }
 
     /// Parts, as `name:shard:weight`.
-    fn shard_requests(&mut self, rid: QueryId, words: &Words) {
+    fn shard_requests(&mut self, query_id: QueryId, words: &Words) {
         for word in words.iter().filter(|word| word.contains(':')) {
             let fields: Words = word.split(':').collect();
-            let (shard_request, group) = (ShardRequestId(id(fields[0])), GroupId(rid.0 as u32));
+            let (shard_request, group) = (ShardRequestId(id(fields[0])), GroupId(query_id.0 as u32));
             let (shard, weight) = (ShardId(fields[1].parse().unwrap()), fields[2].parse().unwrap());
-            self.shard_requests.insert(shard_request, rid);
+            self.shard_requests.insert(shard_request, query_id);
             self.inputs.push(Input::ShardRequest(NewShardRequest {
                 id: shard_request,
                 group,
@@ -234,13 +280,13 @@
     /// Ends the newest attempt that is out of a shard request, of all shard requests, or all that are out at `@node`.
     fn end(&mut self, which: &str, how: &str) {
         let end = match how {
-            "finished" => AttemptOutcome::Succeeded,
+            "succeeded" => AttemptOutcome::Succeeded,
             "errored" => AttemptOutcome::Errored,
-            "full" => AttemptOutcome::Overloaded,
+            "overloaded" => AttemptOutcome::Overloaded,
             "timed-out" => AttemptOutcome::TimedOut,
-            "no-connection" => AttemptOutcome::ConnectFailed,
-            "dropped" => AttemptOutcome::ConnectionLost,
-            "withdrawn" => AttemptOutcome::Cancelled,
+            "connect-failed" => AttemptOutcome::ConnectFailed,
+            "connection-lost" => AttemptOutcome::ConnectionLost,
+            "cancelled" => AttemptOutcome::Cancelled,
             "not-sent" => AttemptOutcome::NotSent,
             other => panic!("`{other}` is no end"),
         };
@@ -273,15 +319,15 @@
     /// Plays the wake-ups up to a moment, then stands at it.
     fn go_to(&mut self, at: Tenths) {
         self.turn();
-        self.done.clear();
-        while let Some(wake) = self.wakes.first().copied().filter(|wake| *wake < at) {
-            self.wakes.remove(&wake);
+        self.effects.clear();
+        while let Some(wake) = self.wake_ups.first().copied().filter(|wake| *wake < at) {
+            self.wake_ups.remove(&wake);
             self.now = self.now.max(wake);
             self.inputs.push(Input::Woken);
             self.turn();
         }
         self.now = at;
-        if self.wakes.remove(&at) {
+        if self.wake_ups.remove(&at) {
             self.inputs.push(Input::Woken);
         }
     }
@@ -305,58 +351,63 @@
             let bytes: Vec<u8> = id.to_be_bytes().into_iter().filter(|byte| *byte != 0).collect();
             String::from_utf8(bytes).unwrap()
         };
-        let closing = match &effect {
-            Effect::Respond { query, .. } if self.leading_on.remove(query) => None,
+        let ended = match &effect {
+            Effect::Respond { query, .. } if self.awaiting_second_phase.remove(query) => None,
             Effect::Respond { query, .. } | Effect::Reject { query, .. } | Effect::Fail { query } => {
                 Some(*query)
             }
             _ => None,
         };
-        if let Some(query) = closing {
+        if let Some(query) = ended {
             assert!(self.open.remove(&query), "a second final answer for {}", name(query.0));
         }
-        self.done.push(match effect {
+        self.effects.push(match effect {
             Effect::Send { shard_request, node, timeout } => {
                 assert!(
                     self.open.contains(&self.shard_requests[&shard_request]),
                     "{} sent after the end",
                     name(shard_request.0)
                 );
-                assert!(!self.barred.contains(&node), "{} sent to {}", name(shard_request.0), name(node.0));
+                assert!(
+                    !self.ineligible.contains(&node),
+                    "{} sent to {}",
+                    name(shard_request.0),
+                    name(node.0)
+                );
                 self.attempts.entry(shard_request).or_default().push((node, self.now, true));
-                format!("push {} {} {}", name(shard_request.0), name(node.0), timeout.as_ms())
+                format!("send {} {} {}", name(shard_request.0), name(node.0), timeout.as_ms())
             }
             Effect::Cancel { shard_request, attempt } => {
-                format!("withdraw {} {}", name(shard_request.0), attempt.0)
+                format!("cancel {} {}", name(shard_request.0), attempt.0)
             }
             Effect::Respond { query, complete: whole } => {
-                format!("answer {} {}", name(query.0), if whole { "whole" } else { "partial" })
+                format!("respond {} {}", name(query.0), if whole { "complete" } else { "partial" })
             }
-            Effect::Reject { query, .. } => format!("decline {}", name(query.0)),
-            Effect::Fail { query } => format!("scrap {}", name(query.0)),
+            Effect::Reject { query, .. } => format!("reject {}", name(query.0)),
+            Effect::Fail { query } => format!("fail {}", name(query.0)),
             Effect::Wake { after } => {
-                self.wakes.insert(self.now + after);
+                self.wake_ups.insert(self.now + after);
                 "wake".to_owned()
             }
             Effect::Probe { node } => format!("probe {}", name(node.0)),
             Effect::CloseIdle { node } => format!("close {}", name(node.0)),
-            Effect::WatchEndpoints => "follow".to_owned(),
-            Effect::Say(line) => format!("say {line}"),
+            Effect::WatchEndpoints => "watch".to_owned(),
+            Effect::Say(line) => format!("log {line}"),
         });
     }
 }
 
 #[rstest]
-fn plays(#[files("tests/scenarios/*.txt")] path: PathBuf) {
+fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).unwrap();
-    let mut play = Play::new();
+    let mut runner = ScenarioRunner::new();
     for statement in text.lines().flat_map(|line| line.split('#').next().unwrap_or("").split(';')) {
         let words: Words = statement.split_whitespace().collect();
         if !words.is_empty() {
-            play.statement(words);
+            runner.statement(words);
         }
     }
     // Whatever happens next, nothing that is open may stay so.
-    play.go_to(play.now + Tenths(100_000));
-    assert!(play.open.is_empty(), "left open: {:?}", play.open);
+    runner.go_to(runner.now + Tenths(100_000));
+    assert!(runner.open.is_empty(), "left open: {:?}", runner.open);
 }
