--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,131 +1,153 @@
-//! What a broker is handed when it starts: how the service is to be served.
+//! The configuration of a broker: how the service is to be served.
 
 use crate::ids::{ClassId, PlacementGroupId, ShardId, TenantId, ZoneId};
 use crate::time::Tenths;
 use std::collections::BTreeMap;
 
-/// Everything a broker is told at its start, and anew with `Input::Configuration`. A configuration itself
-/// never changes: a query keeps the one under which it was taken. Numbers of classes and tenants stay with
-/// what they name for as long as the broker runs: one that is struck from a configuration leaves a gap.
+/// Everything that a broker is configured with, at its start and anew with
+/// [`Input::Config`](crate::Input::Config). A configuration itself never changes: a query keeps the one under
+/// which it was accepted. Ids of classes and tenants stay with what they name for as long as the broker runs:
+/// one that is dropped from a configuration leaves a gap.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerConfig {
     /// How many brokers serve together.
     pub brokers: u32,
+    /// The zone of this broker.
     pub zone: ZoneId,
     /// The least time between two turns.
     pub period: Tenths,
     /// The longest that an attempt may take from its turn to its node.
     pub send_lag: Tenths,
+    /// The request classes.
     pub classes: BTreeMap<ClassId, RequestClass>,
+    /// The tenants that have a quota.
     pub tenants: BTreeMap<TenantId, Tenant>,
-    /// A query beyond its tenant's share earns this part of its priority weight.
+    /// A query beyond its tenant's quota is worth this share of its priority weight.
     pub over_quota_weight: f64,
+    /// Which nodes hold which shard.
     pub layout: ShardLayout,
+    /// Bounds on what is open and sent.
     pub limits: RequestLimits,
+    /// Rules that must hold.
     pub rules: SafetyRules,
-    /// The endpoint list comes only to those who follow it.
+    /// Endpoint lists come only to those who watch them.
     pub watch_on_request: bool,
-    /// Nodes may be probed, and tell their load only then.
+    /// Nodes may be probed, and report their load only then.
     pub load_by_probe: bool,
-    /// What priority weight that ended unserved after its latency objective costs.
+    /// What a query that fails after its latency objective costs, as a share of its priority weight.
     pub late_failure_cost: f64,
 }
 
 /// A kind of query.
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
+    /// A response within this time is on time.
     pub latency_objective: Tenths,
-    /// Extra latency objective, as a multiple of the work that a query is expected to be.
+    /// Extra time, as a multiple of the work that a query is expected to be.
     pub objective_stretch: f64,
+    /// A response after this time is useless.
     pub deadline: Tenths,
+    /// What a query served on time is worth, beside those of other classes.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer after the latency objective earns.
+    /// The share of the priority weight that a response after the latency objective is worth.
     pub late_weight_share: f64,
-    /// The least weight an answer may hold.
+    /// The least weight that a response may cover, from 0 to 1.
     pub min_coverage: f64,
-    /// The weight from which an answer is whole.
+    /// The weight from which a response is complete, from 0 to 1.
     pub complete_coverage: f64,
-    /// Parts of a second step, asked for after the first answer; 0 for none.
+    /// Shard requests of a second phase, asked for after the first response; 0: there is none.
     pub second_parts: u32,
+    /// What a second execution of a shard request would do.
     pub effect: Idempotency,
-    /// Numbered only: how long repeats are dropped, from the first attempt that may have run.
+    /// With an idempotency key: how long repeats are dropped, from the first attempt that may have been
+    /// executed.
     pub dedup_window: Tenths,
 }
 
-/// What a repeat of a shard request would do.
+/// What a second execution of a shard request would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run again.
+    /// It may be executed again.
     #[default]
     Idempotent,
-    /// Carries a mark by which a repeat is dropped, for a time.
+    /// It carries a key by which repeats are dropped, for a time.
     IdempotencyKey,
-    /// Must never run twice.
+    /// It must never be executed twice.
     AtMostOnce,
 }
 
 /// One who shares the service with others.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Queries a second, over all brokers, within its share.
+    /// Queries a second, over all brokers, that it may send.
     pub quota_per_s: f64,
 }
 
-/// Which nodes hold which shard.
+/// Which nodes hold which shard: a shard is held by the nodes of some placement groups in a row.
 #[derive(Clone, Debug, Default)]
 pub struct ShardLayout {
+    /// How many placement groups there are.
     pub placement_groups: u32,
-    /// Cells in a row that hold a shard.
+    /// How many of them, in a row, hold a shard.
     pub replica_groups: u32,
+    /// How many shards there are.
     pub shards: u32,
-    /// The most shard requests that share a call.
+    /// The most shard requests that share a batch.
     pub max_batch_size: u32,
 }
 
 impl ShardLayout {
-    /// The cells whose nodes hold a shard.
+    /// The placement groups whose nodes hold a shard.
     pub fn groups_of(&self, shard: ShardId) -> impl Iterator<Item = PlacementGroupId> + '_ {
         let groups = self.placement_groups.max(1);
-        (0..self.replica_groups.min(groups)).map(move |j| PlacementGroupId((shard.0 % groups + j) % groups))
+        let offsets = 0..self.replica_groups.min(groups);
+        offsets.map(move |offset| PlacementGroupId((shard.0 % groups + offset) % groups))
     }
 }
 
+/// Bounds on what is open and sent.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLimits {
-    /// The most queries and shard requests held at once.
+    /// The most queries and shard requests that may be open at once.
     pub max_open: u32,
     /// The most attempts for one shard request.
     pub max_attempts: u32,
-    /// A shard request may have two attempts out at once.
+    /// A shard request may have two attempts in flight at once.
     pub allow_hedging: bool,
+    /// Attempts in flight may be cancelled.
     pub allow_cancel: bool,
-    /// Tenants are told how long to stay away, up to `max_retry_after`.
+    /// Rejected clients are told when to come back, `max_retry_after` at the most.
     pub retry_after: bool,
+    /// See `retry_after`.
     pub max_retry_after: Tenths,
 }
 
+/// Rules that must hold.
 #[derive(Clone, Debug, Default)]
 pub struct SafetyRules {
     /// A node starts with this share of its capacity, or more.
     pub initial_capacity_share: f64,
-    /// It is warm no later than this.
+    /// It has warmed up no later than this after its start.
     pub warm_up_period: Tenths,
     /// Sent more than this multiple of what it can do...
     pub overload_factor: f64,
-    /// ...for this long, a cold node falls over.
+    /// ...for this long, a node that warms up collapses.
     pub overload_window: Tenths,
-    /// Without a live roll, what was listed this long ago counts as told.
+    /// Without a live endpoint list, what was listed this long ago counts as known.
     pub endpoint_list_max_age: Tenths,
-    /// Nothing new goes to a node later than this after it was told to drain, or to be gone.
+    /// Nothing new goes to a node later than this after it was told to drain, or to be removed.
     pub drain_grace: Tenths,
+    /// The budget for attempts beyond a shard request's first; none is stated: the broker has one of its own.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// The stated budget for attempts beyond a shard request's first.
+/// A budget for attempts beyond a shard request's first, retries and hedges alike.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
+    /// So many are allowed in any window.
     pub floor: f64,
-    /// For each query and shard request taken.
+    /// So many more for each query and shard request that was accepted in it.
     pub share: f64,
+    /// The length of the window.
     pub window: Tenths,
 }
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -3,27 +3,61 @@
 use crate::ids::{AttemptNumber, NodeId, QueryId, ShardRequestId};
 use crate::time::Tenths;
 
-/// One thing to do, in the order given.
+/// One thing to do; the effects of a turn are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a shard request to a node; attempts of one turn to one node share a call.
-    Send { shard_request: ShardRequestId, node: NodeId, timeout: Tenths },
-    /// Call off an attempt.
-    Cancel { shard_request: ShardRequestId, attempt: AttemptNumber },
-    /// Answer from the shard requests that are in.
-    Respond { query: QueryId, complete: bool },
-    /// Turn the query away: asking again is harmless, after `retry_after`.
-    Reject { query: QueryId, retry_after: Tenths },
-    /// End the query without an answer.
-    Fail { query: QueryId },
+    /// Send a shard request to a node. Those of one turn to one node share a batch.
+    Send {
+        /// The shard request; its attempts are numbered in the order of sending.
+        shard_request: ShardRequestId,
+        /// The node.
+        node: NodeId,
+        /// After this the attempt ends as timed out.
+        timeout: Tenths,
+    },
+    /// Cancel an attempt.
+    Cancel {
+        /// The shard request that it is for.
+        shard_request: ShardRequestId,
+        /// Its number among that one's attempts.
+        attempt: AttemptNumber,
+    },
+    /// Respond with what has been received.
+    Respond {
+        /// The query.
+        query: QueryId,
+        /// The response covers enough to count as complete.
+        complete: bool,
+    },
+    /// Reject a query: sending it again is harmless.
+    Reject {
+        /// The query.
+        query: QueryId,
+        /// When its client may come back; zero: it is not told.
+        retry_after: Tenths,
+    },
+    /// End a query without a response: it may have been executed.
+    Fail {
+        /// The query.
+        query: QueryId,
+    },
     /// Close this broker's idle connections to a node.
-    CloseIdle { node: NodeId },
+    CloseIdle {
+        /// The node.
+        node: NodeId,
+    },
     /// Ask a node for its load.
-    Probe { node: NodeId },
-    /// Be woken after this time.
-    Wake { after: Tenths },
-    /// Ask to be sent the endpoint list's changes from now on.
+    Probe {
+        /// The node.
+        node: NodeId,
+    },
+    /// Give the broker a turn with [`Input::Woken`](crate::Input::Woken) after this time.
+    Wake {
+        /// From this turn on.
+        after: Tenths,
+    },
+    /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// A line for the people on call.
+    /// Write a line to the log.
     Say(String),
 }
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -1,34 +1,37 @@
-//! The ids a broker handles. Each kind is a type of its own; nothing can be read from a value.
+//! Ids. Each kind is a type of its own; no decision reads anything from a value.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(pub $inner);
+        pub struct $name(
+            /// The id's value.
+            pub $inner,
+        );
     )*};
 }
 
 ids! {
-    /// One query, as its tenant asked for it.
+    /// A query.
     QueryId(u64);
-    /// One part of a query.
+    /// A shard request.
     ShardRequestId(u64);
-    /// What ties the shard requests to their query when they are handed over.
+    /// What ties shard requests to their query when they are handed over.
     GroupId(u32);
-    /// An attempt of a shard request: 0 for the first, counted up in sending order.
+    /// An attempt of a shard request: 0 for the first, counted up in the order of sending.
     AttemptNumber(u16);
-    /// A call that carries one or more attempts to one node.
+    /// A batch that carries one or more attempts to one node.
     BatchId(u64);
     /// A node: its address and port.
     NodeId(u64);
     /// A shard of the data.
     ShardId(u32);
-    /// A cell of nodes; cells decide who holds which shard.
+    /// A group of nodes that hold the same shards.
     PlacementGroupId(u32);
-    /// A place in the list of classes.
+    /// A request class.
     ClassId(u16);
-    /// A place in the list of tenants that share the service.
+    /// A tenant.
     TenantId(u32);
-    /// A place in the list of zones.
+    /// A zone.
     ZoneId(u16);
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,22 @@
-//! The decisions of a broker that reads many shards for one query.
+//! The routing decisions of a broker that reads many shards for one query: which replica gets a shard
+//! request, whether to retry or hedge it, what to leave unsent under pressure, what to reject, when to respond.
 //!
-//! A front (a program that owns sockets or a simulator's wire) makes one [`Broker`] from a
-//! [`BrokerConfig`], a seed and the time, then hands it everything heard in [`Broker::turn`]
-//! and carries out the [`Effect`]s that come back, in their order. The library does no I/O
-//! and reads no clock.
+//! A front end (a program that owns sockets, or a simulator's wire) makes one [`Broker`] from a
+//! [`BrokerConfig`], a seed and the time, then hands it all that has come in with [`Broker::turn`] and carries
+//! out the [`Effect`]s that come back, in their order. The library does no I/O and reads no clock; chance comes
+//! from the seed alone.
 //!
 //! ```
-//! use routing::{Broker, Input, BrokerConfig, Tenths};
+//! use routing::{Broker, BrokerConfig, Input, Tenths};
 //!
 //! let mut broker = Broker::start(BrokerConfig::default(), 7, Tenths(0));
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
+//!
+//! A query is `Pending`, `InFlight`, perhaps `PastObjective` or `BetweenPhases`, `Responded` and `Finished`;
+//! the table of its transitions is in `policy/query_life.rs`.
+
+#![warn(missing_docs)]
 
 mod broker;
 mod config;
--- a/crates/routing/src/statistics.rs
+++ b/crates/routing/src/statistics.rs
@@ -4,21 +4,21 @@
 
 /// A count that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DecayingCounter {
+pub(crate) struct DecayingCounter {
     /// The count as it was at `updated_at`.
-    pub count: f64,
+    pub(crate) count: f64,
     /// When something was last added.
-    pub updated_at: Tenths,
+    pub(crate) updated_at: Tenths,
 }
 
 impl DecayingCounter {
     /// The count now, decayed by a factor of e for each `span` that has passed.
-    pub fn read(&self, now: Tenths, span: Tenths) -> f64 {
+    pub(crate) fn read(&self, now: Tenths, span: Tenths) -> f64 {
         self.count * (-(now - self.updated_at).over(span)).exp()
     }
 
     /// Adds to the count.
-    pub fn add(&mut self, now: Tenths, span: Tenths, amount: f64) {
+    pub(crate) fn add(&mut self, now: Tenths, span: Tenths, amount: f64) {
         self.count = self.read(now, span) + amount;
         self.updated_at = now;
     }
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -1,19 +1,25 @@
-//! Time as whole tenths of a millisecond.
+//! Time in whole tenths of a millisecond.
 
 use std::ops::{Add, AddAssign, Sub};
 
-/// A moment on the broker's clock, or a span between two; whole tenths of a millisecond.
+/// A moment on the broker's clock, or a span between two, in tenths of a millisecond. Sums and differences
+/// saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Tenths(pub i64);
+pub struct Tenths(
+    /// Tenths of a millisecond.
+    pub i64,
+);
 
 impl Tenths {
+    /// No time, or the beginning of the clock.
     pub const ZERO: Tenths = Tenths(0);
 
-    /// Rounds down, and takes what is not a number as none.
+    /// Whole tenths of so many milliseconds, rounded down; not-a-number is zero.
     pub fn from_ms(ms: f64) -> Tenths {
         Tenths((ms * 10.0).floor() as i64)
     }
 
+    /// As milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 10.0
     }
