--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -6,7 +6,7 @@
 use crate::rehearse::{Cast, Mind, World};
 use crate::weather::{Do, Weather};
 use cluster_trace::plan::{Cast as Role, Entry, Happens, HostEvent, Plan, Staging};
-use fault_scenarios::{Act, Change, Fleet, Moment, Scenario};
+use fault_scenarios::{CancelBehavior, ClusterSize, FaultAction, NodeTransition, Scenario, ScheduledAction};
 use node_emulator::Cancel;
 use routing::Tenths;
 use serde_json::{Value, json};
@@ -46,20 +46,20 @@
 }
 
 /// How much more each tenant asks at a moment, and which share is how many times the work.
-struct Demand<'a>(&'a [Moment], usize);
+struct Demand<'a>(&'a [ScheduledAction], usize);
 
 impl Demand<'_> {
     fn at(&self, now: Tenths) -> (Vec<f64>, f64, f64) {
         let (mut times, mut heavy) = (vec![1.0; self.1], (0.0, 1.0));
-        for moment in self.0.iter().take_while(|moment| moment.at <= now) {
-            match moment.act {
-                Act::Storm { times: more, tenant, begins } => {
+        for scheduled in self.0.iter().take_while(|scheduled| scheduled.at <= now) {
+            match scheduled.action {
+                FaultAction::TrafficSurge { factor: more, tenant, begins } => {
                     let whose = times.iter_mut().enumerate();
                     let theirs = whose.filter(|(no, _)| tenant.is_none_or(|tenant| tenant as usize == *no));
                     theirs.for_each(|(_, times)| *times *= if begins { more } else { 1.0 / more });
                 }
-                Act::Heavy { share, times, begins } => {
-                    heavy = if begins { (share, times) } else { (0.0, 1.0) }
+                FaultAction::HeavyQueries { share, work_factor, begins } => {
+                    heavy = if begins { (share, work_factor) } else { (0.0, 1.0) }
                 }
                 _ => {}
             }
@@ -89,15 +89,17 @@
 }
 
 /// What is asked: arrivals by lot at the rate that offers the load, more of them in a storm.
-fn plan(staging: &Staging, script: &[Moment], seconds: f64) -> Plan {
+fn plan(staging: &Staging, script: &[ScheduledAction], seconds: f64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(staging.seed ^ 0xa5c);
     let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
     let shard_requests = REPORTS * mean(REPORT_PARTS) + (1.0 - REPORTS) * mean(LOOKUP_PARTS);
     let a_second =
         staging.load * f64::from(staging.hosts) * staging.host_ms_per_s / (shard_requests * PART_MS);
-    let changes: Vec<Moment> = script
+    let changes: Vec<ScheduledAction> = script
         .iter()
-        .filter(|moment| matches!(moment.act, Act::Storm { .. } | Act::Heavy { .. }))
+        .filter(|scheduled| {
+            matches!(scheduled.action, FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. })
+        })
         .copied()
         .collect();
     let demand = Demand(&changes, staging.tenants.len());
@@ -143,7 +145,7 @@
 
 /// What a day is played with: its script, staging, plan, cast and weather.
 struct Parts {
-    script: Vec<Moment>,
+    script: Vec<ScheduledAction>,
     staging: Staging,
     plan: Plan,
     cast: Cast,
@@ -154,16 +156,16 @@
     fn shard_requests(&self) -> Parts {
         let Day { scenario, hosts, brokers, halls, seed, mind } = *self;
         let cells = (hosts / CELL).max(halls).max(1);
-        let fleet = Fleet { hosts, halls, cells, brokers };
-        let script = scenario.script(&fleet, seed);
+        let cluster = ClusterSize { nodes: hosts, zones: halls, placement_groups: cells, brokers };
+        let script = scenario.schedule(&cluster, seed);
         let staging = staging(hosts, scenario, seed);
         let plan = plan(&staging, &script, scenario.seconds);
         let (near, far) = (Tenths::from_ms(scenario.near_ms), Tenths::from_ms(scenario.far_ms));
-        let weather = Weather::new(fleet, near, far, seed);
+        let weather = Weather::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
-            fault_scenarios::Cancel::All => Cancel::All,
-            fault_scenarios::Cancel::Waiting => Cancel::Waiting,
-            fault_scenarios::Cancel::Nothing => Cancel::Nothing,
+            CancelBehavior::DropsAll => Cancel::All,
+            CancelBehavior::DropsWaiting => Cancel::Waiting,
+            CancelBehavior::DropsNothing => Cancel::Nothing,
         };
         let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
         let cast = Cast { brokers, mind, seed, cells, cores: CORES, warm_jobs, cancel };
@@ -180,24 +182,31 @@
     /// clients' repeats are not; a scenario with them is told so, by its trouble.
     pub fn on_sockets(&self) -> Result<(Plan, Staging, Cast), String> {
         let Parts { script, staging, mut plan, cast, mut weather } = self.shard_requests();
-        for moment in &script {
-            let done = match moment.act {
-                Act::Down { .. } | Act::Drain { .. } | Act::Drained { .. } | Act::Crawl { .. } => {
-                    weather.enter(moment.act)
-                }
-                Act::Storm { .. } | Act::Heavy { .. } => None,
+        for scheduled in &script {
+            let done = match scheduled.action {
+                FaultAction::Outage { .. }
+                | FaultAction::BeginDrain { .. }
+                | FaultAction::FinishDrain { .. }
+                | FaultAction::Slowdown { .. } => weather.enter(scheduled.action),
+                FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => None,
                 other => return Err(format!("{}: {other:?} is not played on sockets", self.scenario.name)),
             };
             let event = match done {
-                Some(Do::Change { host, change: Change::Dies }) => Some((host, HostEvent::Death)),
-                Some(Do::Change { host, change: Change::Drains }) => Some((host, HostEvent::Drain)),
-                Some(Do::Change { host, change: Change::Starts }) => Some((host, HostEvent::Start)),
+                Some(Do::Change { host, transition: NodeTransition::Stops }) => {
+                    Some((host, HostEvent::Death))
+                }
+                Some(Do::Change { host, transition: NodeTransition::Drains }) => {
+                    Some((host, HostEvent::Drain))
+                }
+                Some(Do::Change { host, transition: NodeTransition::Starts }) => {
+                    Some((host, HostEvent::Start))
+                }
                 Some(Do::Speed { host, share }) => Some((host, HostEvent::Slow(share))),
                 _ => None,
             };
             if let Some((host, event)) = event {
                 let what = Happens::Host { host: host as u32, event };
-                plan.entries.push(Entry { at: moment.at.0.max(0) as u64, what });
+                plan.entries.push(Entry { at: scheduled.at.0.max(0) as u64, what });
             }
         }
         plan.entries.sort_by_key(|entry| entry.at);
@@ -207,7 +216,7 @@
     /// When the last trouble is over, in whole seconds.
     pub fn over(&self) -> usize {
         let last =
-            self.scenario.troubles.iter().map(|trouble| trouble.at + trouble.lasts).fold(0.0, f64::max);
+            self.scenario.faults.iter().map(|fault| fault.start_s + fault.duration_s).fold(0.0, f64::max);
         last.min(self.scenario.seconds).ceil() as usize
     }
 }
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::rehearse::World;
 use cluster_trace::plan::{Happens, HostEvent};
-use fault_scenarios::{LIBRARY, find};
+use fault_scenarios::{LIBRARY, find_in_library};
 use rayon::prelude::*;
 use rstest::rstest;
 
 fn day(name: &str, seed: u64, mind: Mind) -> Outcome {
-    let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
+    let scenario = Scenario::parse(name, find_in_library(name).unwrap().text).unwrap();
     Day { scenario: &scenario, hosts: 6, brokers: 3, halls: 3, seed, mind }.play()
 }
 
@@ -23,7 +23,8 @@
 /// Every scenario is played to its end: each query has one end, none is lost, and the rules are kept.
 #[rstest]
 fn keeps_the_rules_in_the_library() {
-    LIBRARY.par_iter().for_each(|(name, _)| {
+    LIBRARY.par_iter().for_each(|scenario| {
+        let name = scenario.name;
         let outcome = day(name, 1, Mind::Module);
         assert!(outcome.broken.is_empty(), "{name}: {}", outcome.json());
         assert!(outcome.queries > 500, "{name}");
@@ -50,7 +51,7 @@
 #[case(3)]
 fn a_storm_kept_going_is_over_soon(#[case] seed: u64) {
     let name = "retries-keep-it-going";
-    let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
+    let scenario = Scenario::parse(name, find_in_library(name).unwrap().text).unwrap();
     let day = Day { scenario: &scenario, hosts: 6, brokers: 3, halls: 3, seed, mind: Mind::Module };
     let outcome = day.play();
     let took = recovers(&outcome, day.over());
@@ -62,7 +63,7 @@
 #[rstest]
 fn a_callers_storm_leaves_the_others_whole() {
     let name = "one-caller-storms";
-    let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
+    let scenario = Scenario::parse(name, find_in_library(name).unwrap().text).unwrap();
     let quiet = |mind| {
         let days: Vec<Outcome> = (1..=3)
             .map(|seed| Day { scenario: &scenario, hosts: 12, brokers: 6, halls: 3, seed, mind }.play())
@@ -82,7 +83,7 @@
 #[rstest]
 fn retries_behind_the_door_are_over_sooner() {
     let name = "retries-keep-it-going";
-    let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
+    let scenario = Scenario::parse(name, find_in_library(name).unwrap().text).unwrap();
     let took = |mind| -> usize {
         (1..=3)
             .map(|seed| {
@@ -101,7 +102,7 @@
 #[case("gray-third-at-the-rush")]
 #[case("far-gray-hall")]
 fn gray_hosts_are_told_by_what_answers_take(#[case] name: &str) {
-    let scenario = Scenario::read(name, find(name).unwrap()).unwrap();
+    let scenario = Scenario::parse(name, find_in_library(name).unwrap().text).unwrap();
     let service = |mind| {
         let day = Day { scenario: &scenario, hosts: 12, brokers: 6, halls: 3, seed: 1, mind };
         day.play().service.share()
@@ -117,7 +118,7 @@
 fn a_hall_lost_is_the_same_on_sockets() {
     let text = "[scenario]\nseconds = 24\nload = 0.55\n[rush]\nwhat = storm\nat = 4\nfor = 14\nsize = 1.6\n\
         [north]\nwhat = lose\nat = 8\nfor = 6\nhall = 0\n";
-    let scenario = Scenario::read("hall-lost-short", text).unwrap();
+    let scenario = Scenario::parse("hall-lost-short", text).unwrap();
     let day = Day { scenario: &scenario, hosts: 6, brokers: 3, halls: 3, seed: 1, mind: Mind::Module };
     let (plan, staging, cast) = day.on_sockets().unwrap();
     assert!(
@@ -136,8 +137,8 @@
 /// What sockets can't play is named, by its trouble.
 #[rstest]
 fn sockets_name_what_they_cant_play() {
-    let scenario = Scenario::read("roll-is-late", find("roll-is-late").unwrap()).unwrap();
+    let scenario = Scenario::parse("roll-is-late", find_in_library("roll-is-late").unwrap().text).unwrap();
     let day = Day { scenario: &scenario, hosts: 6, brokers: 3, halls: 3, seed: 1, mind: Mind::Module };
     let why = day.on_sockets().unwrap_err();
-    assert!(why.contains("roll-is-late") && why.contains("LateRoll"), "{why}");
+    assert!(why.contains("roll-is-late") && why.contains("EndpointListDelay"), "{why}");
 }
--- a/crates/broker-bench/src/laboratory.rs
+++ b/crates/broker-bench/src/laboratory.rs
@@ -4,7 +4,7 @@
 use crate::incident::{Day, recovers};
 use crate::reading::peak_kb;
 use crate::rehearse::Mind;
-use fault_scenarios::{LIBRARY, Scenario};
+use fault_scenarios::{LIBRARY, LibraryScenario, Scenario, find_in_library};
 use rayon::prelude::*;
 use serde_json::json;
 use std::time::Instant;
@@ -29,8 +29,8 @@
 const DEARER: f64 = 4.0;
 
 fn scenario(name: &str) -> Result<Scenario, String> {
-    let text = fault_scenarios::find(name).ok_or(format!("no scenario `{name}`"))?;
-    Scenario::read(name, text).map_err(|mistakes| format!("{name}: {mistakes:?}"))
+    let found = find_in_library(name).ok_or(format!("no scenario `{name}`"))?;
+    Scenario::parse(name, found.text).map_err(|errors| format!("{name}: {errors:?}"))
 }
 
 /// Events a second of one day on one thread, its events, and whether it broke no rule.
@@ -95,7 +95,7 @@
     let minds = [Mind::Module, Mind::Design, Mind::AdmissionController];
     let mut rows: Vec<Row> = LIBRARY
         .par_iter()
-        .map(|(name, _)| {
+        .map(|LibraryScenario { name, .. }| {
             let scenario = scenario(name)?;
             let [mine, design, door] = minds.map(|mind| -> Vec<_> {
                 let day =
--- a/crates/broker-bench/src/rehearsal.rs
+++ b/crates/broker-bench/src/rehearsal.rs
@@ -6,7 +6,7 @@
 use crate::rehearse::Mind;
 use crate::report;
 use clap::Args;
-use fault_scenarios::{LIBRARY, Scenario, find};
+use fault_scenarios::{LIBRARY, Scenario, ScenarioError, find_in_library};
 use rayon::prelude::*;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -50,14 +50,14 @@
 
 fn scenarios(which: &str) -> Result<Vec<Scenario>, String> {
     let read = |name: &str, text: &str| {
-        let wrong = |mistakes: Vec<fault_scenarios::Mistake>| {
-            mistakes.iter().map(|mistake| format!("{name}: {mistake}")).collect::<Vec<_>>().join("\n")
+        let wrong = |errors: Vec<ScenarioError>| {
+            errors.iter().map(|error| format!("{name}: {error}")).collect::<Vec<_>>().join("\n")
         };
-        Scenario::read(name, text).map_err(wrong)
+        Scenario::parse(name, text).map_err(wrong)
     };
-    match (which, find(which)) {
-        ("all", _) => LIBRARY.iter().map(|(name, text)| read(name, text)).collect(),
-        (name, Some(text)) => Ok(vec![read(name, text)?]),
+    match (which, find_in_library(which)) {
+        ("all", _) => LIBRARY.iter().map(|scenario| read(scenario.name, scenario.text)).collect(),
+        (_, Some(scenario)) => Ok(vec![read(scenario.name, scenario.text)?]),
         (path, None) => {
             let text = std::fs::read_to_string(path)
                 .map_err(|e| format!("{path}: {e}; neither a file nor in the library (--list)"))?;
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -10,7 +10,7 @@
 use crate::weather::{Do, Weather};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
-use fault_scenarios::{Change, Clients, Fleet, Moment};
+use fault_scenarios::{ClientBehavior, ClusterSize, NodeCondition, NodeTransition, ScheduledAction};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
@@ -165,8 +165,8 @@
     queries: Vec<Query>,
     requests: Vec<Request>,
     weather: Weather,
-    script: Vec<Moment>,
-    clients: Clients,
+    script: Vec<ScheduledAction>,
+    clients: ClientBehavior,
     broker_config: BrokerConfig,
     cut_offs: Vec<Tenths>,
     /// Mean work of a shard request, by class, in microseconds: what a shard request counts for at a cold host.
@@ -179,9 +179,20 @@
 impl World {
     /// A day without a script: one way for all, clients that ask once.
     pub fn new(plan: Plan, staging: &Staging, cast: Cast) -> World {
-        let fleet = Fleet { hosts: staging.hosts, halls: 1, cells: cast.cells, brokers: cast.brokers };
-        let weather = Weather::new(fleet, TRIP, TRIP, cast.seed);
-        let clients = Clients { retries: 0, backoff_ms: 0.0, honours: 1.0, impatient: 0.0, tenants: 1 };
+        let cluster = ClusterSize {
+            nodes: staging.hosts,
+            zones: 1,
+            placement_groups: cast.cells,
+            brokers: cast.brokers,
+        };
+        let weather = Weather::new(cluster, TRIP, TRIP, cast.seed);
+        let clients = ClientBehavior {
+            retries: 0,
+            backoff_ms: 0.0,
+            retry_after_share: 1.0,
+            impatient_share: 0.0,
+            tenants: 1,
+        };
         World::scripted(plan, staging, cast, (weather, Vec::new(), clients))
     }
 
@@ -189,7 +200,7 @@
         plan: Plan,
         staging: &Staging,
         cast: Cast,
-        (weather, script, clients): (Weather, Vec<Moment>, Clients),
+        (weather, script, clients): (Weather, Vec<ScheduledAction>, ClientBehavior),
     ) -> World {
         let broker_config = scene::broker_config(staging, &cast);
         let cut_offs = broker_config.classes.values().map(|class| class.deadline).collect();
@@ -313,14 +324,14 @@
                 }
             }
             Event::Moment(at) => {
-                if let Some(order) = self.weather.enter(self.script[at].act) {
+                if let Some(order) = self.weather.enter(self.script[at].action) {
                     self.befall(order);
                 }
             }
             Event::Still(host) => self.stand_still(host),
             Event::Rise(host) => {
-                let change = self.weather.books[host].up();
-                self.befall(Do::Change { host, change });
+                let transition = self.weather.active_faults[host].end_outage();
+                self.befall(Do::Change { host, transition });
             }
             Event::Again(request) => self.try_request(request),
             Event::Leave(no) => self.leave(no),
@@ -385,7 +396,7 @@
         let shard_requests = first..first + shard_requests.len();
         self.queries.push(Query { broker, request, shard_requests, open: true });
         self.outcome.tries += 1;
-        if self.clients.impatient > 0.0 && self.weather.lot() < self.clients.impatient {
+        if self.clients.impatient_share > 0.0 && self.weather.lot() < self.clients.impatient_share {
             self.at(self.now + left.times(0.5), Event::Leave(no));
         }
     }
@@ -405,7 +416,7 @@
         if tries <= self.clients.retries {
             let doubled = self.clients.backoff_ms * f64::from(1_u32 << (tries - 1).min(16));
             let mut wait = Tenths::from_ms(doubled * (1.0 + self.weather.lot()));
-            if self.weather.lot() < self.clients.honours {
+            if self.weather.lot() < self.clients.retry_after_share {
                 wait = wait.max(retry_after);
             }
             if self.now + wait + PERIOD < until {
@@ -422,16 +433,17 @@
 
     fn befall(&mut self, order: Do) {
         match order {
-            Do::Change { host, change } => match change {
-                Change::Dies => self.fall(host),
-                Change::Drains => self.host_event(host, HostEvent::Drain),
-                Change::Starts => self.rise(host),
-                Change::Nothing => {}
+            Do::Change { host, transition } => match transition {
+                NodeTransition::Stops => self.fall(host),
+                NodeTransition::Drains => self.host_event(host, HostEvent::Drain),
+                NodeTransition::Starts => self.rise(host),
+                NodeTransition::Unchanged => {}
             },
             Do::Speed { host, share } => self.hosts[host].slow(share),
             Do::Pause { host } => {
-                let every = self.weather.books[host].pauses().map_or(0, |(_, every)| every);
-                let first = Tenths(every).times(self.weather.lot());
+                let cycle = self.weather.active_faults[host].longest_pause();
+                let interval = cycle.map_or(Tenths::ZERO, |cycle| cycle.interval);
+                let first = interval.times(self.weather.lot());
                 self.at(self.now + first, Event::Still(host));
             }
             // What it had is lost without a word.
@@ -451,9 +463,9 @@
 
     /// A new process, unless something else still holds it down.
     fn rise(&mut self, host: usize) {
-        let book = &self.weather.books[host];
-        if book.standing() == fault_scenarios::Standing::Ready && !book.is_silent() {
-            let speed = book.speed();
+        let faults = &self.weather.active_faults[host];
+        if faults.condition() == NodeCondition::Ready && !faults.is_unresponsive() {
+            let speed = faults.speed_factor();
             self.hosts[host].start(self.now);
             self.hosts[host].slow(speed);
             self.tell_later(host, ROLL_LATE);
@@ -461,10 +473,10 @@
     }
 
     fn stand_still(&mut self, host: usize) {
-        let Some((stands, every)) = self.weather.books[host].pauses() else { return };
-        self.hosts[host].stand_still(self.now, self.now + Tenths(stands));
+        let Some(cycle) = self.weather.active_faults[host].longest_pause() else { return };
+        self.hosts[host].stand_still(self.now, self.now + cycle.pause);
         self.plan_end(host);
-        self.at(self.now + Tenths(every.max(1)), Event::Still(host));
+        self.at(self.now + cycle.interval.max(Tenths(1)), Event::Still(host));
     }
 
     /// A broker starts anew, with no memory: what it held is lost to its clients, and of its attempts nobody
@@ -604,7 +616,7 @@
         self.next_job += 1;
         let job = JobNo(self.next_job);
         let (us, counts) = (self.shard_requests[no.0].us, self.counts(no));
-        let taken = match self.weather.books[host].refuses() {
+        let taken = match self.weather.active_faults[host].is_rejecting() {
             true => Taken::Refused,
             false => self.hosts[host].take_as(self.now, job, us, counts),
         };
@@ -617,7 +629,7 @@
                 self.host_jobs.insert(job, (broker, shard_request, attempt, host));
                 self.jobs_of.insert((broker, shard_request, attempt), job);
                 if self.kills(no) {
-                    self.weather.books[host].down();
+                    self.weather.active_faults[host].begin_outage();
                     self.at(self.now + RISES, Event::Rise(host));
                     return self.fall(host);
                 }
--- a/crates/broker-bench/src/weather.rs
+++ b/crates/broker-bench/src/weather.rs
@@ -1,7 +1,7 @@
 //! What the troubles of a day come to at a moment: which hosts stand how, which ways are cut or long, what
 //! the endpoint list tells, what clients ask. Decisions and state only; [`crate::rehearse`] carries them out.
 
-use fault_scenarios::{Act, Book, Change, Fleet};
+use fault_scenarios::{ActiveFaults, ClusterSize, Direction, FaultAction, NodeTransition};
 use routing::Tenths;
 
 /// What is to be done about a host now.
@@ -9,7 +9,7 @@
 pub enum Do {
     Change {
         host: usize,
-        change: Change,
+        transition: NodeTransition,
     },
     Speed {
         host: usize,
@@ -35,10 +35,10 @@
 }
 
 pub struct Weather {
-    fleet: Fleet,
+    cluster: ClusterSize,
     near: Tenths,
     far: Tenths,
-    pub books: Vec<Book>,
+    pub active_faults: Vec<ActiveFaults>,
     /// Cuts that hold, to a host and from it; and what its way takes longer.
     cuts: Vec<[u32; 2]>,
     more: Vec<[Tenths; 2]>,
@@ -51,13 +51,13 @@
 }
 
 impl Weather {
-    pub fn new(fleet: Fleet, near: Tenths, far: Tenths, seed: u64) -> Weather {
-        let hosts = fleet.hosts as usize;
+    pub fn new(cluster: ClusterSize, near: Tenths, far: Tenths, seed: u64) -> Weather {
+        let hosts = cluster.nodes as usize;
         Weather {
-            fleet,
+            cluster,
             near,
             far,
-            books: vec![Book::default(); hosts],
+            active_faults: vec![ActiveFaults::default(); hosts],
             cuts: vec![[0, 0]; hosts],
             more: vec![[Tenths::ZERO; 2]; hosts],
             roll_more: Tenths::ZERO,
@@ -71,16 +71,16 @@
     /// The way between a broker and a host, to it or from it; none: what is sent is lost.
     pub fn way(&self, broker: usize, host: usize, to: bool) -> Option<Tenths> {
         let side = usize::from(!to);
-        if self.cuts[host][side] > 0 || self.books[host].is_silent() {
+        if self.cuts[host][side] > 0 || self.active_faults[host].is_unresponsive() {
             return None;
         }
-        let home = broker as u32 % self.fleet.halls.max(1);
-        let base = if self.fleet.hall_of(host as u32) == home { self.near } else { self.far };
+        let home = broker as u32 % self.cluster.zones.max(1);
+        let base = if self.cluster.zone_of(host as u32) == home { self.near } else { self.far };
         Some(base + self.more[host][side])
     }
 
     pub fn hall_of(&self, host: usize) -> u32 {
-        self.fleet.hall_of(host as u32)
+        self.cluster.zone_of(host as u32)
     }
 
     /// How much later than usual the endpoint list tells; none: it tells nothing.
@@ -90,7 +90,7 @@
 
     /// Whether what a host answers now is an error.
     pub fn spoils(&mut self, host: usize) -> bool {
-        let errors = self.books[host].errors();
+        let errors = self.active_faults[host].error_share();
         errors > 0.0 && self.rng.f64() < errors
     }
 
@@ -110,79 +110,88 @@
     }
 
     /// Enters what begins or ends; what is to be done about it.
-    pub fn enter(&mut self, act: Act) -> Option<Do> {
+    pub fn enter(&mut self, action: FaultAction) -> Option<Do> {
         let sign = |begins: bool| if begins { 1 } else { -1 };
-        let change = |host: u32, change: Change| Some(Do::Change { host: host as usize, change });
-        match act {
-            Act::Down { host, begins } => {
-                let book = &mut self.books[host as usize];
-                change(host, if begins { book.down() } else { book.up() })
+        let change =
+            |node: u32, transition: NodeTransition| Some(Do::Change { host: node as usize, transition });
+        match action {
+            FaultAction::Outage { node, begins } => {
+                let faults = &mut self.active_faults[node as usize];
+                change(node, if begins { faults.begin_outage() } else { faults.end_outage() })
             }
-            Act::Drain { host } => change(host, self.books[host as usize].drain()),
-            Act::Drained { host } => change(host, self.books[host as usize].drained()),
-            Act::Silence { host, begins } => {
-                let host = host as usize;
-                let was = self.books[host].is_silent();
-                self.books[host].silence(begins);
-                match (was, self.books[host].is_silent()) {
+            FaultAction::BeginDrain { node } => change(node, self.active_faults[node as usize].begin_drain()),
+            FaultAction::FinishDrain { node } => {
+                change(node, self.active_faults[node as usize].finish_drain())
+            }
+            FaultAction::Unresponsive { node, begins } => {
+                let host = node as usize;
+                let was = self.active_faults[host].is_unresponsive();
+                self.active_faults[host].set_unresponsive(begins);
+                match (was, self.active_faults[host].is_unresponsive()) {
                     (false, true) => Some(Do::Silent { host }),
                     (true, false) => Some(Do::Sounds { host }),
                     _ => None,
                 }
             }
-            Act::Crawl { host, share, begins } => {
-                let host = host as usize;
-                self.books[host].crawl(share, begins);
-                Some(Do::Speed { host, share: self.books[host].speed() })
+            FaultAction::Slowdown { node, speed_factor, begins } => {
+                let host = node as usize;
+                self.active_faults[host].set_slowdown(speed_factor, begins);
+                Some(Do::Speed { host, share: self.active_faults[host].speed_factor() })
             }
-            Act::Pause { host, stands, every, begins } => {
-                self.books[host as usize].pause((stands.0, every.0), begins);
-                begins.then_some(Do::Pause { host: host as usize })
+            FaultAction::Pause { node, cycle, begins } => {
+                self.active_faults[node as usize].set_pause(cycle, begins);
+                begins.then_some(Do::Pause { host: node as usize })
             }
-            Act::Refuse { host, begins } => {
-                self.books[host as usize].refuse(begins);
+            FaultAction::Rejection { node, begins } => {
+                self.active_faults[node as usize].set_rejecting(begins);
                 None
             }
-            Act::Garble { host, share, begins } => {
-                self.books[host as usize].garble(share, begins);
+            FaultAction::Errors { node, share, begins } => {
+                self.active_faults[node as usize].set_errors(share, begins);
                 None
             }
-            Act::Cut { host, to, from, begins } => {
-                for (side, _) in [to, from].into_iter().enumerate().filter(|(_, holds)| *holds) {
-                    let cut = &mut self.cuts[host as usize][side];
+            FaultAction::Partition { node, direction, begins } => {
+                for side in affected_sides(direction) {
+                    let cut = &mut self.cuts[node as usize][side];
                     *cut = cut.saturating_add_signed(sign(begins));
                 }
                 None
             }
-            Act::Delay { host, more, to, from, begins } => {
-                for (side, _) in [to, from].into_iter().enumerate().filter(|(_, holds)| *holds) {
-                    self.more[host as usize][side] += more.times(f64::from(sign(begins)));
+            FaultAction::NetworkDelay { node, added, direction, begins } => {
+                for side in affected_sides(direction) {
+                    self.more[node as usize][side] += added.times(f64::from(sign(begins)));
                 }
                 None
             }
-            Act::LateRoll { more, begins } => {
-                self.roll_more += more.times(f64::from(sign(begins)));
+            FaultAction::EndpointListDelay { added, begins } => {
+                self.roll_more += added.times(f64::from(sign(begins)));
                 None
             }
-            Act::SilentRoll { begins } => {
+            FaultAction::EndpointListOutage { begins } => {
                 self.roll_silent = self.roll_silent.saturating_add_signed(sign(begins));
                 (self.roll_silent == 0).then_some(Do::RollBack)
             }
-            Act::Killer { share, begins } => {
+            FaultAction::QueryOfDeath { share, begins } => {
                 self.killers = if begins { share } else { 0.0 };
                 None
             }
-            Act::Lopsided { share, begins } => {
+            FaultAction::SkewedTraffic { share, begins } => {
                 self.lopsided = if begins { share } else { 0.0 };
                 None
             }
-            Act::Forget { broker } => Some(Do::Forget { broker: broker as usize }),
+            FaultAction::RestartBroker { broker } => Some(Do::Forget { broker: broker as usize }),
             // What is asked is laid down before the day begins.
-            Act::Storm { .. } | Act::Heavy { .. } => None,
+            FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => None,
         }
     }
 }
 
+/// The indices of the affected sides, as in `cuts` and `more`: 0 to the node, 1 from it.
+fn affected_sides(direction: Direction) -> impl Iterator<Item = usize> {
+    let sides = [direction.includes_to_node(), direction.includes_from_node()];
+    sides.into_iter().enumerate().filter_map(|(side, is_affected)| is_affected.then_some(side))
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
@@ -192,28 +201,23 @@
     const FAR: Tenths = Tenths(20);
 
     fn weather() -> Weather {
-        Weather::new(Fleet { hosts: 4, halls: 2, cells: 4, brokers: 2 }, NEAR, FAR, 1)
+        Weather::new(ClusterSize { nodes: 4, zones: 2, placement_groups: 4, brokers: 2 }, NEAR, FAR, 1)
     }
 
     /// Each direction for itself, and as it was when the trouble is over.
     #[rstest]
-    #[case(true, false, None, Some(NEAR))]
-    #[case(false, true, Some(NEAR), None)]
-    #[case(true, true, None, None)]
-    fn cuts(
-        #[case] to: bool,
-        #[case] from: bool,
-        #[case] there: Option<Tenths>,
-        #[case] back: Option<Tenths>,
-    ) {
+    #[case(Direction::ToNode, None, Some(NEAR))]
+    #[case(Direction::FromNode, Some(NEAR), None)]
+    #[case(Direction::Both, None, None)]
+    fn cuts(#[case] direction: Direction, #[case] there: Option<Tenths>, #[case] back: Option<Tenths>) {
         let mut weather = weather();
         assert_eq!((weather.way(0, 0, true), weather.way(0, 1, true)), (Some(NEAR), Some(FAR)));
         // Twice: it holds until both are over.
         for begins in [true, true, false] {
-            weather.enter(Act::Cut { host: 0, to, from, begins });
+            weather.enter(FaultAction::Partition { node: 0, direction, begins });
         }
         assert_eq!((weather.way(0, 0, true), weather.way(0, 0, false)), (there, back));
-        weather.enter(Act::Cut { host: 0, to, from, begins: false });
+        weather.enter(FaultAction::Partition { node: 0, direction, begins: false });
         assert_eq!((weather.way(0, 0, true), weather.way(0, 0, false)), (Some(NEAR), Some(NEAR)));
     }
 
@@ -221,7 +225,8 @@
     fn delays_add_up_and_end() {
         let mut weather = weather();
         let mut delay = |more, begins| {
-            weather.enter(Act::Delay { host: 0, more: Tenths(more), to: true, from: false, begins });
+            let (added, direction) = (Tenths(more), Direction::ToNode);
+            weather.enter(FaultAction::NetworkDelay { node: 0, added, direction, begins });
             (weather.way(0, 0, true).unwrap().0, weather.way(0, 0, false).unwrap().0)
         };
         assert_eq!(
@@ -234,37 +239,40 @@
     #[rstest]
     fn falls_silent_once() {
         let mut weather = weather();
-        let mut silence = |begins| weather.enter(Act::Silence { host: 2, begins });
+        let mut silence = |begins| weather.enter(FaultAction::Unresponsive { node: 2, begins });
         assert_eq!([silence(true), silence(true)], [Some(Do::Silent { host: 2 }), None]);
         assert_eq!(silence(false), None);
         assert_eq!(weather.way(0, 2, true), None);
-        assert_eq!(weather.enter(Act::Silence { host: 2, begins: false }), Some(Do::Sounds { host: 2 }));
+        assert_eq!(
+            weather.enter(FaultAction::Unresponsive { node: 2, begins: false }),
+            Some(Do::Sounds { host: 2 })
+        );
         assert_eq!(weather.way(0, 2, false), Some(NEAR));
     }
 
     #[rstest]
     fn the_roll_is_late_or_silent() {
         let mut weather = weather();
-        weather.enter(Act::LateRoll { more: Tenths(100), begins: true });
+        weather.enter(FaultAction::EndpointListDelay { added: Tenths(100), begins: true });
         assert_eq!(weather.roll(), Some(Tenths(100)));
-        assert_eq!(weather.enter(Act::SilentRoll { begins: true }), None);
+        assert_eq!(weather.enter(FaultAction::EndpointListOutage { begins: true }), None);
         assert_eq!(weather.roll(), None);
-        assert_eq!(weather.enter(Act::SilentRoll { begins: false }), Some(Do::RollBack));
-        weather.enter(Act::LateRoll { more: Tenths(100), begins: false });
+        assert_eq!(weather.enter(FaultAction::EndpointListOutage { begins: false }), Some(Do::RollBack));
+        weather.enter(FaultAction::EndpointListDelay { added: Tenths(100), begins: false });
         assert_eq!(weather.roll(), Some(Tenths::ZERO));
     }
 
     #[rstest]
     fn shares_are_drawn() {
         let mut weather = weather();
-        weather.enter(Act::Lopsided { share: 0.5, begins: true });
+        weather.enter(FaultAction::SkewedTraffic { share: 0.5, begins: true });
         let first = (0..10_000).filter(|_| weather.broker(1, 2) == 0).count();
         assert!((4_700..5_300).contains(&first), "{first}");
-        weather.enter(Act::Lopsided { share: 0.5, begins: false });
+        weather.enter(FaultAction::SkewedTraffic { share: 0.5, begins: false });
         assert!((0..100).all(|no| weather.broker(no, 2) == no % 2));
         assert!(!weather.kills() && !weather.spoils(0));
-        weather.enter(Act::Garble { host: 0, share: 1.0, begins: true });
-        weather.enter(Act::Killer { share: 1.0, begins: true });
+        weather.enter(FaultAction::Errors { node: 0, share: 1.0, begins: true });
+        weather.enter(FaultAction::QueryOfDeath { share: 1.0, begins: true });
         assert!(weather.kills() && weather.spoils(0) && !weather.spoils(1));
     }
 }
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,26 +1,33 @@
-//! Scripted incidents: what befalls hosts, halls, discovery, clients and brokers, and when. Decisions only,
-//! no I/O, no clock; chance by seed.
+//! Scripted faults: what goes wrong with nodes, zones, discovery, clients and brokers, and when. No I/O and no
+//! clock; random choices follow a seed.
 //!
-//! [`Scenario::read`] reads an INI text, or lists every mistake in it with line and key. [`Scenario::script`]
-//! makes it a list of moments for a fleet of a size. [`Book`] tells what a host's overlapping troubles come
-//! to together; its table is the one place where that is decided. [`LIBRARY`] has the scenarios that come
-//! with the product.
+//! [`Scenario::parse`] reads an INI text, or lists every error in it with line and key.
+//! [`Scenario::schedule`] turns it into a list of actions for a cluster of a given size. [`ActiveFaults`] holds
+//! the overlapping faults of one node; its table of transitions is the one place that decides what they add up
+//! to. [`LIBRARY`] has the scenarios that come with the product.
 //!
 //! ```
-//! use fault_scenarios::{Fleet, Scenario};
+//! use fault_scenarios::{ClusterSize, Scenario};
 //!
-//! let text = "[scenario]\nabout = a hall is lost\n[north]\nwhat = lose\nhall = 0\nat = 10\nfor = 5\n";
-//! let scenario = Scenario::read("north-lost", text).unwrap();
-//! let script = scenario.script(&Fleet { hosts: 6, halls: 3, cells: 3, brokers: 2 }, 1);
-//! assert_eq!(script.len(), 4); // two hosts are lost, and come back
+//! let text = "[scenario]\nabout = a zone is lost\n[north]\nwhat = lose\nhall = 0\nat = 10\nfor = 5\n";
+//! let scenario = Scenario::parse("north-lost", text).unwrap();
+//! let cluster = ClusterSize { nodes: 6, zones: 3, placement_groups: 3, brokers: 2 };
+//! assert_eq!(scenario.schedule(&cluster, 1).len(), 4); // two nodes are lost, and come back
 //! ```
 
-mod book;
+#![warn(missing_docs)]
+
+mod active_faults;
+mod fault;
 mod library;
+mod parser;
 mod scenario;
-mod script;
+mod scenario_error;
+mod schedule;
 
-pub use book::{Book, Change, Standing};
-pub use library::{LIBRARY, find};
-pub use scenario::{Cancel, Clients, Mistake, On, Scenario, Trouble, What};
-pub use script::{Act, Fleet, Moment};
+pub use active_faults::{ActiveFaults, NodeCondition, NodeTransition, PauseCycle};
+pub use fault::{Direction, Fault, FaultKind, FaultTarget};
+pub use library::{LIBRARY, LibraryScenario, find_in_library};
+pub use scenario::{CancelBehavior, ClientBehavior, Scenario};
+pub use scenario_error::ScenarioError;
+pub use schedule::{ClusterSize, FaultAction, ScheduledAction};
--- a/crates/fault-scenarios/src/library.rs
+++ b/crates/fault-scenarios/src/library.rs
@@ -1,10 +1,21 @@
-//! The scenarios that come with the product. What each is about stands in its text.
+//! The scenarios that come with the product. Each text says what it is about.
+
+/// A scenario that comes with the product.
+#[derive(Clone, Copy, Debug)]
+pub struct LibraryScenario {
+    /// The name by which it is asked for.
+    pub name: &'static str,
+    /// Its INI text.
+    pub text: &'static str,
+}
 
 macro_rules! library {
     ($($name:literal,)*) => {
-        /// Names and texts.
-        pub const LIBRARY: &[(&str, &str)] =
-            &[$(($name, include_str!(concat!("../scenarios/", $name, ".ini"))),)*];
+        /// All scenarios that come with the product, by name.
+        pub const LIBRARY: &[LibraryScenario] = &[$(LibraryScenario {
+            name: $name,
+            text: include_str!(concat!("../scenarios/", $name, ".ini")),
+        },)*];
     };
 }
 
@@ -41,7 +52,7 @@
     "work-goes-on",
 ];
 
-/// The text of this name.
-pub fn find(name: &str) -> Option<&'static str> {
-    LIBRARY.iter().find(|(other, _)| *other == name).map(|(_, text)| *text)
+/// The scenario of this name.
+pub fn find_in_library(name: &str) -> Option<&'static LibraryScenario> {
+    LIBRARY.iter().find(|scenario| scenario.name == name)
 }
--- /dev/null
+++ b/crates/fault-scenarios/src/parser.rs
@@ -0,0 +1,386 @@
+//! Reads a scenario's INI text: `[scenario]` and `[clients]` with the day, and one section for each fault,
+//! with any name.
+
+use crate::fault::{Direction, FAULT_KINDS, Fault, FaultKind, FaultKindSpec, FaultTarget};
+use crate::scenario::{CancelBehavior, ClientBehavior, Scenario};
+use crate::scenario_error::ScenarioError;
+use ini::{Ini, ParseOption};
+use std::collections::BTreeMap;
+
+/// A key with a number.
+struct NumberKey {
+    name: &'static str,
+    minimum: f64,
+    maximum: f64,
+    default: f64,
+}
+
+const fn number_key(name: &'static str, minimum: f64, maximum: f64, default: f64) -> NumberKey {
+    NumberKey { name, minimum, maximum, default }
+}
+
+const DAY_S: f64 = 86_400.0;
+const SCENARIO_NUMBERS: &[NumberKey] = &[
+    number_key("seconds", 1.0, DAY_S, 60.0),
+    number_key("load", 0.001, 100.0, 0.5),
+    number_key("near_ms", 0.1, 1000.0, 0.5),
+    number_key("far_ms", 0.1, 1000.0, 1.0),
+    number_key("warm_jobs", 0.0, 1e6, 0.0),
+];
+const CLIENT_NUMBERS: &[NumberKey] = &[
+    number_key("retries", 0.0, 100.0, 0.0),
+    number_key("backoff_ms", 0.0, 60_000.0, 50.0),
+    number_key("honours", 0.0, 1.0, 1.0),
+    number_key("impatient", 0.0, 1.0, 0.0),
+    number_key("callers", 1.0, 1000.0, 1.0),
+];
+const FAULT_NUMBERS: &[NumberKey] = &[
+    number_key("at", 0.0, DAY_S, 0.0),
+    number_key("for", 0.0, DAY_S, 0.0),
+    number_key("size", 0.0, 600_000.0, 0.0),
+    number_key("times", 1.0, 1000.0, 10.0),
+    number_key("every_ms", 1.0, 600_000.0, 1000.0),
+    number_key("drain_s", 0.1, 600.0, 2.0),
+    number_key("hall", 0.0, 1000.0, 0.0),
+    number_key("cell", 0.0, 100_000.0, 0.0),
+    number_key("host", 0.0, 1_000_000.0, 0.0),
+    number_key("share", 0.0001, 1.0, 1.0),
+    number_key("caller", 0.0, 999.0, 0.0),
+];
+/// Keys that choose nodes, and have no meaning for a fault that is not for nodes.
+const TARGET_KEYS: &[&str] = &["hall", "cell", "host", "share"];
+
+/// A word of a scenario's text and what it stands for.
+struct Word<T> {
+    text: &'static str,
+    value: T,
+}
+
+const CANCEL_WORDS: &[Word<CancelBehavior>] = &[
+    Word { text: "all", value: CancelBehavior::DropsAll },
+    Word { text: "waiting", value: CancelBehavior::DropsWaiting },
+    Word { text: "none", value: CancelBehavior::DropsNothing },
+];
+const DIRECTION_WORDS: &[Word<Direction>] = &[
+    Word { text: "both", value: Direction::Both },
+    Word { text: "to", value: Direction::ToNode },
+    Word { text: "from", value: Direction::FromNode },
+];
+
+fn list_words<T>(words: &[Word<T>]) -> String {
+    words.iter().map(|word| word.text).collect::<Vec<_>>().join(", ")
+}
+
+impl Scenario {
+    /// Reads a scenario's text.
+    ///
+    /// # Errors
+    ///
+    /// All errors in the text that can be told from each other, not only the first.
+    pub fn parse(name: &str, text: &str) -> Result<Scenario, Vec<ScenarioError>> {
+        let options = ParseOption { enabled_escape: false, enabled_quote: true, ..ParseOption::default() };
+        let ini = Ini::load_from_str_opt(text, options)
+            .map_err(|e| vec![ScenarioError::Syntax { line: e.line, reason: e.msg.to_string() }])?;
+        let mut parser = Parser { text, errors: Vec::new() };
+        let sections = parser.read_sections(&ini);
+        let cancel = parser.cancel_behavior(&sections.scenario);
+        if sections.faults.is_empty() && parser.errors.is_empty() {
+            parser.errors.push(ScenarioError::NoFaults);
+        }
+        if !parser.errors.is_empty() {
+            return Err(parser.errors);
+        }
+        let clients = client_behavior(&sections.clients);
+        parser.check_tenants(&sections.faults, clients.tenants);
+        if !parser.errors.is_empty() {
+            return Err(parser.errors);
+        }
+        let scenario = sections.scenario;
+        Ok(Scenario {
+            name: name.to_owned(),
+            about: scenario.text("about").unwrap_or_default(),
+            seconds: scenario.number("seconds"),
+            load: scenario.number("load"),
+            near_ms: scenario.number("near_ms"),
+            far_ms: scenario.number("far_ms"),
+            warm_jobs: scenario.number("warm_jobs") as u32,
+            cancel,
+            clients,
+            faults: sections.faults,
+        })
+    }
+}
+
+fn client_behavior(values: &SectionValues) -> ClientBehavior {
+    ClientBehavior {
+        retries: values.number("retries") as u32,
+        backoff_ms: values.number("backoff_ms"),
+        retry_after_share: values.number("honours"),
+        impatient_share: values.number("impatient"),
+        tenants: values.number("callers") as u32,
+    }
+}
+
+/// All sections of a text.
+struct Sections {
+    scenario: SectionValues,
+    clients: SectionValues,
+    faults: Vec<Fault>,
+}
+
+/// The valid values of one section.
+struct SectionValues {
+    number_keys: &'static [NumberKey],
+    numbers: BTreeMap<&'static str, f64>,
+    texts: BTreeMap<&'static str, String>,
+}
+
+impl SectionValues {
+    fn empty(number_keys: &'static [NumberKey]) -> SectionValues {
+        SectionValues { number_keys, numbers: BTreeMap::new(), texts: BTreeMap::new() }
+    }
+
+    fn given_number(&self, name: &str) -> Option<f64> {
+        self.numbers.get(name).copied()
+    }
+
+    /// The number that is given, or its default.
+    fn number(&self, name: &str) -> f64 {
+        let key = self.number_keys.iter().find(|key| key.name == name);
+        self.given_number(name).unwrap_or(key.map_or(0.0, |key| key.default))
+    }
+
+    fn index(&self, name: &str) -> Option<u32> {
+        self.given_number(name).map(|number| number as u32)
+    }
+
+    fn text(&self, name: &str) -> Option<String> {
+        self.texts.get(name).cloned()
+    }
+}
+
+/// Keys and values of a section, in the order of the text.
+type Properties<'a> = [(&'a str, &'a str)];
+
+struct Parser<'a> {
+    text: &'a str,
+    errors: Vec<ScenarioError>,
+}
+
+impl Parser<'_> {
+    fn read_sections(&mut self, ini: &Ini) -> Sections {
+        let mut scenario = SectionValues::empty(SCENARIO_NUMBERS);
+        let mut clients = SectionValues::empty(CLIENT_NUMBERS);
+        let mut faults = Vec::new();
+        for (section, properties) in ini {
+            let properties: Vec<(&str, &str)> = properties.iter().collect();
+            match section.unwrap_or_default() {
+                "" if properties.is_empty() => {}
+                "scenario" => {
+                    let text_keys = &["about", "cancel"];
+                    scenario = self.read_values("scenario", &properties, SCENARIO_NUMBERS, text_keys);
+                }
+                "clients" => clients = self.read_values("clients", &properties, CLIENT_NUMBERS, &[]),
+                section => faults.extend(self.read_fault(section, &properties)),
+            }
+        }
+        Sections { scenario, clients, faults }
+    }
+
+    fn read_values(
+        &mut self,
+        section: &str,
+        properties: &Properties,
+        number_keys: &'static [NumberKey],
+        text_keys: &[&'static str],
+    ) -> SectionValues {
+        let mut values = SectionValues::empty(number_keys);
+        let mut seen: Vec<&str> = Vec::new();
+        for (name, value) in properties {
+            if seen.contains(name) {
+                let line = self.line_of(section, Some(name));
+                let (section, key) = (section.to_owned(), (*name).to_owned());
+                self.errors.push(ScenarioError::DuplicateKey { line, section, key });
+                continue;
+            }
+            seen.push(name);
+            if let Some(key) = text_keys.iter().find(|key| *key == name) {
+                values.texts.insert(key, value.trim().to_owned());
+            } else if let Some(key) = number_keys.iter().find(|key| key.name == *name) {
+                if let Some(number) = self.read_number(section, key, value.trim()) {
+                    values.numbers.insert(key.name, number);
+                }
+            } else {
+                self.reject_key(section, name, number_keys, text_keys);
+            }
+        }
+        values
+    }
+
+    fn read_number(&mut self, section: &str, key: &NumberKey, value: &str) -> Option<f64> {
+        let number = value.parse::<f64>().ok();
+        let number = number.filter(|number| (key.minimum..=key.maximum).contains(number));
+        if number.is_none() {
+            let allowed = format!("{} to {}", key.minimum, key.maximum);
+            self.reject_value(section, key.name, value.to_owned(), allowed);
+        }
+        number
+    }
+
+    fn cancel_behavior(&mut self, scenario: &SectionValues) -> CancelBehavior {
+        let Some(text) = scenario.text("cancel") else { return CancelBehavior::default() };
+        let word = CANCEL_WORDS.iter().find(|word| word.text == text);
+        if word.is_none() {
+            self.reject_value("scenario", "cancel", text, list_words(CANCEL_WORDS));
+        }
+        word.map(|word| word.value).unwrap_or_default()
+    }
+
+    /// Reads a fault's section; none if it has an error.
+    fn read_fault(&mut self, section: &str, properties: &Properties) -> Option<Fault> {
+        let earlier_errors = self.errors.len();
+        let values = self.read_values(section, properties, FAULT_NUMBERS, &["what", "way"]);
+        let spec = self.fault_kind(section, &values)?;
+        let direction = self.direction(section, &values);
+        self.check_required_keys(section, spec, properties);
+        self.check_target(section, spec, &values);
+        self.check_size(section, spec, &values);
+        (self.errors.len() == earlier_errors).then(|| Fault {
+            name: section.to_owned(),
+            kind: spec.kind,
+            target: FaultTarget {
+                zone: values.index("hall"),
+                placement_group: values.index("cell"),
+                node: values.index("host"),
+                share: values.number("share"),
+            },
+            start_s: values.number("at"),
+            duration_s: values.number("for"),
+            size: values.number("size"),
+            work_factor: values.number("times"),
+            pause_interval_ms: values.number("every_ms"),
+            drain_s: values.number("drain_s"),
+            direction,
+            tenant: values.index("caller"),
+        })
+    }
+
+    fn fault_kind(&mut self, section: &str, values: &SectionValues) -> Option<&'static FaultKindSpec> {
+        let Some(name) = values.text("what") else {
+            self.report_missing(section, "what");
+            return None;
+        };
+        let spec = FAULT_KINDS.iter().find(|spec| spec.name == name);
+        if spec.is_none() {
+            let allowed = FAULT_KINDS.iter().map(|spec| spec.name).collect::<Vec<_>>().join(", ");
+            self.reject_value(section, "what", name, allowed);
+        }
+        spec
+    }
+
+    fn direction(&mut self, section: &str, values: &SectionValues) -> Direction {
+        let Some(text) = values.text("way") else { return Direction::default() };
+        let word = DIRECTION_WORDS.iter().find(|word| word.text == text);
+        if word.is_none() {
+            self.reject_value(section, "way", text, list_words(DIRECTION_WORDS));
+        }
+        word.map(|word| word.value).unwrap_or_default()
+    }
+
+    /// A key with an invalid value has its own error and is not missing.
+    fn check_required_keys(&mut self, section: &str, spec: &FaultKindSpec, properties: &Properties) {
+        let mut required = vec!["at"];
+        required.extend((spec.kind != FaultKind::BrokerRestart).then_some("for"));
+        required.extend(spec.size_range.is_some().then_some("size"));
+        for key in required {
+            if !properties.iter().any(|(name, _)| *name == key) {
+                self.report_missing(section, key);
+            }
+        }
+    }
+
+    fn check_target(&mut self, section: &str, spec: &FaultKindSpec, values: &SectionValues) {
+        if spec.kind != FaultKind::TrafficSurge {
+            self.reject_meaningless(section, "caller", spec, values);
+        }
+        if !spec.targets_nodes {
+            for key in TARGET_KEYS {
+                self.reject_meaningless(section, key, spec, values);
+            }
+        }
+    }
+
+    fn check_size(&mut self, section: &str, spec: &FaultKindSpec, values: &SectionValues) {
+        let Some(range) = &spec.size_range else {
+            self.reject_meaningless(section, "size", spec, values);
+            return;
+        };
+        if let Some(size) = values.given_number("size").filter(|size| !range.contains(size)) {
+            let allowed = format!("{} to {} with `{}`", range.start(), range.end(), spec.name);
+            self.reject_value(section, "size", size.to_string(), allowed);
+        }
+    }
+
+    /// A surge's tenant must be one of the tenants that there are.
+    fn check_tenants(&mut self, faults: &[Fault], tenants: u32) {
+        for fault in faults {
+            if let Some(tenant) = fault.tenant.filter(|tenant| *tenant >= tenants) {
+                let allowed = format!("under {tenants}, the number of callers");
+                self.reject_value(&fault.name, "caller", tenant.to_string(), allowed);
+            }
+        }
+    }
+
+    /// Reports a key that has no meaning for this kind of fault, if it is given.
+    fn reject_meaningless(&mut self, section: &str, key: &str, spec: &FaultKindSpec, values: &SectionValues) {
+        if let Some(number) = values.given_number(key) {
+            self.reject_value(section, key, number.to_string(), format!("nothing with `{}`", spec.name));
+        }
+    }
+
+    fn reject_value(&mut self, section: &str, key: &str, value: String, allowed: String) {
+        let line = self.line_of(section, Some(key));
+        let (section, key) = (section.to_owned(), key.to_owned());
+        self.errors.push(ScenarioError::InvalidValue { line, section, key, value, allowed });
+    }
+
+    fn reject_key(
+        &mut self,
+        section: &str,
+        name: &str,
+        number_keys: &[NumberKey],
+        text_keys: &[&'static str],
+    ) {
+        let line = self.line_of(section, Some(name));
+        let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * 1e6) as u64;
+        let allowed = number_keys.iter().map(|key| key.name).chain(text_keys.iter().copied());
+        let nearest = allowed.max_by_key(similarity).unwrap_or_default();
+        let (section, key) = (section.to_owned(), name.to_owned());
+        self.errors.push(ScenarioError::UnknownKey { line, section, key, nearest });
+    }
+
+    fn report_missing(&mut self, section: &str, key: &'static str) {
+        let line = self.line_of(section, None);
+        self.errors.push(ScenarioError::MissingKey { line, section: section.to_owned(), key });
+    }
+
+    /// The line of a section or of a key in it, from 1. The INI parser does not keep it, so it is looked up
+    /// in the text.
+    fn line_of(&self, section: &str, key: Option<&str>) -> usize {
+        let mut is_in_section = false;
+        for (index, line) in self.text.lines().enumerate() {
+            let line = line.trim();
+            if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
+                is_in_section = name.trim() == section;
+                if is_in_section && key.is_none() {
+                    return index + 1;
+                }
+            } else if let Some(key) = key.filter(|_| is_in_section)
+                && line.split(['=', ':']).next().is_some_and(|name| name.trim() == key)
+            {
+                return index + 1;
+            }
+        }
+        1
+    }
+}
--- /dev/null
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -0,0 +1,236 @@
+//! A scenario as a list of actions with their times, for a cluster of a given size. The same scenario, size
+//! and seed give the same list.
+
+use crate::active_faults::PauseCycle;
+use crate::fault::{Direction, Fault, FaultKind, FaultTarget};
+use crate::scenario::Scenario;
+use routing::Tenths;
+
+/// How large a cluster is. A node's placement group and zone follow from its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClusterSize {
+    /// Number of nodes.
+    pub nodes: u32,
+    /// Number of zones.
+    pub zones: u32,
+    /// Number of placement groups.
+    pub placement_groups: u32,
+    /// Number of brokers.
+    pub brokers: u32,
+}
+
+impl ClusterSize {
+    /// The zone of a node. A placement group lies in one zone, if there are at least as many groups as zones.
+    pub fn zone_of(&self, node: u32) -> u32 {
+        self.placement_group_of(node) % self.zones.max(1)
+    }
+
+    /// The placement group of a node.
+    pub fn placement_group_of(&self, node: u32) -> u32 {
+        node % self.placement_groups.max(1)
+    }
+}
+
+/// What is to be done at one time. `begins` says whether a fault begins or ends.
+#[allow(missing_docs, reason = "the fields of all variants have the same meaning; see `Fault`")]
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum FaultAction {
+    /// A node's process stops, or the outage is over.
+    Outage { node: u32, begins: bool },
+    /// A node begins to drain.
+    BeginDrain { node: u32 },
+    /// The time allowed for a node's drain is over.
+    FinishDrain { node: u32 },
+    /// A node answers nothing.
+    Unresponsive { node: u32, begins: bool },
+    /// A node works at a share of its speed.
+    Slowdown { node: u32, speed_factor: f64, begins: bool },
+    /// A node stands still again and again.
+    Pause { node: u32, cycle: PauseCycle, begins: bool },
+    /// A node rejects all new work.
+    Rejection { node: u32, begins: bool },
+    /// A share of a node's responses are errors.
+    Errors { node: u32, share: f64, begins: bool },
+    /// Messages to or from a node are lost.
+    Partition { node: u32, direction: Direction, begins: bool },
+    /// Messages to or from a node take longer.
+    NetworkDelay { node: u32, added: Tenths, direction: Direction, begins: bool },
+    /// Discovery publishes changes later.
+    EndpointListDelay { added: Tenths, begins: bool },
+    /// Discovery publishes nothing.
+    EndpointListOutage { begins: bool },
+    /// A tenant, or all of them, send `factor` times as many queries.
+    TrafficSurge { factor: f64, tenant: Option<u32>, begins: bool },
+    /// A share of the queries takes `work_factor` times as much work.
+    HeavyQueries { share: f64, work_factor: f64, begins: bool },
+    /// A share of the queries stops every node that begins a shard request of it.
+    QueryOfDeath { share: f64, begins: bool },
+    /// A broker restarts without any state.
+    RestartBroker { broker: u32 },
+    /// A share of all queries goes to one broker.
+    SkewedTraffic { share: f64, begins: bool },
+}
+
+/// An action and its time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ScheduledAction {
+    /// Time from the beginning of the day.
+    pub at: Tenths,
+    /// What is to be done.
+    pub action: FaultAction,
+}
+
+fn from_seconds(seconds: f64) -> Tenths {
+    Tenths::from_ms(seconds * 1000.0)
+}
+
+impl Scenario {
+    /// All actions in the order of their times; those of the same time in the order of the text.
+    pub fn schedule(&self, cluster: &ClusterSize, seed: u64) -> Vec<ScheduledAction> {
+        let mut schedule = Vec::new();
+        for (index, fault) in self.faults.iter().enumerate() {
+            // Each fault has random numbers of its own, so that a change to one leaves the others as they are.
+            let mut rng = fastrand::Rng::with_seed(seed ^ (index as u64 + 1).rotate_left(40));
+            schedule.extend(fault.actions(cluster, &mut rng));
+        }
+        schedule.sort_by_key(|scheduled| scheduled.at);
+        schedule
+    }
+}
+
+impl FaultTarget {
+    /// The nodes that are meant, in the order of their numbers.
+    fn pick_nodes(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<u32> {
+        let mut nodes: Vec<u32> = (0..cluster.nodes).filter(|node| self.fits(cluster, *node)).collect();
+        let count = ((nodes.len() as f64 * self.share).round() as usize).clamp(1, nodes.len().max(1));
+        rng.shuffle(&mut nodes);
+        nodes.truncate(count);
+        nodes.sort_unstable();
+        nodes
+    }
+
+    fn fits(&self, cluster: &ClusterSize, node: u32) -> bool {
+        let (zones, groups) = (cluster.zones.max(1), cluster.placement_groups.max(1));
+        self.zone.is_none_or(|zone| cluster.zone_of(node) == zone % zones)
+            && self.placement_group.is_none_or(|group| cluster.placement_group_of(node) == group % groups)
+            && self.node.is_none_or(|wanted| node == wanted % cluster.nodes.max(1))
+    }
+}
+
+impl Fault {
+    fn actions(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<ScheduledAction> {
+        let nodes = self.target.pick_nodes(cluster, rng);
+        match self.kind {
+            FaultKind::Drain => self.restart_all(&nodes, self.start(), self.end()),
+            FaultKind::RollingRestart => self.rolling_restart(cluster, &nodes),
+            FaultKind::BrokerRestart => self.restart_brokers(cluster, rng),
+            _ => {
+                let of_nodes = nodes
+                    .iter()
+                    .flat_map(|node| self.at_start_and_end(|begins| self.node_action(*node, begins)));
+                let of_cluster = self.at_start_and_end(|begins| self.cluster_action(begins));
+                of_nodes.chain(of_cluster).collect()
+            }
+        }
+    }
+
+    fn start(&self) -> Tenths {
+        from_seconds(self.start_s)
+    }
+
+    fn end(&self) -> Tenths {
+        from_seconds(self.start_s + self.duration_s)
+    }
+
+    fn at_start_and_end(
+        &self,
+        action: impl Fn(bool) -> Option<FaultAction>,
+    ) -> impl Iterator<Item = ScheduledAction> {
+        let start = action(true).map(|action| ScheduledAction { at: self.start(), action });
+        let end = action(false).map(|action| ScheduledAction { at: self.end(), action });
+        start.into_iter().chain(end)
+    }
+
+    /// What begins or ends on one node; none for a kind that is not for nodes.
+    fn node_action(&self, node: u32, begins: bool) -> Option<FaultAction> {
+        let (size, direction) = (self.size, self.direction);
+        let action = match self.kind {
+            FaultKind::Crash => FaultAction::Outage { node, begins },
+            FaultKind::Unresponsive => FaultAction::Unresponsive { node, begins },
+            FaultKind::Slowdown => FaultAction::Slowdown { node, speed_factor: size, begins },
+            FaultKind::Pause => {
+                let interval = Tenths::from_ms(self.pause_interval_ms);
+                let cycle = PauseCycle { pause: Tenths::from_ms(size), interval };
+                FaultAction::Pause { node, cycle, begins }
+            }
+            FaultKind::Rejection => FaultAction::Rejection { node, begins },
+            FaultKind::Errors => FaultAction::Errors { node, share: size, begins },
+            FaultKind::Partition => FaultAction::Partition { node, direction, begins },
+            FaultKind::NetworkDelay => {
+                FaultAction::NetworkDelay { node, added: Tenths::from_ms(size), direction, begins }
+            }
+            _ => return None,
+        };
+        Some(action)
+    }
+
+    /// What begins or ends for the whole cluster; none for a kind that is for nodes.
+    fn cluster_action(&self, begins: bool) -> Option<FaultAction> {
+        let size = self.size;
+        let action = match self.kind {
+            FaultKind::EndpointListDelay => {
+                FaultAction::EndpointListDelay { added: Tenths::from_ms(size), begins }
+            }
+            FaultKind::EndpointListOutage => FaultAction::EndpointListOutage { begins },
+            FaultKind::TrafficSurge => {
+                FaultAction::TrafficSurge { factor: size, tenant: self.tenant, begins }
+            }
+            FaultKind::HeavyQueries => {
+                FaultAction::HeavyQueries { share: size, work_factor: self.work_factor, begins }
+            }
+            FaultKind::QueryOfDeath => FaultAction::QueryOfDeath { share: size, begins },
+            FaultKind::SkewedTraffic => FaultAction::SkewedTraffic { share: size, begins },
+            _ => return None,
+        };
+        Some(action)
+    }
+
+    /// Restarts groups of nodes one after the other; each group has an equal part of the duration.
+    fn rolling_restart(&self, cluster: &ClusterSize, nodes: &[u32]) -> Vec<ScheduledAction> {
+        let group_size = ((f64::from(cluster.nodes) * self.size).round() as usize).max(1);
+        let groups = nodes.chunks(group_size);
+        let group_duration_s = self.duration_s / groups.len().max(1) as f64;
+        let mut actions = Vec::new();
+        for (index, group) in groups.enumerate() {
+            let start_s = self.start_s + group_duration_s * index as f64;
+            let end = from_seconds(start_s + group_duration_s.max(self.drain_s));
+            actions.extend(self.restart_all(group, from_seconds(start_s), end));
+        }
+        actions
+    }
+
+    /// Each node drains, stops, and starts at `end`.
+    fn restart_all(&self, nodes: &[u32], start: Tenths, end: Tenths) -> Vec<ScheduledAction> {
+        let drain_end = (start + from_seconds(self.drain_s)).min(end);
+        let restart = |node: &u32| {
+            let node = *node;
+            [
+                ScheduledAction { at: start, action: FaultAction::BeginDrain { node } },
+                ScheduledAction { at: drain_end, action: FaultAction::FinishDrain { node } },
+                ScheduledAction { at: end, action: FaultAction::Outage { node, begins: false } },
+            ]
+        };
+        nodes.iter().flat_map(restart).collect()
+    }
+
+    fn restart_brokers(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<ScheduledAction> {
+        let count = (f64::from(cluster.brokers) * self.size).round() as usize;
+        let mut brokers: Vec<u32> = (0..cluster.brokers).collect();
+        rng.shuffle(&mut brokers);
+        brokers.truncate(count.max(1));
+        brokers.sort_unstable();
+        let restart =
+            |broker| ScheduledAction { at: self.start(), action: FaultAction::RestartBroker { broker } };
+        brokers.into_iter().map(restart).collect()
+    }
+}
--- a/crates/fault-scenarios/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -1,27 +1,30 @@
-//! Texts, scripts, and what overlapping troubles come to.
+//! Scenario texts, schedules, and what overlapping faults add up to.
 
-use fault_scenarios::{Act, Book, Change, Fleet, LIBRARY, Scenario, Standing};
+use fault_scenarios::{
+    ActiveFaults, ClusterSize, FaultAction, LIBRARY, LibraryScenario, NodeCondition, NodeTransition,
+    PauseCycle, Scenario,
+};
 use proptest::prelude::*;
 use routing::Tenths;
 use rstest::rstest;
 
-const FLEET: Fleet = Fleet { hosts: 60, halls: 3, cells: 12, brokers: 9 };
+const CLUSTER: ClusterSize = ClusterSize { nodes: 60, zones: 3, placement_groups: 12, brokers: 9 };
 
 #[rstest]
-fn the_library_is_sound() {
+fn library_scenarios_are_valid() {
     assert!(LIBRARY.len() >= 20);
-    for (name, text) in LIBRARY {
-        let scenario = Scenario::read(name, text).unwrap_or_else(|mistakes| panic!("{name}: {mistakes:?}"));
+    for LibraryScenario { name, text } in LIBRARY {
+        let scenario = Scenario::parse(name, text).unwrap_or_else(|errors| panic!("{name}: {errors:?}"));
         assert!(scenario.about.len() > 20, "{name}");
-        for fleet in [Fleet { hosts: 6, halls: 3, cells: 3, brokers: 1 }, FLEET] {
-            let script = scenario.script(&fleet, 1);
-            assert!(!script.is_empty() && script == scenario.script(&fleet, 1), "{name}");
-            assert!(script.windows(2).all(|pair| pair[0].at <= pair[1].at), "{name}");
+        for cluster in [ClusterSize { nodes: 6, zones: 3, placement_groups: 3, brokers: 1 }, CLUSTER] {
+            let schedule = scenario.schedule(&cluster, 1);
+            assert!(!schedule.is_empty() && schedule == scenario.schedule(&cluster, 1), "{name}");
+            assert!(schedule.windows(2).all(|pair| pair[0].at <= pair[1].at), "{name}");
         }
     }
 }
 
-/// Each mistake with its line, its key and what is allowed; all of them at once.
+/// Each error has its line, its key and what is allowed.
 #[rstest]
 #[case("[scenario]\nload = 0.5\n", "no trouble: a section with `what` is needed")]
 #[case("[n]\nat = 1\nfor = 2\n", "line 1: [n] needs `what`")]
@@ -55,106 +58,125 @@
     "line 2: `cancel` of [scenario] is `some`: all"
 )]
 #[case("[n\nwhat = lose\n", "line ")]
-fn tells_each_mistake(#[case] text: &str, #[case] told: &str) {
-    let mistakes = Scenario::read("x", text).unwrap_err();
-    assert!(mistakes.iter().any(|mistake| mistake.to_string().starts_with(told)), "{mistakes:?}");
+fn reports_each_error(#[case] text: &str, #[case] expected: &str) {
+    let errors = Scenario::parse("x", text).unwrap_err();
+    assert!(errors.iter().any(|error| error.to_string().starts_with(expected)), "{errors:?}");
 }
 
 #[rstest]
-fn picks_hosts_by_hall_and_share() {
+fn picks_nodes_by_zone_and_share() {
     let text = "[n]\nwhat = lose\nat = 1\nfor = 2\nhall = 1\nshare = 0.5\n";
-    let script = Scenario::read("x", text).unwrap().script(&FLEET, 7);
-    let lost: Vec<u32> = script
+    let schedule = Scenario::parse("x", text).unwrap().schedule(&CLUSTER, 7);
+    let lost: Vec<u32> = schedule
         .iter()
-        .filter_map(|moment| match moment.act {
-            Act::Down { host, begins: true } => Some(host),
+        .filter_map(|scheduled| match scheduled.action {
+            FaultAction::Outage { node, begins: true } => Some(node),
             _ => None,
         })
         .collect();
     assert_eq!(lost.len(), 10);
-    assert!(lost.iter().all(|host| FLEET.hall_of(*host) == 1));
-    assert_ne!(Scenario::read("x", text).unwrap().script(&FLEET, 8), script, "another seed, other hosts");
+    assert!(lost.iter().all(|node| CLUSTER.zone_of(*node) == 1));
+    assert_ne!(
+        Scenario::parse("x", text).unwrap().schedule(&CLUSTER, 8),
+        schedule,
+        "another seed, other nodes"
+    );
 }
 
-/// A release restarts all hosts, a share at a time, and no wave before the one ahead is back.
+/// A rolling restart restarts all nodes, a share at a time, and no group before the one ahead is back.
 #[rstest]
-fn releases_in_waves() {
+fn restarts_one_group_after_the_other() {
     let text = "[r]\nwhat = release\nat = 10\nfor = 40\nsize = 0.25\n";
-    let script = Scenario::read("x", text).unwrap().script(&FLEET, 1);
-    let mut away: i32 = 0;
-    let mut most = 0;
-    for moment in &script {
-        away += match moment.act {
-            Act::Drain { .. } => 1,
-            Act::Down { begins: false, .. } => -1,
+    let schedule = Scenario::parse("x", text).unwrap().schedule(&CLUSTER, 1);
+    let mut unavailable: i32 = 0;
+    let mut most_unavailable = 0;
+    for scheduled in &schedule {
+        unavailable += match scheduled.action {
+            FaultAction::BeginDrain { .. } => 1,
+            FaultAction::Outage { begins: false, .. } => -1,
             _ => 0,
         };
-        most = most.max(away);
+        most_unavailable = most_unavailable.max(unavailable);
     }
-    let drains = script.iter().filter(|moment| matches!(moment.act, Act::Drain { .. })).count();
-    assert_eq!((drains, away), (60, 0));
-    assert!(most <= 30, "two waves at the most, where one ends as the next begins: {most}");
-    assert!(script.iter().all(|moment| moment.at <= Tenths(500_000)));
+    let drains = schedule
+        .iter()
+        .filter(|scheduled| matches!(scheduled.action, FaultAction::BeginDrain { .. }))
+        .count();
+    assert_eq!((drains, unavailable), (60, 0));
+    assert!(
+        most_unavailable <= 30,
+        "two groups at most, where one ends as the next begins: {most_unavailable}"
+    );
+    assert!(schedule.iter().all(|scheduled| scheduled.at <= Tenths(500_000)));
 }
 
-/// A step a word: `d` down, `u` up, `D` drain, `X` its time is up. What it comes to, and what was done.
+/// One step a word: `d` an outage begins, `u` it ends, `D` a drain begins, `X` its time is over. The condition at
+/// the end, and the transition of each step.
 #[rstest]
-#[case("d u", Standing::Ready, "dies starts")]
-#[case("d d u", Standing::Gone, "dies - -")]
-#[case("d d u u", Standing::Ready, "dies - - starts")]
-#[case("D X u", Standing::Ready, "drains dies starts")]
-#[case("D d X u u", Standing::Ready, "drains dies - - starts")]
-#[case("d D u X u", Standing::Ready, "dies - - - starts")]
-#[case("D", Standing::Draining, "drains")]
-fn overlaps(#[case] steps: &str, #[case] standing: Standing, #[case] done: &str) {
-    let mut book = Book::default();
-    let did: Vec<&str> = steps
+#[case("d u", NodeCondition::Ready, "dies starts")]
+#[case("d d u", NodeCondition::Down, "dies - -")]
+#[case("d d u u", NodeCondition::Ready, "dies - - starts")]
+#[case("D X u", NodeCondition::Ready, "drains dies starts")]
+#[case("D d X u u", NodeCondition::Ready, "drains dies - - starts")]
+#[case("d D u X u", NodeCondition::Ready, "dies - - - starts")]
+#[case("D", NodeCondition::Draining, "drains")]
+fn combines_overlapping_outages_and_drains(
+    #[case] steps: &str,
+    #[case] condition: NodeCondition,
+    #[case] expected: &str,
+) {
+    let mut faults = ActiveFaults::default();
+    let transitions: Vec<&str> = steps
         .split(' ')
         .map(|step| match step {
-            "d" => book.down(),
-            "u" => book.up(),
-            "D" => book.drain(),
-            _ => book.drained(),
+            "d" => faults.begin_outage(),
+            "u" => faults.end_outage(),
+            "D" => faults.begin_drain(),
+            _ => faults.finish_drain(),
         })
-        .map(|change| match change {
-            Change::Nothing => "-",
-            Change::Dies => "dies",
-            Change::Drains => "drains",
-            Change::Starts => "starts",
+        .map(|transition| match transition {
+            NodeTransition::Unchanged => "-",
+            NodeTransition::Stops => "dies",
+            NodeTransition::Drains => "drains",
+            NodeTransition::Starts => "starts",
         })
         .collect();
-    assert_eq!((book.standing(), &did.join(" ")[..]), (standing, done));
+    assert_eq!((faults.condition(), &transitions.join(" ")[..]), (condition, expected));
 }
 
 proptest! {
-    /// Whatever overlaps, when all is over nothing is left.
+    /// Whatever overlaps, nothing is left when all faults have ended.
     #[test]
-    fn nothing_stays(spans in proptest::collection::vec((0_u8..6, 0_u32..50, 1_u32..50), 0..12)) {
-        let mut moments: Vec<(u32, u8, usize, bool)> = Vec::new();
-        for (no, (kind, at, lasts)) in spans.iter().enumerate() {
-            moments.push((*at, *kind, no, true));
-            moments.push((at + lasts, *kind, no, false));
+    fn no_fault_outlives_its_end(spans in proptest::collection::vec((0_u8..6, 0_u32..50, 1_u32..50), 0..12)) {
+        let mut edges: Vec<(u32, u8, usize, bool)> = Vec::new();
+        for (index, (kind, start, duration)) in spans.iter().enumerate() {
+            edges.push((*start, *kind, index, true));
+            edges.push((start + duration, *kind, index, false));
         }
-        moments.sort();
-        let mut book = Book::default();
-        for (_, kind, no, begins) in moments {
-            let share = 0.1 + no as f64 / 100.0;
+        edges.sort();
+        let mut faults = ActiveFaults::default();
+        for (_, kind, index, begins) in edges {
+            let share = 0.1 + index as f64 / 100.0;
             match kind {
-                0 => _ = if begins { book.down() } else { book.up() },
-                1 => book.crawl(share, begins),
-                2 => book.garble(share, begins),
-                3 => book.refuse(begins),
-                4 => book.silence(begins),
-                _ => book.pause((no as i64, 10), begins),
+                0 => _ = if begins { faults.begin_outage() } else { faults.end_outage() },
+                1 => faults.set_slowdown(share, begins),
+                2 => faults.set_errors(share, begins),
+                3 => faults.set_rejecting(begins),
+                4 => faults.set_unresponsive(begins),
+                _ => {
+                    let cycle = PauseCycle { pause: Tenths(index as i64), interval: Tenths(10) };
+                    faults.set_pause(cycle, begins);
+                },
             }
-            prop_assert!((0.0..=1.0).contains(&book.speed()) && (0.0..=1.0).contains(&book.errors()));
+            prop_assert!((0.0..=1.0).contains(&faults.speed_factor()));
+            prop_assert!((0.0..=1.0).contains(&faults.error_share()));
         }
-        prop_assert_eq!(book, Book::default());
+        prop_assert_eq!(faults, ActiveFaults::default());
     }
 
-    /// Any text is read or told to be wrong.
+    /// Any text is read or rejected, without a panic.
     #[test]
-    fn no_text_is_too_much(text in "[ -~\\n]{0,300}") {
-        let _ = Scenario::read("x", &text);
+    fn survives_any_text(text in "[ -~\\n]{0,300}") {
+        let _ = Scenario::parse("x", &text);
     }
 }
