--- a/crates/broker-bench/src/demo.rs
+++ b/crates/broker-bench/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::rehearse::Mind;
 use crate::traces::{Planned, Played, Tolerance, run_plan, take_rows};
 use cluster_trace::plan::Planner;
-use cluster_trace::{Policy, Reader, layout};
+use cluster_trace::{RejectionPolicy, TraceReader, find_layout};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -16,7 +16,7 @@
     let planned = Planned {
         files: Vec::new(),
         layout: None,
-        tolerate: Tolerance(Policy::StopAtFirst),
+        tolerate: Tolerance(RejectionPolicy::StopAtFirst),
         from: 600.0,
         to: 630.0,
         seed: 2,
@@ -43,14 +43,16 @@
         report: Some(page.clone()),
         json: false,
     };
-    let made = Planner::new(played.planned.staging()).map_err(|e| e.to_string()).and_then(|mut planner| {
-        for (name, text) in [("google-2011-machine-events", MACHINES), ("google-2011-task-events", TASKS)] {
-            let layout = layout(name).ok_or("a layout is missing")?;
-            let reader = Reader::new(layout, text.as_bytes()).map_err(|e| e.to_string())?;
-            take_rows(reader, layout, Policy::StopAtFirst, &mut planner)?;
-        }
-        planner.plan().map_err(|e| e.to_string())
-    });
+    let made =
+        Planner::new(played.planned.replay_config()).map_err(|e| e.to_string()).and_then(|mut planner| {
+            for (name, text) in [("google-2011-machine-events", MACHINES), ("google-2011-task-events", TASKS)]
+            {
+                let layout = find_layout(name).ok_or("a layout is missing")?;
+                let reader = TraceReader::new(layout, text.as_bytes()).map_err(|e| e.to_string())?;
+                take_rows(reader, layout, RejectionPolicy::StopAtFirst, &mut planner)?;
+            }
+            planner.finish().map_err(|e| e.to_string())
+        });
     let plan = match made {
         Ok(plan) => plan,
         Err(why) => {
--- a/crates/broker-bench/src/incident.rs
+++ b/crates/broker-bench/src/incident.rs
@@ -5,7 +5,9 @@
 use crate::outcome::Outcome;
 use crate::rehearse::{Cast, Mind, World};
 use crate::weather::{Do, Weather};
-use cluster_trace::plan::{Cast as Role, Entry, Happens, HostEvent, Plan, Staging};
+use cluster_trace::plan::{
+    ClassSpec, CountRange, NodeEvent, Plan, PlanEntry, PlanEvent, PlannedShardRequest, ReplayConfig,
+};
 use fault_scenarios::{CancelBehavior, ClusterSize, FaultAction, NodeTransition, Scenario, ScheduledAction};
 use node_emulator::Cancel;
 use routing::Tenths;
@@ -18,30 +20,34 @@
 const CORES: usize = 4;
 /// Shares, and shard requests from and to, of reports and lookups.
 const REPORTS: f64 = 0.25;
-const REPORT_PARTS: (u32, u32) = (8, 24);
-const LOOKUP_PARTS: (u32, u32) = (1, 4);
+const REPORT_PARTS: CountRange = CountRange { min: 8, max: 24 };
+const LOOKUP_PARTS: CountRange = CountRange { min: 1, max: 4 };
 
-fn staging(hosts: u32, scenario: &Scenario, seed: u64) -> Staging {
-    Staging {
+fn replay_config(hosts: u32, scenario: &Scenario, seed: u64) -> ReplayConfig {
+    ReplayConfig {
         seed,
         from: 0,
         to: (scenario.seconds * 1e6) as u64,
-        stretch: 1.0,
-        sample: 1.0,
+        time_scale: 1.0,
+        sample_share: 1.0,
         load: scenario.load,
-        hosts,
-        host_ms_per_s: CORES as f64 * 1000.0,
-        shards: (hosts * 2).max(REPORT_PARTS.1),
+        nodes: hosts,
+        node_ms_per_s: CORES as f64 * 1000.0,
+        shards: (hosts * 2).max(REPORT_PARTS.max),
         classes: vec![
-            Role::reissuable("report", REPORTS, REPORT_PARTS, 1.0, (3.0, 0.4)),
-            Role::reissuable("lookup", 1.0 - REPORTS, LOOKUP_PARTS, 0.0, (1.0, 1.0)),
+            ClassSpec {
+                priority_weight: 3.0,
+                min_coverage: 0.4,
+                ..ClassSpec::idempotent("report", REPORTS, REPORT_PARTS, 1.0)
+            },
+            ClassSpec::idempotent("lookup", 1.0 - REPORTS, LOOKUP_PARTS, 0.0),
         ],
-        tenants: vec![1.0; scenario.clients.tenants.max(1) as usize],
+        tenant_weights: vec![1.0; scenario.clients.tenants.max(1) as usize],
         quota_per_s: None,
-        drains: 0.0,
-        drain_for: 20_000,
-        budget: None,
-        most: 50_000_000,
+        drain_share: 0.0,
+        drain_duration: 20_000,
+        retry_budget: None,
+        max_entries: 50_000_000,
     }
 }
 
@@ -89,12 +95,11 @@
 }
 
 /// What is asked: arrivals by lot at the rate that offers the load, more of them in a storm.
-fn plan(staging: &Staging, script: &[ScheduledAction], seconds: f64) -> Plan {
-    let mut rng = fastrand::Rng::with_seed(staging.seed ^ 0xa5c);
-    let mean = |(from, to): (u32, u32)| f64::from(from + to) / 2.0;
+fn plan(replay: &ReplayConfig, script: &[ScheduledAction], seconds: f64) -> Plan {
+    let mut rng = fastrand::Rng::with_seed(replay.seed ^ 0xa5c);
+    let mean = |range: CountRange| f64::from(range.min + range.max) / 2.0;
     let shard_requests = REPORTS * mean(REPORT_PARTS) + (1.0 - REPORTS) * mean(LOOKUP_PARTS);
-    let a_second =
-        staging.load * f64::from(staging.hosts) * staging.host_ms_per_s / (shard_requests * PART_MS);
+    let a_second = replay.load * f64::from(replay.nodes) * replay.node_ms_per_s / (shard_requests * PART_MS);
     let changes: Vec<ScheduledAction> = script
         .iter()
         .filter(|scheduled| {
@@ -102,9 +107,9 @@
         })
         .copied()
         .collect();
-    let demand = Demand(&changes, staging.tenants.len());
-    let mut entries: Vec<Entry> = (0..staging.hosts)
-        .map(|host| Entry { at: 0, what: Happens::Host { host, event: HostEvent::Warm } })
+    let demand = Demand(&changes, replay.tenant_weights.len());
+    let mut entries: Vec<PlanEntry> = (0..replay.nodes)
+        .map(|host| PlanEntry { at: 0, event: PlanEvent::Node { node: host, event: NodeEvent::StartWarm } })
         .collect();
     let mut at = 0.2;
     loop {
@@ -115,22 +120,28 @@
             break;
         }
         let class = usize::from(rng.f64() >= REPORTS);
-        let Role { shard_requests: (from, to), skew, .. } = staging.classes[class];
-        let count = rng.u32(from..=to);
-        let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-skew)).collect();
+        let ClassSpec { shard_requests: range, weight_skew, .. } = replay.classes[class];
+        let count = rng.u32(range.min..=range.max);
+        let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-weight_skew)).collect();
         let total: f64 = raw.iter().sum();
-        let first = rng.u32(..staging.shards);
+        let first = rng.u32(..replay.shards);
         let times = if rng.f64() < share { more } else { 1.0 };
         let shard_request = |(rank, weight): (u32, f64)| {
             let us = (exponential(&mut rng) * PART_MS * times * 1000.0) as u64;
-            ((first + rank) % staging.shards, weight / total, us.max(100))
+            PlannedShardRequest {
+                shard: (first + rank) % replay.shards,
+                weight: weight / total,
+                work_us: us.max(100),
+            }
         };
         let shard_requests = (0..).zip(raw).map(shard_request).collect();
         let tenant = whose(&mut rng, &tenants);
-        entries
-            .push(Entry { at: (at * 10_000.0) as u64, what: Happens::Ask { class, tenant, shard_requests } });
+        entries.push(PlanEntry {
+            at: (at * 10_000.0) as u64,
+            event: PlanEvent::Query { class, tenant, shard_requests },
+        });
     }
-    Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 }
+    Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
 
 /// One day of a scenario.
@@ -143,10 +154,10 @@
     pub mind: Mind,
 }
 
-/// What a day is played with: its script, staging, plan, cast and weather.
+/// What a day is played with: its script, replay, plan, cast and weather.
 struct Parts {
     script: Vec<ScheduledAction>,
-    staging: Staging,
+    replay: ReplayConfig,
     plan: Plan,
     cast: Cast,
     weather: Weather,
@@ -158,8 +169,8 @@
         let cells = (hosts / CELL).max(halls).max(1);
         let cluster = ClusterSize { nodes: hosts, zones: halls, placement_groups: cells, brokers };
         let script = scenario.schedule(&cluster, seed);
-        let staging = staging(hosts, scenario, seed);
-        let plan = plan(&staging, &script, scenario.seconds);
+        let replay = replay_config(hosts, scenario, seed);
+        let plan = plan(&replay, &script, scenario.seconds);
         let (near, far) = (Tenths::from_ms(scenario.near_ms), Tenths::from_ms(scenario.far_ms));
         let weather = Weather::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
@@ -169,19 +180,19 @@
         };
         let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
         let cast = Cast { brokers, mind, seed, cells, cores: CORES, warm_jobs, cancel };
-        Parts { script, staging, plan, cast, weather }
+        Parts { script, replay, plan, cast, weather }
     }
 
     pub fn play(&self) -> Outcome {
-        let Parts { script, staging, plan, cast, weather, .. } = self.shard_requests();
-        World::scripted(plan, &staging, cast, (weather, script, self.scenario.clients)).play(|_, _| true)
+        let Parts { script, replay, plan, cast, weather, .. } = self.shard_requests();
+        World::scripted(plan, &replay, cast, (weather, script, self.scenario.clients)).play(|_, _| true)
     }
 
     /// The same day as hosts' events of a plan, which sockets can play as virtual time does: hosts that are
     /// lost, drained, released, or crawl, and what is asked, storms too. Ways, the endpoint list's troubles and
     /// clients' repeats are not; a scenario with them is told so, by its trouble.
-    pub fn on_sockets(&self) -> Result<(Plan, Staging, Cast), String> {
-        let Parts { script, staging, mut plan, cast, mut weather } = self.shard_requests();
+    pub fn on_sockets(&self) -> Result<(Plan, ReplayConfig, Cast), String> {
+        let Parts { script, replay, mut plan, cast, mut weather } = self.shard_requests();
         for scheduled in &script {
             let done = match scheduled.action {
                 FaultAction::Outage { .. }
@@ -192,25 +203,23 @@
                 other => return Err(format!("{}: {other:?} is not played on sockets", self.scenario.name)),
             };
             let event = match done {
-                Some(Do::Change { host, transition: NodeTransition::Stops }) => {
-                    Some((host, HostEvent::Death))
-                }
+                Some(Do::Change { host, transition: NodeTransition::Stops }) => Some((host, NodeEvent::Stop)),
                 Some(Do::Change { host, transition: NodeTransition::Drains }) => {
-                    Some((host, HostEvent::Drain))
+                    Some((host, NodeEvent::Drain))
                 }
                 Some(Do::Change { host, transition: NodeTransition::Starts }) => {
-                    Some((host, HostEvent::Start))
+                    Some((host, NodeEvent::StartCold))
                 }
-                Some(Do::Speed { host, share }) => Some((host, HostEvent::Slow(share))),
+                Some(Do::Speed { host, share }) => Some((host, NodeEvent::SlowDown(share))),
                 _ => None,
             };
             if let Some((host, event)) = event {
-                let what = Happens::Host { host: host as u32, event };
-                plan.entries.push(Entry { at: scheduled.at.0.max(0) as u64, what });
+                let event = PlanEvent::Node { node: host as u32, event };
+                plan.entries.push(PlanEntry { at: scheduled.at.0.max(0) as u64, event });
             }
         }
         plan.entries.sort_by_key(|entry| entry.at);
-        Ok((plan, staging, cast))
+        Ok((plan, replay, cast))
     }
 
     /// When the last trouble is over, in whole seconds.
--- a/crates/broker-bench/src/incident/tests.rs
+++ b/crates/broker-bench/src/incident/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::rehearse::World;
-use cluster_trace::plan::{Happens, HostEvent};
+use cluster_trace::plan::{NodeEvent, PlanEvent};
 use fault_scenarios::{LIBRARY, find_in_library};
 use rayon::prelude::*;
 use rstest::rstest;
@@ -120,12 +120,14 @@
         [north]\nwhat = lose\nat = 8\nfor = 6\nhall = 0\n";
     let scenario = Scenario::parse("hall-lost-short", text).unwrap();
     let day = Day { scenario: &scenario, hosts: 6, brokers: 3, halls: 3, seed: 1, mind: Mind::Module };
-    let (plan, staging, cast) = day.on_sockets().unwrap();
+    let (plan, replay, cast) = day.on_sockets().unwrap();
     assert!(
-        plan.entries.iter().any(|entry| matches!(entry.what, Happens::Host { event: HostEvent::Death, .. }))
+        plan.entries
+            .iter()
+            .any(|entry| matches!(entry.event, PlanEvent::Node { event: NodeEvent::Stop, .. }))
     );
-    let virtual_day = World::new(plan.clone(), &staging, cast.clone()).play(|_, _| true);
-    let sockets = crate::loopback::play(plan, &staging, cast, |_, _| true).unwrap();
+    let virtual_day = World::new(plan.clone(), &replay, cast.clone()).play(|_, _| true);
+    let sockets = crate::loopback::play(plan, &replay, cast, |_, _| true).unwrap();
     for outcome in [&virtual_day, &sockets] {
         assert!(outcome.broken.is_empty(), "{}", outcome.json());
         assert!(outcome.queries > 500);
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -14,7 +14,7 @@
 use crate::rehearse::Cast;
 use crate::scene::{self, ROLL_LATE};
 use broker::{Running, StartupConfig};
-use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
+use cluster_trace::plan::{NodeEvent, Plan, PlanEntry, PlanEvent, PlannedShardRequest, ReplayConfig};
 use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
 use node_emulator::{Host, JobNo, Load, State, Taken};
 use routing::{EndpointState, Tenths};
@@ -59,17 +59,17 @@
 /// Plays a plan; `going_on` is asked once for each second of the day.
 pub fn play(
     plan: Plan,
-    staging: &Staging,
+    replay: &ReplayConfig,
     cast: Cast,
     going_on: impl FnMut(Tenths, Tenths) -> bool,
 ) -> Result<Outcome, NoFigure> {
-    play_within(PATIENCE, plan, staging, cast, going_on)
+    play_within(PATIENCE, plan, replay, cast, going_on)
 }
 
 fn play_within(
     patience: Duration,
     plan: Plan,
-    staging: &Staging,
+    replay: &ReplayConfig,
     cast: Cast,
     going_on: impl FnMut(Tenths, Tenths) -> bool,
 ) -> Result<Outcome, NoFigure> {
@@ -77,7 +77,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
     let runtime = actix_rt::Runtime::from(runtime);
     runtime.block_on(async {
-        let mut day = Day::begin(patience, plan, staging, cast).await?;
+        let mut day = Day::begin(patience, plan, replay, cast).await?;
         day.play(going_on).await?;
         Ok(day.outcome)
     })
@@ -118,7 +118,7 @@
     patience: Duration,
     now: Tenths,
     last: Tenths,
-    plan: VecDeque<cluster_trace::plan::Entry>,
+    plan: VecDeque<PlanEntry>,
     cast: Cast,
     names: Vec<String>,
     cut_offs: Vec<u32>,
@@ -150,12 +150,17 @@
 }
 
 impl Day {
-    async fn begin(patience: Duration, plan: Plan, staging: &Staging, cast: Cast) -> Result<Day, NoFigure> {
+    async fn begin(
+        patience: Duration,
+        plan: Plan,
+        replay: &ReplayConfig,
+        cast: Cast,
+    ) -> Result<Day, NoFigure> {
         let catalog = Catalog::start().await?;
         let (tell, heard) = mpsc::unbounded_channel();
-        let nodes = (0..staging.hosts as usize).map(|at| Node::reserved(at, tell.clone()));
+        let nodes = (0..replay.nodes as usize).map(|at| Node::reserved(at, tell.clone()));
         let nodes = nodes.collect::<io::Result<Vec<Node>>>()?;
-        let hosts: Vec<Host> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
+        let hosts: Vec<Host> = (0..replay.nodes).map(|_| scene::dead_host(&cast)).collect();
         let mut brokers = Vec::new();
         for no in 0..cast.brokers {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
@@ -164,7 +169,7 @@
                 // As much as the day may need: connections that are let go for want of room are another
                 // matter.
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 16384},
-                "settings": scene::settings(staging, &cast)});
+                "settings": scene::settings(replay, &cast)});
             let mut order =
                 StartupConfig::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
             order.since = Some(SINCE);
@@ -177,9 +182,9 @@
             now: Tenths(0),
             last,
             plan: plan.entries.into(),
-            names: staging.classes.iter().map(|told| told.name.clone()).collect(),
-            cut_offs: staging.classes.iter().map(|told| told.deadline).collect(),
-            quotas: staging.quota_per_s.is_some(),
+            names: replay.classes.iter().map(|told| told.name.clone()).collect(),
+            cut_offs: replay.classes.iter().map(|told| told.deadline_ms).collect(),
+            quotas: replay.quota_per_s.is_some(),
             catalog,
             told: vec![(EndpointState::Removed, Tenths(0)); hosts.len()],
             nodes,
@@ -197,9 +202,9 @@
             job_of: BTreeMap::new(),
             next_job: 0,
             hasher: blake3::Hasher::new(),
-            audit: Audit::new(scene::bounds(staging, SLACK), brokers.len()),
+            audit: Audit::new(scene::bounds(replay, SLACK), brokers.len()),
             brokers,
-            outcome: Outcome::new(scene::worth(staging), staging.tenants.len()),
+            outcome: Outcome::new(scene::worth(replay), replay.tenant_weights.len()),
             cast,
         };
         day.gather().await?;
@@ -268,11 +273,11 @@
             self.tell(host).await?;
         }
         while let Some(entry) = self.plan.pop_front_if(|entry| entry.at as i64 <= self.now.0) {
-            match entry.what {
-                Happens::Ask { class, tenant, shard_requests } => {
+            match entry.event {
+                PlanEvent::Query { class, tenant, shard_requests } => {
                     self.ask(class, tenant, &shard_requests).await?
                 }
-                Happens::Host { host, event } => self.host_event(host as usize, event).await?,
+                PlanEvent::Node { node, event } => self.host_event(node as usize, event).await?,
             }
         }
         Ok(())
@@ -475,24 +480,24 @@
         Ok(())
     }
 
-    async fn host_event(&mut self, host: usize, event: HostEvent) -> Result<(), NoFigure> {
+    async fn host_event(&mut self, host: usize, event: NodeEvent) -> Result<(), NoFigure> {
         match event {
-            HostEvent::Warm => {
+            NodeEvent::StartWarm => {
                 self.hosts[host] = scene::warm_host(&self.cast);
                 self.nodes[host].listen()?;
                 return self.tell(host).await;
             }
-            HostEvent::Start => {
+            NodeEvent::StartCold => {
                 self.hosts[host].start(self.now);
                 self.nodes[host].listen()?;
                 self.telling.push_back((self.now + ROLL_LATE, host));
             }
-            HostEvent::Drain => {
+            NodeEvent::Drain => {
                 self.hosts[host].drain();
                 return self.tell(host).await;
             }
-            HostEvent::Death => self.fall(host).await?,
-            HostEvent::Slow(share) => self.hosts[host].slow(share),
+            NodeEvent::Stop => self.fall(host).await?,
+            NodeEvent::SlowDown(share) => self.hosts[host].slow(share),
         }
         self.rest().await
     }
@@ -516,16 +521,21 @@
 
     // ---- clients
 
-    async fn ask(&mut self, class: usize, tenant: usize, told: &[(u32, f64, u64)]) -> Result<(), NoFigure> {
+    async fn ask(
+        &mut self,
+        class: usize,
+        tenant: usize,
+        told: &[PlannedShardRequest],
+    ) -> Result<(), NoFigure> {
         let no = self.queries.len();
         let broker = no % self.brokers.len();
         let of = Of { class, tenant, at: self.now };
         self.outcome.ask(of);
-        let weights: Vec<f64> = told.iter().map(|(_, weight, _)| *weight).collect();
+        let weights: Vec<f64> = told.iter().map(|planned| planned.weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, class, self.time_of(class), &weights);
-        let shard_requests = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
+        let shard_requests = told.iter().map(|planned| (planned.shard, planned.work_us)).collect();
         self.queries.push(Query { broker, of, first, shard_requests });
-        let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
+        let slices: Vec<(u32, f64)> = told.iter().map(|planned| (planned.shard, planned.weight)).collect();
         let (left, body) = (u64::from(self.cut_offs[class]), script::body(&slices, "x"));
         let by = scene::tenant_name(tenant);
         let by = Some(&by[..]).filter(|_| self.quotas);
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -1,14 +1,21 @@
 use super::*;
 use crate::rehearse::Mind;
-use cluster_trace::plan::{Budget, Entry};
+use crate::rehearse::tests::planned;
+use cluster_trace::plan::{PlanEntry, RetryBudget};
 use node_emulator::Cancel;
 use rstest::rstest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-fn staging() -> Staging {
-    let budget = Some(Budget { few: 3.0, share: 0.1, window_ms: 5000 });
-    Staging { to: 4_000_000, hosts: 6, shards: 12, budget, ..crate::rehearse::tests::staging() }
+fn replay_config() -> ReplayConfig {
+    let retry_budget = Some(RetryBudget { floor: 3.0, ratio: 0.1, window_ms: 5000 });
+    ReplayConfig {
+        to: 4_000_000,
+        nodes: 6,
+        shards: 12,
+        retry_budget,
+        ..crate::rehearse::tests::replay_config()
+    }
 }
 
 fn cast() -> Cast {
@@ -17,28 +24,28 @@
 
 /// Three seconds of queries, four shard requests of 20 ms each, so many a second; half of the hosts die in one
 /// instant and come back cold, one drains.
-fn plan(a_second: u64, events: &[(u64, u32, HostEvent)]) -> Plan {
-    let host = |at, host, event| Entry { at, what: Happens::Host { host, event } };
-    let mut entries: Vec<Entry> = (0..6).map(|no| host(0, no, HostEvent::Warm)).collect();
+fn plan(a_second: u64, events: &[(u64, u32, NodeEvent)]) -> Plan {
+    let host = |at, host, event| PlanEntry { at, event: PlanEvent::Node { node: host, event } };
+    let mut entries: Vec<PlanEntry> = (0..6).map(|no| host(0, no, NodeEvent::StartWarm)).collect();
     entries.extend(events.iter().map(|(at, no, event)| host(*at, *no, *event)));
     for no in 0..3 * a_second {
-        let shard_requests = (0..4).map(|at| ((no as u32 * 5 + at) % 12, 0.25, 20_000)).collect();
-        let what = Happens::Ask { class: (no % 4) as usize, tenant: 0, shard_requests };
-        entries.push(Entry { at: 1_000 + no * 10_000 / a_second, what });
+        let shard_requests = (0..4).map(|at| planned((no as u32 * 5 + at) % 12, 20_000)).collect();
+        let event = PlanEvent::Query { class: (no % 4) as usize, tenant: 0, shard_requests };
+        entries.push(PlanEntry { at: 1_000 + no * 10_000 / a_second, event });
     }
     entries.sort_by_key(|entry| entry.at);
-    Plan { entries, jobs_out: 0, machines_out: 0, running: 0, ms_per_unit: 1.0 }
+    Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
 
 fn troubled() -> Plan {
-    let mut events: Vec<_> = [0, 2, 4].map(|no| (8_000, no, HostEvent::Death)).to_vec();
-    events.extend([0, 2, 4].map(|no| (14_000, no, HostEvent::Start)));
-    events.extend([(17_000, 1, HostEvent::Drain), (24_000, 1, HostEvent::Death)]);
+    let mut events: Vec<_> = [0, 2, 4].map(|no| (8_000, no, NodeEvent::Stop)).to_vec();
+    events.extend([0, 2, 4].map(|no| (14_000, no, NodeEvent::StartCold)));
+    events.extend([(17_000, 1, NodeEvent::Drain), (24_000, 1, NodeEvent::Stop)]);
     plan(80, &events)
 }
 
 fn day(plan: Plan) -> Outcome {
-    play(plan, &staging(), cast(), |_, _| true).unwrap()
+    play(plan, &replay_config(), cast(), |_, _| true).unwrap()
 }
 
 /// The same service and the same digest of all that hosts and clients got, on five runs, one of them beside a
@@ -85,14 +92,14 @@
 /// Without patience there is no figure, rather than a wrong one.
 #[rstest]
 fn says_when_there_is_no_figure() {
-    let none = play_within(Duration::ZERO, troubled(), &staging(), cast(), |_, _| true);
+    let none = play_within(Duration::ZERO, troubled(), &replay_config(), cast(), |_, _| true);
     assert!(matches!(none, Err(NoFigure::Busy { .. })), "{none:?}");
 }
 
 /// Broken off, it tells what was played as partial.
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
-    let outcome = play(troubled(), &staging(), cast(), |now, _| now < Tenths(10_000)).unwrap();
+    let outcome = play(troubled(), &replay_config(), cast(), |now, _| now < Tenths(10_000)).unwrap();
     assert_eq!(outcome.stopped_at, Some(Tenths(10_000)));
     assert!(outcome.broken.is_empty() && outcome.queries < 120, "{}", outcome.json());
 }
@@ -107,7 +114,8 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     actix_rt::Runtime::from(runtime).block_on(async {
-        let mut day = Day::begin(Duration::from_secs(20), plan(60, &[]), &staging(), cast()).await.unwrap();
+        let mut day =
+            Day::begin(Duration::from_secs(20), plan(60, &[]), &replay_config(), cast()).await.unwrap();
         day.due().await.unwrap();
         assert!(day.under_way().is_none() && day.hold_what_is_out());
         put(&mut day);
--- a/crates/broker-bench/src/reading.rs
+++ b/crates/broker-bench/src/reading.rs
@@ -2,7 +2,9 @@
 //! reader, in turn on one file that is made here and removed.
 
 use crate::rush;
-use cluster_trace::{Ledger, Order, Policy, Reader, Verdict, Window, layout};
+use cluster_trace::{
+    ReadSummary, RejectionPolicy, RowOutcome, RowSorter, SortWindow, TraceReader, find_layout,
+};
 use serde_json::json;
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -49,23 +51,24 @@
     Ok(made)
 }
 
-/// Rows a second through readers, order and ledger; what was taken and rejected.
+/// Rows a second through readers, order and summary; what was taken and rejected.
 fn read(path: &Path) -> Result<(f64, u64, u64), String> {
     let began = Instant::now();
-    let layout = layout("google-2011-task-events").ok_or("no such layout")?;
-    let reader = Reader::open(layout, path).map_err(|e| e.to_string())?;
-    let (mut order, mut ledger) = (Order::new(Window::default()), Ledger::new(Policy::SkipAndCount, false));
+    let layout = find_layout("google-2011-task-events").ok_or("no such layout")?;
+    let reader = TraceReader::open(layout, path).map_err(|e| e.to_string())?;
+    let (mut sorter, mut summary) =
+        (RowSorter::new(SortWindow::default()), ReadSummary::new(RejectionPolicy::SkipAndCount, false));
     let mut out = Vec::new();
-    for verdict in reader {
-        match verdict {
-            Verdict::Taken(row) => order.take(row, &mut out),
+    for outcome in reader {
+        match outcome {
+            RowOutcome::Accepted(row) => sorter.add(row, &mut out),
             rejected => out.push(rejected),
         }
-        out.drain(..).for_each(|verdict| _ = ledger.enter(verdict));
+        out.drain(..).for_each(|outcome| _ = summary.add(outcome));
     }
-    order.end(&mut out);
-    out.drain(..).for_each(|verdict| _ = ledger.enter(verdict));
-    Ok((ledger.lines as f64 / began.elapsed().as_secs_f64(), ledger.taken, ledger.rejected_count()))
+    sorter.finish(&mut out);
+    out.drain(..).for_each(|outcome| _ = summary.add(outcome));
+    Ok((summary.lines as f64 / began.elapsed().as_secs_f64(), summary.accepted, summary.rejected_count()))
 }
 
 /// The same through the bare reader.
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -9,7 +9,7 @@
 use crate::scene::{self, PERIOD, ROLL_LATE, TRIP};
 use crate::weather::{Do, Weather};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
-use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
+use cluster_trace::plan::{NodeEvent, Plan, PlanEvent, PlannedShardRequest, ReplayConfig};
 use fault_scenarios::{ClientBehavior, ClusterSize, NodeCondition, NodeTransition, ScheduledAction};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
@@ -126,7 +126,7 @@
 struct Request {
     of: Of,
     until: Tenths,
-    shard_requests: Vec<(u32, f64, u64)>,
+    shard_requests: Vec<PlannedShardRequest>,
     tries: u32,
     kills: bool,
 }
@@ -178,9 +178,9 @@
 
 impl World {
     /// A day without a script: one way for all, clients that ask once.
-    pub fn new(plan: Plan, staging: &Staging, cast: Cast) -> World {
+    pub fn new(plan: Plan, replay: &ReplayConfig, cast: Cast) -> World {
         let cluster = ClusterSize {
-            nodes: staging.hosts,
+            nodes: replay.nodes,
             zones: 1,
             placement_groups: cast.cells,
             brokers: cast.brokers,
@@ -193,16 +193,16 @@
             impatient_share: 0.0,
             tenants: 1,
         };
-        World::scripted(plan, staging, cast, (weather, Vec::new(), clients))
+        World::scripted(plan, replay, cast, (weather, Vec::new(), clients))
     }
 
     pub fn scripted(
         plan: Plan,
-        staging: &Staging,
+        replay: &ReplayConfig,
         cast: Cast,
         (weather, script, clients): (Weather, Vec<ScheduledAction>, ClientBehavior),
     ) -> World {
-        let broker_config = scene::broker_config(staging, &cast);
+        let broker_config = scene::broker_config(replay, &cast);
         let cut_offs = broker_config.classes.values().map(|class| class.deadline).collect();
         let seat = |no: u32| {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
@@ -210,7 +210,7 @@
             Seat { decider, heard: Vec::new(), last_turn: Tenths(-PERIOD.0), turn_at: None, wake_at: None }
         };
         let seats = (0..cast.brokers).map(seat).collect();
-        let hosts: Vec<Host> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
+        let hosts: Vec<Host> = (0..replay.nodes).map(|_| scene::dead_host(&cast)).collect();
         let mut world = World {
             now: Tenths(0),
             order: 0,
@@ -230,11 +230,11 @@
             clients,
             broker_config,
             cut_offs,
-            means: means(&plan, staging.classes.len()),
+            means: means(&plan, replay.classes.len()),
             plan,
             hasher: blake3::Hasher::new(),
-            audit: Audit::new(scene::bounds(staging, TRIP), cast.brokers as usize),
-            outcome: Outcome::new(scene::worth(staging), staging.tenants.len()),
+            audit: Audit::new(scene::bounds(replay, TRIP), cast.brokers as usize),
+            outcome: Outcome::new(scene::worth(replay), replay.tenant_weights.len()),
             cast,
         };
         for at in 0..world.plan.entries.len() {
@@ -308,9 +308,11 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Entry(at) => match self.plan.entries[at].what.clone() {
-                Happens::Ask { class, tenant, shard_requests } => self.ask(class, tenant, &shard_requests),
-                Happens::Host { host, event } => self.host_event(host as usize, event),
+            Event::Entry(at) => match self.plan.entries[at].event.clone() {
+                PlanEvent::Query { class, tenant, shard_requests } => {
+                    self.ask(class, tenant, &shard_requests)
+                }
+                PlanEvent::Node { node, event } => self.host_event(node as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
             Event::Arrive { broker, shard_request, attempt, host } => {
@@ -364,7 +366,7 @@
 
     // ---- clients
 
-    fn ask(&mut self, class: usize, tenant: usize, told: &[(u32, f64, u64)]) {
+    fn ask(&mut self, class: usize, tenant: usize, told: &[PlannedShardRequest]) {
         let of = Of { class, tenant, at: self.now };
         self.outcome.ask(of);
         let (until, kills) = (self.now + self.cut_offs[class], self.weather.kills());
@@ -379,7 +381,7 @@
         *tries += 1;
         let client_attempt = *tries - 1;
         let (shard_requests, left) = (shard_requests.clone(), until - self.now);
-        let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
+        let weights: Vec<f64> = shard_requests.iter().map(|planned| planned.weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.class, left, &weights);
         let (id, group) = (QueryId(no as u64), GroupId(no as u32));
         let (class, tenant) = (ClassId(of.class as u16), TenantId(of.tenant as u32));
@@ -388,9 +390,10 @@
         let new =
             NewQuery { id, group, class, tenant, time_left: left, work, client_attempt, min_coverage_only };
         self.hear(broker, Input::Query(new));
-        for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
-            self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
-            let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardId(*shard), *weight);
+        for (shard_request, planned) in (first..).zip(&shard_requests) {
+            self.shard_requests.push(ShardRequest { us: planned.work_us, attempts: Vec::new(), came: false });
+            let (id, shard) = (ShardRequestId(shard_request as u64), ShardId(planned.shard));
+            let weight = planned.weight;
             self.hear(broker, Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
         let shard_requests = first..first + shard_requests.len();
@@ -435,7 +438,7 @@
         match order {
             Do::Change { host, transition } => match transition {
                 NodeTransition::Stops => self.fall(host),
-                NodeTransition::Drains => self.host_event(host, HostEvent::Drain),
+                NodeTransition::Drains => self.host_event(host, NodeEvent::Drain),
                 NodeTransition::Starts => self.rise(host),
                 NodeTransition::Unchanged => {}
             },
@@ -526,22 +529,22 @@
 
     // ---- hosts
 
-    fn host_event(&mut self, host: usize, event: HostEvent) {
+    fn host_event(&mut self, host: usize, event: NodeEvent) {
         match event {
-            HostEvent::Warm => {
+            NodeEvent::StartWarm => {
                 self.hosts[host] = scene::warm_host(&self.cast);
                 self.at(self.now, Event::Told { host });
             }
-            HostEvent::Start => {
+            NodeEvent::StartCold => {
                 self.hosts[host].start(self.now);
                 self.tell_later(host, ROLL_LATE);
             }
-            HostEvent::Drain => {
+            NodeEvent::Drain => {
                 self.hosts[host].drain();
                 self.tell_later(host, TRIP);
             }
-            HostEvent::Death => self.fall(host),
-            HostEvent::Slow(share) => self.hosts[host].slow(share),
+            NodeEvent::Stop => self.fall(host),
+            NodeEvent::SlowDown(share) => self.hosts[host].slow(share),
         }
     }
 
@@ -791,9 +794,9 @@
 fn means(plan: &Plan, classes: usize) -> Vec<u64> {
     let mut sums = vec![(0, 0); classes];
     for entry in &plan.entries {
-        let Happens::Ask { class, shard_requests, .. } = &entry.what else { continue };
+        let PlanEvent::Query { class, shard_requests, .. } = &entry.event else { continue };
         let (work, count) = &mut sums[*class];
-        *work += shard_requests.iter().map(|(.., us)| us).sum::<u64>();
+        *work += shard_requests.iter().map(|planned| planned.work_us).sum::<u64>();
         *count += shard_requests.len() as u64;
     }
     sums.into_iter().map(|(work, count)| work / count.max(1)).collect()
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/rush.rs
@@ -3,8 +3,8 @@
 
 use crate::outcome::Outcome;
 use crate::rehearse::{Cast, Mind, World};
-use cluster_trace::plan::{Cast as Role, Plan, Planner, Staging};
-use cluster_trace::{Reader, Verdict, layout};
+use cluster_trace::plan::{ClassSpec, CountRange, Plan, Planner, ReplayConfig};
+use cluster_trace::{RowOutcome, TraceReader, find_layout};
 use node_emulator::Cancel;
 use rayon::prelude::*;
 use serde_json::{Value, json};
@@ -61,48 +61,52 @@
     (tasks, machines)
 }
 
-fn staging(size: &Size, seed: u64, load: f64) -> Staging {
-    Staging {
+fn replay_config(size: &Size, seed: u64, load: f64) -> ReplayConfig {
+    ReplayConfig {
         seed,
         from: 0,
         to: size.seconds * 1_000_000,
-        stretch: 1.0,
-        sample: 1.0,
+        time_scale: 1.0,
+        sample_share: 1.0,
         load,
-        hosts: size.hosts,
-        host_ms_per_s: 4000.0,
+        nodes: size.hosts,
+        node_ms_per_s: 4000.0,
         shards: size.hosts * 2,
         classes: vec![
-            Role::reissuable("report", 1.0, (8, 24), 1.0, (3.0, 0.4)),
-            Role::reissuable("lookup", 3.0, (1, 4), 0.0, (1.0, 1.0)),
+            ClassSpec {
+                priority_weight: 3.0,
+                min_coverage: 0.4,
+                ..ClassSpec::idempotent("report", 1.0, CountRange { min: 8, max: 24 }, 1.0)
+            },
+            ClassSpec::idempotent("lookup", 3.0, CountRange { min: 1, max: 4 }, 0.0),
         ],
-        tenants: vec![1.0],
+        tenant_weights: vec![1.0],
         quota_per_s: None,
-        drains: 0.5,
-        drain_for: 20_000,
-        budget: None,
-        most: 5_000_000,
+        drain_share: 0.5,
+        drain_duration: 20_000,
+        retry_budget: None,
+        max_entries: 5_000_000,
     }
 }
 
 fn plan(size: &Size, seed: u64, load: f64) -> Result<Plan, String> {
-    let mut planner = Planner::new(staging(size, seed, load)).map_err(|e| e.to_string())?;
+    let mut planner = Planner::new(replay_config(size, seed, load)).map_err(|e| e.to_string())?;
     let (tasks, machines) = files(size, seed);
     for (name, text) in [("google-2011-machine-events", &machines), ("google-2011-task-events", &tasks)] {
-        let layout = layout(name).ok_or("no such layout")?;
-        for verdict in Reader::new(layout, text.as_bytes()).map_err(|e| e.to_string())? {
-            let Verdict::Taken(row) = verdict else { return Err(format!("{verdict:?}")) };
-            planner.take(&row).map_err(|e| e.to_string())?;
+        let layout = find_layout(name).ok_or("no such layout")?;
+        for outcome in TraceReader::new(layout, text.as_bytes()).map_err(|e| e.to_string())? {
+            let RowOutcome::Accepted(row) = outcome else { return Err(format!("{outcome:?}")) };
+            planner.add_row(&row).map_err(|e| e.to_string())?;
         }
     }
-    planner.plan().map_err(|e| e.to_string())
+    planner.finish().map_err(|e| e.to_string())
 }
 
 fn play(size: &Size, seed: u64, times: f64, mind: Mind) -> Result<Outcome, String> {
     let (plan, cells) = (plan(size, seed, ONE * times)?, (size.hosts / 5).max(3));
     let (brokers, cancel) = (size.brokers, Cancel::All);
     let cast = Cast { brokers, mind, seed, cells, cores: 4, warm_jobs: None, cancel };
-    Ok(World::new(plan, &staging(size, seed, ONE * times), cast).play(|_, _| true))
+    Ok(World::new(plan, &replay_config(size, seed, ONE * times), cast).play(|_, _| true))
 }
 
 /// Rule 4 by the number of brokers: the module's days at each load and seed, and the most that a cold host was sent,
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -4,7 +4,7 @@
 use crate::audit::{Bounds, Kind};
 use crate::outcome::Worth;
 use crate::rehearse::Cast;
-use cluster_trace::plan::{Repeats, Staging};
+use cluster_trace::plan::{ClassIdempotency, ClassSpec, ReplayConfig};
 use node_emulator::{Build, Host, State};
 use routing::{
     BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
@@ -29,29 +29,31 @@
 /// Cells that hold a shard.
 const REACH: u32 = 2;
 
-fn effect(repeats: Repeats) -> (Idempotency, Tenths) {
-    match repeats {
-        Repeats::Reissuable => (Idempotency::Idempotent, Tenths::ZERO),
-        Repeats::Numbered(window) => (Idempotency::IdempotencyKey, Tenths::from_ms(f64::from(window))),
-        Repeats::AtMostOnce => (Idempotency::AtMostOnce, Tenths::ZERO),
+fn effect(idempotency: ClassIdempotency) -> (Idempotency, Tenths) {
+    match idempotency {
+        ClassIdempotency::Idempotent => (Idempotency::Idempotent, Tenths::ZERO),
+        ClassIdempotency::IdempotencyKey { dedup_window_ms } => {
+            (Idempotency::IdempotencyKey, Tenths::from_ms(f64::from(dedup_window_ms)))
+        }
+        ClassIdempotency::AtMostOnce => (Idempotency::AtMostOnce, Tenths::ZERO),
     }
 }
 
-fn deadline(told: &cluster_trace::plan::Cast) -> Tenths {
-    Tenths::from_ms(f64::from(told.deadline))
+fn deadline(told: &ClassSpec) -> Tenths {
+    Tenths::from_ms(f64::from(told.deadline_ms))
 }
 
-fn budget(staging: &Staging) -> Option<RetryBudget> {
-    let budget = staging.budget?;
+fn budget(replay: &ReplayConfig) -> Option<RetryBudget> {
+    let budget = replay.retry_budget?;
     let window = Tenths::from_ms(f64::from(budget.window_ms));
-    Some(RetryBudget { floor: budget.few, share: budget.share, window })
+    Some(RetryBudget { floor: budget.floor, share: budget.ratio, window })
 }
 
 /// Of each tenant, where there are quotas.
-fn quotas(staging: &Staging) -> Vec<f64> {
-    let all: f64 = staging.tenants.iter().sum();
-    let quota = |quota: f64| staging.tenants.iter().map(move |share| quota * share / all).collect();
-    staging.quota_per_s.map(quota).unwrap_or_default()
+fn quotas(replay: &ReplayConfig) -> Vec<f64> {
+    let all: f64 = replay.tenant_weights.iter().sum();
+    let quota = |quota: f64| replay.tenant_weights.iter().map(move |share| quota * share / all).collect();
+    replay.quota_per_s.map(quota).unwrap_or_default()
 }
 
 /// What a tenant is called on the wire.
@@ -83,14 +85,14 @@
     }
 }
 
-pub fn broker_config(staging: &Staging, cast: &Cast) -> BrokerConfig {
-    let class = |(no, told): (usize, &cluster_trace::plan::Cast)| {
-        let (effect, dedup_window) = effect(told.repeats);
+pub fn broker_config(replay: &ReplayConfig, cast: &Cast) -> BrokerConfig {
+    let class = |(no, told): (usize, &ClassSpec)| {
+        let (effect, dedup_window) = effect(told.idempotency);
         let class = RequestClass {
             latency_objective: GOAL.min(deadline(told)),
             deadline: deadline(told),
             priority_weight: told.priority_weight,
-            min_coverage: told.least,
+            min_coverage: told.min_coverage,
             complete_coverage: 1.0,
             effect,
             dedup_window,
@@ -104,13 +106,13 @@
         brokers: cast.brokers,
         period: PERIOD,
         send_lag: TRIP,
-        classes: staging.classes.iter().enumerate().map(class).collect(),
-        tenants: quotas(staging).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
+        classes: replay.classes.iter().enumerate().map(class).collect(),
+        tenants: quotas(replay).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
         over_quota_weight: OVER_SHARE,
         layout: ShardLayout {
             placement_groups: cast.cells,
             replica_groups: REACH,
-            shards: staging.shards,
+            shards: replay.shards,
             max_batch_size: 1,
         },
         limits: RequestLimits {
@@ -128,63 +130,61 @@
             overload_window: build.overload_window,
             endpoint_list_max_age: ASK_WITHIN,
             drain_grace: GRACE,
-            retry_budget: budget(staging),
+            retry_budget: budget(replay),
         },
         ..BrokerConfig::default()
     }
 }
 
 /// The same as the platform's settings, for brokers on sockets.
-pub fn settings(staging: &Staging, cast: &Cast) -> Value {
-    let service = |told: &cluster_trace::plan::Cast| {
-        let (kind, window) = effect(told.repeats);
+pub fn settings(replay: &ReplayConfig, cast: &Cast) -> Value {
+    let service = |told: &ClassSpec| {
+        let (kind, window) = effect(told.idempotency);
         let word = match kind {
             Idempotency::Idempotent => "idempotent",
             Idempotency::IdempotencyKey => "deduplicated",
             Idempotency::AtMostOnce => "at_most_once",
         };
-        json!({"Name": told.name, "OnTimeMs": GOAL.min(deadline(told)).as_ms(), "DeadlineMs": told.deadline,
+        json!({"Name": told.name, "OnTimeMs": GOAL.min(deadline(told)).as_ms(), "DeadlineMs": told.deadline_ms,
             "Worth": told.priority_weight, "LateShare": 0.0, "Effect": word, "DedupWindowMs": window.as_ms()})
     };
-    let services: Vec<Value> = staging.classes.iter().map(service).collect();
-    let all = |value: fn(&cluster_trace::plan::Cast) -> f64| {
-        staging.classes.iter().map(value).collect::<Vec<f64>>()
-    };
+    let services: Vec<Value> = replay.classes.iter().map(service).collect();
+    let all = |value: fn(&ClassSpec) -> f64| replay.classes.iter().map(value).collect::<Vec<f64>>();
     let tenant = |(no, quota): (usize, f64)| json!({"Name": tenant_name(no), "QuotaRps": quota});
-    let tenants: Vec<Value> = quotas(staging).into_iter().enumerate().map(tenant).collect();
+    let tenants: Vec<Value> = quotas(replay).into_iter().enumerate().map(tenant).collect();
     let build = build(cast);
     let mut rules = json!({"AskWithinMs": ASK_WITHIN.as_ms(), "ColdFrom": build.initial_capacity_share,
         "WarmUpMs": build.warm_up_period.as_ms(), "OverloadFactor": build.overload_factor,
         "OverloadForMs": build.overload_window.as_ms(), "StopSendingWithinMs": GRACE.as_ms()});
-    if let Some(budget) = staging.budget {
-        rules["ExtraFloor"] = json!(budget.few);
-        rules["ResendRatio"] = json!(budget.share);
+    if let Some(budget) = replay.retry_budget {
+        rules["ExtraFloor"] = json!(budget.floor);
+        rules["ResendRatio"] = json!(budget.ratio);
         rules["BudgetWindowMs"] = json!(budget.window_ms);
     }
     json!({"Instances": cast.brokers, "PeriodMs": PERIOD.as_ms(), "RegistryMode": "automatic", "Areas": ["hall"],
         "Zone": 0, "Tenants": tenants, "OverShareWorth": OVER_SHARE, "Prices": {"LateFail": 0.0}, "Services": services,
-        "Domain": {"Cells": cast.cells, "Reach": REACH, "Ranges": staging.shards, "PerCall": 1,
-            "CompleteFrom": all(|_| 1.0), "MinShare": all(|told| told.least), "FetchParts": vec![0; staging.classes.len()]},
+        "Domain": {"Cells": cast.cells, "Reach": REACH, "Ranges": replay.shards, "PerCall": 1,
+            "CompleteFrom": all(|_| 1.0), "MinShare": all(|told| told.min_coverage), "FetchParts": vec![0; replay.classes.len()]},
         "Limits": {"ConnIdleMs": 600_000.0, "ConnectTimeoutMs": 1000.0, "MaxAttempts": MOST_PUSHES,
             "MaxOpen": MOST_OPEN, "MayCancel": true, "SecondCopies": true, "StreamsPerConn": 64, "RetryAfter": true,
             "MaxRetryAfterMs": GOAL.as_ms()},
         "Rules": rules})
 }
 
-pub fn bounds(staging: &Staging, slack: Tenths) -> Bounds {
-    let kind = |told: &cluster_trace::plan::Cast| {
-        let (effect, dedup_window) = effect(told.repeats);
-        Kind { deadline: deadline(told), least: told.least, effect, dedup_window }
+pub fn bounds(replay: &ReplayConfig, slack: Tenths) -> Bounds {
+    let kind = |told: &ClassSpec| {
+        let (effect, dedup_window) = effect(told.idempotency);
+        Kind { deadline: deadline(told), least: told.min_coverage, effect, dedup_window }
     };
-    let kinds = staging.classes.iter().map(kind).collect();
-    Bounds { kinds, budget: budget(staging), grace: GRACE, slack }
+    let kinds = replay.classes.iter().map(kind).collect();
+    Bounds { kinds, budget: budget(replay), grace: GRACE, slack }
 }
 
-pub fn worth(staging: &Staging) -> Vec<Worth> {
-    let worth = |told: &cluster_trace::plan::Cast| Worth {
+pub fn worth(replay: &ReplayConfig) -> Vec<Worth> {
+    let worth = |told: &ClassSpec| Worth {
         name: told.name.clone(),
         priority_weight: told.priority_weight,
         goal: GOAL.min(deadline(told)),
     };
-    staging.classes.iter().map(worth).collect()
+    replay.classes.iter().map(worth).collect()
 }
--- a/crates/broker-bench/src/traces.rs
+++ b/crates/broker-bench/src/traces.rs
@@ -7,9 +7,12 @@
 use crate::rehearse::{self, Mind, World};
 use crate::{loopback, report};
 use clap::Args;
-use cluster_trace::plan::{Budget, Cast, Plan, Planner, Repeats, Staging};
+use cluster_trace::plan::{
+    ClassIdempotency, ClassSpec, CountRange, Plan, Planner, ReplayConfig, RetryBudget,
+};
 use cluster_trace::{
-    LAYOUTS, Layout, Ledger, Order, Policy, Reader, Reason, Row, Sorted, Stop, Verdict, Window, layout,
+    ClockStep, LAYOUTS, Layout, PolicyViolation, ReadSummary, RejectionPolicy, RejectionReason, Row,
+    RowOrder, RowOutcome, RowSorter, SortWindow, TraceReader, find_layout,
 };
 use indicatif::{ProgressBar, ProgressStyle};
 use node_emulator::Cancel;
@@ -24,16 +27,16 @@
 
 /// The policy as a word: `first`, `count`, or a share as `0.01`.
 #[derive(Clone, Copy)]
-pub struct Tolerance(pub Policy);
+pub struct Tolerance(pub RejectionPolicy);
 
 impl FromStr for Tolerance {
     type Err = String;
 
     fn from_str(word: &str) -> Result<Tolerance, String> {
         match (word, word.parse::<f64>()) {
-            ("first", _) => Ok(Tolerance(Policy::StopAtFirst)),
-            ("count", _) => Ok(Tolerance(Policy::SkipAndCount)),
-            (_, Ok(share)) if (0.0..=1.0).contains(&share) => Ok(Tolerance(Policy::StopPast(share))),
+            ("first", _) => Ok(Tolerance(RejectionPolicy::StopAtFirst)),
+            ("count", _) => Ok(Tolerance(RejectionPolicy::SkipAndCount)),
+            (_, Ok(share)) if (0.0..=1.0).contains(&share) => Ok(Tolerance(RejectionPolicy::StopPast(share))),
             _ => Err("`first`, `count`, or a share from 0 to 1 is allowed".to_owned()),
         }
     }
@@ -43,13 +46,13 @@
     let mut all = Vec::new();
     let mut sound = true;
     for file in files {
-        let layout = match told.map_or_else(|| guess(file), layout) {
+        let layout = match told.map_or_else(|| guess(file), find_layout) {
             Some(layout) => layout,
             None => return unknown(file),
         };
         match read(file, layout, tolerance.0, |_| Ok(())) {
             Ok(checked) => {
-                sound &= checked.stop.is_none() && checked.ledger.rejected_count() == 0;
+                sound &= checked.stop.is_none() && checked.summary.rejected_count() == 0;
                 if as_json {
                     all.push(checked.json(file, layout));
                 } else {
@@ -80,7 +83,7 @@
         ("machine_meta", "alibaba-2018-machine-meta"),
         ("vmtable", "azure-2017-vmtable"),
     ];
-    kinds.into_iter().find(|(kind, _)| path.contains(kind)).and_then(|(_, name)| layout(name))
+    kinds.into_iter().find(|(kind, _)| path.contains(kind)).and_then(|(_, name)| find_layout(name))
 }
 
 fn unknown(file: &Path) -> ExitCode {
@@ -151,45 +154,50 @@
 const MOST_ENTRIES: usize = 2_000_000;
 
 impl Planned {
-    pub fn staging(&self) -> Staging {
+    pub fn replay_config(&self) -> ReplayConfig {
         let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as u64;
         let widest = self.shards.max(1);
-        let cast = |name: &str, share, priority_weight, least, repeats| Cast {
-            name: name.to_owned(),
-            share,
-            shard_requests: if least < 1.0 { (widest.div_ceil(2), widest) } else { (1, widest.min(4)) },
-            skew: if least < 1.0 { 1.0 } else { 0.0 },
-            deadline: 5000,
-            priority_weight,
-            least,
-            repeats,
+        let class = |name: &str, share, priority_weight, min_coverage, idempotency| {
+            let allows_partial = min_coverage < 1.0;
+            let shard_requests = match allows_partial {
+                true => CountRange { min: widest.div_ceil(2), max: widest },
+                false => CountRange { min: 1, max: widest.min(4) },
+            };
+            let weight_skew = if allows_partial { 1.0 } else { 0.0 };
+            ClassSpec {
+                priority_weight,
+                min_coverage,
+                idempotency,
+                ..ClassSpec::idempotent(name, share, shard_requests, weight_skew)
+            }
         };
         let mut classes = vec![
-            cast("report", 1.0, 3.0, 0.4, Repeats::Reissuable),
-            cast("lookup", 3.0, 1.0, 1.0, Repeats::Reissuable),
+            class("report", 1.0, 3.0, 0.4, ClassIdempotency::Idempotent),
+            class("lookup", 3.0, 1.0, 1.0, ClassIdempotency::Idempotent),
         ];
         if self.effects {
-            classes.push(cast("booking", 1.0, 1.0, 1.0, Repeats::Numbered(1000)));
-            classes.push(cast("dispensing", 1.0, 1.0, 1.0, Repeats::AtMostOnce));
+            let numbered = ClassIdempotency::IdempotencyKey { dedup_window_ms: 1000 };
+            classes.push(class("booking", 1.0, 1.0, 1.0, numbered));
+            classes.push(class("dispensing", 1.0, 1.0, 1.0, ClassIdempotency::AtMostOnce));
         }
-        Staging {
+        ReplayConfig {
             seed: self.seed,
             from: micros(self.from),
             to: micros(self.to),
-            stretch: self.stretch,
-            sample: self.sample,
+            time_scale: self.stretch,
+            sample_share: self.sample,
             load: self.load,
-            hosts: self.hosts,
-            host_ms_per_s: self.host_ms_per_s,
+            nodes: self.hosts,
+            node_ms_per_s: self.host_ms_per_s,
             shards: self.shards,
             classes,
             // A few ask much, most ask little.
-            tenants: (1..=self.tenants.max(1)).map(|rank| 1.0 / f64::from(rank)).collect(),
+            tenant_weights: (1..=self.tenants.max(1)).map(|rank| 1.0 / f64::from(rank)).collect(),
             quota_per_s: self.quota,
-            drains: self.drains,
-            drain_for: 20_000,
-            budget: self.budget.map(|share| Budget { few: 3.0, share, window_ms: 5000 }),
-            most: MOST_ENTRIES,
+            drain_share: self.drains,
+            drain_duration: 20_000,
+            retry_budget: self.budget.map(|ratio| RetryBudget { floor: 3.0, ratio, window_ms: 5000 }),
+            max_entries: MOST_ENTRIES,
         }
     }
 }
@@ -259,8 +267,8 @@
         !stop.load(Ordering::Relaxed)
     };
     let outcome = match played.loopback {
-        true => loopback::play(plan, &planned.staging(), cast, going_on),
-        false => Ok(World::new(plan, &planned.staging(), cast).play(going_on)),
+        true => loopback::play(plan, &planned.replay_config(), cast, going_on),
+        false => Ok(World::new(plan, &planned.replay_config(), cast).play(going_on)),
     };
     bar.finish_and_clear();
     outcome
@@ -378,97 +386,105 @@
 }
 
 fn make_plan(planned: &Planned) -> Result<(Plan, u64), (String, u8)> {
-    let mut planner = Planner::new(planned.staging()).map_err(|e| (e.to_string(), 2))?;
+    let mut planner = Planner::new(planned.replay_config()).map_err(|e| (e.to_string(), 2))?;
     let mut rejected = 0;
     for file in &planned.files {
-        let layout = planned.layout.as_deref().map_or_else(|| guess(file), layout);
+        let layout = planned.layout.as_deref().map_or_else(|| guess(file), find_layout);
         let layout = layout.ok_or((format!("{}: no layout fits its name", file.display()), 2))?;
         let checked =
-            read(file, layout, planned.tolerate.0, |row| planner.take(row).map_err(|e| e.to_string()));
+            read(file, layout, planned.tolerate.0, |row| planner.add_row(row).map_err(|e| e.to_string()));
         let checked = checked.map_err(|why| (why, 2))?;
         if checked.stop.is_some() {
             return Err((format!("{}: the policy ended it; see `trace check`", file.display()), 1));
         }
-        rejected += checked.ledger.rejected_count();
+        rejected += checked.summary.rejected_count();
     }
-    planner.plan().map(|plan| (plan, rejected)).map_err(|e| (e.to_string(), 1))
+    planner.finish().map(|plan| (plan, rejected)).map_err(|e| (e.to_string(), 1))
 }
 
 fn print_plan(planned: &Planned, plan: &Plan, rejected: u64) {
-    let staging = planned.staging();
-    println!("# assumed, of which the trace has nothing: {} shards; by category:", staging.shards);
-    for (no, cast) in staging.classes.iter().enumerate() {
-        let Cast { name, share, shard_requests, skew, deadline, priority_weight, least, repeats } = cast;
+    let replay = planned.replay_config();
+    println!("# assumed, of which the trace has nothing: {} shards; by category:", replay.shards);
+    for (no, class) in replay.classes.iter().enumerate() {
+        let ClassSpec {
+            name,
+            share,
+            shard_requests,
+            weight_skew,
+            deadline_ms,
+            priority_weight,
+            min_coverage,
+            idempotency,
+        } = class;
         println!(
-            "#   {no} {name}: share {share}, parts {} to {}, skew {skew}, cut-off {deadline} ms, payoff {priority_weight}, \
-             least share {least}, {repeats}",
-            shard_requests.0, shard_requests.1
+            "#   {no} {name}: share {share}, parts {} to {}, skew {weight_skew}, cut-off {deadline_ms} ms, payoff {priority_weight}, \
+             least share {min_coverage}, {idempotency}",
+            shard_requests.min, shard_requests.max
         );
     }
-    println!(
-        "# one unit of the trace's work is {:.3} ms, so that load is {}",
-        plan.ms_per_unit, staging.load
-    );
+    println!("# one unit of the trace's work is {:.3} ms, so that load is {}", plan.ms_per_unit, replay.load);
     println!(
         "# rows rejected {rejected}, of jobs not sampled {}, of machines beyond the hosts {}",
-        plan.jobs_out, plan.machines_out
+        plan.unsampled_rows, plan.unmapped_machine_rows
     );
     if !planned.brief {
         plan.entries.iter().for_each(|entry| println!("{entry}"));
     }
-    println!("# entries {}, running at the start {}", plan.entries.len(), plan.running);
+    println!("# entries {}, running at the start {}", plan.entries.len(), plan.running_at_start);
     println!("# digest {}", plan.digest());
 }
 
 struct Checked {
-    ledger: Ledger,
-    steps: Vec<(u64, i128)>,
+    summary: ReadSummary,
+    steps: Vec<ClockStep>,
     /// The first and the last moment, in microseconds.
     span: Option<(u64, u64)>,
-    stop: Option<Stop>,
+    stop: Option<PolicyViolation>,
 }
 
 fn read(
     file: &Path,
     layout: &'static Layout,
-    policy: Policy,
+    policy: RejectionPolicy,
     taken: impl FnMut(&Row) -> Result<(), String>,
 ) -> Result<Checked, String> {
-    let reader = Reader::open(layout, file).map_err(|e| e.to_string())?;
+    let reader = TraceReader::open(layout, file).map_err(|e| e.to_string())?;
     read_all(reader, layout, policy, taken)
 }
 
 /// Puts all rows of a reader into a plan.
 pub fn take_rows(
-    reader: Reader,
+    reader: TraceReader,
     layout: &'static Layout,
-    policy: Policy,
+    policy: RejectionPolicy,
     planner: &mut Planner,
 ) -> Result<u64, String> {
-    let checked = read_all(reader, layout, policy, |row| planner.take(row).map_err(|e| e.to_string()))?;
+    let checked = read_all(reader, layout, policy, |row| planner.add_row(row).map_err(|e| e.to_string()))?;
     match checked.stop {
-        Some(Stop::First(rejected)) => Err(rejected.to_string()),
-        Some(Stop::Share { rejected, lines }) => Err(format!("{rejected} of {lines} lines were rejected")),
-        None => Ok(checked.ledger.rejected_count()),
+        Some(violation) => Err(violation.to_string()),
+        None => Ok(checked.summary.rejected_count()),
     }
 }
 
 fn read_all(
-    reader: Reader,
+    reader: TraceReader,
     layout: &'static Layout,
-    policy: Policy,
+    policy: RejectionPolicy,
     mut taken: impl FnMut(&Row) -> Result<(), String>,
 ) -> Result<Checked, String> {
-    let mut order = Order::new(Window::default());
-    let machines_told = layout.columns.iter().all(|column| column.3 != cluster_trace::Role::Job)
-        && layout.sorted == Sorted::ByTime;
-    let mut checked =
-        Checked { ledger: Ledger::new(policy, machines_told), steps: Vec::new(), span: None, stop: None };
+    let mut sorter = RowSorter::new(SortWindow::default());
+    let lists_machines = !layout.has_work() && layout.row_order == RowOrder::ByTime;
+    let mut checked = Checked {
+        summary: ReadSummary::new(policy, lists_machines),
+        steps: Vec::new(),
+        span: None,
+        stop: None,
+    };
     let mut out = Vec::new();
-    for verdict in reader {
-        match verdict {
-            Verdict::Taken(row) if layout.sorted == Sorted::ByTime => order.take(row, &mut out),
-            verdict => out.push(verdict),
+    for outcome in reader {
+        match outcome {
+            RowOutcome::Accepted(row) if layout.row_order == RowOrder::ByTime => sorter.add(row, &mut out),
+            outcome => out.push(outcome),
         }
         checked.enter(&mut out, &mut taken)?;
         if checked.stop.is_some() {
@@ -476,21 +492,21 @@
         }
     }
     if checked.stop.is_none() {
-        order.end(&mut out);
+        sorter.finish(&mut out);
         checked.enter(&mut out, &mut taken)?;
     }
-    checked.steps = order.steps().to_vec();
+    checked.steps = sorter.steps().to_vec();
     Ok(checked)
 }
 
 impl Checked {
     fn enter(
         &mut self,
-        out: &mut Vec<Verdict>,
+        out: &mut Vec<RowOutcome>,
         taken: &mut impl FnMut(&Row) -> Result<(), String>,
     ) -> Result<(), String> {
-        for verdict in out.drain(..) {
-            match self.ledger.enter(verdict) {
+        for outcome in out.drain(..) {
+            match self.summary.add(outcome) {
                 Ok(Some(row)) => {
                     taken(&row)?;
                     let (first, last) = self.span.unwrap_or((row.at, row.at));
@@ -506,30 +522,31 @@
         Ok(())
     }
 
-    fn counts(&self) -> BTreeMap<Reason, u64> {
-        self.ledger.rejected.iter().map(|(reason, seen)| (*reason, seen.count)).collect()
+    fn counts(&self) -> BTreeMap<RejectionReason, u64> {
+        self.summary.rejected.iter().map(|(reason, rows)| (*reason, rows.count)).collect()
     }
 
     fn print(&self, file: &Path, layout: &Layout) {
-        let ledger = &self.ledger;
+        let summary = &self.summary;
         println!("{} ({})", file.display(), layout.name);
-        println!("  {:<20} {:>12}", "lines", ledger.lines);
-        println!("  {:<20} {:>12}", "taken", ledger.taken);
+        println!("  {:<20} {:>12}", "lines", summary.lines);
+        println!("  {:<20} {:>12}", "taken", summary.accepted);
         for (reason, count) in self.counts() {
             println!("  {:<20} {count:>12}", reason.code());
-            for rejected in &ledger.rejected[&reason].first {
+            for rejected in &summary.rejected[&reason].examples {
                 println!("      {rejected}");
             }
         }
         if let Some((first, last)) = self.span {
             println!("  from {:.1} s to {:.1} s on the trace's clock", first as f64 / 1e6, last as f64 / 1e6);
         }
-        for (line, micros) in &self.steps {
-            println!("  the clock stepped back at line {line}, by {:.1} s", *micros as f64 / 1e6);
+        for step in &self.steps {
+            let seconds = step.offset_us as f64 / 1e6;
+            println!("  the clock stepped back at line {}, by {seconds:.1} s", step.line);
         }
         match &self.stop {
-            Some(Stop::First(_)) => println!("  stopped at the first that was rejected"),
-            Some(Stop::Share { rejected, lines }) => {
+            Some(PolicyViolation::FirstRejected(_)) => println!("  stopped at the first that was rejected"),
+            Some(PolicyViolation::ShareExceeded { rejected, lines }) => {
                 println!("  stopped: {rejected} of {lines} lines were rejected, more than the stated share");
             }
             None => {}
@@ -539,8 +556,8 @@
     fn json(&self, file: &Path, layout: &Layout) -> Value {
         let rejected: serde_json::Map<String, Value> =
             self.counts().iter().map(|(reason, count)| (reason.code().to_owned(), json!(count))).collect();
-        json!({"file": file.display().to_string(), "layout": layout.name, "lines": self.ledger.lines,
-            "taken": self.ledger.taken, "rejected": rejected, "steps": self.steps.len(),
+        json!({"file": file.display().to_string(), "layout": layout.name, "lines": self.summary.lines,
+            "taken": self.summary.accepted, "rejected": rejected, "steps": self.steps.len(),
             "stopped": self.stop.is_some()})
     }
 }
--- a/crates/cluster-trace/src/layout.rs
+++ b/crates/cluster-trace/src/layout.rs
@@ -1,13 +1,15 @@
-//! The published layouts, each a table of its columns. What a column is called is the publisher's; its role
-//! is what a rehearsal makes of it.
+//! The published layouts, each a table of its columns. The names of columns are the publisher's; a column's role
+//! says what a replay makes of it.
 
-use Form::{Code, Count, Id, Ignored, Number, Time};
-use Role::*;
+use ColumnFormat::{Code, Count, Id, Ignored, Number, Time};
+use ColumnRole::{
+    At, Class, Cpu, End, Event, Instances, Job, Machine, Memory, Priority, Task, Tenant, Unused,
+};
 
 /// What a column holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Form {
-    /// A moment, in the layout's unit.
+pub enum ColumnFormat {
+    /// A time, in the layout's unit.
     Time,
     /// A whole number from 0 to this.
     Count(u64),
@@ -15,138 +17,188 @@
     Number(f64),
     /// A name or an opaque id, of 1 to 256 bytes.
     Id,
-    /// One of these words.
+    /// One of these codes.
     Code(&'static [&'static str]),
-    /// Not read.
+    /// The column is not read.
     Ignored,
 }
 
-/// What a rehearsal makes of a column.
+/// What a replay makes of a column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum ColumnRole {
     /// When it happened, or began.
     At,
     /// When it ended.
     End,
+    /// The job.
     Job,
+    /// The task within the job.
     Task,
-    /// Instances of a task.
+    /// Number of instances of a task.
     Instances,
+    /// The machine.
     Machine,
-    /// What happened, a code of the layout.
+    /// What happened, as a code of the layout.
     Event,
+    /// Whose work it is.
     Tenant,
+    /// The class of the work.
     Class,
+    /// The priority of the work.
     Priority,
+    /// CPU that the work asks for or the machine has.
     Cpu,
+    /// Memory that the work asks for or the machine has.
     Memory,
-    Nothing,
+    /// Nothing; its format is checked all the same.
+    Unused,
 }
 
-/// One column: its published name, what it holds, whether it must hold something, its role.
-pub struct Column(pub &'static str, pub Form, pub bool, pub Role);
+/// One column of a layout.
+pub struct Column {
+    /// Its published name.
+    pub name: &'static str,
+    /// What it holds.
+    pub format: ColumnFormat,
+    /// Whether an empty field is an error.
+    pub is_required: bool,
+    /// What a replay makes of it.
+    pub role: ColumnRole,
+}
+
+/// A column that must have a value.
+const fn required(name: &'static str, format: ColumnFormat, role: ColumnRole) -> Column {
+    Column { name, format, is_required: true, role }
+}
+
+/// A column that may be empty.
+const fn optional(name: &'static str, format: ColumnFormat, role: ColumnRole) -> Column {
+    Column { name, format, is_required: false, role }
+}
 
+/// A column that is not read.
+const fn ignored(name: &'static str) -> Column {
+    Column { name, format: Ignored, is_required: false, role: Unused }
+}
+
+/// The unit of a layout's times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unit {
-    Micros,
+pub enum TimeUnit {
+    /// Microseconds.
+    Microseconds,
+    /// Seconds.
     Seconds,
 }
 
 /// Whether rows come in the order of their times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sorted {
-    /// As published, save for what a copy has done to them.
+pub enum RowOrder {
+    /// As published they do; a copy may have them slightly out of order.
     ByTime,
-    /// Grouped by something else: no window can order them.
-    No,
+    /// They are grouped by something else: no window can sort them.
+    Unsorted,
 }
 
 /// One kind of file of one published trace.
 pub struct Layout {
+    /// The name by which it is chosen.
     pub name: &'static str,
-    pub unit: Unit,
-    pub sorted: Sorted,
+    /// The unit of its times.
+    pub time_unit: TimeUnit,
+    /// Whether rows come in the order of their times.
+    pub row_order: RowOrder,
+    /// Its columns, in their order.
     pub columns: &'static [Column],
 }
 
+impl Layout {
+    /// Whether its rows are about work; else they are about machines.
+    pub fn has_work(&self) -> bool {
+        self.columns.iter().any(|column| column.role == Job)
+    }
+}
+
+/// The states of a batch task or instance in Alibaba's trace of 2018.
+const BATCH_STATUSES: &[&str] = &["Terminated", "Failed", "Running", "Waiting", "Cancelled", "Interrupted"];
+
 /// The layouts that are known.
 #[rustfmt::skip]
 pub const LAYOUTS: &[Layout] = &[
-    Layout { name: "google-2011-task-events", unit: Unit::Micros, sorted: Sorted::ByTime, columns: &[
-        Column("timestamp",                       Time,                  true,  At),
-        Column("missing info",                    Ignored,               false, Nothing),
-        Column("job ID",                          Count(u64::MAX),       true,  Job),
-        Column("task index",                      Count(u32::MAX as u64), true, Task),
-        Column("machine ID",                      Count(u64::MAX),       false, Machine),
-        Column("event type",                      Code(&["0", "1", "2", "3", "4", "5", "6", "7", "8"]), true, Event),
-        Column("user",                            Id,                    false, Tenant),
-        Column("scheduling class",                Count(3),              false, Class),
-        Column("priority",                        Count(11),             true,  Priority),
-        Column("CPU request",                     Number(1e6),           false, Cpu),
-        Column("memory request",                  Number(1e6),           false, Memory),
-        Column("disk space request",              Ignored,               false, Nothing),
-        Column("different machines restriction",  Ignored,               false, Nothing),
+    Layout { name: "google-2011-task-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime, columns: &[
+        required("timestamp", Time, At),
+        ignored("missing info"),
+        required("job ID", Count(u64::MAX), Job),
+        required("task index", Count(u32::MAX as u64), Task),
+        optional("machine ID", Count(u64::MAX), Machine),
+        required("event type", Code(&["0", "1", "2", "3", "4", "5", "6", "7", "8"]), Event),
+        optional("user", Id, Tenant),
+        optional("scheduling class", Count(3), Class),
+        required("priority", Count(11), Priority),
+        optional("CPU request", Number(1e6), Cpu),
+        optional("memory request", Number(1e6), Memory),
+        ignored("disk space request"),
+        ignored("different machines restriction"),
     ] },
-    Layout { name: "google-2011-machine-events", unit: Unit::Micros, sorted: Sorted::ByTime, columns: &[
-        Column("timestamp",   Time,                   true,  At),
-        Column("machine ID",  Count(u64::MAX),        true,  Machine),
-        Column("event type",  Code(&["0", "1", "2"]), true,  Event),
-        Column("platform ID", Ignored,                false, Nothing),
-        Column("CPUs",        Number(1e6),            false, Cpu),
-        Column("memory",      Number(1e6),            false, Memory),
+    Layout { name: "google-2011-machine-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime, columns: &[
+        required("timestamp", Time, At),
+        required("machine ID", Count(u64::MAX), Machine),
+        required("event type", Code(&["0", "1", "2"]), Event),
+        ignored("platform ID"),
+        optional("CPUs", Number(1e6), Cpu),
+        optional("memory", Number(1e6), Memory),
     ] },
-    Layout { name: "alibaba-2018-batch-task", unit: Unit::Seconds, sorted: Sorted::No, columns: &[
-        Column("task_name",    Id,                                      true,  Task),
-        Column("instance_num", Count(10_000_000),                       false, Instances),
-        Column("job_name",     Id,                                      true,  Job),
-        Column("task_type",    Id,                                      false, Class),
-        Column("status",       Code(&["Terminated", "Failed", "Running", "Waiting", "Cancelled", "Interrupted"]), true, Event),
-        Column("start_time",   Time,                                    true,  At),
-        Column("end_time",     Time,                                    false, End),
-        Column("plan_cpu",     Number(1e6),                             false, Cpu),
-        Column("plan_mem",     Number(1e6),                             false, Memory),
+    Layout { name: "alibaba-2018-batch-task", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+        required("task_name", Id, Task),
+        optional("instance_num", Count(10_000_000), Instances),
+        required("job_name", Id, Job),
+        optional("task_type", Id, Class),
+        required("status", Code(BATCH_STATUSES), Event),
+        required("start_time", Time, At),
+        optional("end_time", Time, End),
+        optional("plan_cpu", Number(1e6), Cpu),
+        optional("plan_mem", Number(1e6), Memory),
     ] },
-    Layout { name: "alibaba-2018-batch-instance", unit: Unit::Seconds, sorted: Sorted::No, columns: &[
-        Column("instance_name", Id,                                     true,  Task),
-        Column("task_name",     Id,                                     true,  Nothing),
-        Column("job_name",      Id,                                     true,  Job),
-        Column("task_type",     Id,                                     false, Class),
-        Column("status",        Code(&["Terminated", "Failed", "Running", "Waiting", "Cancelled", "Interrupted"]), true, Event),
-        Column("start_time",    Time,                                   true,  At),
-        Column("end_time",      Time,                                   false, End),
-        Column("machine_id",    Id,                                     false, Machine),
-        Column("seq_no",        Count(u32::MAX as u64),                 false, Nothing),
-        Column("total_seq_no",  Count(u32::MAX as u64),                 false, Nothing),
-        Column("cpu_avg",       Number(1e6),                            false, Cpu),
-        Column("cpu_max",       Ignored,                                false, Nothing),
-        Column("mem_avg",       Number(1e6),                            false, Memory),
-        Column("mem_max",       Ignored,                                false, Nothing),
+    Layout { name: "alibaba-2018-batch-instance", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+        required("instance_name", Id, Task),
+        required("task_name", Id, Unused),
+        required("job_name", Id, Job),
+        optional("task_type", Id, Class),
+        required("status", Code(BATCH_STATUSES), Event),
+        required("start_time", Time, At),
+        optional("end_time", Time, End),
+        optional("machine_id", Id, Machine),
+        optional("seq_no", Count(u32::MAX as u64), Unused),
+        optional("total_seq_no", Count(u32::MAX as u64), Unused),
+        optional("cpu_avg", Number(1e6), Cpu),
+        ignored("cpu_max"),
+        optional("mem_avg", Number(1e6), Memory),
+        ignored("mem_max"),
     ] },
-    Layout { name: "alibaba-2018-machine-meta", unit: Unit::Seconds, sorted: Sorted::No, columns: &[
-        Column("machine_id",       Id,          true,  Machine),
-        Column("time_stamp",       Time,        true,  At),
-        Column("failure_domain_1", Ignored,     false, Nothing),
-        Column("failure_domain_2", Ignored,     false, Nothing),
-        Column("cpu_num",          Number(1e6), false, Cpu),
-        Column("mem_size",         Number(1e6), false, Memory),
-        Column("status",           Code(&["USING", "IMPORT", "REMOVE"]), true, Event),
+    Layout { name: "alibaba-2018-machine-meta", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+        required("machine_id", Id, Machine),
+        required("time_stamp", Time, At),
+        ignored("failure_domain_1"),
+        ignored("failure_domain_2"),
+        optional("cpu_num", Number(1e6), Cpu),
+        optional("mem_size", Number(1e6), Memory),
+        required("status", Code(&["USING", "IMPORT", "REMOVE"]), Event),
     ] },
-    Layout { name: "azure-2017-vmtable", unit: Unit::Seconds, sorted: Sorted::No, columns: &[
-        Column("vmid",               Id,          true,  Task),
-        Column("subscriptionid",     Id,          true,  Tenant),
-        Column("deploymentid",       Id,          true,  Job),
-        Column("vmcreated",          Time,        true,  At),
-        Column("vmdeleted",          Time,        true,  End),
-        Column("maxcpu",             Ignored,     false, Nothing),
-        Column("avgcpu",             Number(100.0), false, Cpu),
-        Column("p95maxcpu",          Ignored,     false, Nothing),
-        Column("vmcategory",         Code(&["Delay-insensitive", "Interactive", "Unknown"]), true, Class),
-        Column("vmcorecountbucket",  Ignored,     false, Nothing),
-        Column("vmmemorybucket",     Ignored,     false, Nothing),
+    Layout { name: "azure-2017-vmtable", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+        required("vmid", Id, Task),
+        required("subscriptionid", Id, Tenant),
+        required("deploymentid", Id, Job),
+        required("vmcreated", Time, At),
+        required("vmdeleted", Time, End),
+        ignored("maxcpu"),
+        optional("avgcpu", Number(100.0), Cpu),
+        ignored("p95maxcpu"),
+        required("vmcategory", Code(&["Delay-insensitive", "Interactive", "Unknown"]), Class),
+        ignored("vmcorecountbucket"),
+        ignored("vmmemorybucket"),
     ] },
 ];
 
 /// The layout of this name.
-pub fn layout(name: &str) -> Option<&'static Layout> {
+pub fn find_layout(name: &str) -> Option<&'static Layout> {
     LAYOUTS.iter().find(|layout| layout.name == name)
 }
--- a/crates/cluster-trace/src/lib.rs
+++ b/crates/cluster-trace/src/lib.rs
@@ -1,101 +1,42 @@
-//! Reads public cluster traces in CSV: a verdict for each row, in bounded memory, plain or gzip.
+//! Reads public cluster traces in CSV, plain or gzip, with one outcome for each line and in bounded memory.
 //!
-//! A [`Layout`] says what the columns of a published trace are; [`Reader`] gives a [`Verdict`] for each line:
-//! taken, as a [`Row`], or rejected, with file line, column, what it holds, what was allowed, and a
-//! [`Reason`] whose code never changes. [`Order`] then puts rows in the order of their times within a bounded
-//! window, and tells a clock that stepped from a row that strayed. [`Ledger`] counts: lines read = taken +
-//! rejected by reason, and holds the policy against them.
+//! A [`Layout`] describes the columns of a published trace. [`TraceReader`] gives a [`RowOutcome`] for each
+//! line: accepted, as a [`Row`], or rejected, with the line, the column, its value, what is allowed, and a
+//! [`RejectionReason`] whose code never changes. [`RowSorter`] then puts rows in the order of their times within
+//! a bounded window, and tells a clock that stepped from a single row with a wrong time. [`ReadSummary`] counts
+//! (lines read = accepted + rejected by reason) and applies the [`RejectionPolicy`].
 //!
-//! [`plan`] turns rows into what brokers and hosts are to feel.
+//! [`plan`] turns rows into what brokers and nodes are to do.
 //!
-//! Decisions (`judge`, `order`, `ledger`, `plan`) do no I/O; `lines` and `reader` do nothing else.
+//! `classify`, `row_sorter`, `read_summary` and `plan` do no I/O; `line_blocks` and `trace_reader` do nothing
+//! else.
 //!
 //! ```
-//! use cluster_trace::{Reader, Verdict, layout};
+//! use cluster_trace::{RowOutcome, TraceReader, find_layout};
 //!
 //! let text = "0,,1,0,5,0\n";
-//! let rows = Reader::new(layout("google-2011-machine-events").unwrap(), text.as_bytes()).unwrap();
-//! let verdicts: Vec<Verdict> = rows.collect();
-//! assert!(matches!(&verdicts[0], Verdict::Rejected(r) if r.reason.code() == "missing-value"));
+//! let layout = find_layout("google-2011-machine-events").unwrap();
+//! let outcomes: Vec<RowOutcome> = TraceReader::new(layout, text.as_bytes()).unwrap().collect();
+//! assert!(matches!(&outcomes[0], RowOutcome::Rejected(row) if row.reason.code() == "missing-value"));
 //! ```
 
-mod judge;
+#![warn(missing_docs)]
+
+mod classify;
 mod layout;
-mod ledger;
-mod lines;
-mod order;
+mod line_blocks;
 pub mod plan;
-mod reader;
-
-pub use judge::{Id, MachineEvent, Rejected, Row, Verdict, What, WorkEvent, judge};
-pub use layout::{Column, Form, LAYOUTS, Layout, Role, Sorted, Unit, layout};
-pub use ledger::{Ledger, Policy, Stop};
-pub use lines::LONGEST_LINE;
-pub use order::{Order, Window};
-pub use reader::{Reader, Unreadable};
-
-/// Why a line is not a row that can be used. The codes are stable: scripts read them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reason {
-    Blank,
-    TooLong,
-    NotUtf8,
-    Quotes,
-    ColumnsMissing,
-    ColumnsExtra,
-    MissingValue,
-    NotANumber,
-    Negative,
-    OutOfRange,
-    UnknownEvent,
-    EndsBeforeStart,
-    EndsMidway,
-    TooLate,
-    Stray,
-    Duplicate,
-    UnknownMachine,
-}
-
-impl Reason {
-    pub const ALL: [Reason; 17] = [
-        Reason::Blank,
-        Reason::TooLong,
-        Reason::NotUtf8,
-        Reason::Quotes,
-        Reason::ColumnsMissing,
-        Reason::ColumnsExtra,
-        Reason::MissingValue,
-        Reason::NotANumber,
-        Reason::Negative,
-        Reason::OutOfRange,
-        Reason::UnknownEvent,
-        Reason::EndsBeforeStart,
-        Reason::EndsMidway,
-        Reason::TooLate,
-        Reason::Stray,
-        Reason::Duplicate,
-        Reason::UnknownMachine,
-    ];
+mod read_summary;
+mod rejection_reason;
+mod row;
+mod row_sorter;
+mod trace_reader;
 
-    pub fn code(self) -> &'static str {
-        match self {
-            Reason::Blank => "blank",
-            Reason::TooLong => "too-long",
-            Reason::NotUtf8 => "not-utf8",
-            Reason::Quotes => "quotes",
-            Reason::ColumnsMissing => "columns-missing",
-            Reason::ColumnsExtra => "columns-extra",
-            Reason::MissingValue => "missing-value",
-            Reason::NotANumber => "not-a-number",
-            Reason::Negative => "negative",
-            Reason::OutOfRange => "out-of-range",
-            Reason::UnknownEvent => "unknown-event",
-            Reason::EndsBeforeStart => "ends-before-start",
-            Reason::EndsMidway => "ends-midway",
-            Reason::TooLate => "too-late",
-            Reason::Stray => "stray",
-            Reason::Duplicate => "duplicate",
-            Reason::UnknownMachine => "unknown-machine",
-        }
-    }
-}
+pub use classify::classify_row;
+pub use layout::{Column, ColumnFormat, ColumnRole, LAYOUTS, Layout, RowOrder, TimeUnit, find_layout};
+pub use line_blocks::MAX_LINE_BYTES;
+pub use read_summary::{PolicyViolation, ReadSummary, RejectedRows, RejectionPolicy};
+pub use rejection_reason::RejectionReason;
+pub use row::{MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, TraceId, WorkEvent};
+pub use row_sorter::{ClockStep, RowSorter, SortWindow};
+pub use trace_reader::{OpenError, TraceReader};
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -1,45 +1,39 @@
-//! What rows become: windows, samples, scales, hosts; and that it is the same each time.
+//! What rows become: windows, samples, time scales, nodes; and that it is the same each time.
 
-use cluster_trace::plan::{Cast, Happens, HostEvent, NoPlan, Plan, Planner, Repeats, Staging};
-use cluster_trace::{Id, MachineEvent, Row, What, WorkEvent};
+use cluster_trace::plan::{
+    ClassSpec, CountRange, NodeEvent, Plan, PlanError, PlanEvent, Planner, ReplayConfig,
+};
+use cluster_trace::{MachineEvent, Row, RowDetail, TraceId, WorkEvent};
 use rstest::rstest;
 
 const SECOND: u64 = 1_000_000;
 
-fn staging() -> Staging {
-    let cast = |name: &str, share, shard_requests| Cast {
-        name: name.to_owned(),
-        share,
-        shard_requests,
-        skew: 1.0,
-        deadline: 5000,
-        priority_weight: 1.0,
-        least: 1.0,
-        repeats: Repeats::Reissuable,
-    };
-    Staging {
+fn config() -> ReplayConfig {
+    let class =
+        |name: &str, share, min, max| ClassSpec::idempotent(name, share, CountRange { min, max }, 1.0);
+    ReplayConfig {
         seed: 7,
         from: 100 * SECOND,
         to: 200 * SECOND,
-        stretch: 1.0,
-        sample: 1.0,
+        time_scale: 1.0,
+        sample_share: 1.0,
         load: 0.5,
-        hosts: 4,
-        host_ms_per_s: 1000.0,
+        nodes: 4,
+        node_ms_per_s: 1000.0,
         shards: 16,
-        classes: vec![cast("report", 1.0, (4, 8)), cast("lookup", 3.0, (1, 2))],
-        tenants: vec![1.0, 2.0],
+        classes: vec![class("report", 1.0, 4, 8), class("lookup", 3.0, 1, 2)],
+        tenant_weights: vec![1.0, 2.0],
         quota_per_s: None,
-        drains: 0.0,
-        drain_for: 5000,
-        budget: None,
-        most: 10_000,
+        drain_share: 0.0,
+        drain_duration: 5000,
+        retry_budget: None,
+        max_entries: 10_000,
     }
 }
 
 fn work(second: u64, job: u64, task: u64, event: WorkEvent, end: Option<u64>) -> Row {
-    let id = |prefix: &str, no: u64| Id::of(&format!("{prefix}{no}"));
-    let what = What::Work {
+    let id = |prefix: &str, no: u64| TraceId::of(&format!("{prefix}{no}"));
+    let detail = RowDetail::Work {
         job: id("j", job),
         task: id("t", task),
         event,
@@ -55,19 +49,26 @@
         machine: None,
         cpu: Some(0.1 + job as f64 / 100.0),
         memory: None,
-        what,
+        detail,
     }
 }
 
 fn machine(second: u64, machine: u64, event: MachineEvent, cpu: f64) -> Row {
-    let machine = Id::of(&format!("m{machine}"));
-    Row { line: 1, at: second * SECOND, machine, cpu: Some(cpu), memory: None, what: What::Machine { event } }
+    let machine = TraceId::of(&format!("m{machine}"));
+    Row {
+        line: 1,
+        at: second * SECOND,
+        machine,
+        cpu: Some(cpu),
+        memory: None,
+        detail: RowDetail::Machine { event },
+    }
 }
 
-fn plan(staging: Staging, rows: &[Row]) -> Result<Plan, NoPlan> {
-    let mut planner = Planner::new(staging)?;
-    rows.iter().try_for_each(|row| planner.take(row))?;
-    planner.plan()
+fn plan(config: ReplayConfig, rows: &[Row]) -> Result<Plan, PlanError> {
+    let mut planner = Planner::new(config)?;
+    rows.iter().try_for_each(|row| planner.add_row(row))?;
+    planner.finish()
 }
 
 /// A hundred jobs of three tasks, over the window and beyond it.
@@ -77,77 +78,77 @@
     (0..100).flat_map(tasks).collect()
 }
 
-fn asks(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
-    let ask = |entry: &cluster_trace::plan::Entry| match &entry.what {
-        Happens::Ask { class, tenant, shard_requests } => Some((
+fn queries(plan: &Plan) -> Vec<(u64, usize, usize, u64)> {
+    let query = |entry: &cluster_trace::plan::PlanEntry| match &entry.event {
+        PlanEvent::Query { class, tenant, shard_requests } => Some((
             entry.at,
             *class,
             *tenant,
-            shard_requests.iter().map(|shard_request| shard_request.2).sum(),
+            shard_requests.iter().map(|shard_request| shard_request.work_us).sum(),
         )),
-        Happens::Host { .. } => None,
+        PlanEvent::Node { .. } => None,
     };
-    plan.entries.iter().filter_map(ask).collect()
+    plan.entries.iter().filter_map(query).collect()
 }
 
-fn hosts(plan: &Plan) -> Vec<(u64, u32, HostEvent)> {
-    let event = |entry: &cluster_trace::plan::Entry| match entry.what {
-        Happens::Host { host, event } => Some((entry.at, host, event)),
-        Happens::Ask { .. } => None,
+fn node_events(plan: &Plan) -> Vec<(u64, u32, NodeEvent)> {
+    let event = |entry: &cluster_trace::plan::PlanEntry| match entry.event {
+        PlanEvent::Node { node, event } => Some((entry.at, node, event)),
+        PlanEvent::Query { .. } => None,
     };
     plan.entries.iter().filter_map(event).collect()
 }
 
 #[rstest]
 fn is_the_same_byte_for_byte() {
-    let one = plan(staging(), &rows()).unwrap();
-    assert_eq!(one.digest(), plan(staging(), &rows()).unwrap().digest());
+    let one = plan(config(), &rows()).unwrap();
+    assert_eq!(one.digest(), plan(config(), &rows()).unwrap().digest());
     let mut reversed = rows();
     reversed.reverse();
     assert_eq!(
         one.digest(),
-        plan(staging(), &reversed).unwrap().digest(),
+        plan(config(), &reversed).unwrap().digest(),
         "the order of rows is no part of it"
     );
-    assert_ne!(one.digest(), plan(Staging { seed: 8, ..staging() }, &rows()).unwrap().digest());
+    assert_ne!(one.digest(), plan(ReplayConfig { seed: 8, ..config() }, &rows()).unwrap().digest());
 }
 
-/// The load is the stated share of what the hosts can do, whatever the trace's unit.
+/// The load is the configured share of what the nodes can do, whatever the trace's unit.
 #[rstest]
 #[case(0.5, 1.0)]
 #[case(2.0, 1.0)]
 #[case(0.5, 0.1)]
-fn offers_the_stated_load(#[case] load: f64, #[case] stretch: f64) {
-    let plan = plan(Staging { load, stretch, ..staging() }, &rows()).unwrap();
-    let ms: u64 = asks(&plan).iter().map(|ask| ask.3).sum::<u64>() / 1000;
-    let can = 4.0 * 1000.0 * 100.0 * stretch;
+fn offers_the_configured_load(#[case] load: f64, #[case] time_scale: f64) {
+    let plan = plan(ReplayConfig { load, time_scale, ..config() }, &rows()).unwrap();
+    let ms: u64 = queries(&plan).iter().map(|query| query.3).sum::<u64>() / 1000;
+    let can = 4.0 * 1000.0 * 100.0 * time_scale;
     assert!((ms as f64 / can - load).abs() < load / 50.0, "{ms} ms of {can}");
-    let last = asks(&plan).last().unwrap().0;
-    assert!(last as f64 <= 100.0 * 10_000.0 * stretch, "the window ends there: {last}");
+    let last = queries(&plan).last().unwrap().0;
+    assert!(last as f64 <= 100.0 * 10_000.0 * time_scale, "the window ends there: {last}");
 }
 
 /// A job is in or out whole, and a larger sample holds a smaller one.
 #[rstest]
 fn samples_jobs_whole() {
     let of = |sample: f64| {
-        let plan = plan(Staging { sample, ..staging() }, &rows()).unwrap();
-        asks(&plan).iter().map(|ask| ask.0).collect::<Vec<_>>()
+        let plan = plan(ReplayConfig { sample_share: sample, ..config() }, &rows()).unwrap();
+        queries(&plan).iter().map(|query| query.0).collect::<Vec<_>>()
     };
     let (all, some, few) = (of(1.0), of(0.5), of(0.2));
     assert!(all.len() > some.len() && some.len() > few.len() && !few.is_empty());
-    assert!([&all, &some, &few].iter().all(|asks| asks.len() % 3 == 0), "three tasks of each job");
+    assert!([&all, &some, &few].iter().all(|queries| queries.len() % 3 == 0), "three tasks of each job");
     assert!(few.iter().all(|at| some.contains(at)) && some.iter().all(|at| all.contains(at)));
 }
 
-/// A user is one tenant's, always.
+/// A user of the trace always belongs to the same tenant.
 #[rstest]
-fn maps_users_onto_callers() {
-    let plan = plan(staging(), &rows()).unwrap();
-    let tenants: Vec<usize> = asks(&plan).iter().map(|ask| ask.2).collect();
+fn maps_users_onto_tenants() {
+    let plan = plan(config(), &rows()).unwrap();
+    let tenants: Vec<usize> = queries(&plan).iter().map(|query| query.2).collect();
     assert!(tenants.contains(&0) && tenants.contains(&1));
 }
 
-/// What was running as the window began is asked for at its beginning: spans that reach into it, and tasks
+/// Work that was running as the window began becomes queries at its beginning: spans that reach into it, and tasks
 /// that were scheduled and had not ended. A job longer than the window is there once.
 #[rstest]
 fn begins_with_what_was_running() {
@@ -160,13 +161,13 @@
         work(150, 5, 0, WorkEvent::Span, Some(900)),
         work(300, 6, 0, WorkEvent::Span, Some(900)),
     ];
-    let plan = plan(staging(), &rows).unwrap();
-    let at: Vec<u64> = asks(&plan).iter().map(|ask| ask.0).collect();
-    assert_eq!((at, plan.running), (vec![0, 0, 500_000], 1));
+    let plan = plan(config(), &rows).unwrap();
+    let at: Vec<u64> = queries(&plan).iter().map(|query| query.0).collect();
+    assert_eq!((at, plan.running_at_start), (vec![0, 0, 500_000], 1));
 }
 
-/// Machines become hosts: there from the beginning, dead, returned under their name, slow; drained first
-/// where that is assumed; half of them gone in one instant.
+/// Machines become nodes: there from the beginning, stopped, started again under their name, slow; drained first
+/// where that is configured; half of them stopped at the same time.
 #[rstest]
 #[case(0.0, false)]
 #[case(1.0, true)]
@@ -176,44 +177,44 @@
     rows.extend((0..6).map(|no| machine(0, no, Added, 1.0)));
     rows.extend([machine(120, 0, Removed, 1.0), machine(120, 1, Removed, 1.0), machine(130, 0, Added, 1.0)]);
     rows.extend([machine(140, 2, Updated, 0.5), machine(400, 3, Removed, 1.0)]);
-    let plan = plan(Staging { drains, ..staging() }, &rows).unwrap();
-    let mut told = hosts(&plan);
-    let warm: Vec<_> = told.drain(..4).collect();
-    assert!(warm.iter().zip(0..).all(|(event, no)| *event == (0, no, HostEvent::Warm)), "{warm:?}");
+    let plan = plan(ReplayConfig { drain_share: drains, ..config() }, &rows).unwrap();
+    let mut events = node_events(&plan);
+    let warm: Vec<_> = events.drain(..4).collect();
+    assert!(warm.iter().zip(0..).all(|(event, no)| *event == (0, no, NodeEvent::StartWarm)), "{warm:?}");
     let ends = |host, at: u64| match drained {
-        true => vec![(at, host, HostEvent::Drain), (at + 5000, host, HostEvent::Death)],
-        false => vec![(at, host, HostEvent::Death)],
+        true => vec![(at, host, NodeEvent::Drain), (at + 5000, host, NodeEvent::Stop)],
+        false => vec![(at, host, NodeEvent::Stop)],
     };
     let mut expected = [ends(0, 200_000), ends(1, 200_000)].concat();
-    expected.extend([(300_000, 0, HostEvent::Start), (400_000, 2, HostEvent::Slow(0.5))]);
+    expected.extend([(300_000, 0, NodeEvent::StartCold), (400_000, 2, NodeEvent::SlowDown(0.5))]);
     expected.sort_by_key(|event| event.0);
-    assert_eq!((told, plan.machines_out), (expected, 2));
+    assert_eq!((events, plan.unmapped_machine_rows), (expected, 2));
 }
 
-/// Weights make a whole, the heaviest first; no shard request is of a shard twice.
+/// Weights add up to one, the heaviest first; no two shard requests of a query are for the same shard.
 #[rstest]
-fn parts_make_a_whole() {
-    for entry in plan(staging(), &rows()).unwrap().entries {
-        let Happens::Ask { shard_requests, .. } = entry.what else { continue };
-        let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.1).sum();
+fn weights_of_shard_requests_add_up_to_one() {
+    for entry in plan(config(), &rows()).unwrap().entries {
+        let PlanEvent::Query { shard_requests, .. } = entry.event else { continue };
+        let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.weight).sum();
         assert!(
-            (sum - 1.0).abs() < 1e-9 && shard_requests.is_sorted_by(|a, b| a.1 >= b.1),
+            (sum - 1.0).abs() < 1e-9 && shard_requests.is_sorted_by(|a, b| a.weight >= b.weight),
             "{shard_requests:?}"
         );
         let shards: std::collections::BTreeSet<u32> =
-            shard_requests.iter().map(|shard_request| shard_request.0).collect();
+            shard_requests.iter().map(|shard_request| shard_request.shard).collect();
         assert!(shards.len() == shard_requests.len() && shards.iter().all(|shard| *shard < 16));
     }
 }
 
 #[rstest]
-#[case(Staging { most: 10, ..staging() }, NoPlan::Long(10))]
-#[case(Staging { from: 900 * SECOND, to: 901 * SECOND, ..staging() }, NoPlan::Empty { from: 900 * SECOND, to: 901 * SECOND })]
-#[case(Staging { to: 0, ..staging() }, NoPlan::Staging("window"))]
-#[case(Staging { stretch: f64::NAN, ..staging() }, NoPlan::Staging("stretch"))]
-#[case(Staging { shards: 3, ..staging() }, NoPlan::Staging("parts"))]
-fn says_why_there_is_no_plan(#[case] staging: Staging, #[case] why: NoPlan) {
-    assert_eq!(plan(staging, &rows()), Err(why));
+#[case(ReplayConfig { max_entries: 10, ..config() }, PlanError::TooManyEntries(10))]
+#[case(ReplayConfig { from: 900 * SECOND, to: 901 * SECOND, ..config() }, PlanError::NoWork { from: 900 * SECOND, to: 901 * SECOND })]
+#[case(ReplayConfig { to: 0, ..config() }, PlanError::InvalidConfig("window"))]
+#[case(ReplayConfig { time_scale: f64::NAN, ..config() }, PlanError::InvalidConfig("stretch"))]
+#[case(ReplayConfig { shards: 3, ..config() }, PlanError::InvalidConfig("parts"))]
+fn says_why_there_is_no_plan(#[case] config: ReplayConfig, #[case] why: PlanError) {
+    assert_eq!(plan(config, &rows()), Err(why));
 }
 
 /// A file that comes slower than anything is played, a byte at a time, is the same plan: it is made before the day
@@ -232,15 +233,15 @@
     }
     let text: String =
         (0..200).map(|no| format!("{},,{no},0,,0,u{},1,1,0.1,0.1,0,0\n", 100_000_000 + no, no % 7)).collect();
-    let layout = cluster_trace::layout("google-2011-task-events").unwrap();
-    let digest = |from: &mut dyn Iterator<Item = cluster_trace::Verdict>| {
-        let mut planner = Planner::new(staging()).unwrap();
-        for verdict in from {
-            let cluster_trace::Verdict::Taken(row) = verdict else { panic!("{verdict:?}") };
-            planner.take(&row).unwrap();
+    let layout = cluster_trace::find_layout("google-2011-task-events").unwrap();
+    let digest = |from: &mut dyn Iterator<Item = cluster_trace::RowOutcome>| {
+        let mut planner = Planner::new(config()).unwrap();
+        for outcome in from {
+            let cluster_trace::RowOutcome::Accepted(row) = outcome else { panic!("{outcome:?}") };
+            planner.add_row(&row).unwrap();
         }
-        planner.plan().unwrap().digest()
+        planner.finish().unwrap().digest()
     };
-    let slow = digest(&mut cluster_trace::Reader::new(layout, Trickle(text.as_bytes())).unwrap());
-    assert_eq!(slow, digest(&mut cluster_trace::Reader::new(layout, text.as_bytes()).unwrap()));
+    let slow = digest(&mut cluster_trace::TraceReader::new(layout, Trickle(text.as_bytes())).unwrap());
+    assert_eq!(slow, digest(&mut cluster_trace::TraceReader::new(layout, text.as_bytes()).unwrap()));
 }
--- a/crates/cluster-trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Hand-written rows in the published layouts: each bad one is rejected with its reason, and nothing is lost
-//! unsaid.
+//! Hand-written rows in the published layouts: each bad one is rejected with its reason, and every line has an
+//! outcome.
 
 use cluster_trace::*;
 use flate2::Compression;
@@ -14,8 +14,8 @@
 const INSTANCE: &str = "alibaba-2018-batch-instance";
 const VM: &str = "azure-2017-vmtable";
 
-/// A sound row of each layout.
-fn sound(name: &str) -> &'static str {
+/// A valid row of each layout.
+fn valid_row(name: &str) -> &'static str {
     match name {
         TASK => "600000000,,3418309,0,4155527081,0,fadkjh=,3,9,0.125,0.07446,0.0004244,0",
         MACHINE => "0,5,0,HofLGzk1Or/8Ildj2+Lqv0UGGvY82NLoni8+J/Yy0RU=,0.5,0.2493",
@@ -26,16 +26,16 @@
     }
 }
 
-fn read(name: &str, text: &[u8]) -> Vec<Verdict> {
-    Reader::new(layout(name).unwrap(), text).unwrap().collect()
+fn read(name: &str, text: &[u8]) -> Vec<RowOutcome> {
+    TraceReader::new(find_layout(name).unwrap(), text).unwrap().collect()
 }
 
-fn reasons(verdicts: &[Verdict]) -> Vec<&'static str> {
-    let reason = |verdict: &Verdict| match verdict {
-        Verdict::Taken(_) => "taken",
-        Verdict::Rejected(rejected) => rejected.reason.code(),
+fn reasons(outcomes: &[RowOutcome]) -> Vec<&'static str> {
+    let reason = |outcome: &RowOutcome| match outcome {
+        RowOutcome::Accepted(_) => "accepted",
+        RowOutcome::Rejected(rejected) => rejected.reason.code(),
     };
-    verdicts.iter().map(reason).collect()
+    outcomes.iter().map(reason).collect()
 }
 
 #[rstest]
@@ -43,14 +43,14 @@
 #[case(BATCH, 157_213_000_000, "j_3", "task_Nzg3ODAwNDgzMTAwNTc2NTQ2")]
 #[case(INSTANCE, 157_213_000_000, "j_3", "ins_1")]
 #[case(VM, 0, "dep=1", "vm+1")]
-fn takes_work(#[case] name: &str, #[case] at: u64, #[case] job: &str, #[case] task: &str) {
-    let verdicts = read(name, sound(name).as_bytes());
-    let [Verdict::Taken(row)] = &verdicts[..] else { panic!("{verdicts:?}") };
-    let What::Work { job: j, task: t, .. } = &row.what else { panic!("{row:?}") };
-    assert_eq!((row.at, *j, *t), (at, Id::of(job), Id::of(task)));
+fn accepts_work(#[case] name: &str, #[case] at: u64, #[case] job: &str, #[case] task: &str) {
+    let outcomes = read(name, valid_row(name).as_bytes());
+    let [RowOutcome::Accepted(row)] = &outcomes[..] else { panic!("{outcomes:?}") };
+    let RowDetail::Work { job: j, task: t, .. } = &row.detail else { panic!("{row:?}") };
+    assert_eq!((row.at, *j, *t), (at, TraceId::of(job), TraceId::of(task)));
 }
 
-/// One field changed: line, column, what it holds, what was allowed, and the reason.
+/// One field changed: the rejection has line, column, value, allowed values and reason.
 #[rstest]
 #[case(TASK, 0, "-5", "negative", "timestamp")]
 #[case(TASK, 0, "", "missing-value", "timestamp")]
@@ -68,46 +68,49 @@
 #[case(BATCH, 1, "2.5", "not-a-number", "instance_num")]
 #[case(VM, 4, "x", "not-a-number", "vmdeleted")]
 #[case(VM, 8, "Sleepy", "unknown-event", "vmcategory")]
-fn says_what_is_wrong(
+fn reports_what_is_wrong(
     #[case] name: &str,
     #[case] at: usize,
     #[case] holds: &str,
     #[case] code: &str,
     #[case] column: &str,
 ) {
-    let mut fields: Vec<&str> = sound(name).split(',').collect();
+    let mut fields: Vec<&str> = valid_row(name).split(',').collect();
     fields[at] = holds;
-    let text = format!("{}\n{}\n", sound(name), fields.join(","));
-    let verdicts = read(name, text.as_bytes());
-    let [Verdict::Taken(_), Verdict::Rejected(rejected)] = &verdicts[..] else { panic!("{verdicts:?}") };
+    let text = format!("{}\n{}\n", valid_row(name), fields.join(","));
+    let outcomes = read(name, text.as_bytes());
+    let [RowOutcome::Accepted(_), RowOutcome::Rejected(rejected)] = &outcomes[..] else {
+        panic!("{outcomes:?}")
+    };
     assert_eq!((rejected.line, rejected.reason.code(), rejected.column), (2, code, Some(column)));
     assert!(!rejected.allowed.is_empty() && rejected.to_string().contains(column), "{rejected}");
 }
 
-/// Lines that no row can be, in the midst of sound ones: each is one verdict, and those after it are sound.
+/// Lines that no row can be, among valid ones: each has one outcome, and the line after it is accepted.
 #[rstest]
 #[case(b"1,2,3".to_vec(), "columns-missing")]
-#[case([sound(TASK).as_bytes(), b",1"].concat(), "columns-extra")]
+#[case([valid_row(TASK).as_bytes(), b",1"].concat(), "columns-extra")]
 #[case(b"".to_vec(), "blank")]
 #[case(b"   \t".to_vec(), "blank")]
-#[case(sound(TASK).replace("fadkjh=", "\"fadkjh").into_bytes(), "quotes")]
-#[case(sound(TASK).replace("fadkjh=", "fad\0kjh").into_bytes(), "not-utf8")]
+#[case(valid_row(TASK).replace("fadkjh=", "\"fadkjh").into_bytes(), "quotes")]
+#[case(valid_row(TASK).replace("fadkjh=", "fad\0kjh").into_bytes(), "not-utf8")]
 #[case([b"600000000,,3418309,0,4155527081,0,", &[0xff, 0xfe][..], b",3,9,0.125,0.07446,0.0004244,0"].concat(), "not-utf8")]
 #[case(vec![b'7'; 5 << 20], "too-long")]
-fn goes_on_behind_a_broken_line(#[case] line: Vec<u8>, #[case] code: &str) {
-    let text = [sound(TASK).as_bytes(), b"\n", &line, b"\n", sound(TASK).as_bytes(), b"\r\n"].concat();
-    assert_eq!(reasons(&read(TASK, &text)), ["taken", code, "taken"]);
+fn goes_on_after_a_faulty_line(#[case] line: Vec<u8>, #[case] code: &str) {
+    let text =
+        [valid_row(TASK).as_bytes(), b"\n", &line, b"\n", valid_row(TASK).as_bytes(), b"\r\n"].concat();
+    assert_eq!(reasons(&read(TASK, &text)), ["accepted", code, "accepted"]);
 }
 
 /// A quoted field with a comma in it is one field.
 #[rstest]
 fn reads_quoted_fields() {
-    let text = sound(TASK).replace("fadkjh=", "\"fad,\"\"kjh\"");
-    let verdicts = read(TASK, text.as_bytes());
-    let [Verdict::Taken(Row { what: What::Work { tenant, .. }, .. })] = &verdicts[..] else {
-        panic!("{verdicts:?}")
+    let text = valid_row(TASK).replace("fadkjh=", "\"fad,\"\"kjh\"");
+    let outcomes = read(TASK, text.as_bytes());
+    let [RowOutcome::Accepted(Row { detail: RowDetail::Work { tenant, .. }, .. })] = &outcomes[..] else {
+        panic!("{outcomes:?}")
     };
-    assert_eq!(*tenant, Id::of("fad,\"kjh"));
+    assert_eq!(*tenant, TraceId::of("fad,\"kjh"));
 }
 
 fn packed(text: &[u8]) -> Vec<u8> {
@@ -117,28 +120,30 @@
 }
 
 #[rstest]
-fn reads_gzip_and_tells_where_it_ends_midway() {
-    let text: String = (0..5000).map(|no| sound(TASK).replace("3418309", &no.to_string()) + "\n").collect();
+fn reads_gzip_and_reports_a_truncated_file() {
+    let text: String =
+        (0..5000).map(|no| valid_row(TASK).replace("3418309", &no.to_string()) + "\n").collect();
     let whole = packed(text.as_bytes());
     assert_eq!(read(TASK, &whole).len(), 5000);
-    let verdicts = read(TASK, &whole[..whole.len() / 2]);
-    let codes = reasons(&verdicts);
+    let outcomes = read(TASK, &whole[..whole.len() / 2]);
+    let codes = reasons(&outcomes);
     assert_eq!(codes.last(), Some(&"ends-midway"));
-    assert!(codes[..codes.len() - 1].iter().all(|code| *code == "taken"));
+    assert!(codes[..codes.len() - 1].iter().all(|code| *code == "accepted"));
     // A plain one that was cut in its last line.
-    let cut = format!("{}\n{}", sound(TASK), &sound(TASK)[..30]);
-    assert_eq!(reasons(&read(TASK, cut.as_bytes())), ["taken", "ends-midway"]);
-    assert_eq!(reasons(&read(TASK, sound(TASK).as_bytes())), ["taken"], "a last line needs no end");
+    let cut = format!("{}\n{}", valid_row(TASK), &valid_row(TASK)[..30]);
+    assert_eq!(reasons(&read(TASK, cut.as_bytes())), ["accepted", "ends-midway"]);
+    assert_eq!(reasons(&read(TASK, valid_row(TASK).as_bytes())), ["accepted"], "a last line needs no end");
 }
 
-// ---- order
+// ---- row sorter
 
 const SECOND: u64 = 1_000_000;
 
-/// Puts rows of these seconds in order: the seconds that went out, and the reasons of the others by line.
+/// Sorts rows of these seconds: the seconds that were released, the reasons of the others by line, and the
+/// number of clock steps.
 fn ordered(seconds: &[u64]) -> (Vec<u64>, Vec<(u64, &'static str)>, usize) {
-    let window = Window { late: 5 * SECOND, leap: 3600 * SECOND, rows: 64, step_rows: 4 };
-    let mut order = Order::new(window);
+    let window = SortWindow { max_lateness: 5 * SECOND, max_leap: 3600 * SECOND, max_rows: 64, step_rows: 4 };
+    let mut sorter = RowSorter::new(window);
     let mut out = Vec::new();
     for (at, second) in seconds.iter().enumerate() {
         let row = Row {
@@ -147,21 +152,21 @@
             machine: None,
             cpu: None,
             memory: None,
-            what: What::Machine { event: MachineEvent::Added },
+            detail: RowDetail::Machine { event: MachineEvent::Added },
         };
-        order.take(row, &mut out);
+        sorter.add(row, &mut out);
     }
-    order.end(&mut out);
-    assert_eq!(out.len(), seconds.len(), "each row has a verdict");
-    let (mut went, mut others) = (Vec::new(), Vec::new());
-    for verdict in out {
-        match verdict {
-            Verdict::Taken(row) => went.push(row.at / SECOND),
-            Verdict::Rejected(rejected) => others.push((rejected.line, rejected.reason.code())),
+    sorter.finish(&mut out);
+    assert_eq!(out.len(), seconds.len(), "each row has an outcome");
+    let (mut released, mut rejections) = (Vec::new(), Vec::new());
+    for outcome in out {
+        match outcome {
+            RowOutcome::Accepted(row) => released.push(row.at / SECOND),
+            RowOutcome::Rejected(rejected) => rejections.push((rejected.line, rejected.reason.code())),
         }
     }
-    assert!(went.is_sorted(), "{went:?}");
-    (went, others, order.steps().len())
+    assert!(released.is_sorted(), "{released:?}");
+    (released, rejections, sorter.steps().len())
 }
 
 #[rstest]
@@ -171,9 +176,9 @@
 #[case::one_of_each(&[100, 20, 9999, 101], &[100, 101], &[(2, "too-late"), (3, "stray")])]
 #[case::held_at_the_end(&[100, 20], &[100], &[(2, "too-late")])]
 #[case::a_gap(&[10, 9000, 9001, 9002, 9003, 9004], &[10, 9000, 9001, 9002, 9003, 9004], &[])]
-fn orders(#[case] seconds: &[u64], #[case] went: &[u64], #[case] others: &[(u64, &str)]) {
+fn sorts(#[case] seconds: &[u64], #[case] released: &[u64], #[case] rejections: &[(u64, &str)]) {
     let (out, rejected, steps) = ordered(seconds);
-    assert_eq!((&out[..], &rejected[..], steps), (went, others, 0));
+    assert_eq!((&out[..], &rejected[..], steps), (released, rejections, 0));
 }
 
 /// A clock that was set back by a minute: time goes on where it was, with the same distances, and nothing is
@@ -189,43 +194,57 @@
 
 /// Thousands in one microsecond stay in the order of their lines, and the window stays bounded.
 #[rstest]
-fn takes_thousands_in_one_moment() {
+fn sorts_thousands_of_the_same_time() {
     let (out, rejected, _) = ordered(&vec![7; 5000]);
     assert_eq!((out.len(), rejected.len()), (5000, 0));
 }
 
-// ---- ledger
+// ---- read summary
 
-fn enter(policy: Policy, machines_told: bool, name: &str, text: &str) -> (Ledger, Option<Stop>) {
-    let mut ledger = Ledger::new(policy, machines_told);
-    for verdict in read(name, text.as_bytes()) {
-        if let Err(stop) = ledger.enter(verdict) {
-            return (ledger, Some(stop));
+fn summarize(
+    policy: RejectionPolicy,
+    lists_machines: bool,
+    name: &str,
+    text: &str,
+) -> (ReadSummary, Option<PolicyViolation>) {
+    let mut summary = ReadSummary::new(policy, lists_machines);
+    for outcome in read(name, text.as_bytes()) {
+        if let Err(violation) = summary.add(outcome) {
+            return (summary, Some(violation));
         }
     }
-    (ledger, None)
+    (summary, None)
 }
 
 #[rstest]
-fn tells_duplicates_and_machines_never_added() {
+fn rejects_duplicates_and_machines_never_added() {
     let text = "0,5,0,p,0.5,0.2\n0,5,0,p,0.5,0.2\n9,5,1,p,0.5,0.2\n10,6,1,p,0.5,0.2\n11,5,0,p,0.5,0.2\n";
-    let (ledger, stop) = enter(Policy::SkipAndCount, true, MACHINE, text);
-    let counts: Vec<_> = ledger.rejected.iter().map(|(reason, seen)| (reason.code(), seen.count)).collect();
-    assert_eq!((counts, ledger.taken, stop), (vec![("duplicate", 1), ("unknown-machine", 1)], 3, None));
-    // Where no machines are told of, none can be unknown.
-    assert_eq!(enter(Policy::SkipAndCount, false, MACHINE, "10,6,1,p,0.5,0.2\n").0.taken, 1);
+    let (summary, violation) = summarize(RejectionPolicy::SkipAndCount, true, MACHINE, text);
+    let counts: Vec<_> = summary.rejected.iter().map(|(reason, rows)| (reason.code(), rows.count)).collect();
+    assert_eq!(
+        (counts, summary.accepted, violation),
+        (vec![("duplicate", 1), ("unknown-machine", 1)], 3, None)
+    );
+    // Where no machines are listed, none can be unknown.
+    assert_eq!(summarize(RejectionPolicy::SkipAndCount, false, MACHINE, "10,6,1,p,0.5,0.2\n").0.accepted, 1);
 }
 
 #[rstest]
-fn keeps_its_policy() {
-    let good: String = (0..2000).map(|no| sound(TASK).replace("3418309", &no.to_string()) + "\n").collect();
-    let (_, stop) = enter(Policy::StopAtFirst, false, TASK, &format!("{good}\n{good}"));
-    assert!(matches!(stop, Some(Stop::First(rejected)) if rejected.line == 2001));
+fn applies_its_policy() {
+    let good: String =
+        (0..2000).map(|no| valid_row(TASK).replace("3418309", &no.to_string()) + "\n").collect();
+    let (_, violation) = summarize(RejectionPolicy::StopAtFirst, false, TASK, &format!("{good}\n{good}"));
+    assert!(matches!(violation, Some(PolicyViolation::FirstRejected(rejected)) if rejected.line == 2001));
     let bad = "x\n".repeat(150);
-    let (ledger, stop) = enter(Policy::StopPast(0.1), false, TASK, &format!("{bad}{good}"));
-    assert_eq!((stop, ledger.lines), (Some(Stop::Share { rejected: 150, lines: 1000 }), 1000));
-    let (ledger, stop) = enter(Policy::StopPast(0.2), false, TASK, &format!("{bad}{good}"));
-    assert_eq!((stop, ledger.taken, ledger.rejected_count()), (None, 2000, 150));
+    let (summary, violation) =
+        summarize(RejectionPolicy::StopPast(0.1), false, TASK, &format!("{bad}{good}"));
+    assert_eq!(
+        (violation, summary.lines),
+        (Some(PolicyViolation::ShareExceeded { rejected: 150, lines: 1000 }), 1000)
+    );
+    let (summary, violation) =
+        summarize(RejectionPolicy::StopPast(0.2), false, TASK, &format!("{bad}{good}"));
+    assert_eq!((violation, summary.accepted, summary.rejected_count()), (None, 2000, 150));
 }
 
 /// The same sequences in every run, unless PROPTEST_RNG_SEED names others; a failure prints what it failed
@@ -235,17 +254,17 @@
     proptest::test_runner::RngSeed::Fixed(told.unwrap_or(1))
 }
 
-/// A line: sound, cut, with bytes put in, or noise; none holds a line's end.
+/// A line: valid, cut, with bytes put in, or noise; none holds a line's end.
 fn line() -> impl Strategy<Value = Vec<u8>> {
     let names = prop_oneof![Just(TASK), Just(MACHINE), Just(BATCH), Just(VM)];
     prop_oneof![
-        4 => names.clone().prop_map(|name| sound(name).as_bytes().to_vec()),
+        4 => names.clone().prop_map(|name| valid_row(name).as_bytes().to_vec()),
         2 => (names.clone(), any::<prop::sample::Index>()).prop_map(|(name, at)| {
-            let text = sound(name).as_bytes();
+            let text = valid_row(name).as_bytes();
             text[..at.index(text.len())].to_vec()
         }),
         3 => (names, any::<prop::sample::Index>(), proptest::collection::vec(any::<u8>(), 0..6)).prop_map(|(name, at, more)| {
-            let mut text = sound(name).as_bytes().to_vec();
+            let mut text = valid_row(name).as_bytes().to_vec();
             let at = at.index(text.len());
             text.splice(at..at, more);
             text
@@ -262,46 +281,47 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default() })]
 
-    /// Whatever stands in a file: no panic, and each line has one verdict, also past the window and the
-    /// ledger.
+    /// Whatever stands in a file: no panic, and each line has one outcome, also behind the sorter and
+    /// the summary.
     #[test]
     fn accounts_for_every_line(lines in proptest::collection::vec(line(), 0..20), which in 0..LAYOUTS.len()) {
         let text: Vec<u8> = lines.iter().flat_map(|line| [&line[..], b"\n"].concat()).collect();
-        let (mut order, mut ledger) = (Order::new(Window::default()), Ledger::new(Policy::SkipAndCount, true));
+        let mut sorter = RowSorter::new(SortWindow::default());
+        let mut summary = ReadSummary::new(RejectionPolicy::SkipAndCount, true);
         let (mut out, mut numbers) = (Vec::new(), Vec::new());
-        for verdict in Reader::new(&LAYOUTS[which], &text[..]).unwrap() {
-            match verdict {
-                Verdict::Taken(row) => {
+        for outcome in TraceReader::new(&LAYOUTS[which], &text[..]).unwrap() {
+            match outcome {
+                RowOutcome::Accepted(row) => {
                     numbers.push(row.line);
-                    order.take(row, &mut out);
+                    sorter.add(row, &mut out);
                 }
-                Verdict::Rejected(rejected) => {
+                RowOutcome::Rejected(rejected) => {
                     numbers.push(rejected.line);
-                    out.push(Verdict::Rejected(rejected));
+                    out.push(RowOutcome::Rejected(rejected));
                 }
             }
         }
-        order.end(&mut out);
+        sorter.finish(&mut out);
         prop_assert_eq!(numbers, (1..=lines.len() as u64).collect::<Vec<_>>());
-        out.into_iter().for_each(|verdict| _ = ledger.enter(verdict));
-        prop_assert_eq!(ledger.lines, lines.len() as u64);
-        prop_assert_eq!(ledger.taken + ledger.rejected_count(), ledger.lines);
+        out.into_iter().for_each(|outcome| _ = summary.add(outcome));
+        prop_assert_eq!(summary.lines, lines.len() as u64);
+        prop_assert_eq!(summary.accepted + summary.rejected_count(), summary.lines);
     }
 }
 
-/// Judged ahead on other threads, over many blocks, each line has the verdict that it has on one; a taker
-/// that stops midway leaves nothing behind that waits for ever, and one that is slow loses nothing.
+/// Read ahead on other threads, over many blocks, each line has the outcome that it has on one thread; a user that
+/// stops midway leaves no thread behind that waits for ever, and a slow one loses nothing.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn ahead_is_the_same(#[case] packed: bool) {
+fn reading_ahead_has_the_same_outcomes(#[case] packed: bool) {
     let mut text = Vec::new();
     for no in 0..20_000_u64 {
         let row = match no % 97 {
             3 => "\n".to_owned(),
             5 => format!("{no},\"open,3\n"),
             7 => format!("{no},5,9,x,0.5,0.25\n"),
-            11 => format!("{},{}\n", "7".repeat(LONGEST_LINE), no),
+            11 => format!("{},{}\n", "7".repeat(MAX_LINE_BYTES), no),
             _ => format!("{no},{},0,x,0.5,0.25\n", no % 50),
         };
         text.extend(row.bytes());
@@ -315,16 +335,16 @@
     }
     let file = std::env::temp_dir().join(format!("cluster-trace-{}-{packed}.csv", std::process::id()));
     std::fs::write(&file, &text).unwrap();
-    let open = || Reader::open(layout(MACHINE).unwrap(), &file).unwrap();
-    let ahead: Vec<Verdict> = open().collect();
+    let open = || TraceReader::open(find_layout(MACHINE).unwrap(), &file).unwrap();
+    let ahead: Vec<RowOutcome> = open().collect();
     assert!(open().take(5_000).count() == 5_000, "and lets go of the rest");
-    let slow = open().enumerate().map(|(no, verdict)| {
+    let slow = open().enumerate().map(|(no, outcome)| {
         if no % 4_000 == 0 {
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
-        verdict
+        outcome
     });
-    assert!(slow.eq(read(MACHINE, &text)), "slowly taken");
+    assert!(slow.eq(read(MACHINE, &text)), "slowly read");
     std::fs::remove_file(&file).unwrap();
     assert_eq!(reasons(&ahead), reasons(&read(MACHINE, &text)));
     assert_eq!(ahead, read(MACHINE, &text));
