--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -9,8 +9,8 @@
 use crate::scene::{self, PERIOD, ROLL_LATE, TRIP};
 use crate::weather::{Do, Weather};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
-use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
-use fault_scenarios::{Change, Clients, Fleet, Moment};
+use cluster_trace::plan::{NodeEvent, Plan, PlanEvent, PlannedShardRequest, ReplayConfig};
+use fault_scenarios::{ClientBehavior, ClusterSize, NodeCondition, NodeTransition, ScheduledAction};
 use node_emulator::{Cancel, Host, JobNo, State, Taken};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
@@ -126,7 +126,7 @@
 struct Request {
     of: Of,
     until: Tenths,
-    shard_requests: Vec<(u32, f64, u64)>,
+    shard_requests: Vec<PlannedShardRequest>,
     tries: u32,
     kills: bool,
 }
@@ -165,8 +165,8 @@
     queries: Vec<Query>,
     requests: Vec<Request>,
     weather: Weather,
-    script: Vec<Moment>,
-    clients: Clients,
+    script: Vec<ScheduledAction>,
+    clients: ClientBehavior,
     broker_config: BrokerConfig,
     cut_offs: Vec<Tenths>,
     /// Mean work of a shard request, by class, in microseconds: what a shard request counts for at a cold host.
@@ -178,20 +178,31 @@
 
 impl World {
     /// A day without a script: one way for all, clients that ask once.
-    pub fn new(plan: Plan, staging: &Staging, cast: Cast) -> World {
-        let fleet = Fleet { hosts: staging.hosts, halls: 1, cells: cast.cells, brokers: cast.brokers };
-        let weather = Weather::new(fleet, TRIP, TRIP, cast.seed);
-        let clients = Clients { retries: 0, backoff_ms: 0.0, honours: 1.0, impatient: 0.0, tenants: 1 };
-        World::scripted(plan, staging, cast, (weather, Vec::new(), clients))
+    pub fn new(plan: Plan, replay: &ReplayConfig, cast: Cast) -> World {
+        let cluster = ClusterSize {
+            nodes: replay.nodes,
+            zones: 1,
+            placement_groups: cast.cells,
+            brokers: cast.brokers,
+        };
+        let weather = Weather::new(cluster, TRIP, TRIP, cast.seed);
+        let clients = ClientBehavior {
+            retries: 0,
+            backoff_ms: 0.0,
+            retry_after_share: 1.0,
+            impatient_share: 0.0,
+            tenants: 1,
+        };
+        World::scripted(plan, replay, cast, (weather, Vec::new(), clients))
     }
 
     pub fn scripted(
         plan: Plan,
-        staging: &Staging,
+        replay: &ReplayConfig,
         cast: Cast,
-        (weather, script, clients): (Weather, Vec<Moment>, Clients),
+        (weather, script, clients): (Weather, Vec<ScheduledAction>, ClientBehavior),
     ) -> World {
-        let broker_config = scene::broker_config(staging, &cast);
+        let broker_config = scene::broker_config(replay, &cast);
         let cut_offs = broker_config.classes.values().map(|class| class.deadline).collect();
         let seat = |no: u32| {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
@@ -199,7 +210,7 @@
             Seat { decider, heard: Vec::new(), last_turn: Tenths(-PERIOD.0), turn_at: None, wake_at: None }
         };
         let seats = (0..cast.brokers).map(seat).collect();
-        let hosts: Vec<Host> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
+        let hosts: Vec<Host> = (0..replay.nodes).map(|_| scene::dead_host(&cast)).collect();
         let mut world = World {
             now: Tenths(0),
             order: 0,
@@ -219,11 +230,11 @@
             clients,
             broker_config,
             cut_offs,
-            means: means(&plan, staging.classes.len()),
+            means: means(&plan, replay.classes.len()),
             plan,
             hasher: blake3::Hasher::new(),
-            audit: Audit::new(scene::bounds(staging, TRIP), cast.brokers as usize),
-            outcome: Outcome::new(scene::worth(staging), staging.tenants.len()),
+            audit: Audit::new(scene::bounds(replay, TRIP), cast.brokers as usize),
+            outcome: Outcome::new(scene::worth(replay), replay.tenant_weights.len()),
             cast,
         };
         for at in 0..world.plan.entries.len() {
@@ -297,9 +308,11 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Entry(at) => match self.plan.entries[at].what.clone() {
-                Happens::Ask { class, tenant, shard_requests } => self.ask(class, tenant, &shard_requests),
-                Happens::Host { host, event } => self.host_event(host as usize, event),
+            Event::Entry(at) => match self.plan.entries[at].event.clone() {
+                PlanEvent::Query { class, tenant, shard_requests } => {
+                    self.ask(class, tenant, &shard_requests)
+                }
+                PlanEvent::Node { node, event } => self.host_event(node as usize, event),
             },
             Event::Turn(broker) => self.turn(broker),
             Event::Arrive { broker, shard_request, attempt, host } => {
@@ -313,14 +326,14 @@
                 }
             }
             Event::Moment(at) => {
-                if let Some(order) = self.weather.enter(self.script[at].act) {
+                if let Some(order) = self.weather.enter(self.script[at].action) {
                     self.befall(order);
                 }
             }
             Event::Still(host) => self.stand_still(host),
             Event::Rise(host) => {
-                let change = self.weather.books[host].up();
-                self.befall(Do::Change { host, change });
+                let transition = self.weather.active_faults[host].end_outage();
+                self.befall(Do::Change { host, transition });
             }
             Event::Again(request) => self.try_request(request),
             Event::Leave(no) => self.leave(no),
@@ -353,7 +366,7 @@
 
     // ---- clients
 
-    fn ask(&mut self, class: usize, tenant: usize, told: &[(u32, f64, u64)]) {
+    fn ask(&mut self, class: usize, tenant: usize, told: &[PlannedShardRequest]) {
         let of = Of { class, tenant, at: self.now };
         self.outcome.ask(of);
         let (until, kills) = (self.now + self.cut_offs[class], self.weather.kills());
@@ -368,7 +381,7 @@
         *tries += 1;
         let client_attempt = *tries - 1;
         let (shard_requests, left) = (shard_requests.clone(), until - self.now);
-        let weights: Vec<f64> = shard_requests.iter().map(|(_, weight, _)| *weight).collect();
+        let weights: Vec<f64> = shard_requests.iter().map(|planned| planned.weight).collect();
         let PartNo(first) = self.audit.asked(self.now, broker, of.class, left, &weights);
         let (id, group) = (QueryId(no as u64), GroupId(no as u32));
         let (class, tenant) = (ClassId(of.class as u16), TenantId(of.tenant as u32));
@@ -377,15 +390,16 @@
         let new =
             NewQuery { id, group, class, tenant, time_left: left, work, client_attempt, min_coverage_only };
         self.hear(broker, Input::Query(new));
-        for (shard_request, (shard, weight, us)) in (first..).zip(&shard_requests) {
-            self.shard_requests.push(ShardRequest { us: *us, attempts: Vec::new(), came: false });
-            let (id, shard, weight) = (ShardRequestId(shard_request as u64), ShardId(*shard), *weight);
+        for (shard_request, planned) in (first..).zip(&shard_requests) {
+            self.shard_requests.push(ShardRequest { us: planned.work_us, attempts: Vec::new(), came: false });
+            let (id, shard) = (ShardRequestId(shard_request as u64), ShardId(planned.shard));
+            let weight = planned.weight;
             self.hear(broker, Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
         let shard_requests = first..first + shard_requests.len();
         self.queries.push(Query { broker, request, shard_requests, open: true });
         self.outcome.tries += 1;
-        if self.clients.impatient > 0.0 && self.weather.lot() < self.clients.impatient {
+        if self.clients.impatient_share > 0.0 && self.weather.lot() < self.clients.impatient_share {
             self.at(self.now + left.times(0.5), Event::Leave(no));
         }
     }
@@ -405,7 +419,7 @@
         if tries <= self.clients.retries {
             let doubled = self.clients.backoff_ms * f64::from(1_u32 << (tries - 1).min(16));
             let mut wait = Tenths::from_ms(doubled * (1.0 + self.weather.lot()));
-            if self.weather.lot() < self.clients.honours {
+            if self.weather.lot() < self.clients.retry_after_share {
                 wait = wait.max(retry_after);
             }
             if self.now + wait + PERIOD < until {
@@ -422,16 +436,17 @@
 
     fn befall(&mut self, order: Do) {
         match order {
-            Do::Change { host, change } => match change {
-                Change::Dies => self.fall(host),
-                Change::Drains => self.host_event(host, HostEvent::Drain),
-                Change::Starts => self.rise(host),
-                Change::Nothing => {}
+            Do::Change { host, transition } => match transition {
+                NodeTransition::Stops => self.fall(host),
+                NodeTransition::Drains => self.host_event(host, NodeEvent::Drain),
+                NodeTransition::Starts => self.rise(host),
+                NodeTransition::Unchanged => {}
             },
             Do::Speed { host, share } => self.hosts[host].slow(share),
             Do::Pause { host } => {
-                let every = self.weather.books[host].pauses().map_or(0, |(_, every)| every);
-                let first = Tenths(every).times(self.weather.lot());
+                let cycle = self.weather.active_faults[host].longest_pause();
+                let interval = cycle.map_or(Tenths::ZERO, |cycle| cycle.interval);
+                let first = interval.times(self.weather.lot());
                 self.at(self.now + first, Event::Still(host));
             }
             // What it had is lost without a word.
@@ -451,9 +466,9 @@
 
     /// A new process, unless something else still holds it down.
     fn rise(&mut self, host: usize) {
-        let book = &self.weather.books[host];
-        if book.standing() == fault_scenarios::Standing::Ready && !book.is_silent() {
-            let speed = book.speed();
+        let faults = &self.weather.active_faults[host];
+        if faults.condition() == NodeCondition::Ready && !faults.is_unresponsive() {
+            let speed = faults.speed_factor();
             self.hosts[host].start(self.now);
             self.hosts[host].slow(speed);
             self.tell_later(host, ROLL_LATE);
@@ -461,10 +476,10 @@
     }
 
     fn stand_still(&mut self, host: usize) {
-        let Some((stands, every)) = self.weather.books[host].pauses() else { return };
-        self.hosts[host].stand_still(self.now, self.now + Tenths(stands));
+        let Some(cycle) = self.weather.active_faults[host].longest_pause() else { return };
+        self.hosts[host].stand_still(self.now, self.now + cycle.pause);
         self.plan_end(host);
-        self.at(self.now + Tenths(every.max(1)), Event::Still(host));
+        self.at(self.now + cycle.interval.max(Tenths(1)), Event::Still(host));
     }
 
     /// A broker starts anew, with no memory: what it held is lost to its clients, and of its attempts nobody
@@ -514,22 +529,22 @@
 
     // ---- hosts
 
-    fn host_event(&mut self, host: usize, event: HostEvent) {
+    fn host_event(&mut self, host: usize, event: NodeEvent) {
         match event {
-            HostEvent::Warm => {
+            NodeEvent::StartWarm => {
                 self.hosts[host] = scene::warm_host(&self.cast);
                 self.at(self.now, Event::Told { host });
             }
-            HostEvent::Start => {
+            NodeEvent::StartCold => {
                 self.hosts[host].start(self.now);
                 self.tell_later(host, ROLL_LATE);
             }
-            HostEvent::Drain => {
+            NodeEvent::Drain => {
                 self.hosts[host].drain();
                 self.tell_later(host, TRIP);
             }
-            HostEvent::Death => self.fall(host),
-            HostEvent::Slow(share) => self.hosts[host].slow(share),
+            NodeEvent::Stop => self.fall(host),
+            NodeEvent::SlowDown(share) => self.hosts[host].slow(share),
         }
     }
 
@@ -604,7 +619,7 @@
         self.next_job += 1;
         let job = JobNo(self.next_job);
         let (us, counts) = (self.shard_requests[no.0].us, self.counts(no));
-        let taken = match self.weather.books[host].refuses() {
+        let taken = match self.weather.active_faults[host].is_rejecting() {
             true => Taken::Refused,
             false => self.hosts[host].take_as(self.now, job, us, counts),
         };
@@ -617,7 +632,7 @@
                 self.host_jobs.insert(job, (broker, shard_request, attempt, host));
                 self.jobs_of.insert((broker, shard_request, attempt), job);
                 if self.kills(no) {
-                    self.weather.books[host].down();
+                    self.weather.active_faults[host].begin_outage();
                     self.at(self.now + RISES, Event::Rise(host));
                     return self.fall(host);
                 }
@@ -779,9 +794,9 @@
 fn means(plan: &Plan, classes: usize) -> Vec<u64> {
     let mut sums = vec![(0, 0); classes];
     for entry in &plan.entries {
-        let Happens::Ask { class, shard_requests, .. } = &entry.what else { continue };
+        let PlanEvent::Query { class, shard_requests, .. } = &entry.event else { continue };
         let (work, count) = &mut sums[*class];
-        *work += shard_requests.iter().map(|(.., us)| us).sum::<u64>();
+        *work += shard_requests.iter().map(|planned| planned.work_us).sum::<u64>();
         *count += shard_requests.len() as u64;
     }
     sums.into_iter().map(|(work, count)| work / count.max(1)).collect()
