--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -120,8 +120,8 @@
         let lines = (for_peers * 2 / 3).min(quarter / BUFFERS);
         let surplus_lines = lines / 8;
         let p = &broker_settings.broker_config;
-        let line_parts = broker_settings.lines.shard_requests.unwrap_or(1).max(1) as usize;
-        let connect = broker_settings.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
+        let line_parts = broker_settings.connections.max_shard_requests.unwrap_or(1).max(1) as usize;
+        let connect = broker_settings.connections.connect_timeout.unwrap_or(Tenths::from_ms(1000.0));
         // No longer than that both clocks count from the call: what it costs grows with the calls.
         let longest_watch = TOLD_AFTER_SILENCE - TOLD_AFTER_WAIT;
         let watch = (span(p.rules.endpoint_list_max_age) / 10).clamp(Duration::from_secs(1), longest_watch);
@@ -133,7 +133,7 @@
         let watch_calls = OWN as u32 / 3;
         let agent = !p.watch_on_request;
         let longest = p.classes.values().map(|class| class.deadline).max().unwrap_or_default();
-        let idle = broker_settings.lines.idle.map_or(Duration::from_secs(10), span);
+        let idle = broker_settings.connections.idle_timeout.map_or(Duration::from_secs(10), span);
         Ok(Limits {
             client_lines: lines - surplus_lines,
             surplus_lines,
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -84,7 +84,8 @@
     /// Reads a config file's text. What the environment says of name and addresses comes first.
     pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let mut broker_settings = settings::read(file.settings.get().as_bytes())?;
+        let mut broker_settings =
+            settings::read(file.settings.get().as_bytes()).map_err(|error| error.to_string())?;
         let address = |name: &str, told: Option<String>| -> Result<SocketAddr, String> {
             let variable = format!("EDGE_{}", name.to_uppercase());
             let text = env(&variable).or(told).ok_or(format!("`{name}` is missing"))?;
--- a/crates/config-rollout-client/src/shelf.rs
+++ b/crates/config-rollout-client/src/shelf.rs
@@ -4,7 +4,7 @@
 use crate::keep;
 use crate::wire::{Kept, Version};
 use config_rollout::{Digest, PersistedState, VersionId};
-use settings::{BrokerSettings, Document, Mistake, NameRegistry, Revised, revise};
+use settings::{BrokerSettings, Document, NameRegistry, Revised, ValidationError, revise};
 use std::path::Path;
 
 /// A version with its contents.
@@ -66,8 +66,8 @@
     }
 }
 
-fn list(mistakes: &[Mistake]) -> String {
-    let told: Vec<String> = mistakes.iter().take(20).map(Mistake::to_string).collect();
+fn list(mistakes: &[ValidationError]) -> String {
+    let told: Vec<String> = mistakes.iter().take(20).map(ValidationError::to_string).collect();
     let more = mistakes.len().saturating_sub(told.len());
     let rest = if more > 0 { format!("; and {more} more") } else { String::new() };
     told.join("; ") + &rest
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -13,7 +13,7 @@
 
 use ini::{Ini, ParseOption};
 use serde_json::{Map, Value, json};
-use settings::{Document, FIELDS, Form};
+use settings::{Document, FIELDS, ValueType};
 use thiserror::Error;
 
 /// Where a key of the shape file goes: the settings' key, and whether the old value may stand where the shape
@@ -135,7 +135,8 @@
 
 /// A value as the settings write it, or what is allowed. A zone is told by its name.
 fn read_value(key: &Key, text: &str) -> Result<Value, String> {
-    let form = FIELDS.iter().find(|field| field.0 == key.to).map_or(Form::Text, |field| field.1);
+    let form =
+        FIELDS.iter().find(|field| field.key == key.to).map_or(ValueType::Text, |field| field.value_type);
     let text = text.trim();
     if key.to == "Zone" {
         return Ok(json!(text));
@@ -149,10 +150,10 @@
         };
     }
     let value = match form {
-        Form::Text | Form::OneOf(_) => Some(json!(text)),
+        ValueType::Text | ValueType::OneOf(_) => Some(json!(text)),
         _ => serde_json::from_str(text).ok().filter(|value: &Value| value.is_number() || value.is_boolean()),
     };
-    value.filter(|value| form.holds(value)).ok_or_else(|| form.allowed())
+    value.filter(|value| form.accepts(value)).ok_or_else(|| form.describe())
 }
 
 /// Puts a value where a key such as `Domain.Cells` or `Areas[]` stands.
@@ -231,10 +232,11 @@
 fn leave_unknown(settings: &mut Map<String, Value>, left: &mut Vec<(String, &'static str)>) {
     let known = |place: &str| {
         let below = |field: &str| field.strip_prefix(place).is_some_and(|rest| rest.starts_with(['.', '[']));
-        FIELDS.iter().any(|field| field.0 == place || below(field.0))
-            || FIELDS
-                .iter()
-                .any(|f| f.1 == Form::Any && place.strip_prefix(f.0).is_some_and(|r| r.starts_with('.')))
+        FIELDS.iter().any(|field| field.key == place || below(field.key))
+            || FIELDS.iter().any(|f| {
+                f.value_type == ValueType::Unchecked
+                    && place.strip_prefix(f.key).is_some_and(|r| r.starts_with('.'))
+            })
     };
     let mut places: Vec<String> = Vec::new();
     for (outer, value) in settings.iter() {
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -104,6 +104,6 @@
 #[rstest]
 fn every_key_has_its_place() {
     for key in KEYS {
-        assert!(FIELDS.iter().any(|field| field.0 == key.to), "{}", key.to);
+        assert!(FIELDS.iter().any(|field| field.key == key.to), "{}", key.to);
     }
 }
--- /dev/null
+++ b/crates/settings/src/broker_settings.rs
@@ -0,0 +1,191 @@
+//! Makes a broker's configuration of a settings text: the configuration of the routing decisions, and what
+//! the program needs beside it.
+
+use crate::settings_text::{ClassText, LimitsText, RulesText, SettingsText};
+use crate::{NameRegistry, SettingsError};
+use routing::{
+    BrokerConfig, ClassId, Idempotency, LoadMetric, RequestClass, RequestLimits, RetryBudget, SafetyRules,
+    ShardLayout, Tenant, TenantId, Tenths, ZoneId,
+};
+use std::collections::BTreeMap;
+
+/// What a settings text holds for one broker.
+#[derive(Clone, Debug, Default)]
+pub struct BrokerSettings {
+    /// The configuration of the routing decisions.
+    pub broker_config: BrokerConfig,
+    /// Which ids the names of request classes and tenants have.
+    pub names: NameRegistry,
+    /// The zones' names, by zone id.
+    pub zones: Vec<String>,
+    /// What holds for a connection to a node.
+    pub connections: ConnectionSettings,
+    /// What the values of a load report are, in their order.
+    pub load_report: Vec<LoadMetric>,
+}
+
+/// What holds for a connection to a node; none where the text is silent.
+#[derive(Clone, Debug, Default)]
+pub struct ConnectionSettings {
+    /// A node closes a connection that was idle for so long.
+    pub idle_timeout: Option<Tenths>,
+    /// A connection that is not up by then never comes up.
+    pub connect_timeout: Option<Tenths>,
+    /// The shard requests that one connection carries at a time.
+    pub max_shard_requests: Option<u32>,
+}
+
+/// The numbers of a text's request classes and tenants, in the text's order.
+pub(crate) struct AssignedNumbers {
+    pub classes: Vec<usize>,
+    pub tenants: Vec<usize>,
+}
+
+/// Reads a settings text, or says which key is wrong. Ids go by the order in the text.
+pub fn read(text: &[u8]) -> Result<BrokerSettings, SettingsError> {
+    let text: SettingsText = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
+    let names = NameRegistry::in_order(text.class_names(), text.tenant_names());
+    let numbers = AssignedNumbers {
+        classes: (0..text.services.len()).collect(),
+        tenants: (0..text.tenants.len()).collect(),
+    };
+    BrokerSettings::from_text(&text, names, &numbers)
+}
+
+/// What a value of a load report is, by its name.
+pub fn load_metric(name: &str) -> LoadMetric {
+    match name {
+        "queue" => LoadMetric::QueueLength,
+        "qps" => LoadMetric::ServiceRate,
+        _ => LoadMetric::Ignored,
+    }
+}
+
+impl BrokerSettings {
+    /// Makes the configuration of a text, with these ids for its request classes and tenants.
+    pub(crate) fn from_text(
+        text: &SettingsText,
+        names: NameRegistry,
+        numbers: &AssignedNumbers,
+    ) -> Result<BrokerSettings, SettingsError> {
+        Ok(BrokerSettings {
+            broker_config: broker_config(text, numbers)?,
+            names,
+            zones: text.areas.clone(),
+            connections: connection_settings(&text.limits),
+            load_report: text.stats.fields.iter().map(|name| load_metric(name)).collect(),
+        })
+    }
+}
+
+fn broker_config(text: &SettingsText, numbers: &AssignedNumbers) -> Result<BrokerConfig, SettingsError> {
+    Ok(BrokerConfig {
+        brokers: text.instances,
+        zone: ZoneId(text.zone),
+        period: Tenths::from_ms(text.period_ms),
+        send_lag: Tenths::ZERO,
+        classes: request_classes(text, &numbers.classes)?,
+        tenants: tenants(text, &numbers.tenants),
+        over_quota_weight: text.over_share_worth,
+        layout: shard_layout(text),
+        limits: request_limits(&text.limits),
+        rules: safety_rules(&text.rules),
+        watch_on_request: text.registry_mode == "subscribe",
+        load_by_probe: text.limits.probes && text.stats.via == "pull",
+        late_failure_cost: text.prices.late_fail,
+    })
+}
+
+fn request_classes(
+    text: &SettingsText,
+    numbers: &[usize],
+) -> Result<BTreeMap<ClassId, RequestClass>, SettingsError> {
+    let classes = text.services.iter().zip(numbers).enumerate().map(|(index, (service, number))| {
+        let class = request_class(text, index, service)?;
+        let id = u16::try_from(*number).map_err(|_| SettingsError::TooManyClasses)?;
+        Ok((ClassId(id), class))
+    });
+    classes.collect()
+}
+
+fn request_class(
+    text: &SettingsText,
+    index: usize,
+    service: &ClassText,
+) -> Result<RequestClass, SettingsError> {
+    let share = |shares: &[f64], key: &'static str| {
+        shares.get(index).copied().ok_or(SettingsError::ListTooShort { key })
+    };
+    Ok(RequestClass {
+        latency_objective: Tenths::from_ms(service.on_time_ms),
+        objective_stretch: service.aim_stretch,
+        deadline: Tenths::from_ms(service.deadline_ms),
+        priority_weight: service.worth,
+        late_weight_share: service.late_weight_share,
+        min_coverage: share(&text.domain.min_share, "MinShare")?,
+        complete_coverage: share(&text.domain.complete_from, "CompleteFrom")?,
+        second_parts: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
+        effect: idempotency(&service.effect)?,
+        dedup_window: Tenths::from_ms(service.dedup_window_ms),
+    })
+}
+
+fn idempotency(effect: &str) -> Result<Idempotency, SettingsError> {
+    match effect {
+        "idempotent" => Ok(Idempotency::Idempotent),
+        "deduplicated" => Ok(Idempotency::IdempotencyKey),
+        "at_most_once" => Ok(Idempotency::AtMostOnce),
+        other => Err(SettingsError::UnknownEffect { effect: other.to_owned() }),
+    }
+}
+
+fn tenants(text: &SettingsText, numbers: &[usize]) -> BTreeMap<TenantId, Tenant> {
+    let tenants = text.tenants.iter().zip(numbers);
+    let rows =
+        tenants.map(|(tenant, number)| (TenantId(*number as u32), Tenant { quota_per_s: tenant.quota_rps }));
+    rows.collect()
+}
+
+fn shard_layout(text: &SettingsText) -> ShardLayout {
+    ShardLayout {
+        placement_groups: text.domain.cells,
+        replica_groups: text.domain.reach,
+        shards: text.domain.ranges,
+        max_batch_size: text.domain.per_call.max(1),
+    }
+}
+
+fn request_limits(limits: &LimitsText) -> RequestLimits {
+    RequestLimits {
+        max_open: limits.max_open,
+        max_attempts: limits.max_attempts,
+        allow_hedging: limits.second_copies,
+        allow_cancel: limits.may_cancel,
+        retry_after: limits.retry_after,
+        max_retry_after: Tenths::from_ms(limits.max_retry_after_ms),
+    }
+}
+
+fn safety_rules(rules: &RulesText) -> SafetyRules {
+    SafetyRules {
+        initial_capacity_share: rules.cold_from,
+        warm_up_period: Tenths::from_ms(rules.warm_up_ms),
+        overload_factor: rules.overload_factor,
+        overload_window: Tenths::from_ms(rules.overload_for_ms),
+        endpoint_list_max_age: Tenths::from_ms(rules.ask_within_ms),
+        drain_grace: Tenths::from_ms(rules.stop_sending_within_ms),
+        retry_budget: rules.budget_window_ms.map(|window_ms| RetryBudget {
+            floor: rules.extra_floor.unwrap_or(0.0),
+            share: rules.resend_ratio.unwrap_or(0.0),
+            window: Tenths::from_ms(window_ms),
+        }),
+    }
+}
+
+fn connection_settings(limits: &LimitsText) -> ConnectionSettings {
+    ConnectionSettings {
+        idle_timeout: limits.conn_idle_ms.map(Tenths::from_ms),
+        connect_timeout: limits.connect_timeout_ms.map(Tenths::from_ms),
+        max_shard_requests: limits.streams_per_conn,
+    }
+}
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -4,36 +4,51 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// A document that could be parsed. Whether what it says makes sense is for [`crate::check`].
+/// A document that could be parsed. Whether its values are allowed is for [`crate::check`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document(pub(crate) Value);
 
 /// Why a text is no document.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Unreadable {
-    #[error("{holds} bytes, at most {most} are allowed")]
-    Long { holds: usize, most: usize },
-    #[error("line {line}, column {column}: {why}")]
-    Syntax { line: usize, column: usize, why: String },
+pub enum DocumentError {
+    /// The text is longer than allowed; it was not parsed.
+    #[error("{bytes} bytes, at most {max_bytes} are allowed")]
+    TooLong {
+        /// The text's length.
+        bytes: usize,
+        /// The longest that is allowed.
+        max_bytes: usize,
+    },
+    /// The text is no JSON.
+    #[error("line {line}, column {column}: {reason}")]
+    Syntax {
+        /// From 1.
+        line: usize,
+        /// From 1.
+        column: usize,
+        /// The parser's words.
+        reason: String,
+    },
+    /// The text is JSON, but no object.
     #[error("not an object but {0}")]
-    Kind(&'static str),
+    NotAnObject(&'static str),
 }
 
 impl Document {
     /// Guards against texts that take the memory of a broker: the bound is held against the length before a
     /// byte is parsed, and nesting is cut off by the parser (128 deep).
-    pub fn parse(text: &[u8], most: usize) -> Result<Document, Unreadable> {
-        if text.len() > most {
-            return Err(Unreadable::Long { holds: text.len(), most });
+    pub fn parse(text: &[u8], max_bytes: usize) -> Result<Document, DocumentError> {
+        if text.len() > max_bytes {
+            return Err(DocumentError::TooLong { bytes: text.len(), max_bytes });
         }
-        let value: Value = serde_json::from_slice(text).map_err(|e| Unreadable::Syntax {
-            line: e.line(),
-            column: e.column(),
-            why: strip_place(e.to_string()),
+        let value: Value = serde_json::from_slice(text).map_err(|error| DocumentError::Syntax {
+            line: error.line(),
+            column: error.column(),
+            reason: without_position(&error.to_string()),
         })?;
         match value {
             Value::Object(_) => Ok(Document(value)),
-            other => Err(Unreadable::Kind(kind(&other))),
+            other => Err(DocumentError::NotAnObject(type_name(&other))),
         }
     }
 
@@ -49,18 +64,19 @@
     }
 
     pub(crate) fn set(&mut self, key: &str, value: Value) {
-        if let Value::Object(all) = &mut self.0 {
-            all.insert(key.to_owned(), value);
+        if let Value::Object(entries) = &mut self.0 {
+            entries.insert(key.to_owned(), value);
         }
     }
 }
 
-/// The parser's words without the place, which is told apart.
-fn strip_place(words: String) -> String {
-    words.split(" at line ").next().unwrap_or_default().to_owned()
+/// A parser's message without the position, which is shown apart.
+fn without_position(message: &str) -> String {
+    message.split(" at line ").next().unwrap_or_default().to_owned()
 }
 
-pub(crate) fn kind(value: &Value) -> &'static str {
+/// The JSON type of a value, in words for an operator.
+pub(crate) fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "true or false",
@@ -70,3 +86,8 @@
         Value::Object(_) => "an object",
     }
 }
+
+/// The place of a key within an object at `place`; the outermost object's place is empty.
+pub(crate) fn join_key(place: &str, key: &str) -> String {
+    if place.is_empty() { key.to_owned() } else { format!("{place}.{key}") }
+}
--- /dev/null
+++ b/crates/settings/src/settings_error.rs
@@ -0,0 +1,26 @@
+//! Why a broker can't be configured from a settings text.
+
+use thiserror::Error;
+
+/// Why [`crate::read`] makes nothing of a settings text.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The text is no JSON, or a key has a value of the wrong type or is missing.
+    #[error("settings: {0}")]
+    Syntax(#[source] serde_json::Error),
+    /// A list that needs one item for each request class has fewer.
+    #[error("settings: `{key}` is too short")]
+    ListTooShort {
+        /// The list's key, without the object it stands in.
+        key: &'static str,
+    },
+    /// A request class has an `Effect` that there is none of.
+    #[error("settings: `Effect` is `{effect}`")]
+    UnknownEffect {
+        /// What the text says.
+        effect: String,
+    },
+    /// There are more request classes than class ids.
+    #[error("settings: too many categories")]
+    TooManyClasses,
+}
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/settings_text.rs
@@ -1,35 +1,49 @@
-//! Settings as they come on the wire, before anything is made of them.
+//! The settings text as it comes from the platform, before anything is made of it. Fields have the names of
+//! the text's keys.
 
 use serde::Deserialize;
 
-/// Settings as they come on the wire; what is not read here is skipped.
+/// The whole text; keys that are not read here are skipped.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Text {
+pub struct SettingsText {
     pub instances: u32,
     #[serde(default)]
     pub zone: u16,
     #[serde(default)]
     pub areas: Vec<String>,
     pub period_ms: f64,
-    pub services: Vec<Service>,
-    pub domain: Domain,
+    pub services: Vec<ClassText>,
+    pub domain: DomainText,
     #[serde(default)]
-    pub tenants: Vec<Tenant>,
+    pub tenants: Vec<TenantText>,
     #[serde(default)]
     pub over_share_worth: f64,
-    pub limits: TextLimits,
-    pub rules: TextRules,
+    pub limits: LimitsText,
+    pub rules: RulesText,
     pub registry_mode: String,
     #[serde(default)]
-    pub prices: Prices,
+    pub prices: PricesText,
     #[serde(default)]
-    pub stats: Stats,
+    pub stats: StatsText,
 }
 
+impl SettingsText {
+    /// The names of the request classes, in the text's order.
+    pub fn class_names(&self) -> impl Iterator<Item = &str> {
+        self.services.iter().map(|service| &service.name[..])
+    }
+
+    /// The names of the tenants, in the text's order.
+    pub fn tenant_names(&self) -> impl Iterator<Item = &str> {
+        self.tenants.iter().map(|tenant| &tenant.name[..])
+    }
+}
+
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Service {
+pub struct ClassText {
     #[serde(default)]
     pub name: String,
     pub on_time_ms: f64,
@@ -44,9 +58,10 @@
     pub dedup_window_ms: f64,
 }
 
+/// The layout of shards, and what queries need of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Domain {
+pub struct DomainText {
     pub cells: u32,
     pub reach: u32,
     pub ranges: u32,
@@ -58,18 +73,20 @@
     pub fetch_parts: Vec<u32>,
 }
 
+/// A tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Tenant {
+pub struct TenantText {
     #[serde(default)]
     pub name: String,
     #[serde(default)]
     pub quota_rps: f64,
 }
 
+/// Limits of queries and of connections to nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TextLimits {
+pub struct LimitsText {
     pub max_attempts: u32,
     pub max_open: u32,
     #[serde(default)]
@@ -87,9 +104,10 @@
     pub streams_per_conn: Option<u32>,
 }
 
+/// Rules that protect nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TextRules {
+pub struct RulesText {
     #[serde(default)]
     pub cold_from: f64,
     #[serde(default)]
@@ -107,18 +125,20 @@
     pub budget_window_ms: Option<f64>,
 }
 
+/// How nodes report their load.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase")]
-pub struct Stats {
+pub struct StatsText {
     #[serde(default)]
     pub fields: Vec<String>,
     #[serde(default)]
     pub via: String,
 }
 
+/// What outcomes cost.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase")]
-pub struct Prices {
+pub struct PricesText {
     #[serde(default)]
     pub late_fail: f64,
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use routing::ClassId;
+use routing::{ClassId, Idempotency, Tenths, ZoneId};
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A sound document.
-fn sound() -> Value {
+/// A document with nothing wrong in it.
+fn valid() -> Value {
     json!({"Instances": 3, "Zone": 1, "Me": 2, "PeriodMs": 5.0, "RegistryMode": "automatic",
         "Areas": ["north", "south"],
         "Tenants": [{"Name": "clinic", "QuotaRps": 2.5}, {"Name": "school", "QuotaRps": 5}],
@@ -22,9 +22,9 @@
     Document::parse(value.to_string().as_bytes(), 1 << 20).unwrap()
 }
 
-/// With what stands at a JSON pointer changed; `null` strikes it.
+/// The document with the value at a JSON pointer replaced; `null` removes it.
 fn with(pointer: &str, to: Value) -> Value {
-    let mut value = sound();
+    let mut value = valid();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     match value.pointer_mut(parent).unwrap() {
         Value::Object(all) if to.is_null() => _ = all.remove(key),
@@ -38,7 +38,7 @@
 #[rstest]
 fn reads_what_a_broker_and_its_front_need() {
     let text = with("/Surprise", json!([1])).to_string();
-    let BrokerSettings { broker_config: read, names, zones, lines, report } =
+    let BrokerSettings { broker_config: read, names, zones, connections, load_report } =
         super::read(text.as_bytes()).unwrap();
     assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
@@ -46,18 +46,21 @@
     assert!(read.rules.retry_budget.is_none());
     assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
-    assert_eq!((report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
-    assert_eq!((lines.idle, lines.connect, lines.shard_requests), (Some(Tenths(150_000)), None, Some(32)));
+    assert_eq!((load_report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
+    assert_eq!(
+        (connections.idle_timeout, connections.connect_timeout, connections.max_shard_requests),
+        (Some(Tenths(150_000)), None, Some(32))
+    );
 }
 
-/// Only where both hold is load told by probe; what was left out before stays as it was.
+/// Only where both hold is load reported by probe; what was left out before stays as it was.
 #[rstest]
 #[case(json!({"Via": "pull"}), json!(true), true)]
 #[case(json!({"Via": "pull"}), json!(false), false)]
 #[case(json!({"Via": "pull"}), Value::Null, false)]
 #[case(json!({"Via": "piggyback"}), json!(true), false)]
 #[case(Value::Null, json!(true), false)]
-fn load_is_told_by_probe(#[case] stats: Value, #[case] probes: Value, #[case] is: bool) {
+fn load_is_reported_by_probe(#[case] stats: Value, #[case] probes: Value, #[case] is: bool) {
     let mut value = with("/Stats", stats);
     value["Limits"]["Probes"] = probes;
     value["Limits"].as_object_mut().unwrap().retain(|_, value| !value.is_null());
@@ -66,11 +69,11 @@
 }
 
 #[rstest]
-fn finds_nothing_wrong_with_a_sound_one() {
-    assert_eq!(check(&document(&sound())), []);
+fn finds_nothing_wrong_with_a_valid_one() {
+    assert_eq!(check(&document(&valid())), []);
 }
 
-/// Each mistake names the field, what it holds and what is allowed.
+/// Each error names the field, what it holds and what is allowed.
 #[rstest]
 #[case("/Domain/MinShare/0", json!(1.5), "`Domain.MinShare[0]` is 1.5: a share from 0 to 1 is allowed")]
 #[case("/Domain/MinShare/0", json!("much"), "`Domain.MinShare[0]` is \"much\": a share from 0 to 1 is allowed")]
@@ -101,13 +104,14 @@
 #[case("/Limits/MaxOpen", json!(1e300), "`Limits.MaxOpen` is 1e+300: a whole number from 2 to 1000000 is allowed")]
 #[case("/Zone", json!(2), "`Zone` is 2: a place in `Areas`, less than 2, is allowed")]
 #[case("/Domain", Value::Null, "`Domain` is missing: what `Domain.Cells` stands in is needed")]
-fn names_what_is_wrong(#[case] at: &str, #[case] to: Value, #[case] told: &str) {
-    let mistakes: Vec<String> = check(&document(&with(at, to))).iter().map(Mistake::to_string).collect();
-    assert!(mistakes.iter().any(|mistake| mistake == told), "{mistakes:#?}");
+fn names_what_is_wrong(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+    let errors: Vec<String> =
+        check(&document(&with(at, to))).iter().map(ValidationError::to_string).collect();
+    assert!(errors.iter().any(|error| error == expected), "{errors:#?}");
 }
 
 #[rstest]
-fn lists_all_mistakes_at_once() {
+fn lists_all_errors_at_once() {
     let mut value = with("/Domain/MinShare/0", json!(2));
     value["Services"][1]["Worth"] = json!("x");
     value["Limits"]["MaxOpen"] = json!(0);
@@ -119,8 +123,8 @@
 #[case(&b"[]"[..], "not an object but a list")]
 #[case(&[b'['; 4000][..], "line 1, column 128: recursion limit exceeded")]
 #[case(&[b' '; 5000][..], "5000 bytes, at most 4096 are allowed")]
-fn tells_why_a_text_is_no_document(#[case] text: &[u8], #[case] told: &str) {
-    assert_eq!(Document::parse(text, 4096).unwrap_err().to_string(), told);
+fn says_why_a_text_is_no_document(#[case] text: &[u8], #[case] expected: &str) {
+    assert_eq!(Document::parse(text, 4096).unwrap_err().to_string(), expected);
 }
 
 /// Two texts that say the same have the same bytes.
@@ -134,33 +138,33 @@
     );
 }
 
-fn taken_over(new: &Value) -> Result<Revised, Vec<Mistake>> {
-    let running = document(&sound());
-    let names = super::read(sound().to_string().as_bytes()).unwrap().names;
+fn revise_valid(new: &Value) -> Result<Revised, Vec<ValidationError>> {
+    let running = document(&valid());
+    let names = super::read(valid().to_string().as_bytes()).unwrap().names;
     revise(&running, &names, &document(new))
 }
 
-/// Numbers stay with names: what was struck keeps its own, what is new gets the next.
+/// Ids stay with names: a removed name keeps its id, a new name gets the next.
 #[rstest]
-fn keeps_numbers_with_names() {
-    let mut new = sound();
+fn keeps_ids_with_names() {
+    let mut new = valid();
     new["Services"][0] =
         json!({"Name": "bulk", "OnTimeMs": 100, "DeadlineMs": 500, "Worth": 1, "Effect": "idempotent"});
     new["Services"].as_array_mut().unwrap().reverse();
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
-    let taken = taken_over(&new).unwrap();
-    let goals: Vec<_> = taken
+    let revised = revise_valid(&new).unwrap();
+    let objectives: Vec<_> = revised
         .broker_settings
         .broker_config
         .classes
         .iter()
         .map(|(no, c)| (no.0, c.latency_objective.0))
         .collect();
-    assert_eq!(goals, [(1, 20_000), (2, 1000)]);
+    assert_eq!(objectives, [(1, 20_000), (2, 1000)]);
     let tenants: Vec<_> =
-        taken.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+        revised.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
     assert_eq!(tenants, [(1, 9.0)]);
-    assert_eq!(taken.broker_settings.names.class("report"), Some(ClassId(0)));
+    assert_eq!(revised.broker_settings.names.class("report"), Some(ClassId(0)));
 }
 
 /// What is the broker's own is left out, and filled in: the zone by its name.
@@ -169,9 +173,14 @@
     let mut new = with("/Zone", Value::Null);
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
-    let taken = taken_over(&new).unwrap();
-    assert_eq!(taken.broker_settings.broker_config.zone, ZoneId(0));
-    assert!(taken.changes.iter().all(|change| matches!(change.applies, Applies::Live | Applies::Own)));
+    let revised = revise_valid(&new).unwrap();
+    assert_eq!(revised.broker_settings.broker_config.zone, ZoneId(0));
+    assert!(
+        revised
+            .changes
+            .iter()
+            .all(|change| matches!(change.applies, Applies::Immediately | Applies::PerBroker))
+    );
 }
 
 #[rstest]
@@ -184,47 +193,50 @@
 #[case("/Zone", json!(0), "`Zone` is north, the broker runs with south: that needs a restart")]
 #[case("/Me", json!(0), "`Me` is 0, the broker runs with 2: that needs a restart")]
 #[case("/Domain/MinShare/0", json!(2), "`Domain.MinShare[0]` is 2: a share from 0 to 1 is allowed")]
-fn turns_down_what_it_cannot_take_over(#[case] at: &str, #[case] to: Value, #[case] told: &str) {
-    let mistakes: Vec<String> =
-        taken_over(&with(at, to)).unwrap_err().iter().map(Mistake::to_string).collect();
-    assert_eq!(mistakes, [told]);
+fn rejects_what_it_cannot_take_over(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+    let errors: Vec<String> =
+        revise_valid(&with(at, to)).unwrap_err().iter().map(ValidationError::to_string).collect();
+    assert_eq!(errors, [expected]);
 }
 
-/// A list in another order is the same; a change tells which key of which item, and when it applies.
+/// A list in another order is the same; a change says which key of which item, and when it applies.
 #[rstest]
 fn compares_by_name() {
-    let mut new = sound();
+    let mut new = valid();
     new["Tenants"].as_array_mut().unwrap().reverse();
-    assert_eq!(compare(&document(&sound()), &document(&new)), []);
+    assert_eq!(compare(&document(&valid()), &document(&new)), []);
     new["Tenants"][0]["QuotaRps"] = json!(7);
     new["Limits"]["MaxOpen"] = json!(50);
     new["Stages"] = json!(["other"]);
-    let told: Vec<_> =
-        compare(&document(&sound()), &document(&new)).into_iter().map(|c| (c.field, c.applies)).collect();
+    let changes: Vec<_> =
+        compare(&document(&valid()), &document(&new)).into_iter().map(|c| (c.field, c.applies)).collect();
     assert_eq!(
-        told,
-        [("Limits.MaxOpen".to_owned(), Applies::Live), ("Tenants[school].QuotaRps".to_owned(), Applies::New)]
+        changes,
+        [
+            ("Limits.MaxOpen".to_owned(), Applies::Immediately),
+            ("Tenants[school].QuotaRps".to_owned(), Applies::NewQueries)
+        ]
     );
 }
 
 /// Services that are compared by name need no number of their own in the table: every key has one row.
 #[rstest]
 fn the_table_has_one_row_a_key() {
-    let keys: std::collections::BTreeSet<&str> = FIELDS.iter().map(|field| field.0).collect();
+    let keys: std::collections::BTreeSet<&str> = FIELDS.iter().map(|field| field.key).collect();
     assert_eq!(keys.len(), FIELDS.len());
 }
 
-/// Whatever stands in one place of a document: the check tells or passes it, and what it passes can be read
+/// Whatever stands in one place of a document: the check rejects or passes it, and what it passes can be read
 /// and served by.
-mod anything {
+mod arbitrary_values {
     use super::*;
     use proptest::prelude::*;
 
     /// The same sequence in every run, unless PROPTEST_RNG_SEED names another; a failure prints what it
     /// failed with.
     fn seed() -> proptest::test_runner::RngSeed {
-        let told = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
-        proptest::test_runner::RngSeed::Fixed(told.unwrap_or(1))
+        let named = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
+        proptest::test_runner::RngSeed::Fixed(named.unwrap_or(1))
     }
 
     fn value() -> impl Strategy<Value = Value> {
@@ -263,8 +275,8 @@
         #![proptest_config(ProptestConfig { cases: 1000, failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default() })]
 
         #[test]
-        fn is_told_or_can_be_served(changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)) {
-            let mut text = sound();
+        fn is_rejected_or_can_be_served(changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)) {
+            let mut text = valid();
             for (at, to) in changes {
                 let mut all = Vec::new();
                 places(&text, "", &mut all);
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -88,9 +88,9 @@
     match settings::read(text) {
         Ok(broker_settings) => (
             Seat::Sound(Box::new(Broker::start(broker_settings.broker_config, seed, now))),
-            broker_settings.report,
+            broker_settings.load_report,
         ),
-        Err(why) => (Seat::Broken(why), Vec::new()),
+        Err(error) => (Seat::Broken(error.to_string()), Vec::new()),
     }
 }
 
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -118,7 +118,7 @@
 #[case(&SETTINGS.replace("deduplicated", "doubtful"), "`Effect` is `doubtful`")]
 #[case(&SETTINGS.replace("\"MinShare\": [0.4]", "\"MinShare\": []"), "`MinShare` is too short")]
 fn says_which_setting_is_amiss(#[case] text: &str, #[case] why: &str) {
-    assert!(settings::read(text.as_bytes()).unwrap_err().contains(why));
+    assert!(settings::read(text.as_bytes()).unwrap_err().to_string().contains(why));
     let batch = read_body(Tenths(0), &body(&[&start(text)])).unwrap();
     let reply = Host::default().play(batch).unwrap().frame();
     assert_eq!(reply[8..11], bytes("59 0300"), "the broker says that it cannot go on");
