--- a/crates/quota-lease/src/leased_budget.rs
+++ b/crates/quota-lease/src/leased_budget.rs
@@ -1,240 +1,248 @@
 //! One broker's share of a budget, what it lent and what it borrowed.
 
-use crate::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseMessage, LeaseNo, Message};
+use crate::lease_state::{LeaseEvent, LeaseState, next_state};
+use crate::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseMessage, LeaseNumber, Message};
 use routing::Tenths;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Of its share a broker lends half at the most, and has the other half whatever happened to it.
-const LENDS: u32 = 2;
+/// Of its share a broker lends one part in so many at the most, and has the rest whatever happened to it.
+const LENDABLE_DIVISOR: u32 = 2;
 
-/// How a lease stands with its lender or its borrower.
+/// The units of a lease and the time of its end, by the own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum LeaseState {
-    Lent,
-    /// Given back: what the borrower spent of it still counts for a window.
-    Resting,
-    Asked,
-    Held,
+struct Lease {
+    state: LeaseState,
+    units: u32,
+    until: Tenths,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Event {
-    AskHeard,
-    GrantHeard,
-    BackHeard,
-    Unneeded,
+/// What a lender knows a lease by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct LentLeaseId {
+    borrower: InstanceId,
+    number: LeaseNumber,
 }
 
-/// In a stage (none: no such lease), on an event: the next stage. What is not here changes nothing. An end is no
-/// event: a lease past it is as none, wherever it is looked at.
-#[rustfmt::skip]
-const TABLE: &[(Option<LeaseState>, Event, Option<LeaseState>)] = &[
-    (None,               Event::AskHeard,   Some(LeaseState::Lent)),
-    (Some(LeaseState::Lent),  Event::AskHeard,   Some(LeaseState::Lent)),
-    (Some(LeaseState::Lent),  Event::BackHeard,  Some(LeaseState::Resting)),
-    (Some(LeaseState::Asked), Event::GrantHeard, Some(LeaseState::Held)),
-    (Some(LeaseState::Asked), Event::Unneeded,   None),
-    (Some(LeaseState::Held),  Event::Unneeded,   None),
-];
-
-fn next(stage: Option<LeaseState>, event: Event) -> Option<Option<LeaseState>> {
-    TABLE.iter().find(|row| row.0 == stage && row.1 == event).map(|row| row.2)
+/// A lease at its borrower.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct BorrowedLease {
+    lender: BrokerId,
+    /// Which of the lender's processes, once it granted.
+    lender_incarnation: Option<Incarnation>,
+    lease: Lease,
 }
 
+impl BorrowedLease {
+    /// Whether its units may be spent. A lease counts by its end at the moment of spending: a process that
+    /// was stopped for a while spends nothing of an old one.
+    fn is_held(&self, now: Tenths) -> bool {
+        self.lease.state == LeaseState::Held && self.lease.until > now
+    }
+}
+
+/// Units that were spent at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Lease {
-    stage: LeaseState,
+struct Spending {
+    at: Tenths,
     units: u32,
-    until: Tenths,
 }
 
 /// A broker's part of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeasedBudget {
     config: LeaseConfig,
-    me: InstanceId,
-    began: Tenths,
-    /// By borrower and its number.
-    lent: BTreeMap<(InstanceId, LeaseNo), Lease>,
-    /// By own number, with the lender; which of its processes, once it granted.
-    borrowed: BTreeMap<LeaseNo, (BrokerId, Option<Incarnation>, Lease)>,
-    asked: LeaseNo,
-    /// What was spent within a window.
-    spent: VecDeque<(Tenths, u32)>,
+    instance: InstanceId,
+    started_at: Tenths,
+    lent: BTreeMap<LentLeaseId, Lease>,
+    borrowed: BTreeMap<LeaseNumber, BorrowedLease>,
+    /// The number of the lease requested last.
+    last_requested: LeaseNumber,
+    /// What was spent within a window, oldest first.
+    spent: VecDeque<Spending>,
 }
 
 impl LeasedBudget {
-    pub fn start(config: LeaseConfig, me: InstanceId, now: Tenths) -> LeasedBudget {
+    /// The budget of a process that starts now.
+    pub fn start(config: LeaseConfig, instance: InstanceId, now: Tenths) -> LeasedBudget {
         LeasedBudget {
             config,
-            me,
-            began: now,
+            instance,
+            started_at: now,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
-            asked: LeaseNo(0),
+            last_requested: LeaseNumber(0),
             spent: VecDeque::new(),
         }
     }
 
-    /// A span of one clock, and by what another may differ over it.
-    fn safely(&self, span: Tenths) -> Tenths {
-        span + Tenths(3 * span.0 / i64::from(self.config.drift.max(3)) + 1)
+    /// A duration by one clock, lengthened by what another clock may differ over it.
+    fn with_drift(&self, duration: Tenths) -> Tenths {
+        duration + Tenths(3 * duration.0 / i64::from(self.config.drift_divisor.max(3)) + 1)
     }
 
-    /// For so long what was spent elsewhere at some moment still counts.
-    fn rests(&self) -> Tenths {
-        self.safely(self.config.window)
+    /// For so long what was spent by another process at some moment still counts.
+    fn cool_down(&self) -> Tenths {
+        self.with_drift(self.config.window)
     }
 
-    /// A lender waits for longer than its borrower spends, and for the window in which that still counts.
-    fn lender_waits(&self) -> Tenths {
-        self.safely(self.config.lease) + self.rests()
+    /// For how long a lender sets units aside: longer than its borrower may spend them, and for the window in
+    /// which that still counts.
+    fn lending_duration(&self) -> Tenths {
+        self.with_drift(self.config.lease_duration) + self.cool_down()
     }
 
     fn share(&self) -> u32 {
-        self.config.whole / self.config.brokers.max(1)
+        self.config.total_units / self.config.brokers.max(1)
     }
 
-    /// What of its share is its own at this moment. Guards against a process that does not know what the one before
-    /// it, under its name, has spent and lent: for a window it has nothing, and the half that it never lends
-    /// until all that may have been lent is over.
-    fn own(&self, now: Tenths) -> u32 {
-        let kept = self.share() - self.share() / LENDS;
-        match now - self.began {
-            age if age <= self.rests() => 0,
-            age if age <= self.lender_waits() => kept,
+    /// How much of its share is its own now. Guards against a process that does not know what the one before
+    /// it, as the same broker, has spent and lent: for a window it has nothing, and then the half that is
+    /// never lent, until all that may have been lent is over.
+    fn own_units(&self, now: Tenths) -> u32 {
+        let never_lent = self.share() - self.share() / LENDABLE_DIVISOR;
+        match now - self.started_at {
+            age if age <= self.cool_down() => 0,
+            age if age <= self.lending_duration() => never_lent,
             _ => self.share(),
         }
     }
 
-    fn set_aside(&self, now: Tenths) -> u32 {
+    fn lent_units(&self, now: Tenths) -> u32 {
         self.lent.values().filter(|lease| lease.until > now).map(|lease| lease.units).sum()
     }
 
-    /// Held leases count at the moment of spending: one who stood still spends nothing of an old one.
-    fn held(&self, now: Tenths) -> u32 {
-        let held =
-            self.borrowed.values().filter(|(.., lease)| lease.stage == LeaseState::Held && lease.until > now);
-        held.map(|(.., lease)| lease.units).sum()
+    fn borrowed_units(&self, now: Tenths) -> u32 {
+        let held = self.borrowed.values().filter(|borrowed| borrowed.is_held(now));
+        held.map(|borrowed| borrowed.lease.units).sum()
     }
 
-    fn spent_lately(&self, now: Tenths) -> u32 {
-        let window = self.config.window;
-        self.spent.iter().rev().take_while(|(at, _)| now - *at <= window).map(|(_, units)| units).sum()
+    fn recently_spent_units(&self, now: Tenths) -> u32 {
+        let recent = self.spent.iter().rev().take_while(|spending| now - spending.at <= self.config.window);
+        recent.map(|spending| spending.units).sum()
     }
 
     /// Units that may be spent now.
-    pub fn left(&self, now: Tenths) -> u32 {
-        (self.own(now).saturating_sub(self.set_aside(now)) + self.held(now))
-            .saturating_sub(self.spent_lately(now))
+    pub fn available_units(&self, now: Tenths) -> u32 {
+        let budget = self.own_units(now).saturating_sub(self.lent_units(now)) + self.borrowed_units(now);
+        budget.saturating_sub(self.recently_spent_units(now))
     }
 
-    /// Spends them, if they are there.
-    pub fn spend(&mut self, now: Tenths, units: u32) -> bool {
-        self.forget(now);
-        let may = units <= self.left(now);
-        if may && units > 0 {
-            self.spent.push_back((now, units));
+    /// Spends so many units, if they are available; whether they were.
+    pub fn try_spend(&mut self, now: Tenths, units: u32) -> bool {
+        self.remove_expired(now);
+        let is_available = units <= self.available_units(now);
+        if is_available && units > 0 {
+            self.spent.push_back(Spending { at: now, units });
         }
-        may
+        is_available
     }
 
-    /// Asks another broker for some of its share; none where as many leases are open as may be.
-    pub fn ask(&mut self, now: Tenths, of: BrokerId, units: u32) -> Option<Message> {
-        self.forget(now);
-        if units == 0 || of == self.me.0 || self.borrowed.len() >= self.config.most_leases {
+    /// Requests units of another broker's share; none where as many leases are open as may be.
+    pub fn request_lease(&mut self, now: Tenths, lender: BrokerId, units: u32) -> Option<Message> {
+        self.remove_expired(now);
+        if units == 0 || lender == self.instance.broker || self.borrowed.len() >= self.config.max_leases {
             return None;
         }
-        self.asked.0 += 1;
-        // Counted from before the lender can have set it aside.
-        let lease = Lease { stage: LeaseState::Asked, units, until: now + self.config.lease };
-        self.borrowed.insert(self.asked, (of, None, lease));
-        Some(self.message(of, None, self.asked, LeaseMessage::Ask(units)))
+        self.last_requested.0 += 1;
+        // Counted from before the lender can have set the units aside.
+        let until = now + self.config.lease_duration;
+        let lease = Lease { state: LeaseState::Requested, units, until };
+        self.borrowed.insert(self.last_requested, BorrowedLease { lender, lender_incarnation: None, lease });
+        Some(self.message(lender, None, self.last_requested, LeaseMessage::Request(units)))
     }
 
     /// Leases that may be spent or given back now.
-    pub fn held_leases(&self, now: Tenths) -> impl Iterator<Item = LeaseNo> + '_ {
-        let held =
-            self.borrowed.iter().filter(move |(_, (.., l))| l.stage == LeaseState::Held && l.until > now);
-        held.map(|(no, _)| *no)
+    pub fn held_leases(&self, now: Tenths) -> impl Iterator<Item = LeaseNumber> + '_ {
+        let held = self.borrowed.iter().filter(move |(_, borrowed)| borrowed.is_held(now));
+        held.map(|(number, _)| *number)
     }
 
-    /// Gives a lease back before its end; struck first, so that nothing more is spent of it.
-    pub fn give_back(&mut self, no: LeaseNo) -> Option<Message> {
-        let (lender, process, lease) = self.borrowed.get(&no).copied()?;
-        if next(Some(lease.stage), Event::Unneeded)?.is_none() {
-            self.borrowed.remove(&no);
+    /// Gives a lease back before its end. It is removed first, so that nothing more is spent of it.
+    pub fn release_lease(&mut self, number: LeaseNumber) -> Option<Message> {
+        let borrowed = self.borrowed.get(&number).copied()?;
+        if next_state(Some(borrowed.lease.state), LeaseEvent::NotNeeded)?.is_none() {
+            self.borrowed.remove(&number);
         }
-        process.map(|process| self.message(lender, Some(process), no, LeaseMessage::GiveBack))
-    }
-
-    /// Takes in a message, late or doubled as it may be; the answer to it, if there is one.
-    pub fn hear(&mut self, now: Tenths, message: &Message) -> Option<Message> {
-        self.forget(now);
-        let mine = message.to == self.me.0 && message.process.is_none_or(|process| process == self.me.1);
-        match message.word {
-            _ if !mine || message.from == self.me => None,
-            LeaseMessage::Ask(units) => self.asked_for(now, message, units),
-            LeaseMessage::Grant(units) => self.granted(message, units),
-            LeaseMessage::GiveBack => self.given_back(now, message),
+        let incarnation = borrowed.lender_incarnation?;
+        Some(self.message(borrowed.lender, Some(incarnation), number, LeaseMessage::Release))
+    }
+
+    /// Handles a message, late or duplicated as it may be; the answer to it, if there is one.
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> Option<Message> {
+        self.remove_expired(now);
+        if !self.is_addressed_by(message) {
+            return None;
         }
+        match message.content {
+            LeaseMessage::Request(units) => self.handle_request(now, message, units),
+            LeaseMessage::Grant(units) => self.handle_grant(message, units),
+            LeaseMessage::Release => self.handle_release(now, message),
+        }
+    }
+
+    fn is_addressed_by(&self, message: &Message) -> bool {
+        let is_this_process = message.to_incarnation.is_none_or(|to| to == self.instance.incarnation);
+        message.to == self.instance.broker && is_this_process && message.from != self.instance
     }
 
-    fn asked_for(&mut self, now: Tenths, message: &Message, units: u32) -> Option<Message> {
-        let key = (message.from, message.lease);
-        let known = self.lent.get(&key).copied();
-        let stage = next(known.map(|lease| lease.stage), Event::AskHeard)??;
-        let until = now + self.lender_waits();
-        // Of the own share, not of another's; only what was not spent within a window, never the half that is kept.
-        let aside = self.set_aside(now);
-        let idle = self.own(now).saturating_sub(aside + self.spent_lately(now));
-        let whole_share = self.own(now) == self.share();
-        let free = if whole_share { idle.min((self.share() / LENDS).saturating_sub(aside)) } else { 0 };
-        let lease = known.unwrap_or(Lease { stage, units: units.min(free), until });
-        if lease.units == 0 || known.is_none() && self.lent.len() >= self.config.most_leases {
+    fn handle_request(&mut self, now: Tenths, message: &Message, units: u32) -> Option<Message> {
+        let id = LentLeaseId { borrower: message.from, number: message.lease };
+        let known = self.lent.get(&id).copied();
+        let state = next_state(known.map(|lease| lease.state), LeaseEvent::RequestReceived)??;
+        let until = now + self.lending_duration();
+        let lease = known.unwrap_or(Lease { state, units: units.min(self.lendable_units(now)), until });
+        if lease.units == 0 || known.is_none() && self.lent.len() >= self.config.max_leases {
             return None;
         }
-        self.lent.insert(key, lease);
-        Some(self.message(
-            message.from.0,
-            Some(message.from.1),
-            message.lease,
-            LeaseMessage::Grant(lease.units),
-        ))
-    }
-
-    fn granted(&mut self, message: &Message, units: u32) -> Option<Message> {
-        let (lender, process, lease) = self.borrowed.get_mut(&message.lease)?;
-        if *lender == message.from.0 && units <= lease.units {
-            lease.stage = next(Some(lease.stage), Event::GrantHeard)??;
-            (lease.units, *process) = (units, Some(message.from.1));
+        self.lent.insert(id, lease);
+        let InstanceId { broker, incarnation } = message.from;
+        Some(self.message(broker, Some(incarnation), message.lease, LeaseMessage::Grant(lease.units)))
+    }
+
+    /// Units that may be lent now: of the own share, not of a borrowed one; only what was not spent within a
+    /// window, and never the half that is kept.
+    fn lendable_units(&self, now: Tenths) -> u32 {
+        if self.own_units(now) != self.share() {
+            return 0;
+        }
+        let lent = self.lent_units(now);
+        let unspent = self.share().saturating_sub(lent + self.recently_spent_units(now));
+        unspent.min((self.share() / LENDABLE_DIVISOR).saturating_sub(lent))
+    }
+
+    fn handle_grant(&mut self, message: &Message, units: u32) -> Option<Message> {
+        let borrowed = self.borrowed.get_mut(&message.lease)?;
+        if borrowed.lender == message.from.broker && units <= borrowed.lease.units {
+            borrowed.lease.state = next_state(Some(borrowed.lease.state), LeaseEvent::GrantReceived)??;
+            borrowed.lease.units = units;
+            borrowed.lender_incarnation = Some(message.from.incarnation);
         }
         None
     }
 
-    fn given_back(&mut self, now: Tenths, message: &Message) -> Option<Message> {
-        let rests = self.rests();
-        let lease = self.lent.get_mut(&(message.from, message.lease))?;
-        lease.stage = next(Some(lease.stage), Event::BackHeard)??;
-        lease.until = lease.until.min(now + rests);
+    fn handle_release(&mut self, now: Tenths, message: &Message) -> Option<Message> {
+        let cool_down = self.cool_down();
+        let lease = self.lent.get_mut(&LentLeaseId { borrower: message.from, number: message.lease })?;
+        lease.state = next_state(Some(lease.state), LeaseEvent::ReleaseReceived)??;
+        lease.until = lease.until.min(now + cool_down);
         None
     }
 
     fn message(
         &self,
         to: BrokerId,
-        process: Option<Incarnation>,
-        lease: LeaseNo,
-        word: LeaseMessage,
+        to_incarnation: Option<Incarnation>,
+        lease: LeaseNumber,
+        content: LeaseMessage,
     ) -> Message {
-        Message { from: self.me, to, process, lease, word }
+        Message { from: self.instance, to, to_incarnation, lease, content }
     }
 
-    /// Strikes what is over.
-    fn forget(&mut self, now: Tenths) {
+    /// Removes leases past their end, and what was spent longer than a window ago.
+    fn remove_expired(&mut self, now: Tenths) {
         self.lent.retain(|_, lease| lease.until > now);
-        self.borrowed.retain(|_, (.., lease)| lease.until > now);
+        self.borrowed.retain(|_, borrowed| borrowed.lease.until > now);
         let window = self.config.window;
-        while self.spent.pop_front_if(|(at, _)| now - *at > window).is_some() {}
+        while self.spent.pop_front_if(|spending| now - spending.at > window).is_some() {}
     }
 }
--- a/crates/quota-lease/tests/drift.rs
+++ b/crates/quota-lease/tests/drift.rs
@@ -1,118 +1,186 @@
-//! Brokers whose clocks run apart, over a network that loses, doubles and delays, with processes that stand still or
-//! start anew: what all spend in a window, by a clock that none of them sees. Also that lending is of use.
+//! Brokers whose clocks run apart, over a network that loses, duplicates and delays, with processes that stop
+//! for a while or restart: what all spend in a window, by a clock that none of them sees. Also that lending
+//! is of use.
 
 use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeasedBudget, Message};
 use routing::Tenths;
 use rstest::rstest;
 
 const BROKERS: usize = 5;
+const TOTAL_UNITS: u32 = 40;
 const WINDOW: i64 = 1000;
 const SECONDS: i64 = 60;
-/// A clock's rate is off by this at the most; what the terms say is twice that.
-const OFF: f64 = 0.005;
+/// A clock's rate is off by this at the most; the configured drift is twice that.
+const MAX_RATE_ERROR: f64 = 0.005;
 
 struct Broker {
     leased_budget: LeasedBudget,
-    rate: f64,
-    /// Stands still until then.
-    still: i64,
+    clock_rate: f64,
+    /// The process does nothing until then.
+    stopped_until: i64,
 }
 
 impl Broker {
-    fn now(&self, real: i64) -> Tenths {
-        Tenths((real as f64 * self.rate) as i64)
+    fn start(broker: usize, rng: &mut fastrand::Rng, real_time: i64) -> Broker {
+        let clock_rate = 1.0 + MAX_RATE_ERROR * (2.0 * rng.f64() - 1.0);
+        let now = Tenths((real_time as f64 * clock_rate) as i64);
+        let leased_budget = LeasedBudget::start(config(), new_instance(broker, rng), now);
+        Broker { leased_budget, clock_rate, stopped_until: 0 }
+    }
+
+    fn now(&self, real_time: i64) -> Tenths {
+        Tenths((real_time as f64 * self.clock_rate) as i64)
     }
 }
 
 fn config() -> LeaseConfig {
-    let (window, lease) = (Tenths(WINDOW), Tenths(20_000));
-    LeaseConfig { whole: 40, brokers: BROKERS as u32, window, lease, drift: 100, most_leases: 16 }
+    LeaseConfig {
+        total_units: TOTAL_UNITS,
+        brokers: BROKERS as u32,
+        window: Tenths(WINDOW),
+        lease_duration: Tenths(20_000),
+        drift_divisor: 100,
+        max_leases: 16,
+    }
 }
 
-fn start(no: usize, rng: &mut fastrand::Rng, real: i64) -> Broker {
-    let rate = 1.0 + OFF * (2.0 * rng.f64() - 1.0);
-    let now = Tenths((real as f64 * rate) as i64);
-    let me = InstanceId(BrokerId(no as u16), Incarnation(rng.u64(..)));
-    Broker { leased_budget: LeasedBudget::start(config(), me, now), rate, still: 0 }
+fn new_instance(broker: usize, rng: &mut fastrand::Rng) -> InstanceId {
+    InstanceId { broker: BrokerId(broker as u16), incarnation: Incarnation(rng.u64(..)) }
 }
 
-/// Plays a seed: the most that was spent in a window, and what one broker that needs more than its share could spend.
-fn play(seed: u64, loss: f64, lends: bool) -> (u32, u32) {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut brokers: Vec<Broker> = (0..BROKERS).map(|no| start(no, &mut rng, 0)).collect();
-    let mut messages: Vec<(i64, Message)> = Vec::new();
-    let mut spent: Vec<(i64, u32)> = Vec::new();
-    let (mut most, mut hungry) = (0, 0);
-    for real in (0..SECONDS * 10_000).step_by(50) {
-        let no = rng.usize(..BROKERS);
-        let now = brokers[no].now(real);
-        if brokers[no].still > real {
-            continue;
-        }
-        match rng.u32(0..3000) {
-            // One that starts anew goes on with its machine's clock, as far as this shows.
-            0 => {
-                let rate = brokers[no].rate;
-                brokers[no] = start(no, &mut rng, real);
-                brokers[no].rate = rate;
-                let me = InstanceId(BrokerId(no as u16), Incarnation(rng.u64(..)));
-                brokers[no].leased_budget = LeasedBudget::start(config(), me, now);
+/// What a simulation came to.
+struct Spent {
+    /// The most units that all brokers spent in a window.
+    most_in_window: u32,
+    /// Units spent by the first broker, which always needs more than its share.
+    by_first: u32,
+}
+
+struct Simulation {
+    rng: fastrand::Rng,
+    brokers: Vec<Broker>,
+    /// Messages on their way, with the time when they arrive.
+    messages: Vec<(i64, Message)>,
+    /// Units spent, with the time.
+    spendings: Vec<(i64, u32)>,
+    by_first: u32,
+    loss: f64,
+    is_lending: bool,
+}
+
+impl Simulation {
+    fn new(seed: u64, loss: f64, is_lending: bool) -> Simulation {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let brokers = (0..BROKERS).map(|broker| Broker::start(broker, &mut rng, 0)).collect();
+        let (messages, spendings) = (Vec::new(), Vec::new());
+        Simulation { rng, brokers, messages, spendings, by_first: 0, loss, is_lending }
+    }
+
+    fn run(mut self) -> Spent {
+        let mut most_in_window = 0;
+        for real_time in (0..SECONDS * 10_000).step_by(50) {
+            let broker = self.rng.usize(..BROKERS);
+            if self.brokers[broker].stopped_until > real_time {
                 continue;
             }
-            1 => brokers[no].still = real + rng.i64(0..60_000),
-            _ => {}
+            match self.rng.u32(0..3000) {
+                0 => {
+                    self.restart(broker, real_time);
+                    continue;
+                }
+                1 => self.brokers[broker].stopped_until = real_time + self.rng.i64(0..60_000),
+                _ => {}
+            }
+            let mut sent = self.receive(broker, real_time);
+            self.spend(broker, real_time);
+            sent.extend(self.request_and_release(broker, real_time));
+            self.send(&sent, real_time);
+            most_in_window = most_in_window.max(self.spent_in_window(real_time));
         }
-        let mut out = Vec::new();
-        let heard: Vec<Message> = {
-            let due = |(at, message): &(i64, Message)| *at <= real && usize::from(message.to.0) == no;
-            let heard = messages.iter().filter(|l| due(l)).map(|(_, message)| *message).collect();
-            messages.retain(|l| !due(l));
-            heard
-        };
-        out.extend(heard.iter().filter_map(|message| brokers[no].leased_budget.hear(now, message)));
-        let leased_budget = &mut brokers[no].leased_budget;
-        // The first always needs more than it has, the others now and then.
-        let need = if no == 0 { 30 } else { rng.u32(0..9) };
-        let units = need.min(leased_budget.left(now));
-        if units > 0 && leased_budget.spend(now, units) {
-            spent.push((real, units));
-            hungry += if no == 0 { units } else { 0 };
+        Spent { most_in_window, by_first: self.by_first }
+    }
+
+    /// A restarted process goes on with its machine's clock.
+    fn restart(&mut self, broker: usize, real_time: i64) {
+        let (now, clock_rate) = (self.brokers[broker].now(real_time), self.brokers[broker].clock_rate);
+        self.brokers[broker] = Broker::start(broker, &mut self.rng, real_time);
+        self.brokers[broker].clock_rate = clock_rate;
+        let instance = new_instance(broker, &mut self.rng);
+        self.brokers[broker].leased_budget = LeasedBudget::start(config(), instance, now);
+    }
+
+    /// Lets a broker handle what has arrived; its answers.
+    fn receive(&mut self, broker: usize, real_time: i64) -> Vec<Message> {
+        let is_due = |(at, message): &(i64, Message)| *at <= real_time && usize::from(message.to.0) == broker;
+        let due: Vec<Message> =
+            self.messages.iter().filter(|sent| is_due(sent)).map(|(_, message)| *message).collect();
+        self.messages.retain(|sent| !is_due(sent));
+        let now = self.brokers[broker].now(real_time);
+        let leased_budget = &mut self.brokers[broker].leased_budget;
+        due.iter().filter_map(|message| leased_budget.handle_message(now, message)).collect()
+    }
+
+    /// The first broker always needs more than it has, the others now and then.
+    fn spend(&mut self, broker: usize, real_time: i64) {
+        let now = self.brokers[broker].now(real_time);
+        let leased_budget = &mut self.brokers[broker].leased_budget;
+        let needed = if broker == 0 { 30 } else { self.rng.u32(0..9) };
+        let units = needed.min(leased_budget.available_units(now));
+        if units > 0 && leased_budget.try_spend(now, units) {
+            self.spendings.push((real_time, units));
+            self.by_first += if broker == 0 { units } else { 0 };
         }
-        if lends && no == 0 && rng.u32(0..4) == 0 {
-            out.extend(leased_budget.ask(now, BrokerId(rng.u16(1..BROKERS as u16)), 4));
+    }
+
+    fn request_and_release(&mut self, broker: usize, real_time: i64) -> Vec<Message> {
+        let now = self.brokers[broker].now(real_time);
+        let leased_budget = &mut self.brokers[broker].leased_budget;
+        let mut sent = Vec::new();
+        if self.is_lending && broker == 0 && self.rng.u32(0..4) == 0 {
+            let lender = BrokerId(self.rng.u16(1..BROKERS as u16));
+            sent.extend(leased_budget.request_lease(now, lender, 4));
         }
-        let held = leased_budget.held_leases(now).next().filter(|_| rng.u32(0..40) == 0);
-        out.extend(held.and_then(|lease| leased_budget.give_back(lease)));
-        for message in out {
-            for _ in 0..rng.usize(1..3) {
-                if rng.f64() >= loss {
-                    messages.push((real + rng.i64(0..5000), message));
+        let held = leased_budget.held_leases(now).next().filter(|_| self.rng.u32(0..40) == 0);
+        sent.extend(held.and_then(|lease| leased_budget.release_lease(lease)));
+        sent
+    }
+
+    /// Sends each message once or twice, and loses some.
+    fn send(&mut self, sent: &[Message], real_time: i64) {
+        for message in sent {
+            for _ in 0..self.rng.usize(1..3) {
+                if self.rng.f64() >= self.loss {
+                    self.messages.push((real_time + self.rng.i64(0..5000), *message));
                 }
             }
         }
-        // A window by the slowest of clocks is no longer than this by the unseen one.
-        let since = real - (WINDOW as f64 * (1.0 - 2.0 * OFF)) as i64;
-        let lately = spent.iter().rev().take_while(|(at, _)| *at >= since);
-        most = most.max(lately.map(|(_, units)| units).sum());
     }
-    (most, hungry)
+
+    /// A window by the slowest of clocks is no longer than this by the unseen one.
+    fn spent_in_window(&self, real_time: i64) -> u32 {
+        let since = real_time - (WINDOW as f64 * (1.0 - 2.0 * MAX_RATE_ERROR)) as i64;
+        let recent = self.spendings.iter().rev().take_while(|(at, _)| *at >= since);
+        recent.map(|(_, units)| units).sum()
+    }
 }
 
-/// Plays so many seeds, or the one that the environment names.
+/// Simulates so many seeds, or the one that the environment names.
 #[rstest]
 #[case(0.0)]
 #[case(0.3)]
 #[case(1.0)]
-fn never_more_than_the_whole(#[case] loss: f64) {
+fn never_spends_more_than_the_total(#[case] loss: f64) {
     let named = std::env::var("FLEET_SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds: Vec<u64> = named.map_or((0..40).collect(), |seed| vec![seed]);
     for seed in seeds {
-        let ((most, lent), (_, alone)) = (play(seed, loss, true), play(seed, loss, false));
+        let Spent { most_in_window, by_first: lent } = Simulation::new(seed, loss, true).run();
+        let Spent { by_first: alone, .. } = Simulation::new(seed, loss, false).run();
         println!(
-            "FLEET_SEED={seed} loss {loss}: at the most {most} of 40; the first spent {lent}, alone {alone}"
+            "FLEET_SEED={seed} loss {loss}: at the most {most_in_window} of {TOTAL_UNITS}; \
+            the first spent {lent}, alone {alone}"
         );
-        assert!(most <= 40, "FLEET_SEED={seed}: {most} spent in a window");
-        // With nothing heard it goes as alone; else it has more than its share.
+        assert!(most_in_window <= TOTAL_UNITS, "FLEET_SEED={seed}: {most_in_window} spent in a window");
+        // Where all messages are lost it does as well as alone; else it has more than its share.
         assert!(
             loss < 1.0 && lent * 10 > alone * 11 || loss == 1.0 && lent * 10 > alone * 7,
             "FLEET_SEED={seed}"
