--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -3,7 +3,7 @@
 
 use crate::{ConfigSource, serve, versions};
 use clap::{Parser, Subcommand};
-use operator_config::Fitting;
+use operator_config::OperatorConfig;
 use serde_json::{Value, json};
 use settings::Document;
 use std::io::Write;
@@ -136,7 +136,7 @@
     serve(&ConfigSource { config }, fitting)
 }
 
-fn read_operator(path: &Path) -> Result<Fitting, Vec<String>> {
+fn read_operator(path: &Path) -> Result<OperatorConfig, Vec<String>> {
     let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()])?;
     operator_config::read(&text).map_err(|mistakes| mistakes.iter().map(ToString::to_string).collect())
 }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -29,7 +29,7 @@
 mod versions;
 
 pub use leave::word;
-pub use operator_config::{Control, Fitting, LogForm};
+pub use operator_config::{LogFormat, OperatorConfig, RolloutConfig};
 pub use start::{ConfigSource, StartupConfig};
 
 use desk::Engine;
@@ -62,12 +62,12 @@
 
 /// Starts a broker on the current thread, within an `actix_rt` runtime.
 pub async fn start(order: StartupConfig) -> io::Result<Running> {
-    start_fitted(order, Fitting::default()).await
+    start_fitted(order, OperatorConfig::default()).await
 }
 
 /// The same, fitted to an installation.
-pub async fn start_fitted(mut order: StartupConfig, fitting: Fitting) -> io::Result<Running> {
-    let follower = match fitting.control {
+pub async fn start_fitted(mut order: StartupConfig, fitting: OperatorConfig) -> io::Result<Running> {
+    let follower = match fitting.rollout {
         Some(control) => Some(versions::prepare(&mut order, control)?),
         None => None,
     };
@@ -100,14 +100,14 @@
 /// the command line says.
 pub fn run() -> ExitCode {
     match std::env::args_os().len() {
-        0 | 1 => serve(&ConfigSource::default(), Fitting::default()),
+        0 | 1 => serve(&ConfigSource::default(), OperatorConfig::default()),
         _ => command::run(),
     }
 }
 
 /// Serves until told to leave.
-fn serve(source: &ConfigSource, fitting: Fitting) -> ExitCode {
-    log_to_standard_error(fitting.log);
+fn serve(source: &ConfigSource, fitting: OperatorConfig) -> ExitCode {
+    log_to_standard_error(fitting.log_format);
     let served = actix_rt::Runtime::new().map_err(|e| e.to_string()).and_then(|runtime| {
         runtime.block_on(async {
             // Listened for before anything else: without that, either signal ends the process.
@@ -130,13 +130,13 @@
     }
 }
 
-fn log_to_standard_error(form: LogForm) {
+fn log_to_standard_error(form: LogFormat) {
     // The HTTP server would write a line for each bad request; the front sums them up.
     let told = Targets::new().with_default(LevelFilter::INFO).with_target("actix_http", LevelFilter::OFF);
     let lines = fmt::layer().with_ansi(false).with_writer(io::stderr).with_target(false);
     match form {
-        LogForm::Text => tracing_subscriber::registry().with(lines.with_filter(told)).init(),
-        LogForm::Json => {
+        LogFormat::Text => tracing_subscriber::registry().with(lines.with_filter(told)).init(),
+        LogFormat::Json => {
             let lines = lines.json().flatten_event(true).with_current_span(false).with_span_list(false);
             tracing_subscriber::registry().with(lines.with_filter(told)).init();
         }
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -7,7 +7,7 @@
 use crate::edition::{ConfigEpoch, EpochCounts};
 use config_rollout::{Sample, VersionId};
 use config_rollout_client::{Post, RestoredState, Seat, Shown, csds, follow, restore, show};
-use operator_config::Control;
+use operator_config::RolloutConfig;
 use routing::BrokerConfig;
 use serde_json::json;
 use settings::{BrokerSettings, Document, check};
@@ -29,15 +29,16 @@
 }
 
 /// Takes over what the broker kept, if it did, so that it serves under that from its first query on.
-pub fn prepare(order: &mut StartupConfig, control: Control) -> io::Result<Follower> {
+pub fn prepare(order: &mut StartupConfig, control: RolloutConfig) -> io::Result<Follower> {
     let wrong = |why: String| io::Error::new(io::ErrorKind::InvalidInput, why);
-    let own = Document::parse(order.settings.as_bytes(), control.document);
+    let own = Document::parse(order.settings.as_bytes(), control.max_document_bytes);
     let own = own.map_err(|why| wrong(format!("settings: {why}")))?;
     if let Some(mistake) = check(&own).first() {
         return Err(wrong(format!("settings: {mistake}")));
     }
-    let Control { installation, document, keep, .. } = &control;
-    let restored = restore(own, &order.broker_settings, keep.as_deref(), installation, *document);
+    let RolloutConfig { installation, max_document_bytes, state_file, .. } = &control;
+    let restored =
+        restore(own, &order.broker_settings, state_file.as_deref(), installation, *max_document_bytes);
     if let Some(why) = &restored.passed_over {
         warn!(reason = why, "the kept version is passed over, the broker begins with its own file");
     }
@@ -48,15 +49,15 @@
         let (kept, own) = (&mut order.broker_settings.broker_config, own.broker_config);
         keep_waits(kept, &own);
     }
-    let status = control.status.map(TcpListener::bind).transpose()?;
+    let status = control.status_address.map(TcpListener::bind).transpose()?;
     let post = Post {
         name: order.name.clone(),
         installation: control.installation,
         services: control.services,
-        patience: control.patience,
-        document: control.document,
-        keep: control.keep,
-        count_every: control.count_every,
+        patience: control.policy,
+        document: control.max_document_bytes,
+        keep: control.state_file,
+        count_every: control.sample_interval,
         seed: order.seed,
     };
     Ok(Follower { post, restored, start: order.broker_settings.broker_config.clone(), status })
--- a/crates/broker/src/versions_off.rs
+++ b/crates/broker/src/versions_off.rs
@@ -2,7 +2,7 @@
 
 use crate::StartupConfig;
 use crate::desk::Engine;
-use operator_config::Control;
+use operator_config::RolloutConfig;
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 const WITHOUT: &str =
     "[control] is switched on, but this program is built without it (cargo build --features config-rollout)";
 
-pub fn prepare(_: &mut StartupConfig, _: Control) -> io::Result<Follower> {
+pub fn prepare(_: &mut StartupConfig, _: RolloutConfig) -> io::Result<Follower> {
     Err(io::Error::other(WITHOUT))
 }
 
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -801,7 +801,7 @@
 #[rstest]
 fn answers_behind_the_door() {
     play(async {
-        let fitting = broker::Fitting {
+        let fitting = broker::OperatorConfig {
             admission: Some(admission_control::AdmissionConfig::default()),
             ..Default::default()
         };
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -76,7 +76,7 @@
         config: impl FnOnce(&mut Value),
         order: impl FnOnce(&mut StartupConfig),
     ) -> Stage {
-        Stage::fitted(nodes, config, order, broker::Fitting::default()).await
+        Stage::fitted(nodes, config, order, broker::OperatorConfig::default()).await
     }
 
     /// The same, fitted as the operator's file says.
@@ -84,7 +84,7 @@
         nodes: usize,
         config: impl FnOnce(&mut Value),
         order: impl FnOnce(&mut StartupConfig),
-        fitting: broker::Fitting,
+        fitting: broker::OperatorConfig,
     ) -> Stage {
         let (tell, heard) = mpsc::unbounded_channel();
         let mut all = Vec::new();
--- /dev/null
+++ b/crates/operator-config/src/control_section.rs
@@ -0,0 +1,98 @@
+//! The section `[control]`: configuration versions from a configuration service.
+
+use crate::OperatorConfigError;
+use crate::key_values::KeyValues;
+use crate::keys::CONTROL;
+use crate::value_type::parse_addresses;
+use config_rollout::RolloutPolicy;
+use routing::Tenths;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Over which time `calls_per_minute` counts, in milliseconds.
+const MINUTE_MS: f64 = 60_000.0;
+
+/// How configuration versions are had from configuration services.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RolloutConfig {
+    /// The services' addresses; one at least.
+    pub services: Vec<SocketAddr>,
+    /// Which installation's versions to ask for.
+    pub installation: String,
+    /// Waits, budgets and bounds of subscription and probation.
+    pub policy: RolloutPolicy,
+    /// The longest document of a version, in bytes.
+    pub max_document_bytes: usize,
+    /// How often queries are counted for the probation.
+    pub sample_interval: Duration,
+    /// Where the client status service listens.
+    pub status_address: Option<SocketAddr>,
+    /// Where the last confirmed version is kept.
+    pub state_file: Option<PathBuf>,
+}
+
+/// The section, where it names a service. Other keys of the section without one are an error: they would do
+/// nothing.
+pub(crate) fn read(values: &mut KeyValues) -> Option<RolloutConfig> {
+    let services = parse_addresses(values.get(CONTROL, "services")).unwrap_or_default();
+    if services.is_empty() {
+        if values.has_other_keys(CONTROL, "services") {
+            let error = OperatorConfigError::MissingKey { section: CONTROL, key: "services" };
+            values.errors.push(error);
+        }
+        return None;
+    }
+    let policy = rollout_policy(values);
+    check_order(values, &policy);
+    if values.get(CONTROL, "installation").is_empty() {
+        let error = OperatorConfigError::MissingKey { section: CONTROL, key: "installation" };
+        values.errors.push(error);
+    }
+    Some(rollout_config(values, services, policy))
+}
+
+fn rollout_config(values: &KeyValues, services: Vec<SocketAddr>, policy: RolloutPolicy) -> RolloutConfig {
+    let number = |name: &str| values.number(CONTROL, name);
+    let text = |name: &str| Some(values.get(CONTROL, name)).filter(|text| !text.is_empty());
+    RolloutConfig {
+        services,
+        installation: values.get(CONTROL, "installation").to_owned(),
+        policy: policy.spread(number("fleet_brokers") as u32, number("fleet_calls_per_s")),
+        max_document_bytes: number("document_bytes") as usize,
+        sample_interval: Duration::from_millis(number("count_every_ms") as u64),
+        status_address: text("status_listen").and_then(|address| address.parse().ok()),
+        state_file: text("keep_file").map(PathBuf::from),
+    }
+}
+
+fn rollout_policy(values: &KeyValues) -> RolloutPolicy {
+    let number = |name: &str| values.number(CONTROL, name);
+    let duration = |name: &str| Tenths::from_ms(number(name));
+    RolloutPolicy {
+        first_wait: duration("first_wait_ms"),
+        longest_wait: duration("longest_wait_ms"),
+        calls: number("calls_per_minute") as usize,
+        calls_window: Tenths::from_ms(MINUTE_MS),
+        call_within: duration("call_within_ms"),
+        steady: duration("steady_ms"),
+        suspect_for: duration("suspect_ms"),
+        trial: duration("trial_ms"),
+        longest_trial: duration("longest_trial_ms"),
+        least_ended: number("least_retrievals") as u64,
+        margin: number("margin"),
+    }
+}
+
+/// Bounds must not be under what they bound.
+fn check_order(values: &mut KeyValues, policy: &RolloutPolicy) {
+    let orders = [
+        ("first_wait_ms", policy.first_wait, "longest_wait_ms", policy.longest_wait),
+        ("trial_ms", policy.trial, "longest_trial_ms", policy.longest_trial),
+    ];
+    for (lower_key, lower, key, bound) in orders {
+        if bound < lower {
+            values.errors.push(OperatorConfigError::WrongOrder { key, lower_key });
+        }
+    }
+}
--- /dev/null
+++ b/crates/operator-config/src/key_values.rs
@@ -0,0 +1,118 @@
+//! Reads the operator's file key by key: values that are allowed one by one, and what is wrong.
+
+use crate::{KEYS, Key, OperatorConfigError};
+use ini::{Ini, ParseOption};
+
+/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
+const SIMILARITY_SCALE: f64 = 1e6;
+
+/// The values of a file that are allowed one by one, and everything that is wrong with it.
+pub(crate) struct KeyValues<'a> {
+    text: &'a str,
+    values: Vec<KeyValue>,
+    pub errors: Vec<OperatorConfigError>,
+}
+
+struct KeyValue {
+    key: &'static Key,
+    value: String,
+}
+
+impl<'a> KeyValues<'a> {
+    /// Reads a file's text; fails where it is no INI.
+    pub fn read(text: &'a str) -> Result<KeyValues<'a>, OperatorConfigError> {
+        // Backslashes stay as they are: a path may hold them.
+        let options = ParseOption { enabled_escape: false, enabled_quote: true, ..ParseOption::default() };
+        let ini = Ini::load_from_str_opt(text, options).map_err(|error| OperatorConfigError::Syntax {
+            line: error.line,
+            column: error.col,
+            reason: error.msg.to_string(),
+        })?;
+        let mut key_values = KeyValues { text, values: Vec::new(), errors: Vec::new() };
+        for (section, properties) in &ini {
+            let section = section.unwrap_or_default();
+            if !section.is_empty() || !properties.is_empty() {
+                key_values.read_section(section, properties.iter());
+            }
+        }
+        Ok(key_values)
+    }
+
+    fn read_section<'p>(&mut self, section: &str, properties: impl Iterator<Item = (&'p str, &'p str)>) {
+        if !KEYS.iter().any(|key| key.section == section) {
+            let nearest = nearest(section, KEYS.iter().map(|key| key.section));
+            let (line, section) = (self.section_line(section), section.to_owned());
+            return self.errors.push(OperatorConfigError::UnknownSection { line, section, nearest });
+        }
+        let mut seen = Vec::new();
+        for (name, value) in properties {
+            match self.read_value(section, name, value, seen.contains(&name)) {
+                Ok(key_value) => self.values.push(key_value),
+                Err(error) => self.errors.push(error),
+            }
+            seen.push(name);
+        }
+    }
+
+    fn read_value(
+        &self,
+        section: &str,
+        name: &str,
+        value: &str,
+        is_duplicate: bool,
+    ) -> Result<KeyValue, OperatorConfigError> {
+        let line = ini_lines::key_line(self.text, section, name).unwrap_or(1);
+        let (section_name, key_name) = (section.to_owned(), name.to_owned());
+        let Some(key) = Key::find(section, name) else {
+            let names = KEYS.iter().filter(|key| key.section == section).map(|key| key.name);
+            let nearest = nearest(name, names);
+            return Err(OperatorConfigError::UnknownKey {
+                line,
+                section: section_name,
+                key: key_name,
+                nearest,
+            });
+        };
+        if is_duplicate {
+            return Err(OperatorConfigError::DuplicateKey { line, section: section_name, key: key_name });
+        }
+        if !key.value_type.accepts(value.trim()) {
+            return Err(OperatorConfigError::InvalidValue {
+                line,
+                section: section_name,
+                key: key_name,
+                found: value.to_owned(),
+                allowed: key.value_type.describe(),
+            });
+        }
+        Ok(KeyValue { key, value: value.trim().to_owned() })
+    }
+
+    /// The line that a section stands on; the first where it stands nowhere.
+    pub fn section_line(&self, section: &str) -> usize {
+        ini_lines::section_line(self.text, section).unwrap_or(1)
+    }
+
+    /// The value of a key, or its default.
+    pub fn get(&self, section: &str, name: &str) -> &str {
+        let stated =
+            self.values.iter().find(|stated| stated.key.section == section && stated.key.name == name);
+        let default = || Key::find(section, name).map_or("", |key| key.default);
+        stated.map_or_else(default, |stated| &stated.value)
+    }
+
+    /// The value of a key that holds a number.
+    pub fn number(&self, section: &str, name: &str) -> f64 {
+        self.get(section, name).parse().unwrap_or(0.0)
+    }
+
+    /// Whether a section states a key other than this one.
+    pub fn has_other_keys(&self, section: &str, name: &str) -> bool {
+        self.values.iter().any(|stated| stated.key.section == section && stated.key.name != name)
+    }
+}
+
+fn nearest(name: &str, among: impl Iterator<Item = &'static str>) -> &'static str {
+    let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * SIMILARITY_SCALE) as u64;
+    among.max_by_key(similarity).unwrap_or_default()
+}
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,95 +1,75 @@
-//! Every key of the operator's file: where it stands, its default, what it may hold, what it is for. The
+//! The table of all keys of the operator's file: where each stands, its default, and what it may hold. The
 //! shipped file and the operators' page say the same.
 
-use std::net::SocketAddr;
+use crate::value_type::ValueType::{self, Address, Addresses, OneOf, Text};
 
+/// How log lines are written.
+pub(crate) const LOG: &str = "log";
+/// Where configuration versions come from, and how they are rolled out.
+pub(crate) const CONTROL: &str = "control";
+/// Admission control.
+pub(crate) const ADMISSION: &str = "admission";
+
+/// One row of the table.
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Key {
+    /// The section that the key stands in.
     pub section: &'static str,
+    /// The key.
     pub name: &'static str,
-    /// As it would be written; empty for none.
+    /// Its value where it is left out, as it would be written; empty for none.
     pub default: &'static str,
-    /// What is allowed, where a value is not.
-    pub check: fn(&str) -> Result<(), String>,
-}
-
-const fn key(
-    section: &'static str,
-    name: &'static str,
-    default: &'static str,
-    check: fn(&str) -> Result<(), String>,
-) -> Key {
-    Key { section, name, default, check }
+    /// What it may hold.
+    pub value_type: ValueType,
 }
 
-#[rustfmt::skip]
-pub const KEYS: &[Key] = &[
-    key("log",     "format",            "text",    |v| one_of(v, &["text", "json"])),
-    key("control", "services",          "",        |v| addresses(v).map(|_| ()).ok_or(ADDRESSES.to_owned())),
-    key("control", "installation",      "",        |v| length(v, 256)),
-    key("control", "keep_file",         "",        |v| length(v, 4096)),
-    key("control", "status_listen",     "",        address),
-    key("control", "trial_ms",          "60000",   |v| between(v, 1.0, DAY)),
-    key("control", "longest_trial_ms",  "900000",  |v| between(v, 1.0, DAY)),
-    key("control", "least_retrievals",  "30",      |v| whole(v, 1.0, 1e6)),
-    key("control", "margin",            "0.05",    |v| between(v, 0.0, 1.0)),
-    key("control", "count_every_ms",    "1000",    |v| between(v, 10.0, 60_000.0)),
-    key("control", "document_bytes",    "1048576", |v| whole(v, 1024.0, 8_388_608.0)),
-    key("control", "first_wait_ms",     "1000",    |v| between(v, 1.0, DAY)),
-    key("control", "longest_wait_ms",   "60000",   |v| between(v, 1.0, DAY)),
-    key("control", "calls_per_minute",  "10",      |v| whole(v, 1.0, 600.0)),
-    key("control", "call_within_ms",    "15000",   |v| between(v, 10.0, 600_000.0)),
-    key("control", "steady_ms",         "10000",   |v| between(v, 0.0, DAY)),
-    key("control", "suspect_ms",        "300000",  |v| between(v, 0.0, DAY)),
-    key("control", "fleet_brokers",     "1",       |v| whole(v, 1.0, 1e6)),
-    key("control", "fleet_calls_per_s", "100",     |v| between(v, 0.001, 1e6)),
-    key("admission", "door",            "off",     |v| one_of(v, &["off", "on"])),
-    key("admission", "level",           "0.1",     |v| between(v, 0.001, 0.999)),
-    key("admission", "window_ms",       "5000",    |v| between(v, 100.0, 600_000.0)),
-    key("admission", "decrease",        "0.8",     |v| between(v, 0.01, 0.99)),
-    key("admission", "increase",        "0.1",     |v| between(v, 0.001, 1.0)),
-    key("admission", "open_above",      "2",       |v| between(v, 1.0, 100.0)),
-    key("admission", "burst_ms",        "1000",    |v| between(v, 0.0, 600_000.0)),
-    key("admission", "retry_share",     "0.2",     |v| between(v, 0.0, 100.0)),
-    key("admission", "retry_floor",     "3",       |v| between(v, 0.0, 1e6)),
-    key("admission", "most_callers",    "10000",   |v| whole(v, 1.0, 1e7)),
-    key("admission", "shares",          "on",      |v| one_of(v, &["off", "on"])),
-];
-
-const DAY: f64 = 86_400_000.0;
-const ADDRESSES: &str = "addresses as `127.0.0.1:18000`, with commas between them";
-
-fn one_of(value: &str, words: &[&str]) -> Result<(), String> {
-    let allowed = words.iter().map(|word| format!("`{word}`")).collect::<Vec<_>>().join(" or ");
-    if words.contains(&value) { Ok(()) } else { Err(allowed) }
-}
-
-fn between(value: &str, least: f64, most: f64) -> Result<(), String> {
-    match value.parse::<f64>() {
-        Ok(number) if (least..=most).contains(&number) => Ok(()),
-        _ => Err(format!("{least} to {most}")),
+impl Key {
+    /// The row of a key.
+    pub fn find(section: &str, name: &str) -> Option<&'static Key> {
+        KEYS.iter().find(|key| key.section == section && key.name == name)
     }
 }
 
-fn whole(value: &str, least: f64, most: f64) -> Result<(), String> {
-    match value.parse::<u64>() {
-        Ok(number) if (least..=most).contains(&(number as f64)) => Ok(()),
-        _ => Err(format!("a whole number from {least} to {most}")),
-    }
-}
+const DAY_MS: f64 = 86_400_000.0;
 
-fn length(value: &str, most: usize) -> Result<(), String> {
-    if value.len() <= most { Ok(()) } else { Err(format!("text of {most} bytes at most")) }
+const fn number(least: f64, most: f64) -> ValueType {
+    ValueType::Number { least, most }
 }
 
-fn address(value: &str) -> Result<(), String> {
-    if value.is_empty() || value.parse::<SocketAddr>().is_ok() {
-        return Ok(());
-    }
-    Err("an address as `127.0.0.1:18001`".to_owned())
+const fn whole(least: u64, most: u64) -> ValueType {
+    ValueType::Whole { least, most }
 }
 
-/// Addresses with commas between them; none where one can't be read.
-pub fn addresses(value: &str) -> Option<Vec<SocketAddr>> {
-    let words = value.split(',').map(str::trim).filter(|word| !word.is_empty());
-    words.map(|word| word.parse().ok()).collect()
-}
+/// Every key.
+pub const KEYS: &[Key] = &[
+    Key { section: LOG, name: "format", default: "text", value_type: OneOf(&["text", "json"]) },
+    Key { section: CONTROL, name: "services", default: "", value_type: Addresses },
+    Key { section: CONTROL, name: "installation", default: "", value_type: Text { max_bytes: 256 } },
+    Key { section: CONTROL, name: "keep_file", default: "", value_type: Text { max_bytes: 4096 } },
+    Key { section: CONTROL, name: "status_listen", default: "", value_type: Address },
+    Key { section: CONTROL, name: "trial_ms", default: "60000", value_type: number(1.0, DAY_MS) },
+    Key { section: CONTROL, name: "longest_trial_ms", default: "900000", value_type: number(1.0, DAY_MS) },
+    Key { section: CONTROL, name: "least_retrievals", default: "30", value_type: whole(1, 1_000_000) },
+    Key { section: CONTROL, name: "margin", default: "0.05", value_type: number(0.0, 1.0) },
+    Key { section: CONTROL, name: "count_every_ms", default: "1000", value_type: number(10.0, 60_000.0) },
+    Key { section: CONTROL, name: "document_bytes", default: "1048576", value_type: whole(1024, 8_388_608) },
+    Key { section: CONTROL, name: "first_wait_ms", default: "1000", value_type: number(1.0, DAY_MS) },
+    Key { section: CONTROL, name: "longest_wait_ms", default: "60000", value_type: number(1.0, DAY_MS) },
+    Key { section: CONTROL, name: "calls_per_minute", default: "10", value_type: whole(1, 600) },
+    Key { section: CONTROL, name: "call_within_ms", default: "15000", value_type: number(10.0, 600_000.0) },
+    Key { section: CONTROL, name: "steady_ms", default: "10000", value_type: number(0.0, DAY_MS) },
+    Key { section: CONTROL, name: "suspect_ms", default: "300000", value_type: number(0.0, DAY_MS) },
+    Key { section: CONTROL, name: "fleet_brokers", default: "1", value_type: whole(1, 1_000_000) },
+    Key { section: CONTROL, name: "fleet_calls_per_s", default: "100", value_type: number(0.001, 1e6) },
+    Key { section: ADMISSION, name: "door", default: "off", value_type: OneOf(&["off", "on"]) },
+    Key { section: ADMISSION, name: "level", default: "0.1", value_type: number(0.001, 0.999) },
+    Key { section: ADMISSION, name: "window_ms", default: "5000", value_type: number(100.0, 600_000.0) },
+    Key { section: ADMISSION, name: "decrease", default: "0.8", value_type: number(0.01, 0.99) },
+    Key { section: ADMISSION, name: "increase", default: "0.1", value_type: number(0.001, 1.0) },
+    Key { section: ADMISSION, name: "open_above", default: "2", value_type: number(1.0, 100.0) },
+    Key { section: ADMISSION, name: "burst_ms", default: "1000", value_type: number(0.0, 600_000.0) },
+    Key { section: ADMISSION, name: "retry_share", default: "0.2", value_type: number(0.0, 100.0) },
+    Key { section: ADMISSION, name: "retry_floor", default: "3", value_type: number(0.0, 1e6) },
+    Key { section: ADMISSION, name: "most_callers", default: "10000", value_type: whole(1, 10_000_000) },
+    Key { section: ADMISSION, name: "shares", default: "on", value_type: OneOf(&["off", "on"]) },
+];
--- /dev/null
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -0,0 +1,78 @@
+//! The shipped `deploy/operator.ini` of release 0.1 with every line switched on: operators have copies of it,
+//! so each key must be read as it is now. Keys that are shipped empty or off hold an example.
+
+use admission_control::AdmissionConfig;
+use config_rollout::RolloutPolicy;
+use operator_config::{KEYS, LogFormat, RolloutConfig, read};
+use routing::Tenths;
+use rstest::rstest;
+use std::path::PathBuf;
+use std::time::Duration;
+
+const SWITCHED_ON: &str = include_str!("data/operator-switched-on.ini");
+
+fn seconds(count: i64) -> Tenths {
+    Tenths(count * 10_000)
+}
+
+#[rstest]
+fn every_key_is_switched_on() {
+    let stated: Vec<&str> = SWITCHED_ON.lines().filter(|line| !line.starts_with(';')).collect();
+    for key in KEYS {
+        let start = format!("{} = ", key.name);
+        assert!(stated.iter().any(|line| line.starts_with(&start)), "`{}`", key.name);
+    }
+    assert_eq!(stated.iter().filter(|line| line.contains(" = ")).count(), KEYS.len());
+}
+
+#[rstest]
+fn every_value_is_read() {
+    let config = read(SWITCHED_ON).unwrap();
+    assert_eq!(config.log_format, LogFormat::Text);
+    let policy = RolloutPolicy {
+        first_wait: seconds(1),
+        longest_wait: seconds(60),
+        calls: 10,
+        calls_window: seconds(60),
+        call_within: seconds(15),
+        steady: seconds(10),
+        suspect_for: seconds(300),
+        trial: seconds(60),
+        longest_trial: seconds(900),
+        least_ended: 30,
+        margin: 0.05,
+    };
+    let rollout = RolloutConfig {
+        services: vec!["127.0.0.1:18000".parse().unwrap(), "[::1]:18001".parse().unwrap()],
+        installation: "north".to_owned(),
+        policy,
+        max_document_bytes: 1_048_576,
+        sample_interval: Duration::from_secs(1),
+        status_address: Some("127.0.0.1:18002".parse().unwrap()),
+        state_file: Some(PathBuf::from("/var/lib/shard-broker/kept.json")),
+    };
+    assert_eq!(config.rollout, Some(rollout));
+    let admission = AdmissionConfig {
+        level: 0.1,
+        window: seconds(5),
+        decrease: 0.8,
+        increase: 0.1,
+        open_above: 2.0,
+        burst: seconds(1),
+        retry_share: 0.2,
+        retry_floor: 3.0,
+        most_callers: 10_000,
+        shares: true,
+    };
+    assert_eq!(config.admission, Some(admission));
+}
+
+/// With the keys as they are shipped, each section that is left off says what it needs.
+#[rstest]
+fn what_is_left_off_is_named() {
+    let shipped = SWITCHED_ON
+        .replace("services = 127.0.0.1:18000, [::1]:18001", "services =")
+        .replace("door = on", "door = off");
+    let errors: Vec<String> = read(&shipped).unwrap_err().iter().map(ToString::to_string).collect();
+    assert_eq!(errors, ["[admission] needs `door = on`", "[control] needs `services`"]);
+}
