--- a/crates/broker-bench/src/lean.rs
+++ b/crates/broker-bench/src/lean.rs
@@ -1,8 +1,7 @@
 //! `measure lean`: what the platform's program costs, beside an earlier build of it, in turn, on loopback
 //! sockets. Nothing is switched on: a feature that is off must cost nothing.
 
-use node_emulator::Build;
-use node_emulator::net::Served;
+use node_emulator::{NodeServer, NodeSpec};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -61,7 +60,7 @@
 /// A broker with a node that answers at once, and one client; what it used for its queries.
 fn play(program: &Path) -> Result<Cost, String> {
     // A tenth of a millisecond for a shard request, with cores for all that one client has out.
-    let node = Served::start(Build::default(), |_, _| 100).map_err(|e| e.to_string())?;
+    let node = NodeServer::start(NodeSpec::default(), |_, _| 100).map_err(|e| e.to_string())?;
     let address = node.address;
     let folder = std::env::temp_dir().join(format!("broker-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -15,8 +15,10 @@
 use crate::scene::{self, ROLL_LATE};
 use broker::{Running, StartupConfig};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
-use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
-use node_emulator::{Host, JobNo, Load, State, Taken};
+use node_emulator::{
+    DiscoveryCatalog, EmulatedNode, HttpClient, HttpResponse, JobId, LoadReport, NodeEvent, NodeState,
+    ReceivedEvent, ScriptedNode, ShardRequest, SubmitOutcome, query_body, tenant_query_request,
+};
 use routing::{EndpointState, Tenths};
 use serde::Deserialize;
 use serde_json::json;
@@ -112,7 +114,7 @@
 }
 
 /// The reply to a query, and the connection that it came on; none: it broke off.
-type Came = (usize, Option<(Reply, Client)>);
+type Came = (usize, Option<(HttpResponse, HttpClient)>);
 
 struct Day {
     patience: Duration,
@@ -124,25 +126,25 @@
     cut_offs: Vec<u32>,
     /// Tenants have quotas, so that brokers know them by name.
     quotas: bool,
-    catalog: Catalog,
-    nodes: Vec<Node>,
-    hosts: Vec<Host>,
-    heard: mpsc::UnboundedReceiver<(usize, usize, Heard)>,
+    catalog: DiscoveryCatalog,
+    nodes: Vec<ScriptedNode>,
+    hosts: Vec<EmulatedNode>,
+    heard: mpsc::UnboundedReceiver<ReceivedEvent>,
     /// Heard and not yet looked at.
-    inbox: Vec<(usize, usize, Heard)>,
+    inbox: Vec<(usize, usize, NodeEvent)>,
     /// When discovery will tell of a host, and what it told last.
     telling: VecDeque<(Tenths, usize)>,
     told: Vec<(EndpointState, Tenths)>,
     brokers: Vec<Running>,
     /// Idle connections of clients by broker, and since when.
-    idle: Vec<Vec<(Tenths, Client)>>,
+    idle: Vec<Vec<(Tenths, HttpClient)>>,
     waiting: usize,
     came: mpsc::UnboundedReceiver<Came>,
     tell_came: mpsc::UnboundedSender<Came>,
-    finished: BTreeMap<usize, Option<(Reply, Client)>>,
+    finished: BTreeMap<usize, Option<(HttpResponse, HttpClient)>>,
     queries: Vec<Query>,
-    jobs: BTreeMap<JobNo, Job>,
-    job_of: BTreeMap<(usize, usize, String), JobNo>,
+    jobs: BTreeMap<JobId, Job>,
+    job_of: BTreeMap<(usize, usize, String), JobId>,
     next_job: u64,
     hasher: blake3::Hasher,
     audit: Audit,
@@ -151,11 +153,11 @@
 
 impl Day {
     async fn begin(patience: Duration, plan: Plan, staging: &Staging, cast: Cast) -> Result<Day, NoFigure> {
-        let catalog = Catalog::start().await?;
+        let catalog = DiscoveryCatalog::start().await?;
         let (tell, heard) = mpsc::unbounded_channel();
-        let nodes = (0..staging.hosts as usize).map(|at| Node::reserved(at, tell.clone()));
-        let nodes = nodes.collect::<io::Result<Vec<Node>>>()?;
-        let hosts: Vec<Host> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
+        let nodes = (0..staging.hosts as usize).map(|at| ScriptedNode::reserve(at, tell.clone()));
+        let nodes = nodes.collect::<io::Result<Vec<ScriptedNode>>>()?;
+        let hosts: Vec<EmulatedNode> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
         let mut brokers = Vec::new();
         for no in 0..cast.brokers {
             let seed = cast.seed ^ u64::from(no).rotate_left(32);
@@ -253,13 +255,15 @@
     /// entries.
     async fn due(&mut self) -> Result<(), NoFigure> {
         for host in 0..self.hosts.len() {
-            while let Some(no) = self.hosts[host].end(self.now) {
+            while let Some(no) = self.hosts[host].complete(self.now) {
                 let load = self.hosts[host].load(self.now);
                 if let Some(Job { host, line, id, shard_request }) = self.jobs.remove(&no) {
                     self.job_of.remove(&(host, line, id.clone()));
                     self.audit.made(self.now, shard_request);
                     // Its id is its value: a client can tell it from any other shard request's.
-                    self.nodes[host].end_with(line, &id, 'S', &report(load), &format!("v{id}")).await;
+                    self.nodes[host]
+                        .respond_with_load(line, &id, 'S', &report(load), &format!("v{id}"))
+                        .await;
                     self.rest().await?;
                 }
             }
@@ -313,8 +317,8 @@
     }
 
     fn fetch(&mut self) {
-        while let Ok(heard) = self.heard.try_recv() {
-            self.inbox.push(heard);
+        while let Ok(ReceivedEvent { node, connection, event }) = self.heard.try_recv() {
+            self.inbox.push((node, connection, event));
         }
         while let Ok((no, reply)) = self.came.try_recv() {
             self.waiting -= 1;
@@ -332,12 +336,12 @@
         if out != self.jobs.len() + self.new_parts().count() - self.given_up().count() {
             return Some("a part, an end or a withdrawal");
         }
-        (self.catalog.waiting() < self.brokers.len()).then_some("word of the roll")
+        (self.catalog.waiting_requests() < self.brokers.len()).then_some("word of the roll")
     }
 
     fn new_parts(&self) -> impl Iterator<Item = (usize, &ShardRequest)> {
         self.inbox.iter().flat_map(|(host, _, heard)| match heard {
-            Heard::Call(shard_requests) => {
+            NodeEvent::Batch(shard_requests) => {
                 shard_requests.iter().map(|shard_request| (*host, shard_request)).collect::<Vec<_>>()
             }
             _ => Vec::new(),
@@ -347,11 +351,11 @@
     /// Withdrawals in the inbox of what is at the host, or in the inbox before it.
     fn given_up(&self) -> impl Iterator<Item = (usize, &str)> {
         self.inbox.iter().enumerate().filter_map(|(at, (host, line, heard))| {
-            let Heard::GiveUp(id) = heard else { return None };
+            let NodeEvent::Cancel(id) = heard else { return None };
             let held = self.job_of.contains_key(&(*host, *line, id.clone()));
             let before = self.inbox[..at].iter().any(|(h, l, heard)| {
                 (h, l) == (host, line)
-                    && matches!(heard, Heard::Call(shard_requests) if shard_requests.iter().any(|p| p.id == *id))
+                    && matches!(heard, NodeEvent::Batch(shard_requests) if shard_requests.iter().any(|p| p.id == *id))
             });
             (held || before).then_some((*host, &id[..]))
         })
@@ -382,7 +386,7 @@
     /// Looks at what came: at hosts by number, then connections by the queries that they brought, each in
     /// the order in which it came; then at clients.
     async fn look(&mut self) -> Result<(), NoFigure> {
-        let mut groups: BTreeMap<(usize, usize), Vec<Heard>> = BTreeMap::new();
+        let mut groups: BTreeMap<(usize, usize), Vec<NodeEvent>> = BTreeMap::new();
         for (host, line, heard) in std::mem::take(&mut self.inbox) {
             groups.entry((host, line)).or_default().push(heard);
         }
@@ -393,18 +397,18 @@
         for ((host, line), heard) in groups {
             for heard in heard {
                 match heard {
-                    Heard::Call(shard_requests) => {
+                    NodeEvent::Batch(shard_requests) => {
                         for shard_request in shard_requests {
                             self.arrive(host, line, &shard_request).await?;
                         }
                     }
-                    Heard::GiveUp(id) => {
+                    NodeEvent::Cancel(id) => {
                         if let Some(no) = self.job_of.remove(&(host, line, id)) {
                             self.jobs.remove(&no);
-                            self.hosts[host].give_up(self.now, no);
+                            self.hosts[host].cancel(self.now, no);
                         }
                     }
-                    Heard::Closed | Heard::Probe | Heard::Other => {}
+                    NodeEvent::Closed | NodeEvent::LoadProbe | NodeEvent::Unknown => {}
                 }
             }
         }
@@ -435,28 +439,28 @@
         let (no, us) = self.part_of(&shard_request.id).unwrap_or((PartNo(usize::MAX), 0));
         self.audit.arrived(self.now, self.now, no, self.told[host]);
         self.next_job += 1;
-        let job = JobNo(self.next_job);
-        let taken = self.hosts[host].take(self.now, job, us);
-        if self.hosts[host].is_cold(self.now) {
-            self.audit.strained(self.now, self.hosts[host].strain());
+        let job = JobId(self.next_job);
+        let taken = self.hosts[host].submit(self.now, job, us);
+        if self.hosts[host].is_warming_up(self.now) {
+            self.audit.strained(self.now, self.hosts[host].overload_ratio());
         }
         match taken {
-            Taken::Begun | Taken::Queued => {
+            SubmitOutcome::Started | SubmitOutcome::Queued => {
                 self.audit.taken(self.now, no);
                 // The same shard request again on one connection: the broker waits for the newer alone.
                 if let Some(older) = self.job_of.insert((host, line, shard_request.id.clone()), job) {
                     self.jobs.remove(&older);
-                    self.hosts[host].give_up(self.now, older);
+                    self.hosts[host].cancel(self.now, older);
                 }
                 self.jobs.insert(job, Job { host, line, id: shard_request.id.clone(), shard_request: no });
             }
-            Taken::Refused => {
+            SubmitOutcome::Refused => {
                 let load = report(self.hosts[host].load(self.now));
-                self.nodes[host].end_with(line, &shard_request.id, 'B', &load, "").await;
+                self.nodes[host].respond_with_load(line, &shard_request.id, 'B', &load, "").await;
             }
             // It fell while this was on its way.
-            Taken::Unreachable => {}
-            Taken::FellOver => {
+            SubmitOutcome::Unreachable => {}
+            SubmitOutcome::Collapsed => {
                 self.audit.fell_over(self.now);
                 self.fall(host).await?;
             }
@@ -465,12 +469,12 @@
     }
 
     async fn fall(&mut self, host: usize) -> Result<(), NoFigure> {
-        for no in self.hosts[host].die() {
+        for no in self.hosts[host].crash() {
             if let Some(job) = self.jobs.remove(&no) {
                 self.job_of.remove(&(job.host, job.line, job.id));
             }
         }
-        self.nodes[host].fall().await?;
+        self.nodes[host].stop().await?;
         self.telling.push_back((self.now + ROLL_LATE, host));
         Ok(())
     }
@@ -492,7 +496,7 @@
                 return self.tell(host).await;
             }
             HostEvent::Death => self.fall(host).await?,
-            HostEvent::Slow(share) => self.hosts[host].slow(share),
+            HostEvent::Slow(share) => self.hosts[host].slow_down(share),
         }
         self.rest().await
     }
@@ -501,11 +505,11 @@
     async fn tell(&mut self, host: usize) -> Result<(), NoFigure> {
         let state = self.hosts[host].state();
         let phase = match state {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Dead => "gone",
+            NodeState::Ready => "ready",
+            NodeState::Draining => "draining",
+            NodeState::Down => "gone",
         };
-        let started = self.hosts[host].started().map(|at| (SINCE + at).as_ms());
+        let started = self.hosts[host].started_at().map(|at| (SINCE + at).as_ms());
         let id = format!("h-{host}");
         let entry = json!({"id": id, "host_port": self.nodes[host].address.to_string(), "locality": "hall",
             "cell": host as u32 % self.cast.cells, "phase": phase, "up_since_ms": started.unwrap_or(0.0)});
@@ -526,10 +530,10 @@
         let shard_requests = told.iter().map(|(shard, _, us)| (*shard, *us)).collect();
         self.queries.push(Query { broker, of, first, shard_requests });
         let slices: Vec<(u32, f64)> = told.iter().map(|(shard, weight, _)| (*shard, *weight)).collect();
-        let (left, body) = (u64::from(self.cut_offs[class]), script::body(&slices, "x"));
+        let (left, body) = (u64::from(self.cut_offs[class]), query_body(&slices, "x"));
         let by = scene::tenant_name(tenant);
         let by = Some(&by[..]).filter(|_| self.quotas);
-        let request = script::request_of(by, &format!("r{no}"), &self.names[class], left, &body);
+        let request = tenant_query_request(by, &format!("r{no}"), &self.names[class], left, &body);
         let fresh = self.idle[broker].pop().filter(|(since, _)| self.now - *since < IDLE);
         if fresh.is_none() {
             self.idle[broker].clear();
@@ -540,10 +544,10 @@
             let asked = async {
                 let mut client = match fresh {
                     Some((_, client)) => client,
-                    None => Client::to(listens).await.ok()?,
+                    None => HttpClient::connect(listens).await.ok()?,
                 };
                 client.write(&request).await.ok()?;
-                let reply = client.reply().await?;
+                let reply = client.read_response().await?;
                 Some((reply, client))
             };
             // The day may have been given up.
@@ -556,7 +560,7 @@
         Tenths::from_ms(f64::from(self.cut_offs[class]))
     }
 
-    fn end(&mut self, no: usize, reply: Option<(Reply, Client)>) {
+    fn end(&mut self, no: usize, reply: Option<(HttpResponse, HttpClient)>) {
         let Query { broker, of, first, ref shard_requests } = self.queries[no];
         let (status, body) = reply.as_ref().map_or((0, ""), |(reply, _)| (reply.status, &reply.body[..]));
         let end = match status {
@@ -588,8 +592,8 @@
     }
 }
 
-fn report(load: Load) -> String {
-    format!("queue={},qps={},inflight={}", load.queue, load.qps, load.inflight)
+fn report(load: LoadReport) -> String {
+    load.to_string()
 }
 
 /// `r17.3`: query 17, shard 3.
@@ -599,13 +603,13 @@
 }
 
 /// The first query that something heard is about.
-fn first_of(heard: &Heard) -> Option<usize> {
+fn first_of(heard: &NodeEvent) -> Option<usize> {
     match heard {
-        Heard::Call(shard_requests) => {
+        NodeEvent::Batch(shard_requests) => {
             shard_requests.iter().filter_map(|shard_request| Some(numbers(&shard_request.id)?.0)).min()
         }
-        Heard::GiveUp(id) => numbers(id).map(|(no, _)| no),
-        Heard::Other | Heard::Probe | Heard::Closed => None,
+        NodeEvent::Cancel(id) => numbers(id).map(|(no, _)| no),
+        NodeEvent::Unknown | NodeEvent::LoadProbe | NodeEvent::Closed => None,
     }
 }
 
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -101,8 +101,8 @@
 /// among what was just heard. Without this a day is the same only as long as the kernel is quick.
 #[rstest]
 #[case(|day: &mut Day| day.waiting += 1, "a request or an answer")]
-#[case(|day: &mut Day| _ = day.jobs.insert(JobNo(9), Job { host: 0, line: 0, id: "r0.1".into(), shard_request: PartNo(0) }), "a part")]
-#[case(|day: &mut Day| day.inbox.push((0, 0, Heard::Call(vec![shard_request()]))), "a part")]
+#[case(|day: &mut Day| _ = day.jobs.insert(JobId(9), Job { host: 0, line: 0, id: "r0.1".into(), shard_request: PartNo(0) }), "a part")]
+#[case(|day: &mut Day| day.inbox.push((0, 0, NodeEvent::Batch(vec![shard_request()]))), "a part")]
 fn the_clock_stands_while_anything_is_under_way(#[case] put: fn(&mut Day), #[case] what: &str) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
--- a/crates/broker-bench/src/rehearse.rs
+++ b/crates/broker-bench/src/rehearse.rs
@@ -11,7 +11,7 @@
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use cluster_trace::plan::{Happens, HostEvent, Plan, Staging};
 use fault_scenarios::{Change, Clients, Fleet, Moment};
-use node_emulator::{Cancel, Host, JobNo, State, Taken};
+use node_emulator::{Cancel, EmulatedNode, JobId, NodeState, SubmitOutcome};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
     EndpointList, EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId,
@@ -153,13 +153,13 @@
     plan: Plan,
     cast: Cast,
     seats: Vec<Seat>,
-    hosts: Vec<Host>,
+    hosts: Vec<EmulatedNode>,
     host_due: Vec<Option<Tenths>>,
     /// What the endpoint list last told of each host, and when.
     told: Vec<(EndpointState, Tenths)>,
-    host_jobs: BTreeMap<JobNo, (usize, ShardRequestId, AttemptNumber, usize)>,
+    host_jobs: BTreeMap<JobId, (usize, ShardRequestId, AttemptNumber, usize)>,
     next_job: u64,
-    jobs_of: BTreeMap<(usize, ShardRequestId, AttemptNumber), JobNo>,
+    jobs_of: BTreeMap<(usize, ShardRequestId, AttemptNumber), JobId>,
     /// By their ids, which count up from 0.
     shard_requests: Vec<ShardRequest>,
     queries: Vec<Query>,
@@ -199,7 +199,7 @@
             Seat { decider, heard: Vec::new(), last_turn: Tenths(-PERIOD.0), turn_at: None, wake_at: None }
         };
         let seats = (0..cast.brokers).map(seat).collect();
-        let hosts: Vec<Host> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
+        let hosts: Vec<EmulatedNode> = (0..staging.hosts).map(|_| scene::dead_host(&cast)).collect();
         let mut world = World {
             now: Tenths(0),
             order: 0,
@@ -308,7 +308,7 @@
             Event::Withdrawn { broker, shard_request, attempt } => {
                 let Some(job) = self.jobs_of.remove(&(broker, shard_request, attempt)) else { return };
                 if let Some((.., host)) = self.host_jobs.remove(&job) {
-                    self.hosts[host].give_up(self.now, job);
+                    self.hosts[host].cancel(self.now, job);
                     self.plan_end(host);
                 }
             }
@@ -327,7 +327,7 @@
             Event::HostEnd(host) if self.host_due[host] != Some(self.now) => {}
             Event::HostEnd(host) => {
                 self.host_due[host] = None;
-                while let Some(job) = self.hosts[host].end(self.now) {
+                while let Some(job) = self.hosts[host].complete(self.now) {
                     if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
                         self.jobs_of.remove(&(broker, shard_request, attempt));
                         if self.weather.spoils(host) {
@@ -428,7 +428,7 @@
                 Change::Starts => self.rise(host),
                 Change::Nothing => {}
             },
-            Do::Speed { host, share } => self.hosts[host].slow(share),
+            Do::Speed { host, share } => self.hosts[host].slow_down(share),
             Do::Pause { host } => {
                 let every = self.weather.books[host].pauses().map_or(0, |(_, every)| every);
                 let first = Tenths(every).times(self.weather.lot());
@@ -436,7 +436,7 @@
             }
             // What it had is lost without a word.
             Do::Silent { host } => {
-                for job in self.hosts[host].die() {
+                for job in self.hosts[host].crash() {
                     if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
                         self.jobs_of.remove(&(broker, shard_request, attempt));
                     }
@@ -455,14 +455,14 @@
         if book.standing() == fault_scenarios::Standing::Ready && !book.is_silent() {
             let speed = book.speed();
             self.hosts[host].start(self.now);
-            self.hosts[host].slow(speed);
+            self.hosts[host].slow_down(speed);
             self.tell_later(host, ROLL_LATE);
         }
     }
 
     fn stand_still(&mut self, host: usize) {
         let Some((stands, every)) = self.weather.books[host].pauses() else { return };
-        self.hosts[host].stand_still(self.now, self.now + Tenths(stands));
+        self.hosts[host].pause(self.now, self.now + Tenths(stands));
         self.plan_end(host);
         self.at(self.now + Tenths(every.max(1)), Event::Still(host));
     }
@@ -529,13 +529,13 @@
                 self.tell_later(host, TRIP);
             }
             HostEvent::Death => self.fall(host),
-            HostEvent::Slow(share) => self.hosts[host].slow(share),
+            HostEvent::Slow(share) => self.hosts[host].slow_down(share),
         }
     }
 
     /// Its process is gone, and what it had is dropped; the endpoint list tells of it late.
     fn fall(&mut self, host: usize) {
-        for job in self.hosts[host].die() {
+        for job in self.hosts[host].crash() {
             if let Some((broker, shard_request, attempt, _)) = self.host_jobs.remove(&job) {
                 self.jobs_of.remove(&(broker, shard_request, attempt));
                 self.send_back(broker, shard_request, attempt, host, 4);
@@ -571,7 +571,7 @@
             zone: ZoneId(self.weather.hall_of(host) as u16),
             placement_group: PlacementGroupId(host as u32 % self.cast.cells),
             state: scene::endpoint_state(self.hosts[host].state()),
-            started_at: self.hosts[host].started(),
+            started_at: self.hosts[host].started_at(),
         }
     }
 
@@ -588,7 +588,7 @@
     }
 
     fn plan_end(&mut self, host: usize) {
-        if let Some(end) = self.hosts[host].next_end()
+        if let Some(end) = self.hosts[host].next_completion()
             && self.host_due[host].is_none_or(|due| due != end)
         {
             self.host_due[host] = Some(end);
@@ -602,17 +602,17 @@
             self.shard_requests[no.0].attempts.get(attempt.0 as usize).map_or(self.now, |attempt| attempt.1);
         self.audit.arrived(self.now, sent, no, self.told[host]);
         self.next_job += 1;
-        let job = JobNo(self.next_job);
+        let job = JobId(self.next_job);
         let (us, counts) = (self.shard_requests[no.0].us, self.counts(no));
         let taken = match self.weather.books[host].refuses() {
-            true => Taken::Refused,
-            false => self.hosts[host].take_as(self.now, job, us, counts),
+            true => SubmitOutcome::Refused,
+            false => self.hosts[host].submit_counted_as(self.now, job, us, counts),
         };
-        if self.hosts[host].is_cold(self.now) {
-            self.audit.strained(self.now, self.hosts[host].strain());
+        if self.hosts[host].is_warming_up(self.now) {
+            self.audit.strained(self.now, self.hosts[host].overload_ratio());
         }
         let end = match taken {
-            Taken::Begun | Taken::Queued => {
+            SubmitOutcome::Started | SubmitOutcome::Queued => {
                 self.audit.taken(self.now, no);
                 self.host_jobs.insert(job, (broker, shard_request, attempt, host));
                 self.jobs_of.insert((broker, shard_request, attempt), job);
@@ -623,9 +623,9 @@
                 }
                 return self.plan_end(host);
             }
-            Taken::Refused => 1,
-            Taken::Unreachable => 3,
-            Taken::FellOver => {
+            SubmitOutcome::Refused => 1,
+            SubmitOutcome::Unreachable => 3,
+            SubmitOutcome::Collapsed => {
                 self.audit.fell_over(self.now);
                 self.fall(host);
                 4
@@ -805,14 +805,14 @@
 }
 
 impl Standings {
-    pub fn of(hosts: &[Host], now: Tenths) -> Standings {
+    pub fn of(hosts: &[EmulatedNode], now: Tenths) -> Standings {
         let mut standings = Standings::default();
         for host in hosts {
             let count = match host.state() {
-                State::Ready if host.is_cold(now) => &mut standings.cold,
-                State::Ready => &mut standings.warm,
-                State::Draining => &mut standings.draining,
-                State::Dead => &mut standings.gone,
+                NodeState::Ready if host.is_warming_up(now) => &mut standings.cold,
+                NodeState::Ready => &mut standings.warm,
+                NodeState::Draining => &mut standings.draining,
+                NodeState::Down => &mut standings.gone,
             };
             *count += 1;
         }
--- a/crates/broker-bench/src/scene.rs
+++ b/crates/broker-bench/src/scene.rs
@@ -5,7 +5,7 @@
 use crate::outcome::Worth;
 use crate::rehearse::Cast;
 use cluster_trace::plan::{Repeats, Staging};
-use node_emulator::{Build, Host, State};
+use node_emulator::{EmulatedNode, NodeSpec, NodeState};
 use routing::{
     BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
     ShardLayout, Tenant, TenantId, Tenths,
@@ -59,27 +59,27 @@
     format!("u{no}")
 }
 
-pub fn build(cast: &Cast) -> Build {
-    Build { cores: cast.cores, warm_jobs: cast.warm_jobs, cancel: cast.cancel, ..Build::default() }
+pub fn build(cast: &Cast) -> NodeSpec {
+    NodeSpec { cores: cast.cores, warm_up_jobs: cast.warm_jobs, cancel: cast.cancel, ..NodeSpec::default() }
 }
 
 /// One that runs since long ago.
-pub fn warm_host(cast: &Cast) -> Host {
-    Host::new(build(cast), None)
+pub fn warm_host(cast: &Cast) -> EmulatedNode {
+    EmulatedNode::new(build(cast), None)
 }
 
 /// One without a process.
-pub fn dead_host(cast: &Cast) -> Host {
+pub fn dead_host(cast: &Cast) -> EmulatedNode {
     let mut host = warm_host(cast);
-    host.die();
+    host.crash();
     host
 }
 
-pub fn endpoint_state(state: State) -> EndpointState {
+pub fn endpoint_state(state: NodeState) -> EndpointState {
     match state {
-        State::Ready => EndpointState::Ready,
-        State::Draining => EndpointState::Draining,
-        State::Dead => EndpointState::Removed,
+        NodeState::Ready => EndpointState::Ready,
+        NodeState::Draining => EndpointState::Draining,
+        NodeState::Down => EndpointState::Removed,
     }
 }
 
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -2,8 +2,7 @@
 //! told apart from outside.
 
 use config_rollout_client::csds::{Told, ask};
-use node_emulator::Build;
-use node_emulator::net::Served;
+use node_emulator::{NodeServer, NodeSpec};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -25,8 +24,8 @@
 }
 
 /// A host of cell 0 that answers every shard request within a tenth of a millisecond.
-pub fn node() -> Served {
-    Served::start(Build::default(), |_, _| 100).unwrap()
+pub fn node() -> NodeServer {
+    NodeServer::start(NodeSpec::default(), |_, _| 100).unwrap()
 }
 
 /// Version `number`: its shards and its time to stay away tell it from every other. Even shards lie in cell
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -66,7 +66,7 @@
     play(async {
         let mut stage = Stage::with(1, |c| c["known"]["members"] = json!([]), |_| ()).await;
         stage.discovery.called().await;
-        let text = request("gone", "lookup", 100_000, &body(ONE));
+        let text = query_request("gone", "lookup", 100_000, &body(ONE));
         let mut client = TcpStream::connect(stage.broker.listens).await.unwrap();
         let (first, last) = text.split_at(text.len() - 1);
         client.write_all(first.as_bytes()).await.unwrap();
@@ -135,12 +135,13 @@
     play(async {
         let mut stage = Stage::new(1).await;
         let mut client = TcpStream::connect(stage.broker.listens).await.unwrap();
-        let last = request("a", "lookup", 100_000, &body(ONE)).replace("Host:", "Connection: close\r\nHost:");
-        let text = last + &request("b", "lookup", 100_000, &body(BOTH));
+        let last =
+            query_request("a", "lookup", 100_000, &body(ONE)).replace("Host:", "Connection: close\r\nHost:");
+        let text = last + &query_request("b", "lookup", 100_000, &body(BOTH));
         client.write_all(text.as_bytes()).await.unwrap();
         let (node, line, shard_requests) = stage.call().await;
         assert_eq!(shard_requests[0].id, "a.3");
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         let told = to_end(client).await;
         assert!(told.starts_with("HTTP/1.1 200"), "{told}");
         assert!(stage.is_silent());
@@ -155,14 +156,14 @@
     play(async {
         let mut stage = Stage::new(1).await;
         let mut client = TcpStream::connect(stage.broker.listens).await.unwrap();
-        client.write_all(request("a", "lookup", 100_000, &body(ONE)).as_bytes()).await.unwrap();
+        client.write_all(query_request("a", "lookup", 100_000, &body(ONE)).as_bytes()).await.unwrap();
         let (_, line, _) = stage.call().await;
         client.write_all(&vec![b'x'; 100_000]).await.unwrap();
         let listens = stage.broker.listens;
         let left = actix_rt::spawn(stage.broker.leave());
         // The front closes once the listener is gone.
         soon(async { while TcpStream::connect(listens).await.is_ok() {} }).await;
-        stage.nodes[0].end(line, "a.3", 'S', "the value").await;
+        stage.nodes[0].respond(line, "a.3", 'S', "the value").await;
         let told = to_end(client).await;
         assert!(told.starts_with("HTTP/1.1 200") && told.contains("the value"), "{told}");
         soon(left).await.unwrap();
@@ -181,11 +182,11 @@
         for round in 0..5 {
             let mut client = stage.ask("a", "lookup", ONE).await;
             let line = loop {
-                if let (_, line, Heard::Call(_)) = stage.next().await {
+                if let (_, line, NodeEvent::Batch(_)) = stage.next().await {
                     break line;
                 }
             };
-            stage.nodes[0].end(line, "a.3", 'S', "v").await;
+            stage.nodes[0].respond(line, "a.3", 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200, "round {round}");
             until(|| stage.broker.engine.count_out() == 0).await;
             pause(20).await; // turns are 5 ms apart: the next is at once
@@ -194,11 +195,11 @@
             let taken = stage.broker.engine.take(question("once", 2, Bytes::from_static(b"q"))).unwrap();
             let answered = actix_rt::spawn(taken.verdict());
             let line = loop {
-                if let (_, line, Heard::Call(_)) = stage.next().await {
+                if let (_, line, NodeEvent::Batch(_)) = stage.next().await {
                     break line;
                 }
             };
-            stage.nodes[0].end(line, "once.3", 'S', "v").await;
+            stage.nodes[0].respond(line, "once.3", 'S', "v").await;
             let verdict = soon(answered).await.unwrap();
             assert!(
                 matches!(verdict, QueryOutcome::Response { whole: true, .. }),
@@ -293,16 +294,16 @@
         stage.nodes[first].close(line);
         if again {
             let (second, line) = loop {
-                if let (node, line, Heard::Call(_)) = stage.next().await {
+                if let (node, line, NodeEvent::Batch(_)) = stage.next().await {
                     break (node, line);
                 }
             };
-            stage.nodes[second].end(line, "a.3", 'S', "v").await;
+            stage.nodes[second].respond(line, "a.3", 'S', "v").await;
         }
         let status = client.reply().await.unwrap().status;
         assert_eq!(status == 200, again, "{status}");
-        while let Ok((_, _, heard)) = stage.heard.try_recv() {
-            assert!(!matches!(heard, Heard::Call(_)), "sent once more");
+        while let Ok(received) = stage.heard.try_recv() {
+            assert!(!matches!(received.event, NodeEvent::Batch(_)), "sent once more");
         }
     });
 }
@@ -318,10 +319,11 @@
         )
         .await;
         let mut client = stage.client().await;
-        let text = request("a", "lookup", 9000, &body(ONE)).replace("Host:", "X-Account: theirs\r\nHost:");
+        let text =
+            query_request("a", "lookup", 9000, &body(ONE)).replace("Host:", "X-Account: theirs\r\nHost:");
         client.write(&text).await;
         let (node, line, _) = stage.call().await;
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
     });
 }
@@ -477,7 +479,7 @@
         std::fs::write(&file, config(&stage.nodes, nowhere).to_string()).unwrap();
         let mut program = Program::start(&file, nowhere);
         let mut client = Client::to(program.listens).await;
-        client.write(&request("a", "once", 100_000, &body(ONE))).await;
+        client.write(&query_request("a", "once", 100_000, &body(ONE))).await;
         stage.call().await;
         for signal in ["TERM", "HUP", "TERM"] {
             program.signal(signal);
@@ -505,9 +507,9 @@
         client.write_all(HEALTH.as_bytes()).unwrap();
         assert!(client.read(&mut [0; 1024]).unwrap() > 0);
         program.signal("TERM");
-        client.write_all(request("a", "once", 100_000, &body(ONE)).as_bytes()).unwrap();
+        client.write_all(query_request("a", "once", 100_000, &body(ONE)).as_bytes()).unwrap();
         let (_, line, _) = stage.call().await;
-        stage.nodes[0].end(line, "a.3", 'S', "the value").await;
+        stage.nodes[0].respond(line, "a.3", 'S', "the value").await;
         client.set_nonblocking(true).unwrap();
         let mut client = TcpStream::from_std(client).unwrap();
         let mut told = vec![0; 1024];
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -23,15 +23,15 @@
         let mut client = stage.client().await;
         let body = r#"{"slices":[{"slice":3,"mass":0.7,"micros":9000,"term":"00ff"},{"slice":9,"mass":0.3}],
             "filter":"a\n\"ü\" \u00e9","more":[1]}"#;
-        client.write(&request("9b1f", "lookup", 9000, body)).await;
+        client.write(&query_request("9b1f", "lookup", 9000, body)).await;
         let (_, line, shard_requests) = stage.call().await;
         let told: Vec<(&str, u32, &str)> =
             shard_requests.iter().map(|p| (&p.id[..], p.shard, &p.text[..])).collect();
         assert_eq!(told, [("9b1f.3", 3, "a\n\"ü\" é"), ("9b1f.9", 9, "a\n\"ü\" é")]);
         let wait: u64 = shard_requests[0].list.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((1..9000).contains(&wait), "{wait}");
-        stage.nodes[0].end(line, "9b1f.9", 'S', "plain").await;
-        stage.nodes[0].end(line, "9b1f.3", 'S', "\"quoted\"\\ü\n").await;
+        stage.nodes[0].respond(line, "9b1f.9", 'S', "plain").await;
+        stage.nodes[0].respond(line, "9b1f.3", 'S', "\"quoted\"\\ü\n").await;
         let reply = client.reply().await.unwrap();
         assert_eq!(reply.status, 200);
         let items = json!([{"slice": 3, "body": "\"quoted\"\\ü\n"}, {"slice": 9, "body": "plain"}]);
@@ -72,14 +72,14 @@
         let (node, line, _) = stage.call().await;
         let left = Instant::now();
         drop(client);
-        assert_eq!(stage.next().await, (node, line, Heard::GiveUp("a.3".to_owned())));
+        assert_eq!(stage.next().await, (node, line, NodeEvent::Cancel("a.3".to_owned())));
         assert!(left.elapsed() < Duration::from_secs(5), "that was its time-out");
         assert_eq!(stage.broker.engine.open_queries(), 0);
         // A value that comes all the same is nobody's; the connection serves on.
-        stage.nodes[node].end(line, "a.3", 'S', "late").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "late").await;
         let mut other = stage.ask("b", "lookup", ONE).await;
         assert_eq!(stage.call().await.1, line);
-        stage.nodes[node].end(line, "b.3", 'S', "in time").await;
+        stage.nodes[node].respond(line, "b.3", 'S', "in time").await;
         assert!(other.reply().await.unwrap().body.contains("in time"));
     });
 }
@@ -89,26 +89,26 @@
 #[case("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 405)]
 #[case("POST /_health HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405)]
 #[case("no request at all\r\n\r\n", 400)]
-#[case(&request("a b", "lookup", 900, &body(ONE)), 400)]
-#[case(&request("", "lookup", 900, &body(ONE)), 400)]
-#[case(&request("a", "unheard-of", 900, &body(ONE)), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: soon"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("X-Time-Left-Ms: ", "X-Time-Left-Ms: +"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("X-Time", "X-Time-Left-Ms: 5\r\nX-Time"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Host", "X-Correlation-Id: b\r\nHost"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Host", "Upgrade: websocket\r\nHost"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Host", "Transfer-Encoding: chunked\r\nHost"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Host", "Content-Length: 0\r\nHost"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Length: ", "Length: +"), 400)]
-#[case(&request("a", "lookup", 900, &body(ONE)).replace("Length: ", "Length: -"), 400)]
-#[case(&request("a", "lookup", 900, "{\"slices\":"), 400)]
-#[case(&request("a", "lookup", 900, &body(&[])), 400)]
-#[case(&request("a", "lookup", 900, &body(&[(3, 0.5), (3, 0.5)])), 400)]
-#[case(&request("a", "lookup", 900, &body(&[(16, 1.0)])), 400)]
-#[case(&request("a", "lookup", 900, &body(&[(3, 0.4), (4, 0.4)])), 400)]
-#[case(&request("a", "lookup", 900, &body(&[(3, 1.5), (4, -0.5)])), 400)]
-#[case(&request("a", "lookup", 900, &body(&[(3, 1.005)])), 400)]
-#[case(&request("a", "lookup", 900, &" ".repeat(64 * 1024 + 1)), 413)]
+#[case(&query_request("a b", "lookup", 900, &body(ONE)), 400)]
+#[case(&query_request("", "lookup", 900, &body(ONE)), 400)]
+#[case(&query_request("a", "unheard-of", 900, &body(ONE)), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: soon"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("X-Time-Left-Ms: ", "X-Time-Left-Ms: +"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("X-Time", "X-Time-Left-Ms: 5\r\nX-Time"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Host", "X-Correlation-Id: b\r\nHost"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Host", "Upgrade: websocket\r\nHost"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Host", "Transfer-Encoding: chunked\r\nHost"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Host", "Content-Length: 0\r\nHost"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Length: ", "Length: +"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(ONE)).replace("Length: ", "Length: -"), 400)]
+#[case(&query_request("a", "lookup", 900, "{\"slices\":"), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[])), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[(3, 0.5), (3, 0.5)])), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[(16, 1.0)])), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[(3, 0.4), (4, 0.4)])), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[(3, 1.5), (4, -0.5)])), 400)]
+#[case(&query_request("a", "lookup", 900, &body(&[(3, 1.005)])), 400)]
+#[case(&query_request("a", "lookup", 900, &" ".repeat(64 * 1024 + 1)), 413)]
 #[case("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n", 413)]
 #[case(&format!("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n{}", " ".repeat(200_000)), 413)]
 #[case(&format!("GET /_health HTTP/1.1\r\nHost: x\r\nX: {}", "x".repeat(100_000)), 431)]
@@ -121,7 +121,7 @@
         assert!(stage.is_silent());
         let mut other = stage.ask("a", "lookup", ONE).await;
         let (node, line, _) = stage.call().await;
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!(other.reply().await.unwrap().status, 200);
     });
 }
@@ -148,20 +148,20 @@
         let (first, line, _) = stage.call().await;
         match end {
             "dropped" => stage.nodes[first].close(line),
-            "error" => stage.nodes[first].end(line, "a.3", 'E', "").await,
-            "turned away" => stage.nodes[first].end(line, "a.3", 'B', "").await,
+            "error" => stage.nodes[first].respond(line, "a.3", 'E', "").await,
+            "turned away" => stage.nodes[first].respond(line, "a.3", 'B', "").await,
             _ => stage.nodes[first].write(line, &u32::MAX.to_le_bytes()).await,
         }
         if again {
             let (second, line, shard_requests) = loop {
                 match stage.next().await {
-                    (node, line, Heard::Call(shard_requests)) => break (node, line, shard_requests),
-                    (_, _, Heard::Closed) => {}
+                    (node, line, NodeEvent::Batch(shard_requests)) => break (node, line, shard_requests),
+                    (_, _, NodeEvent::Closed) => {}
                     other => panic!("{other:?}"),
                 }
             };
             assert_ne!(first, second);
-            stage.nodes[second].end(line, &shard_requests[0].id, 'S', "v").await;
+            stage.nodes[second].respond(line, &shard_requests[0].id, 'S', "v").await;
         }
         assert_eq!(client.reply().await.unwrap().status, status);
     });
@@ -170,13 +170,13 @@
 /// What can't be told apart any more is given up with all that is out beside it, and had elsewhere: nothing
 /// that may be cut or swollen is passed on, and nothing waits for its time-out.
 #[rstest]
-#[case::not_a_length(framed(b"", 0))]
-#[case::a_length_that_promises_more(framed(b"5a.3 S 7 -\nbad", 40))]
-#[case::an_id_that_none_waits_for(framed(b"5b.3 S 7 -\nbad", 0))]
-#[case::no_end(framed(b"5a.3 S 7 -", 0))]
-#[case::swollen([framed(b"5a.3 S 7 -\nbad", 1), framed(b"5a.9 S 7 -\nbad", 0)].concat())]
-#[case::cut(framed(b"5a.3 S 7 -\nbad", -1))]
-#[case::noise_behind_while_more_is_out([framed(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
+#[case::not_a_length(encode_frame(b"", 0))]
+#[case::a_length_that_promises_more(encode_frame(b"5a.3 S 7 -\nbad", 40))]
+#[case::an_id_that_none_waits_for(encode_frame(b"5b.3 S 7 -\nbad", 0))]
+#[case::no_end(encode_frame(b"5a.3 S 7 -", 0))]
+#[case::swollen([encode_frame(b"5a.3 S 7 -\nbad", 1), encode_frame(b"5a.9 S 7 -\nbad", 0)].concat())]
+#[case::cut(encode_frame(b"5a.3 S 7 -\nbad", -1))]
+#[case::noise_behind_while_more_is_out([encode_frame(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
 fn has_elsewhere_what_came_spoilt(#[case] bytes: Vec<u8>) {
     play(async {
         let soon = |order: &mut StartupConfig| order.limits.half_frame = Duration::from_millis(50);
@@ -188,11 +188,11 @@
         stage.nodes[first].write(line, &bytes).await;
         let mut told = 0;
         while told < 2 {
-            let (node, line, Heard::Call(shard_requests)) = stage.next().await else { continue };
+            let (node, line, NodeEvent::Batch(shard_requests)) = stage.next().await else { continue };
             assert_ne!(node, first);
             for shard_request in shard_requests {
                 told += 1;
-                stage.nodes[node].end(line, &shard_request.id, 'S', "good").await;
+                stage.nodes[node].respond(line, &shard_request.id, 'S', "good").await;
             }
         }
         let reply = client.reply().await.unwrap();
@@ -214,9 +214,9 @@
         let mut second = stage.ask("b", "lookup", ONE).await;
         let (_, line, _) = stage.call().await;
         assert_ne!(line, silent);
-        stage.nodes[0].end(line, "b.3", 'S', "v").await;
+        stage.nodes[0].respond(line, "b.3", 'S', "v").await;
         assert_eq!(second.reply().await.unwrap().status, 200);
-        stage.nodes[0].end(silent, "a.3", 'S', "v").await;
+        stage.nodes[0].respond(silent, "a.3", 'S', "v").await;
         assert_eq!(first.reply().await.unwrap().status, 200);
     });
 }
@@ -224,19 +224,19 @@
 /// A good answer stays good, whatever report it brings and whatever comes behind it when none else is due.
 #[rstest]
 #[case("%%% 7", vec![])]
-#[case("-", framed(b"5a.3 S 7 -\nv", 0))]
+#[case("-", encode_frame(b"5a.3 S 7 -\nv", 0))]
 #[case("-", vec![0xff; 5])]
 fn keeps_a_good_answer(#[case] report: &str, #[case] behind: Vec<u8>) {
     play(async {
         let mut stage = Stage::new(2).await;
         let mut client = stage.ask("a", "once", ONE).await;
         let (node, line, _) = stage.call().await;
-        let good = framed(format!("5a.3 S 7 {report}\nv").as_bytes(), 0);
+        let good = encode_frame(format!("5a.3 S 7 {report}\nv").as_bytes(), 0);
         stage.nodes[node].write(line, &[&good[..], &behind].concat()).await;
         let reply = client.reply().await.unwrap();
         assert!(reply.status == 200 && reply.body.contains("\"v\""), "{reply:?}");
         if !behind.is_empty() {
-            assert_eq!(stage.next().await, (node, line, Heard::Closed));
+            assert_eq!(stage.next().await, (node, line, NodeEvent::Closed));
         }
     });
 }
@@ -253,7 +253,7 @@
             let mut client = stage.ask(id, "once", ONE).await;
             let (node, line, shard_requests) = stage.call().await;
             assert_eq!(node, 1);
-            stage.nodes[1].end(line, &shard_requests[0].id, 'S', "v").await;
+            stage.nodes[1].respond(line, &shard_requests[0].id, 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200);
         }
     });
@@ -266,7 +266,7 @@
         let mut stage = Stage::new(1).await;
         let mut client = stage.client().await;
         let began = Instant::now();
-        let text = request("a", "lookup", 700, &body(ONE));
+        let text = query_request("a", "lookup", 700, &body(ONE));
         let (head, rest) = text.split_at(text.len() - 1);
         client.write(head).await;
         pause(300).await;
@@ -277,7 +277,7 @@
         assert!(began.elapsed() < Duration::from_millis(750), "{:?}", began.elapsed());
         assert_eq!(reply.status, 503);
         assert!(reply.head.contains("retry-after: 1.5000"), "{}", reply.head);
-        assert_eq!(stage.next().await, (node, line, Heard::GiveUp("a.3".to_owned())));
+        assert_eq!(stage.next().await, (node, line, NodeEvent::Cancel("a.3".to_owned())));
     });
 }
 
@@ -304,7 +304,7 @@
             let mut client = stage.ask(id, "lookup", ONE).await;
             let (node, line, shard_requests) = stage.call().await;
             assert_eq!(node, 1, "the other drains");
-            stage.nodes[1].end(line, &shard_requests[0].id, 'S', "v").await;
+            stage.nodes[1].respond(line, &shard_requests[0].id, 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200);
         }
     });
@@ -339,10 +339,10 @@
         new.reply(json!({"revision": 3, "complete": true, "members": [member(&old.nodes, 1, "ready")]}));
         assert_eq!(new.called().await, "/catalog/members?after=3&wait_ms=4000");
         let mut client = Client::to(program.listens).await;
-        client.write(&request("a", "lookup", 9000, &body(ONE))).await;
+        client.write(&query_request("a", "lookup", 9000, &body(ONE))).await;
         let (node, line, _) = old.call().await;
         assert_eq!(node, 1);
-        old.nodes[node].end(line, "a.3", 'S', "v").await;
+        old.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
         program.signal("TERM");
         program.says("left");
@@ -450,12 +450,15 @@
         let left = actix_rt::spawn(broker.leave());
         pause(50).await;
         let mut during = Client::to(listens).await;
-        during.write(&request("b", "lookup", 10_000, &body(ONE))).await;
-        assert!(matches!(soon(heard.recv()).await, Some((0, _, Heard::Call(_)))));
+        during.write(&query_request("b", "lookup", 10_000, &body(ONE))).await;
+        assert!(matches!(
+            soon(heard.recv()).await,
+            Some(ReceivedEvent { node: 0, event: NodeEvent::Batch(_), .. })
+        ));
         assert!(idle.reply().await.is_none(), "idle connections are closed");
         assert!(!left.is_finished());
-        nodes[0].end(line, "a.3", 'S', "one").await;
-        nodes[0].end(line, "b.3", 'S', "two").await;
+        nodes[0].respond(line, "a.3", 'S', "one").await;
+        nodes[0].respond(line, "b.3", 'S', "two").await;
         for (client, value) in [(&mut before, "one"), (&mut during, "two")] {
             let reply = client.reply().await.unwrap();
             assert!(reply.body.contains(value) && reply.head.contains("connection: close"), "{reply:?}");
@@ -536,7 +539,7 @@
         let (_, line, _) = stage.call().await;
         assert_eq!(stage.ask("b", "lookup", ONE).await.reply().await.unwrap().status, 503);
         for id in ["a.0", "a.1"] {
-            stage.nodes[0].end(line, id, 'S', "v").await;
+            stage.nodes[0].respond(line, id, 'S', "v").await;
         }
         // The values are on their way: until they are in, it is rejected still.
         let mut third = soon(async {
@@ -550,10 +553,10 @@
         })
         .await;
         for id in ["a.2", "a.3"] {
-            stage.nodes[0].end(line, id, 'S', "v").await;
+            stage.nodes[0].respond(line, id, 'S', "v").await;
         }
         let (_, line, shard_requests) = stage.call().await;
-        stage.nodes[0].end(line, &shard_requests[0].id, 'S', "v").await;
+        stage.nodes[0].respond(line, &shard_requests[0].id, 'S', "v").await;
         assert_eq!(third.reply().await.unwrap().status, 200);
         assert_eq!(first.reply().await.unwrap().status, 200);
     });
@@ -634,7 +637,7 @@
         client.write("no request at all\r\n\r\n").await;
         pause(200).await;
         assert!(stage.is_silent());
-        stage.nodes[0].end(line, "a.3", 'S', "one").await;
+        stage.nodes[0].respond(line, "a.3", 'S', "one").await;
         assert!(client.reply().await.unwrap().body.contains("one"));
         assert_eq!(client.reply().await.unwrap().status, 400);
     });
@@ -649,7 +652,7 @@
         let (_, line, _) = stage.call().await;
         assert_eq!(stage.ask("a", "lookup", BOTH).await.reply().await.unwrap().status, 400);
         assert!(stage.is_silent());
-        stage.nodes[0].end(line, "a.3", 'S', "v").await;
+        stage.nodes[0].respond(line, "a.3", 'S', "v").await;
         assert_eq!(first.reply().await.unwrap().status, 200);
     });
 }
@@ -661,7 +664,7 @@
         let stage = Stage::with(1, |_| (), |order| order.limits.wrong = 3).await;
         let mut client = stage.client().await;
         for _ in 0..3 {
-            client.write(&request("a", "unheard-of", 900, &body(ONE))).await;
+            client.write(&query_request("a", "unheard-of", 900, &body(ONE))).await;
             assert_eq!(client.reply().await.unwrap().status, 400);
         }
         assert!(client.reply().await.is_none());
@@ -677,10 +680,10 @@
         let mut client = stage.ask("a", "lookup", ONE).await;
         let (_, line, _) = stage.call().await;
         pause(500).await; // out, and so not idle
-        stage.nodes[0].end(line, "a.3", 'S', "v").await;
+        stage.nodes[0].respond(line, "a.3", 'S', "v").await;
         let ended = Instant::now();
         assert_eq!(client.reply().await.unwrap().status, 200);
-        assert_eq!(stage.next().await, (0, line, Heard::Closed));
+        assert_eq!(stage.next().await, (0, line, NodeEvent::Closed));
         assert!(ended.elapsed() > Duration::from_millis(200));
     });
 }
@@ -705,7 +708,7 @@
             used.insert(line);
             told += shard_requests.len();
             for shard_request in shard_requests {
-                stage.nodes[0].end(line, &shard_request.id, 'S', "v").await;
+                stage.nodes[0].respond(line, &shard_request.id, 'S', "v").await;
             }
         }
         assert!(used.len() <= lines, "{used:?}");
@@ -732,7 +735,7 @@
         };
         let stage = Stage::with(1, unheard, |_| ()).await;
         let mut client = stage.client().await;
-        client.write(&request("a", "once", 300, &body(ONE))).await;
+        client.write(&query_request("a", "once", 300, &body(ONE))).await;
         // Nothing was written, so asking again is harmless.
         assert_eq!(client.reply().await.unwrap().status, 503);
         for _ in fillers {
@@ -760,11 +763,11 @@
         };
         let mut stage = Stage::with(1, other, |_| ()).await;
         let mut client = stage.client().await;
-        let text = request("a", class, 9000, &body(ONE)).replace("Host:", &format!("{header}Host:"));
+        let text = query_request("a", class, 9000, &body(ONE)).replace("Host:", &format!("{header}Host:"));
         client.write(&text).await;
         if status == 200 {
             let (node, line, _) = stage.call().await;
-            stage.nodes[node].end(line, "a.3", 'S', "v").await;
+            stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         }
         assert_eq!(client.reply().await.unwrap().status, status);
         assert!(stage.is_silent());
@@ -810,7 +813,7 @@
             let mut client = stage.ask(id, "lookup", BOTH).await;
             let (_, line, shard_requests) = stage.call().await;
             for shard_request in &shard_requests {
-                stage.nodes[0].end(line, &shard_request.id, 'S', "v").await;
+                stage.nodes[0].respond(line, &shard_request.id, 'S', "v").await;
             }
             let reply = client.reply().await.unwrap();
             assert_eq!(reply.status, 200, "{}", reply.body);
@@ -841,13 +844,13 @@
         let mut client = stage.ask("a", "lookup", ONE).await;
         for _ in 0..2 {
             let (node, line, heard) = stage.next().await;
-            assert_eq!(heard, Heard::Probe, "nothing goes out before the holders were asked");
-            stage.nodes[node].tell(line, [first, second][node]).await;
+            assert_eq!(heard, NodeEvent::LoadProbe, "nothing goes out before the holders were asked");
+            stage.nodes[node].send_load(line, [first, second][node]).await;
         }
         let (node, line, _) = stage.call().await;
         // Two that tell the same, or nothing that can be read, are even: either may have it.
         assert!(node == to || first.starts_with("queue=-5"), "{node}");
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
     });
 }
@@ -863,15 +866,15 @@
         let asked = Instant::now();
         for _ in 0..2 {
             let (node, line, heard) = stage.next().await;
-            assert_eq!(heard, Heard::Probe);
+            assert_eq!(heard, NodeEvent::LoadProbe);
             match node {
                 0 if closes => stage.nodes[0].close(line),
                 0 => {}
-                _ => stage.nodes[1].tell(line, "queue=20").await,
+                _ => stage.nodes[1].send_load(line, "queue=20").await,
             }
         }
         let (node, line, shard_requests) = loop {
-            if let (node, line, Heard::Call(shard_requests)) = stage.next().await {
+            if let (node, line, NodeEvent::Batch(shard_requests)) = stage.next().await {
                 break (node, line, shard_requests);
             }
         };
@@ -881,7 +884,7 @@
             "the one that told of its load, though much waits there"
         );
         assert!(asked.elapsed() < Duration::from_secs(20), "a fiftieth of the goal time is waited for");
-        stage.nodes[1].end(line, "a.3", 'S', "v").await;
+        stage.nodes[1].respond(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
     });
 }
@@ -899,7 +902,7 @@
         let mut stage = Stage::with(2, settings, |_| ()).await;
         let mut client = stage.ask("a", "lookup", ONE).await;
         let (node, line, _) = stage.call().await;
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
     });
 }
@@ -929,10 +932,10 @@
         // Shard 3 begins at cell 3 mod 2, and reaches no further.
         let mut client = stage.ask("a", "lookup", ONE).await;
         let (node, line, heard) = stage.next().await;
-        assert_eq!((node, heard), (1, Heard::Probe));
-        stage.nodes[1].tell(line, "queue=0").await;
+        assert_eq!((node, heard), (1, NodeEvent::LoadProbe));
+        stage.nodes[1].send_load(line, "queue=0").await;
         let (node, line, _) = stage.call().await;
-        stage.nodes[node].end(line, "a.3", 'S', "v").await;
+        stage.nodes[node].respond(line, "a.3", 'S', "v").await;
         assert_eq!((node, client.reply().await.unwrap().status), (1, 200));
     });
 }
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -1,8 +1,10 @@
-//! A broker among the scripted peers of `node_emulator::script`, as the tests want it.
+//! A broker among the scripted peers of `node_emulator`, as the tests want it.
 
 use broker::{Running, StartupConfig};
-use node_emulator::script;
-pub use node_emulator::script::{Heard, Node, Reply, ShardRequest, framed, request};
+use node_emulator::{HttpClient, ScriptedDiscovery};
+pub use node_emulator::{
+    HttpResponse, NodeEvent, ReceivedEvent, ScriptedNode, ShardRequest, encode_frame, query_request,
+};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::future::Future;
@@ -27,19 +29,19 @@
 /// A broker with its stand-ins. Every node holds every shard.
 pub struct Stage {
     pub broker: Running,
-    pub nodes: Vec<Node>,
+    pub nodes: Vec<ScriptedNode>,
     pub discovery: Discovery,
-    pub heard: mpsc::UnboundedReceiver<(usize, usize, Heard)>,
+    pub heard: mpsc::UnboundedReceiver<ReceivedEvent>,
 }
 
-pub fn member(nodes: &[Node], at: usize, phase: &str) -> Value {
+pub fn member(nodes: &[ScriptedNode], at: usize, phase: &str) -> Value {
     json!({"id": format!("s-{at}"), "host_port": nodes[at].address.to_string(), "locality": "hall",
         "flavor": "std", "cell": at, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
 /// A config as a broker finds it; of its classes `report` may be partial, and `once` runs at most once. Its list is
 /// asked for, so that it serves from what it knew until discovery is heard.
-pub fn config(nodes: &[Node], discovery: &str) -> Value {
+pub fn config(nodes: &[ScriptedNode], discovery: &str) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "OnTimeMs": 8000.0, "DeadlineMs": 16000.0, "Worth": 1.0, "LateShare": 0.1,
             "Effect": effect, "DedupWindowMs": 5000.0})
@@ -89,7 +91,7 @@
         let (tell, heard) = mpsc::unbounded_channel();
         let mut all = Vec::new();
         for at in 0..nodes {
-            all.push(Node::start(at, tell.clone()).await.unwrap());
+            all.push(ScriptedNode::start(at, tell.clone()).await.unwrap());
         }
         let discovery = Discovery::start().await;
         let mut text = self::config(&all, &discovery.address().to_string());
@@ -101,14 +103,15 @@
     }
 
     /// What any node hears next: which node, on which connection, what.
-    pub async fn next(&mut self) -> (usize, usize, Heard) {
-        soon(self.heard.recv()).await.unwrap()
+    pub async fn next(&mut self) -> (usize, usize, NodeEvent) {
+        let received = soon(self.heard.recv()).await.unwrap();
+        (received.node, received.connection, received.event)
     }
 
     /// The next call at any node.
     pub async fn call(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         match self.next().await {
-            (node, line, Heard::Call(shard_requests)) => (node, line, shard_requests),
+            (node, line, NodeEvent::Batch(shard_requests)) => (node, line, shard_requests),
             other => panic!("{other:?} is no call"),
         }
     }
@@ -125,7 +128,7 @@
     /// A client that has asked for these shard requests.
     pub async fn ask(&self, id: &str, class: &str, slices: &[(u32, f64)]) -> Client {
         let mut client = self.client().await;
-        client.write(&request(id, class, 100_000, &body(slices))).await;
+        client.write(&query_request(id, class, 100_000, &body(slices))).await;
         client
     }
 }
@@ -183,15 +186,15 @@
 }
 
 pub fn body(slices: &[(u32, f64)]) -> String {
-    script::body(slices, "c41e77d0")
+    node_emulator::query_body(slices, "c41e77d0")
 }
 
 /// A client whose trouble is the test's.
-pub struct Client(script::Client);
+pub struct Client(HttpClient);
 
 impl Client {
     pub async fn to(address: SocketAddr) -> Client {
-        Client(script::Client::to(address).await.unwrap())
+        Client(HttpClient::connect(address).await.unwrap())
     }
 
     pub async fn write(&mut self, text: &str) {
@@ -199,17 +202,17 @@
     }
 
     /// The next reply; none: the broker closed the connection.
-    pub async fn reply(&mut self) -> Option<Reply> {
-        soon(self.0.reply()).await
+    pub async fn reply(&mut self) -> Option<HttpResponse> {
+        soon(self.0.read_response()).await
     }
 }
 
 /// Discovery that a test waits for.
-pub struct Discovery(script::Discovery);
+pub struct Discovery(ScriptedDiscovery);
 
 impl Discovery {
     pub async fn start() -> Discovery {
-        Discovery(script::Discovery::start().await.unwrap())
+        Discovery(ScriptedDiscovery::start().await.unwrap())
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -217,11 +220,11 @@
     }
 
     pub fn reply(&self, body: impl ToString) {
-        self.0.reply(body);
+        self.0.respond(body);
     }
 
     /// The path of the next call.
     pub async fn called(&mut self) -> String {
-        soon(self.0.called()).await.unwrap()
+        soon(self.0.next_request()).await.unwrap()
     }
 }
--- /dev/null
+++ b/crates/node-emulator/src/discovery_catalog.rs
@@ -0,0 +1,123 @@
+//! Discovery that keeps an endpoint list and lets brokers watch it.
+
+use crate::http_server::{ok_response, read_head, request_path};
+use serde_json::{Value, json};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+
+/// Discovery that keeps an endpoint list, and holds a request that waits for changes until there are some, or
+/// its time is up. It lives on the thread that drives it, within a `LocalSet`.
+pub struct DiscoveryCatalog {
+    /// Where it listens.
+    pub address: SocketAddr,
+    list: Rc<WatchedList>,
+}
+
+/// An endpoint, and the revision that changed it last.
+struct Entry {
+    revision: u64,
+    endpoint: Value,
+}
+
+#[derive(Default)]
+struct WatchedList {
+    revision: Cell<u64>,
+    entries: RefCell<BTreeMap<String, Entry>>,
+    changed: Notify,
+    /// Requests that wait for a change after the newest revision.
+    waiting_requests: Cell<usize>,
+}
+
+/// Counts a request for as long as it waits.
+struct WaitingRequest<'a> {
+    list: &'a WatchedList,
+}
+
+impl<'a> WaitingRequest<'a> {
+    fn new(list: &'a WatchedList) -> WaitingRequest<'a> {
+        list.waiting_requests.set(list.waiting_requests.get() + 1);
+        WaitingRequest { list }
+    }
+}
+
+impl Drop for WaitingRequest<'_> {
+    fn drop(&mut self) {
+        self.list.waiting_requests.set(self.list.waiting_requests.get() - 1);
+    }
+}
+
+impl DiscoveryCatalog {
+    /// Listens on a free port of loopback, with an empty list.
+    ///
+    /// # Errors
+    /// As of the socket.
+    pub async fn start() -> io::Result<DiscoveryCatalog> {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+        let (address, list) = (listener.local_addr()?, Rc::<WatchedList>::default());
+        let served_list = list.clone();
+        spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                // A response is written in one piece and is to leave at once.
+                let _ = stream.set_nodelay(true);
+                spawn_local(serve(stream, served_list.clone()));
+            }
+        });
+        Ok(DiscoveryCatalog { address, list })
+    }
+
+    /// Adds or replaces an endpoint.
+    pub fn set(&self, id: &str, endpoint: Value) {
+        let revision = self.list.revision.get() + 1;
+        self.list.revision.set(revision);
+        self.list.entries.borrow_mut().insert(id.to_owned(), Entry { revision, endpoint });
+        self.list.changed.notify_waiters();
+    }
+
+    /// Requests of brokers that have all there is, and wait for more.
+    pub fn waiting_requests(&self) -> usize {
+        self.list.waiting_requests.get()
+    }
+}
+
+async fn serve(stream: TcpStream, list: Rc<WatchedList>) {
+    let mut stream = BufReader::new(stream);
+    while let Some(head) = read_head(&mut stream).await {
+        let body = list.answer(request_path(&head)).await;
+        if stream.write_all(ok_response(&body.to_string()).as_bytes()).await.is_err() {
+            return;
+        }
+    }
+}
+
+impl WatchedList {
+    async fn answer(&self, path: &str) -> Value {
+        let Some(after) = query_number(path, "after") else { return self.endpoints_after(0, true) };
+        let max_wait = Duration::from_millis(query_number(path, "wait_ms").unwrap_or(0));
+        if after >= self.revision.get() {
+            let _waiting = WaitingRequest::new(self);
+            // Changed, or its time is up: either way it is sent what there is.
+            let _ = tokio::time::timeout(max_wait, self.changed.notified()).await;
+        }
+        self.endpoints_after(after, false)
+    }
+
+    fn endpoints_after(&self, revision: u64, is_complete: bool) -> Value {
+        let entries = self.entries.borrow();
+        let newer: Vec<&Value> =
+            entries.values().filter(|entry| entry.revision > revision).map(|entry| &entry.endpoint).collect();
+        json!({"revision": self.revision.get(), "complete": is_complete, "members": newer})
+    }
+}
+
+fn query_number(path: &str, name: &str) -> Option<u64> {
+    let (_, query) = path.split_once('?')?;
+    query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+}
--- /dev/null
+++ b/crates/node-emulator/src/node_spec.rs
@@ -0,0 +1,51 @@
+//! What a node is made of.
+
+use routing::Tenths;
+
+/// The capacity of a node, how it warms up and what makes it collapse.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NodeSpec {
+    /// Jobs that run at once.
+    pub cores: usize,
+    /// Jobs that wait at the most; one more is refused.
+    pub queue_capacity: usize,
+    /// Just started it has this share of its capacity...
+    pub initial_capacity_share: f64,
+    /// ...and all of it after this; between, its share grows linearly.
+    pub warm_up_period: Tenths,
+    /// Sent more than this multiple of its capacity while it warms up...
+    pub overload_factor: f64,
+    /// ...over this long, it collapses.
+    pub overload_window: Tenths,
+    /// So many completed jobs warm it up, however long that takes; none: time does.
+    pub warm_up_jobs: Option<u32>,
+    /// What a cancelled job costs.
+    pub cancel: Cancel,
+}
+
+/// What a job that is cancelled costs from then on.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Cancel {
+    /// Nothing, wherever it was.
+    #[default]
+    All,
+    /// A waiting job is dropped; a running one goes on to its end.
+    Waiting,
+    /// Both go on, for nobody.
+    Nothing,
+}
+
+impl Default for NodeSpec {
+    fn default() -> NodeSpec {
+        NodeSpec {
+            cores: 4,
+            queue_capacity: 64,
+            initial_capacity_share: 0.2,
+            warm_up_period: Tenths(170_000),
+            overload_factor: 3.0,
+            overload_window: Tenths(10_000),
+            warm_up_jobs: None,
+            cancel: Cancel::All,
+        }
+    }
+}
--- a/crates/node-emulator/tests/model.rs
+++ b/crates/node-emulator/tests/model.rs
@@ -1,126 +1,143 @@
-//! The model of a host, moment by moment.
+//! The model of a node, moment by moment.
 
-use node_emulator::{Build, Cancel, Host, JobNo, Load, State, Taken};
+use node_emulator::{Cancel, EmulatedNode, JobId, LoadReport, NodeSpec, NodeState, SubmitOutcome};
 use routing::Tenths;
 use rstest::rstest;
 
-fn build() -> Build {
-    Build { cores: 2, queue: 2, ..Build::default() }
+fn spec() -> NodeSpec {
+    NodeSpec { cores: 2, queue_capacity: 2, ..NodeSpec::default() }
 }
 
-fn job(no: u64) -> JobNo {
-    JobNo(no)
+fn job(id: u64) -> JobId {
+    JobId(id)
 }
 
-/// Two cores and two places: the fifth is turned away; as one ends, the first that waits begins.
+/// Two cores and two places in the queue: the fifth job is refused; as one completes, the first in the queue
+/// starts.
 #[rstest]
-fn queues_and_turns_away() {
-    let mut host = Host::new(build(), None);
-    let taken: Vec<Taken> = (0..5).map(|no| host.take(Tenths(0), job(no), 10_000)).collect();
-    assert_eq!(taken, [Taken::Begun, Taken::Begun, Taken::Queued, Taken::Queued, Taken::Refused]);
-    assert_eq!(host.load(Tenths(0)), Load { queue: 2, qps: 0, inflight: 4 });
-    assert_eq!((host.end(Tenths(99)), host.next_end()), (None, Some(Tenths(100))));
+fn queues_and_refuses() {
+    let mut node = EmulatedNode::new(spec(), None);
+    let outcomes: Vec<SubmitOutcome> = (0..5).map(|id| node.submit(Tenths(0), job(id), 10_000)).collect();
     assert_eq!(
-        (host.end(Tenths(100)), host.end(Tenths(100)), host.end(Tenths(100))),
+        outcomes,
+        [
+            SubmitOutcome::Started,
+            SubmitOutcome::Started,
+            SubmitOutcome::Queued,
+            SubmitOutcome::Queued,
+            SubmitOutcome::Refused
+        ]
+    );
+    assert_eq!(node.load(Tenths(0)), LoadReport { queued: 2, completed_per_s: 0, in_flight: 4 });
+    assert_eq!((node.complete(Tenths(99)), node.next_completion()), (None, Some(Tenths(100))));
+    assert_eq!(
+        (node.complete(Tenths(100)), node.complete(Tenths(100)), node.complete(Tenths(100))),
         (Some(job(0)), Some(job(1)), None)
     );
     assert_eq!(
-        (host.next_end(), host.load(Tenths(100))),
-        (Some(Tenths(200)), Load { queue: 0, qps: 2, inflight: 2 })
+        (node.next_completion(), node.load(Tenths(100))),
+        (Some(Tenths(200)), LoadReport { queued: 0, completed_per_s: 2, in_flight: 2 })
     );
-    assert_eq!(host.load(Tenths(20_000)).qps, 0);
+    assert_eq!(node.load(Tenths(20_000)).completed_per_s, 0);
 }
 
-/// Just started it does a fifth, at half of the way three fifths, then all.
+/// Just started it has a fifth of its capacity, at half of the warm-up three fifths, then all.
 #[rstest]
 #[case(0, 500)]
 #[case(85_000, 167)]
 #[case(170_000, 100)]
-fn warms_up(#[case] age: i64, #[case] takes: i64) {
-    let mut host = Host::new(build(), Some(Tenths(0)));
-    host.take(Tenths(age), job(1), 10_000);
-    assert_eq!(host.next_end(), Some(Tenths(age + takes)));
+fn warms_up(#[case] age: i64, #[case] duration: i64) {
+    let mut node = EmulatedNode::new(spec(), Some(Tenths(0)));
+    node.submit(Tenths(age), job(1), 10_000);
+    assert_eq!(node.next_completion(), Some(Tenths(age + duration)));
 }
 
 #[rstest]
-fn a_cold_one_falls_over_where_a_warm_one_only_queues() {
-    let sent = |started| {
-        let mut host = Host::new(Build { queue: 10_000, ..build() }, started);
+fn a_node_warming_up_collapses_where_a_warm_one_only_queues() {
+    let collapse = |started_at| {
+        let mut node = EmulatedNode::new(NodeSpec { queue_capacity: 10_000, ..spec() }, started_at);
         (0..200)
-            .map(|no| host.take(Tenths(no), job(no as u64), 10_000))
-            .find(|taken| *taken == Taken::FellOver)
+            .map(|id| node.submit(Tenths(id), job(id as u64), 10_000))
+            .find(|outcome| *outcome == SubmitOutcome::Collapsed)
     };
     // Two cores at a fifth bear 400 ms in the window, three times that are 1,200: the 121st is too much.
-    assert_eq!((sent(None), sent(Some(Tenths(0)))), (None, Some(Taken::FellOver)));
+    assert_eq!((collapse(None), collapse(Some(Tenths(0)))), (None, Some(SubmitOutcome::Collapsed)));
 }
 
-/// Draining it finishes what it has; dead it loses that, and comes back cold under its name.
+/// Draining it finishes what it has; a crash loses that, and it starts again under its name and has to warm
+/// up.
 #[rstest]
-fn drains_dies_and_returns() {
-    let mut host = Host::new(build(), None);
-    (0..3).for_each(|no| _ = host.take(Tenths(0), job(no), 10_000));
-    host.drain();
-    assert_eq!((host.take(Tenths(1), job(9), 1), host.end(Tenths(100))), (Taken::Refused, Some(job(0))));
-    assert_eq!((host.die(), host.state()), (vec![job(1), job(2)], State::Dead));
-    assert_eq!((host.die(), host.take(Tenths(101), job(9), 1)), (vec![], Taken::Unreachable));
-    host.drain();
-    assert_eq!(host.state(), State::Dead, "what is dead does not drain");
-    host.start(Tenths(500));
+fn drains_crashes_and_restarts() {
+    let mut node = EmulatedNode::new(spec(), None);
+    (0..3).for_each(|id| _ = node.submit(Tenths(0), job(id), 10_000));
+    node.drain();
+    assert_eq!(
+        (node.submit(Tenths(1), job(9), 1), node.complete(Tenths(100))),
+        (SubmitOutcome::Refused, Some(job(0)))
+    );
+    assert_eq!((node.crash(), node.state()), (vec![job(1), job(2)], NodeState::Down));
+    assert_eq!((node.crash(), node.submit(Tenths(101), job(9), 1)), (vec![], SubmitOutcome::Unreachable));
+    node.drain();
+    assert_eq!(node.state(), NodeState::Down, "a node that is down does not drain");
+    node.start(Tenths(500));
     assert_eq!(
-        (host.state(), host.is_cold(Tenths(500)), host.load(Tenths(500)).inflight),
-        (State::Ready, true, 0)
+        (node.state(), node.is_warming_up(Tenths(500)), node.load(Tenths(500)).in_flight),
+        (NodeState::Ready, true, 0)
     );
-    host.start(Tenths(900));
-    assert_eq!(host.started(), Some(Tenths(500)), "what runs is not started again");
+    node.start(Tenths(900));
+    assert_eq!(node.started_at(), Some(Tenths(500)), "a running node is not started again");
 }
 
 #[rstest]
-fn what_is_given_up_makes_room() {
-    let mut host = Host::new(build(), None);
-    (0..4).for_each(|no| _ = host.take(Tenths(0), job(no), 10_000));
+fn a_cancelled_job_frees_its_place() {
+    let mut node = EmulatedNode::new(spec(), None);
+    (0..4).for_each(|id| _ = node.submit(Tenths(0), job(id), 10_000));
+    assert!(
+        node.cancel(Tenths(10), job(0))
+            && node.cancel(Tenths(10), job(3))
+            && !node.cancel(Tenths(10), job(3))
+    );
+    assert_eq!(node.load(Tenths(10)), LoadReport { queued: 0, completed_per_s: 0, in_flight: 2 });
+    node.slow_down(0.5);
+    node.cancel(Tenths(20), job(1));
+    node.submit(Tenths(20), job(7), 10_000);
     assert!(
-        host.give_up(Tenths(10), job(0))
-            && host.give_up(Tenths(10), job(3))
-            && !host.give_up(Tenths(10), job(3))
+        node.complete(Tenths(110)).is_some() && node.next_completion() == Some(Tenths(220)),
+        "half as fast"
     );
-    assert_eq!(host.load(Tenths(10)), Load { queue: 0, qps: 0, inflight: 2 });
-    host.slow(0.5);
-    host.give_up(Tenths(20), job(1));
-    host.take(Tenths(20), job(7), 10_000);
-    assert!(host.end(Tenths(110)).is_some() && host.next_end() == Some(Tenths(220)), "half as fast");
 }
 
-/// Warmed by what it did, and by nothing else: an hour of waiting leaves it as cold as it was.
+/// Warmed up by completed jobs, and by nothing else: an hour of waiting leaves its capacity as it was.
 #[rstest]
-fn waiting_does_not_warm() {
-    let build = Build { cores: 1, warm_jobs: Some(4), ..Build::default() };
-    let mut host = Host::new(build, None);
-    host.die();
-    host.start(Tenths(0));
+fn waiting_does_not_warm_up() {
+    let spec = NodeSpec { cores: 1, warm_up_jobs: Some(4), ..NodeSpec::default() };
+    let mut node = EmulatedNode::new(spec, None);
+    node.crash();
+    node.start(Tenths(0));
     let later = Tenths(36_000_000);
-    assert!((host.share(later) - 0.2).abs() < 1e-9);
-    for no in 0..4 {
-        host.take(later, JobNo(no), 100);
-        host.end(host.next_end().unwrap());
+    assert!((node.capacity_ratio(later) - 0.2).abs() < 1e-9);
+    for id in 0..4 {
+        node.submit(later, JobId(id), 100);
+        node.complete(node.next_completion().unwrap());
     }
-    assert!((host.share(later) - 1.0).abs() < 1e-9);
+    assert!((node.capacity_ratio(later) - 1.0).abs() < 1e-9);
 }
 
-/// What is given up costs nothing more, or what runs goes on, or all does.
+/// A cancelled job costs nothing more, or a running one goes on, or all do.
 #[rstest]
 #[case(Cancel::All, 0)]
 #[case(Cancel::Waiting, 1)]
 #[case(Cancel::Nothing, 2)]
-fn work_goes_on(#[case] cancel: Cancel, #[case] ended: usize) {
-    let mut host = Host::new(Build { cores: 1, cancel, ..Build::default() }, None);
-    host.take(Tenths(0), JobNo(1), 1000);
-    host.take(Tenths(0), JobNo(2), 1000);
-    host.give_up(Tenths(1), JobNo(2));
-    host.give_up(Tenths(1), JobNo(1));
+fn cancelled_work_goes_on(#[case] cancel: Cancel, #[case] completed: usize) {
+    let mut node = EmulatedNode::new(NodeSpec { cores: 1, cancel, ..NodeSpec::default() }, None);
+    node.submit(Tenths(0), JobId(1), 1000);
+    node.submit(Tenths(0), JobId(2), 1000);
+    node.cancel(Tenths(1), JobId(2));
+    node.cancel(Tenths(1), JobId(1));
     let mut count = 0;
-    while let Some(end) = host.next_end() {
-        host.end(end);
+    while let Some(completion) = node.next_completion() {
+        node.complete(completion);
         count += 1;
     }
-    assert_eq!(count, ended);
+    assert_eq!(count, completed);
 }
--- a/crates/node-emulator/tests/theory.rs
+++ b/crates/node-emulator/tests/theory.rs
@@ -1,12 +1,12 @@
-//! The model host against theory: waits in M/M/c by Erlang's formula, and Little's law.
+//! The model node against theory: waits in M/M/c by Erlang's formula, and Little's law.
 
-use node_emulator::{Build, Host, JobNo, Taken};
+use node_emulator::{EmulatedNode, JobId, NodeSpec, SubmitOutcome};
 use routing::Tenths;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-/// Erlang's C, the chance to wait with so many cores at this load of each.
-fn chance_to_wait(cores: usize, load: f64) -> f64 {
+/// Erlang's C, the probability to wait with so many cores at this load of each.
+fn wait_probability(cores: usize, load: f64) -> f64 {
     let offered = load * cores as f64;
     let mut term = 1.0;
     let mut sum = 1.0;
@@ -18,31 +18,34 @@
     last / (sum + last)
 }
 
-/// Mean time in the system and mean number in it, of so many jobs; in tenths of a millisecond.
-fn play(cores: usize, load: f64, jobs: u64, seed: u64) -> (f64, f64, f64) {
+/// Mean time in the system, mean number in it and rate of completions, of so many jobs; in tenths of a
+/// millisecond.
+fn simulate(cores: usize, load: f64, jobs: u64, seed: u64) -> (f64, f64, f64) {
     const MEAN: f64 = 10_000.0;
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut exponential = |mean: f64| -(1.0 - rng.f64()).ln() * mean;
-    let mut host = Host::new(Build { cores, queue: usize::MAX, ..Build::default() }, None);
-    let (mut at, mut came, mut spent, mut inside, mut last) = (0.0, BTreeMap::new(), 0.0, 0.0, 0.0);
-    for no in 0..jobs {
+    let mut node =
+        EmulatedNode::new(NodeSpec { cores, queue_capacity: usize::MAX, ..NodeSpec::default() }, None);
+    let mut arrival_times = BTreeMap::new();
+    let (mut at, mut time_in_system, mut job_time, mut last) = (0.0, 0.0, 0.0, 0.0);
+    for id in 0..jobs {
         at += exponential(MEAN / cores as f64 / load);
         let now = Tenths(at as i64);
-        while let Some(end) = host.next_end().filter(|end| *end <= now) {
-            inside += host.load(end).inflight as f64 * (end.0 as f64 - last);
-            last = end.0 as f64;
-            let job = host.end(end).unwrap();
-            spent += (end - came.remove(&job).unwrap()).0 as f64;
+        while let Some(completion) = node.next_completion().filter(|completion| *completion <= now) {
+            job_time += node.load(completion).in_flight as f64 * (completion.0 as f64 - last);
+            last = completion.0 as f64;
+            let job = node.complete(completion).unwrap();
+            time_in_system += (completion - arrival_times.remove(&job).unwrap()).0 as f64;
         }
-        inside += host.load(now).inflight as f64 * (now.0 as f64 - last);
+        job_time += node.load(now).in_flight as f64 * (now.0 as f64 - last);
         last = now.0 as f64;
-        let job = JobNo(no);
-        came.insert(job, now);
-        let us = (exponential(MEAN) * 100.0) as u64;
-        assert!(matches!(host.take(now, job, us), Taken::Begun | Taken::Queued));
+        let job = JobId(id);
+        arrival_times.insert(job, now);
+        let work_us = (exponential(MEAN) * 100.0) as u64;
+        assert!(matches!(node.submit(now, job, work_us), SubmitOutcome::Started | SubmitOutcome::Queued));
     }
-    let ended = jobs - came.len() as u64;
-    (spent / ended as f64, inside / last, ended as f64 / last)
+    let completed = jobs - arrival_times.len() as u64;
+    (time_in_system / completed as f64, job_time / last, completed as f64 / last)
 }
 
 /// Mean time in the system within 2% of the closed form.
@@ -51,12 +54,12 @@
 #[case(1, 0.7)]
 #[case(4, 0.7)]
 #[case(8, 0.8)]
-fn waits_as_theory_has_it(#[case] cores: usize, #[case] load: f64) {
-    let expected = 10_000.0 * (1.0 + chance_to_wait(cores, load) / (cores as f64 * (1.0 - load)));
-    let (spent, inside, rate) = play(cores, load, 600_000, 7);
-    let off = (spent / expected - 1.0).abs();
-    assert!(off < 0.02, "{spent:.1} for {expected:.1}: {off:.4}");
-    // Little: the number inside is the rate times the time spent.
-    let little = (inside / (rate * spent) - 1.0).abs();
-    assert!(little < 0.005, "inside {inside:.3}, rate x time {:.3}", rate * spent);
+fn waits_match_theory(#[case] cores: usize, #[case] load: f64) {
+    let expected = 10_000.0 * (1.0 + wait_probability(cores, load) / (cores as f64 * (1.0 - load)));
+    let (mean_time, mean_number, rate) = simulate(cores, load, 600_000, 7);
+    let error = (mean_time / expected - 1.0).abs();
+    assert!(error < 0.02, "{mean_time:.1} for {expected:.1}: {error:.4}");
+    // Little: the number in the system is the rate times the time in it.
+    let little = (mean_number / (rate * mean_time) - 1.0).abs();
+    assert!(little < 0.005, "number {mean_number:.3}, rate x time {:.3}", rate * mean_time);
 }
