--- /dev/null
+++ b/crates/simulator-adapter/src/broker_host.rs
@@ -0,0 +1,144 @@
+//! The brokers of this process: gives each its inputs of a batch, and collects its effects.
+
+use crate::wire::{Batch, BatchEvent, Reply};
+use routing::{
+    Broker, Endpoint, EndpointList, EndpointListKind, Input, LoadMetric, NodeId, ProbeResult, Tenths,
+};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What in a batch contradicts what came before.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BatchError {
+    /// An event names a broker that was not started, or was stopped.
+    #[error("an event for broker {0}, which is not running")]
+    UnknownBroker(u16),
+    /// An endpoint list's form is none of the wire's.
+    #[error("list form {0} is unknown")]
+    UnknownListForm(u8),
+    /// An event names an endpoint list that no record held.
+    #[error("list {0} never came")]
+    MissingList(u16),
+}
+
+/// A broker, or why it could not start.
+enum HostedBroker {
+    Running {
+        broker: Box<Broker>,
+        /// What the values of a load report are, in their order.
+        load_metrics: Vec<LoadMetric>,
+    },
+    Failed {
+        reason: String,
+    },
+}
+
+/// The inputs of a batch by broker; a broker that has just started has an entry without inputs.
+type BrokerInputs = BTreeMap<u16, Vec<Input>>;
+
+/// The brokers of this process by number, and the endpoint lists that they may be sent.
+#[derive(Default)]
+pub struct BrokerHost {
+    brokers: BTreeMap<u16, HostedBroker>,
+    endpoint_lists: BTreeMap<u16, Arc<[Endpoint]>>,
+}
+
+impl BrokerHost {
+    /// Handles one batch: one turn for each broker that it names.
+    pub fn handle(&mut self, batch: Batch) -> Result<Reply, BatchError> {
+        let mut inputs = BrokerInputs::new();
+        for event in batch.events {
+            self.handle_event(batch.now, event, &mut inputs)?;
+        }
+        Ok(self.run_turns(batch.now, &inputs))
+    }
+
+    fn handle_event(
+        &mut self,
+        now: Tenths,
+        event: BatchEvent,
+        inputs: &mut BrokerInputs,
+    ) -> Result<(), BatchError> {
+        match event {
+            BatchEvent::Start { broker, seed, settings } => {
+                self.brokers.insert(broker, HostedBroker::start(&settings, seed, now));
+                inputs.insert(broker, Vec::new());
+            }
+            BatchEvent::Stop { broker } => {
+                self.brokers.remove(&broker).ok_or(BatchError::UnknownBroker(broker))?;
+                inputs.remove(&broker);
+            }
+            BatchEvent::ListContents { number, endpoints } => {
+                self.endpoint_lists.insert(number, endpoints.into());
+            }
+            BatchEvent::ListArrived { broker, number, form } => {
+                let input = self.list_input(number, form)?;
+                self.add_input(inputs, broker, input)?;
+            }
+            BatchEvent::ProbeEnded { broker, node, is_healthy, load_values } => {
+                let input = self.probe_input(broker, node, is_healthy, load_values);
+                self.add_input(inputs, broker, input)?;
+            }
+            BatchEvent::Input { broker, input } => self.add_input(inputs, broker, input)?,
+        }
+        Ok(())
+    }
+
+    fn run_turns(&mut self, now: Tenths, inputs: &BrokerInputs) -> Reply {
+        let mut reply = Reply::default();
+        for (number, inputs) in inputs {
+            match self.brokers.get_mut(number) {
+                Some(HostedBroker::Running { broker, .. }) => {
+                    for effect in broker.turn(now, inputs) {
+                        reply.add_effect(*number, &effect);
+                    }
+                }
+                Some(HostedBroker::Failed { reason }) => reply.add_failure(*number, reason),
+                None => {}
+            }
+        }
+        reply
+    }
+
+    fn add_input(&self, inputs: &mut BrokerInputs, broker: u16, input: Input) -> Result<(), BatchError> {
+        if !self.brokers.contains_key(&broker) {
+            return Err(BatchError::UnknownBroker(broker));
+        }
+        inputs.entry(broker).or_default().push(input);
+        Ok(())
+    }
+
+    fn list_input(&self, number: u16, form: u8) -> Result<Input, BatchError> {
+        let kind = match form {
+            0 => EndpointListKind::Delta,
+            1 => EndpointListKind::Snapshot,
+            2 => EndpointListKind::Cached,
+            3 => return Ok(Input::EndpointListFailed),
+            other => return Err(BatchError::UnknownListForm(other)),
+        };
+        let entries = self.endpoint_lists.get(&number).ok_or(BatchError::MissingList(number))?.clone();
+        Ok(Input::EndpointList(EndpointList { kind, entries }))
+    }
+
+    fn probe_input(&self, broker: u16, node: NodeId, is_healthy: bool, load_values: Vec<f32>) -> Input {
+        let load_metrics = match self.brokers.get(&broker) {
+            Some(HostedBroker::Running { load_metrics, .. }) => &load_metrics[..],
+            Some(HostedBroker::Failed { .. }) | None => &[],
+        };
+        let values = load_values.into_iter().map(f64::from);
+        let report = load_metrics.iter().copied().zip(values).collect();
+        Input::ProbeEnded(ProbeResult { node, sound: is_healthy, report })
+    }
+}
+
+impl HostedBroker {
+    fn start(settings: &[u8], seed: u64, now: Tenths) -> HostedBroker {
+        match settings::read(settings) {
+            Ok(settings) => HostedBroker::Running {
+                broker: Box::new(Broker::start(settings.broker_config, seed, now)),
+                load_metrics: settings.report,
+            },
+            Err(error) => HostedBroker::Failed { reason: error.to_string() },
+        }
+    }
+}
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,8 +1,8 @@
-//! The wire's frames, whole and broken.
+//! The wire's frames, valid and invalid.
 
-use crate::host::Host;
-use crate::serve;
-use crate::wire::{BadFrame, Event, HEADER, Reply, read_body, read_header};
+use crate::broker_host::BrokerHost;
+use crate::serve::{ServeError, serve};
+use crate::wire::{BatchEvent, DecodeError, HEADER_BYTES, Reply, decode_body, decode_header};
 use routing::*;
 use rstest::rstest;
 
@@ -11,11 +11,11 @@
     digits.chunks(2).map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
-const KNOCK: &str = "12 0300 c4913a5d5daf0900 0000 00000000 640ad2557c3bf091 0000000000006e40
+const SHARD_REQUEST: &str = "12 0300 c4913a5d5daf0900 0000 00000000 640ad2557c3bf091 0000000000006e40
     0000000000002840 00005643 00000000 0000003e 01";
 const LIST: &str = "1a 0000 02000000 0a124a07 931f 0000 0000 0000 01 0000803f 0000000000000000
     0a9011f2 bc1f 0100 0000 0000 01 0000c03f 0000000000d4b740";
-const FINISHED: &str = "14 0300 c4913a5d5daf0900 0000 0a124a07 931f 0100 0000000000803240 01 03
+const ATTEMPT_ENDED: &str = "14 0300 c4913a5d5daf0900 0000 0a124a07 931f 0100 0000000000803240 01 03
     0000404000000c430000e040";
 const SETTINGS: &str = r#"{"Instances": 1, "PeriodMs": 5.0, "RegistryMode": "automatic", "Surprise": [1],
     "Services": [{"OnTimeMs": 2000.0, "DeadlineMs": 5000.0, "Worth": 3.0, "Effect": "deduplicated"}],
@@ -41,14 +41,16 @@
 
 #[rstest]
 fn decodes_the_examples() {
-    let header: [u8; HEADER] = bytes("00000000206ec040 50000000").try_into().unwrap();
-    assert_eq!(read_header(&header), (Tenths(84_122), 80));
-    let batch = read_body(Tenths(1), &body(&[KNOCK, LIST, FINISHED, "16 0300 4d00000000000000"])).unwrap();
+    let header: [u8; HEADER_BYTES] = bytes("00000000206ec040 50000000").try_into().unwrap();
+    assert_eq!(decode_header(&header), (Tenths(84_122), 80));
+    let batch =
+        decode_body(Tenths(1), &body(&[SHARD_REQUEST, LIST, ATTEMPT_ENDED, "16 0300 4d00000000000000"]))
+            .unwrap();
     let [
-        Event::Heard { broker: 3, input: Input::ShardRequest(shard_request) },
-        Event::List { number: 0, entries },
-        Event::Heard { input: Input::AttemptEnded(result), .. },
-        Event::Heard { input: Input::Woken, .. },
+        BatchEvent::Input { broker: 3, input: Input::ShardRequest(shard_request) },
+        BatchEvent::ListContents { number: 0, endpoints },
+        BatchEvent::Input { input: Input::AttemptEnded(result), .. },
+        BatchEvent::Input { input: Input::Woken, .. },
     ] = &batch.events[..]
     else {
         panic!("{:?}", batch.events)
@@ -57,59 +59,66 @@
         (shard_request.id, shard_request.shard, shard_request.weight),
         (ShardRequestId(0x9_af5d_5d3a_91c4), ShardId(0), 0.125)
     );
-    assert_eq!((entries[0].started_at, entries[1].started_at), (None, Some(Tenths(61_000))));
-    assert_eq!((entries[1].node, entries[1].zone), (NodeId(0x1fbc_f211_900a), ZoneId(1)));
+    assert_eq!((endpoints[0].started_at, endpoints[1].started_at), (None, Some(Tenths(61_000))));
+    assert_eq!((endpoints[1].node, endpoints[1].zone), (NodeId(0x1fbc_f211_900a), ZoneId(1)));
     assert_eq!(
         (result.outcome, result.duration, result.node),
-        (AttemptOutcome::Succeeded, Tenths(185), entries[0].node)
+        (AttemptOutcome::Succeeded, Tenths(185), endpoints[0].node)
     );
 }
 
+fn send() -> Effect {
+    Effect::Send {
+        shard_request: ShardRequestId(0x9_af5d_5d3a_91c4),
+        node: NodeId(0x1f93_074a_120a),
+        timeout: Tenths(800),
+    }
+}
+
 #[rstest]
-#[case(Effect::Send { shard_request: ShardRequestId(0x9_af5d_5d3a_91c4), node: NodeId(0x1f93_074a_120a), timeout: Tenths(800) },
-    "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
+#[case(send(), "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
 #[case(Effect::Say("two servers unknown".into()), "58 0300 1300 74776f207365727665727320756e6b6e6f776e")]
 #[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
 #[case(Effect::Respond { query: QueryId(1), complete: true }, "5c 0300 0100000000000000 01")]
 #[case(Effect::WatchEndpoints, "5a 0300 01")]
 fn encodes(#[case] effect: Effect, #[case] record: &str) {
     let mut reply = Reply::default();
-    reply.effect(3, &effect);
+    reply.add_effect(3, &effect);
     let record = bytes(record);
     let length = (record.len() as u32 + 4).to_le_bytes();
     assert_eq!(reply.frame(), [&length[..], &bytes("01000000"), &record].concat());
 }
 
 #[rstest]
-#[case("00", "field cut short", HEADER)]
+#[case("00", "field cut short", HEADER_BYTES)]
 #[case("01000000 63", "event code 99 is unknown", 16)]
 #[case("01000000 12 0300 c4", "field cut short", 19)]
 #[case("01000000 10 0300 0700000000000000 ffffffff 7b", "count of 4294967295 overruns", 31)]
 #[case("01000000 1a 0000 ffffffff", "field cut short", 23)]
 #[case("ffffffff", "field cut short", 16)]
 #[case("00000000 16", "1 bytes are left over", 16)]
-fn tells_what_is_broken(#[case] body: &str, #[case] what: &str, #[case] at: usize) {
-    let Err(BadFrame { what: told, at: place }) = read_body(Tenths(0), &bytes(body)) else {
-        panic!("it was read")
+fn names_what_is_invalid(#[case] body: &str, #[case] expected: &str, #[case] expected_at: usize) {
+    let Err(DecodeError { kind, at }) = decode_body(Tenths(0), &bytes(body)) else {
+        panic!("it was decoded")
     };
-    assert!(told.starts_with(what), "{told}");
-    assert_eq!(place, at);
+    let text = kind.to_string();
+    assert!(text.starts_with(expected), "{text}");
+    assert_eq!(at, expected_at);
 }
 
 #[rstest]
 fn serves_until_the_input_ends() {
     let mut output = Vec::new();
-    let alarm = "16 0300 4d00000000000000";
+    let woken = "16 0300 4d00000000000000";
     let input =
-        [frame(&[]), frame(&[&start(SETTINGS), alarm]), frame(&["19 0300", &start(SETTINGS)])].concat();
-    assert_eq!(serve(&input[..], &mut output), Ok(()));
+        [frame(&[]), frame(&[&start(SETTINGS), woken]), frame(&["19 0300", &start(SETTINGS)])].concat();
+    assert!(matches!(serve(&input[..], &mut output), Ok(())));
     assert_eq!(output[..8], bytes("04000000 00000000"));
-    assert_eq!(
-        serve(&frame(&[])[..9], &mut output),
-        Err("the input ends at byte 9 of a frame's header".into())
-    );
-    assert_eq!(serve(&frame(&[])[..14], &mut output), Err("the input ends at byte 14 of a frame".into()));
-    assert!(serve(&frame(&[alarm])[..], &mut output).unwrap_err().contains("broker 3, which is not running"));
+    let mut error_of = |input: &[u8]| -> ServeError { serve(input, &mut output).unwrap_err() };
+    assert_eq!(error_of(&frame(&[])[..9]).to_string(), "the input ends at byte 9 of a frame's header");
+    assert_eq!(error_of(&frame(&[])[..14]).to_string(), "the input ends at byte 14 of a frame");
+    let unknown_broker = error_of(&frame(&[woken])).to_string();
+    assert_eq!(unknown_broker, "an event for broker 3, which is not running");
 }
 
 #[rstest]
@@ -117,9 +126,9 @@
 #[case(&SETTINGS.replace("Ranges", "Rages"), "missing field `Ranges`")]
 #[case(&SETTINGS.replace("deduplicated", "doubtful"), "`Effect` is `doubtful`")]
 #[case(&SETTINGS.replace("\"MinShare\": [0.4]", "\"MinShare\": []"), "`MinShare` is too short")]
-fn says_which_setting_is_amiss(#[case] text: &str, #[case] why: &str) {
-    assert!(settings::read(text.as_bytes()).unwrap_err().contains(why));
-    let batch = read_body(Tenths(0), &body(&[&start(text)])).unwrap();
-    let reply = Host::default().play(batch).unwrap().frame();
-    assert_eq!(reply[8..11], bytes("59 0300"), "the broker says that it cannot go on");
+fn names_the_invalid_setting(#[case] text: &str, #[case] expected: &str) {
+    assert!(settings::read(text.as_bytes()).unwrap_err().to_string().contains(expected));
+    let batch = decode_body(Tenths(0), &body(&[&start(text)])).unwrap();
+    let reply = BrokerHost::default().handle(batch).unwrap().frame();
+    assert_eq!(reply[8..11], bytes("59 0300"), "the broker can't go on");
 }
