--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -1,6 +1,6 @@
 //! The engine: owns the module, its clock and its wake-ups, and knows by which ids it calls things.
 
-use crate::edition::ConfigEpoch;
+use crate::config_epoch::ConfigEpoch;
 use crate::frame::{CalledPart, read_report};
 use crate::limits::{Limits, span};
 use crate::listing::NodeList;
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -1,7 +1,7 @@
 //! What closing a connection does to what comes in that moment.
 
 use super::*;
-use crate::desk::Engine;
+use crate::engine::Engine;
 use crate::limits::{Limits, Machine};
 use rstest::rstest;
 use settings::BrokerSettings;
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -10,11 +10,11 @@
 //! ```
 //!
 //! A front of another kind takes the engine's place of `front` and `query`: it makes a
-//! [`desk::QueryRequest`], hands it to [`desk::Engine::take`] and waits for the [`desk::QueryOutcome`].
+//! [`engine::QueryRequest`], hands it to [`engine::Engine::take`] and waits for the [`engine::QueryOutcome`].
 
 mod command;
-pub mod desk;
-pub mod edition;
+pub mod config_epoch;
+pub mod engine;
 pub mod frame;
 pub mod front;
 mod leave;
@@ -32,7 +32,7 @@
 pub use operator_config::{Control, Fitting, LogForm};
 pub use start::{ConfigSource, StartupConfig};
 
-use desk::Engine;
+use engine::Engine;
 use front::HttpServer;
 use limits::Limits;
 use retrieval::{QueryHandler, RejectedRequests};
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -1,7 +1,7 @@
 //! The life of one query on a socket, from its request to its answer.
 
-use crate::desk::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
-use crate::edition::ConfigEpoch;
+use crate::config_epoch::ConfigEpoch;
+use crate::engine::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
 use crate::limits::Limits;
 use actix_http::header::{CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, UPGRADE};
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -1,6 +1,6 @@
 //! Discovery: asks for the endpoint list and follows its changes.
 
-use crate::desk::Engine;
+use crate::engine::Engine;
 use crate::limits::Limits;
 use crate::listing::NodeList;
 use bytes::Bytes;
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -3,8 +3,8 @@
 //! turns.
 
 use crate::StartupConfig;
-use crate::desk::Engine;
-use crate::edition::{ConfigEpoch, EpochCounts};
+use crate::config_epoch::{ConfigEpoch, EpochCounts};
+use crate::engine::Engine;
 use config_rollout::{Sample, VersionId};
 use config_rollout_client::{Post, RestoredState, Seat, Shown, csds, follow, restore, show};
 use operator_config::Control;
--- a/crates/broker/src/versions_off.rs
+++ b/crates/broker/src/versions_off.rs
@@ -1,7 +1,7 @@
 //! Stands in for versions from a control service where the program is built without them.
 
 use crate::StartupConfig;
-use crate::desk::Engine;
+use crate::engine::Engine;
 use operator_config::Control;
 use std::convert::Infallible;
 use std::io;
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::*;
 use super::{BOTH, ONE};
 use broker::StartupConfig;
-use broker::desk::{QueryOutcome, QueryRequest, RequestedShard};
+use broker::engine::{QueryOutcome, QueryRequest, RequestedShard};
 use bytes::Bytes;
 use routing::{ClassId, ShardId, TenantId, Tenths};
 use rstest::rstest;
