--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -325,7 +325,7 @@
     /// What is on its way, told by the counts alone.
     fn under_way(&self) -> Option<&'static str> {
         let open: usize = self.brokers.iter().map(|broker| broker.engine.open_queries()).sum();
-        let out: usize = self.brokers.iter().map(|broker| broker.engine.count_out()).sum();
+        let out: usize = self.brokers.iter().map(|broker| broker.engine.in_flight_count()).sum();
         if open != self.waiting {
             return Some("a request or an answer");
         }
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,55 +1,71 @@
-//! One edition of the configuration, as fronts read it. It never changes; the engine puts a newer one in its
-//! place, and a query keeps the one under which it was taken.
+//! One configuration as request handlers read it. It never changes: the engine puts a newer one in its place, and a
+//! query keeps the one under which it was accepted.
 
 use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
 use settings::{BrokerSettings, NameRegistry};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
+/// A configuration, and how the queries that were accepted under it have ended.
 pub struct ConfigEpoch {
+    /// The names of classes and tenants.
     pub names: NameRegistry,
+    /// The request classes.
     pub classes: BTreeMap<ClassId, RequestClass>,
+    /// The number of shards.
     pub shards: u32,
-    /// Queries and shard requests held at once.
+    /// The bound on open queries and shard requests together.
     pub max_open: usize,
-    /// What a client is told that is rejected at a bound, where clients are told when to come again.
+    /// When a client that is rejected at a bound may come back; zero: clients are not told.
     pub retry_after: Tenths,
-    /// How what was taken under it has ended.
-    pub tally: Cell<EpochCounts>,
+    /// How queries have ended. Shared by the epoch's queries, which end independently of each other.
+    pub counts: Cell<EpochCounts>,
 }
 
-/// How queries ended, counted up from the first.
+/// How queries ended, counted from the epoch's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EpochCounts {
-    /// All that have ended but those whose client left.
+    /// All that have ended, except those whose client left.
     pub ended: u64,
-    /// Answered after the latency objective, rejected, failed, or turned away at the front.
+    /// Answered after the latency objective.
     pub late: u64,
-    pub declined: u64,
-    pub scrapped: u64,
-    pub turned_away: u64,
-    /// Of the last four: those of which an attempt found its node down, or lost its connection.
-    pub by_nodes: u64,
+    /// Rejected by the routing decisions.
+    pub rejected: u64,
+    /// Failed.
+    pub failed: u64,
+    /// Not accepted: at a bound of the engine, or for a class or shard that the epoch does not have.
+    pub not_accepted: u64,
+    /// Of the last four kinds: an attempt found its node down, or lost its connection.
+    pub with_lost_node: u64,
 }
 
 impl ConfigEpoch {
+    /// The epoch of a configuration, with nothing counted.
     pub fn new(broker_settings: &BrokerSettings) -> ConfigEpoch {
-        let p: &BrokerConfig = &broker_settings.broker_config;
-        let goal = p.classes.values().map(|class| class.latency_objective).min().unwrap_or_default();
-        let retry_after = goal.min(p.limits.max_retry_after);
+        let config: &BrokerConfig = &broker_settings.broker_config;
+        let objectives = config.classes.values().map(|class| class.latency_objective);
+        let shortest_objective = objectives.min().unwrap_or_default();
+        let retry_after = shortest_objective.min(config.limits.max_retry_after);
         ConfigEpoch {
             names: broker_settings.names.clone(),
-            classes: p.classes.clone(),
-            shards: p.layout.shards,
-            max_open: p.limits.max_open as usize,
-            retry_after: if p.limits.retry_after { retry_after } else { Tenths::ZERO },
-            tally: Cell::default(),
+            classes: config.classes.clone(),
+            shards: config.layout.shards,
+            max_open: config.limits.max_open as usize,
+            retry_after: if config.limits.retry_after { retry_after } else { Tenths::ZERO },
+            counts: Cell::default(),
         }
     }
 
-    pub fn count(&self, add: impl FnOnce(&mut EpochCounts)) {
-        let mut tally = self.tally.get();
-        add(&mut tally);
-        self.tally.set(tally);
+    /// When a query of this class and announced work is on time, counted from its acceptance.
+    pub fn latency_objective(&self, class: ClassId, work: Tenths) -> Tenths {
+        let class = self.classes.get(&class);
+        class.map_or(Tenths::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
+    }
+
+    /// Changes the counts.
+    pub fn count(&self, change: impl FnOnce(&mut EpochCounts)) {
+        let mut counts = self.counts.get();
+        change(&mut counts);
+        self.counts.set(counts);
     }
 }
--- /dev/null
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -0,0 +1,74 @@
+//! Attempts in flight, and the times by which something must have become of them.
+
+use crate::nodes::AttemptId;
+use routing::{NodeId, Tenths};
+use std::collections::{BTreeSet, HashMap};
+
+/// What a timer of an attempt means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerKind {
+    /// By then the attempt's last byte is written, or it never will be.
+    WriteDeadline,
+    /// The attempt times out.
+    Timeout,
+}
+
+/// A time at which something is to happen to an attempt. Timers are ordered by their time first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptTimer {
+    at: Tenths,
+    pub(super) kind: TimerKind,
+    pub(super) attempt: AttemptId,
+}
+
+/// An attempt whose end is not known yet.
+pub(super) struct InFlightAttempt {
+    pub(super) node: NodeId,
+    pub(super) sent_at: Tenths,
+    pub(super) write_deadline: Tenths,
+    pub(super) times_out_at: Tenths,
+}
+
+impl InFlightAttempt {
+    fn timers(&self, attempt: AttemptId) -> [AttemptTimer; 2] {
+        [
+            AttemptTimer { at: self.write_deadline, kind: TimerKind::WriteDeadline, attempt },
+            AttemptTimer { at: self.times_out_at, kind: TimerKind::Timeout, attempt },
+        ]
+    }
+}
+
+/// The attempts in flight and their timers.
+#[derive(Default)]
+pub(super) struct AttemptTable {
+    attempts: HashMap<AttemptId, InFlightAttempt>,
+    timers: BTreeSet<AttemptTimer>,
+}
+
+impl AttemptTable {
+    /// Adds an attempt and starts its timers.
+    pub(super) fn insert(&mut self, id: AttemptId, attempt: InFlightAttempt) {
+        self.timers.extend(attempt.timers(id));
+        self.attempts.insert(id, attempt);
+    }
+
+    /// Removes an attempt and its timers; `None`: its end is known already.
+    pub(super) fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
+        let attempt = self.attempts.remove(&id)?;
+        for timer in attempt.timers(id) {
+            self.timers.remove(&timer);
+        }
+        Some(attempt)
+    }
+
+    /// When the next timer is due.
+    pub(super) fn next_due(&self) -> Option<Tenths> {
+        self.timers.first().map(|timer| timer.at)
+    }
+
+    /// Takes the next timer that is due by `now`.
+    pub(super) fn pop_due(&mut self, now: Tenths) -> Option<AttemptTimer> {
+        self.timers.first().filter(|timer| timer.at <= now)?;
+        self.timers.pop_first()
+    }
+}
--- /dev/null
+++ b/crates/broker/src/engine/clock.rs
@@ -0,0 +1,48 @@
+//! The engine's clock: converts between the runtime's instants and the times of the routing decisions.
+
+use crate::limits::span;
+use routing::Tenths;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::time::Instant;
+
+/// The length of one tenth of a millisecond, the unit of [`Tenths`].
+const MICROS_PER_TENTH: u128 = 100;
+
+/// Counts Unix time from one reading of the system's clock, and only ever forward.
+///
+/// Discovery gives the nodes' start times in Unix time, so the routing decisions count in it as well.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct BrokerClock {
+    started: Instant,
+    started_unix: Tenths,
+}
+
+impl BrokerClock {
+    /// Starts at `started_unix`, or at the system's time where there is none.
+    pub(super) fn start(started_unix: Option<Tenths>) -> BrokerClock {
+        let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started_unix = started_unix.unwrap_or(Tenths((system.as_micros() / MICROS_PER_TENTH) as i64));
+        BrokerClock { started: Instant::now(), started_unix }
+    }
+
+    /// The time at which the clock was started.
+    pub(super) fn start_time(&self) -> Tenths {
+        self.started_unix
+    }
+
+    /// The present time.
+    pub(super) fn now(&self) -> Tenths {
+        self.to_tenths(Instant::now())
+    }
+
+    /// An instant as a time of the routing decisions; one before the start counts as the start.
+    pub(super) fn to_tenths(&self, at: Instant) -> Tenths {
+        let elapsed = at.saturating_duration_since(self.started);
+        self.started_unix + Tenths((elapsed.as_micros() / MICROS_PER_TENTH) as i64)
+    }
+
+    /// A time of the routing decisions as an instant; one before the start counts as the start.
+    pub(super) fn to_instant(&self, at: Tenths) -> Instant {
+        self.started + span(at - self.started_unix)
+    }
+}
--- /dev/null
+++ b/crates/broker/src/engine/dispatch.rs
@@ -0,0 +1,149 @@
+//! Carries out what the routing decisions say at the end of a turn. Attempts leave at its very end, when those to one
+//! node have met in batches.
+
+use super::attempt_table::InFlightAttempt;
+use super::query_table::NextAttempt;
+use super::{Engine, QueryOutcome};
+use crate::frame::CalledPart;
+use crate::limits::span;
+use crate::nodes::{AttemptId, Sending};
+use bytes::Bytes;
+use routing::{
+    AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
+    Tenths,
+};
+use std::collections::BTreeMap;
+use tracing::info;
+
+/// The attempts that one turn sends, and those that it cancels.
+#[derive(Default)]
+struct TurnAttempts {
+    by_node: BTreeMap<NodeId, Vec<Sending>>,
+    cancelled: Vec<AttemptId>,
+}
+
+impl Engine {
+    /// Carries out the effects of a turn, in order, and then sends its attempts.
+    pub(super) fn carry_out(&self, now: Tenths, effects: Vec<Effect>) {
+        let mut attempts = TurnAttempts::default();
+        for effect in effects {
+            self.carry_out_effect(now, effect, &mut attempts);
+        }
+        self.send_attempts(attempts);
+    }
+
+    fn carry_out_effect(&self, now: Tenths, effect: Effect, attempts: &mut TurnAttempts) {
+        match effect {
+            Effect::Send { shard_request, node, timeout } => {
+                if let Some(sending) = self.start_attempt(now, shard_request, node, timeout) {
+                    attempts.by_node.entry(node).or_default().push(sending);
+                }
+            }
+            Effect::Cancel { shard_request, attempt } => {
+                attempts.cancelled.push((shard_request, attempt));
+                self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
+            }
+            Effect::Respond { query, complete } => {
+                self.finish(query, |responses| QueryOutcome::Response { complete, responses });
+            }
+            Effect::Reject { query, retry_after } => {
+                self.finish(query, |_| QueryOutcome::Rejected { retry_after });
+            }
+            Effect::Fail { query } => self.finish(query, |_| QueryOutcome::Failed),
+            Effect::Probe { node } => self.nodes.probe(node),
+            Effect::CloseIdle { node } => self.nodes.close_idle(node),
+            Effect::Wake { after } => self.wake_by(now + after),
+            Effect::WatchEndpoints => self.watch_requested.notify_one(),
+            Effect::Say(line) => info!("{line}"),
+        }
+    }
+
+    fn wake_by(&self, at: Tenths) {
+        let wake_at = self.wake_at.get().map_or(at, |earlier| earlier.min(at));
+        self.wake_at.set(Some(wake_at));
+    }
+
+    /// Ends a query that is still open.
+    pub(super) fn finish(&self, id: QueryId, outcome: impl FnOnce(Vec<(ShardId, Bytes)>) -> QueryOutcome) {
+        if let Some(closed) = self.close(id) {
+            closed.query.finish(outcome(closed.responses), self.clock.now());
+        }
+    }
+
+    /// Notes an attempt as in flight and returns what is sent of it.
+    fn start_attempt(
+        &self,
+        now: Tenths,
+        shard_request: ShardRequestId,
+        node: NodeId,
+        timeout: Tenths,
+    ) -> Option<Sending> {
+        let next = self.queries.borrow_mut().next_attempt(shard_request);
+        let Some(NextAttempt { id, shard, wire_id, text }) = next else {
+            self.report_not_sent(node, (shard_request, AttemptNumber(0)));
+            return None;
+        };
+        let attempt = InFlightAttempt {
+            node,
+            sent_at: now,
+            write_deadline: now + self.limits.unsent,
+            times_out_at: now + timeout,
+        };
+        self.attempts.borrow_mut().insert(id, attempt);
+        let wait_ms = span(timeout).as_millis().max(1) as u64;
+        let shard_request = CalledPart { id: wire_id, shard: shard.0, wait_ms, text };
+        Some(Sending { attempt: id, shard_request })
+    }
+
+    fn send_attempts(&self, attempts: TurnAttempts) {
+        for (node, mut sendings) in attempts.by_node {
+            // Guards against a shard request that is sent after its query's end, which the same turn brought.
+            sendings.retain(|sending| {
+                let is_wanted = self.queries.borrow().is_open(sending.attempt.0)
+                    && !attempts.cancelled.contains(&sending.attempt);
+                if !is_wanted {
+                    self.report_not_sent(node, sending.attempt);
+                }
+                is_wanted
+            });
+            for batch in self.split_into_batches(sendings) {
+                self.nodes.send(node, batch);
+            }
+        }
+    }
+
+    /// Ends an attempt of which nothing was handed to its node.
+    fn report_not_sent(&self, node: NodeId, id: AttemptId) {
+        self.attempts.borrow_mut().remove(id);
+        let (shard_request, attempt) = id;
+        self.push_input(Input::AttemptEnded(AttemptResult {
+            shard_request,
+            attempt,
+            node,
+            outcome: AttemptOutcome::NotSent,
+            duration: Tenths::ZERO,
+        }));
+    }
+
+    /// Splits a turn's attempts to one node into batches within the bounds on shard requests and bytes.
+    fn split_into_batches(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
+        let mut batches: Vec<Vec<Sending>> = Vec::new();
+        let mut batch_bytes = 0;
+        for sending in sendings {
+            let bytes = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
+            match batches.last_mut() {
+                Some(batch)
+                    if batch.len() < self.limits.call_parts && batch_bytes + bytes <= self.limits.frame =>
+                {
+                    batch_bytes += bytes;
+                    batch.push(sending);
+                }
+                _ => {
+                    batch_bytes = bytes;
+                    batches.push(vec![sending]);
+                }
+            }
+        }
+        batches
+    }
+}
--- /dev/null
+++ b/crates/broker/src/engine/handles.rs
@@ -0,0 +1,40 @@
+//! What a front end holds on to: a query that was accepted, and memory that was reserved. Dropping either gives up
+//! what it stands for.
+
+use super::{Engine, QueryOutcome};
+use routing::QueryId;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// Bytes that count as held for as long as this lives.
+pub struct ReservedMemory {
+    pub(super) engine: Rc<Engine>,
+    pub(super) bytes: usize,
+}
+
+impl Drop for ReservedMemory {
+    fn drop(&mut self) {
+        self.engine.release_memory(self.bytes);
+    }
+}
+
+/// A query that was accepted and has no outcome yet. Dropping it says that its client has left.
+pub struct AcceptedQuery {
+    pub(super) engine: Rc<Engine>,
+    pub(super) id: QueryId,
+    pub(super) outcome: oneshot::Receiver<QueryOutcome>,
+}
+
+impl AcceptedQuery {
+    /// Waits for the query's end.
+    pub async fn outcome(mut self) -> QueryOutcome {
+        (&mut self.outcome).await.unwrap_or(QueryOutcome::Failed)
+    }
+}
+
+impl Drop for AcceptedQuery {
+    /// Guards against work for clients that have left: the routing decisions are notified of a drop before the outcome.
+    fn drop(&mut self) {
+        self.engine.abandon(self.id);
+    }
+}
--- /dev/null
+++ b/crates/broker/src/engine/id_registry.rs
@@ -0,0 +1,69 @@
+//! The ids by which the routing decisions know nodes and zones.
+
+use crate::listing::ListedNode;
+use routing::{EndpointState, NodeId, ZoneId};
+use std::collections::{HashMap, HashSet};
+
+/// Gives ids to the names that discovery uses. A node that was removed and comes back gets a new id.
+#[derive(Default)]
+pub(super) struct IdRegistry {
+    nodes: HashMap<String, NodeId>,
+    ready_nodes: HashSet<NodeId>,
+    /// A zone's id is its place here.
+    zones: Vec<String>,
+    last_node_id: u64,
+}
+
+impl IdRegistry {
+    /// Starts with the zones that the configuration names, under the ids that it gives them.
+    pub(super) fn new(zones: Vec<String>) -> IdRegistry {
+        IdRegistry { zones, ..IdRegistry::default() }
+    }
+
+    /// The number of nodes that are ready.
+    pub(super) fn ready_node_count(&self) -> usize {
+        self.ready_nodes.len()
+    }
+
+    /// Drops the nodes that a complete list does not name, and returns their ids. None of the others counts as
+    /// ready until its own entry is registered.
+    pub(super) fn remove_unlisted(&mut self, listed: &[ListedNode]) -> Vec<NodeId> {
+        self.ready_nodes.clear();
+        let listed: HashSet<&str> = listed.iter().map(|node| &node.name[..]).collect();
+        let mut removed = Vec::new();
+        self.nodes.retain(|name, node| {
+            let is_listed = listed.contains(&name[..]);
+            if !is_listed {
+                removed.push(*node);
+            }
+            is_listed
+        });
+        removed
+    }
+
+    /// Notes a node's state and returns its id. The id of a removed node is returned a last time.
+    pub(super) fn register_node(&mut self, name: &str, state: EndpointState) -> NodeId {
+        let next = NodeId(self.last_node_id + 1);
+        let node = *self.nodes.entry(name.to_owned()).or_insert(next);
+        self.last_node_id = self.last_node_id.max(node.0);
+        if state == EndpointState::Ready {
+            self.ready_nodes.insert(node);
+        } else {
+            self.ready_nodes.remove(&node);
+        }
+        if state == EndpointState::Removed {
+            self.nodes.remove(name);
+        }
+        node
+    }
+
+    /// The id of a zone; an unknown one is added.
+    pub(super) fn zone_id(&mut self, name: String) -> ZoneId {
+        let known = self.zones.iter().position(|zone| *zone == name);
+        let index = known.unwrap_or_else(|| {
+            self.zones.push(name);
+            self.zones.len() - 1
+        });
+        ZoneId(index as u16)
+    }
+}
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -1,712 +1,384 @@
-//! The engine: owns the module, its clock and its wake-ups, and knows by which ids it calls things.
+//! The engine: owns the routing decisions with their clock and timers, feeds them what happens, and carries out what
+//! they say.
+//!
+//! A front end hands a [`QueryRequest`] to [`Engine::submit`] and waits for its [`QueryOutcome`]; discovery calls
+//! [`Engine::update_endpoints`]. Both only add inputs; [`Engine::run`] gives the decisions their turns.
+
+mod attempt_table;
+mod clock;
+mod decider;
+mod dispatch;
+mod handles;
+mod id_registry;
+mod query;
+mod query_table;
+
+#[cfg(test)]
+mod tests;
+
+pub use handles::{AcceptedQuery, ReservedMemory};
+pub use query::{AdmissionError, QueryOutcome, QueryRequest, RequestedShard};
 
 use crate::config_epoch::ConfigEpoch;
-use crate::frame::{CalledPart, read_report};
+use crate::frame::read_report;
 use crate::limits::{Limits, span};
-use crate::listing::NodeList;
-use crate::nodes::{AttemptId, Ended, NodePool, Sending};
-use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
+use crate::listing::{ListedNode, NodeList};
+use crate::nodes::{Ended, NodePool};
+use admission_control::AdmissionConfig;
+use attempt_table::{AttemptTable, TimerKind};
 use bytes::Bytes;
+use clock::BrokerClock;
+use decider::Decider;
+use id_registry::IdRegistry;
+use query_table::{OpenedQuery, QueryTable, QueryTimes, RemovedQuery};
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, ClassId, Effect, Endpoint,
-    EndpointList, EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId,
-    PlacementGroupId, ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
+    AttemptOutcome, AttemptResult, BrokerConfig, Endpoint, EndpointList, EndpointListKind, EndpointState,
+    GroupId, Input, NewQuery, NewShardRequest, PlacementGroupId, ProbeResult, QueryId, Tenths,
 };
 use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::sync::{Notify, oneshot};
+use std::time::Duration;
+use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
-use tracing::info;
-
-/// A query as a front hands it over.
-pub struct QueryRequest {
-    /// What the wire calls it.
-    pub id: Bytes,
-    pub class: ClassId,
-    pub tenant: TenantId,
-    /// When its client stops waiting.
-    pub until: Instant,
-    pub work: Tenths,
-    pub shard_requests: Vec<RequestedShard>,
-    /// What every shard request carries.
-    pub text: Bytes,
-    /// The bytes that it keeps in memory: a text that is part of a longer body keeps all of that.
-    pub holds: usize,
-}
-
-pub struct RequestedShard {
-    pub shard: ShardId,
-    pub weight: f64,
-}
 
-/// The final word on a query.
-#[derive(Debug)]
-pub enum QueryOutcome {
-    Response { whole: bool, items: Vec<(ShardId, Bytes)> },
-    Rejected { retry_after: Tenths },
-    Failed,
-}
-
-/// Why a query was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionError {
-    /// As much is held as may be.
-    Overloaded,
-    /// One of that id is open.
-    DuplicateId,
-}
-
-struct Open {
-    id: Bytes,
-    /// The one under which it was taken, to its end.
-    epoch: Rc<ConfigEpoch>,
-    /// When its latency objective is over.
-    objective_at: Tenths,
-    /// An attempt of it found its node down, or lost its connection.
-    fell: bool,
-    until: Tenths,
-    shard_requests: Vec<ShardRequestId>,
-    text: Bytes,
-    bytes: usize,
-    tell: oneshot::Sender<QueryOutcome>,
-}
-
-struct OpenShardRequest {
-    query: QueryId,
-    shard: ShardId,
-    wire_id: Bytes,
-    attempts: u16,
-    value: Option<Bytes>,
-}
-
-impl Open {
-    /// Counts its end under its edition.
-    fn count(&self, verdict: &QueryOutcome, now: Tenths) {
-        let late = now > self.objective_at;
-        self.epoch.count(|tally| {
-            tally.ended += 1;
-            let badly = match verdict {
-                QueryOutcome::Response { .. } if late => &mut tally.late,
-                QueryOutcome::Response { .. } => return,
-                QueryOutcome::Rejected { .. } => &mut tally.declined,
-                QueryOutcome::Failed => &mut tally.scrapped,
-            };
-            *badly += 1;
-            tally.by_nodes += u64::from(self.fell);
-        });
-    }
-}
-
-/// Queries and shard requests that are open, and what the wire calls them.
-#[derive(Default)]
-struct Book {
-    queries: HashMap<QueryId, Open>,
-    shard_requests: HashMap<ShardRequestId, OpenShardRequest>,
-    wire_ids: HashSet<Bytes>,
-    last_id: u64,
-    /// Parts whose value has not come.
-    lacking: usize,
-    /// Bytes held for them.
-    bytes: usize,
-}
-
-/// Attempts that are out.
-#[derive(Default)]
-struct Pushes {
-    out: HashMap<AttemptId, OutPush>,
-    timers: BTreeSet<(Tenths, Timer, AttemptId)>,
-}
-
-struct OutPush {
-    node: NodeId,
-    sent: Tenths,
-    timers: [(Tenths, Timer); 2],
-}
-
-impl Pushes {
-    fn enter(&mut self, attempt: AttemptId, out: OutPush) {
-        self.timers.extend(out.timers.map(|(at, timer)| (at, timer, attempt)));
-        self.out.insert(attempt, out);
-    }
-
-    fn strike(&mut self, attempt: AttemptId) -> Option<OutPush> {
-        let out = self.out.remove(&attempt)?;
-        out.timers.iter().for_each(|(at, timer)| _ = self.timers.remove(&(*at, *timer, attempt)));
-        Some(out)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Timer {
-    /// By then its last byte is written, or it never will be.
-    Unsent,
-    /// Its time-out.
-    Over,
-}
-
-/// The ids of nodes and zones.
-#[derive(Default)]
-struct Names {
-    nodes: HashMap<String, NodeId>,
-    ready: HashSet<NodeId>,
-    zones: Vec<String>,
-    last_node: u64,
-}
-
-/// The module, or the module behind its door (`crates/admission-control`). There is one a broker: the platform's
-/// path, alone, is not given an indirection for the sake of size.
-#[allow(clippy::large_enum_variant)]
-enum Decider {
-    Alone(Broker),
-    Admitted(Box<AdmittedBroker>),
-}
-
-impl Decider {
-    fn turn(&mut self, now: Tenths, heard: &[Input]) -> Vec<Effect> {
-        match self {
-            Decider::Alone(broker) => broker.turn(now, heard),
-            Decider::Admitted(gated) => gated.turn(now, heard),
-        }
-    }
-}
+/// How long the event loop sleeps at most while no timer is set.
+const LONGEST_SLEEP: Duration = Duration::from_secs(3600);
 
+/// One broker's decisions, and what they are taken from and carried out on.
+///
+/// It lives on one thread, shared by the front end, discovery and the event loop; no borrow of a cell is held across
+/// an `await`.
 pub struct Engine {
     limits: Rc<Limits>,
+    clock: BrokerClock,
     nodes: Rc<NodePool>,
-    broker: RefCell<Decider>,
-    started: (Instant, Tenths),
-    heard: RefCell<Vec<Input>>,
-    book: RefCell<Book>,
-    attempts: RefCell<Pushes>,
-    names: RefCell<Names>,
+    decider: RefCell<Decider>,
+    /// What has happened since the last turn.
+    inputs: RefCell<Vec<Input>>,
+    queries: RefCell<QueryTable>,
+    attempts: RefCell<AttemptTable>,
+    ids: RefCell<IdRegistry>,
     epoch: RefCell<Rc<ConfigEpoch>>,
+    /// When the decisions want their next turn.
     wake_at: Cell<Option<Tenths>>,
-    bell: Notify,
-    ready: Cell<bool>,
-    /// The process ends: nothing is taken any more.
-    ended: Cell<bool>,
-    /// Rung when the module wants the endpoint list followed.
-    pub roll_wanted: Notify,
-}
-
-/// The module alone, or behind an admission controller whose configuration the operator's file has checked.
-fn decider(broker_config: BrokerConfig, seed: u64, now: Tenths, door: Option<AdmissionConfig>) -> Decider {
-    let door = door.and_then(|allowance| AdmissionController::new(allowance, &broker_config).ok());
-    let broker = Broker::start(broker_config, seed, now);
-    match door {
-        Some(door) => Decider::Admitted(Box::new(AdmittedBroker::new(door, broker))),
-        None => Decider::Alone(broker),
-    }
+    /// Notified when there is an input.
+    work_ready: Notify,
+    /// A list has named a ready node.
+    has_seen_ready_node: Cell<bool>,
+    /// No query is accepted any more.
+    is_shutting_down: Cell<bool>,
+    /// Notified when the routing decisions want the endpoint list watched.
+    pub watch_requested: Notify,
 }
 
 impl Engine {
-    /// `since`: the Unix time of this moment, where it is not the machine's that counts. `door`: the admission controller's
-    /// configuration, where there is to be one.
+    /// `started_unix`: the Unix time of this moment; `None`: the system's. `admission`: the configuration of admission
+    /// control, where it is switched on.
     pub fn new(
         broker_settings: BrokerSettings,
         seed: u64,
         limits: Rc<Limits>,
-        since: Option<Tenths>,
-        door: Option<AdmissionConfig>,
+        started_unix: Option<Tenths>,
+        admission: Option<AdmissionConfig>,
     ) -> Rc<Engine> {
         let epoch = Rc::new(ConfigEpoch::new(&broker_settings));
         let BrokerSettings { broker_config, zones, .. } = broker_settings;
-        // The endpoint list tells starts in Unix time, so the clock counts from there, and only ever forward.
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let now = since.unwrap_or(Tenths((unix.as_micros() / 100) as i64));
+        let clock = BrokerClock::start(started_unix);
+        let decider = Decider::new(broker_config, seed, clock.start_time(), admission);
         Rc::new(Engine {
+            clock,
             nodes: NodePool::new(limits.clone()),
-            limits,
-            broker: RefCell::new(decider(broker_config, seed, now, door)),
-            started: (Instant::now(), now),
-            heard: RefCell::new(vec![Input::Woken]),
-            book: RefCell::default(),
+            decider: RefCell::new(decider),
+            inputs: RefCell::new(vec![Input::Woken]),
+            queries: RefCell::new(QueryTable::new(limits.held)),
             attempts: RefCell::default(),
-            names: RefCell::new(Names { zones, ..Names::default() }),
+            ids: RefCell::new(IdRegistry::new(zones)),
             epoch: RefCell::new(epoch),
             wake_at: Cell::default(),
-            bell: Notify::new(),
-            ready: Cell::default(),
-            ended: Cell::default(),
-            roll_wanted: Notify::new(),
+            work_ready: Notify::new(),
+            has_seen_ready_node: Cell::default(),
+            is_shutting_down: Cell::default(),
+            watch_requested: Notify::new(),
+            limits,
         })
     }
 
-    fn tenths(&self, at: Instant) -> Tenths {
-        self.started.1 + Tenths((at.saturating_duration_since(self.started.0).as_micros() / 100) as i64)
+    fn push_input(&self, input: Input) {
+        self.inputs.borrow_mut().push(input);
+        self.work_ready.notify_one();
     }
 
-    fn instant(&self, at: Tenths) -> Instant {
-        self.started.0 + span(at - self.started.1)
-    }
-
-    fn hear(&self, input: Input) {
-        self.heard.borrow_mut().push(input);
-        self.bell.notify_one();
-    }
-
-    // ---- what fronts call
+    // ---- state, as front ends and tests read it
 
-    /// Whether nodes are known to send to.
+    /// Whether discovery has named a ready node since the start.
     pub fn can_serve(&self) -> bool {
-        self.ready.get()
+        self.has_seen_ready_node.get()
     }
 
-    /// How many nodes the endpoint list tells to be ready.
+    /// The number of nodes that discovery lists as ready.
     pub fn ready_nodes(&self) -> usize {
-        self.names.borrow().ready.len()
+        self.ids.borrow().ready_node_count()
     }
 
+    /// The number of queries without an outcome.
     pub fn open_queries(&self) -> usize {
-        self.book.borrow().queries.len()
+        self.queries.borrow().len()
     }
 
-    /// Attempts that are out: the node's address and the id that the wire knows the shard request by, in order. Who
-    /// rehearses a day holds them against what the nodes have, to tell whether anything is under way.
+    /// The attempts in flight, in order: the node's address, and the shard request's id on the wire. A simulation
+    /// compares them with what its nodes have, to see whether anything is under way.
     pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
         self.nodes.out()
     }
 
-    pub fn count_out(&self) -> usize {
+    /// The number of attempts in flight.
+    pub fn in_flight_count(&self) -> usize {
         self.nodes.count_out()
     }
 
-    /// The edition under which queries are taken now.
+    /// The configuration under which queries are accepted now.
     pub fn epoch(&self) -> Rc<ConfigEpoch> {
         self.epoch.borrow().clone()
     }
 
-    /// Takes queries under a new edition from now on. Both change in one step: what a front has read under
-    /// the old one has been heard before this, what it reads from now on is heard after.
-    pub fn prescribe(&self, epoch: ConfigEpoch, broker_config: BrokerConfig) {
+    // ---- queries
+
+    /// Accepts queries under another configuration from now on. Both sides change in one step: a query that a front
+    /// end has read under the former epoch precedes the change among the inputs, any later one follows it.
+    pub fn apply_config(&self, epoch: ConfigEpoch, broker_config: BrokerConfig) {
         self.epoch.replace(Rc::new(epoch));
-        self.hear(Input::Config(Box::new(broker_config)));
+        self.push_input(Input::Config(Box::new(broker_config)));
     }
 
-    /// Takes a query, unless a bound is reached. Dropping what comes back tells that the tenant left.
-    pub fn take(self: &Rc<Self>, question: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
+    /// Accepts a query, unless a bound is reached. Dropping the handle says that the client has left.
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
         let epoch = self.epoch();
-        let mut book = self.book.borrow_mut();
-        let bytes = question.id.len() * (question.shard_requests.len() + 1) + question.holds;
-        // Guards against wide queries that are all but answered and keep others out: a shard request that has its
-        // value is no longer open, though its query is.
-        let held = book.queries.len() + book.lacking;
-        let full = self.ended.get() || held + question.shard_requests.len() + 1 > epoch.max_open;
-        if full || book.bytes + bytes > self.limits.held {
-            epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+        let mut queries = self.queries.borrow_mut();
+        if self.is_shutting_down.get() || !queries.has_capacity_for(&request, epoch.max_open) {
+            epoch.count(|counts| {
+                counts.ended += 1;
+                counts.not_accepted += 1;
+            });
             return Err(AdmissionError::Overloaded);
         }
-        if !book.wire_ids.insert(question.id.clone()) {
-            return Err(AdmissionError::DuplicateId);
-        }
-        book.bytes += bytes;
-        book.lacking += question.shard_requests.len();
-        let mut next = || {
-            book.last_id += 1;
-            book.last_id
-        };
-        let id = QueryId(next());
-        let shard_requests: Vec<ShardRequestId> =
-            question.shard_requests.iter().map(|_| ShardRequestId(next())).collect();
-        let group = GroupId(id.0 as u32);
-        let until = self.tenths(question.until);
-        let class = epoch.classes.get(&question.class);
-        let goal =
-            class.map_or(Tenths::ZERO, |c| c.latency_objective + question.work.times(c.objective_stretch));
-        let (objective_at, fell) = (self.tenths(Instant::now()) + goal, false);
-        let mut heard = self.heard.borrow_mut();
-        heard.push(Input::Query(NewQuery {
-            id,
+        let objective_at = self.clock.now() + epoch.latency_objective(request.class, request.work);
+        let times = QueryTimes { objective_at, deadline: self.clock.to_tenths(request.deadline) };
+        let opened = queries.open(&request, epoch, times)?;
+        self.push_query_inputs(&request, &opened);
+        Ok(AcceptedQuery { engine: self.clone(), id: opened.id, outcome: opened.outcome })
+    }
+
+    /// The query first, then its shard requests: they must come in one turn.
+    fn push_query_inputs(&self, request: &QueryRequest, opened: &OpenedQuery) {
+        let group = GroupId(opened.id.0 as u32);
+        let mut inputs = self.inputs.borrow_mut();
+        inputs.push(Input::Query(NewQuery {
+            id: opened.id,
             group,
-            class: question.class,
-            tenant: question.tenant,
-            time_left: Tenths::ZERO, // filled in when the turn comes
-            work: question.work,
+            class: request.class,
+            tenant: request.tenant,
+            time_left: Tenths::ZERO, // set at the turn, see `set_time_left`
+            work: request.work,
             client_attempt: 0,
             min_coverage_only: false,
         }));
-        for (shard_request, &RequestedShard { shard, weight }) in
-            shard_requests.iter().zip(&question.shard_requests)
+        for (&id, &RequestedShard { shard, weight }) in
+            opened.shard_requests.iter().zip(&request.shard_requests)
         {
-            heard.push(Input::ShardRequest(NewShardRequest { id: *shard_request, group, shard, weight }));
-            let wire_id = [&question.id[..], b".", shard.0.to_string().as_bytes()].concat().into();
-            book.shard_requests.insert(
-                *shard_request,
-                OpenShardRequest { query: id, shard, wire_id, attempts: 0, value: None },
-            );
+            inputs.push(Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
         }
-        let (tell, verdict) = oneshot::channel();
-        let QueryRequest { id: wire_id, text, .. } = question;
-        let open = Open { id: wire_id, epoch, objective_at, fell, until, shard_requests, text, bytes, tell };
-        book.queries.insert(id, open);
-        self.bell.notify_one();
-        Ok(AcceptedQuery { engine: self.clone(), id, verdict })
+        self.work_ready.notify_one();
     }
 
-    /// Strikes a query from the book; what of it was not written yet is not sent any more.
-    fn close(&self, id: QueryId) -> Option<(Open, Vec<(ShardId, Bytes)>)> {
-        let mut book = self.book.borrow_mut();
-        let open = book.queries.remove(&id)?;
-        let mut shard_requests = Vec::with_capacity(open.shard_requests.len());
-        for shard_request in &open.shard_requests {
-            let Some(entry) = book.shard_requests.remove(shard_request) else { continue };
-            (0..entry.attempts).for_each(|no| {
-                _ = self.nodes.take_back((*shard_request, AttemptNumber(no)), AttemptOutcome::NotSent)
-            });
-            shard_requests.push(entry);
+    /// Removes a query; of its attempts, those of which nothing was written are not sent any more.
+    fn close(&self, id: QueryId) -> Option<RemovedQuery> {
+        let removed = self.queries.borrow_mut().remove(id)?;
+        for attempt in &removed.attempts {
+            self.nodes.take_back(*attempt, AttemptOutcome::NotSent);
         }
-        book.lacking -= shard_requests.iter().filter(|shard_request| shard_request.value.is_none()).count();
-        let items: Vec<_> = shard_requests.into_iter().filter_map(|p| Some((p.shard, p.value?))).collect();
-        book.bytes -= open.bytes + items.iter().map(|(_, value)| value.len()).sum::<usize>();
-        book.wire_ids.remove(&open.id);
-        Some((open, items))
+        Some(removed)
     }
 
-    /// Counts bytes that are held before their query is taken; none: there is no room for them.
-    pub fn hold(self: &Rc<Self>, bytes: usize) -> Option<ReservedMemory> {
-        let mut book = self.book.borrow_mut();
-        (book.bytes + bytes <= self.limits.held).then(|| {
-            book.bytes += bytes;
-            ReservedMemory { engine: self.clone(), bytes }
-        })
+    /// The client of a query has left; nothing is to be done if the query has ended.
+    fn abandon(&self, id: QueryId) {
+        if self.close(id).is_some() {
+            self.push_input(Input::ClientLeft(id));
+        }
     }
 
-    // ---- what discovery calls
+    /// Fails every open query and accepts no other: the process ends. Returns how many there were.
+    pub fn fail_open_queries(&self) -> usize {
+        self.is_shutting_down.set(true);
+        let open = self.queries.borrow().query_ids();
+        for id in &open {
+            self.finish(*id, |_| QueryOutcome::Failed);
+            self.push_input(Input::ClientLeft(*id));
+        }
+        open.len()
+    }
 
-    pub fn roll_failed(&self) {
-        self.hear(Input::EndpointListFailed);
+    /// Counts bytes as held before their query is submitted. `None`: there is no room for them.
+    pub fn reserve_memory(self: &Rc<Self>, bytes: usize) -> Option<ReservedMemory> {
+        let is_reserved = self.queries.borrow_mut().reserve_bytes(bytes);
+        is_reserved.then(|| ReservedMemory { engine: self.clone(), bytes })
     }
 
-    /// Puts an endpoint list into the module's ids.
-    pub fn hear_roll(&self, kind: EndpointListKind, listing: NodeList) {
-        let names = &mut *self.names.borrow_mut();
+    fn release_memory(&self, bytes: usize) {
+        self.queries.borrow_mut().release_bytes(bytes);
+    }
+
+    // ---- discovery
+
+    /// Notes that the endpoint list could not be read or is no longer watched; the last one holds.
+    pub fn endpoint_list_failed(&self) {
+        self.push_input(Input::EndpointListFailed);
+    }
+
+    /// Takes over an endpoint list: all nodes, or those that changed.
+    pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
+        let mut ids = self.ids.borrow_mut();
         if kind != EndpointListKind::Delta {
-            names.ready.clear();
-            let listed: HashSet<&str> = listing.nodes.iter().map(|node| &node.name[..]).collect();
-            names.nodes.retain(|name, node| {
-                let stays = listed.contains(&name[..]);
-                if !stays {
-                    self.nodes.listens(*node, None, false);
-                }
-                stays
-            });
-        }
-        let mut entries = Vec::with_capacity(listing.nodes.len());
-        for told in listing.nodes {
-            let state = EndpointState::from(told.state);
-            self.ready.set(self.ready.get() || state == EndpointState::Ready);
-            let next = names.last_node + 1;
-            let node = *names.nodes.entry(told.name.clone()).or_insert(NodeId(next));
-            names.last_node = names.last_node.max(node.0);
-            match state {
-                EndpointState::Ready => names.ready.insert(node),
-                _ => names.ready.remove(&node),
-            };
-            let address = (state != EndpointState::Removed).then_some(told.address);
-            self.nodes.listens(node, address, state == EndpointState::Ready);
-            if state == EndpointState::Removed {
-                names.nodes.remove(&told.name);
+            for node in ids.remove_unlisted(&list.nodes) {
+                self.nodes.listens(node, None, false);
             }
-            let known = names.zones.iter().position(|zone| *zone == told.zone);
-            let zone = known.unwrap_or_else(|| {
-                names.zones.push(told.zone);
-                names.zones.len() - 1
-            });
-            entries.push(Endpoint {
-                node,
-                zone: ZoneId(zone as u16),
-                placement_group: PlacementGroupId(told.cell),
-                state,
-                started_at: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
-            });
         }
-        self.hear(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
+        let entries: Vec<Endpoint> =
+            list.nodes.into_iter().map(|listed| self.update_endpoint(&mut ids, listed)).collect();
+        self.push_input(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
+    }
+
+    fn update_endpoint(&self, ids: &mut IdRegistry, listed: ListedNode) -> Endpoint {
+        let state = EndpointState::from(listed.state);
+        let is_ready = state == EndpointState::Ready;
+        if is_ready {
+            self.has_seen_ready_node.set(true);
+        }
+        let node = ids.register_node(&listed.name, state);
+        let address = (state != EndpointState::Removed).then_some(listed.address);
+        self.nodes.listens(node, address, is_ready);
+        Endpoint {
+            node,
+            zone: ids.zone_id(listed.zone),
+            placement_group: PlacementGroupId(listed.cell),
+            state,
+            started_at: (listed.started_ms > 0.0).then(|| Tenths::from_ms(listed.started_ms)),
+        }
     }
 
     // ---- turns
 
-    /// Gives the module its turns, at least the period apart, for as long as the broker runs.
+    /// Gives the decisions their turns, at least the configured period apart, for as long as the broker runs.
     pub async fn run(self: Rc<Self>) {
         let period = span(self.limits.period);
-        let mut last: Option<Instant> = None;
+        let mut last_turn: Option<Instant> = None;
         loop {
             let due = self.next_due();
-            if self.heard.borrow().is_empty() && due.is_none_or(|due| due > Instant::now()) {
-                let far = Instant::now() + Duration::from_secs(3600);
-                tokio::select! {
-                    () = self.bell.notified() => {}
-                    () = self.nodes.bell.notified() => {
-                        self.fetch_ended();
-                        self.fetch_told();
-                    }
-                    () = sleep_until(due.unwrap_or(far)) => {}
-                }
+            if self.inputs.borrow().is_empty() && due.is_none_or(|due| due > Instant::now()) {
+                self.wait_for_work(due).await;
                 continue;
             }
-            if let Some(last) = last {
-                sleep_until(last + period).await;
+            if let Some(last_turn) = last_turn {
+                sleep_until(last_turn + period).await;
             }
-            last = Some(Instant::now());
+            last_turn = Some(Instant::now());
             self.turn();
         }
     }
 
-    /// When the next wake-up or time-out is due.
-    fn next_due(&self) -> Option<Instant> {
-        let timer = self.attempts.borrow().timers.first().map(|(at, _, _)| *at);
-        self.wake_at.get().into_iter().chain(timer).min().map(|at| self.instant(at))
-    }
-
-    /// Takes over the ends of attempts, with the values that came.
-    fn fetch_ended(&self) {
-        for Ended { attempt: (shard_request, attempt), end, value, at } in self.nodes.fetch_ended() {
-            let Some(OutPush { node, sent, .. }) =
-                self.attempts.borrow_mut().strike((shard_request, attempt))
-            else {
-                continue;
-            };
-            let end = if self.keep_value(shard_request, value) { end } else { AttemptOutcome::Errored };
-            if matches!(end, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost) {
-                self.note_fall(shard_request);
+    async fn wait_for_work(&self, due: Option<Instant>) {
+        let longest = Instant::now() + LONGEST_SLEEP;
+        tokio::select! {
+            () = self.work_ready.notified() => {}
+            () = self.nodes.bell.notified() => {
+                self.collect_ended_attempts();
+                self.collect_probe_results();
             }
-            let took = self.tenths(at) - sent;
-            self.heard.borrow_mut().push(Input::AttemptEnded(AttemptResult {
-                shard_request,
-                attempt,
-                node,
-                outcome: end,
-                duration: took,
-            }));
-        }
-    }
-
-    fn note_fall(&self, shard_request: ShardRequestId) {
-        let mut book = self.book.borrow_mut();
-        let Some(id) = book.shard_requests.get(&shard_request).map(|shard_request| shard_request.query)
-        else {
-            return;
-        };
-        book.queries.get_mut(&id).into_iter().for_each(|open| open.fell = true);
-    }
-
-    /// Keeps a value for its query, if that is still open and there is room for it.
-    fn keep_value(&self, shard_request: ShardRequestId, value: Option<Bytes>) -> bool {
-        let Some(value) = value else { return true };
-        let mut book = self.book.borrow_mut();
-        let fits = book.bytes + value.len() <= self.limits.held;
-        let Some(open) = book.shard_requests.get_mut(&shard_request) else { return true };
-        if open.value.is_none() && fits {
-            let length = value.len();
-            // A copy of its own: the connection's buffer is not held on to for a few bytes of it.
-            open.value = Some(Bytes::copy_from_slice(&value));
-            book.bytes += length;
-            book.lacking -= 1;
-            return true;
+            () = sleep_until(due.unwrap_or(longest)) => {}
         }
-        open.value.is_some()
     }
 
-    fn next_timer(&self, now: Tenths) -> Option<(Tenths, Timer, AttemptId)> {
-        let timers = &mut self.attempts.borrow_mut().timers;
-        timers.first().filter(|(at, _, _)| *at <= now)?;
-        timers.pop_first()
+    /// When the next turn, or the next timer of an attempt, is due.
+    fn next_due(&self) -> Option<Instant> {
+        let timer = self.attempts.borrow().next_due();
+        self.wake_at.get().into_iter().chain(timer).min().map(|at| self.clock.to_instant(at))
     }
 
+    /// One turn: what has happened goes in, what the decisions say is carried out.
     fn turn(&self) {
-        let now = self.tenths(Instant::now());
-        while let Some((_, timer, attempt)) = self.next_timer(now) {
-            match timer {
-                Timer::Unsent => self.nodes.no_longer(attempt),
-                Timer::Over => self.nodes.give_up(attempt, AttemptOutcome::TimedOut),
-            }
-        }
-        self.fetch_ended();
-        self.fetch_told();
-        let mut heard = self.heard.take();
+        let now = self.clock.now();
+        self.end_overdue_attempts(now);
+        self.collect_ended_attempts();
+        self.collect_probe_results();
+        let mut inputs = self.inputs.take();
         if self.wake_at.get().is_some_and(|at| at <= now) {
             self.wake_at.set(None);
-            heard.push(Input::Woken);
+            inputs.push(Input::Woken);
         }
-        if heard.is_empty() {
+        if inputs.is_empty() {
             return;
         }
-        for input in &mut heard {
-            if let Input::Query(new) = input {
-                // It runs from when the client sent it, not from this turn.
-                let until = self.book.borrow().queries.get(&new.id).map(|open| open.until);
-                new.time_left = (until.unwrap_or(now) - now).max(Tenths::ZERO);
-            }
-        }
-        let effects = self.broker.borrow_mut().turn(now, &heard);
+        self.set_time_left(&mut inputs, now);
+        let effects = self.decider.borrow_mut().turn(now, &inputs);
         self.carry_out(now, effects);
     }
 
-    /// Carries out what the module said in one turn; attempts leave at its end, when they have met in calls.
-    fn carry_out(&self, now: Tenths, effects: Vec<Effect>) {
-        let mut calls: BTreeMap<NodeId, Vec<Sending>> = BTreeMap::new();
-        let mut withdrawn: Vec<AttemptId> = Vec::new();
-        for effect in effects {
-            match effect {
-                Effect::Send { shard_request, node, timeout } => {
-                    if let Some(sending) = self.push(now, shard_request, node, timeout) {
-                        calls.entry(node).or_default().push(sending);
-                    }
-                }
-                Effect::Cancel { shard_request, attempt } => {
-                    withdrawn.push((shard_request, attempt));
-                    self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
-                }
-                Effect::Respond { query, complete: whole } => {
-                    self.tell(query, |items| QueryOutcome::Response { whole, items });
-                }
-                Effect::Reject { query, retry_after } => {
-                    self.tell(query, |_| QueryOutcome::Rejected { retry_after });
-                }
-                Effect::Fail { query } => self.tell(query, |_| QueryOutcome::Failed),
-                Effect::Probe { node } => self.nodes.probe(node),
-                Effect::CloseIdle { node } => self.nodes.close_idle(node),
-                Effect::Wake { after } => {
-                    let at = now + after;
-                    self.wake_at.set(Some(self.wake_at.get().map_or(at, |sooner| sooner.min(at))));
-                }
-                Effect::WatchEndpoints => self.roll_wanted.notify_one(),
-                Effect::Say(line) => info!("{line}"),
-            }
-        }
-        for (node, mut sendings) in calls {
-            // Guards against a shard request that is sent after its query's end, which the same turn brought.
-            sendings.retain(|sending| {
-                let stays = self.book.borrow().shard_requests.contains_key(&sending.attempt.0);
-                let stays = stays && !withdrawn.contains(&sending.attempt);
-                if !stays {
-                    self.never_sent(node, sending.attempt);
-                }
-                stays
-            });
-            for call in self.split_calls(sendings) {
-                self.nodes.send(node, call);
+    fn end_overdue_attempts(&self, now: Tenths) {
+        while let Some(timer) = self.next_due_timer(now) {
+            match timer.kind {
+                TimerKind::WriteDeadline => self.nodes.no_longer(timer.attempt),
+                TimerKind::Timeout => self.nodes.give_up(timer.attempt, AttemptOutcome::TimedOut),
             }
         }
     }
 
-    /// Enters an attempt, and puts it into the wire's terms.
-    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, timeout: Tenths) -> Option<Sending> {
-        let mut book = self.book.borrow_mut();
-        let Some(shard_request) = book.shard_requests.get_mut(&id) else {
-            self.never_sent(node, (id, AttemptNumber(0)));
-            return None;
-        };
-        let attempt = (id, AttemptNumber(shard_request.attempts));
-        shard_request.attempts += 1;
-        let (query, shard, wire_id) =
-            (shard_request.query, shard_request.shard.0, shard_request.wire_id.clone());
-        let text = book.queries.get(&query)?.text.clone();
-        let timers = [(now + self.limits.unsent, Timer::Unsent), (now + timeout, Timer::Over)];
-        self.attempts.borrow_mut().enter(attempt, OutPush { node, sent: now, timers });
-        let wait_ms = span(timeout).as_millis().max(1) as u64;
-        Some(Sending { attempt, shard_request: CalledPart { id: wire_id, shard, wait_ms, text } })
-    }
-
-    /// What probes brought, in the module's terms.
-    fn fetch_told(&self) {
-        for (node, words) in self.nodes.fetch_told() {
-            let sound = words.is_some();
-            let report = words.map(|words| read_report(&words)).unwrap_or_default();
-            self.hear(Input::ProbeEnded(ProbeResult { node, sound, report }));
-        }
-    }
-
-    fn never_sent(&self, node: NodeId, (shard_request, attempt): AttemptId) {
-        self.attempts.borrow_mut().strike((shard_request, attempt));
-        let (end, took) = (AttemptOutcome::NotSent, Tenths::ZERO);
-        self.hear(Input::AttemptEnded(AttemptResult {
-            shard_request,
-            attempt,
-            node,
-            outcome: end,
-            duration: took,
-        }));
+    /// A function of its own: the table is not borrowed while its timer is acted on.
+    fn next_due_timer(&self, now: Tenths) -> Option<attempt_table::AttemptTimer> {
+        self.attempts.borrow_mut().pop_due(now)
     }
 
-    /// A turn's attempts to one node, in calls of no more shard requests and bytes than a call may have.
-    fn split_calls(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
-        let mut calls: Vec<Vec<Sending>> = Vec::new();
-        let mut bytes = 0;
-        for sending in sendings {
-            let more = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
-            match calls.last_mut() {
-                Some(call) if call.len() < self.limits.call_parts && bytes + more <= self.limits.frame => {
-                    bytes += more;
-                    call.push(sending);
-                }
-                _ => {
-                    bytes = more;
-                    calls.push(vec![sending]);
-                }
+    /// A query's time runs from when its client sent it, not from the turn that takes it in.
+    fn set_time_left(&self, inputs: &mut [Input], now: Tenths) {
+        let queries = self.queries.borrow();
+        for input in inputs {
+            if let Input::Query(query) = input {
+                let deadline = queries.deadline(query.id).unwrap_or(now);
+                query.time_left = (deadline - now).max(Tenths::ZERO);
             }
         }
-        calls
     }
 
-    /// The process ends: what is open gets its final word, failed. Tells how many there were.
-    pub fn end_open(&self) -> usize {
-        self.ended.set(true);
-        let open: Vec<QueryId> = self.book.borrow().queries.keys().copied().collect();
-        for id in &open {
-            self.tell(*id, |_| QueryOutcome::Failed);
-            self.hear(Input::ClientLeft(*id));
+    /// Takes over the ends of attempts, with the responses that came.
+    fn collect_ended_attempts(&self) {
+        for ended in self.nodes.fetch_ended() {
+            if let Some(result) = self.attempt_result(ended) {
+                self.inputs.borrow_mut().push(Input::AttemptEnded(result));
+            }
         }
-        open.len()
     }
 
-    fn tell(&self, id: QueryId, verdict: impl FnOnce(Vec<(ShardId, Bytes)>) -> QueryOutcome) {
-        if let Some((open, items)) = self.close(id) {
-            let verdict = verdict(items);
-            open.count(&verdict, self.tenths(Instant::now()));
-            // One who has just left hears nothing.
-            let _ = open.tell.send(verdict);
+    /// The result of an attempt, unless its end was known before. A response that there is no room for is an error.
+    fn attempt_result(&self, ended: Ended) -> Option<AttemptResult> {
+        let Ended { attempt: id, end, value: response, at } = ended;
+        let in_flight = self.attempts.borrow_mut().remove(id)?;
+        let (shard_request, attempt) = id;
+        let mut queries = self.queries.borrow_mut();
+        let is_kept = response.is_none_or(|response| queries.keep_response(shard_request, &response));
+        let outcome = if is_kept { end } else { AttemptOutcome::Errored };
+        if matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost) {
+            queries.note_lost_node(shard_request);
         }
+        let duration = self.clock.to_tenths(at) - in_flight.sent_at;
+        Some(AttemptResult { shard_request, attempt, node: in_flight.node, outcome, duration })
     }
-}
-
-/// Bytes that are counted for as long as this lives.
-pub struct ReservedMemory {
-    engine: Rc<Engine>,
-    bytes: usize,
-}
-
-impl Drop for ReservedMemory {
-    fn drop(&mut self) {
-        self.engine.book.borrow_mut().bytes -= self.bytes;
-    }
-}
-
-/// A query that was taken and waits for its verdict.
-pub struct AcceptedQuery {
-    engine: Rc<Engine>,
-    id: QueryId,
-    verdict: oneshot::Receiver<QueryOutcome>,
-}
-
-impl AcceptedQuery {
-    /// Waits for the final word.
-    pub async fn verdict(mut self) -> QueryOutcome {
-        (&mut self.verdict).await.unwrap_or(QueryOutcome::Failed)
-    }
-}
 
-impl Drop for AcceptedQuery {
-    /// Guards against work for tenants that have left: dropped before its verdict, it tells the module.
-    fn drop(&mut self) {
-        if self.engine.close(self.id).is_some() {
-            self.engine.hear(Input::ClientLeft(self.id));
+    /// Takes over what load probes brought. `sound`: the node answered.
+    fn collect_probe_results(&self) {
+        for (node, text) in self.nodes.fetch_told() {
+            let sound = text.is_some();
+            let report = text.map(|text| read_report(&text)).unwrap_or_default();
+            self.push_input(Input::ProbeEnded(ProbeResult { node, sound, report }));
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/broker/src/engine/query_table.rs
@@ -0,0 +1,276 @@
+//! Open queries and their shard requests, and the memory that they hold.
+
+use super::{AdmissionError, QueryOutcome, QueryRequest};
+use crate::config_epoch::ConfigEpoch;
+use crate::nodes::AttemptId;
+use bytes::Bytes;
+use routing::{AttemptNumber, QueryId, ShardId, ShardRequestId, Tenths};
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// A query that has no outcome yet.
+pub(super) struct OpenQuery {
+    wire_id: Bytes,
+    /// The configuration under which it was accepted; it holds to the query's end.
+    epoch: Rc<ConfigEpoch>,
+    /// When its latency objective is over.
+    objective_at: Tenths,
+    /// An attempt of it found its node down, or lost its connection.
+    has_lost_node: bool,
+    deadline: Tenths,
+    shard_requests: Vec<ShardRequestId>,
+    text: Bytes,
+    held_bytes: usize,
+    outcome: oneshot::Sender<QueryOutcome>,
+}
+
+impl OpenQuery {
+    /// Counts the outcome in the query's own configuration epoch, and hands it over.
+    pub(super) fn finish(self, outcome: QueryOutcome, now: Tenths) {
+        self.count_outcome(&outcome, now);
+        // A client that has just left gets nothing.
+        let _ = self.outcome.send(outcome);
+    }
+
+    fn count_outcome(&self, outcome: &QueryOutcome, now: Tenths) {
+        let is_late = now > self.objective_at;
+        self.epoch.count(|counts| {
+            counts.ended += 1;
+            let bad_end = match outcome {
+                QueryOutcome::Response { .. } if is_late => &mut counts.late,
+                QueryOutcome::Response { .. } => return,
+                QueryOutcome::Rejected { .. } => &mut counts.rejected,
+                QueryOutcome::Failed => &mut counts.failed,
+            };
+            *bad_end += 1;
+            counts.with_lost_node += u64::from(self.has_lost_node);
+        });
+    }
+}
+
+/// A shard request of an open query.
+struct OpenShardRequest {
+    query: QueryId,
+    shard: ShardId,
+    wire_id: Bytes,
+    attempts: u16,
+    response: Option<Bytes>,
+}
+
+/// The times of a query that is about to be opened.
+pub(super) struct QueryTimes {
+    pub(super) objective_at: Tenths,
+    pub(super) deadline: Tenths,
+}
+
+/// The ids of a query that was opened.
+pub(super) struct OpenedQuery {
+    pub(super) id: QueryId,
+    /// In the order of the request.
+    pub(super) shard_requests: Vec<ShardRequestId>,
+    pub(super) outcome: oneshot::Receiver<QueryOutcome>,
+}
+
+/// A query that was removed, with what came for it.
+pub(super) struct RemovedQuery {
+    pub(super) query: OpenQuery,
+    /// All attempts of its shard requests, also those that have ended.
+    pub(super) attempts: Vec<AttemptId>,
+    pub(super) responses: Vec<(ShardId, Bytes)>,
+}
+
+/// A further attempt of a shard request, as a node is to see it.
+pub(super) struct NextAttempt {
+    pub(super) id: AttemptId,
+    pub(super) shard: ShardId,
+    pub(super) wire_id: Bytes,
+    pub(super) text: Bytes,
+}
+
+/// The open queries, within bounds on their number and on the memory that they hold.
+pub(super) struct QueryTable {
+    queries: HashMap<QueryId, OpenQuery>,
+    shard_requests: HashMap<ShardRequestId, OpenShardRequest>,
+    wire_ids: HashSet<Bytes>,
+    last_id: u64,
+    unanswered_shard_requests: usize,
+    held_bytes: usize,
+    max_held_bytes: usize,
+}
+
+impl QueryTable {
+    /// `max_held_bytes`: the bound on the bytes of queries, responses and reservations together.
+    pub(super) fn new(max_held_bytes: usize) -> QueryTable {
+        QueryTable {
+            queries: HashMap::new(),
+            shard_requests: HashMap::new(),
+            wire_ids: HashSet::new(),
+            last_id: 0,
+            unanswered_shard_requests: 0,
+            held_bytes: 0,
+            max_held_bytes,
+        }
+    }
+
+    /// The number of open queries.
+    pub(super) fn len(&self) -> usize {
+        self.queries.len()
+    }
+
+    /// The ids of the open queries.
+    pub(super) fn query_ids(&self) -> Vec<QueryId> {
+        self.queries.keys().copied().collect()
+    }
+
+    /// Whether a query may be opened. `max_open`: the bound on queries and shard requests together.
+    pub(super) fn has_capacity_for(&self, request: &QueryRequest, max_open: usize) -> bool {
+        // Guards against wide queries that are all but answered and keep others out: a shard request that has its
+        // response is no longer open, though its query is.
+        let open = self.queries.len() + self.unanswered_shard_requests;
+        open + request.shard_requests.len() < max_open
+            && self.held_bytes + held_bytes(request) <= self.max_held_bytes
+    }
+
+    /// Opens a query, unless one of its wire id is open.
+    pub(super) fn open(
+        &mut self,
+        request: &QueryRequest,
+        epoch: Rc<ConfigEpoch>,
+        times: QueryTimes,
+    ) -> Result<OpenedQuery, AdmissionError> {
+        if !self.wire_ids.insert(request.id.clone()) {
+            return Err(AdmissionError::DuplicateId);
+        }
+        let held_bytes = held_bytes(request);
+        self.held_bytes += held_bytes;
+        let id = QueryId(self.next_id());
+        let shard_requests = self.open_shard_requests(id, request);
+        let (sender, outcome) = oneshot::channel();
+        let query = OpenQuery {
+            wire_id: request.id.clone(),
+            epoch,
+            objective_at: times.objective_at,
+            has_lost_node: false,
+            deadline: times.deadline,
+            shard_requests: shard_requests.clone(),
+            text: request.text.clone(),
+            held_bytes,
+            outcome: sender,
+        };
+        self.queries.insert(id, query);
+        Ok(OpenedQuery { id, shard_requests, outcome })
+    }
+
+    fn open_shard_requests(&mut self, query: QueryId, request: &QueryRequest) -> Vec<ShardRequestId> {
+        let mut ids = Vec::with_capacity(request.shard_requests.len());
+        for requested in &request.shard_requests {
+            let id = ShardRequestId(self.next_id());
+            let shard = requested.shard;
+            let wire_id = [&request.id[..], b".", shard.0.to_string().as_bytes()].concat().into();
+            let shard_request = OpenShardRequest { query, shard, wire_id, attempts: 0, response: None };
+            self.shard_requests.insert(id, shard_request);
+            ids.push(id);
+        }
+        self.unanswered_shard_requests += ids.len();
+        ids
+    }
+
+    /// Queries and shard requests draw their ids from one sequence.
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
+    }
+
+    /// Removes a query and its shard requests, and releases what they held. `None`: it has ended before.
+    pub(super) fn remove(&mut self, id: QueryId) -> Option<RemovedQuery> {
+        let query = self.queries.remove(&id)?;
+        let mut attempts = Vec::new();
+        let mut responses = Vec::with_capacity(query.shard_requests.len());
+        for shard_request_id in &query.shard_requests {
+            let Some(shard_request) = self.shard_requests.remove(shard_request_id) else { continue };
+            let numbers = (0..shard_request.attempts).map(AttemptNumber);
+            attempts.extend(numbers.map(|number| (*shard_request_id, number)));
+            match shard_request.response {
+                Some(response) => {
+                    self.held_bytes -= response.len();
+                    responses.push((shard_request.shard, response));
+                }
+                None => self.unanswered_shard_requests -= 1,
+            }
+        }
+        self.held_bytes -= query.held_bytes;
+        self.wire_ids.remove(&query.wire_id);
+        Some(RemovedQuery { query, attempts, responses })
+    }
+
+    /// Whether a shard request's query is still open.
+    pub(super) fn is_open(&self, shard_request: ShardRequestId) -> bool {
+        self.shard_requests.contains_key(&shard_request)
+    }
+
+    /// When the client of an open query stops waiting.
+    pub(super) fn deadline(&self, id: QueryId) -> Option<Tenths> {
+        self.queries.get(&id).map(|query| query.deadline)
+    }
+
+    /// Counts a further attempt of a shard request. `None`: its query has ended.
+    pub(super) fn next_attempt(&mut self, id: ShardRequestId) -> Option<NextAttempt> {
+        let shard_request = self.shard_requests.get_mut(&id)?;
+        let text = self.queries.get(&shard_request.query)?.text.clone();
+        let number = AttemptNumber(shard_request.attempts);
+        shard_request.attempts += 1;
+        let wire_id = shard_request.wire_id.clone();
+        Some(NextAttempt { id: (id, number), shard: shard_request.shard, wire_id, text })
+    }
+
+    /// Notes that an attempt of a shard request found its node down, or lost its connection.
+    pub(super) fn note_lost_node(&mut self, shard_request: ShardRequestId) {
+        let query = self.shard_requests.get(&shard_request).map(|shard_request| shard_request.query);
+        if let Some(query) = query.and_then(|id| self.queries.get_mut(&id)) {
+            query.has_lost_node = true;
+        }
+    }
+
+    /// Keeps the first response of a shard request, if its query is still open. False: there is no room for it.
+    pub(super) fn keep_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
+        let fits = self.held_bytes + response.len() <= self.max_held_bytes;
+        let Some(shard_request) = self.shard_requests.get_mut(&id) else { return true };
+        if shard_request.response.is_some() {
+            return true;
+        }
+        if !fits {
+            return false;
+        }
+        // A copy of its own: the connection's buffer is not retained for a few bytes of it.
+        shard_request.response = Some(Bytes::copy_from_slice(response));
+        self.held_bytes += response.len();
+        self.unanswered_shard_requests -= 1;
+        true
+    }
+
+    /// Counts bytes as held, until they are released. False: there is no room for them.
+    pub(super) fn reserve_bytes(&mut self, bytes: usize) -> bool {
+        let fits = self.held_bytes + bytes <= self.max_held_bytes;
+        if fits {
+            self.held_bytes += bytes;
+        }
+        fits
+    }
+
+    /// Releases bytes that were reserved.
+    pub(super) fn release_bytes(&mut self, bytes: usize) {
+        self.held_bytes -= bytes;
+    }
+
+    /// The ids of all open shard requests, in no order.
+    #[cfg(test)]
+    pub(super) fn shard_request_ids(&self) -> Vec<ShardRequestId> {
+        self.shard_requests.keys().copied().collect()
+    }
+}
+
+/// The bytes that a query holds: its id, that of each shard request, and what its text retains.
+fn held_bytes(request: &QueryRequest) -> usize {
+    request.id.len() * (request.shard_requests.len() + 1) + request.retained_bytes
+}
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -1,62 +1,64 @@
-//! An attempt and the end of its query in one turn.
+//! An attempt and the end of its query in one turn; what a broker that shuts down accepts.
 
 use super::*;
 use crate::limits::Machine;
+use routing::{AttemptNumber, ClassId, Effect, NodeId, ShardId, ShardRequestId, TenantId};
 use rstest::rstest;
 
-/// A turn may attempt a shard request and end its query: then the shard request stays unsent, and is told to.
+/// An engine that may hold a few queries, and knows no node.
+fn engine() -> Rc<Engine> {
+    let mut broker_settings = BrokerSettings::default();
+    broker_settings.broker_config.limits.max_open = 10;
+    let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
+    Engine::new(broker_settings, 1, Rc::new(limits), None, None)
+}
+
+/// A query of one shard request.
+fn query_request(id: &'static str) -> QueryRequest {
+    QueryRequest {
+        id: Bytes::from_static(id.as_bytes()),
+        class: ClassId(0),
+        tenant: TenantId(0),
+        deadline: Instant::now(),
+        work: Tenths::ZERO,
+        shard_requests: vec![RequestedShard { shard: ShardId(0), weight: 1.0 }],
+        text: Bytes::new(),
+        retained_bytes: 0,
+    }
+}
+
+/// A turn may send a shard request and end its query: then the shard request stays unsent, and that is reported.
 #[rstest]
 #[case(|query, _| Effect::Fail { query })]
 #[case(|query, _| Effect::Respond { query, complete: false })]
 #[case(|_, shard_request| Effect::Cancel { shard_request, attempt: AttemptNumber(0) })]
 fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
-        let mut broker_settings = BrokerSettings::default();
-        broker_settings.broker_config.limits.max_open = 10;
-        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
-        let engine = Engine::new(broker_settings, 1, Rc::new(limits), None, None);
+        let engine = engine();
         let address = "127.0.0.1:9".parse().unwrap();
         engine.nodes.listens(NodeId(1), Some(address), true);
-        let shard_requests = vec![RequestedShard { shard: ShardId(0), weight: 1.0 }];
-        let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
-        let (class, tenant, until) = (ClassId(0), TenantId(0), Instant::now());
-        let work = Tenths::ZERO;
-        let question = QueryRequest { id, class, tenant, until, work, shard_requests, text, holds: 0 };
-        let taken = engine.take(question).unwrap();
-        let shard_request = *engine.book.borrow().shard_requests.keys().next().unwrap();
-        engine.heard.take();
+        let accepted = engine.submit(query_request("a")).unwrap();
+        let shard_request = engine.queries.borrow().shard_request_ids()[0];
+        engine.inputs.take();
         let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: Tenths(1000) };
-        engine.carry_out(Tenths(0), vec![attempt, end(taken.id, shard_request)]);
-        let heard = engine.heard.take();
+        engine.carry_out(Tenths(0), vec![attempt, end(accepted.id, shard_request)]);
+        let inputs = engine.inputs.take();
         assert!(
-            matches!(&heard[..], [Input::AttemptEnded(o)] if o.outcome == AttemptOutcome::NotSent),
-            "{heard:?}"
+            matches!(&inputs[..], [Input::AttemptEnded(result)] if result.outcome == AttemptOutcome::NotSent),
+            "{inputs:?}"
         );
         assert!(engine.nodes.fetch_ended().is_empty());
     });
 }
 
-/// What comes once all that was open has been ended is turned away: sent on, it would be lost with the process.
+/// What comes once all open queries have been failed is not accepted: sent on, it would be lost with the process.
 #[rstest]
-fn takes_nothing_once_it_ended() {
+fn accepts_no_query_once_it_shuts_down() {
     actix_rt::Runtime::new().unwrap().block_on(async {
-        let mut broker_settings = BrokerSettings::default();
-        broker_settings.broker_config.limits.max_open = 10;
-        let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
-        let engine = Engine::new(broker_settings, 1, Rc::new(limits), None, None);
-        let question = |id: &'static str| QueryRequest {
-            id: Bytes::from_static(id.as_bytes()),
-            class: ClassId(0),
-            tenant: TenantId(0),
-            until: Instant::now(),
-            work: Tenths::ZERO,
-            shard_requests: vec![RequestedShard { shard: ShardId(0), weight: 1.0 }],
-            text: Bytes::new(),
-            holds: 0,
-        };
-        let open = engine.take(question("a")).unwrap();
-        assert_eq!(engine.end_open(), 1);
-        assert!(matches!(open.verdict().await, QueryOutcome::Failed));
-        assert!(matches!(engine.take(question("b")), Err(AdmissionError::Overloaded)));
+        let engine = engine();
+        let open = engine.submit(query_request("a")).unwrap();
+        assert_eq!(engine.fail_open_queries(), 1);
+        assert!(matches!(open.outcome().await, QueryOutcome::Failed));
+        assert!(matches!(engine.submit(query_request("b")), Err(AdmissionError::Overloaded)));
     });
 }
--- a/crates/broker/src/leave.rs
+++ b/crates/broker/src/leave.rs
@@ -21,7 +21,7 @@
         sleep(self.limits.last_moment).await;
         let mut closed = pin!(self.front.close());
         if timeout_at(until, &mut closed).await.is_err() {
-            let open = self.engine.end_open();
+            let open = self.engine.fail_open_queries();
             warn!("{open} retrievals had no end in the time that is left, and are answered as failed");
             // A client that does not take its answer, or still sends, is not waited for.
             let _ = timeout(self.limits.last_answers, closed).await;
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -10,7 +10,7 @@
 //! ```
 //!
 //! A front of another kind takes the engine's place of `front` and `query`: it makes a
-//! [`engine::QueryRequest`], hands it to [`engine::Engine::take`] and waits for the [`engine::QueryOutcome`].
+//! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the [`engine::QueryOutcome`].
 
 mod command;
 pub mod config_epoch;
@@ -82,7 +82,7 @@
     // Guards against drains that an agent has and that count as told from the first moment: it is heard before
     // anything is sent, and what was known before is not used.
     if let Some(known) = order.known.filter(|_| !limits.agent) {
-        engine.hear_roll(EndpointListKind::Cached, known);
+        engine.update_endpoints(EndpointListKind::Cached, known);
     }
     let counter =
         QueryHandler { engine: engine.clone(), limits: limits.clone(), wrongs: RejectedRequests::default() };
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -109,7 +109,7 @@
     if told > limits.body {
         return counter.bad(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long");
     }
-    let Some(held) = engine.hold(told) else { return decline(engine.epoch().retry_after) };
+    let Some(held) = engine.reserve_memory(told) else { return decline(engine.epoch().retry_after) };
     let body = match timeout_at(arrived + limits.slow_client, read_body(&mut request, limits.body)).await {
         Ok(Ok(body)) => body,
         Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
@@ -126,15 +126,15 @@
     if !can_be_carried(&epoch, &request, question.class) {
         return decline(epoch.retry_after);
     }
-    let verdict = match engine.take(question) {
-        Ok(taken) => taken.verdict().await,
+    let verdict = match engine.submit(question) {
+        Ok(taken) => taken.outcome().await,
         Err(AdmissionError::Overloaded) => QueryOutcome::Rejected { retry_after: epoch.retry_after },
         Err(AdmissionError::DuplicateId) => {
             return counter.bad(StatusCode::BAD_REQUEST, "an id that is open already");
         }
     };
     match verdict {
-        QueryOutcome::Response { whole, items } => answer(whole, &items, limits.body),
+        QueryOutcome::Response { complete, responses } => answer(complete, &responses, limits.body),
         QueryOutcome::Rejected { retry_after } => decline(retry_after),
         QueryOutcome::Failed => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
     }
@@ -193,7 +193,9 @@
     }
     let unknown = |why| {
         // Counted, unlike what else is wrong: a new edition may have struck what its clients still ask for.
-        epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+        epoch.count(|counts| {
+            (counts.ended, counts.not_accepted) = (counts.ended + 1, counts.not_accepted + 1)
+        });
         why
     };
     let class = epoch.names.class(header(CATEGORY).ok_or("no category")?);
@@ -232,11 +234,11 @@
         id: Bytes::copy_from_slice(id.as_bytes()),
         class,
         tenant,
-        until: arrived + time_left,
+        deadline: arrived + time_left,
         work: Tenths::from_ms(work.unwrap_or(0.0).max(0.0) / 1000.0),
         shard_requests: asked.shard_requests.iter().map(shard_request).collect(),
         text,
-        holds: body.len(),
+        retained_bytes: body.len(),
     })
 }
 
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -28,7 +28,7 @@
     let client: Client = legacy::Client::builder(TokioExecutor::new()).build_http();
     loop {
         tokio::select! {
-            () = engine.roll_wanted.notified() => {}
+            () = engine.watch_requested.notified() => {}
             Ok(()) = discovery.changed() => {}
         }
         loop {
@@ -39,8 +39,8 @@
                 Err(why) = watch(&engine, &limits, &client, place) => {
                     warn!("the roll is not followed, the old one holds: {why}");
                     // What was wanted before this failure was this call; now the module says when.
-                    let _ = engine.roll_wanted.notified().now_or_never();
-                    engine.roll_failed();
+                    let _ = engine.watch_requested.notified().now_or_never();
+                    engine.endpoint_list_failed();
                     if !limits.agent {
                         break;
                     }
@@ -69,7 +69,7 @@
     loop {
         let revision = listing.revision;
         let kind = if listing.all { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
-        engine.hear_roll(kind, listing);
+        engine.update_endpoints(kind, listing);
         let url = format!("{list}?after={revision}&wait_ms={}", limits.watch.as_millis());
         listing = call(limits, client, &url, limits.watch + limits.watch_slack).await?;
     }
--- a/crates/broker/src/versions.rs
+++ b/crates/broker/src/versions.rs
@@ -144,7 +144,7 @@
                 keep_waits(p, &start);
                 // Zones have the numbers of the start here, whatever order a version lists them in.
                 p.zone = start.zone;
-                engine.prescribe(ConfigEpoch::new(&broker_settings), broker_settings.broker_config);
+                engine.apply_config(ConfigEpoch::new(&broker_settings), broker_settings.broker_config);
                 shown.runs.store(Arc::new(version));
                 let _ = done.send(());
             }
@@ -153,10 +153,15 @@
                 let _ = done.send(());
             }
             LogEvent::Count { tell } => {
-                let EpochCounts { ended, late, declined, scrapped, turned_away, by_nodes } =
-                    engine.epoch().tally.get();
-                let bad = late + declined + scrapped + turned_away;
-                let _ = tell.send(Sample { ended, bad, by_nodes, ready: engine.ready_nodes() as u64 });
+                let EpochCounts { ended, late, rejected, failed, not_accepted, with_lost_node } =
+                    engine.epoch().counts.get();
+                let bad = late + rejected + failed + not_accepted;
+                let _ = tell.send(Sample {
+                    ended,
+                    bad,
+                    by_nodes: with_lost_node,
+                    ready: engine.ready_nodes() as u64,
+                });
             }
         }
     }
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -45,10 +45,10 @@
         id: Bytes::from_static(id.as_bytes()),
         class: ClassId(class),
         tenant: TenantId(0),
-        until: Instant::now() + Duration::from_secs(60),
+        deadline: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
         shard_requests: vec![RequestedShard { shard: ShardId(3), weight: 1.0 }],
-        holds: text.len(),
+        retained_bytes: text.len(),
         text,
     }
 }
@@ -103,9 +103,9 @@
         };
         let stage = Stage::with(1, slow, |_| ()).await;
         let client = stage.ask("gone", "lookup", ONE).await;
-        until(|| stage.broker.engine.count_out() == 1).await;
+        until(|| stage.broker.engine.in_flight_count() == 1).await;
         drop(client);
-        until(|| stage.broker.engine.count_out() == 0).await;
+        until(|| stage.broker.engine.in_flight_count() == 0).await;
         for _ in fillers {
             soon(full.accept()).await.unwrap();
         }
@@ -187,12 +187,12 @@
             };
             stage.nodes[0].end(line, "a.3", 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200, "round {round}");
-            until(|| stage.broker.engine.count_out() == 0).await;
+            until(|| stage.broker.engine.in_flight_count() == 0).await;
             pause(20).await; // turns are 5 ms apart: the next is at once
             // The system knows of the close, the broker does not yet.
             stage.nodes[0].close(line);
-            let taken = stage.broker.engine.take(question("once", 2, Bytes::from_static(b"q"))).unwrap();
-            let answered = actix_rt::spawn(taken.verdict());
+            let taken = stage.broker.engine.submit(question("once", 2, Bytes::from_static(b"q"))).unwrap();
+            let answered = actix_rt::spawn(taken.outcome());
             let line = loop {
                 if let (_, line, Heard::Call(_)) = stage.next().await {
                     break line;
@@ -201,7 +201,7 @@
             stage.nodes[0].end(line, "once.3", 'S', "v").await;
             let verdict = soon(answered).await.unwrap();
             assert!(
-                matches!(verdict, QueryOutcome::Response { whole: true, .. }),
+                matches!(verdict, QueryOutcome::Response { complete: true, .. }),
                 "round {round}: {verdict:?}"
             );
         }
@@ -232,8 +232,8 @@
         let taken = Instant::now();
         for at in 0..200 {
             let id: &'static str = format!("q{at}").leak();
-            let one = stage.broker.engine.take(question(id, 2, text.clone())).unwrap();
-            verdicts.push((id, actix_rt::spawn(one.verdict())));
+            let one = stage.broker.engine.submit(question(id, 2, text.clone())).unwrap();
+            verdicts.push((id, actix_rt::spawn(one.outcome())));
         }
         let (mut line, _) = soon(node.accept()).await.unwrap();
         // The first is whole and never answered: that it ends tells of the cut. By then nothing was read.
