--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -165,8 +165,8 @@
                 // matter.
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 16384},
                 "settings": scene::settings(staging, &cast)});
-            let mut order =
-                StartupConfig::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
+            let mut order = StartupConfig::read(config.to_string().as_bytes(), |_| None)
+                .map_err(|e| NoFigure::Settings(e.to_string()))?;
             order.since = Some(SINCE);
             brokers.push(broker::start(order).await?);
         }
--- /dev/null
+++ b/crates/broker/src/command/mod.rs
@@ -0,0 +1,158 @@
+//! The command line of the program `shard-broker`.
+//!
+//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments, or in a file that was checked; 3 a
+//! broker could not be asked.
+
+mod check;
+mod mistakes;
+mod reshape;
+
+use crate::program::serve;
+use crate::startup::ConfigSource;
+use crate::versions;
+use check::{check, check_json_file, read_operator_file};
+use clap::{Parser, Subcommand};
+use mistakes::EXIT_MISTAKE;
+use reshape::{ReshapeRequest, reshape};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::time::Duration;
+
+/// How long a broker that is asked for its status may take.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A broker that reads many shards for one query.
+#[derive(Parser)]
+#[command(
+    name = "shard-broker",
+    version,
+    after_help = "Without a command the broker starts as EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY say.\n\n\
+        Examples:\n  \
+        EDGE_CONFIG=config.json shard-broker\n  \
+        shard-broker serve --config config.json --operator deploy/operator.ini\n  \
+        shard-broker check config.json\n  \
+        shard-broker check --json version-12.json\n  \
+        shard-broker reshape config.json --shape shape.ini --dry-run\n  \
+        shard-broker reshape config.json --shape shape.ini --zone cremona --to new.json\n  \
+        shard-broker control status --at 127.0.0.1:18001\n\n\
+        Exit codes: 0 done, 1 can't serve, 2 a mistake in the words or in a checked file, 3 no broker answers."
+)]
+struct CommandLine {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Serve until told to leave (SIGTERM).
+    Serve {
+        /// The broker's own file, JSON; EDGE_CONFIG where it is not told.
+        #[arg(long, value_name = "FILE")]
+        config: Option<String>,
+        /// The operator's file, INI: what is switched on, and how.
+        #[arg(long, value_name = "FILE")]
+        operator: Option<PathBuf>,
+    },
+    /// List every mistake in a file, and start nothing: a broker's file, a version's document, or an
+    /// operator's file.
+    Check {
+        /// The file; one that ends in .ini is an operator's.
+        file: PathBuf,
+        /// One JSON object for scripts.
+        #[arg(long)]
+        json: bool,
+    },
+    /// Make the counterpart of a broker's file for a deployment of another shape; list what could not be
+    /// carried over. Nothing that is there already is written over.
+    Reshape {
+        /// The broker's file as it is, JSON; it stays as it is.
+        old: PathBuf,
+        /// What the new deployment looks like, INI; `deploy/shape.ini` has every key.
+        #[arg(long, value_name = "FILE")]
+        shape: PathBuf,
+        /// The new file. There must be none of that name.
+        #[arg(long, value_name = "FILE", required_unless_present = "dry_run")]
+        to: Option<PathBuf>,
+        /// This broker's zone, by name, where the shape file does not say it.
+        #[arg(long, value_name = "NAME")]
+        zone: Option<String>,
+        /// Write nothing: only tell what would be.
+        #[arg(long)]
+        dry_run: bool,
+        /// One JSON object for scripts.
+        #[arg(long)]
+        json: bool,
+    },
+    /// Versions from a control service.
+    Control {
+        #[command(subcommand)]
+        command: ControlCommand,
+    },
+}
+
+#[derive(Subcommand)]
+enum ControlCommand {
+    /// What a running broker truly runs.
+    Status {
+        /// The broker's `status_listen`.
+        #[arg(long, value_name = "ADDRESS")]
+        at: SocketAddr,
+        /// One JSON object for scripts.
+        #[arg(long)]
+        json: bool,
+    },
+}
+
+/// Does what the command line says.
+pub(crate) fn run() -> ExitCode {
+    match CommandLine::try_parse() {
+        Ok(command_line) => run_command(command_line.command),
+        Err(e) => {
+            let exit_code = if e.use_stderr() { EXIT_MISTAKE } else { 0 };
+            // Where it can't be printed, there is no other place for it.
+            let _ = e.print();
+            ExitCode::from(exit_code)
+        }
+    }
+}
+
+fn run_command(command: Command) -> ExitCode {
+    match command {
+        Command::Serve { config, operator } => serve_checked(config, operator.as_deref()),
+        Command::Check { file, json } => check(&file, json),
+        Command::Reshape { old, shape, to, zone, dry_run, json } => reshape(&ReshapeRequest {
+            old: &old,
+            shape: &shape,
+            zone: zone.as_deref(),
+            new: to.as_deref().filter(|_| !dry_run),
+            as_json: json,
+        }),
+        Command::Control { command: ControlCommand::Status { at, json } } => {
+            versions::status(at, STATUS_TIMEOUT, json)
+        }
+    }
+}
+
+/// Serves, unless there is a mistake in the operator's file or in the config file.
+fn serve_checked(config: Option<String>, operator: Option<&Path>) -> ExitCode {
+    let fitting = match operator.map(|path| (path, read_operator_file(path))) {
+        Some((path, Err(mistakes))) => return mistakes.report(path, false),
+        Some((_, Ok(fitting))) => fitting,
+        None => Default::default(),
+    };
+    // Guards against a setting that is misspelt or out of range and would be served as if it were not there. The
+    // platform's form, without a command, may hold keys that are not known yet.
+    let path = config.clone().or_else(|| std::env::var("EDGE_CONFIG").ok()).map(PathBuf::from);
+    if let Some(path) = path.filter(|path| path.exists())
+        && let Err(mistakes) = check_json_file(&path)
+    {
+        return mistakes.report(&path, false);
+    }
+    serve(&ConfigSource { config }, fitting)
+}
+
+/// Stands in for an address of a config file that is checked and not started from.
+fn placeholder_address(variable: &str) -> Option<String> {
+    matches!(variable, "EDGE_LISTEN" | "EDGE_DISCOVERY").then(|| "127.0.0.1:0".to_owned())
+}
--- a/crates/broker/src/engine/clock.rs
+++ b/crates/broker/src/engine/clock.rs
@@ -1,6 +1,6 @@
 //! The engine's clock: converts between the runtime's instants and the times of the routing decisions.
 
-use crate::limits::span;
+use crate::limits::to_duration;
 use routing::Tenths;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
@@ -26,23 +26,23 @@
     }
 
     /// The time at which the clock was started.
-    pub(super) fn start_time(&self) -> Tenths {
+    pub(super) fn start_time(self) -> Tenths {
         self.started_unix
     }
 
     /// The present time.
-    pub(super) fn now(&self) -> Tenths {
+    pub(super) fn now(self) -> Tenths {
         self.to_tenths(Instant::now())
     }
 
     /// An instant as a time of the routing decisions; one before the start counts as the start.
-    pub(super) fn to_tenths(&self, at: Instant) -> Tenths {
+    pub(super) fn to_tenths(self, at: Instant) -> Tenths {
         let elapsed = at.saturating_duration_since(self.started);
         self.started_unix + Tenths((elapsed.as_micros() / MICROS_PER_TENTH) as i64)
     }
 
     /// A time of the routing decisions as an instant; one before the start counts as the start.
-    pub(super) fn to_instant(&self, at: Tenths) -> Instant {
-        self.started + span(at - self.started_unix)
+    pub(super) fn to_instant(self, at: Tenths) -> Instant {
+        self.started + to_duration(at - self.started_unix)
     }
 }
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -5,7 +5,7 @@
 use super::query_table::NextAttempt;
 use super::{Engine, QueryOutcome};
 use crate::frame::CalledPart;
-use crate::limits::span;
+use crate::limits::to_duration;
 use crate::nodes::{AttemptId, Sending};
 use bytes::Bytes;
 use routing::{
@@ -86,11 +86,11 @@
         let attempt = InFlightAttempt {
             node,
             sent_at: now,
-            write_deadline: now + self.limits.unsent,
+            write_deadline: now + self.limits.attempt_write_timeout,
             times_out_at: now + timeout,
         };
         self.attempts.borrow_mut().insert(id, attempt);
-        let wait_ms = span(timeout).as_millis().max(1) as u64;
+        let wait_ms = to_duration(timeout).as_millis().max(1) as u64;
         let shard_request = CalledPart { id: wire_id, shard: shard.0, wait_ms, text };
         Some(Sending { attempt: id, shard_request })
     }
@@ -133,7 +133,8 @@
             let bytes = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
             match batches.last_mut() {
                 Some(batch)
-                    if batch.len() < self.limits.call_parts && batch_bytes + bytes <= self.limits.frame =>
+                    if batch.len() < self.limits.max_batch_size
+                        && batch_bytes + bytes <= self.limits.max_frame_bytes =>
                 {
                     batch_bytes += bytes;
                     batch.push(sending);
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::config_epoch::ConfigEpoch;
 use crate::frame::read_report;
-use crate::limits::{Limits, span};
+use crate::limits::{Limits, to_duration};
 use crate::listing::{ListedNode, NodeList};
 use crate::nodes::{Ended, NodePool};
 use admission_control::AdmissionConfig;
@@ -92,7 +92,7 @@
             nodes: NodePool::new(limits.clone()),
             decider: RefCell::new(decider),
             inputs: RefCell::new(vec![Input::Woken]),
-            queries: RefCell::new(QueryTable::new(limits.held)),
+            queries: RefCell::new(QueryTable::new(limits.max_held_bytes)),
             attempts: RefCell::default(),
             ids: RefCell::new(IdRegistry::new(zones)),
             epoch: RefCell::new(epoch),
@@ -271,7 +271,7 @@
 
     /// Gives the decisions their turns, at least the configured period apart, for as long as the broker runs.
     pub async fn run(self: Rc<Self>) {
-        let period = span(self.limits.period);
+        let period = to_duration(self.limits.turn_period);
         let mut last_turn: Option<Instant> = None;
         loop {
             let due = self.next_due();
--- a/crates/broker/src/front.rs
+++ b/crates/broker/src/front.rs
@@ -63,7 +63,7 @@
     /// Nothing is under way on it. One that is new has a moment for its first request, which may have been
     /// written already.
     fn is_idle(&self) -> bool {
-        self.at_rest() && (self.served.get() || self.used.get().elapsed() > self.limits.first_moment)
+        self.at_rest() && (self.served.get() || self.used.get().elapsed() > self.limits.new_connection_grace)
     }
 
     fn at_rest(&self) -> bool {
@@ -79,9 +79,9 @@
     /// HTTP server reads on and on before it looks at what came.
     fn has_room(&self, cx: &Context) -> bool {
         let most = match (self.ending.get(), self.busy.get()) {
-            (true, _) => return self.came.get() < self.limits.linger_bytes,
-            (false, true) => self.limits.body_on_wire,
-            (false, false) => self.limits.head,
+            (true, _) => return self.came.get() < self.limits.max_linger_bytes,
+            (false, true) => self.limits.max_chunked_body_bytes,
+            (false, false) => self.limits.max_head_bytes,
         };
         if self.came.get() < most {
             return true;
@@ -109,7 +109,7 @@
     /// What lies unread hides the close: no event tells of it, so it is looked for.
     fn poll_hidden_close(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
         while !is_read_closed(&self.stream.borrow()) {
-            let look = self.look.get_or_insert_with(|| Box::pin(sleep(self.line.limits.look)));
+            let look = self.look.get_or_insert_with(|| Box::pin(sleep(self.line.limits.close_poll_interval)));
             ready!(look.as_mut().poll(cx));
             self.look = None;
             self.drop_flood();
@@ -121,10 +121,10 @@
     /// dropped, so much a look, and the connection ends with the answer that is under way.
     fn drop_flood(&self) {
         let (stream, limits) = (self.stream.borrow(), &self.line.limits);
-        let mut ahead = vec![MaybeUninit::uninit(); limits.body];
-        if SockRef::from(&*stream).peek(&mut ahead).is_ok_and(|count| count == limits.body) {
+        let mut ahead = vec![MaybeUninit::uninit(); limits.max_body_bytes];
+        if SockRef::from(&*stream).peek(&mut ahead).is_ok_and(|count| count == limits.max_body_bytes) {
             self.line.last.set(true);
-            let mut dropped = vec![0; limits.linger_bytes];
+            let mut dropped = vec![0; limits.max_linger_bytes];
             let _ = stream.try_read(&mut dropped);
         }
     }
@@ -214,10 +214,10 @@
         let limits = &self.counter.limits;
         let front = self.clone();
         let factory = HttpService::build()
-            .keep_alive(KeepAlive::Timeout(limits.keep_alive))
+            .keep_alive(KeepAlive::Timeout(limits.keep_alive_timeout))
             .client_request_timeout(Duration::ZERO) // slow ones are seen to by the sweep
             // Guards against resets that destroy an answer: an unread body is taken in for a while.
-            .client_disconnect_timeout(limits.linger)
+            .client_disconnect_timeout(limits.linger_timeout)
             // A client that closes its side has gone away, and its query is dropped.
             .h1_allow_half_closed(false)
             .on_connect_ext(|io: &Watched, data| _ = data.insert(io.line.clone()))
@@ -227,8 +227,8 @@
             }));
         let Ok(service) = factory.new_service(()).await else { return };
         let service = Rc::new(service);
-        let most = limits.client_lines + limits.surplus_lines;
-        let mut sweep = interval(limits.sweep);
+        let most = limits.max_client_connections + limits.max_surplus_connections;
+        let mut sweep = interval(limits.sweep_interval);
         loop {
             let room = self.lines.borrow().len() < most;
             // Guards against connections that fill the bound, fall idle and keep all others waiting.
@@ -241,12 +241,12 @@
                     Ok((stream, _)) => self.clone().welcome(stream, service.clone()),
                     Err(e) => {
                         warn!("a connection could not be accepted: {e}");
-                        sleep(limits.sweep / 10).await;
+                        sleep(limits.sweep_interval / 10).await;
                     }
                 },
                 () = self.close.notified() => break,
                 () = self.line_ended.notified() => {}
-                () = sleep(limits.first_moment), if !room => {}
+                () = sleep(limits.new_connection_grace), if !room => {}
                 _ = sweep.tick() => {
                     self.let_slow_go();
                     self.counter.wrongs.take().iter().for_each(|line| warn!("{line}"));
@@ -262,7 +262,7 @@
                     self.let_idle_go();
                     tokio::select! {
                         () = self.line_ended.notified() => {}
-                        () = sleep(limits.first_moment) => {}
+                        () = sleep(limits.new_connection_grace) => {}
                     }
                 }
                 let Ok(stream) = listener.accept().and_then(|(stream, _)| into_async(stream)) else { break };
@@ -281,7 +281,7 @@
         }
         let limits = self.counter.limits.clone();
         self.keep_few();
-        let full = self.lines.borrow().len() >= limits.client_lines;
+        let full = self.lines.borrow().len() >= limits.max_client_connections;
         // At the bound the connection that was idle longest makes room; else the new one is rejected.
         let made_room = full && self.let_idle_go();
         let line = Rc::new(Line {
@@ -351,11 +351,11 @@
                 stream.write_all(head.as_bytes()).await?;
             }
             stream.shutdown().await?;
-            let mut rest = stream.take(limits.linger_bytes as u64);
+            let mut rest = stream.take(limits.max_linger_bytes as u64);
             tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
         };
         // Whatever becomes of it, the connection is over.
-        let _ = timeout(limits.linger, leave).await;
+        let _ = timeout(limits.linger_timeout, leave).await;
     }
 
     async fn serve(&self, mut request: Request) -> Response<Bytes> {
@@ -376,7 +376,7 @@
         let mut response = self.route(request, &line, arrived).await;
         line.wrong.set(if response.status().is_client_error() { line.wrong.get() + 1 } else { 0 });
         // Guards against tenants that come with the same again and again: another connection costs them more.
-        let tired = line.wrong.get() >= self.counter.limits.wrong;
+        let tired = line.wrong.get() >= self.counter.limits.max_consecutive_bad_requests;
         let unread = has_body && !line.whole.get();
         if said_last || line.surplus || self.closing.get() || line.last.get() || tired || unread {
             response.head_mut().set_connection_type(ConnectionType::Close);
@@ -431,7 +431,7 @@
     fn keep_few(&self) {
         let lines = self.lines.borrow();
         let kept = || lines.iter().filter(|line| line.served.get() && line.is_idle());
-        if kept().count() > self.counter.limits.kept_lines {
+        if kept().count() > self.counter.limits.max_idle_client_connections {
             kept().min_by_key(|line| line.used.get()).into_iter().for_each(|line| line.end(None));
         }
     }
@@ -439,7 +439,7 @@
     /// Guards against clients that hold their connections: that send or take a byte now and then, or that say
     /// nothing at all from the start.
     fn let_slow_go(&self) {
-        let (now, slow) = (Instant::now(), self.counter.limits.slow_client);
+        let (now, slow) = (Instant::now(), self.counter.limits.client_io_timeout);
         for line in self.lines.borrow().iter() {
             let late = |since: Option<Instant>| since.is_some_and(|since| now - since > slow);
             let silent = !line.served.get() && line.is_idle();
@@ -465,7 +465,7 @@
             lines.iter().filter(|line| line.is_idle()).for_each(|line| line.end(None));
             tokio::select! {
                 () = ended => {}
-                () = sleep(self.counter.limits.sweep / 10) => self.let_slow_go(),
+                () = sleep(self.counter.limits.sweep_interval / 10) => self.let_slow_go(),
             }
         }
     }
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -11,7 +11,7 @@
 fn front(kept_lines: usize) -> Rc<HttpServer> {
     let machine = Machine { memory_mb: 192, sockets: 1024 };
     let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
-    let limits = Rc::new(Limits { kept_lines, ..limits });
+    let limits = Rc::new(Limits { max_idle_client_connections: kept_lines, ..limits });
     let engine = Engine::new(BrokerSettings::default(), 1, limits.clone(), None, None);
     HttpServer::new(QueryHandler { engine, limits, wrongs: Default::default() })
 }
@@ -88,7 +88,7 @@
     actix_rt::Runtime::new().unwrap().block_on(async {
         let machine = Machine { memory_mb: 192, sockets: 64 };
         let limits = Rc::new(Limits::new(machine, &BrokerSettings::default()).unwrap());
-        let most = limits.client_lines + limits.surplus_lines;
+        let most = limits.max_client_connections + limits.max_surplus_connections;
         let engine = Engine::new(BrokerSettings::default(), 1, limits.clone(), None, None);
         let front = HttpServer::new(QueryHandler { engine, limits, wrongs: Default::default() });
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -1,189 +1,347 @@
-//! All sizes, counts and times of the broker on sockets, filled at start and handed down.
+//! All sizes, counts and times of the broker on sockets, worked out at the start and handed down.
 
-use routing::Tenths;
+use routing::{BrokerConfig, Tenths};
 use settings::BrokerSettings;
 use std::time::Duration;
 
 /// What the machine gives the broker.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
+    /// Memory, in MiB.
     pub memory_mb: usize,
+    /// File descriptors.
     pub sockets: usize,
 }
 
+/// What the machine has too little of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LimitsError {
+    /// Too few file descriptors.
+    #[error("limits: {sockets} sockets are too few, {needed} are needed")]
+    TooFewSockets {
+        /// Those that there are.
+        sockets: usize,
+        /// The least that will do.
+        needed: usize,
+    },
+    /// Too little memory.
+    #[error("limits: {memory_mb} MB of memory are too little, {needed_mb} are needed")]
+    TooLittleMemory {
+        /// What there is, in MiB.
+        memory_mb: usize,
+        /// The least that will do, in MiB.
+        needed_mb: usize,
+    },
+}
+
+/// The bounds of one broker. Counts of bytes end in `_bytes`, times are durations.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of clients served at once; those beyond, as far as `surplus` goes, are rejected.
-    pub client_lines: usize,
-    pub surplus_lines: usize,
-    /// Of these, so many may be kept idle after an answer.
-    pub kept_lines: usize,
+    /// Connections of clients served at once.
+    pub max_client_connections: usize,
+    /// Connections of clients beyond those, whose requests are rejected.
+    pub max_surplus_connections: usize,
+    /// Connections of clients that may be kept idle after a response.
+    pub max_idle_client_connections: usize,
     /// Connections to nodes.
-    pub node_lines: usize,
-    /// Bytes of questions and values held at once.
-    pub held: usize,
-    /// Bytes of a request's head.
-    pub head: usize,
-    /// Bytes of one body, of one as it comes in chunks, and of one frame.
-    pub body: usize,
-    pub body_on_wire: usize,
-    pub frame: usize,
-    /// Bytes of a query's id.
-    pub id: usize,
+    pub max_node_connections: usize,
+    /// Queries and responses held at once.
+    pub max_held_bytes: usize,
+    /// The head of a request.
+    pub max_head_bytes: usize,
+    /// The body of a request, and that of an answer of discovery.
+    pub max_body_bytes: usize,
+    /// The body of a request as it comes in chunks.
+    pub max_chunked_body_bytes: usize,
+    /// One frame to or from a node.
+    pub max_frame_bytes: usize,
+    /// The id of a query.
+    pub max_query_id_bytes: usize,
     /// How far the weights of a query may be from 1 in sum.
-    pub weight_slack: f64,
-    /// Parts in one call, and on one connection to a node.
-    pub call_parts: usize,
-    pub line_parts: usize,
-    pub connect: Duration,
-    /// A frame that was begun must be whole by twice that.
-    pub half_frame: Duration,
-    /// A connection on which nothing came for so long after a call was written gets no more.
-    pub unheard: Duration,
-    /// Parts given up on one connection of which a late answer is told from a wrong one.
-    pub late_answers: usize,
-    /// An attempt that was not written whole by then is taken back, or its connection cut.
-    pub unsent: Tenths,
-    /// A connection to a node is closed when it stood idle for so long.
-    pub node_idle: Duration,
-    /// A node that takes nothing for so long is let go.
-    pub slow: Duration,
-    /// A client has so long for its first request, for the whole of one, and to take its answer.
-    pub slow_client: Duration,
-    /// It keeps a new connection so long, though it says nothing and others wait for the place.
-    pub first_moment: Duration,
-    /// What still comes after the last answer is taken in for so long, and so many bytes of it.
-    pub linger: Duration,
-    pub linger_bytes: usize,
-    /// Wrong requests in a row after which a connection is closed.
-    pub wrong: usize,
-    /// How long a client's connection may stand idle.
-    pub keep_alive: Duration,
-    /// How often peers are looked over.
-    pub sweep: Duration,
+    pub weight_sum_tolerance: f64,
+    /// Shard requests in one batch.
+    pub max_batch_size: usize,
+    /// Shard requests in flight on one connection to a node.
+    pub max_connection_shard_requests: usize,
+    /// A connection to a node must be established within this.
+    pub connect_timeout: Duration,
+    /// A frame that was begun must be complete within twice this.
+    pub partial_frame_timeout: Duration,
+    /// A connection on which nothing came for so long after a batch was written gets no more.
+    pub unresponsive_after: Duration,
+    /// Cancelled shard requests of one connection that are remembered, to tell a late response from a wrong one.
+    pub max_remembered_cancellations: usize,
+    /// An attempt that was not written completely by then is taken back, or its connection is cut.
+    pub attempt_write_timeout: Tenths,
+    /// A connection to a node is closed when it was idle for so long.
+    pub node_idle_timeout: Duration,
+    /// A node that takes none of what is written for so long is disconnected.
+    pub node_write_timeout: Duration,
+    /// A client has so long for its first request, for the whole of one, and to take its response.
+    pub client_io_timeout: Duration,
+    /// A new connection is kept for so long, though it sends nothing and others wait for its place.
+    pub new_connection_grace: Duration,
+    /// What still comes after the last response is read and dropped for so long.
+    pub linger_timeout: Duration,
+    /// How much of it is read.
+    pub max_linger_bytes: usize,
+    /// Bad requests in a row after which a connection is closed.
+    pub max_consecutive_bad_requests: usize,
+    /// How long a client's connection may be idle.
+    pub keep_alive_timeout: Duration,
+    /// How often the connections are checked.
+    pub sweep_interval: Duration,
     /// The longest that a client may say it waits.
-    pub longest_wait: Duration,
-    /// What discovery has to tell counts as told after this, heard or not.
-    pub untold: Tenths,
-    /// A call for all nodes is given up after this.
-    pub list_within: Duration,
+    pub max_client_wait: Duration,
+    /// The broker counts as notified of a change of the endpoint list after this, whether discovery was reached or not.
+    pub assumed_notified_after: Tenths,
+    /// A request for the complete endpoint list is given up after this.
+    pub list_timeout: Duration,
     /// Where the settings call the endpoint list automatic, discovery is an agent on the broker's own machine.
-    pub agent: bool,
-    /// The wait that discovery is asked for, and what its answer may take beyond that.
-    pub watch: Duration,
+    pub has_discovery_agent: bool,
+    /// The wait that discovery is asked for in a watch.
+    pub watch_wait: Duration,
+    /// What the answer to a watch may take beyond that wait.
     pub watch_slack: Duration,
-    /// A silent agent is called anew after this, the earlier calls still waiting, but only so many of them.
-    pub watch_anew: Duration,
-    /// New connections keep coming for so long after the word to leave.
-    pub last_moment: Duration,
-    /// All that was taken has its answer so long after the word to leave.
-    pub leave_within: Duration,
-    /// Those that had to be given up then are written within this.
-    pub last_answers: Duration,
-    /// The close of a client that hides behind bytes it sent ahead is looked for so often.
-    pub look: Duration,
-    /// Least time between two turns.
-    pub period: Tenths,
+    /// A silent agent is asked again after this, while the earlier requests still wait.
+    pub agent_retry_interval: Duration,
+    /// New connections keep coming for so long after the signal to shut down.
+    pub shutdown_accept_period: Duration,
+    /// All that was accepted has its response so long after the signal to shut down.
+    pub shutdown_timeout: Duration,
+    /// Responses to those that had to be failed then are written within this.
+    pub final_response_timeout: Duration,
+    /// How often a close is looked for that a client hides behind bytes it sent ahead.
+    pub close_poll_interval: Duration,
+    /// The least time between two turns.
+    pub turn_period: Tenths,
 }
 
-/// Files, pipes, the listener, discovery: what needs a descriptor beside peers.
-const OWN: usize = 32;
-/// The protocol's clock: what a watch that fell silent misses counts as told so long after it fell silent, or so long
-/// after the wait that it was called for, if that is later.
-const TOLD_AFTER_SILENCE: Duration = Duration::from_secs(6);
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// Each of the protocol's time limits is so much longer on sockets.
-const SOCKETS: Duration = Duration::from_millis(50);
-/// The kill comes no sooner than the longest deadline, of which no more than this counts, and the time beyond it.
-const LONGEST_COUNTED: Tenths = Tenths(30_000);
-const KILL_BEYOND: Duration = Duration::from_millis(700);
-/// A client that left while its request waited: nothing of it goes out later than this.
-const LEFT_WITHIN: Duration = Duration::from_millis(300);
 const KIB: usize = 1024;
-/// What the buffers of one connection may come to: a head, what the HTTP server sets aside, an answer.
-const BUFFERS: usize = 48 * KIB;
+/// Descriptors beside those of peers: files, pipes, the listener, discovery.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The least memory that a broker is started with.
+const MIN_MEMORY_MB: usize = 32;
+/// What the buffers of one connection may come to: a head, what the HTTP server sets aside, a response.
+const CONNECTION_BUFFER_BYTES: usize = 48 * KIB;
+/// A longer request head is answered with 431.
+const MAX_HEAD_BYTES: usize = 16 * KIB;
+/// The longest body; frames carry what bodies do, and have the same bound.
+const MAX_BODY_BYTES: usize = 64 * KIB;
+/// Room for the chunks' own lines beside the body that they carry.
+const MAX_CHUNKED_BODY_BYTES: usize = 4 * MAX_BODY_BYTES;
+/// A query holds its id once more for each of its shard requests, so it is kept short.
+const MAX_QUERY_ID_BYTES: usize = 128;
+/// Weights may be rounded.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-impl Limits {
-    /// An error says what the machine has too little of.
-    pub fn new(machine: Machine, broker_settings: &BrokerSettings) -> Result<Limits, String> {
+/// Where the settings say nothing of it: how long a connection to a node may take.
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
+/// Where the settings say nothing of it: how long a node keeps an idle connection.
+const DEFAULT_NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The broker closes an idle connection before its node would.
+const NODE_IDLE_FRACTION: f64 = 0.8;
+/// Cancelled shard requests that are remembered for each one that may be in flight.
+const REMEMBERED_CANCELLATIONS_FACTOR: usize = 8;
+/// Bounds what a node that reads nothing holds up.
+const NODE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Bounds how long a slow client keeps a place that others may wait for.
+const CLIENT_IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// A new connection's first request may have been written already, and needs a moment to be read.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
+/// Closing over unread bytes resets the connection, which may destroy the response: some are read first.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// As much as the longest body in chunks.
+const MAX_LINGER_BYTES: usize = MAX_CHUNKED_BODY_BYTES;
+/// Bounds the work for a client that only sends bad requests.
+const MAX_CONSECUTIVE_BAD_REQUESTS: usize = 16;
+/// Connections beyond the bound on idle ones, or that others need the place of, are closed sooner.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How late [`CLIENT_IO_TIMEOUT`] may be enforced.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Bounds the time that a client may have a query held.
+const MAX_CLIENT_WAIT: Duration = Duration::from_secs(600);
+/// A client that left while its request waited: nothing of it goes out later than this.
+const CANCELLED_WITHIN: Duration = Duration::from_millis(300);
+
+/// The protocol's clock: the broker counts as notified of what a watch that fell silent misses so long after it fell
+/// silent, or so long after the wait that it was asked for ([`NOTIFIED_AFTER_WAIT`]), if that is later.
+const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
+/// See [`NOTIFIED_AFTER_SILENCE`].
+const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
+/// What a watch costs grows with the number of requests.
+const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
+/// The number of watches within the age that an endpoint list may have.
+const WATCHES_PER_LIST_AGE: u32 = 10;
+/// Each of the protocol's time limits is so much longer on sockets.
+const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
+
+/// Connections that were made before the signal was known of may still arrive.
+const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+/// The kill comes no sooner than the longest deadline, of which no more than this counts, and [`KILL_MARGIN`].
+const LONGEST_COUNTED_DEADLINE: Tenths = Tenths(30_000);
+/// See [`LONGEST_COUNTED_DEADLINE`].
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+
+/// Connections, and the memory for what they carry.
+struct Capacity {
+    client_connections: usize,
+    surplus_connections: usize,
+    idle_client_connections: usize,
+    node_connections: usize,
+    held_bytes: usize,
+}
+
+impl Capacity {
+    fn new(machine: Machine) -> Result<Capacity, LimitsError> {
         let Machine { memory_mb, sockets } = machine;
-        let for_peers = sockets.saturating_sub(OWN);
-        if for_peers < OWN {
-            return Err(format!("limits: {sockets} sockets are too few, {} are needed", 2 * OWN));
+        let for_peers = sockets.saturating_sub(RESERVED_DESCRIPTORS);
+        if for_peers < RESERVED_DESCRIPTORS {
+            return Err(LimitsError::TooFewSockets { sockets, needed: 2 * RESERVED_DESCRIPTORS });
         }
-        if memory_mb < OWN {
-            return Err(format!("limits: {memory_mb} MB of memory are too little, {OWN} are needed"));
+        if memory_mb < MIN_MEMORY_MB {
+            return Err(LimitsError::TooLittleMemory { memory_mb, needed_mb: MIN_MEMORY_MB });
         }
         // Three quarters of the memory: what is held, and the buffers of clients and of nodes.
         let quarter = memory_mb * KIB * KIB / 4;
+        let max_buffers = quarter / CONNECTION_BUFFER_BYTES;
         // Clients come and go by hundreds, nodes are few: two thirds of the descriptors, and one.
-        let lines = (for_peers * 2 / 3).min(quarter / BUFFERS);
-        let surplus_lines = lines / 8;
-        let p = &broker_settings.broker_config;
-        let line_parts = broker_settings.lines.shard_requests.unwrap_or(1).max(1) as usize;
-        let connect = broker_settings.lines.connect.unwrap_or(Tenths::from_ms(1000.0));
-        // No longer than that both clocks count from the call: what it costs grows with the calls.
-        let longest_watch = TOLD_AFTER_SILENCE - TOLD_AFTER_WAIT;
-        let watch = (span(p.rules.endpoint_list_max_age) / 10).clamp(Duration::from_secs(1), longest_watch);
-        // Half is for noticing that it fell silent, half for the call that takes its place.
-        let watch_slack = TOLD_AFTER_WAIT / 2;
-        // In a third of the grace it is called, in one it answers, in the last the shard requests that wait are taken back.
-        let watch_anew = (span(p.rules.drain_grace) + SOCKETS) / 3;
+        let from_clients = (for_peers * 2 / 3).min(max_buffers);
+        let surplus_connections = from_clients / 8;
+        Ok(Capacity {
+            client_connections: from_clients - surplus_connections,
+            surplus_connections,
+            // Clients hold a third of the descriptors at the most; idle ones must leave them some of it.
+            idle_client_connections: (sockets / 5).min(from_clients / 2),
+            node_connections: (for_peers / 3).min(max_buffers),
+            held_bytes: quarter,
+        })
+    }
+}
+
+/// What the settings say of connections to nodes.
+struct NodeConnections {
+    connect_timeout: Tenths,
+    idle_timeout: Duration,
+    max_shard_requests: usize,
+}
+
+impl NodeConnections {
+    fn new(broker_settings: &BrokerSettings) -> NodeConnections {
+        let connections = &broker_settings.lines;
+        let connect_timeout = connections.connect.unwrap_or(Tenths::from_ms(DEFAULT_CONNECT_TIMEOUT_MS));
+        let kept_by_node = connections.idle.map_or(DEFAULT_NODE_IDLE_TIMEOUT, to_duration);
+        NodeConnections {
+            connect_timeout,
+            idle_timeout: kept_by_node.mul_f64(NODE_IDLE_FRACTION),
+            max_shard_requests: connections.shard_requests.unwrap_or(1).max(1) as usize,
+        }
+    }
+}
+
+/// When the endpoint list is asked for.
+struct Watch {
+    wait: Duration,
+    slack: Duration,
+    agent_retry_interval: Duration,
+    list_timeout: Duration,
+    has_agent: bool,
+}
+
+impl Watch {
+    fn new(config: &BrokerConfig) -> Watch {
+        // No longer than that both of the protocol's clocks count from the request: what it costs grows with the
+        // requests.
+        let longest_wait = NOTIFIED_AFTER_SILENCE - NOTIFIED_AFTER_WAIT;
+        let list_age = to_duration(config.rules.endpoint_list_max_age);
+        // Half is for noticing that it fell silent, half for the request that takes its place.
+        let slack = NOTIFIED_AFTER_WAIT / 2;
+        // In a third of the grace it is asked, in one it answers, in the last the shard requests that wait are taken
+        // back.
+        let agent_retry_interval = (to_duration(config.rules.drain_grace) + SOCKET_ALLOWANCE) / 3;
         // They share the few descriptors that are set aside.
-        let watch_calls = OWN as u32 / 3;
-        let agent = !p.watch_on_request;
-        let longest = p.classes.values().map(|class| class.deadline).max().unwrap_or_default();
-        let idle = broker_settings.lines.idle.map_or(Duration::from_secs(10), span);
-        Ok(Limits {
-            client_lines: lines - surplus_lines,
-            surplus_lines,
-            // Tenants hold a third of the descriptors at the most; idle ones must leave them some of it.
-            kept_lines: (sockets / 5).min(lines / 2),
-            node_lines: (for_peers / 3).min(quarter / BUFFERS),
-            held: quarter,
-            head: 16 * KIB,
-            body: 64 * KIB,
-            body_on_wire: 256 * KIB,
-            frame: 64 * KIB,
-            id: 128,
-            weight_slack: 0.01,
-            call_parts: (p.layout.max_batch_size.max(1) as usize).min(line_parts),
-            line_parts,
-            connect: span(connect),
-            half_frame: span(connect) / 4,
-            unheard: span(connect),
-            late_answers: 8 * line_parts,
-            unsent: connect + p.period,
-            node_idle: idle.mul_f64(0.8),
-            slow: Duration::from_secs(5),
-            slow_client: Duration::from_secs(2),
-            first_moment: Duration::from_millis(100),
-            linger: Duration::from_secs(1),
-            linger_bytes: 256 * KIB,
-            wrong: 16,
-            keep_alive: Duration::from_secs(60),
-            sweep: Duration::from_millis(250),
-            longest_wait: Duration::from_secs(600),
-            untold: Tenths(TOLD_AFTER_SILENCE.as_millis() as i64 * 10),
-            list_within: if agent {
-                watch_slack.min(watch_anew * watch_calls)
-            } else {
-                TOLD_AFTER_SILENCE / 2
+        let max_agent_requests = RESERVED_DESCRIPTORS as u32 / 3;
+        let has_agent = !config.watch_on_request;
+        Watch {
+            wait: (list_age / WATCHES_PER_LIST_AGE).clamp(MIN_WATCH_WAIT, longest_wait),
+            slack,
+            agent_retry_interval,
+            list_timeout: match has_agent {
+                true => slack.min(agent_retry_interval * max_agent_requests),
+                false => NOTIFIED_AFTER_SILENCE / 2,
             },
-            agent,
-            watch,
-            watch_slack,
-            watch_anew,
-            last_moment: Duration::from_millis(500),
-            leave_within: span(longest.min(LONGEST_COUNTED)) + KILL_BEYOND - 2 * SOCKETS,
-            last_answers: SOCKETS,
-            look: LEFT_WITHIN / 3,
-            period: p.period,
+            has_agent,
+        }
+    }
+}
+
+/// How long after the signal to shut down the last responses must be on their way.
+fn shutdown_timeout(config: &BrokerConfig) -> Duration {
+    let deadlines = config.classes.values().map(|class| class.deadline);
+    let longest_deadline = deadlines.max().unwrap_or_default();
+    to_duration(longest_deadline.min(LONGEST_COUNTED_DEADLINE)) + KILL_MARGIN - 2 * SOCKET_ALLOWANCE
+}
+
+impl Limits {
+    /// Works out the limits of a broker on this machine with these settings.
+    ///
+    /// # Errors
+    ///
+    /// Says what the machine has too little of.
+    pub fn new(machine: Machine, broker_settings: &BrokerSettings) -> Result<Limits, LimitsError> {
+        let capacity = Capacity::new(machine)?;
+        let config = &broker_settings.broker_config;
+        let node_connections = NodeConnections::new(broker_settings);
+        let watch = Watch::new(config);
+        let max_connection_shard_requests = node_connections.max_shard_requests;
+        let configured_batch_size = config.layout.max_batch_size.max(1) as usize;
+        let connect_timeout = to_duration(node_connections.connect_timeout);
+        Ok(Limits {
+            max_client_connections: capacity.client_connections,
+            max_surplus_connections: capacity.surplus_connections,
+            max_idle_client_connections: capacity.idle_client_connections,
+            max_node_connections: capacity.node_connections,
+            max_held_bytes: capacity.held_bytes,
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
+            max_chunked_body_bytes: MAX_CHUNKED_BODY_BYTES,
+            max_frame_bytes: MAX_BODY_BYTES,
+            max_query_id_bytes: MAX_QUERY_ID_BYTES,
+            weight_sum_tolerance: WEIGHT_SUM_TOLERANCE,
+            max_batch_size: configured_batch_size.min(max_connection_shard_requests),
+            max_connection_shard_requests,
+            connect_timeout,
+            partial_frame_timeout: connect_timeout / 4,
+            unresponsive_after: connect_timeout,
+            max_remembered_cancellations: REMEMBERED_CANCELLATIONS_FACTOR * max_connection_shard_requests,
+            attempt_write_timeout: node_connections.connect_timeout + config.period,
+            node_idle_timeout: node_connections.idle_timeout,
+            node_write_timeout: NODE_WRITE_TIMEOUT,
+            client_io_timeout: CLIENT_IO_TIMEOUT,
+            new_connection_grace: NEW_CONNECTION_GRACE,
+            linger_timeout: LINGER_TIMEOUT,
+            max_linger_bytes: MAX_LINGER_BYTES,
+            max_consecutive_bad_requests: MAX_CONSECUTIVE_BAD_REQUESTS,
+            keep_alive_timeout: KEEP_ALIVE_TIMEOUT,
+            sweep_interval: SWEEP_INTERVAL,
+            max_client_wait: MAX_CLIENT_WAIT,
+            assumed_notified_after: Tenths::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
+            list_timeout: watch.list_timeout,
+            has_discovery_agent: watch.has_agent,
+            watch_wait: watch.wait,
+            watch_slack: watch.slack,
+            agent_retry_interval: watch.agent_retry_interval,
+            shutdown_accept_period: SHUTDOWN_ACCEPT_PERIOD,
+            shutdown_timeout: shutdown_timeout(config),
+            final_response_timeout: SOCKET_ALLOWANCE,
+            close_poll_interval: CANCELLED_WITHIN / 3,
+            turn_period: config.period,
         })
     }
 }
 
-/// A span of the library as one of the clock.
-pub fn span(tenths: Tenths) -> Duration {
+/// A time of the routing decisions as one of the runtime; a negative one is zero.
+pub fn to_duration(tenths: Tenths) -> Duration {
     Duration::from_micros(u64::try_from(tenths.0).unwrap_or(0).saturating_mul(100))
 }
--- /dev/null
+++ b/crates/broker/src/logging.rs
@@ -0,0 +1,25 @@
+//! Log lines on standard error, as text or as JSON.
+
+use operator_config::LogForm;
+use std::io;
+use tracing_subscriber::filter::{LevelFilter, Targets};
+use tracing_subscriber::fmt;
+use tracing_subscriber::prelude::*;
+
+/// Writes the log to standard error from now on.
+///
+/// # Panics
+///
+/// Where the process has set up a log before.
+pub fn log_to_standard_error(form: LogForm) {
+    // The HTTP library would write a line for each bad request; the HTTP server sums them up.
+    let targets = Targets::new().with_default(LevelFilter::INFO).with_target("actix_http", LevelFilter::OFF);
+    let lines = fmt::layer().with_ansi(false).with_writer(io::stderr).with_target(false);
+    match form {
+        LogForm::Text => tracing_subscriber::registry().with(lines.with_filter(targets)).init(),
+        LogForm::Json => {
+            let lines = lines.json().flatten_event(true).with_current_span(false).with_span_list(false);
+            tracing_subscriber::registry().with(lines.with_filter(targets)).init();
+        }
+    }
+}
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -161,7 +161,7 @@
                 .insert(shard_request.id.clone(), Out { attempt, written: Written::Not });
             // The same shard request again on one connection: what is heard from now on is the newer attempt's.
             if let Some(before) = before {
-                line.note_given_up(shard_request.id.clone(), self.limits.late_answers);
+                line.note_given_up(shard_request.id.clone(), self.limits.max_remembered_cancellations);
                 self.end(before.attempt, AttemptOutcome::ConnectionLost, None);
             }
             self.attempts.borrow_mut().insert(attempt, (line.clone(), shard_request.id.clone()));
@@ -201,7 +201,7 @@
         if out.is_some_and(|out| out.written == Written::Partly) {
             line.cut.notify_one();
         }
-        line.note_given_up(id, self.limits.late_answers);
+        line.note_given_up(id, self.limits.max_remembered_cancellations);
         line.idle_since.set(Instant::now());
         line.ring.notify_one();
         self.end(attempt, end, None);
@@ -265,20 +265,20 @@
             let lines = lines.get(&node).into_iter().flatten();
             // Guards against connections that fell silent without a word: what is put on them is lost, while
             // the node may serve on others. Where it is the node that is silent, a new one costs a handshake.
-            let silent = |line: &&Rc<Line>| line.is_silent(self.limits.unheard);
+            let silent = |line: &&Rc<Line>| line.is_silent(self.limits.unresponsive_after);
             lines.clone().filter(silent).for_each(|line| line.close());
             lines.filter(|line| !line.closing.get() && line.address == address).cloned().collect()
         };
         let fits = |line: &&Rc<Line>| {
             let out = line.out.borrow().len();
-            out == 0 || out + shard_requests <= self.limits.line_parts
+            out == 0 || out + shard_requests <= self.limits.max_connection_shard_requests
         };
         // The oldest first, so that those beyond need fall idle.
         if let Some(line) = open.iter().find(fits) {
             return Some(line.clone());
         }
         let all: usize = self.lines.borrow().values().map(Vec::len).sum();
-        if all >= self.limits.node_lines {
+        if all >= self.limits.max_node_connections {
             let lines = self.lines.borrow();
             let idle = lines.values().flatten().filter(|line| line.is_idle() && !line.closing.get());
             match idle.min_by_key(|line| line.idle_since.get()) {
@@ -311,7 +311,7 @@
     /// The life of one connection, to its end.
     async fn live(self: Rc<Self>, line: Rc<Line>) {
         let mut spoilt = false;
-        match timeout(self.limits.connect, TcpStream::connect(line.address)).await {
+        match timeout(self.limits.connect_timeout, TcpStream::connect(line.address)).await {
             Ok(Ok(mut stream)) => {
                 if let Err(e) = stream.set_nodelay(true) {
                     debug!(node = %line.address, "no-delay: {e}");
@@ -377,10 +377,10 @@
     /// Reads until the node ends the connection, or sends what can't be used: then nothing more that comes on
     /// it can be told apart, and what is out on it may have run. Tells whether that was so.
     async fn read(&self, line: &Line, reading: ReadHalf<'_>) -> bool {
-        let mut frames = FramedRead::new(reading, Frames { most: self.limits.frame });
+        let mut frames = FramedRead::new(reading, Frames { most: self.limits.max_frame_bytes });
         let mut begun = false;
         loop {
-            let frame = match timeout(self.limits.half_frame, frames.next()).await {
+            let frame = match timeout(self.limits.partial_frame_timeout, frames.next()).await {
                 Ok(frame) => frame,
                 // Guards against a length that promises more than comes: the shard requests out would wait for it.
                 Err(_) if begun && !frames.read_buffer().is_empty() => {
@@ -473,7 +473,7 @@
                 }
                 continue;
             }
-            match timeout(self.limits.slow, writing.writable()).await {
+            match timeout(self.limits.node_write_timeout, writing.writable()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => return debug!(node = %line.address, "connection broke: {e}"),
                 Err(_) => return warn!(node = %line.address, "the node takes nothing"),
@@ -504,7 +504,7 @@
             }
             line.kept.set(true);
             line.mark(&ids, Written::Partly);
-            match timeout(self.limits.slow, write_rest(&writing, &mut bytes)).await {
+            match timeout(self.limits.node_write_timeout, write_rest(&writing, &mut bytes)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => return debug!(node = %line.address, "connection broke: {e}"),
                 Err(_) => return warn!(node = %line.address, "the node takes nothing"),
@@ -523,7 +523,7 @@
             line.ring.notified().await;
             return true;
         }
-        let until = line.idle_since.get() + self.limits.node_idle;
+        let until = line.idle_since.get() + self.limits.node_idle_timeout;
         if line.closing.get() || Instant::now() >= until {
             line.closing.set(true);
             return false;
--- /dev/null
+++ b/crates/broker/src/program.rs
@@ -0,0 +1,44 @@
+//! The program `shard-broker`: without arguments, or as the command line says.
+
+use crate::logging::log_to_standard_error;
+use crate::reload::{reload_on_signal, reload_signal};
+use crate::running::start_fitted;
+use crate::shutdown::termination_signal;
+use crate::startup::{ConfigSource, StartupConfig, StartupError};
+use operator_config::Fitting;
+use std::process::ExitCode;
+use tracing::error;
+
+/// Runs the program: without arguments, it starts as the environment says and serves until SIGTERM.
+pub fn run() -> ExitCode {
+    match std::env::args_os().len() {
+        0 | 1 => serve(&ConfigSource::default(), Fitting::default()),
+        _ => crate::command::run(),
+    }
+}
+
+/// Serves until SIGTERM. Exit code 1: it could not start.
+pub(crate) fn serve(source: &ConfigSource, fitting: Fitting) -> ExitCode {
+    log_to_standard_error(fitting.log);
+    match serve_until_terminated(source, fitting) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(reason) => {
+            error!(%reason, "can't serve");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn serve_until_terminated(source: &ConfigSource, fitting: Fitting) -> Result<(), StartupError> {
+    actix_rt::Runtime::new()?.block_on(async {
+        // Listened for before anything else: without that, either signal ends the process.
+        let mut terminate = termination_signal()?;
+        let reload = reload_signal()?;
+        let config = StartupConfig::from(source)?;
+        let running = start_fitted(config, fitting).await?;
+        actix_rt::spawn(reload_on_signal(reload, source.clone(), running.discovery.clone()));
+        terminate.recv().await;
+        running.shut_down().await;
+        Ok(())
+    })
+}
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -1,27 +1,35 @@
-//! New configurations, on SIGHUP: what a running broker takes over from its file.
+//! Reloading on SIGHUP: what a running broker takes over from its config file.
 
-use crate::{ConfigSource, StartupConfig};
+use crate::startup::{ConfigSource, StartupConfig};
 use std::io;
 use std::net::SocketAddr;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// The word that the file is new, listened for from now on.
-pub fn word() -> io::Result<Signal> {
+/// The signal that the config file has changed, listened for from this call on.
+///
+/// # Errors
+///
+/// The system refuses the handler.
+pub fn reload_signal() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Each time, reads where discovery is now. A file that can't be used changes nothing.
-pub async fn follow(mut word: Signal, source: ConfigSource, discovery: watch::Sender<SocketAddr>) {
-    while word.recv().await.is_some() {
-        match StartupConfig::reread(&source) {
-            Ok(place) => {
-                info!("a new config: discovery is at {place}");
-                // Also where it names the same place: the endpoint list is asked for anew.
-                discovery.send_replace(place);
+/// At each signal, reads where discovery is now. A file that can't be used changes nothing.
+pub async fn reload_on_signal(
+    mut reload: Signal,
+    source: ConfigSource,
+    discovery: watch::Sender<SocketAddr>,
+) {
+    while reload.recv().await.is_some() {
+        match StartupConfig::reread_discovery(&source) {
+            Ok(address) => {
+                info!(discovery = %address, "config reloaded");
+                // Also where it names the same address: the endpoint list is asked for anew.
+                discovery.send_replace(address);
             }
-            Err(why) => warn!("the new config is not used, the old one holds: {why}"),
+            Err(reason) => warn!(%reason, "config not reloaded, the old one holds"),
         }
     }
 }
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -103,18 +103,21 @@
 ) -> Response<Bytes> {
     let QueryHandler { engine, limits, .. } = counter;
     let told = match told_length(&request) {
-        Ok(told) => told.unwrap_or(limits.body),
+        Ok(told) => told.unwrap_or(limits.max_body_bytes),
         Err(why) => return counter.bad(StatusCode::BAD_REQUEST, why),
     };
-    if told > limits.body {
+    if told > limits.max_body_bytes {
         return counter.bad(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long");
     }
     let Some(held) = engine.reserve_memory(told) else { return decline(engine.epoch().retry_after) };
-    let body = match timeout_at(arrived + limits.slow_client, read_body(&mut request, limits.body)).await {
-        Ok(Ok(body)) => body,
-        Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
-        Err(_) => return counter.bad(StatusCode::REQUEST_TIMEOUT, "a body that does not come"),
-    };
+    let body =
+        match timeout_at(arrived + limits.client_io_timeout, read_body(&mut request, limits.max_body_bytes))
+            .await
+        {
+            Ok(Ok(body)) => body,
+            Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
+            Err(_) => return counter.bad(StatusCode::REQUEST_TIMEOUT, "a body that does not come"),
+        };
     whole();
     // One edition from here to the hand-over; nothing is waited for in between.
     let epoch = engine.epoch();
@@ -134,7 +137,7 @@
         }
     };
     match verdict {
-        QueryOutcome::Response { complete, responses } => answer(complete, &responses, limits.body),
+        QueryOutcome::Response { complete, responses } => answer(complete, &responses, limits.max_body_bytes),
         QueryOutcome::Rejected { retry_after } => decline(retry_after),
         QueryOutcome::Failed => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
     }
@@ -188,7 +191,10 @@
     }
     let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let id = header(ID).ok_or("no id")?;
-    if id.is_empty() || id.len() > limits.id || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+    if id.is_empty()
+        || id.len() > limits.max_query_id_bytes
+        || !id.bytes().all(|byte| byte.is_ascii_graphic())
+    {
         return Err("an id that can't be passed on");
     }
     let unknown = |why| {
@@ -206,7 +212,7 @@
     let tenant = tenant.unwrap_or(TenantId(u32::MAX));
     let digits = header(TIME_LEFT).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let time_left: u64 = digits.and_then(|text| text.parse().ok()).ok_or("no time left told")?;
-    let time_left = Duration::from_millis(time_left).min(limits.longest_wait);
+    let time_left = Duration::from_millis(time_left).min(limits.max_client_wait);
     let asked: Asked = serde_json::from_slice(body).map_err(|_| "a body that can't be read")?;
     let shards: BTreeSet<u32> =
         asked.shard_requests.iter().map(|shard_request| shard_request.shard).collect();
@@ -218,7 +224,7 @@
     }
     let sum: f64 = asked.shard_requests.iter().map(|shard_request| shard_request.weight).sum();
     let sound = asked.shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
-    if !sound || (sum - 1.0).abs() > limits.weight_slack {
+    if !sound || (sum - 1.0).abs() > limits.weight_sum_tolerance {
         return Err("weights that do not make a whole");
     }
     let work: Option<f64> = asked.shard_requests.iter().map(|shard_request| shard_request.work_us).sum();
--- a/crates/broker/src/roll.rs
+++ b/crates/broker/src/roll.rs
@@ -34,14 +34,14 @@
         loop {
             let place = *discovery.borrow_and_update();
             // Guards against an agent that lists and breaks off at once, again and again.
-            let anew = tokio::time::Instant::now() + limits.watch_anew;
+            let anew = tokio::time::Instant::now() + limits.agent_retry_interval;
             tokio::select! {
                 Err(why) = watch(&engine, &limits, &client, place) => {
                     warn!("the roll is not followed, the old one holds: {why}");
                     // What was wanted before this failure was this call; now the module says when.
                     let _ = engine.watch_requested.notified().now_or_never();
                     engine.endpoint_list_failed();
-                    if !limits.agent {
+                    if !limits.has_discovery_agent {
                         break;
                     }
                     sleep_until(anew).await;
@@ -59,9 +59,9 @@
     discovery: SocketAddr,
 ) -> Result<std::convert::Infallible, String> {
     let list = format!("http://{discovery}/catalog/members");
-    let mut listing = match limits.agent {
+    let mut listing = match limits.has_discovery_agent {
         true => call_until_answered(limits, client, &list).await,
-        false => call(limits, client, &list, limits.list_within).await?,
+        false => call(limits, client, &list, limits.list_timeout).await?,
     };
     if !listing.all {
         return Err("asked for all nodes, discovery sent changes".to_owned());
@@ -70,20 +70,20 @@
         let revision = listing.revision;
         let kind = if listing.all { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
         engine.update_endpoints(kind, listing);
-        let url = format!("{list}?after={revision}&wait_ms={}", limits.watch.as_millis());
-        listing = call(limits, client, &url, limits.watch + limits.watch_slack).await?;
+        let url = format!("{list}?after={revision}&wait_ms={}", limits.watch_wait.as_millis());
+        listing = call(limits, client, &url, limits.watch_wait + limits.watch_slack).await?;
     }
 }
 
 /// Calls every so often, the first time at once, until one of the calls that are still waiting is answered.
 async fn call_until_answered(limits: &Limits, client: &Client, url: &str) -> NodeList {
     let mut waiting = FuturesUnordered::new();
-    let mut beat = interval(limits.watch_anew);
+    let mut beat = interval(limits.agent_retry_interval);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut silent = false;
     loop {
         tokio::select! {
-            _ = beat.tick() => waiting.push(call(limits, client, url, limits.list_within)),
+            _ = beat.tick() => waiting.push(call(limits, client, url, limits.list_timeout)),
             Some(answer) = waiting.next() => match answer {
                 Ok(listing) => return listing,
                 // One line for all of its silence.
@@ -104,7 +104,7 @@
         if !response.status().is_success() {
             return Err(format!("discovery answers {}", response.status()));
         }
-        let body = Limited::new(response.into_body(), limits.body).collect().await;
+        let body = Limited::new(response.into_body(), limits.max_body_bytes).collect().await;
         let body = body.map_err(|e| told(&*e))?.to_bytes();
         serde_json::from_slice(&body).map_err(|e| format!("a roll that can't be read: {e}"))
     };
--- /dev/null
+++ b/crates/broker/src/running.rs
@@ -0,0 +1,79 @@
+//! A broker that serves, and how it is started.
+
+use crate::engine::Engine;
+use crate::front::HttpServer;
+use crate::limits::Limits;
+use crate::retrieval::{QueryHandler, RejectedRequests};
+use crate::startup::StartupConfig;
+use crate::{roll, versions};
+use operator_config::Fitting;
+use routing::EndpointListKind;
+use settings::BrokerSettings;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tracing::{info, warn};
+
+/// A broker that serves.
+pub struct Running {
+    /// Where clients reach it.
+    pub listens: SocketAddr,
+    /// Its routing decisions and what they are carried out on.
+    pub engine: Rc<Engine>,
+    /// Where discovery is; it may move while the broker runs.
+    pub discovery: watch::Sender<SocketAddr>,
+    /// Where its status is served, if it is.
+    pub status: Option<SocketAddr>,
+    pub(crate) http_server: Rc<HttpServer>,
+    pub(crate) limits: Rc<Limits>,
+}
+
+/// Starts a broker on the current thread, within an `actix_rt` runtime, with nothing switched on.
+///
+/// # Errors
+///
+/// As [`start_fitted`].
+pub async fn start(config: StartupConfig) -> io::Result<Running> {
+    start_fitted(config, Fitting::default()).await
+}
+
+/// Starts a broker on the current thread, within an `actix_rt` runtime, with what the operator has switched on.
+///
+/// # Errors
+///
+/// An address can't be listened on, or what is switched on can't be started.
+pub async fn start_fitted(mut config: StartupConfig, fitting: Fitting) -> io::Result<Running> {
+    let follower = match fitting.control {
+        Some(control) => Some(versions::prepare(&mut config, control)?),
+        None => None,
+    };
+    let listener = TcpListener::bind(config.listen).await?;
+    let listens = listener.local_addr()?;
+    let limits = Rc::new(config.limits);
+    warn_of_second_phases(&config.broker_settings);
+    let engine =
+        Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, fitting.admission);
+    // Guards against drains that an agent has and of which the broker counts as notified from the first moment: the
+    // agent is asked before anything is sent, and what was known before is not used.
+    if let Some(known) = config.known.filter(|_| !limits.has_discovery_agent) {
+        engine.update_endpoints(EndpointListKind::Cached, known);
+    }
+    let query_handler =
+        QueryHandler { engine: engine.clone(), limits: limits.clone(), wrongs: RejectedRequests::default() };
+    let http_server = HttpServer::new(query_handler);
+    actix_rt::spawn(engine.clone().run());
+    let (discovery, discovery_changes) = watch::channel(config.discovery);
+    actix_rt::spawn(roll::follow(engine.clone(), limits.clone(), discovery_changes));
+    let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
+    actix_rt::spawn(http_server.clone().run(listener));
+    info!(broker = %config.name, listen_address = %listens, "serving");
+    Ok(Running { listens, engine, discovery, status, http_server, limits })
+}
+
+fn warn_of_second_phases(broker_settings: &BrokerSettings) {
+    if broker_settings.broker_config.classes.values().any(|class| class.second_parts > 0) {
+        warn!("a request class has a second phase, which this protocol lacks: its queries are rejected");
+    }
+}
--- /dev/null
+++ b/crates/broker/src/startup.rs
@@ -0,0 +1,214 @@
+//! What a broker starts from: the environment and the config file.
+
+use crate::limits::{Limits, LimitsError, Machine};
+use crate::listing::NodeList;
+use routing::Tenths;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use settings::BrokerSettings;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
+
+/// Names the config file.
+const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
+/// Says where discovery is, and comes before the config file.
+const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
+
+/// Why a broker could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupError {
+    /// Neither the command line nor the environment names a config file.
+    #[error("EDGE_CONFIG is not set")]
+    NoConfig,
+    /// The config file could not be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The config file does not describe a broker.
+    #[error("{path}: {source}")]
+    InvalidFile {
+        /// The file.
+        path: String,
+        /// What is wrong with it.
+        source: Box<StartupError>,
+    },
+    /// The config file is no JSON of the expected form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The settings within the config file can't be used.
+    #[error("{0}")]
+    Settings(String),
+    /// The machine has too little of something.
+    #[error(transparent)]
+    Limits(#[from] LimitsError),
+    /// A key is neither in the environment nor in the file.
+    #[error("`{key}` is missing")]
+    Missing {
+        /// The key.
+        key: &'static str,
+    },
+    /// An address can't be read.
+    #[error("`{key}` is `{text}`: {source}")]
+    Address {
+        /// The key.
+        key: &'static str,
+        /// What it says.
+        text: String,
+        /// Why that is no address.
+        source: AddrParseError,
+    },
+    /// The seed is no hexadecimal number.
+    #[error("`seed`: {0}")]
+    Seed(#[source] ParseIntError),
+    /// The system refused a socket, a signal handler, a thread or the like.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// All that one broker starts from.
+#[derive(Clone, Debug)]
+pub struct StartupConfig {
+    /// The broker's name.
+    pub name: String,
+    /// Where clients reach it.
+    pub listen: SocketAddr,
+    /// Where discovery is.
+    pub discovery: SocketAddr,
+    /// Seeds the routing decisions' random numbers.
+    pub seed: u64,
+    /// What was read of the settings, adapted to sockets.
+    pub broker_settings: BrokerSettings,
+    /// The text of the settings that `broker_settings` was read from.
+    pub settings: String,
+    /// The nodes as this broker last had them.
+    pub known: Option<NodeList>,
+    /// The sizes, counts and times that follow from the machine and the settings.
+    pub limits: Limits,
+    /// The Unix time at which its clock starts; `None`: the system's. A simulation sets it.
+    pub since: Option<Tenths>,
+}
+
+/// Where a broker's config file is: named on the command line, or by the environment.
+#[derive(Clone, Debug, Default)]
+pub struct ConfigSource {
+    /// The path that the command line names.
+    pub config: Option<String>,
+}
+
+impl ConfigSource {
+    fn variable(&self, name: &str) -> Option<String> {
+        let on_command_line = self.config.clone().filter(|_| name == CONFIG_VARIABLE);
+        on_command_line.or_else(|| std::env::var(name).ok())
+    }
+}
+
+#[derive(Deserialize)]
+struct ConfigFile<'a> {
+    name: Option<String>,
+    listen: Option<String>,
+    discovery: Option<String>,
+    seed: String,
+    limits: MachineLimits,
+    known: Option<NodeList>,
+    #[serde(borrow)]
+    settings: &'a RawValue,
+}
+
+#[derive(Deserialize)]
+struct MachineLimits {
+    memory_mb: f64,
+    sockets: usize,
+}
+
+impl From<MachineLimits> for Machine {
+    fn from(limits: MachineLimits) -> Machine {
+        Machine { memory_mb: limits.memory_mb.max(0.0) as usize, sockets: limits.sockets }
+    }
+}
+
+impl StartupConfig {
+    /// Reads the EDGE_* variables and the file that they name.
+    ///
+    /// # Errors
+    ///
+    /// The text is for whoever started the broker.
+    pub fn from_env() -> Result<StartupConfig, StartupError> {
+        StartupConfig::from(&ConfigSource::default())
+    }
+
+    /// Reads the file that a source names.
+    ///
+    /// # Errors
+    ///
+    /// As [`StartupConfig::from_env`].
+    pub fn from(source: &ConfigSource) -> Result<StartupConfig, StartupError> {
+        StartupConfig::read_file(|name| source.variable(name))
+    }
+
+    /// Reads the file again, for what a running broker takes over from it: where discovery is now. What the
+    /// environment says of that holds for the start only.
+    ///
+    /// # Errors
+    ///
+    /// As [`StartupConfig::from_env`].
+    pub fn reread_discovery(source: &ConfigSource) -> Result<SocketAddr, StartupError> {
+        let env = |name: &str| source.variable(name).filter(|_| name != DISCOVERY_VARIABLE);
+        Ok(StartupConfig::read_file(env)?.discovery)
+    }
+
+    fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
+        let path = env(CONFIG_VARIABLE).ok_or(StartupError::NoConfig)?;
+        match std::fs::read(&path) {
+            Ok(text) => StartupConfig::read(&text, env)
+                .map_err(|e| StartupError::InvalidFile { path, source: Box::new(e) }),
+            Err(source) => Err(StartupError::Unreadable { path, source }),
+        }
+    }
+
+    /// Reads a config file's text. What the environment says of name and addresses comes first.
+    ///
+    /// # Errors
+    ///
+    /// Says which key is wrong, and how.
+    pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
+        let file: ConfigFile = serde_json::from_slice(text)?;
+        let settings = file.settings.get();
+        let mut broker_settings =
+            settings::read(settings.as_bytes()).map_err(|e| StartupError::Settings(e.to_string()))?;
+        let limits = Limits::new(file.limits.into(), &broker_settings)?;
+        adapt_to_sockets(&mut broker_settings, &limits);
+        Ok(StartupConfig {
+            name: env("EDGE_NAME").or(file.name).ok_or(StartupError::Missing { key: "name" })?,
+            listen: address("listen", env("EDGE_LISTEN").or(file.listen))?,
+            discovery: address("discovery", env(DISCOVERY_VARIABLE).or(file.discovery))?,
+            seed: u64::from_str_radix(&file.seed, 16).map_err(StartupError::Seed)?,
+            broker_settings,
+            settings: settings.to_owned(),
+            known: file.known,
+            limits,
+            since: None,
+        })
+    }
+}
+
+fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, StartupError> {
+    let text = text.ok_or(StartupError::Missing { key })?;
+    text.parse().map_err(|source| StartupError::Address { key, text, source })
+}
+
+/// Sets what the settings can't know: how this broker reaches nodes and discovery.
+fn adapt_to_sockets(broker_settings: &mut BrokerSettings, limits: &Limits) {
+    let config = &mut broker_settings.broker_config;
+    // From its turn to its last byte an attempt may have to wait for a connection.
+    config.send_lag = limits.attempt_write_timeout + limits.turn_period;
+    // Discovery is asked here; what the settings call automatic, the watch of an agent brings about.
+    config.watch_on_request = true;
+    // After a call that failed the decisions may wait no longer than until they count as notified of what they miss.
+    let max_age = &mut config.rules.endpoint_list_max_age;
+    *max_age = (*max_age).min(limits.assumed_notified_after);
+}
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/control/party.rs
@@ -97,9 +97,8 @@
         let mut broker = Broker { listens: nowhere, status: nowhere, child, lines, log: Vec::new() };
         let told = broker.says("status service");
         broker.status = told["address"].as_str().unwrap().parse().unwrap();
-        let told = broker.says("serves on");
-        let words = told["message"].as_str().unwrap();
-        broker.listens = words.split("serves on ").nth(1).unwrap().parse().unwrap();
+        let told = broker.says("serving");
+        broker.listens = told["listen_address"].as_str().unwrap().parse().unwrap();
         broker
     }
 
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -159,7 +159,7 @@
         let (_, line, _) = stage.call().await;
         client.write_all(&vec![b'x'; 100_000]).await.unwrap();
         let listens = stage.broker.listens;
-        let left = actix_rt::spawn(stage.broker.leave());
+        let left = actix_rt::spawn(stage.broker.shut_down());
         // The front closes once the listener is gone.
         soon(async { while TcpStream::connect(listens).await.is_ok() {} }).await;
         stage.nodes[0].end(line, "a.3", 'S', "the value").await;
@@ -371,7 +371,8 @@
         let place = agent.local_addr().unwrap();
         let beat = Duration::from_secs(3);
         let waits = move |order: &mut StartupConfig| {
-            (order.discovery, order.limits.watch_anew, order.limits.list_within) = (place, beat, 3 * beat);
+            (order.discovery, order.limits.agent_retry_interval, order.limits.list_timeout) =
+                (place, beat, 3 * beat);
         };
         let stage = Stage::with(1, pushed, waits).await;
         let body = list(2, &[member(&stage.nodes, 0, "ready")]).to_string();
@@ -482,11 +483,11 @@
         for signal in ["TERM", "HUP", "TERM"] {
             program.signal(signal);
         }
-        program.says("leaving: 1 retrievals are open");
+        program.says("shutting down open_queries=1");
         let reply = client.reply().await.unwrap();
         assert_eq!(reply.status, 502);
-        program.says("1 retrievals had no end");
-        program.says("left");
+        program.says("answered as failed failed_queries=1");
+        program.says("shut down");
         assert_eq!(program.exit(), Some(0));
         std::fs::remove_file(&file).unwrap();
     });
@@ -514,7 +515,7 @@
         let count = soon(client.read(&mut told)).await.unwrap();
         let told = String::from_utf8_lossy(&told[..count]).into_owned();
         assert!(told.contains("the value"), "{told}");
-        program.says("left");
+        program.says("shut down");
         assert_eq!(program.exit(), Some(0));
         std::fs::remove_file(&file).unwrap();
     });
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -179,7 +179,7 @@
 #[case::noise_behind_while_more_is_out([framed(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
 fn has_elsewhere_what_came_spoilt(#[case] bytes: Vec<u8>) {
     play(async {
-        let soon = |order: &mut StartupConfig| order.limits.half_frame = Duration::from_millis(50);
+        let soon = |order: &mut StartupConfig| order.limits.partial_frame_timeout = Duration::from_millis(50);
         let mut stage = Stage::with(2, |_| (), soon).await;
         let mut client = stage.ask("a", "lookup", BOTH).await;
         let (first, line, shard_requests) = stage.call().await;
@@ -206,7 +206,7 @@
 #[rstest]
 fn puts_nothing_more_on_a_connection_that_fell_silent() {
     play(async {
-        let soon = |order: &mut StartupConfig| order.limits.unheard = Duration::from_millis(100);
+        let soon = |order: &mut StartupConfig| order.limits.unresponsive_after = Duration::from_millis(100);
         let mut stage = Stage::with(1, |_| (), soon).await;
         let mut first = stage.ask("a", "lookup", ONE).await;
         let (_, silent, _) = stage.call().await;
@@ -331,7 +331,7 @@
         for unusable in ["{\"name\":", "{}", &told.to_string().replace("\"discovery\":", "\"else\":")] {
             write(unusable.to_owned());
             program.signal("HUP");
-            program.says("the new config is not used");
+            program.says("config not reloaded");
         }
         write(config(&old.nodes, &new.address().to_string()).to_string());
         program.signal("HUP");
@@ -345,7 +345,7 @@
         old.nodes[node].end(line, "a.3", 'S', "v").await;
         assert_eq!(client.reply().await.unwrap().status, 200);
         program.signal("TERM");
-        program.says("left");
+        program.says("shut down");
         std::fs::remove_file(&file).unwrap();
     });
 }
@@ -355,7 +355,7 @@
 #[rstest]
 fn calls_a_silent_agent_until_it_answers() {
     play(async {
-        let waits = |order: &mut StartupConfig| order.limits.list_within = Duration::from_millis(300);
+        let waits = |order: &mut StartupConfig| order.limits.list_timeout = Duration::from_millis(300);
         let mut stage = Stage::with(1, pushed, waits).await;
         // Doubling from two and a half seconds, twenty calls take minutes.
         let twenty = async {
@@ -400,9 +400,9 @@
 fn tells_a_long_watch_from_silence() {
     play(async {
         let waits = |order: &mut StartupConfig| {
-            order.limits.watch = Duration::from_secs(8);
+            order.limits.watch_wait = Duration::from_secs(8);
             order.limits.watch_slack = Duration::from_millis(300);
-            order.limits.list_within = Duration::from_millis(300);
+            order.limits.list_timeout = Duration::from_millis(300);
         };
         let mut stage = Stage::with(1, pushed, waits).await;
         assert_eq!(stage.discovery.called().await, "/catalog/members");
@@ -447,7 +447,7 @@
         let (_, line, _) = stage.call().await;
         let listens = stage.broker.listens;
         let Stage { broker, nodes, mut heard, .. } = stage;
-        let left = actix_rt::spawn(broker.leave());
+        let left = actix_rt::spawn(broker.shut_down());
         pause(50).await;
         let mut during = Client::to(listens).await;
         during.write(&request("b", "lookup", 10_000, &body(ONE))).await;
@@ -510,7 +510,8 @@
 fn idle_connections_make_room_at_the_bound() {
     play(async {
         let few = |c: &mut Value| c["limits"]["sockets"] = json!(64);
-        let stage = Stage::with(1, few, |order| order.limits.slow_client = Duration::from_secs(90)).await;
+        let stage =
+            Stage::with(1, few, |order| order.limits.client_io_timeout = Duration::from_secs(90)).await;
         let mut held = Vec::new();
         for _ in 0..21 {
             let mut client = stage.client().await;
@@ -565,8 +566,8 @@
 fn lets_slow_clients_go() {
     play(async {
         let quick = |order: &mut StartupConfig| {
-            order.limits.slow_client = Duration::from_millis(200);
-            order.limits.sweep = Duration::from_millis(50);
+            order.limits.client_io_timeout = Duration::from_millis(200);
+            order.limits.sweep_interval = Duration::from_millis(50);
         };
         let stage = Stage::with(1, |_| (), quick).await;
         let (mut idle, mut silent, mut head, mut body) =
@@ -589,7 +590,7 @@
 #[rstest]
 fn keeps_few_idle_connections() {
     play(async {
-        let stage = Stage::with(1, |_| (), |order| order.limits.kept_lines = 2).await;
+        let stage = Stage::with(1, |_| (), |order| order.limits.max_idle_client_connections = 2).await;
         let mut kept = Vec::new();
         for _ in 0..4 {
             let mut client = stage.client().await;
@@ -609,7 +610,7 @@
     play(async {
         let few = |c: &mut Value| c["limits"]["sockets"] = json!(64);
         let patient = |order: &mut StartupConfig| {
-            (order.limits.slow_client, order.limits.sweep) =
+            (order.limits.client_io_timeout, order.limits.sweep_interval) =
                 (Duration::from_secs(90), Duration::from_secs(90));
         };
         let stage = Stage::with(1, few, patient).await;
@@ -658,7 +659,7 @@
 #[rstest]
 fn closes_on_what_is_always_wrong() {
     play(async {
-        let stage = Stage::with(1, |_| (), |order| order.limits.wrong = 3).await;
+        let stage = Stage::with(1, |_| (), |order| order.limits.max_consecutive_bad_requests = 3).await;
         let mut client = stage.client().await;
         for _ in 0..3 {
             client.write(&request("a", "unheard-of", 900, &body(ONE))).await;
@@ -785,7 +786,7 @@
         let stage = Stage::new(1).await;
         let mut text = config(&stage.nodes, "127.0.0.1:1");
         *text.pointer_mut(place).unwrap() = value;
-        let told = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap_err();
+        let told = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap_err().to_string();
         assert!(told.contains(why), "{told}");
     });
 }
--- a/crates/broker/tests/sockets/stand_ins.rs
+++ b/crates/broker/tests/sockets/stand_ins.rs
@@ -148,7 +148,7 @@
             .unwrap();
         let log = RefCell::new(std::io::BufReader::new(child.stderr.take().unwrap()));
         let mut program = Program { listens: SocketAddr::from(([127, 0, 0, 1], 0)), child, log };
-        program.listens = program.says("serves on ").parse().unwrap();
+        program.listens = program.says("listen_address=").parse().unwrap();
         program
     }
 
