--- a/crates/broker/src/command/check.rs
+++ b/crates/broker/src/command/check.rs
@@ -28,7 +28,8 @@
     operator_config::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
-/// Checks a broker's config file with the settings in it, or a version's document as a control service serves it.
+/// Checks a broker's config file with the settings in it, or a version's document as a control service serves
+/// it.
 pub(super) fn check_json_file(path: &Path) -> Result<(), Mistakes> {
     let text = std::fs::read(path).map_err(Mistakes::one)?;
     let document = Document::parse(&text, MAX_DOCUMENT_BYTES).map_err(Mistakes::one)?;
--- a/crates/broker/src/command/mistakes.rs
+++ b/crates/broker/src/command/mistakes.rs
@@ -23,9 +23,9 @@
         Mistakes(mistakes.iter().map(ToString::to_string).collect())
     }
 
-    /// The same mistakes, each with the name of the part of the file that it is in.
-    pub(super) fn within(self, part: &str) -> Mistakes {
-        Mistakes(self.0.iter().map(|mistake| format!("{part}: {mistake}")).collect())
+    /// The same mistakes, each with the name of the section of the file that it is in.
+    pub(super) fn within(self, section: &str) -> Mistakes {
+        Mistakes(self.0.iter().map(|mistake| format!("{section}: {mistake}")).collect())
     }
 
     /// An error if there are any.
--- a/crates/broker/src/command/mod.rs
+++ b/crates/broker/src/command/mod.rs
@@ -1,7 +1,7 @@
 //! The command line of the program `shard-broker`.
 //!
-//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments, or in a file that was checked; 3 a
-//! broker could not be asked.
+//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments, or in a file that was checked;
+//! 3 a broker could not be asked.
 
 mod check;
 mod mistakes;
@@ -27,7 +27,8 @@
 #[command(
     name = "shard-broker",
     version,
-    after_help = "Without a command the broker starts as EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY say.\n\n\
+    after_help = "Without a command the broker starts as EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and \
+        EDGE_DISCOVERY say.\n\n\
         Examples:\n  \
         EDGE_CONFIG=config.json shard-broker\n  \
         shard-broker serve --config config.json --operator deploy/operator.ini\n  \
@@ -36,7 +37,8 @@
         shard-broker reshape config.json --shape shape.ini --dry-run\n  \
         shard-broker reshape config.json --shape shape.ini --zone cremona --to new.json\n  \
         shard-broker control status --at 127.0.0.1:18001\n\n\
-        Exit codes: 0 done, 1 can't serve, 2 a mistake in the words or in a checked file, 3 no broker answers."
+        Exit codes: 0 done, 1 can't serve, 2 a mistake in the words or in a checked file, \
+        3 no broker answers."
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -141,8 +143,8 @@
         Some((_, Ok(fitting))) => fitting,
         None => Default::default(),
     };
-    // Guards against a setting that is misspelt or out of range and would be served as if it were not there. The
-    // platform's form, without a command, may hold keys that are not known yet.
+    // Guards against a setting that is misspelt or out of range and would be served as if it were not there.
+    // The platform's form, without a command, may hold keys that are not known yet.
     let path = config.clone().or_else(|| std::env::var("EDGE_CONFIG").ok()).map(PathBuf::from);
     if let Some(path) = path.filter(|path| path.exists())
         && let Err(mistakes) = check_json_file(&path)
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,5 +1,5 @@
-//! One configuration as request handlers read it. It never changes: the engine puts a newer one in its place, and a
-//! query keeps the one under which it was accepted.
+//! One configuration as request handlers read it. It never changes: the engine puts a newer one in its place,
+//! and a query keeps the one under which it was accepted.
 
 use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
 use settings::{BrokerSettings, NameRegistry};
@@ -16,7 +16,7 @@
     pub shards: u32,
     /// The bound on open queries and shard requests together.
     pub max_open: usize,
-    /// When a client that is rejected at a bound may come back; zero: clients are not told.
+    /// When a client that is rejected at a bound may come back; zero: clients are not given a time.
     pub retry_after: Tenths,
     /// How queries have ended. Shared by the epoch's queries, which end independently of each other.
     pub counts: Cell<EpochCounts>,
--- a/crates/broker/src/engine/decider.rs
+++ b/crates/broker/src/engine/decider.rs
@@ -4,7 +4,8 @@
 use routing::{Broker, BrokerConfig, Effect, Input, Tenths};
 
 /// Takes the decisions of one broker.
-// There is one in a process: the common variant, routing alone, is not given an indirection for the sake of size.
+// There is one in a process: the common variant, routing alone, is not given an indirection for the sake of
+// size.
 #[allow(clippy::large_enum_variant)]
 pub(super) enum Decider {
     /// Routing decisions only.
@@ -14,8 +15,8 @@
 }
 
 impl Decider {
-    /// `admission`: the configuration of admission control, where it is switched on. The operator's file has been
-    /// checked before; a configuration that does not fit leaves admission control off.
+    /// `admission`: the configuration of admission control, where it is switched on. The operator's file has
+    /// been checked before; a configuration that does not fit leaves admission control off.
     pub(super) fn new(
         broker_config: BrokerConfig,
         seed: u64,
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -1,5 +1,5 @@
-//! Carries out what the routing decisions say at the end of a turn. Attempts leave at its very end, when those to one
-//! node have met in batches.
+//! Carries out what the routing decisions say at the end of a turn. Attempts leave at its very end, when
+//! those to one node have met in batches.
 
 use super::attempt_table::InFlightAttempt;
 use super::query_table::NextAttempt;
--- a/crates/broker/src/engine/handles.rs
+++ b/crates/broker/src/engine/handles.rs
@@ -1,5 +1,5 @@
-//! What a front end holds on to: a query that was accepted, and memory that was reserved. Dropping either gives up
-//! what it stands for.
+//! What a front end holds on to: a query that was accepted, and memory that was reserved. Dropping either
+//! gives up what it stands for.
 
 use super::{Engine, QueryOutcome};
 use routing::QueryId;
@@ -33,7 +33,8 @@
 }
 
 impl Drop for AcceptedQuery {
-    /// Guards against work for clients that have left: the routing decisions are notified of a drop before the outcome.
+    /// Guards against work for clients that have left: the routing decisions are notified of a drop before
+    /// the outcome.
     fn drop(&mut self) {
         self.engine.abandon(self.id);
     }
--- a/crates/broker/src/engine/id_registry.rs
+++ b/crates/broker/src/engine/id_registry.rs
@@ -25,8 +25,8 @@
         self.ready_nodes.len()
     }
 
-    /// Drops the nodes that a complete list does not name, and returns their ids. None of the others counts as
-    /// ready until its own entry is registered.
+    /// Drops the nodes that a complete list does not name, and returns their ids. None of the others counts
+    /// as ready until its own entry is registered.
     pub(super) fn remove_unlisted(&mut self, listed: &[ListedNode]) -> Vec<NodeId> {
         self.ready_nodes.clear();
         let listed: HashSet<&str> = listed.iter().map(|node| &node.name[..]).collect();
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! The engine: owns the routing decisions with their clock and timers, feeds them what happens, and carries out what
-//! they say.
+//! The engine: owns the routing decisions with their clock and timers, feeds them what happens, and carries
+//! out what they say.
 //!
-//! A front end hands a [`QueryRequest`] to [`Engine::submit`] and waits for its [`QueryOutcome`]; discovery calls
-//! [`Engine::update_endpoints`]. Both only add inputs; [`Engine::run`] gives the decisions their turns.
+//! A front end hands a [`QueryRequest`] to [`Engine::submit`] and waits for its [`QueryOutcome`]; discovery
+//! calls [`Engine::update_endpoints`]. Both only add inputs; [`Engine::run`] gives the decisions their turns.
 
 mod attempt_table;
 mod clock;
@@ -48,8 +48,8 @@
 
 /// One broker's decisions, and what they are taken from and carried out on.
 ///
-/// It lives on one thread, shared by the front end, discovery and the event loop; no borrow of a cell is held across
-/// an `await`.
+/// It lives on one thread, shared by the front end, discovery and the event loop; no borrow of a cell is held
+/// across an `await`.
 pub struct Engine {
     limits: Rc<Limits>,
     clock: BrokerClock,
@@ -74,8 +74,8 @@
 }
 
 impl Engine {
-    /// `started_unix`: the Unix time of this moment; `None`: the system's. `admission`: the configuration of admission
-    /// control, where it is switched on.
+    /// `started_unix`: the Unix time of this moment; `None`: the system's. `admission`: the configuration of
+    /// admission control, where it is switched on.
     pub fn new(
         broker_settings: BrokerSettings,
         seed: u64,
@@ -127,8 +127,8 @@
         self.queries.borrow().len()
     }
 
-    /// The attempts in flight, in order: the node's address, and the shard request's id on the wire. A simulation
-    /// compares them with what its nodes have, to see whether anything is under way.
+    /// The attempts in flight, in order: the node's address, and the shard request's id on the wire. A
+    /// simulation compares them with what its nodes have, to see whether anything is under way.
     pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
         self.nodes.out()
     }
@@ -145,8 +145,9 @@
 
     // ---- queries
 
-    /// Accepts queries under another configuration from now on. Both sides change in one step: a query that a front
-    /// end has read under the former epoch precedes the change among the inputs, any later one follows it.
+    /// Accepts queries under another configuration from now on. Both sides change in one step: a query that a
+    /// front end has read under the former epoch precedes the change among the inputs, any later one follows
+    /// it.
     pub fn apply_config(&self, epoch: ConfigEpoch, broker_config: BrokerConfig) {
         self.epoch.replace(Rc::new(epoch));
         self.push_input(Input::Config(Box::new(broker_config)));
@@ -358,7 +359,8 @@
         }
     }
 
-    /// The result of an attempt, unless its end was known before. A response that there is no room for is an error.
+    /// The result of an attempt, unless its end was known before. A response that there is no room for is an
+    /// error.
     fn attempt_result(&self, ended: Ended) -> Option<AttemptResult> {
         let Ended { attempt: id, end, value: response, at } = ended;
         let in_flight = self.attempts.borrow_mut().remove(id)?;
--- a/crates/broker/src/engine/query.rs
+++ b/crates/broker/src/engine/query.rs
@@ -20,7 +20,8 @@
     pub shard_requests: Vec<RequestedShard>,
     /// What every shard request carries.
     pub text: Bytes,
-    /// The bytes that `text` keeps in memory: a text that is a slice of a longer body retains all of that body.
+    /// The bytes that `text` keeps in memory: a text that is a slice of a longer body retains all of that
+    /// body.
     pub retained_bytes: usize,
 }
 
@@ -28,7 +29,7 @@
 pub struct RequestedShard {
     /// The shard.
     pub shard: ShardId,
-    /// Its part of the query's coverage; the weights of a query come to 1.
+    /// Its share of the query's coverage; the weights of a query come to 1.
     pub weight: f64,
 }
 
@@ -44,7 +45,7 @@
     },
     /// It is not served now and may be sent again.
     Rejected {
-        /// When the client may come back; zero: clients are not told.
+        /// When the client may come back; zero: clients are not given a time.
         retry_after: Tenths,
     },
     /// It could not be served.
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -125,8 +125,8 @@
 
     /// Whether a query may be opened. `max_open`: the bound on queries and shard requests together.
     pub(super) fn has_capacity_for(&self, request: &QueryRequest, max_open: usize) -> bool {
-        // Guards against wide queries that are all but answered and keep others out: a shard request that has its
-        // response is no longer open, though its query is.
+        // Guards against wide queries that are all but answered and keep others out: a shard request that has
+        // its response is no longer open, though its query is.
         let open = self.queries.len() + self.unanswered_shard_requests;
         open + request.shard_requests.len() < max_open
             && self.held_bytes + held_bytes(request) <= self.max_held_bytes
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Keeps the first response of a shard request, if its query is still open. False: there is no room for it.
+    /// Keeps the first response of a shard request, if its query is still open. False: there is no room for
+    /// it.
     pub(super) fn keep_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
         let fits = self.held_bytes + response.len() <= self.max_held_bytes;
         let Some(shard_request) = self.shard_requests.get_mut(&id) else { return true };
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// A turn may send a shard request and end its query: then the shard request stays unsent, and that is reported.
+/// A turn may send a shard request and end its query: then the shard request stays unsent, and that is
+/// reported.
 #[rstest]
 #[case(|query, _| Effect::Fail { query })]
 #[case(|query, _| Effect::Respond { query, complete: false })]
@@ -51,7 +52,8 @@
     });
 }
 
-/// What comes once all open queries have been failed is not accepted: sent on, it would be lost with the process.
+/// What comes once all open queries have been failed is not accepted: sent on, it would be lost with the
+/// process.
 #[rstest]
 fn accepts_no_query_once_it_shuts_down() {
     actix_rt::Runtime::new().unwrap().block_on(async {
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -10,7 +10,8 @@
 //! ```
 //!
 //! A front end of another kind takes the place of [`front`] and [`retrieval`]: it makes an
-//! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the [`engine::QueryOutcome`].
+//! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the
+//! [`engine::QueryOutcome`].
 
 mod command;
 pub mod config_epoch;
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -69,7 +69,8 @@
     pub partial_frame_timeout: Duration,
     /// A connection on which nothing came for so long after a batch was written gets no more.
     pub unresponsive_after: Duration,
-    /// Cancelled shard requests of one connection that are remembered, to tell a late response from a wrong one.
+    /// Cancelled shard requests of one connection that are remembered, to tell a late response from a wrong
+    /// one.
     pub max_remembered_cancellations: usize,
     /// An attempt that was not written completely by then is taken back, or its connection is cut.
     pub attempt_write_timeout: Tenths,
@@ -93,11 +94,13 @@
     pub sweep_interval: Duration,
     /// The longest that a client may say it waits.
     pub max_client_wait: Duration,
-    /// The broker counts as notified of a change of the endpoint list after this, whether discovery was reached or not.
+    /// The broker counts as notified of a change of the endpoint list after this, whether discovery was
+    /// reached or not.
     pub assumed_notified_after: Tenths,
     /// A request for the complete endpoint list is given up after this.
     pub list_timeout: Duration,
-    /// Where the settings call the endpoint list automatic, discovery is an agent on the broker's own machine.
+    /// Where the settings call the endpoint list automatic, discovery is an agent on the broker's own
+    /// machine.
     pub has_discovery_agent: bool,
     /// The wait that discovery is asked for in a watch.
     pub watch_wait: Duration,
@@ -165,8 +168,9 @@
 /// A client that left while its request waited: nothing of it goes out later than this.
 const CANCELLED_WITHIN: Duration = Duration::from_millis(300);
 
-/// The protocol's clock: the broker counts as notified of what a watch that fell silent misses so long after it fell
-/// silent, or so long after the wait that it was asked for ([`NOTIFIED_AFTER_WAIT`]), if that is later.
+/// The protocol's clock: the broker counts as notified of what a watch that fell silent misses so long after
+/// it fell silent, or so long after the wait that it was asked for ([`NOTIFIED_AFTER_WAIT`]), if that is
+/// later.
 const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
 /// See [`NOTIFIED_AFTER_SILENCE`].
 const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
@@ -179,7 +183,8 @@
 
 /// Connections that were made before the signal was known of may still arrive.
 const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The kill comes no sooner than the longest deadline, of which no more than this counts, and [`KILL_MARGIN`].
+/// The kill comes no sooner than the longest deadline, of which no more than this counts, and
+/// [`KILL_MARGIN`].
 const LONGEST_COUNTED_DEADLINE: Tenths = Tenths(30_000);
 /// See [`LONGEST_COUNTED_DEADLINE`].
 const KILL_MARGIN: Duration = Duration::from_millis(700);
@@ -251,14 +256,14 @@
 
 impl Watch {
     fn new(config: &BrokerConfig) -> Watch {
-        // No longer than that both of the protocol's clocks count from the request: what it costs grows with the
-        // requests.
+        // No longer than that both of the protocol's clocks count from the request: what it costs grows with
+        // the requests.
         let longest_wait = NOTIFIED_AFTER_SILENCE - NOTIFIED_AFTER_WAIT;
         let list_age = to_duration(config.rules.endpoint_list_max_age);
         // Half is for noticing that it fell silent, half for the request that takes its place.
         let slack = NOTIFIED_AFTER_WAIT / 2;
-        // In a third of the grace it is asked, in one it answers, in the last the shard requests that wait are taken
-        // back.
+        // In a third of the grace it is asked, in one it answers, in the last the shard requests that wait
+        // are taken back.
         let agent_retry_interval = (to_duration(config.rules.drain_grace) + SOCKET_ALLOWANCE) / 3;
         // They share the few descriptors that are set aside.
         let max_agent_requests = RESERVED_DESCRIPTORS as u32 / 3;
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -39,7 +39,8 @@
     start_fitted(config, Fitting::default()).await
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with what the operator has switched on.
+/// Starts a broker on the current thread, within an `actix_rt` runtime, with what the operator has switched
+/// on.
 ///
 /// # Errors
 ///
@@ -55,8 +56,8 @@
     warn_of_second_phases(&config.broker_settings);
     let engine =
         Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, fitting.admission);
-    // Guards against drains that an agent has and of which the broker counts as notified from the first moment: the
-    // agent is asked before anything is sent, and what was known before is not used.
+    // Guards against drains that an agent has and of which the broker counts as notified from the first
+    // moment: the agent is asked before anything is sent, and what was known before is not used.
     if let Some(known) = config.known.filter(|_| !limits.has_discovery_agent) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
--- a/crates/broker/src/shutdown.rs
+++ b/crates/broker/src/shutdown.rs
@@ -17,8 +17,8 @@
 }
 
 impl Running {
-    /// Serves as before while new connections keep coming, then answers what it has and ends. Guards against the
-    /// kill: what no node has answered by the last moment before it is answered as failed.
+    /// Serves as before while new connections keep coming, then answers what it has and ends. Guards against
+    /// the kill: what no node has answered by the last moment before it is answered as failed.
     pub async fn shut_down(self) {
         info!(open_queries = self.engine.open_queries(), "shutting down");
         let deadline = Instant::now() + self.limits.shutdown_timeout;
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -208,7 +208,8 @@
     config.send_lag = limits.attempt_write_timeout + limits.turn_period;
     // Discovery is asked here; what the settings call automatic, the watch of an agent brings about.
     config.watch_on_request = true;
-    // After a call that failed the decisions may wait no longer than until they count as notified of what they miss.
+    // After a call that failed the decisions may wait no longer than until they count as notified of what
+    // they miss.
     let max_age = &mut config.rules.endpoint_list_max_age;
     *max_age = (*max_age).min(limits.assumed_notified_after);
 }
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -8,9 +8,9 @@
 
 const MACHINE: Machine = Machine { memory_mb: 192, sockets: 1024 };
 
-/// The broker counts as notified of what a silent watch misses 6 s after it fell silent, or 2 s after its wait if that
-/// is later. By then the silence has been noticed, and an agent was asked again and has answered with a third of the
-/// drain's grace to spare.
+/// The broker counts as notified of what a silent watch misses 6 s after it fell silent, or 2 s after its
+/// wait if that is later. By then the silence has been noticed, and an agent was asked again and has answered
+/// with a third of the drain's grace to spare.
 #[rstest]
 fn a_silent_watch_is_noticed_in_time(
     #[values(500.0, 10_000.0, 50_000.0, 600_000.0)] endpoint_list_max_age: f64,
@@ -28,8 +28,8 @@
     assert!(answered + limits.agent_retry_interval <= notified + Duration::from_millis(grace as u64 + 50));
 }
 
-/// Responses to what had to be failed are on the way before the earliest kill: the longest deadline, 3 s at the most, and
-/// 0.7 s after the signal to shut down.
+/// Responses to what had to be failed are on the way before the earliest kill: the longest deadline, 3 s at
+/// the most, and 0.7 s after the signal to shut down.
 #[rstest]
 #[case(700.0, 1400)]
 #[case(3000.0, 3700)]
