--- /dev/null
+++ b/crates/broker/src/engine/endpoints.rs
@@ -0,0 +1,41 @@
+//! The side of the engine that discovery calls: lists of nodes are put into the ids of the routing decisions.
+
+use super::Engine;
+use super::id_registry::IdRegistry;
+use crate::listing::{ListedNode, NodeList};
+use routing::{Endpoint, EndpointList, EndpointListKind, EndpointState, Input, PlacementGroupId, Tenths};
+
+impl Engine {
+    /// Notes that the endpoint list could not be read or is no longer watched; the last one holds.
+    pub fn endpoint_list_failed(&self) {
+        self.push_input(Input::EndpointListFailed);
+    }
+
+    /// Takes over an endpoint list: all nodes, or those that changed.
+    pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
+        let mut ids = self.ids.borrow_mut();
+        if kind != EndpointListKind::Delta {
+            for node in ids.remove_unlisted(&list.nodes) {
+                self.nodes.listens(node, None, false);
+            }
+        }
+        let entries: Vec<Endpoint> =
+            list.nodes.into_iter().map(|listed| self.update_endpoint(&mut ids, listed)).collect();
+        self.push_input(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
+    }
+
+    fn update_endpoint(&self, ids: &mut IdRegistry, listed: ListedNode) -> Endpoint {
+        let state = EndpointState::from(listed.state);
+        let is_ready = state == EndpointState::Ready;
+        let node = ids.register_node(&listed.name, state);
+        let address = (state != EndpointState::Removed).then_some(listed.address);
+        self.nodes.listens(node, address, is_ready);
+        Endpoint {
+            node,
+            zone: ids.zone_id(listed.zone),
+            placement_group: PlacementGroupId(listed.cell),
+            state,
+            started_at: (listed.started_ms > 0.0).then(|| Tenths::from_ms(listed.started_ms)),
+        }
+    }
+}
--- a/crates/broker/src/engine/id_registry.rs
+++ b/crates/broker/src/engine/id_registry.rs
@@ -9,6 +9,7 @@
 pub(super) struct IdRegistry {
     nodes: HashMap<String, NodeId>,
     ready_nodes: HashSet<NodeId>,
+    has_seen_ready_node: bool,
     /// A zone's id is its place here.
     zones: Vec<String>,
     last_node_id: u64,
@@ -25,6 +26,11 @@
         self.ready_nodes.len()
     }
 
+    /// Whether a node was ever ready.
+    pub(super) fn has_seen_ready_node(&self) -> bool {
+        self.has_seen_ready_node
+    }
+
     /// Drops the nodes that a complete list does not name, and returns their ids. None of the others counts
     /// as ready until its own entry is registered.
     pub(super) fn remove_unlisted(&mut self, listed: &[ListedNode]) -> Vec<NodeId> {
@@ -47,6 +53,7 @@
         let node = *self.nodes.entry(name.to_owned()).or_insert(next);
         self.last_node_id = self.last_node_id.max(node.0);
         if state == EndpointState::Ready {
+            self.has_seen_ready_node = true;
             self.ready_nodes.insert(node);
         } else {
             self.ready_nodes.remove(&node);
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -8,10 +8,12 @@
 mod clock;
 mod decider;
 mod dispatch;
+mod endpoints;
 mod handles;
 mod id_registry;
 mod query;
 mod query_table;
+mod submission;
 
 #[cfg(test)]
 mod tests;
@@ -22,7 +24,6 @@
 use crate::config_epoch::ConfigEpoch;
 use crate::frame::read_report;
 use crate::limits::{Limits, to_duration};
-use crate::listing::{ListedNode, NodeList};
 use crate::nodes::{Ended, NodePool};
 use admission_control::AdmissionConfig;
 use attempt_table::{AttemptTable, TimerKind};
@@ -30,11 +31,8 @@
 use clock::BrokerClock;
 use decider::Decider;
 use id_registry::IdRegistry;
-use query_table::{OpenedQuery, QueryTable, QueryTimes, RemovedQuery};
-use routing::{
-    AttemptOutcome, AttemptResult, BrokerConfig, Endpoint, EndpointList, EndpointListKind, EndpointState,
-    GroupId, Input, NewQuery, NewShardRequest, PlacementGroupId, ProbeResult, QueryId, Tenths,
-};
+use query_table::QueryTable;
+use routing::{AttemptOutcome, AttemptResult, BrokerConfig, Input, ProbeResult, Tenths};
 use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -65,10 +63,6 @@
     wake_at: Cell<Option<Tenths>>,
     /// Notified when there is an input.
     work_ready: Notify,
-    /// A list has named a ready node.
-    has_seen_ready_node: Cell<bool>,
-    /// No query is accepted any more.
-    is_shutting_down: Cell<bool>,
     /// Notified when the routing decisions want the endpoint list watched.
     pub watch_requested: Notify,
 }
@@ -98,8 +92,6 @@
             epoch: RefCell::new(epoch),
             wake_at: Cell::default(),
             work_ready: Notify::new(),
-            has_seen_ready_node: Cell::default(),
-            is_shutting_down: Cell::default(),
             watch_requested: Notify::new(),
             limits,
         })
@@ -110,11 +102,9 @@
         self.work_ready.notify_one();
     }
 
-    // ---- state, as front ends and tests read it
-
     /// Whether discovery has named a ready node since the start.
     pub fn can_serve(&self) -> bool {
-        self.has_seen_ready_node.get()
+        self.ids.borrow().has_seen_ready_node()
     }
 
     /// The number of nodes that discovery lists as ready.
@@ -143,8 +133,6 @@
         self.epoch.borrow().clone()
     }
 
-    // ---- queries
-
     /// Accepts queries under another configuration from now on. Both sides change in one step: a query that a
     /// front end has read under the former epoch precedes the change among the inputs, any later one follows
     /// it.
@@ -153,123 +141,6 @@
         self.push_input(Input::Config(Box::new(broker_config)));
     }
 
-    /// Accepts a query, unless a bound is reached. Dropping the handle says that the client has left.
-    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
-        let epoch = self.epoch();
-        let mut queries = self.queries.borrow_mut();
-        if self.is_shutting_down.get() || !queries.has_capacity_for(&request, epoch.max_open) {
-            epoch.count(|counts| {
-                counts.ended += 1;
-                counts.not_accepted += 1;
-            });
-            return Err(AdmissionError::Overloaded);
-        }
-        let objective_at = self.clock.now() + epoch.latency_objective(request.class, request.work);
-        let times = QueryTimes { objective_at, deadline: self.clock.to_tenths(request.deadline) };
-        let opened = queries.open(&request, epoch, times)?;
-        self.push_query_inputs(&request, &opened);
-        Ok(AcceptedQuery { engine: self.clone(), id: opened.id, outcome: opened.outcome })
-    }
-
-    /// The query first, then its shard requests: they must come in one turn.
-    fn push_query_inputs(&self, request: &QueryRequest, opened: &OpenedQuery) {
-        let group = GroupId(opened.id.0 as u32);
-        let mut inputs = self.inputs.borrow_mut();
-        inputs.push(Input::Query(NewQuery {
-            id: opened.id,
-            group,
-            class: request.class,
-            tenant: request.tenant,
-            time_left: Tenths::ZERO, // set at the turn, see `set_time_left`
-            work: request.work,
-            client_attempt: 0,
-            min_coverage_only: false,
-        }));
-        for (&id, &RequestedShard { shard, weight }) in
-            opened.shard_requests.iter().zip(&request.shard_requests)
-        {
-            inputs.push(Input::ShardRequest(NewShardRequest { id, group, shard, weight }));
-        }
-        self.work_ready.notify_one();
-    }
-
-    /// Removes a query; of its attempts, those of which nothing was written are not sent any more.
-    fn close(&self, id: QueryId) -> Option<RemovedQuery> {
-        let removed = self.queries.borrow_mut().remove(id)?;
-        for attempt in &removed.attempts {
-            self.nodes.take_back(*attempt, AttemptOutcome::NotSent);
-        }
-        Some(removed)
-    }
-
-    /// The client of a query has left; nothing is to be done if the query has ended.
-    fn abandon(&self, id: QueryId) {
-        if self.close(id).is_some() {
-            self.push_input(Input::ClientLeft(id));
-        }
-    }
-
-    /// Fails every open query and accepts no other: the process ends. Returns how many there were.
-    pub fn fail_open_queries(&self) -> usize {
-        self.is_shutting_down.set(true);
-        let open = self.queries.borrow().query_ids();
-        for id in &open {
-            self.finish(*id, |_| QueryOutcome::Failed);
-            self.push_input(Input::ClientLeft(*id));
-        }
-        open.len()
-    }
-
-    /// Counts bytes as held before their query is submitted. `None`: there is no room for them.
-    pub fn reserve_memory(self: &Rc<Self>, bytes: usize) -> Option<ReservedMemory> {
-        let is_reserved = self.queries.borrow_mut().reserve_bytes(bytes);
-        is_reserved.then(|| ReservedMemory { engine: self.clone(), bytes })
-    }
-
-    fn release_memory(&self, bytes: usize) {
-        self.queries.borrow_mut().release_bytes(bytes);
-    }
-
-    // ---- discovery
-
-    /// Notes that the endpoint list could not be read or is no longer watched; the last one holds.
-    pub fn endpoint_list_failed(&self) {
-        self.push_input(Input::EndpointListFailed);
-    }
-
-    /// Takes over an endpoint list: all nodes, or those that changed.
-    pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
-        let mut ids = self.ids.borrow_mut();
-        if kind != EndpointListKind::Delta {
-            for node in ids.remove_unlisted(&list.nodes) {
-                self.nodes.listens(node, None, false);
-            }
-        }
-        let entries: Vec<Endpoint> =
-            list.nodes.into_iter().map(|listed| self.update_endpoint(&mut ids, listed)).collect();
-        self.push_input(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
-    }
-
-    fn update_endpoint(&self, ids: &mut IdRegistry, listed: ListedNode) -> Endpoint {
-        let state = EndpointState::from(listed.state);
-        let is_ready = state == EndpointState::Ready;
-        if is_ready {
-            self.has_seen_ready_node.set(true);
-        }
-        let node = ids.register_node(&listed.name, state);
-        let address = (state != EndpointState::Removed).then_some(listed.address);
-        self.nodes.listens(node, address, is_ready);
-        Endpoint {
-            node,
-            zone: ids.zone_id(listed.zone),
-            placement_group: PlacementGroupId(listed.cell),
-            state,
-            started_at: (listed.started_ms > 0.0).then(|| Tenths::from_ms(listed.started_ms)),
-        }
-    }
-
-    // ---- turns
-
     /// Gives the decisions their turns, at least the configured period apart, for as long as the broker runs.
     pub async fn run(self: Rc<Self>) {
         let period = to_duration(self.limits.turn_period);
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -97,6 +97,8 @@
     unanswered_shard_requests: usize,
     held_bytes: usize,
     max_held_bytes: usize,
+    /// False once the broker shuts down.
+    accepts_queries: bool,
 }
 
 impl QueryTable {
@@ -110,6 +112,7 @@
             unanswered_shard_requests: 0,
             held_bytes: 0,
             max_held_bytes,
+            accepts_queries: true,
         }
     }
 
@@ -118,8 +121,9 @@
         self.queries.len()
     }
 
-    /// The ids of the open queries.
-    pub(super) fn query_ids(&self) -> Vec<QueryId> {
+    /// Opens no query from now on. Returns the ids of those that are open.
+    pub(super) fn stop_accepting(&mut self) -> Vec<QueryId> {
+        self.accepts_queries = false;
         self.queries.keys().copied().collect()
     }
 
@@ -128,7 +132,8 @@
         // Guards against wide queries that are all but answered and keep others out: a shard request that has
         // its response is no longer open, though its query is.
         let open = self.queries.len() + self.unanswered_shard_requests;
-        open + request.shard_requests.len() < max_open
+        self.accepts_queries
+            && open + request.shard_requests.len() < max_open
             && self.held_bytes + held_bytes(request) <= self.max_held_bytes
     }
 
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::limits::Machine;
-use routing::{AttemptNumber, ClassId, Effect, NodeId, ShardId, ShardRequestId, TenantId};
+use routing::{AttemptNumber, ClassId, Effect, NodeId, QueryId, ShardId, ShardRequestId, TenantId};
 use rstest::rstest;
 
 /// An engine that may hold a few queries, and knows no node.
