--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -172,8 +172,8 @@
                 // matter.
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 16384},
                 "settings": scene::settings(replay, &cast)});
-            let mut order =
-                StartupConfig::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
+            let mut order = StartupConfig::read(config.to_string().as_bytes(), |_| None)
+                .map_err(|e| NoFigure::Settings(e.to_string()))?;
             order.since = Some(SINCE);
             brokers.push(broker::start(order).await?);
         }
@@ -334,7 +334,7 @@
     /// What is on its way, told by the counts alone.
     fn under_way(&self) -> Option<&'static str> {
         let open: usize = self.brokers.iter().map(|broker| broker.engine.open_queries()).sum();
-        let out: usize = self.brokers.iter().map(|broker| broker.engine.count_out()).sum();
+        let out: usize = self.brokers.iter().map(|broker| broker.engine.in_flight_count()).sum();
         if open != self.waiting {
             return Some("a request or an answer");
         }
--- a/crates/broker/src/retrieval.rs
+++ b/crates/broker/src/retrieval.rs
@@ -1,7 +1,7 @@
 //! The life of one query on a socket, from its request to its answer.
 
-use crate::desk::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
-use crate::edition::ConfigEpoch;
+use crate::config_epoch::ConfigEpoch;
+use crate::engine::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
 use crate::limits::Limits;
 use actix_http::header::{CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, UPGRADE};
 use actix_http::{HttpMessage, Request, Response, ResponseBuilder, StatusCode};
@@ -103,18 +103,21 @@
 ) -> Response<Bytes> {
     let QueryHandler { engine, limits, .. } = counter;
     let told = match told_length(&request) {
-        Ok(told) => told.unwrap_or(limits.body),
+        Ok(told) => told.unwrap_or(limits.max_body_bytes),
         Err(why) => return counter.bad(StatusCode::BAD_REQUEST, why),
     };
-    if told > limits.body {
+    if told > limits.max_body_bytes {
         return counter.bad(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long");
     }
-    let Some(held) = engine.hold(told) else { return decline(engine.epoch().retry_after) };
-    let body = match timeout_at(arrived + limits.slow_client, read_body(&mut request, limits.body)).await {
-        Ok(Ok(body)) => body,
-        Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
-        Err(_) => return counter.bad(StatusCode::REQUEST_TIMEOUT, "a body that does not come"),
-    };
+    let Some(held) = engine.reserve_memory(told) else { return decline(engine.epoch().retry_after) };
+    let body =
+        match timeout_at(arrived + limits.client_io_timeout, read_body(&mut request, limits.max_body_bytes))
+            .await
+        {
+            Ok(Ok(body)) => body,
+            Ok(Err(status)) => return counter.bad(status, "a body that is too long or breaks off"),
+            Err(_) => return counter.bad(StatusCode::REQUEST_TIMEOUT, "a body that does not come"),
+        };
     whole();
     // One edition from here to the hand-over; nothing is waited for in between.
     let epoch = engine.epoch();
@@ -126,15 +129,15 @@
     if !can_be_carried(&epoch, &request, question.class) {
         return decline(epoch.retry_after);
     }
-    let verdict = match engine.take(question) {
-        Ok(taken) => taken.verdict().await,
+    let verdict = match engine.submit(question) {
+        Ok(taken) => taken.outcome().await,
         Err(AdmissionError::Overloaded) => QueryOutcome::Rejected { retry_after: epoch.retry_after },
         Err(AdmissionError::DuplicateId) => {
             return counter.bad(StatusCode::BAD_REQUEST, "an id that is open already");
         }
     };
     match verdict {
-        QueryOutcome::Response { whole, items } => answer(whole, &items, limits.body),
+        QueryOutcome::Response { complete, responses } => answer(complete, &responses, limits.max_body_bytes),
         QueryOutcome::Rejected { retry_after } => decline(retry_after),
         QueryOutcome::Failed => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
     }
@@ -188,12 +191,17 @@
     }
     let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let id = header(ID).ok_or("no id")?;
-    if id.is_empty() || id.len() > limits.id || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+    if id.is_empty()
+        || id.len() > limits.max_query_id_bytes
+        || !id.bytes().all(|byte| byte.is_ascii_graphic())
+    {
         return Err("an id that can't be passed on");
     }
     let unknown = |why| {
         // Counted, unlike what else is wrong: a new edition may have struck what its clients still ask for.
-        epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+        epoch.count(|counts| {
+            (counts.ended, counts.not_accepted) = (counts.ended + 1, counts.not_accepted + 1)
+        });
         why
     };
     let class = epoch.names.class(header(CATEGORY).ok_or("no category")?);
@@ -204,7 +212,7 @@
     let tenant = tenant.unwrap_or(TenantId(u32::MAX));
     let digits = header(TIME_LEFT).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let time_left: u64 = digits.and_then(|text| text.parse().ok()).ok_or("no time left told")?;
-    let time_left = Duration::from_millis(time_left).min(limits.longest_wait);
+    let time_left = Duration::from_millis(time_left).min(limits.max_client_wait);
     let asked: Asked = serde_json::from_slice(body).map_err(|_| "a body that can't be read")?;
     let shards: BTreeSet<u32> =
         asked.shard_requests.iter().map(|shard_request| shard_request.shard).collect();
@@ -216,7 +224,7 @@
     }
     let sum: f64 = asked.shard_requests.iter().map(|shard_request| shard_request.weight).sum();
     let sound = asked.shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
-    if !sound || (sum - 1.0).abs() > limits.weight_slack {
+    if !sound || (sum - 1.0).abs() > limits.weight_sum_tolerance {
         return Err("weights that do not make a whole");
     }
     let work: Option<f64> = asked.shard_requests.iter().map(|shard_request| shard_request.work_us).sum();
@@ -232,11 +240,11 @@
         id: Bytes::copy_from_slice(id.as_bytes()),
         class,
         tenant,
-        until: arrived + time_left,
+        deadline: arrived + time_left,
         work: Tenths::from_ms(work.unwrap_or(0.0).max(0.0) / 1000.0),
         shard_requests: asked.shard_requests.iter().map(shard_request).collect(),
         text,
-        holds: body.len(),
+        retained_bytes: body.len(),
     })
 }
 
--- a/crates/broker/tests/sockets/crossings.rs
+++ b/crates/broker/tests/sockets/crossings.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::*;
 use super::{BOTH, ONE};
 use broker::StartupConfig;
-use broker::desk::{QueryOutcome, QueryRequest, RequestedShard};
+use broker::engine::{QueryOutcome, QueryRequest, RequestedShard};
 use bytes::Bytes;
 use routing::{ClassId, ShardId, TenantId, Tenths};
 use rstest::rstest;
@@ -45,10 +45,10 @@
         id: Bytes::from_static(id.as_bytes()),
         class: ClassId(class),
         tenant: TenantId(0),
-        until: Instant::now() + Duration::from_secs(60),
+        deadline: Instant::now() + Duration::from_secs(60),
         work: Tenths::ZERO,
         shard_requests: vec![RequestedShard { shard: ShardId(3), weight: 1.0 }],
-        holds: text.len(),
+        retained_bytes: text.len(),
         text,
     }
 }
@@ -103,9 +103,9 @@
         };
         let stage = Stage::with(1, slow, |_| ()).await;
         let client = stage.ask("gone", "lookup", ONE).await;
-        until(|| stage.broker.engine.count_out() == 1).await;
+        until(|| stage.broker.engine.in_flight_count() == 1).await;
         drop(client);
-        until(|| stage.broker.engine.count_out() == 0).await;
+        until(|| stage.broker.engine.in_flight_count() == 0).await;
         for _ in fillers {
             soon(full.accept()).await.unwrap();
         }
@@ -160,7 +160,7 @@
         let (_, line, _) = stage.call().await;
         client.write_all(&vec![b'x'; 100_000]).await.unwrap();
         let listens = stage.broker.listens;
-        let left = actix_rt::spawn(stage.broker.leave());
+        let left = actix_rt::spawn(stage.broker.shut_down());
         // The front closes once the listener is gone.
         soon(async { while TcpStream::connect(listens).await.is_ok() {} }).await;
         stage.nodes[0].respond(line, "a.3", 'S', "the value").await;
@@ -188,12 +188,12 @@
             };
             stage.nodes[0].respond(line, "a.3", 'S', "v").await;
             assert_eq!(client.reply().await.unwrap().status, 200, "round {round}");
-            until(|| stage.broker.engine.count_out() == 0).await;
+            until(|| stage.broker.engine.in_flight_count() == 0).await;
             pause(20).await; // turns are 5 ms apart: the next is at once
             // The system knows of the close, the broker does not yet.
             stage.nodes[0].close(line);
-            let taken = stage.broker.engine.take(question("once", 2, Bytes::from_static(b"q"))).unwrap();
-            let answered = actix_rt::spawn(taken.verdict());
+            let taken = stage.broker.engine.submit(question("once", 2, Bytes::from_static(b"q"))).unwrap();
+            let answered = actix_rt::spawn(taken.outcome());
             let line = loop {
                 if let (_, line, PeerEvent::Batch(_)) = stage.next().await {
                     break line;
@@ -202,7 +202,7 @@
             stage.nodes[0].respond(line, "once.3", 'S', "v").await;
             let verdict = soon(answered).await.unwrap();
             assert!(
-                matches!(verdict, QueryOutcome::Response { whole: true, .. }),
+                matches!(verdict, QueryOutcome::Response { complete: true, .. }),
                 "round {round}: {verdict:?}"
             );
         }
@@ -233,8 +233,8 @@
         let taken = Instant::now();
         for at in 0..200 {
             let id: &'static str = format!("q{at}").leak();
-            let one = stage.broker.engine.take(question(id, 2, text.clone())).unwrap();
-            verdicts.push((id, actix_rt::spawn(one.verdict())));
+            let one = stage.broker.engine.submit(question(id, 2, text.clone())).unwrap();
+            verdicts.push((id, actix_rt::spawn(one.outcome())));
         }
         let (mut line, _) = soon(node.accept()).await.unwrap();
         // The first is whole and never answered: that it ends tells of the cut. By then nothing was read.
@@ -373,7 +373,8 @@
         let place = agent.local_addr().unwrap();
         let beat = Duration::from_secs(3);
         let waits = move |order: &mut StartupConfig| {
-            (order.discovery, order.limits.watch_anew, order.limits.list_within) = (place, beat, 3 * beat);
+            (order.discovery, order.limits.agent_retry_interval, order.limits.list_timeout) =
+                (place, beat, 3 * beat);
         };
         let stage = Stage::with(1, pushed, waits).await;
         let body = list(2, &[member(&stage.nodes, 0, "ready")]).to_string();
@@ -484,11 +485,11 @@
         for signal in ["TERM", "HUP", "TERM"] {
             program.signal(signal);
         }
-        program.says("leaving: 1 retrievals are open");
+        program.says("shutting down open_queries=1");
         let reply = client.reply().await.unwrap();
         assert_eq!(reply.status, 502);
-        program.says("1 retrievals had no end");
-        program.says("left");
+        program.says("answered as failed failed_queries=1");
+        program.says("shut down");
         assert_eq!(program.exit(), Some(0));
         std::fs::remove_file(&file).unwrap();
     });
@@ -516,7 +517,7 @@
         let count = soon(client.read(&mut told)).await.unwrap();
         let told = String::from_utf8_lossy(&told[..count]).into_owned();
         assert!(told.contains("the value"), "{told}");
-        program.says("left");
+        program.says("shut down");
         assert_eq!(program.exit(), Some(0));
         std::fs::remove_file(&file).unwrap();
     });
