--- /dev/null
+++ b/crates/broker/src/http_server/closing.rs
@@ -0,0 +1,99 @@
+//! How client connections are closed: which one makes room, which is too slow, and how the last response survives.
+
+use super::HttpServer;
+use super::connection::Connection;
+use actix_http::StatusCode;
+use std::io;
+use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep, timeout};
+
+impl HttpServer {
+    /// Closes an idle connection, if there is one; whether there was. Those whose client never had a query accepted
+    /// go first, so that clients that stay silent, or repeat what was refused, take no room from others.
+    pub(super) fn close_one_idle(&self) -> bool {
+        let connections = self.connections.borrow();
+        let idle = connections.iter().filter(|connection| connection.is_idle());
+        let first =
+            idle.min_by_key(|connection| (connection.has_accepted_query.get(), connection.last_used_at()));
+        first.inspect(|connection| connection.request_close(None)).is_some()
+    }
+
+    /// Guards against tenants that ask once and keep their connection: beyond the number of idle connections that may
+    /// be kept, the one that was idle longest is closed.
+    pub(super) fn close_surplus_idle(&self) {
+        let connections = self.connections.borrow();
+        let is_kept =
+            |connection: &&Rc<Connection>| connection.has_served_request.get() && connection.is_idle();
+        let kept = || connections.iter().filter(is_kept);
+        if kept().count() <= self.query_handler.limits.kept_lines {
+            return;
+        }
+        if let Some(longest_idle) = kept().min_by_key(|connection| connection.last_used_at()) {
+            longest_idle.request_close(None);
+        }
+    }
+
+    /// Guards against clients that hold their connections: that send or take a byte now and then, or that send
+    /// nothing at all from the start.
+    pub(super) fn close_slow(&self) {
+        let (now, slow_after) = (Instant::now(), self.query_handler.limits.slow_client);
+        let is_late = |since: Option<Instant>| since.is_some_and(|since| now - since > slow_after);
+        for connection in self.connections.borrow().iter() {
+            let is_silent = !connection.has_served_request.get() && connection.is_idle();
+            if is_late(connection.reading_since()) {
+                connection.request_close(Some(StatusCode::REQUEST_TIMEOUT));
+            } else if is_late(connection.write_blocked_since())
+                || is_silent && is_late(Some(connection.last_used_at()))
+            {
+                connection.request_close(None);
+            }
+        }
+    }
+
+    /// Accepts no more connections; idle ones close now, the others with their responses. Completes when all are
+    /// closed.
+    pub async fn close(&self) {
+        self.is_closing.set(true);
+        self.close_requested.notify_one();
+        self.listener_closed.notified().await;
+        loop {
+            let connection_closed = self.connection_closed.notified();
+            let connections = self.connections.borrow().clone();
+            if connections.is_empty() {
+                return;
+            }
+            let idle = connections.iter().filter(|connection| connection.is_idle());
+            idle.for_each(|connection| connection.request_close(None));
+            tokio::select! {
+                () = connection_closed => {}
+                () = sleep(self.query_handler.limits.sweep / 10) => self.close_slow(),
+            }
+        }
+    }
+
+    /// Writes a last response if there is one, and takes in what still comes, within bounds: closing before that would
+    /// reset the connection, and might destroy what was written.
+    pub(super) async fn linger(&self, mut stream: TcpStream, closing_status: Option<StatusCode>) {
+        let limits = &self.query_handler.limits;
+        let lingering = async {
+            if let Some(status) = closing_status {
+                self.query_handler
+                    .wrongs
+                    .note(status.as_u16(), "a request that is too long, or does not come");
+                write_empty_response(&mut stream, status).await?;
+            }
+            stream.shutdown().await?;
+            let mut rest = stream.take(limits.linger_bytes as u64);
+            tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
+        };
+        // Whatever becomes of it, the connection is over.
+        let _ = timeout(limits.linger, lingering).await;
+    }
+}
+
+async fn write_empty_response(stream: &mut TcpStream, status: StatusCode) -> io::Result<()> {
+    let head = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    stream.write_all(head.as_bytes()).await
+}
--- /dev/null
+++ b/crates/broker/src/http_server/routes.rs
@@ -0,0 +1,89 @@
+//! One request on a connection: which handler answers it, and whether the connection closes with the response.
+
+use super::HttpServer;
+use super::connection::Connection;
+use crate::retrieval::{self, decline, plain};
+use actix_http::header::{ALLOW, HeaderValue};
+use actix_http::{ConnectionType, Method, Payload, Request, Response, StatusCode};
+use bytes::Bytes;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+const QUERY_PATH: &str = "/api";
+const HEALTH_PATH: &str = "/_health";
+
+impl HttpServer {
+    pub(super) async fn respond(&self, mut request: Request) -> Response<Bytes> {
+        let Some(connection) = request.conn_data::<Rc<Connection>>().cloned() else {
+            return plain(StatusCode::INTERNAL_SERVER_ERROR, "a connection that is not known\n");
+        };
+        if connection.is_closing() {
+            // It was sent ahead, behind the last one that this connection answers: no response could follow.
+            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "the connection ends\n");
+            response.head_mut().set_connection_type(ConnectionType::Close);
+            return response;
+        }
+        let (arrived, guard) = connection.begin_request();
+        let has_body = !matches!(request.payload(), Payload::None);
+        let client_closes = request.head().connection_type() == ConnectionType::Close;
+        let mut response = self.route(request, &connection, arrived).await;
+        // Guards against tenants that repeat the same error again and again: another connection costs them more.
+        let has_too_many_errors = connection.count_client_error(response.status().is_client_error());
+        let has_unread_body = has_body && !connection.is_body_complete();
+        let server_closes = connection.is_surplus
+            || self.is_closing.get()
+            || connection.close_after_response.get()
+            || has_too_many_errors;
+        if client_closes || server_closes || has_unread_body {
+            response.head_mut().set_connection_type(ConnectionType::Close);
+        }
+        match response.head().connection_type() {
+            ConnectionType::Close => guard.finish_and_close(!has_unread_body),
+            _ => guard.finish(),
+        }
+        response
+    }
+
+    async fn route(&self, request: Request, connection: &Connection, arrived: Instant) -> Response<Bytes> {
+        let allowed = match request.path() {
+            QUERY_PATH => Method::POST,
+            HEALTH_PATH => Method::GET,
+            _ => return self.query_handler.bad(StatusCode::NOT_FOUND, "an unknown path"),
+        };
+        if *request.method() != allowed {
+            return self.reject_method(&allowed);
+        }
+        if allowed == Method::POST {
+            return self.respond_to_query(request, connection, arrived).await;
+        }
+        match self.query_handler.engine.can_serve() {
+            true => plain(StatusCode::OK, "ready\n"),
+            false => plain(StatusCode::SERVICE_UNAVAILABLE, "no node is known yet\n"),
+        }
+    }
+
+    fn reject_method(&self, allowed: &Method) -> Response<Bytes> {
+        let mut response = self.query_handler.bad(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted");
+        if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+            response.headers_mut().insert(ALLOW, allowed);
+        }
+        response
+    }
+
+    async fn respond_to_query(
+        &self,
+        request: Request,
+        connection: &Connection,
+        arrived: Instant,
+    ) -> Response<Bytes> {
+        if connection.is_surplus {
+            return decline(self.query_handler.engine.epoch().retry_after);
+        }
+        let complete_body = || connection.complete_body();
+        let response = retrieval::serve(&self.query_handler, request, arrived, complete_body).await;
+        if !response.status().is_client_error() {
+            connection.has_accepted_query.set(true);
+        }
+        response
+    }
+}
--- /dev/null
+++ b/crates/broker/src/http_server/watched_stream.rs
@@ -0,0 +1,100 @@
+//! A client's socket as the HTTP library reads and writes it, watched for floods and for the client's close.
+
+use super::connection::Connection;
+use crate::socket_peek::{has_unread_bytes_of, is_read_closed};
+use std::cell::RefCell;
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::{Sleep, sleep};
+
+/// A client's socket that keeps its `Connection` up to date.
+pub(super) struct WatchedStream {
+    stream: Rc<RefCell<TcpStream>>,
+    connection: Rc<Connection>,
+    /// When the client's close is looked for next, behind the bytes that it sent ahead.
+    next_close_check: Option<Pin<Box<Sleep>>>,
+}
+
+impl WatchedStream {
+    pub fn new(stream: Rc<RefCell<TcpStream>>, connection: Rc<Connection>) -> WatchedStream {
+        WatchedStream { stream, connection, next_close_check: None }
+    }
+
+    pub fn connection(&self) -> &Rc<Connection> {
+        &self.connection
+    }
+
+    /// Reads nothing of what the client sends ahead: but for its close, nothing is wanted while a request is handled.
+    fn poll_close(&mut self, context: &mut Context) -> Poll<io::Result<()>> {
+        let mut byte = [0];
+        if ready!(self.stream.borrow_mut().poll_peek(context, &mut ReadBuf::new(&mut byte)))? == 0 {
+            return Poll::Ready(Ok(()));
+        }
+        self.connection.pause_reader(context);
+        self.poll_hidden_close(context)
+    }
+
+    /// Unread bytes hide the close: no event tells of it, so it is looked for at intervals.
+    fn poll_hidden_close(&mut self, context: &mut Context) -> Poll<io::Result<()>> {
+        while !is_read_closed(&self.stream.borrow()) {
+            let interval = self.connection.limits.look;
+            let check = self.next_close_check.get_or_insert_with(|| Box::pin(sleep(interval)));
+            ready!(check.as_mut().poll(context));
+            self.next_close_check = None;
+            self.drop_flood();
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    /// With more unread than a request may have, the close behind it would not even arrive. So it is read and dropped,
+    /// a bounded part at each check, and the connection closes with the response that is under way.
+    fn drop_flood(&self) {
+        let (stream, limits) = (self.stream.borrow(), &self.connection.limits);
+        if has_unread_bytes_of(&stream, limits.body) {
+            self.connection.close_after_response.set(true);
+            let mut dropped = vec![0; limits.linger_bytes];
+            let _ = stream.try_read(&mut dropped);
+        }
+    }
+}
+
+impl AsyncRead for WatchedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
+        // Guards against floods on one connection.
+        if self.connection.is_body_complete() {
+            return self.poll_close(context);
+        }
+        if !self.connection.may_read_more(context) {
+            return Poll::Pending;
+        }
+        let before = into.filled().len();
+        ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(context, into))?;
+        self.connection.note_read(into.filled().len() - before);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for WatchedStream {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context, from: &[u8]) -> Poll<io::Result<usize>> {
+        let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(context, from);
+        self.connection.note_write(matches!(written, Poll::Ready(Ok(count)) if count == from.len()));
+        written
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.stream.borrow_mut()).poll_flush(context)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(context)
+    }
+}
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod desk;
 pub mod edition;
 pub mod frame;
-pub mod front;
+pub mod http_server;
 mod leave;
 pub mod limits;
 pub mod listing;
@@ -24,6 +24,7 @@
 mod reload;
 pub mod retrieval;
 pub mod roll;
+pub mod socket_peek;
 mod start;
 #[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
 mod versions;
@@ -33,7 +34,7 @@
 pub use start::{ConfigSource, StartupConfig};
 
 use desk::Engine;
-use front::HttpServer;
+use http_server::HttpServer;
 use limits::Limits;
 use retrieval::{QueryHandler, RejectedRequests};
 use routing::EndpointListKind;
