--- a/crates/broker/src/http_server/closing.rs
+++ b/crates/broker/src/http_server/closing.rs
@@ -1,7 +1,9 @@
-//! How client connections are closed: which one makes room, which is too slow, and how the last response survives.
+//! How client connections are closed: which one makes room, which is too slow, and how the last response
+//! survives.
 
 use super::HttpServer;
 use super::connection::Connection;
+use crate::query_handler::RequestError;
 use actix_http::StatusCode;
 use std::io;
 use std::rc::Rc;
@@ -10,8 +12,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 impl HttpServer {
-    /// Closes an idle connection, if there is one; whether there was. Those whose client never had a query accepted
-    /// go first, so that clients that stay silent, or repeat what was refused, take no room from others.
+    /// Closes an idle connection, if there is one; whether there was. Those whose client never had a query
+    /// accepted go first, so that clients that stay silent, or repeat what was refused, take no room from
+    /// others.
     pub(super) fn close_one_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.iter().filter(|connection| connection.is_idle());
@@ -20,8 +23,8 @@
         first.inspect(|connection| connection.request_close(None)).is_some()
     }
 
-    /// Guards against tenants that ask once and keep their connection: beyond the number of idle connections that may
-    /// be kept, the one that was idle longest is closed.
+    /// Guards against tenants that ask once and keep their connection: beyond the number of idle connections
+    /// that may be kept, the one that was idle longest is closed.
     pub(super) fn close_surplus_idle(&self) {
         let connections = self.connections.borrow();
         let is_kept =
@@ -35,8 +38,8 @@
         }
     }
 
-    /// Guards against clients that hold their connections: that send or take a byte now and then, or that send
-    /// nothing at all from the start.
+    /// Guards against clients that hold their connections: that send or take a byte now and then, or that
+    /// send nothing at all from the start.
     pub(super) fn close_slow(&self) {
         let (now, slow_after) = (Instant::now(), self.query_handler.limits.slow_client);
         let is_late = |since: Option<Instant>| since.is_some_and(|since| now - since > slow_after);
@@ -52,8 +55,8 @@
         }
     }
 
-    /// Accepts no more connections; idle ones close now, the others with their responses. Completes when all are
-    /// closed.
+    /// Accepts no more connections; idle ones close now, the others with their responses. Completes when all
+    /// are closed.
     pub async fn close(&self) {
         self.is_closing.set(true);
         self.close_requested.notify_one();
@@ -73,15 +76,13 @@
         }
     }
 
-    /// Writes a last response if there is one, and takes in what still comes, within bounds: closing before that would
-    /// reset the connection, and might destroy what was written.
+    /// Writes a last response if there is one, and takes in what still comes, within bounds: closing before
+    /// that would reset the connection, and might destroy what was written.
     pub(super) async fn linger(&self, mut stream: TcpStream, closing_status: Option<StatusCode>) {
         let limits = &self.query_handler.limits;
         let lingering = async {
             if let Some(status) = closing_status {
-                self.query_handler
-                    .wrongs
-                    .note(status.as_u16(), "a request that is too long, or does not come");
+                self.query_handler.rejected_requests.count(RequestError::Incomplete(status));
                 write_empty_response(&mut stream, status).await?;
             }
             stream.shutdown().await?;
--- a/crates/broker/src/http_server/connection.rs
+++ b/crates/broker/src/http_server/connection.rs
@@ -19,7 +19,8 @@
     HandlingRequest { is_body_complete: bool },
     /// The last response is on its way. Nothing leads out of this state but the end of the connection.
     Closing {
-        /// What the client sends further is no rest of a body, which the HTTP library would take in by itself.
+        /// What the client sends further is no rest of a body, which the HTTP library would take in by
+        /// itself.
         must_drain_input: bool,
         /// Since when input that follows the last request has been in hand.
         reading_since: Option<Instant>,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Whether it may be closed to make room. A new connection is left open for a moment: its first request may have
-    /// been written already.
+    /// Whether it may be closed to make room. A new connection is left open for a moment: its first request
+    /// may have been written already.
     pub fn is_idle(&self) -> bool {
         let past_first_moment = || self.last_used_at.get().elapsed() > self.limits.first_moment;
         self.is_at_rest() && (self.has_served_request.get() || past_first_moment())
@@ -154,8 +155,8 @@
         self.closing_status.get()
     }
 
-    /// Whether more may be read of the current request; a connection whose request is too long is closed. The HTTP
-    /// library reads on and on before it looks at what it has read.
+    /// Whether more may be read of the current request; a connection whose request is too long is closed. The
+    /// HTTP library reads on and on before it looks at what it has read.
     pub fn may_read_more(&self, context: &Context) -> bool {
         let (most, status) = match self.state.get() {
             ConnectionState::Closing { .. } => return self.bytes_read.get() < self.limits.linger_bytes,
@@ -169,7 +170,8 @@
         if self.bytes_read.get() < most {
             return true;
         }
-        // The library looks at what it has before it asks again; by then a head was complete, or it is too long.
+        // The library looks at what it has before it asks again; by then a head was complete, or it is too
+        // long.
         if self.bytes_read.replace(usize::MAX) == usize::MAX {
             self.request_close(Some(status));
         } else {
@@ -218,8 +220,8 @@
     }
 }
 
-/// Marks a connection as handling a request. Dropped without a response, because the client has gone, it leaves the
-/// connection idle.
+/// Marks a connection as handling a request. Dropped without a response, because the client has gone, it
+/// leaves the connection idle.
 pub(super) struct RequestGuard<'a> {
     connection: &'a Connection,
 }
--- a/crates/broker/src/http_server/mod.rs
+++ b/crates/broker/src/http_server/mod.rs
@@ -5,7 +5,7 @@
 mod routes;
 mod watched_stream;
 
-use crate::retrieval::QueryHandler;
+use crate::query_handler::{QueryHandler, RejectedRequestCount, RequestError};
 use crate::socket_peek::has_unread_bytes;
 use actix_http::error::DispatchError;
 use actix_http::{HttpService, KeepAlive, Request};
@@ -120,14 +120,20 @@
                 () = sleep(limits.first_moment), if !has_room => {}
                 _ = sweep.tick() => {
                     self.close_slow();
-                    self.query_handler.wrongs.take().iter().for_each(|line| warn!("{line}"));
+                    self.report_rejected_requests();
                 }
             }
         }
     }
 
-    /// Guards against connections that clients have made and that were not accepted yet: closing the listener would
-    /// reset them. At the bound they wait for room.
+    fn report_rejected_requests(&self) {
+        for RejectedRequestCount { error, times } in self.query_handler.rejected_requests.take() {
+            warn!(status = error.status().as_u16(), reason = %error, times, "requests rejected");
+        }
+    }
+
+    /// Guards against connections that clients have made and that were not accepted yet: closing the listener
+    /// would reset them. At the bound they wait for room.
     async fn accept_queued<S>(self: &Rc<Self>, listener: &std::net::TcpListener, service: &Rc<S>)
     where
         S: Service<ServiceInput, Response = (), Error = DispatchError> + 'static,
@@ -180,7 +186,8 @@
         self.connection_closed.notify_waiters();
     }
 
-    /// Serves a connection's requests up to its end; whether input has to be taken in before the socket is closed.
+    /// Serves a connection's requests up to its end; whether input has to be taken in before the socket is
+    /// closed.
     async fn serve_until_end<S>(
         &self,
         stream: &Rc<RefCell<TcpStream>>,
@@ -207,7 +214,7 @@
                 }
                 end = &mut served => match end {
                     Err(DispatchError::Parse(_)) => {
-                        self.query_handler.wrongs.note(400, "no request that can be read");
+                        self.query_handler.rejected_requests.count(RequestError::Unreadable);
                         return true;
                     }
                     _ => return connection.must_drain_input(),
--- a/crates/broker/src/http_server/routes.rs
+++ b/crates/broker/src/http_server/routes.rs
@@ -1,8 +1,9 @@
-//! One request on a connection: which handler answers it, and whether the connection closes with the response.
+//! One request on a connection: which handler answers it, and whether the connection closes with the
+//! response.
 
 use super::HttpServer;
 use super::connection::Connection;
-use crate::retrieval::{self, decline, plain};
+use crate::query_handler::{RequestError, plain, rejected};
 use actix_http::header::{ALLOW, HeaderValue};
 use actix_http::{ConnectionType, Method, Payload, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -27,7 +28,8 @@
         let has_body = !matches!(request.payload(), Payload::None);
         let client_closes = request.head().connection_type() == ConnectionType::Close;
         let mut response = self.route(request, &connection, arrived).await;
-        // Guards against tenants that repeat the same error again and again: another connection costs them more.
+        // Guards against tenants that repeat the same error again and again: another connection costs them
+        // more.
         let has_too_many_errors = connection.count_client_error(response.status().is_client_error());
         let has_unread_body = has_body && !connection.is_body_complete();
         let server_closes = connection.is_surplus
@@ -48,7 +50,7 @@
         let allowed = match request.path() {
             QUERY_PATH => Method::POST,
             HEALTH_PATH => Method::GET,
-            _ => return self.query_handler.bad(StatusCode::NOT_FOUND, "an unknown path"),
+            _ => return self.query_handler.reject(RequestError::UnknownPath),
         };
         if *request.method() != allowed {
             return self.reject_method(&allowed);
@@ -63,7 +65,7 @@
     }
 
     fn reject_method(&self, allowed: &Method) -> Response<Bytes> {
-        let mut response = self.query_handler.bad(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted");
+        let mut response = self.query_handler.reject(RequestError::MethodNotAllowed);
         if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
             response.headers_mut().insert(ALLOW, allowed);
         }
@@ -77,10 +79,10 @@
         arrived: Instant,
     ) -> Response<Bytes> {
         if connection.is_surplus {
-            return decline(self.query_handler.engine.epoch().retry_after);
+            return rejected(self.query_handler.engine.epoch().retry_after);
         }
         let complete_body = || connection.complete_body();
-        let response = retrieval::serve(&self.query_handler, request, arrived, complete_body).await;
+        let response = self.query_handler.handle(request, arrived, complete_body).await;
         if !response.status().is_client_error() {
             connection.has_accepted_query.set(true);
         }
--- a/crates/broker/src/http_server/tests.rs
+++ b/crates/broker/src/http_server/tests.rs
@@ -19,7 +19,7 @@
     change_limits(&mut limits);
     let limits = Rc::new(limits);
     let engine = Engine::new(BrokerSettings::default(), 1, limits.clone(), None, None);
-    HttpServer::new(QueryHandler { engine, limits, wrongs: Default::default() })
+    HttpServer::new(QueryHandler { engine, limits, rejected_requests: Default::default() })
 }
 
 /// A server that keeps so many idle connections.
@@ -83,7 +83,8 @@
     });
 }
 
-/// The same where the server closes: what arrived on an idle connection in that moment is answered, not reset.
+/// The same where the server closes: what arrived on an idle connection in that moment is answered, not
+/// reset.
 #[rstest]
 fn answers_a_request_that_arrives_on_an_idle_connection_as_the_server_closes() {
     actix_rt::Runtime::new().unwrap().block_on(async {
@@ -100,8 +101,8 @@
     });
 }
 
-/// At the bound connections wait in the listener's queue; when the server closes then, they are accepted as there is
-/// room.
+/// At the bound connections wait in the listener's queue; when the server closes then, they are accepted as
+/// there is room.
 #[rstest]
 fn accepts_queued_connections_as_there_is_room() {
     actix_rt::Runtime::new().unwrap().block_on(async {
--- a/crates/broker/src/http_server/watched_stream.rs
+++ b/crates/broker/src/http_server/watched_stream.rs
@@ -29,7 +29,8 @@
         &self.connection
     }
 
-    /// Reads nothing of what the client sends ahead: but for its close, nothing is wanted while a request is handled.
+    /// Reads nothing of what the client sends ahead: but for its close, nothing is wanted while a request is
+    /// handled.
     fn poll_close(&mut self, context: &mut Context) -> Poll<io::Result<()>> {
         let mut byte = [0];
         if ready!(self.stream.borrow_mut().poll_peek(context, &mut ReadBuf::new(&mut byte)))? == 0 {
@@ -51,8 +52,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// With more unread than a request may have, the close behind it would not even arrive. So it is read and dropped,
-    /// a bounded part at each check, and the connection closes with the response that is under way.
+    /// With more unread than a request may have, the close behind it would not even arrive. So it is read and
+    /// dropped, a bounded part at each check, and the connection closes with the response that is under way.
     fn drop_flood(&self) {
         let (stream, limits) = (self.stream.borrow(), &self.connection.limits);
         if has_unread_bytes_of(&stream, limits.body) {
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -21,8 +21,8 @@
 pub mod limits;
 pub mod listing;
 pub mod nodes;
+pub mod query_handler;
 mod reload;
-pub mod retrieval;
 pub mod roll;
 pub mod socket_peek;
 mod start;
@@ -36,7 +36,7 @@
 use desk::Engine;
 use http_server::HttpServer;
 use limits::Limits;
-use retrieval::{QueryHandler, RejectedRequests};
+use query_handler::{QueryHandler, RejectedRequests};
 use routing::EndpointListKind;
 use std::io;
 use std::net::SocketAddr;
@@ -85,8 +85,11 @@
     if let Some(known) = order.known.filter(|_| !limits.agent) {
         engine.hear_roll(EndpointListKind::Cached, known);
     }
-    let counter =
-        QueryHandler { engine: engine.clone(), limits: limits.clone(), wrongs: RejectedRequests::default() };
+    let counter = QueryHandler {
+        engine: engine.clone(),
+        limits: limits.clone(),
+        rejected_requests: RejectedRequests::default(),
+    };
     let front = HttpServer::new(counter);
     actix_rt::spawn(engine.clone().run());
     let (discovery, place) = watch::channel(order.discovery);
--- /dev/null
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -0,0 +1,151 @@
+//! Reads a query from its HTTP request, by one configuration epoch.
+
+use super::RequestError;
+use super::body::{RequestBody, RequestedShardBody};
+use crate::desk::{QueryRequest, RequestedShard};
+use crate::edition::ConfigEpoch;
+use crate::limits::Limits;
+use actix_http::header::{CONTENT_LENGTH, HeaderMap, UPGRADE};
+use actix_http::{HttpMessage, Request};
+use bytes::{Bytes, BytesMut};
+use futures_util::StreamExt;
+use routing::{ClassId, ShardId, TenantId, Tenths};
+use std::borrow::Cow;
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tokio::time::Instant;
+
+const ID_HEADER: &str = "X-Correlation-Id";
+const CLASS_HEADER: &str = "X-Service-Class";
+const TENANT_HEADER: &str = "X-Account";
+const TIME_LEFT_HEADER: &str = "X-Time-Left-Ms";
+
+/// The length that a request announces for its body, if it does. Guards against bodies that are read for
+/// nothing, and against what the HTTP library takes for the end of requests: after a protocol switch it reads
+/// on for ever.
+pub(super) fn announced_length(request: &Request) -> Result<Option<usize>, RequestError> {
+    let headers = request.headers();
+    if headers.contains_key(UPGRADE) {
+        return Err(RequestError::ProtocolSwitch);
+    }
+    let length = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    length.map(|text| text.trim().parse().map_err(|_| RequestError::UnreadableLength)).transpose()
+}
+
+/// Reads a body of at most `max_length` bytes to its end.
+pub(super) async fn read_body(request: &mut Request, max_length: usize) -> Result<Bytes, RequestError> {
+    let mut payload = request.take_payload();
+    let mut body = BytesMut::new();
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|_| RequestError::BodyCutOff)?;
+        if body.len() + chunk.len() > max_length {
+            return Err(RequestError::BodyTooLong);
+        }
+        body.extend_from_slice(&chunk);
+    }
+    Ok(body.freeze())
+}
+
+/// Reads what decisions need of a query; the text that its shard requests carry stays the bytes that came.
+pub(super) fn read_query(
+    limits: &Limits,
+    epoch: &ConfigEpoch,
+    request: &Request,
+    body: &Bytes,
+    arrived: Instant,
+) -> Result<QueryRequest, RequestError> {
+    let headers = request.headers();
+    reject_duplicate_headers(headers)?;
+    let id = read_id(headers, limits.id)?;
+    let class = read_class(headers, epoch)?;
+    let tenant = read_tenant(headers, epoch);
+    let time_left = read_time_left(headers)?.min(limits.longest_wait);
+    let query: RequestBody = serde_json::from_slice(body).map_err(|_| RequestError::UnreadableBody)?;
+    check_shards(&query.shard_requests, epoch)?;
+    check_weights(&query.shard_requests, limits.weight_slack)?;
+    let work_us: Option<f64> = query.shard_requests.iter().map(|shard_request| shard_request.work_us).sum();
+    let text = match query.text {
+        Cow::Borrowed(text) => body.slice_ref(text.as_bytes()),
+        Cow::Owned(text) => Bytes::from(text),
+    };
+    Ok(QueryRequest {
+        id,
+        class,
+        tenant,
+        until: arrived + time_left,
+        work: Tenths::from_ms(work_us.unwrap_or(0.0).max(0.0) / 1000.0),
+        shard_requests: query.shard_requests.iter().map(requested_shard).collect(),
+        text,
+        holds: body.len(),
+    })
+}
+
+fn requested_shard(shard_request: &RequestedShardBody) -> RequestedShard {
+    RequestedShard { shard: ShardId(shard_request.shard), weight: shard_request.weight }
+}
+
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
+
+fn reject_duplicate_headers(headers: &HeaderMap) -> Result<(), RequestError> {
+    let names = [ID_HEADER, CLASS_HEADER, TENANT_HEADER, TIME_LEFT_HEADER];
+    match names.iter().any(|name| headers.get_all(*name).count() > 1) {
+        true => Err(RequestError::DuplicateHeader),
+        false => Ok(()),
+    }
+}
+
+fn read_id(headers: &HeaderMap, max_length: usize) -> Result<Bytes, RequestError> {
+    let id = header(headers, ID_HEADER).ok_or(RequestError::MissingId)?;
+    if id.is_empty() || id.len() > max_length || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(RequestError::InvalidId);
+    }
+    Ok(Bytes::copy_from_slice(id.as_bytes()))
+}
+
+fn read_class(headers: &HeaderMap, epoch: &ConfigEpoch) -> Result<ClassId, RequestError> {
+    let name = header(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
+    let class = epoch.names.class(name).filter(|class| epoch.classes.contains_key(class));
+    class.ok_or_else(|| count_unknown(epoch, RequestError::UnknownClass))
+}
+
+/// A tenant that the settings do not name has no quota of its own.
+fn read_tenant(headers: &HeaderMap, epoch: &ConfigEpoch) -> TenantId {
+    let tenant = header(headers, TENANT_HEADER).map_or(Some(TenantId(0)), |name| epoch.names.tenant(name));
+    tenant.unwrap_or(TenantId(u32::MAX))
+}
+
+fn read_time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let text = header(headers, TIME_LEFT_HEADER);
+    // The parser would take a sign, too.
+    let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+    let milliseconds = digits.and_then(|text| text.parse().ok()).ok_or(RequestError::InvalidTimeLeft)?;
+    Ok(Duration::from_millis(milliseconds))
+}
+
+fn check_shards(shard_requests: &[RequestedShardBody], epoch: &ConfigEpoch) -> Result<(), RequestError> {
+    let shards: BTreeSet<u32> = shard_requests.iter().map(|shard_request| shard_request.shard).collect();
+    if shards.is_empty() || shards.len() < shard_requests.len() {
+        return Err(RequestError::InvalidShardRequests);
+    }
+    if shards.last().is_some_and(|shard| *shard >= epoch.shards) {
+        return Err(count_unknown(epoch, RequestError::UnknownShard));
+    }
+    Ok(())
+}
+
+fn check_weights(shard_requests: &[RequestedShardBody], slack: f64) -> Result<(), RequestError> {
+    let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.weight).sum();
+    let are_shares = shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
+    match !are_shares || (sum - 1.0).abs() > slack {
+        true => Err(RequestError::InvalidWeights),
+        false => Ok(()),
+    }
+}
+
+/// Counted, unlike other errors: a new configuration may have removed what its clients still ask for.
+fn count_unknown(epoch: &ConfigEpoch, error: RequestError) -> RequestError {
+    epoch.count(|tally| (tally.ended, tally.turned_away) = (tally.ended + 1, tally.turned_away + 1));
+    error
+}
--- /dev/null
+++ b/crates/broker/src/query_handler/tests.rs
@@ -0,0 +1,19 @@
+//! Counters of rejected requests.
+
+use super::{RejectedRequestCount, RejectedRequests, RequestError};
+use rstest::rstest;
+
+/// However many requests are rejected, the log gets a line for each kind of error.
+#[rstest]
+fn sums_up_rejected_requests() {
+    let rejected_requests = RejectedRequests::default();
+    rejected_requests.count(RequestError::AnnouncedBodyTooLong);
+    (0..1000).for_each(|_| rejected_requests.count(RequestError::MissingId));
+    let counts = rejected_requests.take();
+    let too_long = RejectedRequestCount { error: RequestError::AnnouncedBodyTooLong, times: 1 };
+    assert_eq!(counts, [RejectedRequestCount { error: RequestError::MissingId, times: 1000 }, too_long]);
+    let lines: Vec<_> =
+        counts.iter().map(|count| (count.error.status().as_u16(), count.error.to_string())).collect();
+    assert_eq!(lines, [(400, "no id".to_owned()), (413, "a body that is too long".to_owned())]);
+    assert!(rejected_requests.take().is_empty());
+}
--- a/crates/broker/src/socket_peek.rs
+++ b/crates/broker/src/socket_peek.rs
@@ -1,7 +1,7 @@
 //! What can be told of a TCP stream without taking bytes from it.
 //!
-//! The system may know of bytes or of a close before the runtime's readiness events tell of them. The functions here
-//! say which of the two they ask.
+//! The system may know of bytes or of a close before the runtime's readiness events tell of them. The
+//! functions here say which of the two they ask.
 
 use futures_util::FutureExt;
 use socket2::SockRef;
@@ -15,8 +15,8 @@
     peek_byte(stream).is_ok_and(|count| count > 0)
 }
 
-/// Whether the peer has ended the connection and nothing lies unread before its end, asked of the system. A connection
-/// that was reset counts as ended.
+/// Whether the peer has ended the connection and nothing lies unread before its end, asked of the system. A
+/// connection that was reset counts as ended.
 pub fn has_peer_closed(stream: &TcpStream) -> bool {
     match peek_byte(stream) {
         Ok(count) => count == 0,
