--- a/crates/broker/src/socket_peek.rs
+++ b/crates/broker/src/socket_peek.rs
@@ -39,3 +39,6 @@
 fn peek_byte(stream: &TcpStream) -> io::Result<usize> {
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
+
+#[cfg(test)]
+mod tests;
