--- /dev/null
+++ b/crates/broker/tests/sockets/bad_requests.rs
@@ -0,0 +1,106 @@
+//! Requests that are rejected as the client's error, or since the protocol can't carry them.
+
+use super::test_peers::*;
+use rstest::rstest;
+use serde_json::{Value, json};
+
+const LONG_BODY_HEAD: &str = "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n";
+
+/// What the cases of bad requests change.
+fn valid_request() -> String {
+    request("a", "lookup", 900, &body(ONE_SHARD))
+}
+
+#[rstest]
+#[case("POST /other HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404)]
+#[case("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 405)]
+#[case("POST /_health HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405)]
+#[case("no request at all\r\n\r\n", 400)]
+#[case(&request("a b", "lookup", 900, &body(ONE_SHARD)), 400)]
+#[case(&request("", "lookup", 900, &body(ONE_SHARD)), 400)]
+#[case(&request("a", "unheard-of", 900, &body(ONE_SHARD)), 400)]
+#[case(&valid_request().replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: soon"), 400)]
+#[case(&valid_request().replace("X-Time-Left-Ms: ", "X-Time-Left-Ms: +"), 400)]
+#[case(&valid_request().replace("X-Time", "X-Time-Left-Ms: 5\r\nX-Time"), 400)]
+#[case(&valid_request().replace("Host", "X-Correlation-Id: b\r\nHost"), 400)]
+#[case(&valid_request().replace("Host", "Upgrade: websocket\r\nHost"), 400)]
+#[case(&valid_request().replace("Host", "Transfer-Encoding: chunked\r\nHost"), 400)]
+#[case(&valid_request().replace("Host", "Content-Length: 0\r\nHost"), 400)]
+#[case(&valid_request().replace("Length: ", "Length: +"), 400)]
+#[case(&valid_request().replace("Length: ", "Length: -"), 400)]
+#[case(&request("a", "lookup", 900, "{\"slices\":"), 400)]
+#[case(&request("a", "lookup", 900, &body(&[])), 400)]
+#[case(&request("a", "lookup", 900, &body(&[(3, 0.5), (3, 0.5)])), 400)]
+#[case(&request("a", "lookup", 900, &body(&[(16, 1.0)])), 400)]
+#[case(&request("a", "lookup", 900, &body(&[(3, 0.4), (4, 0.4)])), 400)]
+#[case(&request("a", "lookup", 900, &body(&[(3, 1.5), (4, -0.5)])), 400)]
+#[case(&request("a", "lookup", 900, &body(&[(3, 1.005)])), 400)]
+#[case(&request("a", "lookup", 900, &" ".repeat(64 * 1024 + 1)), 413)]
+#[case(LONG_BODY_HEAD, 413)]
+#[case(&(LONG_BODY_HEAD.to_owned() + &" ".repeat(200_000)), 413)]
+#[case(&format!("GET /_health HTTP/1.1\r\nHost: x\r\nX: {}", "x".repeat(100_000)), 431)]
+fn rejects_bad_requests(#[case] text: &str, #[case] status: u16) {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = cluster.client().await;
+        client.write(text).await;
+        assert_eq!(client.reply_status().await, status);
+        assert!(cluster.has_no_event());
+        let mut other = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        cluster.answer_next_batch("a.3").await;
+        assert_eq!(other.reply_status().await, 200);
+    });
+}
+
+/// A client that repeats the same bad request loses its connection.
+#[rstest]
+fn closes_a_connection_after_repeated_bad_requests() {
+    run_test(async {
+        let cluster = TestCluster::start_with(1, |_| (), |startup| startup.limits.wrong = 3).await;
+        let mut client = cluster.client().await;
+        for _ in 0..3 {
+            client.write(&request("a", "unheard-of", 900, &body(ONE_SHARD))).await;
+            assert_eq!(client.reply_status().await, 400);
+        }
+        assert!(client.reply().await.is_none());
+    });
+}
+
+/// The id of an open query is refused to others, and the open query goes on untouched.
+#[rstest]
+fn rejects_the_id_of_an_open_query() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut first = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (_, connection, _) = cluster.next_batch().await;
+        assert_eq!(cluster.send_query("a", "lookup", TWO_SHARDS).await.reply_status().await, 400);
+        assert!(cluster.has_no_event());
+        cluster.nodes[0].end(connection, "a.3", 'S', "v").await;
+        assert_eq!(first.reply_status().await, 200);
+    });
+}
+
+/// What this protocol can't carry is rejected, and nothing of it is sent: a second phase, without which
+/// a response would hold nothing, and the key by which repeats of a query are known.
+#[rstest]
+#[case("lookup", "", 503)]
+#[case("once", "Idempotency-Key: 710d\r\n", 503)]
+#[case("once", "", 200)]
+#[case("report", "Idempotency-Key: 710d\r\n", 200)]
+fn rejects_what_the_protocol_cannot_carry(#[case] class: &str, #[case] header: &str, #[case] status: u16) {
+    run_test(async {
+        let other = |config: &mut Value| {
+            config["settings"]["Domain"]["FetchParts"] = json!([0, 2, 0]);
+            config["settings"]["Services"][2]["Effect"] = json!("deduplicated");
+        };
+        let mut cluster = TestCluster::start_with(1, other, |_| ()).await;
+        let mut client = cluster.client().await;
+        let text = request("a", class, 9000, &body(ONE_SHARD)).replace("Host:", &format!("{header}Host:"));
+        client.write(&text).await;
+        if status == 200 {
+            cluster.answer_next_batch("a.3").await;
+        }
+        assert_eq!(client.reply_status().await, status);
+        assert!(cluster.has_no_event());
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -0,0 +1,186 @@
+//! Connections of clients: their number, slow ones, idle ones.
+
+use super::test_peers::*;
+use broker::StartupConfig;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::time::Duration;
+
+/// Queries and shard requests up to `MaxOpen`, connections up to the descriptors: beyond, it rejects.
+#[rstest]
+fn rejects_beyond_its_limits() {
+    run_test(async {
+        let few = |config: &mut Value| {
+            config["limits"]["sockets"] = json!(64);
+            config["settings"]["Limits"]["MaxOpen"] = json!(5);
+        };
+        let mut cluster = TestCluster::start_with(1, few, |_| ()).await;
+        let _first = cluster.send_query("a", "lookup", &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]).await;
+        cluster.next_batch().await;
+        assert_eq!(cluster.send_query("c", "lookup", ONE_SHARD).await.reply_status().await, 503);
+        // 19 connections, and two beyond that; those that are idle make room.
+        let mut held = Vec::new();
+        for at in 0..30 {
+            let mut client = cluster.client().await;
+            client.write(HEALTH_REQUEST).await;
+            assert_eq!(client.reply_status().await, 200, "client {at}");
+            held.push(client);
+        }
+        assert!(held[0].reply().await.is_none());
+        let mut stuck = Vec::new();
+        for _ in 0..18 {
+            let mut client = cluster.client().await;
+            client.write("POST /api HT").await;
+            stuck.push(client);
+        }
+        within_timeout(async {
+            let mut closes = false;
+            while !closes {
+                let reply = cluster.send_query("d", "lookup", ONE_SHARD).await.reply().await.unwrap();
+                assert_eq!(reply.status, 503);
+                closes = reply.head.contains("connection: close");
+            }
+        })
+        .await;
+        assert!(cluster.has_no_event());
+    });
+}
+
+/// With every place taken a new connection waits, and is served as soon as one of the others is idle.
+#[rstest]
+fn idle_connections_make_room_at_the_limit() {
+    run_test(async {
+        let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
+        let cluster =
+            TestCluster::start_with(1, few, |startup| startup.limits.slow_client = Duration::from_secs(90))
+                .await;
+        let mut held = Vec::new();
+        for _ in 0..21 {
+            let mut client = cluster.client().await;
+            client.write("GET /_health HT").await;
+            sleep_ms(20).await;
+            held.push(client);
+        }
+        let mut waits = cluster.client().await;
+        waits.write(HEALTH_REQUEST).await;
+        assert!(tokio::time::timeout(Duration::from_millis(200), waits.reply()).await.is_err());
+        held[0].write("TP/1.1\r\nHost: x\r\n\r\n").await;
+        assert_eq!(held[0].reply_status().await, 200);
+        assert_eq!(waits.reply_status().await, 200);
+    });
+}
+
+/// Shard requests that have their responses are not open any more, and make room for others.
+#[rstest]
+fn received_shard_responses_make_room() {
+    run_test(async {
+        let mut cluster =
+            TestCluster::start_with(1, |config| config["settings"]["Limits"]["MaxOpen"] = json!(5), |_| ())
+                .await;
+        let mut first =
+            cluster.send_query("a", "lookup", &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]).await;
+        let (_, connection, _) = cluster.next_batch().await;
+        assert_eq!(cluster.send_query("b", "lookup", ONE_SHARD).await.reply_status().await, 503);
+        for id in ["a.0", "a.1"] {
+            cluster.nodes[0].end(connection, id, 'S', "v").await;
+        }
+        // The values are on their way: until they are in, it is rejected still.
+        let mut third = within_timeout(async {
+            loop {
+                let mut client = cluster.send_query("c", "lookup", ONE_SHARD).await;
+                let reply = tokio::time::timeout(Duration::from_millis(200), client.reply()).await;
+                if reply.is_err() {
+                    break client;
+                }
+            }
+        })
+        .await;
+        for id in ["a.2", "a.3"] {
+            cluster.nodes[0].end(connection, id, 'S', "v").await;
+        }
+        let (_, connection, shard_requests) = cluster.next_batch().await;
+        cluster.nodes[0].end(connection, &shard_requests[0].id, 'S', "v").await;
+        assert_eq!(third.reply_status().await, 200);
+        assert_eq!(first.reply_status().await, 200);
+    });
+}
+
+/// A connection whose client sends nothing, or is slow with its head or its body, is closed in time; one that
+/// is idle after a response is not.
+#[rstest]
+fn closes_slow_clients() {
+    run_test(async {
+        let quick = |startup: &mut StartupConfig| {
+            startup.limits.slow_client = Duration::from_millis(200);
+            startup.limits.sweep = Duration::from_millis(50);
+        };
+        let cluster = TestCluster::start_with(1, |_| (), quick).await;
+        let (mut idle, mut silent, mut head, mut body) =
+            (cluster.client().await, cluster.client().await, cluster.client().await, cluster.client().await);
+        idle.write(HEALTH_REQUEST).await;
+        assert_eq!(idle.reply_status().await, 200);
+        head.write("POST /api HTTP/1.1\r\n").await;
+        body.write("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{").await;
+        assert!(silent.reply().await.is_none());
+        assert_eq!(head.reply_status().await, 408);
+        assert_eq!(body.reply_status().await, 408);
+        sleep_ms(500).await;
+        idle.write(HEALTH_REQUEST).await;
+        assert_eq!(idle.reply_status().await, 200);
+    });
+}
+
+/// Of connections that are kept idle only a few stay open: the one that was idle longest is closed.
+#[rstest]
+fn keeps_few_idle_connections() {
+    run_test(async {
+        let cluster = TestCluster::start_with(1, |_| (), |startup| startup.limits.kept_lines = 2).await;
+        let mut kept = Vec::new();
+        for _ in 0..4 {
+            let mut client = cluster.client().await;
+            client.write(HEALTH_REQUEST).await;
+            assert_eq!(client.reply_status().await, 200);
+            kept.push(client);
+        }
+        assert!(kept[0].reply().await.is_none());
+        kept[1].write(HEALTH_REQUEST).await;
+        assert_eq!(kept[1].reply_status().await, 200);
+    });
+}
+
+/// Hundreds of connections that send nothing keep nobody out: at the limit they make room at once.
+#[rstest]
+fn silent_connections_make_room() {
+    run_test(async {
+        let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
+        let patient = |startup: &mut StartupConfig| {
+            (startup.limits.slow_client, startup.limits.sweep) =
+                (Duration::from_secs(90), Duration::from_secs(90));
+        };
+        let cluster = TestCluster::start_with(1, few, patient).await;
+        let mut silent = Vec::new();
+        for _ in 0..100 {
+            silent.push(cluster.client().await);
+        }
+        let mut usual = cluster.client().await;
+        usual.write(HEALTH_REQUEST).await;
+        assert_eq!(usual.reply_status().await, 200);
+    });
+}
+
+/// Of the requests on one connection one is handled at a time; the rest stays unread until that is answered,
+/// and does it no harm.
+#[rstest]
+fn reads_one_request_of_a_connection_at_a_time() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (_, connection, _) = cluster.next_batch().await;
+        client.write("no request at all\r\n\r\n").await;
+        sleep_ms(200).await;
+        assert!(cluster.has_no_event());
+        cluster.nodes[0].end(connection, "a.3", 'S', "one").await;
+        assert!(client.reply().await.unwrap().body.contains("one"));
+        assert_eq!(client.reply_status().await, 400);
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -0,0 +1,70 @@
+//! What a broker starts from, and what a reload changes.
+
+use super::test_peers::*;
+use broker::StartupConfig;
+use rstest::rstest;
+use serde_json::{Value, json};
+
+/// SIGHUP ends no broker: where the file names another discovery, that is asked at once, whatever the start
+/// was given, and its list is used though its revision is lower. A file that can't be used changes nothing.
+#[rstest]
+fn follows_discovery_to_the_address_of_a_reloaded_config() {
+    run_test(async {
+        let mut old = TestCluster::start(2).await; // its peers serve the process
+        let mut new = Discovery::start().await;
+        let file = std::env::temp_dir().join(format!("shard-broker-{}.json", std::process::id()));
+        let write = |text: String| std::fs::write(&file, text).unwrap();
+        let old_config = config(&old.nodes, &old.discovery.address().to_string());
+        write(old_config.to_string());
+        old.discovery.called().await;
+        let process = Process::start(&file, &old.discovery.address().to_string());
+        assert_eq!(old.discovery.called().await, "/catalog/members");
+        for _ in 0..2 {
+            old.discovery.reply(snapshot(41, &[]));
+            assert_eq!(old.discovery.called().await, "/catalog/members?after=41&wait_ms=4000");
+        }
+        for unusable in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
+            write(unusable.to_owned());
+            process.signal("HUP");
+            process.wait_for_log("the new config is not used");
+        }
+        write(config(&old.nodes, &new.address().to_string()).to_string());
+        process.signal("HUP");
+        assert_eq!(new.called().await, "/catalog/members");
+        new.reply(snapshot(3, &[member(&old.nodes, 1, "ready")]));
+        assert_eq!(new.called().await, "/catalog/members?after=3&wait_ms=4000");
+        let mut client = Client::connect(process.listens).await;
+        client.write(&request("a", "lookup", 9000, &body(ONE_SHARD))).await;
+        assert_eq!(old.answer_next_batch("a.3").await, 1);
+        assert_eq!(client.reply_status().await, 200);
+        process.signal("TERM");
+        process.wait_for_log("left");
+        std::fs::remove_file(&file).unwrap();
+    });
+}
+
+#[rstest]
+#[case("/seed", json!("no number"), "`seed`")]
+#[case("/listen", json!("everywhere"), "`listen` is `everywhere`")]
+#[case("/discovery", Value::Null, "`discovery` is missing")]
+#[case("/limits/sockets", json!(40), "40 sockets are too few")]
+#[case("/limits/memory_mb", json!(1), "1 MB of memory")]
+#[case("/settings/Domain", json!({}), "missing field `Cells`")]
+#[case("/settings/Services/0/Effect", json!("none"), "`Effect` is `none`")]
+#[case("/known/members/0/phase", json!("lost"), "unknown variant `lost`")]
+fn reports_what_is_wrong_with_a_config(#[case] pointer: &str, #[case] value: Value, #[case] why: &str) {
+    run_test(async {
+        let cluster = TestCluster::start(1).await;
+        let mut text = config(&cluster.nodes, "127.0.0.1:1");
+        *text.pointer_mut(pointer).unwrap() = value;
+        let error = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap_err();
+        assert!(error.contains(why), "{error}");
+    });
+}
+
+#[rstest]
+fn the_environment_overrides_the_config() {
+    let env = |name: &str| (name == "EDGE_LISTEN").then(|| "127.0.0.7:99".to_owned());
+    let startup = StartupConfig::read(config(&[], "127.0.0.1:1").to_string().as_bytes(), env).unwrap();
+    assert_eq!((startup.listen.to_string(), &startup.name[..]), ("127.0.0.7:99".to_owned(), "n1"));
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/corrupt_frames.rs
@@ -0,0 +1,60 @@
+//! Frames from nodes that can't be read, and what may be kept of them.
+
+use super::test_peers::*;
+use broker::StartupConfig;
+use rstest::rstest;
+use std::time::{Duration, Instant};
+
+/// A connection whose frames can't be told apart any more fails all its attempts, which are retried
+/// elsewhere: no value that may be cut or corrupted is passed on, and nothing waits for its time-out.
+#[rstest]
+#[case::not_a_length(framed(b"", 0))]
+#[case::a_length_that_promises_more(framed(b"5a.3 S 7 -\nbad", 40))]
+#[case::an_id_without_attempt(framed(b"5b.3 S 7 -\nbad", 0))]
+#[case::no_line_end(framed(b"5a.3 S 7 -", 0))]
+#[case::too_long([framed(b"5a.3 S 7 -\nbad", 1), framed(b"5a.9 S 7 -\nbad", 0)].concat())]
+#[case::too_short(framed(b"5a.3 S 7 -\nbad", -1))]
+#[case::noise_behind_while_more_is_out([framed(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
+fn retries_elsewhere_after_corrupt_frames(#[case] bytes: Vec<u8>) {
+    run_test(async {
+        let shorten = |startup: &mut StartupConfig| startup.limits.half_frame = Duration::from_millis(50);
+        let mut cluster = TestCluster::start_with(2, |_| (), shorten).await;
+        let mut client = cluster.send_query("a", "lookup", TWO_SHARDS).await;
+        let (first, connection, shard_requests) = cluster.next_batch().await;
+        assert_eq!(shard_requests.len(), 2);
+        let began = Instant::now();
+        cluster.nodes[first].write(connection, &bytes).await;
+        let mut retried = 0;
+        while retried < 2 {
+            let (node, connection, shard_requests) = cluster.next_batch_of_any().await;
+            assert_ne!(node, first);
+            for shard_request in shard_requests {
+                retried += 1;
+                cluster.nodes[node].end(connection, &shard_request.id, 'S', "good").await;
+            }
+        }
+        let reply = client.reply().await.unwrap();
+        assert!(began.elapsed() < Duration::from_secs(2), "that was the hedge delay");
+        assert!(reply.status == 200 && !reply.body.contains("bad"), "{reply:?}");
+    });
+}
+
+/// A valid response stays valid, whatever report it brings and whatever follows it when no other is due.
+#[rstest]
+#[case("%%% 7", vec![])]
+#[case("-", framed(b"5a.3 S 7 -\nv", 0))]
+#[case("-", vec![0xff; 5])]
+fn keeps_a_valid_response(#[case] report: &str, #[case] behind: Vec<u8>) {
+    run_test(async {
+        let mut cluster = TestCluster::start(2).await;
+        let mut client = cluster.send_query("a", "once", ONE_SHARD).await;
+        let (node, connection, _) = cluster.next_batch().await;
+        let valid = framed(format!("5a.3 S 7 {report}\nv").as_bytes(), 0);
+        cluster.nodes[node].write(connection, &[&valid[..], &behind].concat()).await;
+        let reply = client.reply().await.unwrap();
+        assert!(reply.status == 200 && reply.body.contains("\"v\""), "{reply:?}");
+        if !behind.is_empty() {
+            assert_eq!(cluster.next_event().await, (node, connection, Heard::Closed));
+        }
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -0,0 +1,126 @@
+//! Discovery: snapshots, deltas, watches, and an agent that stays silent.
+
+use super::test_peers::*;
+use broker::StartupConfig;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+#[rstest]
+fn watches_the_endpoint_list() {
+    run_test(async {
+        let mut cluster = TestCluster::start(2).await;
+        let list_of = |cluster: &TestCluster, revision: u64, complete: bool, members: &[(usize, &str)]| {
+            let members: Vec<Value> =
+                members.iter().map(|(at, phase)| member(&cluster.nodes, *at, phase)).collect();
+            json!({"revision": revision, "complete": complete, "members": members})
+        };
+        assert_eq!(cluster.discovery.called().await, "/catalog/members");
+        cluster.discovery.reply(list_of(&cluster, 41, true, &[(0, "ready"), (1, "ready")]));
+        assert_eq!(cluster.discovery.called().await, "/catalog/members?after=41&wait_ms=4000");
+        let answered = Instant::now();
+        cluster.discovery.reply(list_of(&cluster, 43, false, &[(0, "draining")]));
+        assert_eq!(cluster.discovery.called().await, "/catalog/members?after=43&wait_ms=4000");
+        assert!(answered.elapsed() < Duration::from_millis(200));
+        // What can't be read leaves the old list as it is, and a snapshot is asked for again.
+        cluster.discovery.reply("{\"revision\":44,\"complete\":true,\"members\":[{\"id\":7}]}");
+        assert_eq!(cluster.discovery.called().await, "/catalog/members");
+        for id in ["a", "b", "c", "d"] {
+            let mut client = cluster.send_query(id, "lookup", ONE_SHARD).await;
+            let (node, connection, shard_requests) = cluster.next_batch().await;
+            assert_eq!(node, 1, "the other drains");
+            cluster.nodes[1].end(connection, &shard_requests[0].id, 'S', "v").await;
+            assert_eq!(client.reply_status().await, 200);
+        }
+    });
+}
+
+/// An agent that fell silent is called on and on, however often that failed, so that its list is known as
+/// soon as it answers: by waits that double the broker would miss a drain for seconds.
+#[rstest]
+fn calls_a_silent_agent_until_it_answers() {
+    run_test(async {
+        let waits = |startup: &mut StartupConfig| startup.limits.list_within = Duration::from_millis(300);
+        let mut cluster = TestCluster::start_with(1, pushed, waits).await;
+        // Doubling from two and a half seconds, twenty calls take minutes.
+        let twenty = async {
+            for _ in 0..20 {
+                assert_eq!(cluster.discovery.called().await, "/catalog/members");
+            }
+        };
+        tokio::time::timeout(Duration::from_secs(30), twenty).await.expect("twenty calls");
+        let list = snapshot(2, &[member(&cluster.nodes, 0, "ready")]);
+        // Most of those calls were given up; each of them takes a reply all the same.
+        (0..60).for_each(|_| cluster.discovery.reply(&list));
+        while cluster.discovery.called().await != "/catalog/members?after=2&wait_ms=4000" {}
+    });
+}
+
+/// Calls to a silent agent are given up in time: those that wait stay within the few descriptors set aside
+/// for it.
+#[rstest]
+fn few_calls_wait_at_a_silent_agent() {
+    run_test(async {
+        let agent = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+        let address = agent.local_addr().unwrap();
+        let _cluster = TestCluster::start_with(1, pushed, move |startup| startup.discovery = address).await;
+        let (open, most) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+        // By the watch alone, five seconds, fifty would wait.
+        for _ in 0..40 {
+            let (mut stream, _) = agent.accept().await.unwrap();
+            open.set(open.get() + 1);
+            most.set(most.get().max(open.get()));
+            let open = open.clone();
+            tokio::task::spawn_local(async move {
+                // Reads to the end, and writes nothing.
+                _ = tokio::io::copy(&mut stream, &mut tokio::io::sink()).await;
+                open.set(open.get() - 1);
+            });
+        }
+        assert!(most.get() <= 20, "{}", most.get());
+    });
+}
+
+/// A silent discovery is asked anew; one that only keeps a watch waiting, as it was asked to, is waited for.
+#[rstest]
+fn distinguishes_a_long_watch_from_silence() {
+    run_test(async {
+        let waits = |startup: &mut StartupConfig| {
+            startup.limits.watch = Duration::from_secs(8);
+            startup.limits.watch_slack = Duration::from_millis(300);
+            startup.limits.list_within = Duration::from_millis(300);
+        };
+        let mut cluster = TestCluster::start_with(1, pushed, waits).await;
+        assert_eq!(cluster.discovery.called().await, "/catalog/members");
+        assert_eq!(cluster.discovery.called().await, "/catalog/members", "the first was never answered");
+        let members = [member(&cluster.nodes, 0, "ready")];
+        let list = snapshot(2, &members);
+        // One for the call that was given up, one for the next.
+        cluster.discovery.reply(&list);
+        cluster.discovery.reply(&list);
+        let watch = "/catalog/members?after=2&wait_ms=8000";
+        assert_eq!(cluster.discovery.called().await, watch);
+        sleep_ms(5500).await; // longer than the HTTP client waits by default
+        cluster.discovery.reply(json!({"revision": 2, "complete": false, "members": []}));
+        assert_eq!(cluster.discovery.called().await, watch);
+    });
+}
+
+#[rstest]
+fn is_ready_once_it_knows_a_node() {
+    run_test(async {
+        let mut cluster =
+            TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
+        let mut client = cluster.client().await;
+        client.write(HEALTH_REQUEST).await;
+        assert_eq!(client.reply_status().await, 503);
+        cluster.discovery.called().await;
+        let members = [member(&cluster.nodes, 0, "ready")];
+        cluster.discovery.reply(snapshot(2, &members));
+        cluster.discovery.called().await;
+        client.write(HEALTH_REQUEST).await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -0,0 +1,121 @@
+//! Load reports that are asked for by probes.
+
+use super::test_peers::*;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::time::{Duration, Instant};
+
+/// Load reported to probes only, and waited for by a fiftieth of this latency objective.
+fn load_by_probe(config: &mut Value, objective_ms: f64) {
+    config["settings"]["Stats"] = json!({"Via": "pull", "Fields": ["qps", "queue", "util"]});
+    config["settings"]["Limits"]["Probes"] = json!(true);
+    for class in config["settings"]["Services"].as_array_mut().unwrap() {
+        (class["OnTimeMs"], class["DeadlineMs"]) = (json!(objective_ms), json!(500_000.0));
+    }
+}
+
+/// Both replicas are probed first; the shard request goes to the shortest queue. What can't be read is no
+/// report.
+#[rstest]
+#[case("qps=1.5,queue=7,util=0.5", "queue=2", 1)]
+#[case("queue=0", "qps=9,queue=4", 0)]
+#[case("E", "queue=4", 1)]
+#[case("queue=3", "E", 0)]
+#[case("queue=1", "queue=many", 1)]
+#[case("queue=-5", "queue=NaN,queue", 0)]
+fn prefers_the_replica_with_the_shortest_queue(#[case] first: &str, #[case] second: &str, #[case] to: usize) {
+    run_test(async {
+        let mut cluster = TestCluster::start_with(2, |config| load_by_probe(config, 500_000.0), |_| ()).await;
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        for _ in 0..2 {
+            let (node, connection, event) = cluster.next_event().await;
+            assert_eq!(event, Heard::Probe, "nothing goes out before the replicas were probed");
+            cluster.nodes[node].tell(connection, [first, second][node]).await;
+        }
+        let (node, connection, _) = cluster.next_batch().await;
+        // Replicas that report the same, or nothing that can be read, are equal: either may get it.
+        assert!(node == to || first.starts_with("queue=-5"), "{node}");
+        cluster.nodes[node].end(connection, "a.3", 'S', "v").await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
+
+/// A replica that does not answer a probe, or whose connection ends, delays nothing for long.
+#[rstest]
+#[case(false)]
+#[case(true)]
+fn an_unanswered_probe_delays_nothing_for_long(#[case] closes: bool) {
+    run_test(async {
+        let mut cluster = TestCluster::start_with(2, |config| load_by_probe(config, 80_000.0), |_| ()).await;
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let sent = Instant::now();
+        for _ in 0..2 {
+            let (node, connection, event) = cluster.next_event().await;
+            assert_eq!(event, Heard::Probe);
+            match node {
+                0 if closes => cluster.nodes[0].close(connection),
+                0 => {}
+                _ => cluster.nodes[1].tell(connection, "queue=20").await,
+            }
+        }
+        let (node, connection, shard_requests) = cluster.next_batch_of_any().await;
+        assert_eq!(
+            (node, shard_requests.len()),
+            (1, 1),
+            "the one that reported its load, though its queue is long"
+        );
+        assert!(
+            sent.elapsed() < Duration::from_secs(20),
+            "a fiftieth of the latency objective is waited for"
+        );
+        cluster.nodes[1].end(connection, "a.3", 'S', "v").await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
+
+/// Where reports come with answers, or probes are not allowed, no node is probed.
+#[rstest]
+#[case("piggyback", true)]
+#[case("pull", false)]
+fn sends_no_probes_where_reports_come_otherwise(#[case] via: &str, #[case] allowed: bool) {
+    run_test(async {
+        let settings = |config: &mut Value| {
+            config["settings"]["Stats"] = json!({"Via": via, "Fields": ["queue"]});
+            config["settings"]["Limits"]["Probes"] = json!(allowed);
+        };
+        let mut cluster = TestCluster::start_with(2, settings, |_| ()).await;
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        cluster.answer_next_batch("a.3").await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
+
+/// A settings file converted to another layout is served from: replicas are probed first, by the new layout.
+#[rstest]
+fn serves_from_a_migrated_settings_file() {
+    run_test(async {
+        let text = "[fleet]\nbrokers = 2\nzones = east, west\n[layout]\ncells = 2\nreach = 1\nshards = 16\n
+            [load]\ntold = pull\nprobes = true\nfields = queue\n";
+        let shape = settings_migration::Shape::read(text).unwrap();
+        let migrate = |config: &mut Value| {
+            let migrated =
+                settings_migration::reshape(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
+            *config = serde_json::from_str(&migrated.text).unwrap();
+            // The old deployment's nodes are not in it; discovery lists the new ones.
+            assert!(config.get("known").is_none());
+            load_by_probe(config, 500_000.0);
+        };
+        let mut cluster = TestCluster::start_with(2, migrate, |_| ()).await;
+        let members: Vec<Value> = (0..2).map(|at| member(&cluster.nodes, at, "ready")).collect();
+        cluster.discovery.called().await;
+        cluster.discovery.reply(snapshot(7, &members));
+        wait_until(|| cluster.broker.engine.can_serve()).await;
+        // Shard 3 is held by replica group 3 mod 2 alone.
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (node, connection, event) = cluster.next_event().await;
+        assert_eq!((node, event), (1, Heard::Probe));
+        cluster.nodes[1].tell(connection, "queue=0").await;
+        let node = cluster.answer_next_batch("a.3").await;
+        assert_eq!((node, client.reply_status().await), (1, 200));
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/queries.rs
@@ -0,0 +1,218 @@
+//! A query from its request to its response: batches, retries, cancellation.
+
+use super::test_peers::*;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::time::{Duration, Instant};
+
+#[rstest]
+fn responds_with_the_values_of_the_nodes() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = cluster.client().await;
+        let body = r#"{"slices":[{"slice":3,"mass":0.7,"micros":9000,"term":"00ff"},{"slice":9,"mass":0.3}],
+            "filter":"a\n\"ü\" \u00e9","more":[1]}"#;
+        client.write(&request("9b1f", "lookup", 9000, body)).await;
+        let (_, connection, shard_requests) = cluster.next_batch().await;
+        let received: Vec<(&str, u32, &str)> = shard_requests
+            .iter()
+            .map(|shard_request| (&shard_request.id[..], shard_request.shard, &shard_request.text[..]))
+            .collect();
+        assert_eq!(received, [("9b1f.3", 3, "a\n\"ü\" é"), ("9b1f.9", 9, "a\n\"ü\" é")]);
+        let wait: u64 = shard_requests[0].list.strip_prefix("d=").unwrap().parse().unwrap();
+        assert!((1..9000).contains(&wait), "{wait}");
+        cluster.nodes[0].end(connection, "9b1f.9", 'S', "plain").await;
+        cluster.nodes[0].end(connection, "9b1f.3", 'S', "\"quoted\"\\ü\n").await;
+        let reply = client.reply().await.unwrap();
+        assert_eq!(reply.status, 200);
+        let items = json!([{"slice": 3, "body": "\"quoted\"\\ü\n"}, {"slice": 9, "body": "plain"}]);
+        let response: Value = serde_json::from_str(&reply.body).unwrap();
+        assert_eq!(response, json!({"entire": true, "items": items}));
+        // The connection stays open.
+        client.write(HEALTH_REQUEST).await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
+
+/// Attempts of one turn to one node share a batch, across queries; turns are the period apart.
+#[rstest]
+fn attempts_of_one_turn_share_a_batch() {
+    run_test(async {
+        let slow_turns = |config: &mut Value| config["settings"]["PeriodMs"] = json!(1500.0);
+        let mut cluster = TestCluster::start_with(1, slow_turns, |_| ()).await;
+        sleep_ms(100).await;
+        let _first = cluster.send_query("a", "lookup", TWO_SHARDS).await;
+        let _second = cluster.send_query("b", "lookup", &[(0, 0.3), (1, 0.3), (2, 0.4)]).await;
+        let (mut ids, mut sizes) = (Vec::new(), Vec::new());
+        while ids.len() < 5 {
+            let (_, _, shard_requests) = cluster.next_batch().await;
+            sizes.push(shard_requests.len());
+            ids.extend(shard_requests.into_iter().map(|shard_request| shard_request.id));
+        }
+        ids.sort();
+        assert_eq!((ids.join(" "), sizes), ("a.3 a.9 b.0 b.1 b.2".to_owned(), vec![4, 1]));
+    });
+}
+
+/// A client that closes its connection has gone: its query ends, and its attempts are cancelled at the nodes.
+#[rstest]
+fn cancels_attempts_when_the_client_disconnects() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (node, connection, _) = cluster.next_batch().await;
+        let disconnected = Instant::now();
+        drop(client);
+        assert_eq!(cluster.next_event().await, (node, connection, Heard::GiveUp("a.3".to_owned())));
+        assert!(disconnected.elapsed() < Duration::from_secs(5), "that was its time-out");
+        assert_eq!(cluster.broker.engine.open_queries(), 0);
+        // A value that comes all the same belongs to no query; the connection is used further.
+        cluster.nodes[node].end(connection, "a.3", 'S', "late").await;
+        let mut other = cluster.send_query("b", "lookup", ONE_SHARD).await;
+        assert_eq!(cluster.next_batch().await.1, connection);
+        cluster.nodes[node].end(connection, "b.3", 'S', "in time").await;
+        assert!(other.reply().await.unwrap().body.contains("in time"));
+    });
+}
+
+/// An attempt that broke off after its frame may have run; one that was refused, or whose connection was, has
+/// not.
+#[rstest]
+#[case("report", "dropped", true, 200)]
+#[case("report", "error", true, 200)]
+#[case("report", "bad frame", true, 200)]
+#[case("report", "overloaded", true, 200)]
+#[case("once", "dropped", false, 502)]
+#[case("once", "error", false, 502)]
+#[case("once", "bad frame", false, 502)]
+#[case("once", "overloaded", true, 200)]
+fn retries_as_the_outcome_allows(
+    #[case] class: &str,
+    #[case] outcome: &str,
+    #[case] retries: bool,
+    #[case] status: u16,
+) {
+    run_test(async {
+        let mut cluster = TestCluster::start(2).await;
+        let mut client = cluster.send_query("a", class, ONE_SHARD).await;
+        let (first, connection, _) = cluster.next_batch().await;
+        match outcome {
+            "dropped" => cluster.nodes[first].close(connection),
+            "error" => cluster.nodes[first].end(connection, "a.3", 'E', "").await,
+            "overloaded" => cluster.nodes[first].end(connection, "a.3", 'B', "").await,
+            _ => cluster.nodes[first].write(connection, &u32::MAX.to_le_bytes()).await,
+        }
+        if retries {
+            let (second, connection, shard_requests) = loop {
+                match cluster.next_event().await {
+                    (node, connection, Heard::Call(shard_requests)) => {
+                        break (node, connection, shard_requests);
+                    }
+                    (_, _, Heard::Closed) => {}
+                    other => panic!("{other:?}"),
+                }
+            };
+            assert_ne!(first, second);
+            cluster.nodes[second].end(connection, &shard_requests[0].id, 'S', "v").await;
+        }
+        assert_eq!(client.reply_status().await, status);
+    });
+}
+
+/// Time runs from when the request began to come, and an attempt that times out is cancelled at its node.
+#[rstest]
+fn rejects_at_the_clients_deadline_and_cancels_attempts() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = cluster.client().await;
+        let began = Instant::now();
+        let text = request("a", "lookup", 700, &body(ONE_SHARD));
+        let (head, rest) = text.split_at(text.len() - 1);
+        client.write(head).await;
+        sleep_ms(300).await;
+        client.write(rest).await;
+        let (node, connection, shard_requests) = cluster.next_batch().await;
+        assert!(shard_requests[0].list[2..].parse::<u64>().unwrap() <= 400, "{}", shard_requests[0].list);
+        let reply = client.reply().await.unwrap();
+        assert!(began.elapsed() < Duration::from_millis(750), "{:?}", began.elapsed());
+        assert_eq!(reply.status, 503);
+        assert!(reply.head.contains("retry-after: 1.5000"), "{}", reply.head);
+        assert_eq!(cluster.next_event().await, (node, connection, Heard::GiveUp("a.3".to_owned())));
+    });
+}
+
+/// Behind the admission controller, as the operator's file switches it on, queries are served as before.
+#[rstest]
+fn serves_behind_admission_control() {
+    run_test(async {
+        let fitting = broker::Fitting {
+            admission: Some(admission_control::AdmissionConfig::default()),
+            ..Default::default()
+        };
+        let mut cluster = TestCluster::start_fitted(1, |_| (), |_| (), fitting).await;
+        for id in ["a", "b"] {
+            let mut client = cluster.send_query(id, "lookup", TWO_SHARDS).await;
+            let (_, connection, shard_requests) = cluster.next_batch().await;
+            for shard_request in &shard_requests {
+                cluster.nodes[0].end(connection, &shard_request.id, 'S', "v").await;
+            }
+            let reply = client.reply().await.unwrap();
+            assert_eq!(reply.status, 200, "{}", reply.body);
+        }
+    });
+}
+
+/// A shard request that may have run is retried only where its class may, and then only while its window is
+/// open when the last byte of the retry has been sent, for which a connection may have to come up first (2 s
+/// here). The window is the settings' own.
+#[rstest]
+#[case::safe("idempotent", 0.0, true)]
+#[case::known_by_its_id("deduplicated", 5000.0, true)]
+#[case::window_shorter_than_the_way("deduplicated", 1500.0, false)]
+#[case::at_most_once("at_most_once", 5000.0, false)]
+fn retries_as_the_settings_of_its_class_allow(
+    #[case] effect: &str,
+    #[case] window_ms: f64,
+    #[case] retries: bool,
+) {
+    run_test(async {
+        let settings = |config: &mut Value| {
+            config["settings"]["Services"][1]["Effect"] = json!(effect);
+            config["settings"]["Services"][1]["DedupWindowMs"] = json!(window_ms);
+        };
+        let mut cluster = TestCluster::start_with(2, settings, |_| ()).await;
+        let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (first, connection, _) = cluster.next_batch().await;
+        cluster.nodes[first].close(connection);
+        if retries {
+            let (second, connection, _) = cluster.next_batch_of_any().await;
+            cluster.nodes[second].end(connection, "a.3", 'S', "v").await;
+        }
+        let status = client.reply_status().await;
+        assert_eq!(status == 200, retries, "{status}");
+        while let Ok((_, _, event)) = cluster.events.try_recv() {
+            assert!(!matches!(event, Heard::Call(_)), "sent once more");
+        }
+    });
+}
+
+/// A tenant that only another deployment has is served, without a quota of its own.
+#[rstest]
+fn serves_a_tenant_that_the_settings_do_not_name() {
+    run_test(async {
+        let mut cluster = TestCluster::start_with(
+            1,
+            |config| {
+                config["settings"]["Tenants"] = json!([{"Name": "ours", "Share": 1.0, "QuotaRps": 100.0}])
+            },
+            |_| (),
+        )
+        .await;
+        let mut client = cluster.client().await;
+        let text =
+            request("a", "lookup", 9000, &body(ONE_SHARD)).replace("Host:", "X-Account: theirs\r\nHost:");
+        client.write(&text).await;
+        cluster.answer_next_batch("a.3").await;
+        assert_eq!(client.reply_status().await, 200);
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/races.rs
@@ -0,0 +1,182 @@
+//! Races on connections: a close, a request or a response in the same moment as another event. Each order is
+//! forced: what the peers do stands in the system's buffers before the broker is polled again.
+//! `docs/acceptance.md` lists them.
+
+use super::test_peers::*;
+use broker::desk::QueryOutcome;
+use bytes::Bytes;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+/// A client that disconnected before its query's first attempt: nothing of it is sent when a node comes,
+/// whatever state its connection was in, and whatever it had sent behind its request.
+#[rstest]
+#[case::body_still_coming(false, "")]
+#[case::complete(true, "")]
+#[case::more_behind_it(true, "GET /_health HTTP/1.1\r\nHo")]
+#[case::much_behind_it(true, &"x".repeat(500_000))]
+fn sends_nothing_for_a_client_that_disconnected(#[case] is_complete: bool, #[case] behind: &str) {
+    run_test(async {
+        let mut cluster =
+            TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
+        cluster.discovery.called().await;
+        let text = request("gone", "lookup", 100_000, &body(ONE_SHARD));
+        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        let (first, last) = text.split_at(text.len() - 1);
+        client.write_all(first.as_bytes()).await.unwrap();
+        if is_complete {
+            client.write_all(last.as_bytes()).await.unwrap();
+            wait_until(|| cluster.broker.engine.open_queries() == 1).await;
+            // Once its request is handled, what comes behind it lies unread.
+            client.set_nodelay(true).unwrap();
+            let _ = client.try_write(behind.as_bytes());
+            sleep_ms(20).await; // so that it lies there before the close
+        }
+        let disconnected = Instant::now();
+        drop(client);
+        wait_until(|| cluster.broker.engine.open_queries() == 0).await;
+        // Its deadline would be over in 100 s, its latency objective in 8 s.
+        assert!(disconnected.elapsed() < Duration::from_secs(4), "{:?}", disconnected.elapsed());
+        cluster.discovery.reply(snapshot(2, &[member(&cluster.nodes, 0, "ready")]));
+        wait_until(|| cluster.broker.engine.can_serve()).await;
+        let _other = cluster.send_query("stays", "lookup", ONE_SHARD).await;
+        assert_eq!(cluster.next_batch().await.2[0].id, "stays.3");
+    });
+}
+
+/// The same where the shard request waits for a connection that comes up late.
+#[rstest]
+fn sends_nothing_on_a_late_connection_for_a_client_that_disconnected() {
+    run_test(async {
+        let full = FullListener::bind();
+        let address = full.address;
+        let slow = |config: &mut Value| {
+            config["known"]["members"][0]["host_port"] = json!(address.to_string());
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
+            config["settings"]["Limits"]["ConnIdleMs"] = json!(100.0);
+        };
+        let cluster = TestCluster::start_with(1, slow, |_| ()).await;
+        let client = cluster.send_query("gone", "lookup", ONE_SHARD).await;
+        wait_until(|| cluster.broker.engine.count_out() == 1).await;
+        drop(client);
+        wait_until(|| cluster.broker.engine.count_out() == 0).await;
+        assert_eq!(full.read_after_fillers().await, b"");
+    });
+}
+
+/// A request sent ahead, behind the last one that its connection answers, is not forwarded: no response could
+/// follow.
+#[rstest]
+fn forwards_nothing_after_the_last_response() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        let last =
+            request("a", "lookup", 100_000, &body(ONE_SHARD)).replace("Host:", "Connection: close\r\nHost:");
+        let requests = last + &request("b", "lookup", 100_000, &body(TWO_SHARDS));
+        client.write_all(requests.as_bytes()).await.unwrap();
+        let (node, connection, shard_requests) = cluster.next_batch().await;
+        assert_eq!(shard_requests[0].id, "a.3");
+        cluster.nodes[node].end(connection, "a.3", 'S', "v").await;
+        let text = read_to_end(client).await;
+        assert!(text.starts_with("HTTP/1.1 200"), "{text}");
+        assert!(cluster.has_no_event());
+        assert_eq!(cluster.broker.engine.open_queries(), 0);
+    });
+}
+
+/// A node closes an idle connection in the moment in which a batch is put on it: nothing was written, so the
+/// batch goes on another, also where it may run at most once and only one attempt is allowed.
+#[rstest]
+fn a_batch_that_meets_the_close_of_an_idle_connection_uses_another() {
+    run_test(async {
+        let one_attempt = |config: &mut Value| config["settings"]["Limits"]["MaxAttempts"] = json!(1);
+        let mut cluster = TestCluster::start_with(1, one_attempt, |_| ()).await;
+        for round in 0..5 {
+            let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
+            let (_, connection, _) = cluster.next_batch_of_any().await;
+            cluster.nodes[0].end(connection, "a.3", 'S', "v").await;
+            assert_eq!(client.reply_status().await, 200, "round {round}");
+            wait_until(|| cluster.broker.engine.count_out() == 0).await;
+            sleep_ms(20).await; // turns are 5 ms apart: the next is at once
+            // The system knows of the close, the broker does not yet.
+            cluster.nodes[0].close(connection);
+            let accepted =
+                cluster.broker.engine.take(query_request("once", 2, Bytes::from_static(b"q"))).unwrap();
+            let outcome = actix_rt::spawn(accepted.verdict());
+            let (_, connection, _) = cluster.next_batch_of_any().await;
+            cluster.nodes[0].end(connection, "once.3", 'S', "v").await;
+            let outcome = within_timeout(outcome).await.unwrap();
+            assert!(
+                matches!(outcome, QueryOutcome::Response { whole: true, .. }),
+                "round {round}: {outcome:?}"
+            );
+        }
+    });
+}
+
+/// A peer that reads nothing leaves a frame partly written. Past the deadline by which its attempt had to be
+/// sent it is never completed, though the peer reads on later: the connection is closed.
+#[rstest]
+fn a_partly_written_frame_is_never_completed_after_its_deadline() {
+    run_test(async {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket.set_recv_buffer_size(4096).unwrap();
+        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket.listen(16).unwrap();
+        socket.set_nonblocking(true).unwrap();
+        let node = TcpListener::from_std(socket.into()).unwrap();
+        let address = node.local_addr().unwrap();
+        let one = |config: &mut Value| {
+            config["known"]["members"][0]["host_port"] = json!(address.to_string());
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(300.0);
+            config["settings"]["Limits"]["MaxOpen"] = json!(100_000);
+            config["settings"]["Limits"]["StreamsPerConn"] = json!(10_000);
+        };
+        let cluster = TestCluster::start_with(1, one, |_| ()).await;
+        let text = Bytes::from(vec![b'q'; 50_000]);
+        let mut outcomes = Vec::new();
+        let sent = Instant::now();
+        for at in 0..200 {
+            let id: &'static str = format!("q{at}").leak();
+            let one = cluster.broker.engine.take(query_request(id, 2, text.clone())).unwrap();
+            outcomes.push((id, actix_rt::spawn(one.verdict())));
+        }
+        let (mut connection, _) = within_timeout(node.accept()).await.unwrap();
+        // The first is complete and never answered: its end shows the close. By then nothing was read.
+        let (_, outcome) = outcomes.remove(0);
+        let outcome = within_timeout(outcome).await.unwrap();
+        assert!(matches!(outcome, QueryOutcome::Failed), "{outcome:?}");
+        assert!(
+            sent.elapsed() < Duration::from_secs(3),
+            "its deadline was over after 0.3 s: {:?}",
+            sent.elapsed()
+        );
+        let (mut received, mut complete_ids, mut rejected) = (Vec::new(), Vec::new(), Vec::new());
+        let _ = within_timeout(connection.read_to_end(&mut received)).await;
+        for (id, outcome) in outcomes {
+            match within_timeout(outcome).await.unwrap() {
+                QueryOutcome::Rejected { .. } => rejected.push(id),
+                QueryOutcome::Failed => {}
+                other => panic!("{id}: {other:?}"),
+            }
+        }
+        let mut rest = &received[..];
+        while let Some((length, after)) = rest.split_first_chunk::<4>() {
+            let Some((frame, after)) = after.split_at_checked(u32::from_le_bytes(*length) as usize) else {
+                break;
+            };
+            if frame[0] == b'1' {
+                let end = frame.iter().position(|byte| *byte == b'.').unwrap();
+                complete_ids.push(String::from_utf8(frame[1..end].to_vec()).unwrap());
+            }
+            rest = after;
+        }
+        assert!(!rest.is_empty(), "the last frame was completed after its deadline");
+        assert!(rejected.iter().all(|id| !complete_ids.contains(&(*id).to_owned())), "rejected, and sent");
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/shutdown.rs
@@ -0,0 +1,110 @@
+//! Shutting down: accepted queries are answered, and the exit is in time.
+
+use super::test_peers::*;
+use rstest::rstest;
+use std::io::{Read, Write};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// After the shutdown signal new connections are served for a moment, and all accepted queries are answered.
+#[rstest]
+fn answers_accepted_queries_before_it_shuts_down() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut idle = cluster.client().await;
+        let mut before = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let (_, connection, _) = cluster.next_batch().await;
+        let listens = cluster.broker.listens;
+        let TestCluster { broker, nodes, mut events, .. } = cluster;
+        let shutdown = actix_rt::spawn(broker.leave());
+        sleep_ms(50).await;
+        let mut during = Client::connect(listens).await;
+        during.write(&request("b", "lookup", 10_000, &body(ONE_SHARD))).await;
+        assert!(matches!(within_timeout(events.recv()).await, Some((0, _, Heard::Call(_)))));
+        assert!(idle.reply().await.is_none(), "idle connections are closed");
+        assert!(!shutdown.is_finished());
+        nodes[0].end(connection, "a.3", 'S', "one").await;
+        nodes[0].end(connection, "b.3", 'S', "two").await;
+        for (client, value) in [(&mut before, "one"), (&mut during, "two")] {
+            let reply = client.reply().await.unwrap();
+            assert!(reply.body.contains(value) && reply.head.contains("connection: close"), "{reply:?}");
+        }
+        within_timeout(shutdown).await.unwrap();
+        assert!(TcpStream::connect(listens).await.is_err());
+    });
+}
+
+/// Bytes behind the request that is answered as the process ends: the connection is not closed over them,
+/// which would reset it and might destroy the response.
+#[rstest]
+fn does_not_reset_a_connection_after_its_last_response() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        client.write_all(request("a", "lookup", 100_000, &body(ONE_SHARD)).as_bytes()).await.unwrap();
+        let (_, connection, _) = cluster.next_batch().await;
+        client.write_all(&vec![b'x'; 100_000]).await.unwrap();
+        let listens = cluster.broker.listens;
+        let shutdown = actix_rt::spawn(cluster.broker.leave());
+        // The server closes once the listener is gone.
+        within_timeout(async { while TcpStream::connect(listens).await.is_ok() {} }).await;
+        cluster.nodes[0].end(connection, "a.3", 'S', "the value").await;
+        let text = read_to_end(client).await;
+        assert!(text.starts_with("HTTP/1.1 200") && text.contains("the value"), "{text}");
+        within_timeout(shutdown).await.unwrap();
+    });
+}
+
+/// A second SIGTERM and a SIGHUP during the shutdown, discovery down, and a node that hangs: open queries get
+/// their final responses before the kill, and the exit code is 0.
+#[rstest]
+fn shuts_down_before_the_kill_though_a_node_hangs() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await; // its peers serve the process
+        let file = std::env::temp_dir().join(format!("shard-broker-shutdown-{}.json", std::process::id()));
+        let nowhere = "127.0.0.1:9";
+        std::fs::write(&file, config(&cluster.nodes, nowhere).to_string()).unwrap();
+        let mut process = Process::start(&file, nowhere);
+        let mut client = Client::connect(process.listens).await;
+        client.write(&request("a", "once", 100_000, &body(ONE_SHARD))).await;
+        cluster.next_batch().await;
+        for signal in ["TERM", "HUP", "TERM"] {
+            process.signal(signal);
+        }
+        process.wait_for_log("leaving: 1 retrievals are open");
+        let reply = client.reply().await.unwrap();
+        assert_eq!(reply.status, 502);
+        process.wait_for_log("1 retrievals had no end");
+        process.wait_for_log("left");
+        assert_eq!(process.exit(), Some(0));
+        std::fs::remove_file(&file).unwrap();
+    });
+}
+
+/// SIGKILL can't be answered, SIGTERM can: bytes of a request that stand on an idle connection when the
+/// signal comes are answered, and the connection closes with that.
+#[rstest]
+fn answers_a_request_that_arrives_with_the_shutdown_signal() {
+    run_test(async {
+        let mut cluster = TestCluster::start(1).await;
+        let file = std::env::temp_dir().join(format!("shard-broker-signal-{}.json", std::process::id()));
+        std::fs::write(&file, config(&cluster.nodes, "127.0.0.1:9").to_string()).unwrap();
+        let mut process = Process::start(&file, "127.0.0.1:9");
+        let mut client = std::net::TcpStream::connect(process.listens).unwrap();
+        client.write_all(HEALTH_REQUEST.as_bytes()).unwrap();
+        assert!(client.read(&mut [0; 1024]).unwrap() > 0);
+        process.signal("TERM");
+        client.write_all(request("a", "once", 100_000, &body(ONE_SHARD)).as_bytes()).unwrap();
+        let (_, connection, _) = cluster.next_batch().await;
+        cluster.nodes[0].end(connection, "a.3", 'S', "the value").await;
+        client.set_nonblocking(true).unwrap();
+        let mut client = TcpStream::from_std(client).unwrap();
+        let mut buffer = vec![0; 1024];
+        let count = within_timeout(client.read(&mut buffer)).await.unwrap();
+        let text = String::from_utf8_lossy(&buffer[..count]).into_owned();
+        assert!(text.contains("the value"), "{text}");
+        process.wait_for_log("left");
+        assert_eq!(process.exit(), Some(0));
+        std::fs::remove_file(&file).unwrap();
+    });
+}
--- /dev/null
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -0,0 +1,332 @@
+//! A broker among the scripted peers of `node_emulator::script`, and the exchanges that tests share.
+
+use broker::desk::{QueryRequest, RequestedShard};
+use broker::{Running, StartupConfig};
+use bytes::Bytes;
+use node_emulator::script;
+pub use node_emulator::script::{Heard, Node, Reply, ShardRequest, framed, request};
+use routing::{ClassId, ShardId, TenantId, Tenths};
+use serde_json::{Value, json};
+use std::cell::RefCell;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::mpsc;
+
+/// Shards and weights of a query.
+pub const TWO_SHARDS: &[(u32, f64)] = &[(3, 0.5), (9, 0.5)];
+pub const ONE_SHARD: &[(u32, f64)] = &[(3, 1.0)];
+
+pub const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
+
+/// Runs a test on a runtime like the program's.
+pub fn run_test(test: impl Future<Output = ()>) {
+    actix_rt::Runtime::new().unwrap().block_on(test);
+}
+
+/// What must come, with time enough for a busy machine.
+pub async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(Duration::from_secs(30), future).await.expect("it never came")
+}
+
+pub async fn sleep_ms(ms: u64) {
+    tokio::time::sleep(Duration::from_millis(ms)).await;
+}
+
+/// Waits until this holds.
+pub async fn wait_until(condition: impl Fn() -> bool) {
+    within_timeout(async {
+        while !condition() {
+            sleep_ms(5).await;
+        }
+    })
+    .await;
+}
+
+/// What a client reads up to the end of its connection; an error is a reset.
+pub async fn read_to_end(mut client: TcpStream) -> String {
+    let mut text = String::new();
+    within_timeout(client.read_to_string(&mut text)).await.expect("a reset");
+    text
+}
+
+/// A query as the HTTP server hands it to the engine.
+pub fn query_request(id: &'static str, class: u16, text: Bytes) -> QueryRequest {
+    QueryRequest {
+        id: Bytes::from_static(id.as_bytes()),
+        class: ClassId(class),
+        tenant: TenantId(0),
+        until: tokio::time::Instant::now() + Duration::from_secs(60),
+        work: Tenths::ZERO,
+        shard_requests: vec![RequestedShard { shard: ShardId(3), weight: 1.0 }],
+        holds: text.len(),
+        text,
+    }
+}
+
+/// A listener whose queue is full: what connects comes up when one of the connections in it has been
+/// accepted.
+pub struct FullListener {
+    pub address: SocketAddr,
+    listener: TcpListener,
+    fillers: Vec<std::net::TcpStream>,
+}
+
+impl FullListener {
+    pub fn bind() -> FullListener {
+        let socket = TcpSocket::new_v4().unwrap();
+        socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+        let listener = socket.listen(0).unwrap();
+        let address = listener.local_addr().unwrap();
+        let fill = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100));
+        let fillers = std::iter::from_fn(|| fill().ok()).collect();
+        FullListener { address, listener, fillers }
+    }
+
+    /// Accepts what fills the queue, and then one more; what comes on that up to its end.
+    pub async fn read_after_fillers(self) -> Vec<u8> {
+        for _ in self.fillers {
+            within_timeout(self.listener.accept()).await.unwrap();
+        }
+        let (mut connection, _) = within_timeout(self.listener.accept()).await.unwrap();
+        let mut received = Vec::new();
+        within_timeout(connection.read_to_end(&mut received)).await.unwrap();
+        received
+    }
+}
+
+/// A broker with its peers. Every node holds every shard.
+pub struct TestCluster {
+    pub broker: Running,
+    pub nodes: Vec<Node>,
+    pub discovery: Discovery,
+    /// What nodes received: which node, on which connection, what.
+    pub events: mpsc::UnboundedReceiver<(usize, usize, Heard)>,
+}
+
+/// A node's entry in an endpoint list.
+pub fn member(nodes: &[Node], at: usize, phase: &str) -> Value {
+    json!({"id": format!("s-{at}"), "host_port": nodes[at].address.to_string(), "locality": "hall",
+        "flavor": "std", "cell": at, "phase": phase, "size": 1.0, "up_since_ms": 0})
+}
+
+/// A snapshot of an endpoint list.
+pub fn snapshot(revision: u64, members: &[Value]) -> Value {
+    json!({"revision": revision, "complete": true, "members": members})
+}
+
+/// A config as a broker finds it; of its classes `report` may be partial, and `once` runs at most once. Its
+/// list is asked for, so that it serves by the cached list until discovery answers.
+pub fn config(nodes: &[Node], discovery: &str) -> Value {
+    let class = |name: &str, effect: &str| {
+        json!({"Name": name, "OnTimeMs": 8000.0, "DeadlineMs": 16000.0, "Worth": 1.0, "LateShare": 0.1,
+            "Effect": effect, "DedupWindowMs": 5000.0})
+    };
+    let members: Vec<Value> = (0..nodes.len()).map(|at| member(nodes, at, "ready")).collect();
+    json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"revision": 1, "complete": true, "members": members},
+        "settings": {"Instances": 1, "PeriodMs": 5.0, "RegistryMode": "subscribe", "Areas": ["hall"],
+            "Zone": 0, "Tenants": [], "Prices": {"LateFail": 0.05},
+            "Services": [class("report", "idempotent"), class("lookup", "idempotent"),
+                class("once", "at_most_once")],
+            "Domain": {"Cells": nodes.len(), "Reach": nodes.len(), "Ranges": 16, "PerCall": 4,
+                "CompleteFrom": [1.0, 1.0, 1.0], "MinShare": [0.4, 1.0, 1.0], "FetchParts": [0, 0, 0]},
+            "Limits": {"ConnIdleMs": 15000.0, "ConnectTimeoutMs": 2000.0, "MaxAttempts": 3, "MaxOpen": 100,
+                "MayCancel": true, "StreamsPerConn": 32, "RetryAfter": true, "MaxRetryAfterMs": 1500.0},
+            "Rules": {"AskWithinMs": 50000.0, "StopSendingWithinMs": 250.0, "ColdFrom": 0.2,
+                "WarmUpMs": 17000.0, "OverloadFactor": 3.0, "OverloadForMs": 1000.0}}})
+}
+
+/// The list is pushed: an agent of the broker's own has it.
+pub fn pushed(config: &mut Value) {
+    config["settings"]["RegistryMode"] = json!("automatic");
+}
+
+impl TestCluster {
+    pub async fn start(nodes: usize) -> TestCluster {
+        TestCluster::start_with(nodes, |_| (), |_| ()).await
+    }
+
+    /// With changes to the config, and to what was read of it.
+    pub async fn start_with(
+        nodes: usize,
+        change_config: impl FnOnce(&mut Value),
+        change_startup: impl FnOnce(&mut StartupConfig),
+    ) -> TestCluster {
+        TestCluster::start_fitted(nodes, change_config, change_startup, broker::Fitting::default()).await
+    }
+
+    /// The same, fitted as the operator's file says.
+    pub async fn start_fitted(
+        node_count: usize,
+        change_config: impl FnOnce(&mut Value),
+        change_startup: impl FnOnce(&mut StartupConfig),
+        fitting: broker::Fitting,
+    ) -> TestCluster {
+        let (sender, events) = mpsc::unbounded_channel();
+        let mut nodes = Vec::new();
+        for at in 0..node_count {
+            nodes.push(Node::start(at, sender.clone()).await.unwrap());
+        }
+        let discovery = Discovery::start().await;
+        let mut text = config(&nodes, &discovery.address().to_string());
+        change_config(&mut text);
+        let mut startup = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap();
+        change_startup(&mut startup);
+        let broker = broker::start_fitted(startup, fitting).await.unwrap();
+        TestCluster { broker, nodes, discovery, events }
+    }
+
+    /// What any node receives next: which node, on which connection, what.
+    pub async fn next_event(&mut self) -> (usize, usize, Heard) {
+        within_timeout(self.events.recv()).await.unwrap()
+    }
+
+    /// The next batch at any node. Nothing else may come before it.
+    pub async fn next_batch(&mut self) -> (usize, usize, Vec<ShardRequest>) {
+        match self.next_event().await {
+            (node, connection, Heard::Call(shard_requests)) => (node, connection, shard_requests),
+            other => panic!("{other:?} is no batch"),
+        }
+    }
+
+    /// The next batch at any node, whatever else comes before it.
+    pub async fn next_batch_of_any(&mut self) -> (usize, usize, Vec<ShardRequest>) {
+        loop {
+            if let (node, connection, Heard::Call(shard_requests)) = self.next_event().await {
+                return (node, connection, shard_requests);
+            }
+        }
+    }
+
+    /// Answers a shard request of the next batch with a value; the node that had it.
+    pub async fn answer_next_batch(&mut self, id: &str) -> usize {
+        let (node, connection, _) = self.next_batch().await;
+        self.nodes[node].end(connection, id, 'S', "v").await;
+        node
+    }
+
+    /// Nothing more has been received by now.
+    pub fn has_no_event(&mut self) -> bool {
+        self.events.try_recv().is_err()
+    }
+
+    pub async fn client(&self) -> Client {
+        Client::connect(self.broker.listens).await
+    }
+
+    /// A client that has sent a query of these shards.
+    pub async fn send_query(&self, id: &str, class: &str, shards: &[(u32, f64)]) -> Client {
+        let mut client = self.client().await;
+        client.write(&request(id, class, 100_000, &body(shards))).await;
+        client
+    }
+}
+
+/// The program in a process of its own, which ends with this value.
+pub struct Process {
+    pub listens: SocketAddr,
+    child: std::process::Child,
+    log: RefCell<std::io::BufReader<std::process::ChildStderr>>,
+}
+
+impl Process {
+    /// With a config file, and a discovery that the environment names.
+    pub fn start(config: &std::path::Path, discovery: &str) -> Process {
+        let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_shard-broker"))
+            .env("EDGE_CONFIG", config)
+            .env("EDGE_DISCOVERY", discovery)
+            .stderr(std::process::Stdio::piped())
+            .spawn()
+            .unwrap();
+        let log = RefCell::new(std::io::BufReader::new(child.stderr.take().unwrap()));
+        let mut process = Process { listens: SocketAddr::from(([127, 0, 0, 1], 0)), child, log };
+        process.listens = process.wait_for_log("serves on ").parse().unwrap();
+        process
+    }
+
+    pub fn signal(&self, name: &str) {
+        let (signal, id) = (format!("-{name}"), self.child.id().to_string());
+        assert!(std::process::Command::new("kill").args([signal, id]).status().unwrap().success());
+    }
+
+    /// Waits for its end; its exit code, if no signal ended it.
+    pub fn exit(&mut self) -> Option<i32> {
+        self.child.wait().unwrap().code()
+    }
+
+    /// Reads the log up to a line with this text; what follows the text on it.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let mut line = String::new();
+        while std::io::BufRead::read_line(&mut *self.log.borrow_mut(), &mut line).unwrap() > 0 {
+            if let Some((_, after)) = line.split_once(text) {
+                return after.trim().to_owned();
+            }
+            line.clear();
+        }
+        panic!("the program ended without logging `{text}`");
+    }
+}
+
+impl Drop for Process {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+pub fn body(shards: &[(u32, f64)]) -> String {
+    script::body(shards, "c41e77d0")
+}
+
+/// A client whose errors fail the test.
+pub struct Client {
+    client: script::Client,
+}
+
+impl Client {
+    pub async fn connect(address: SocketAddr) -> Client {
+        Client { client: script::Client::to(address).await.unwrap() }
+    }
+
+    pub async fn write(&mut self, text: &str) {
+        self.client.write(text).await.unwrap();
+    }
+
+    /// The next reply; none: the broker closed the connection.
+    pub async fn reply(&mut self) -> Option<Reply> {
+        within_timeout(self.client.reply()).await
+    }
+
+    /// The status of the next reply.
+    pub async fn reply_status(&mut self) -> u16 {
+        self.reply().await.unwrap().status
+    }
+}
+
+/// Discovery whose calls the test answers.
+pub struct Discovery {
+    discovery: script::Discovery,
+}
+
+impl Discovery {
+    pub async fn start() -> Discovery {
+        Discovery { discovery: script::Discovery::start().await.unwrap() }
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        self.discovery.address
+    }
+
+    pub fn reply(&self, body: impl ToString) {
+        self.discovery.reply(body);
+    }
+
+    /// The path of the next call.
+    pub async fn called(&mut self) -> String {
+        within_timeout(self.discovery.called()).await.unwrap()
+    }
+}
