--- a/crates/broker/src/http_server/connection.rs
+++ b/crates/broker/src/http_server/connection.rs
@@ -56,7 +56,7 @@
     pub is_surplus: bool,
     /// It closes with the response to the current or next request.
     pub close_after_response: Cell<bool>,
-    /// It has been sent a response.
+    /// A request of its client was handled.
     pub has_served_request: Cell<bool>,
     /// A query of its client was accepted.
     pub has_accepted_query: Cell<bool>,
@@ -248,3 +248,6 @@
         connection.has_served_request.set(true);
     }
 }
+
+#[cfg(test)]
+mod tests;
