--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -119,17 +119,38 @@
     });
 }
 
+/// A listener whose connections take few bytes before they are read.
+fn listen_with_small_buffer() -> TcpListener {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket.set_recv_buffer_size(4096).unwrap();
+    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    socket.listen(16).unwrap();
+    socket.set_nonblocking(true).unwrap();
+    TcpListener::from_std(socket.into()).unwrap()
+}
+
+/// The ids of the queries whose batches are complete, and the bytes of a frame that is not.
+fn read_batch_ids(received: &[u8]) -> (Vec<String>, &[u8]) {
+    let (mut ids, mut rest) = (Vec::new(), received);
+    while let Some((length, after)) = rest.split_first_chunk::<4>() {
+        let Some((frame, after)) = after.split_at_checked(u32::from_le_bytes(*length) as usize) else {
+            break;
+        };
+        if frame[0] == b'1' {
+            let end = frame.iter().position(|byte| *byte == b'.').unwrap();
+            ids.push(String::from_utf8(frame[1..end].to_vec()).unwrap());
+        }
+        rest = after;
+    }
+    (ids, rest)
+}
+
 /// A peer that reads nothing leaves a frame partly written. Past the deadline by which its attempt had to be
 /// sent it is never completed, though the peer reads on later: the connection is closed.
 #[rstest]
 fn a_partly_written_frame_is_never_completed_after_its_deadline() {
     run_test(async {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        socket.set_recv_buffer_size(4096).unwrap();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
-        socket.listen(16).unwrap();
-        socket.set_nonblocking(true).unwrap();
-        let node = TcpListener::from_std(socket.into()).unwrap();
+        let node = listen_with_small_buffer();
         let address = node.local_addr().unwrap();
         let one = |config: &mut Value| {
             config["known"]["members"][0]["host_port"] = json!(address.to_string());
@@ -156,7 +177,7 @@
             "its deadline was over after 0.3 s: {:?}",
             sent.elapsed()
         );
-        let (mut received, mut complete_ids, mut rejected) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut received, mut rejected) = (Vec::new(), Vec::new());
         let _ = within_timeout(connection.read_to_end(&mut received)).await;
         for (id, outcome) in outcomes {
             match within_timeout(outcome).await.unwrap() {
@@ -165,17 +186,7 @@
                 other => panic!("{id}: {other:?}"),
             }
         }
-        let mut rest = &received[..];
-        while let Some((length, after)) = rest.split_first_chunk::<4>() {
-            let Some((frame, after)) = after.split_at_checked(u32::from_le_bytes(*length) as usize) else {
-                break;
-            };
-            if frame[0] == b'1' {
-                let end = frame.iter().position(|byte| *byte == b'.').unwrap();
-                complete_ids.push(String::from_utf8(frame[1..end].to_vec()).unwrap());
-            }
-            rest = after;
-        }
+        let (complete_ids, rest) = read_batch_ids(&received);
         assert!(!rest.is_empty(), "the last frame was completed after its deadline");
         assert!(rejected.iter().all(|id| !complete_ids.contains(&(*id).to_owned())), "rejected, and sent");
     });
