--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -9,7 +9,7 @@
 //! # Ok(()) }
 //! ```
 //!
-//! A front end of another kind takes the place of [`front`] and [`retrieval`]: it makes an
+//! A front end of another kind takes the place of [`http_server`] and [`query_handler`]: it makes an
 //! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the
 //! [`engine::QueryOutcome`].
 
@@ -17,17 +17,18 @@
 pub mod config_epoch;
 pub mod engine;
 pub mod frame;
-pub mod front;
+pub mod http_server;
 pub mod limits;
 pub mod listing;
 mod logging;
 pub mod nodes;
 mod program;
+pub mod query_handler;
 mod reload;
-pub mod retrieval;
 pub mod roll;
 mod running;
 mod shutdown;
+pub mod socket_peek;
 mod startup;
 #[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
 mod versions;
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -1,9 +1,9 @@
 //! A broker that serves, and how it is started.
 
 use crate::engine::Engine;
-use crate::front::HttpServer;
+use crate::http_server::HttpServer;
 use crate::limits::Limits;
-use crate::retrieval::{QueryHandler, RejectedRequests};
+use crate::query_handler::{QueryHandler, RejectedRequests};
 use crate::startup::StartupConfig;
 use crate::{roll, versions};
 use operator_config::OperatorConfig;
@@ -61,8 +61,11 @@
     if let Some(known) = config.known.filter(|_| !limits.has_discovery_agent) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
-    let query_handler =
-        QueryHandler { engine: engine.clone(), limits: limits.clone(), wrongs: RejectedRequests::default() };
+    let query_handler = QueryHandler {
+        engine: engine.clone(),
+        limits: limits.clone(),
+        rejected_requests: RejectedRequests::default(),
+    };
     let http_server = HttpServer::new(query_handler);
     actix_rt::spawn(engine.clone().run());
     let (discovery, discovery_changes) = watch::channel(config.discovery);
