--- /dev/null
+++ b/crates/broker/src/codec/mod.rs
@@ -0,0 +1,22 @@
+//! The frames between the broker and a node: a length in four bytes, a letter for the kind, the body.
+//!
+//! [`ToNode`] is encoded, [`FromNode`] decoded by a [`FrameDecoder`].
+
+mod from_node;
+mod load_report;
+mod to_node;
+
+pub use from_node::{FrameDecoder, FrameError, FromNode};
+pub use load_report::read_load_report;
+pub use to_node::{ShardRequestMessage, ToNode};
+
+/// Bytes of the length that precedes each frame: little endian, not counting itself.
+const LENGTH_BYTES: usize = 4;
+
+/// Whether these bytes might be the end of a response's value: UTF-8 without control characters.
+pub fn is_text(bytes: &[u8]) -> bool {
+    std::str::from_utf8(bytes).is_ok_and(|text| !text.contains(char::is_control))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker/src/codec/tests.rs
@@ -0,0 +1,46 @@
+//! Frames that come in pieces, and bytes that are no frame.
+
+use super::*;
+use bytes::{BufMut, Bytes, BytesMut};
+use routing::AttemptOutcome;
+use rstest::rstest;
+use tokio_util::codec::Decoder;
+
+fn frame(body: &[u8]) -> Vec<u8> {
+    [&(body.len() as u32).to_le_bytes()[..], body].concat()
+}
+
+#[rstest]
+fn reads_frames_that_come_byte_by_byte() {
+    let bytes = [frame(b"5q.3 S 18 queue=1\nv\n5"), frame(b"5q.4 B 0 -\n"), frame(b"4-")].concat();
+    let (mut decoder, mut buffer, mut decoded) =
+        (FrameDecoder { max_frame_bytes: 64 }, BytesMut::new(), Vec::new());
+    for byte in bytes {
+        buffer.put_u8(byte);
+        decoded.extend(decoder.decode(&mut buffer).unwrap());
+    }
+    let response = |id: &'static str, outcome, value: &'static str| {
+        let (id, value) = (Bytes::from_static(id.as_bytes()), Bytes::from_static(value.as_bytes()));
+        FromNode::Response { id, outcome, value }
+    };
+    let expected = [
+        response("q.3", AttemptOutcome::Succeeded, "v\n5"),
+        response("q.4", AttemptOutcome::Overloaded, ""),
+        FromNode::LoadReport(Some(Bytes::from_static(b"-"))),
+    ];
+    assert_eq!(decoded, expected);
+}
+
+#[rstest]
+#[case(&[0, 0, 0, 0], "a frame of 0 bytes")]
+#[case(&[65, 0, 0, 0], "a frame of 65 bytes")]
+#[case(&frame(b"7"), "a frame `7`")]
+#[case(&frame(b"5q.3 S 18 -"), "can't be read")] // no line feed
+#[case(&frame(b"5q.3 S 18\nv"), "can't be read")]
+#[case(&frame(b"5q.3 Q 18 -\nv"), "can't be read")]
+#[case(&frame(b"5q.3 S 18 -\n\xff"), "can't be read")]
+fn rejects_what_is_no_frame(#[case] bytes: &[u8], #[case] expected: &str) {
+    let mut decoder = FrameDecoder { max_frame_bytes: 64 };
+    let error = decoder.decode(&mut BytesMut::from(bytes)).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
+}
--- /dev/null
+++ b/crates/broker/src/codec/to_node.rs
@@ -0,0 +1,63 @@
+//! Frames that the broker writes to a node.
+
+use super::LENGTH_BYTES;
+use bytes::{BufMut, Bytes, BytesMut};
+
+const BATCH: u8 = b'1';
+const CANCEL: u8 = b'2';
+const PROBE: u8 = b'4';
+
+/// One shard request as a batch carries it.
+#[derive(Clone, Debug)]
+pub struct ShardRequestMessage {
+    /// What the node's response refers to it by.
+    pub id: Bytes,
+    /// The number of the shard to read.
+    pub shard: u32,
+    /// How long the broker waits for the response, in milliseconds.
+    pub timeout_ms: u64,
+    /// What is asked of the shard.
+    pub text: Bytes,
+}
+
+/// A frame to a node.
+#[derive(Clone, Debug)]
+pub enum ToNode {
+    /// Shard requests to execute.
+    Batch(Vec<ShardRequestMessage>),
+    /// The shard request of this id needs no response any more.
+    Cancel(Bytes),
+    /// A request for a load report.
+    Probe,
+}
+
+impl ToNode {
+    /// Appends the whole frame, its length first.
+    pub fn encode(&self, buffer: &mut BytesMut) {
+        let start = buffer.len();
+        buffer.put_u32_le(0);
+        match self {
+            ToNode::Batch(shard_requests) => {
+                buffer.put_u8(BATCH);
+                shard_requests.iter().for_each(|shard_request| shard_request.encode(buffer));
+            }
+            ToNode::Probe => buffer.put_u8(PROBE),
+            ToNode::Cancel(id) => {
+                buffer.put_u8(CANCEL);
+                buffer.put_slice(id);
+            }
+        }
+        let length = (buffer.len() - start - LENGTH_BYTES) as u32;
+        buffer[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+    }
+}
+
+impl ShardRequestMessage {
+    /// Appends `ID SHARD d=TIMEOUT LENGTH`, a line feed, and the text.
+    fn encode(&self, buffer: &mut BytesMut) {
+        buffer.put_slice(&self.id);
+        let header = format!(" {} d={} {}\n", self.shard, self.timeout_ms, self.text.len());
+        buffer.put_slice(header.as_bytes());
+        buffer.put_slice(&self.text);
+    }
+}
--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -1,7 +1,7 @@
 //! The engine: owns the module, its clock and its wake-ups, and knows by which ids it calls things.
 
+use crate::codec::{ShardRequestMessage, read_load_report};
 use crate::edition::ConfigEpoch;
-use crate::frame::{CalledPart, read_report};
 use crate::limits::{Limits, span};
 use crate::listing::NodeList;
 use crate::nodes::{AttemptId, Ended, NodePool, Sending};
@@ -607,15 +607,15 @@
         let text = book.queries.get(&query)?.text.clone();
         let timers = [(now + self.limits.unsent, Timer::Unsent), (now + timeout, Timer::Over)];
         self.attempts.borrow_mut().enter(attempt, OutPush { node, sent: now, timers });
-        let wait_ms = span(timeout).as_millis().max(1) as u64;
-        Some(Sending { attempt, shard_request: CalledPart { id: wire_id, shard, wait_ms, text } })
+        let timeout_ms = span(timeout).as_millis().max(1) as u64;
+        Some(Sending { attempt, shard_request: ShardRequestMessage { id: wire_id, shard, timeout_ms, text } })
     }
 
     /// What probes brought, in the module's terms.
     fn fetch_told(&self) {
         for (node, words) in self.nodes.fetch_told() {
             let sound = words.is_some();
-            let report = words.map(|words| read_report(&words)).unwrap_or_default();
+            let report = words.map(|words| read_load_report(&words)).unwrap_or_default();
             self.hear(Input::ProbeEnded(ProbeResult { node, sound, report }));
         }
     }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -12,10 +12,10 @@
 //! A front of another kind takes the engine's place of `front` and `query`: it makes a
 //! [`desk::QueryRequest`], hands it to [`desk::Engine::take`] and waits for the [`desk::QueryOutcome`].
 
+pub mod codec;
 mod command;
 pub mod desk;
 pub mod edition;
-pub mod frame;
 pub mod front;
 mod leave;
 pub mod limits;
--- a/crates/broker/src/nodes.rs
+++ b/crates/broker/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Connections to nodes. Sends the calls it is handed, and tells of each attempt exactly one end.
 
-use crate::frame::{BadFrame, CalledPart, Frames, FromNode, ToNode, is_text};
+use crate::codec::{FrameDecoder, FrameError, FromNode, ShardRequestMessage, ToNode, is_text};
 use crate::limits::Limits;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct Sending {
     pub attempt: AttemptId,
-    pub shard_request: CalledPart,
+    pub shard_request: ShardRequestMessage,
 }
 
 /// The one end of an attempt, with the value that it brought.
@@ -167,7 +167,7 @@
             self.attempts.borrow_mut().insert(attempt, (line.clone(), shard_request.id.clone()));
             shard_requests.push(shard_request);
         }
-        line.queue.borrow_mut().push_back(ToNode::Call(shard_requests));
+        line.queue.borrow_mut().push_back(ToNode::Batch(shard_requests));
         line.ring.notify_one();
     }
 
@@ -196,7 +196,7 @@
         if self.take_back(attempt, unsent) {
             return;
         }
-        line.queue.borrow_mut().push_back(ToNode::GiveUp(id.clone()));
+        line.queue.borrow_mut().push_back(ToNode::Cancel(id.clone()));
         let out = line.out.borrow_mut().remove(&id);
         if out.is_some_and(|out| out.written == Written::Partly) {
             line.cut.notify_one();
@@ -231,7 +231,7 @@
         }
         line.out.borrow_mut().remove(&id);
         for queued in line.queue.borrow_mut().iter_mut() {
-            if let ToNode::Call(shard_requests) = queued {
+            if let ToNode::Batch(shard_requests) = queued {
                 shard_requests.retain(|shard_request| shard_request.id != id);
             }
         }
@@ -361,8 +361,8 @@
             return;
         }
         for queued in line.queue.take() {
-            let ToNode::Call(shard_requests) = queued else { continue };
-            let taken = |shard_request: CalledPart| {
+            let ToNode::Batch(shard_requests) = queued else { continue };
+            let taken = |shard_request: ShardRequestMessage| {
                 let out = line.out.borrow_mut().remove(&shard_request.id)?;
                 self.attempts.borrow_mut().remove(&out.attempt);
                 Some(Sending { attempt: out.attempt, shard_request })
@@ -377,7 +377,7 @@
     /// Reads until the node ends the connection, or sends what can't be used: then nothing more that comes on
     /// it can be told apart, and what is out on it may have run. Tells whether that was so.
     async fn read(&self, line: &Line, reading: ReadHalf<'_>) -> bool {
-        let mut frames = FramedRead::new(reading, Frames { most: self.limits.frame });
+        let mut frames = FramedRead::new(reading, FrameDecoder { max_frame_bytes: self.limits.frame });
         let mut begun = false;
         loop {
             let frame = match timeout(self.limits.half_frame, frames.next()).await {
@@ -397,13 +397,13 @@
             line.idle_since.set(Instant::now());
             line.unheard_since.take();
             let behind_is_text = is_text(frames.read_buffer());
-            let framed = !matches!(frame, None | Some(Err(BadFrame::Size(_) | BadFrame::Io(_))));
+            let framed = !matches!(frame, None | Some(Err(FrameError::Length(_) | FrameError::Io(_))));
             match framed {
                 true => self.keep(line),
                 false => self.let_go(line, behind_is_text),
             }
             match frame {
-                Some(Ok(FromNode::Ended { id, end, value })) => {
+                Some(Ok(FromNode::Response { id, outcome: end, value })) => {
                     let out = line.out.borrow_mut().remove(&id);
                     match out {
                         Some(out) => {
@@ -422,16 +422,16 @@
                         }
                     }
                 }
-                Some(Ok(FromNode::Told(words))) if line.probes.get() > 0 => {
+                Some(Ok(FromNode::LoadReport(words))) if line.probes.get() > 0 => {
                     line.probes.set(line.probes.get() - 1);
                     self.tell(line.node, words);
                 }
-                Some(Ok(FromNode::Told(_) | FromNode::Aside)) => {}
-                Some(Ok(FromNode::Unusable(words))) => {
+                Some(Ok(FromNode::LoadReport(_) | FromNode::Pong)) => {}
+                Some(Ok(FromNode::ProtocolError(words))) => {
                     warn!(node = %line.address, "the node closes: {words}");
                     return true;
                 }
-                Some(Err(BadFrame::Io(e))) => {
+                Some(Err(FrameError::Io(e))) => {
                     debug!(node = %line.address, "connection broke: {e}");
                     return false;
                 }
@@ -483,11 +483,11 @@
             }
             let Some(frame) = line.queue.borrow_mut().pop_front() else { continue };
             let ids = match &frame {
-                ToNode::Call(shard_requests) if shard_requests.is_empty() => continue,
-                ToNode::Call(shard_requests) => {
+                ToNode::Batch(shard_requests) if shard_requests.is_empty() => continue,
+                ToNode::Batch(shard_requests) => {
                     shard_requests.iter().map(|shard_request| shard_request.id.clone()).collect()
                 }
-                ToNode::GiveUp(_) | ToNode::Probe => Vec::new(),
+                ToNode::Cancel(_) | ToNode::Probe => Vec::new(),
             };
             bytes.clear();
             frame.encode(&mut bytes);
