--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -4,7 +4,7 @@
 use crate::edition::ConfigEpoch;
 use crate::limits::{Limits, span};
 use crate::listing::NodeList;
-use crate::nodes::{AttemptId, Ended, NodePool, Sending};
+use crate::node_pool::{AttemptEnd, AttemptId, AttemptToSend, NodePool, ProbeReply};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use bytes::Bytes;
 use routing::{
@@ -268,11 +268,11 @@
     /// Attempts that are out: the node's address and the id that the wire knows the shard request by, in order. Who
     /// rehearses a day holds them against what the nodes have, to tell whether anything is under way.
     pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
-        self.nodes.out()
+        self.nodes.in_flight()
     }
 
     pub fn count_out(&self) -> usize {
-        self.nodes.count_out()
+        self.nodes.count_in_flight()
     }
 
     /// The edition under which queries are taken now.
@@ -355,7 +355,8 @@
         for shard_request in &open.shard_requests {
             let Some(entry) = book.shard_requests.remove(shard_request) else { continue };
             (0..entry.attempts).for_each(|no| {
-                _ = self.nodes.take_back((*shard_request, AttemptNumber(no)), AttemptOutcome::NotSent)
+                let attempt = AttemptId { shard_request: *shard_request, number: AttemptNumber(no) };
+                _ = self.nodes.cancel_unwritten(attempt, AttemptOutcome::NotSent)
             });
             shard_requests.push(entry);
         }
@@ -390,7 +391,7 @@
             names.nodes.retain(|name, node| {
                 let stays = listed.contains(&name[..]);
                 if !stays {
-                    self.nodes.listens(*node, None, false);
+                    self.nodes.set_address(*node, None, false);
                 }
                 stays
             });
@@ -407,7 +408,7 @@
                 _ => names.ready.remove(&node),
             };
             let address = (state != EndpointState::Removed).then_some(told.address);
-            self.nodes.listens(node, address, state == EndpointState::Ready);
+            self.nodes.set_address(node, address, state == EndpointState::Ready);
             if state == EndpointState::Removed {
                 names.nodes.remove(&told.name);
             }
@@ -439,7 +440,7 @@
                 let far = Instant::now() + Duration::from_secs(3600);
                 tokio::select! {
                     () = self.bell.notified() => {}
-                    () = self.nodes.bell.notified() => {
+                    () = self.nodes.results_ready.notified() => {
                         self.fetch_ended();
                         self.fetch_told();
                     }
@@ -463,12 +464,11 @@
 
     /// Takes over the ends of attempts, with the values that came.
     fn fetch_ended(&self) {
-        for Ended { attempt: (shard_request, attempt), end, value, at } in self.nodes.fetch_ended() {
-            let Some(OutPush { node, sent, .. }) =
-                self.attempts.borrow_mut().strike((shard_request, attempt))
-            else {
+        for AttemptEnd { attempt, outcome: end, value, at } in self.nodes.fetch_attempt_ends() {
+            let Some(OutPush { node, sent, .. }) = self.attempts.borrow_mut().strike(attempt) else {
                 continue;
             };
+            let AttemptId { shard_request, number: attempt } = attempt;
             let end = if self.keep_value(shard_request, value) { end } else { AttemptOutcome::Errored };
             if matches!(end, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost) {
                 self.note_fall(shard_request);
@@ -520,8 +520,8 @@
         let now = self.tenths(Instant::now());
         while let Some((_, timer, attempt)) = self.next_timer(now) {
             match timer {
-                Timer::Unsent => self.nodes.no_longer(attempt),
-                Timer::Over => self.nodes.give_up(attempt, AttemptOutcome::TimedOut),
+                Timer::Unsent => self.nodes.abort_incomplete(attempt),
+                Timer::Over => self.nodes.cancel(attempt, AttemptOutcome::TimedOut),
             }
         }
         self.fetch_ended();
@@ -547,7 +547,7 @@
 
     /// Carries out what the module said in one turn; attempts leave at its end, when they have met in calls.
     fn carry_out(&self, now: Tenths, effects: Vec<Effect>) {
-        let mut calls: BTreeMap<NodeId, Vec<Sending>> = BTreeMap::new();
+        let mut calls: BTreeMap<NodeId, Vec<AttemptToSend>> = BTreeMap::new();
         let mut withdrawn: Vec<AttemptId> = Vec::new();
         for effect in effects {
             match effect {
@@ -557,8 +557,9 @@
                     }
                 }
                 Effect::Cancel { shard_request, attempt } => {
-                    withdrawn.push((shard_request, attempt));
-                    self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
+                    let attempt = AttemptId { shard_request, number: attempt };
+                    withdrawn.push(attempt);
+                    self.nodes.cancel(attempt, AttemptOutcome::Cancelled);
                 }
                 Effect::Respond { query, complete: whole } => {
                     self.tell(query, |items| QueryOutcome::Response { whole, items });
@@ -580,7 +581,7 @@
         for (node, mut sendings) in calls {
             // Guards against a shard request that is sent after its query's end, which the same turn brought.
             sendings.retain(|sending| {
-                let stays = self.book.borrow().shard_requests.contains_key(&sending.attempt.0);
+                let stays = self.book.borrow().shard_requests.contains_key(&sending.attempt.shard_request);
                 let stays = stays && !withdrawn.contains(&sending.attempt);
                 if !stays {
                     self.never_sent(node, sending.attempt);
@@ -594,13 +595,13 @@
     }
 
     /// Enters an attempt, and puts it into the wire's terms.
-    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, timeout: Tenths) -> Option<Sending> {
+    fn push(&self, now: Tenths, id: ShardRequestId, node: NodeId, timeout: Tenths) -> Option<AttemptToSend> {
         let mut book = self.book.borrow_mut();
         let Some(shard_request) = book.shard_requests.get_mut(&id) else {
-            self.never_sent(node, (id, AttemptNumber(0)));
+            self.never_sent(node, AttemptId { shard_request: id, number: AttemptNumber(0) });
             return None;
         };
-        let attempt = (id, AttemptNumber(shard_request.attempts));
+        let attempt = AttemptId { shard_request: id, number: AttemptNumber(shard_request.attempts) };
         shard_request.attempts += 1;
         let (query, shard, wire_id) =
             (shard_request.query, shard_request.shard.0, shard_request.wire_id.clone());
@@ -608,20 +609,24 @@
         let timers = [(now + self.limits.unsent, Timer::Unsent), (now + timeout, Timer::Over)];
         self.attempts.borrow_mut().enter(attempt, OutPush { node, sent: now, timers });
         let timeout_ms = span(timeout).as_millis().max(1) as u64;
-        Some(Sending { attempt, shard_request: ShardRequestMessage { id: wire_id, shard, timeout_ms, text } })
+        Some(AttemptToSend {
+            attempt,
+            shard_request: ShardRequestMessage { id: wire_id, shard, timeout_ms, text },
+        })
     }
 
     /// What probes brought, in the module's terms.
     fn fetch_told(&self) {
-        for (node, words) in self.nodes.fetch_told() {
-            let sound = words.is_some();
-            let report = words.map(|words| read_load_report(&words)).unwrap_or_default();
+        for ProbeReply { node, report } in self.nodes.fetch_probe_replies() {
+            let sound = report.is_some();
+            let report = report.map(|report| read_load_report(&report)).unwrap_or_default();
             self.hear(Input::ProbeEnded(ProbeResult { node, sound, report }));
         }
     }
 
-    fn never_sent(&self, node: NodeId, (shard_request, attempt): AttemptId) {
-        self.attempts.borrow_mut().strike((shard_request, attempt));
+    fn never_sent(&self, node: NodeId, attempt: AttemptId) {
+        self.attempts.borrow_mut().strike(attempt);
+        let AttemptId { shard_request, number: attempt } = attempt;
         let (end, took) = (AttemptOutcome::NotSent, Tenths::ZERO);
         self.hear(Input::AttemptEnded(AttemptResult {
             shard_request,
@@ -633,8 +638,8 @@
     }
 
     /// A turn's attempts to one node, in calls of no more shard requests and bytes than a call may have.
-    fn split_calls(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
-        let mut calls: Vec<Vec<Sending>> = Vec::new();
+    fn split_calls(&self, sendings: Vec<AttemptToSend>) -> Vec<Vec<AttemptToSend>> {
+        let mut calls: Vec<Vec<AttemptToSend>> = Vec::new();
         let mut bytes = 0;
         for sending in sendings {
             let more = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
--- a/crates/broker/src/desk/tests.rs
+++ b/crates/broker/src/desk/tests.rs
@@ -16,7 +16,7 @@
         let limits = Limits::new(Machine { memory_mb: 192, sockets: 1024 }, &broker_settings).unwrap();
         let engine = Engine::new(broker_settings, 1, Rc::new(limits), None, None);
         let address = "127.0.0.1:9".parse().unwrap();
-        engine.nodes.listens(NodeId(1), Some(address), true);
+        engine.nodes.set_address(NodeId(1), Some(address), true);
         let shard_requests = vec![RequestedShard { shard: ShardId(0), weight: 1.0 }];
         let (id, text) = (Bytes::from_static(b"a"), Bytes::new());
         let (class, tenant, until) = (ClassId(0), TenantId(0), Instant::now());
@@ -32,7 +32,7 @@
             matches!(&heard[..], [Input::AttemptEnded(o)] if o.outcome == AttemptOutcome::NotSent),
             "{heard:?}"
         );
-        assert!(engine.nodes.fetch_ended().is_empty());
+        assert!(engine.nodes.fetch_attempt_ends().is_empty());
     });
 }
 
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -20,7 +20,7 @@
 mod leave;
 pub mod limits;
 pub mod listing;
-pub mod nodes;
+pub mod node_pool;
 mod reload;
 pub mod retrieval;
 pub mod roll;
--- /dev/null
+++ b/crates/broker/src/node_pool/connection.rs
@@ -0,0 +1,297 @@
+//! The state of one connection to a node.
+
+use super::attempt::AttemptId;
+use super::cancelled_requests::CancelledRequests;
+use crate::codec::ToNode;
+use bytes::Bytes;
+use routing::{AttemptOutcome, NodeId};
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Whether a connection accepts work, and whether it ever carried any.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// Not connected yet, or connected and nothing written. Accepts work.
+    Unused,
+    /// Something was written on it. Accepts work.
+    Used,
+    /// Accepts no more work, and closes once nothing is in flight on it.
+    Closing { was_used: bool },
+}
+
+impl ConnectionState {
+    fn was_used(self) -> bool {
+        matches!(self, ConnectionState::Used | ConnectionState::Closing { was_used: true })
+    }
+
+    fn is_closing(self) -> bool {
+        matches!(self, ConnectionState::Closing { .. })
+    }
+
+    fn after_write(self) -> ConnectionState {
+        match self {
+            ConnectionState::Unused | ConnectionState::Used => ConnectionState::Used,
+            ConnectionState::Closing { .. } => ConnectionState::Closing { was_used: true },
+        }
+    }
+
+    fn after_close(self) -> ConnectionState {
+        ConnectionState::Closing { was_used: self.was_used() }
+    }
+}
+
+/// How much of an attempt's frame is written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WriteProgress {
+    Unwritten,
+    Partial,
+    Complete,
+}
+
+/// A shard request that is queued or written on a connection, and not answered.
+pub(super) struct InFlightRequest {
+    pub attempt: AttemptId,
+    pub progress: WriteProgress,
+}
+
+/// A response behind which more bytes have come that are not known to be a frame yet.
+pub(super) struct UnconfirmedResponse {
+    pub attempt: AttemptId,
+    pub outcome: AttemptOutcome,
+    pub value: Bytes,
+}
+
+/// One connection to a node, from the first try to connect on.
+pub(super) struct NodeConnection {
+    pub node: NodeId,
+    pub address: SocketAddr,
+    state: Cell<ConnectionState>,
+    /// By the id that the wire knows the shard request by.
+    in_flight: RefCell<HashMap<Bytes, InFlightRequest>>,
+    /// Frames of which nothing is written yet.
+    write_queue: RefCell<VecDeque<ToNode>>,
+    unconfirmed_response: RefCell<Option<UnconfirmedResponse>>,
+    cancelled_requests: RefCell<CancelledRequests>,
+    /// Load probes without a reply.
+    pending_probes: Cell<usize>,
+    last_used_at: Cell<Instant>,
+    /// Since when the node owes the first byte in reply to what was written.
+    awaiting_reply_since: Cell<Option<Instant>>,
+    /// Notified when the writer may have something to do.
+    pub write_ready: Notify,
+    /// Notified when a frame that is partly written must not become complete.
+    pub abort: Notify,
+}
+
+impl NodeConnection {
+    pub fn new(node: NodeId, address: SocketAddr) -> NodeConnection {
+        NodeConnection {
+            node,
+            address,
+            state: Cell::new(ConnectionState::Unused),
+            in_flight: RefCell::default(),
+            write_queue: RefCell::default(),
+            unconfirmed_response: RefCell::default(),
+            cancelled_requests: RefCell::default(),
+            pending_probes: Cell::default(),
+            last_used_at: Cell::new(Instant::now()),
+            awaiting_reply_since: Cell::default(),
+            write_ready: Notify::new(),
+            abort: Notify::new(),
+        }
+    }
+
+    // ---- state
+
+    /// It came up, and something was written on it.
+    pub fn was_used(&self) -> bool {
+        self.state.get().was_used()
+    }
+
+    pub fn is_closing(&self) -> bool {
+        self.state.get().is_closing()
+    }
+
+    /// Whether nothing waits on it: no shard request, no probe, no frame.
+    pub fn is_idle(&self) -> bool {
+        !self.has_in_flight() && !self.has_pending_probes() && !self.has_queued_frames()
+    }
+
+    /// Whether the node has owed a reply for longer than `limit`.
+    pub fn is_unresponsive(&self, limit: Duration) -> bool {
+        self.awaiting_reply_since.get().is_some_and(|since| since.elapsed() > limit)
+    }
+
+    pub fn last_used_at(&self) -> Instant {
+        self.last_used_at.get()
+    }
+
+    pub fn mark_used_now(&self) {
+        self.last_used_at.set(Instant::now());
+    }
+
+    /// Accepts no more work from now on.
+    pub fn begin_closing(&self) {
+        self.state.set(self.state.get().after_close());
+    }
+
+    /// The same, and lets the writer act on it.
+    pub fn close(&self) {
+        self.begin_closing();
+        self.write_ready.notify_one();
+    }
+
+    /// Notes that bytes came: the node owes no first byte any more.
+    pub fn note_received(&self) {
+        self.mark_used_now();
+        self.awaiting_reply_since.take();
+    }
+
+    // ---- what is in flight
+
+    pub fn has_in_flight(&self) -> bool {
+        !self.in_flight.borrow().is_empty()
+    }
+
+    pub fn count_in_flight(&self) -> usize {
+        self.in_flight.borrow().len()
+    }
+
+    /// Whether it has room for so many shard requests more; alone on it, a batch of any size has.
+    pub fn has_room(&self, shard_requests: usize, limit: usize) -> bool {
+        let in_flight = self.count_in_flight();
+        in_flight == 0 || in_flight + shard_requests <= limit
+    }
+
+    /// The attempt that is in flight under this id.
+    pub fn attempt_of(&self, wire_id: &Bytes) -> Option<AttemptId> {
+        self.in_flight.borrow().get(wire_id).map(|request| request.attempt)
+    }
+
+    pub fn progress_of(&self, wire_id: &Bytes) -> Option<WriteProgress> {
+        self.in_flight.borrow().get(wire_id).map(|request| request.progress)
+    }
+
+    /// Enters an attempt of which nothing is written; gives what was in flight under its id.
+    pub fn enter(&self, wire_id: Bytes, attempt: AttemptId) -> Option<InFlightRequest> {
+        let request = InFlightRequest { attempt, progress: WriteProgress::Unwritten };
+        self.in_flight.borrow_mut().insert(wire_id, request)
+    }
+
+    pub fn remove(&self, wire_id: &Bytes) -> Option<InFlightRequest> {
+        self.in_flight.borrow_mut().remove(wire_id)
+    }
+
+    /// Removes all that is in flight, in the order of the attempts.
+    pub fn remove_all(&self) -> Vec<InFlightRequest> {
+        let mut requests: Vec<InFlightRequest> = self.in_flight.take().into_values().collect();
+        requests.sort_by_key(|request| request.attempt);
+        requests
+    }
+
+    /// Whether nothing that is in flight was begun to be written.
+    pub fn is_all_unwritten(&self) -> bool {
+        self.in_flight.borrow().values().all(|request| request.progress == WriteProgress::Unwritten)
+    }
+
+    /// Notes that the first bytes of a frame with these shard requests are written.
+    pub fn note_partial_write(&self, wire_ids: &[Bytes]) {
+        self.state.set(self.state.get().after_write());
+        self.set_progress(wire_ids, WriteProgress::Partial);
+    }
+
+    /// Notes that a frame with these shard requests is written whole.
+    pub fn note_complete_write(&self, wire_ids: &[Bytes]) {
+        self.set_progress(wire_ids, WriteProgress::Complete);
+        if !wire_ids.is_empty() {
+            self.awaiting_reply_since.set(self.awaiting_reply_since.get().or(Some(Instant::now())));
+        }
+        self.mark_used_now();
+    }
+
+    fn set_progress(&self, wire_ids: &[Bytes], progress: WriteProgress) {
+        let mut in_flight = self.in_flight.borrow_mut();
+        for wire_id in wire_ids {
+            if let Some(request) = in_flight.get_mut(wire_id) {
+                request.progress = progress;
+            }
+        }
+    }
+
+    // ---- frames to write
+
+    pub fn has_queued_frames(&self) -> bool {
+        !self.write_queue.borrow().is_empty()
+    }
+
+    pub fn enqueue(&self, frame: ToNode) {
+        self.write_queue.borrow_mut().push_back(frame);
+        self.write_ready.notify_one();
+    }
+
+    pub fn dequeue(&self) -> Option<ToNode> {
+        self.write_queue.borrow_mut().pop_front()
+    }
+
+    /// Puts a frame back of which nothing could be written.
+    pub fn requeue(&self, frame: ToNode) {
+        self.write_queue.borrow_mut().push_front(frame);
+    }
+
+    pub fn take_queue(&self) -> VecDeque<ToNode> {
+        self.write_queue.take()
+    }
+
+    /// Removes a shard request from the batches that wait to be written.
+    pub fn remove_from_queue(&self, wire_id: &Bytes) {
+        for queued in self.write_queue.borrow_mut().iter_mut() {
+            if let ToNode::Batch(shard_requests) = queued {
+                shard_requests.retain(|shard_request| shard_request.id != *wire_id);
+            }
+        }
+        self.write_ready.notify_one();
+    }
+
+    // ---- responses, cancelled shard requests, probes
+
+    pub fn hold_response(&self, response: UnconfirmedResponse) {
+        self.unconfirmed_response.replace(Some(response));
+    }
+
+    pub fn take_unconfirmed_response(&self) -> Option<UnconfirmedResponse> {
+        self.unconfirmed_response.take()
+    }
+
+    /// Remembers up to `limit` shard requests that may still be answered.
+    pub fn note_cancelled(&self, wire_id: Bytes, limit: usize) {
+        self.cancelled_requests.borrow_mut().add(wire_id, limit);
+    }
+
+    /// Whether a response to this shard request may be one to a cancelled one.
+    pub fn take_cancelled(&self, wire_id: &Bytes) -> bool {
+        self.cancelled_requests.borrow_mut().take(wire_id)
+    }
+
+    fn has_pending_probes(&self) -> bool {
+        self.pending_probes.get() > 0
+    }
+
+    pub fn add_pending_probe(&self) {
+        self.pending_probes.set(self.pending_probes.get() + 1);
+    }
+
+    /// Whether a probe waits for a reply; then it waits no more.
+    pub fn take_pending_probe(&self) -> bool {
+        let is_pending = self.has_pending_probes();
+        self.pending_probes.set(self.pending_probes.get().saturating_sub(1));
+        is_pending
+    }
+
+    pub fn take_all_pending_probes(&self) -> usize {
+        self.pending_probes.take()
+    }
+}
--- /dev/null
+++ b/crates/broker/src/node_pool/reader.rs
@@ -0,0 +1,138 @@
+//! Reads the frames that come on a connection.
+
+use super::NodePool;
+use super::connection::{NodeConnection, UnconfirmedResponse};
+use crate::codec::{FrameDecoder, FrameError, FromNode, is_text};
+use bytes::Bytes;
+use futures_util::StreamExt;
+use routing::AttemptOutcome;
+use std::ops::ControlFlow::{self, Break, Continue};
+use tokio::net::tcp::ReadHalf;
+use tokio::time::timeout;
+use tokio_util::codec::FramedRead;
+use tracing::{debug, warn};
+
+/// Why a connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionEnd {
+    /// It could not be made, was closed by either side, or broke.
+    Closed,
+    /// The node wrote what can't be used: nothing more that comes can be interpreted, and what is in flight
+    /// may have been executed.
+    InvalidData,
+}
+
+/// A frame, an error in place of one, or the end of the stream.
+type NextFrame = Option<Result<FromNode, FrameError>>;
+
+/// A frame was begun and not completed in time.
+struct StalledFrame;
+
+/// The read loop of one connection.
+pub(super) struct ConnectionReader<'a> {
+    pool: &'a NodePool,
+    connection: &'a NodeConnection,
+    frames: FramedRead<ReadHalf<'a>, FrameDecoder>,
+}
+
+impl<'a> ConnectionReader<'a> {
+    pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: ReadHalf<'a>) -> Self {
+        let decoder = FrameDecoder { max_frame_bytes: pool.limits.frame };
+        ConnectionReader { pool, connection, frames: FramedRead::new(stream, decoder) }
+    }
+
+    /// Reads until the node ends the connection, or sends what can't be used.
+    pub async fn run(mut self) -> ConnectionEnd {
+        loop {
+            let Ok(frame) = self.next_frame().await else { return self.end_on_stalled_frame() };
+            self.connection.note_received();
+            self.settle_response_before(&frame);
+            if let Break(end) = self.handle(frame) {
+                return end;
+            }
+        }
+    }
+
+    /// The next frame. Guards against a length that promises more than comes: the shard requests in flight
+    /// would wait for it.
+    async fn next_frame(&mut self) -> Result<NextFrame, StalledFrame> {
+        let mut was_partial = false;
+        loop {
+            if let Ok(frame) = timeout(self.pool.limits.half_frame, self.frames.next()).await {
+                return Ok(frame);
+            }
+            let is_partial = !self.frames.read_buffer().is_empty();
+            if was_partial && is_partial {
+                return Err(StalledFrame);
+            }
+            was_partial = is_partial;
+        }
+    }
+
+    fn end_on_stalled_frame(&self) -> ConnectionEnd {
+        warn!(node = %self.connection.address, "connection closed on a frame that does not end");
+        self.pool.settle_response(self.connection, is_text(self.frames.read_buffer()));
+        ConnectionEnd::InvalidData
+    }
+
+    /// Decides on the response before this frame: a frame behind it confirms that its length was right.
+    fn settle_response_before(&self, frame: &NextFrame) {
+        let is_text_behind = is_text(self.frames.read_buffer());
+        match frame {
+            None | Some(Err(FrameError::Length(_) | FrameError::Io(_))) => {
+                self.pool.settle_response(self.connection, is_text_behind);
+            }
+            Some(_) => self.pool.accept_response(self.connection),
+        }
+    }
+
+    fn handle(&self, frame: NextFrame) -> ControlFlow<ConnectionEnd> {
+        let node = self.connection.address;
+        match frame {
+            Some(Ok(FromNode::Response { id, outcome, value })) => self.on_response(id, outcome, value),
+            Some(Ok(FromNode::LoadReport(report))) => self.on_load_report(report),
+            Some(Ok(FromNode::Pong)) => Continue(()),
+            Some(Ok(FromNode::ProtocolError(reason))) => {
+                warn!(%node, reason, "the node closes the connection");
+                Break(ConnectionEnd::InvalidData)
+            }
+            Some(Err(FrameError::Io(error))) => {
+                debug!(%node, %error, "connection broke");
+                Break(ConnectionEnd::Closed)
+            }
+            Some(Err(error)) => {
+                warn!(%node, %error, "connection closed on a bad frame");
+                Break(ConnectionEnd::InvalidData)
+            }
+            None => Break(ConnectionEnd::Closed),
+        }
+    }
+
+    fn on_response(&self, id: Bytes, outcome: AttemptOutcome, value: Bytes) -> ControlFlow<ConnectionEnd> {
+        let Some(request) = self.connection.remove(&id) else { return self.on_unknown_response(&id) };
+        self.connection.write_ready.notify_one();
+        self.connection.hold_response(UnconfirmedResponse { attempt: request.attempt, outcome, value });
+        if self.frames.read_buffer().is_empty() {
+            self.pool.accept_response(self.connection);
+        }
+        Continue(())
+    }
+
+    fn on_unknown_response(&self, id: &Bytes) -> ControlFlow<ConnectionEnd> {
+        // A cancelled shard request may still be answered; then nobody waits for it.
+        if self.connection.take_cancelled(id) {
+            return Continue(());
+        }
+        // Guards against responses under a wrong id: the shard request that was meant would wait.
+        warn!(node = %self.connection.address, "connection closed on an answer that none waits for");
+        Break(ConnectionEnd::InvalidData)
+    }
+
+    /// A report that no probe asked for is ignored.
+    fn on_load_report(&self, report: Option<Bytes>) -> ControlFlow<ConnectionEnd> {
+        if self.connection.take_pending_probe() {
+            self.pool.end_probe(self.connection.node, report);
+        }
+        Continue(())
+    }
+}
