--- a/crates/broker/src/desk.rs
+++ b/crates/broker/src/desk.rs
@@ -2,8 +2,8 @@
 
 use crate::codec::{ShardRequestMessage, read_load_report};
 use crate::edition::ConfigEpoch;
+use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, span};
-use crate::listing::NodeList;
 use crate::node_pool::{AttemptEnd, AttemptId, AttemptToSend, NodePool, ProbeReply};
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use bytes::Bytes;
@@ -420,9 +420,9 @@
             entries.push(Endpoint {
                 node,
                 zone: ZoneId(zone as u16),
-                placement_group: PlacementGroupId(told.cell),
+                placement_group: PlacementGroupId(told.placement_group),
                 state,
-                started_at: (told.started_ms > 0.0).then(|| Tenths::from_ms(told.started_ms)),
+                started_at: (told.started_at_ms > 0.0).then(|| Tenths::from_ms(told.started_at_ms)),
             });
         }
         self.hear(Input::EndpointList(EndpointList { kind, entries: entries.into() }));
--- /dev/null
+++ b/crates/broker/src/discovery.rs
@@ -0,0 +1,138 @@
+//! Asks discovery for the endpoint list and watches its changes.
+
+mod error;
+
+use crate::desk::Engine;
+use crate::endpoint_list::NodeList;
+use crate::limits::Limits;
+use bytes::Bytes;
+use error::DiscoveryError;
+use futures_util::stream::FuturesUnordered;
+use futures_util::{FutureExt, StreamExt};
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper_util::client::legacy::{self, connect::HttpConnector};
+use hyper_util::rt::TokioExecutor;
+use routing::EndpointListKind;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
+use tracing::warn;
+
+/// Keeps its connections; reads a response without a length up to its end, and takes no reset for one.
+type HttpClient = legacy::Client<HttpConnector, Empty<Bytes>>;
+
+/// Each time that the engine asks for it, watches the endpoint list until a request fails, and says so. Where
+/// discovery has moved, the old watch is dropped and the new address is asked for all nodes at once. An agent
+/// on this machine is asked until it answers: guards against drains that it has, and that count as notified,
+/// while the broker waits longer after each failure, as it must where discovery is shared.
+pub async fn watch_endpoints(
+    engine: Rc<Engine>,
+    limits: Rc<Limits>,
+    mut discovery: watch::Receiver<SocketAddr>,
+) {
+    let client = legacy::Client::builder(TokioExecutor::new()).build_http();
+    let watcher = EndpointWatcher { engine, limits, client };
+    loop {
+        tokio::select! {
+            () = watcher.engine.roll_wanted.notified() => {}
+            Ok(()) = discovery.changed() => {}
+        }
+        watcher.watch_until_failure(&mut discovery).await;
+    }
+}
+
+struct EndpointWatcher {
+    engine: Rc<Engine>,
+    limits: Rc<Limits>,
+    client: HttpClient,
+}
+
+impl EndpointWatcher {
+    /// Watches until a request fails; where discovery is an agent, for ever.
+    async fn watch_until_failure(&self, discovery: &mut watch::Receiver<SocketAddr>) {
+        loop {
+            let address = *discovery.borrow_and_update();
+            // Guards against an agent that lists and breaks off at once, again and again.
+            let retry_at = Instant::now() + self.limits.watch_anew;
+            tokio::select! {
+                Err(error) = self.watch(address) => {
+                    warn!(%error, "endpoint list is not watched, the last one stays in use");
+                    self.report_failure();
+                    if !self.limits.agent {
+                        return;
+                    }
+                    sleep_until(retry_at).await;
+                }
+                Ok(()) = discovery.changed() => {}
+            }
+        }
+    }
+
+    fn report_failure(&self) {
+        // What was asked for before this failure was this watch; from now on the engine says when.
+        let _ = self.engine.roll_wanted.notified().now_or_never();
+        self.engine.roll_failed();
+    }
+
+    /// Lists all nodes, then waits for changes, until a request fails.
+    async fn watch(&self, discovery: SocketAddr) -> Result<Infallible, DiscoveryError> {
+        let list_url = format!("http://{discovery}/catalog/members");
+        let mut list = match self.limits.agent {
+            true => self.request_until_answered(&list_url).await,
+            false => self.request(&list_url, self.limits.list_within).await?,
+        };
+        if !list.is_complete {
+            return Err(DiscoveryError::UnexpectedDelta);
+        }
+        let wait_ms = self.limits.watch.as_millis();
+        loop {
+            let revision = list.revision;
+            let kind = if list.is_complete { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
+            self.engine.hear_roll(kind, list);
+            let url = format!("{list_url}?after={revision}&wait_ms={wait_ms}");
+            list = self.request(&url, self.limits.watch + self.limits.watch_slack).await?;
+        }
+    }
+
+    /// Sends requests at intervals, the first at once, until one of those that still wait is answered.
+    async fn request_until_answered(&self, url: &str) -> NodeList {
+        let mut pending_requests = FuturesUnordered::new();
+        let mut request_interval = interval(self.limits.watch_anew);
+        request_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let time_limit = self.limits.list_within;
+        let mut has_failed = false;
+        loop {
+            tokio::select! {
+                _ = request_interval.tick() => pending_requests.push(self.request(url, time_limit)),
+                Some(result) = pending_requests.next() => match result {
+                    Ok(list) => return list,
+                    // One line for all of its silence.
+                    Err(error) if !has_failed => {
+                        has_failed = true;
+                        warn!(%error, "the agent does not list the nodes, calls go on");
+                    }
+                    Err(_) => {}
+                },
+            }
+        }
+    }
+
+    /// One request, abandoned after `time_limit`.
+    async fn request(&self, url: &str, time_limit: Duration) -> Result<NodeList, DiscoveryError> {
+        timeout(time_limit, self.fetch(url)).await.map_err(|_| DiscoveryError::TimedOut)?
+    }
+
+    async fn fetch(&self, url: &str) -> Result<NodeList, DiscoveryError> {
+        let uri = url.parse().map_err(|source| DiscoveryError::InvalidUrl { url: url.to_owned(), source })?;
+        let response = self.client.get(uri).await.map_err(DiscoveryError::Request)?;
+        if !response.status().is_success() {
+            return Err(DiscoveryError::Status(response.status()));
+        }
+        let body = Limited::new(response.into_body(), self.limits.body).collect().await;
+        let bytes = body.map_err(DiscoveryError::Body)?.to_bytes();
+        serde_json::from_slice(&bytes).map_err(DiscoveryError::InvalidList)
+    }
+}
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -15,15 +15,15 @@
 pub mod codec;
 mod command;
 pub mod desk;
+pub mod discovery;
 pub mod edition;
+pub mod endpoint_list;
 pub mod front;
 mod leave;
 pub mod limits;
-pub mod listing;
 pub mod node_pool;
 mod reload;
 pub mod retrieval;
-pub mod roll;
 mod start;
 #[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
 mod versions;
@@ -89,7 +89,7 @@
     let front = HttpServer::new(counter);
     actix_rt::spawn(engine.clone().run());
     let (discovery, place) = watch::channel(order.discovery);
-    actix_rt::spawn(roll::follow(engine.clone(), limits.clone(), place));
+    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.clone(), place));
     let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(front.clone().run(listener));
     info!("{} serves on {listens}", order.name);
--- a/crates/broker/src/node_pool/connection_task.rs
+++ b/crates/broker/src/node_pool/connection_task.rs
@@ -98,7 +98,8 @@
     fn end_attempts(&self, end: ConnectionEnd) {
         for InFlightRequest { attempt, progress } in self.connection.remove_all() {
             let outcome = match (progress, end) {
-                // Guards against a node that writes noise and is taken for one that fell: its process runs.
+                // Guards against a node that writes noise and is mistaken for one that went down: its process
+                // runs.
                 (WriteProgress::Complete, ConnectionEnd::InvalidData) => AttemptOutcome::Errored,
                 (WriteProgress::Complete, ConnectionEnd::Closed) => AttemptOutcome::ConnectionLost,
                 (WriteProgress::Unwritten | WriteProgress::Partial, _) => AttemptOutcome::ConnectFailed,
--- a/crates/broker/src/node_pool/mod.rs
+++ b/crates/broker/src/node_pool/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Decides on an unconfirmed response with no frame behind it. Guards against a value that is cut, or
-    /// swollen by the head of the next response: its length was wrong, and what comes behind is no frame.
+    /// extended by the head of the next response: its length was wrong, and what comes behind is no frame.
     /// Noise behind the last response due takes nothing from that.
     fn settle_response(&self, connection: &NodeConnection, is_text_behind: bool) {
         if !connection.has_in_flight() && !is_text_behind {
--- a/crates/broker/src/start.rs
+++ b/crates/broker/src/start.rs
@@ -1,7 +1,7 @@
 //! What the broker is told when it starts: the environment and the config file.
 
+use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, Machine};
-use crate::listing::NodeList;
 use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
