--- a/crates/broker/src/engine/attempt_table.rs
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -1,6 +1,6 @@
 //! Attempts in flight, and the times by which something must have become of them.
 
-use crate::nodes::AttemptId;
+use crate::node_pool::AttemptId;
 use routing::{NodeId, Tenths};
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -4,9 +4,9 @@
 use super::attempt_table::InFlightAttempt;
 use super::query_table::NextAttempt;
 use super::{Engine, QueryOutcome};
-use crate::frame::CalledPart;
+use crate::codec::ShardRequestMessage;
 use crate::limits::to_duration;
-use crate::nodes::{AttemptId, Sending};
+use crate::node_pool::{AttemptId, AttemptToSend};
 use bytes::Bytes;
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
@@ -18,7 +18,7 @@
 /// The attempts that one turn sends, and those that it cancels.
 #[derive(Default)]
 struct TurnAttempts {
-    by_node: BTreeMap<NodeId, Vec<Sending>>,
+    by_node: BTreeMap<NodeId, Vec<AttemptToSend>>,
     cancelled: Vec<AttemptId>,
 }
 
@@ -40,8 +40,9 @@
                 }
             }
             Effect::Cancel { shard_request, attempt } => {
-                attempts.cancelled.push((shard_request, attempt));
-                self.nodes.give_up((shard_request, attempt), AttemptOutcome::Cancelled);
+                let attempt = AttemptId { shard_request, number: attempt };
+                attempts.cancelled.push(attempt);
+                self.nodes.cancel(attempt, AttemptOutcome::Cancelled);
             }
             Effect::Respond { query, complete } => {
                 self.finish(query, |responses| QueryOutcome::Response { complete, responses });
@@ -77,10 +78,10 @@
         shard_request: ShardRequestId,
         node: NodeId,
         timeout: Tenths,
-    ) -> Option<Sending> {
+    ) -> Option<AttemptToSend> {
         let next = self.queries.borrow_mut().next_attempt(shard_request);
         let Some(NextAttempt { id, shard, wire_id, text }) = next else {
-            self.report_not_sent(node, (shard_request, AttemptNumber(0)));
+            self.report_not_sent(node, AttemptId { shard_request, number: AttemptNumber(0) });
             return None;
         };
         let attempt = InFlightAttempt {
@@ -90,16 +91,16 @@
             times_out_at: now + timeout,
         };
         self.attempts.borrow_mut().insert(id, attempt);
-        let wait_ms = to_duration(timeout).as_millis().max(1) as u64;
-        let shard_request = CalledPart { id: wire_id, shard: shard.0, wait_ms, text };
-        Some(Sending { attempt: id, shard_request })
+        let timeout_ms = to_duration(timeout).as_millis().max(1) as u64;
+        let shard_request = ShardRequestMessage { id: wire_id, shard: shard.0, timeout_ms, text };
+        Some(AttemptToSend { attempt: id, shard_request })
     }
 
     fn send_attempts(&self, attempts: TurnAttempts) {
         for (node, mut sendings) in attempts.by_node {
             // Guards against a shard request that is sent after its query's end, which the same turn brought.
             sendings.retain(|sending| {
-                let is_wanted = self.queries.borrow().is_open(sending.attempt.0)
+                let is_wanted = self.queries.borrow().is_open(sending.attempt.shard_request)
                     && !attempts.cancelled.contains(&sending.attempt);
                 if !is_wanted {
                     self.report_not_sent(node, sending.attempt);
@@ -115,7 +116,7 @@
     /// Ends an attempt of which nothing was handed to its node.
     fn report_not_sent(&self, node: NodeId, id: AttemptId) {
         self.attempts.borrow_mut().remove(id);
-        let (shard_request, attempt) = id;
+        let AttemptId { shard_request, number: attempt } = id;
         self.push_input(Input::AttemptEnded(AttemptResult {
             shard_request,
             attempt,
@@ -126,8 +127,8 @@
     }
 
     /// Splits a turn's attempts to one node into batches within the bounds on shard requests and bytes.
-    fn split_into_batches(&self, sendings: Vec<Sending>) -> Vec<Vec<Sending>> {
-        let mut batches: Vec<Vec<Sending>> = Vec::new();
+    fn split_into_batches(&self, sendings: Vec<AttemptToSend>) -> Vec<Vec<AttemptToSend>> {
+        let mut batches: Vec<Vec<AttemptToSend>> = Vec::new();
         let mut batch_bytes = 0;
         for sending in sendings {
             let bytes = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
--- a/crates/broker/src/engine/endpoints.rs
+++ b/crates/broker/src/engine/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use super::id_registry::IdRegistry;
-use crate::listing::{ListedNode, NodeList};
+use crate::endpoint_list::{ListedNode, NodeList};
 use routing::{Endpoint, EndpointList, EndpointListKind, EndpointState, Input, PlacementGroupId, Tenths};
 
 impl Engine {
@@ -16,7 +16,7 @@
         let mut ids = self.ids.borrow_mut();
         if kind != EndpointListKind::Delta {
             for node in ids.remove_unlisted(&list.nodes) {
-                self.nodes.listens(node, None, false);
+                self.nodes.set_address(node, None, false);
             }
         }
         let entries: Vec<Endpoint> =
@@ -29,13 +29,13 @@
         let is_ready = state == EndpointState::Ready;
         let node = ids.register_node(&listed.name, state);
         let address = (state != EndpointState::Removed).then_some(listed.address);
-        self.nodes.listens(node, address, is_ready);
+        self.nodes.set_address(node, address, is_ready);
         Endpoint {
             node,
             zone: ids.zone_id(listed.zone),
-            placement_group: PlacementGroupId(listed.cell),
+            placement_group: PlacementGroupId(listed.placement_group),
             state,
-            started_at: (listed.started_ms > 0.0).then(|| Tenths::from_ms(listed.started_ms)),
+            started_at: (listed.started_at_ms > 0.0).then(|| Tenths::from_ms(listed.started_at_ms)),
         }
     }
 }
--- a/crates/broker/src/engine/id_registry.rs
+++ b/crates/broker/src/engine/id_registry.rs
@@ -1,6 +1,6 @@
 //! The ids by which the routing decisions know nodes and zones.
 
-use crate::listing::ListedNode;
+use crate::endpoint_list::ListedNode;
 use routing::{EndpointState, NodeId, ZoneId};
 use std::collections::{HashMap, HashSet};
 
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -21,10 +21,10 @@
 pub use handles::{AcceptedQuery, ReservedMemory};
 pub use query::{AdmissionError, QueryOutcome, QueryRequest, RequestedShard};
 
+use crate::codec::read_load_report;
 use crate::config_epoch::ConfigEpoch;
-use crate::frame::read_report;
 use crate::limits::{Limits, to_duration};
-use crate::nodes::{Ended, NodePool};
+use crate::node_pool::{AttemptEnd, AttemptId, NodePool, ProbeReply};
 use admission_control::AdmissionConfig;
 use attempt_table::{AttemptTable, TimerKind};
 use bytes::Bytes;
@@ -120,12 +120,12 @@
     /// The attempts in flight, in order: the node's address, and the shard request's id on the wire. A
     /// simulation compares them with what its nodes have, to see whether anything is under way.
     pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
-        self.nodes.out()
+        self.nodes.in_flight()
     }
 
     /// The number of attempts in flight.
     pub fn in_flight_count(&self) -> usize {
-        self.nodes.count_out()
+        self.nodes.count_in_flight()
     }
 
     /// The configuration under which queries are accepted now.
@@ -163,7 +163,7 @@
         let longest = Instant::now() + LONGEST_SLEEP;
         tokio::select! {
             () = self.work_ready.notified() => {}
-            () = self.nodes.bell.notified() => {
+            () = self.nodes.results_ready.notified() => {
                 self.collect_ended_attempts();
                 self.collect_probe_results();
             }
@@ -199,8 +199,8 @@
     fn end_overdue_attempts(&self, now: Tenths) {
         while let Some(timer) = self.next_due_timer(now) {
             match timer.kind {
-                TimerKind::WriteDeadline => self.nodes.no_longer(timer.attempt),
-                TimerKind::Timeout => self.nodes.give_up(timer.attempt, AttemptOutcome::TimedOut),
+                TimerKind::WriteDeadline => self.nodes.abort_incomplete(timer.attempt),
+                TimerKind::Timeout => self.nodes.cancel(timer.attempt, AttemptOutcome::TimedOut),
             }
         }
     }
@@ -223,7 +223,7 @@
 
     /// Takes over the ends of attempts, with the responses that came.
     fn collect_ended_attempts(&self) {
-        for ended in self.nodes.fetch_ended() {
+        for ended in self.nodes.fetch_attempt_ends() {
             if let Some(result) = self.attempt_result(ended) {
                 self.inputs.borrow_mut().push(Input::AttemptEnded(result));
             }
@@ -232,10 +232,10 @@
 
     /// The result of an attempt, unless its end was known before. A response that there is no room for is an
     /// error.
-    fn attempt_result(&self, ended: Ended) -> Option<AttemptResult> {
-        let Ended { attempt: id, end, value: response, at } = ended;
+    fn attempt_result(&self, ended: AttemptEnd) -> Option<AttemptResult> {
+        let AttemptEnd { attempt: id, outcome: end, value: response, at } = ended;
         let in_flight = self.attempts.borrow_mut().remove(id)?;
-        let (shard_request, attempt) = id;
+        let AttemptId { shard_request, number: attempt } = id;
         let mut queries = self.queries.borrow_mut();
         let is_kept = response.is_none_or(|response| queries.keep_response(shard_request, &response));
         let outcome = if is_kept { end } else { AttemptOutcome::Errored };
@@ -248,9 +248,9 @@
 
     /// Takes over what load probes brought. `sound`: the node answered.
     fn collect_probe_results(&self) {
-        for (node, text) in self.nodes.fetch_told() {
-            let sound = text.is_some();
-            let report = text.map(|text| read_report(&text)).unwrap_or_default();
+        for ProbeReply { node, report } in self.nodes.fetch_probe_replies() {
+            let sound = report.is_some();
+            let report = report.map(|report| read_load_report(&report)).unwrap_or_default();
             self.push_input(Input::ProbeEnded(ProbeResult { node, sound, report }));
         }
     }
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -2,7 +2,7 @@
 
 use super::{AdmissionError, QueryOutcome, QueryRequest};
 use crate::config_epoch::ConfigEpoch;
-use crate::nodes::AttemptId;
+use crate::node_pool::AttemptId;
 use bytes::Bytes;
 use routing::{AttemptNumber, QueryId, ShardId, ShardRequestId, Tenths};
 use std::collections::{HashMap, HashSet};
@@ -195,7 +195,7 @@
         for shard_request_id in &query.shard_requests {
             let Some(shard_request) = self.shard_requests.remove(shard_request_id) else { continue };
             let numbers = (0..shard_request.attempts).map(AttemptNumber);
-            attempts.extend(numbers.map(|number| (*shard_request_id, number)));
+            attempts.extend(numbers.map(|number| AttemptId { shard_request: *shard_request_id, number }));
             match shard_request.response {
                 Some(response) => {
                     self.held_bytes -= response.len();
@@ -226,7 +226,12 @@
         let number = AttemptNumber(shard_request.attempts);
         shard_request.attempts += 1;
         let wire_id = shard_request.wire_id.clone();
-        Some(NextAttempt { id: (id, number), shard: shard_request.shard, wire_id, text })
+        Some(NextAttempt {
+            id: AttemptId { shard_request: id, number },
+            shard: shard_request.shard,
+            wire_id,
+            text,
+        })
     }
 
     /// Notes that an attempt of a shard request found its node down, or lost its connection.
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -52,7 +52,7 @@
     pub(super) fn close(&self, id: QueryId) -> Option<RemovedQuery> {
         let removed = self.queries.borrow_mut().remove(id)?;
         for attempt in &removed.attempts {
-            self.nodes.take_back(*attempt, AttemptOutcome::NotSent);
+            self.nodes.cancel_unwritten(*attempt, AttemptOutcome::NotSent);
         }
         Some(removed)
     }
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -37,7 +37,7 @@
     actix_rt::Runtime::new().unwrap().block_on(async {
         let engine = engine();
         let address = "127.0.0.1:9".parse().unwrap();
-        engine.nodes.listens(NodeId(1), Some(address), true);
+        engine.nodes.set_address(NodeId(1), Some(address), true);
         let accepted = engine.submit(query_request("a")).unwrap();
         let shard_request = engine.queries.borrow().shard_request_ids()[0];
         engine.inputs.take();
@@ -48,7 +48,7 @@
             matches!(&inputs[..], [Input::AttemptEnded(result)] if result.outcome == AttemptOutcome::NotSent),
             "{inputs:?}"
         );
-        assert!(engine.nodes.fetch_ended().is_empty());
+        assert!(engine.nodes.fetch_attempt_ends().is_empty());
     });
 }
 
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -13,19 +13,19 @@
 //! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the
 //! [`engine::QueryOutcome`].
 
+pub mod codec;
 mod command;
 pub mod config_epoch;
+pub mod discovery;
+pub mod endpoint_list;
 pub mod engine;
-pub mod frame;
 pub mod http_server;
 pub mod limits;
-pub mod listing;
 mod logging;
-pub mod nodes;
+pub mod node_pool;
 mod program;
 pub mod query_handler;
 mod reload;
-pub mod roll;
 mod running;
 mod shutdown;
 pub mod socket_peek;
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use crate::query_handler::{QueryHandler, RejectedRequests};
 use crate::startup::StartupConfig;
-use crate::{roll, versions};
+use crate::{discovery, versions};
 use operator_config::OperatorConfig;
 use routing::EndpointListKind;
 use settings::BrokerSettings;
@@ -69,7 +69,7 @@
     let http_server = HttpServer::new(query_handler);
     actix_rt::spawn(engine.clone().run());
     let (discovery, discovery_changes) = watch::channel(config.discovery);
-    actix_rt::spawn(roll::follow(engine.clone(), limits.clone(), discovery_changes));
+    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.clone(), discovery_changes));
     let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
     info!(broker = %config.name, listen_address = %listens, "serving");
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -1,7 +1,7 @@
 //! What a broker starts from: the environment and the config file.
 
+use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, LimitsError, Machine};
-use crate::listing::NodeList;
 use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
