--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -143,15 +143,20 @@
 
 /// Makes the new file, checks that a broker would start from it, and writes it where there is none.
 fn reshape_file(old: &Path, shape: &Path, zone: Option<&str>, to: Option<&Path>, as_json: bool) -> ExitCode {
-    let words = |list: &[settings_migration::Unfit]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let words =
+        |list: &[settings_migration::LayoutError]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
     let shaped = std::fs::read_to_string(shape).map_err(|e| vec![e.to_string()]);
-    let read =
-        match shaped.and_then(|text| settings_migration::Shape::read(&text).map_err(|unfit| words(&unfit))) {
-            Ok(read) => read,
-            Err(mistakes) => return tell(shape, &mistakes, as_json),
-        };
+    let read = match shaped
+        .and_then(|text| settings_migration::DeploymentLayout::read(&text).map_err(|errors| words(&errors)))
+    {
+        Ok(read) => read,
+        Err(mistakes) => return tell(shape, &mistakes, as_json),
+    };
     let text = std::fs::read(old).map_err(|e| vec![e.to_string()]);
-    let made = match text.and_then(|text| settings_migration::reshape(&text, &read, zone)) {
+    let made = match text.and_then(|text| {
+        settings_migration::migrate(&text, &read, zone)
+            .map_err(|errors| errors.iter().map(ToString::to_string).collect())
+    }) {
         Ok(made) => made,
         Err(mistakes) => return tell(old, &mistakes, as_json),
     };
@@ -166,11 +171,15 @@
         return tell(to, &[e.to_string()], as_json);
     }
     if as_json {
-        let left: Vec<_> = made.left.iter().map(|(key, why)| json!({"key": key, "why": why})).collect();
+        let left: Vec<_> = made
+            .left_behind
+            .iter()
+            .map(|left| json!({"key": left.key, "why": left.reason.to_string()}))
+            .collect();
         println!("{}", json!({"old": old.display().to_string(), "written": written.is_some(), "left": left}));
         return ExitCode::SUCCESS;
     }
-    made.left.iter().for_each(|(key, why)| println!("not carried over: `{key}`: {why}"));
+    made.left_behind.iter().for_each(|left| println!("not carried over: `{}`: {}", left.key, left.reason));
     match to {
         Some(to) => {
             println!("{}: written; `shard-broker check` holds it against the rules again", to.display())
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -910,10 +910,10 @@
     play(async {
         let text = "[fleet]\nbrokers = 2\nzones = east, west\n[layout]\ncells = 2\nreach = 1\nshards = 16\n
             [load]\ntold = pull\nprobes = true\nfields = queue\n";
-        let shape = settings_migration::Shape::read(text).unwrap();
+        let shape = settings_migration::DeploymentLayout::read(text).unwrap();
         let reshaped = |config: &mut Value| {
             let made =
-                settings_migration::reshape(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
+                settings_migration::migrate(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
             *config = serde_json::from_str(&made.text).unwrap();
             // The old fleet's nodes stayed behind; discovery tells the new ones.
             assert!(config.get("known").is_none());
--- /dev/null
+++ b/crates/settings-migration/src/settings_object.rs
@@ -0,0 +1,34 @@
+//! Values of a settings object by keys such as `Domain.Cells` or `Areas[]`, at most two levels deep.
+
+use serde_json::{Map, Value, json};
+
+/// Puts a value where a key stands.
+pub(crate) fn set(settings: &mut Map<String, Value>, key: &str, value: Value) {
+    let key = key.trim_end_matches("[]");
+    let Some((outer, inner)) = key.split_once('.') else {
+        settings.insert(key.to_owned(), value);
+        return;
+    };
+    if let Value::Object(entries) = settings.entry(outer).or_insert_with(|| json!({})) {
+        entries.insert(inner.to_owned(), value);
+    }
+}
+
+/// Removes the value of a key; none where it is not there.
+pub(crate) fn remove(settings: &mut Map<String, Value>, key: &str) -> Option<Value> {
+    let key = key.trim_end_matches("[]");
+    match key.split_once('.') {
+        None => settings.remove(key),
+        Some((outer, inner)) => settings.get_mut(outer)?.as_object_mut()?.remove(inner),
+    }
+}
+
+/// The keys of the outermost two levels.
+pub(crate) fn keys(settings: &Map<String, Value>) -> Vec<String> {
+    let mut keys = Vec::new();
+    for (outer, value) in settings {
+        keys.push(outer.clone());
+        keys.extend(value.as_object().into_iter().flatten().map(|(inner, _)| format!("{outer}.{inner}")));
+    }
+    keys
+}
