--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -65,7 +65,8 @@
 #[case("[log]\n\nformat = xml\n", "line 3: `format` of [log] is `xml`: `text` or `json` is allowed")]
 #[case(
     "[control]\nservices = north\n",
-    "line 2: `services` of [control] is `north`: addresses as `127.0.0.1:18000`, with commas between them is allowed"
+    "line 2: `services` of [control] is `north`: addresses as `127.0.0.1:18000`, \
+        with commas between them is allowed"
 )]
 #[case("[control]\nservices = 127.0.0.1:1\n", "[control] needs `installation`")]
 #[case("[control]\ntrial_ms = 5\n", "[control] needs `services`")]
--- a/crates/settings/src/name_registry.rs
+++ b/crates/settings/src/name_registry.rs
@@ -1,6 +1,6 @@
 //! Which ids the names of request classes and tenants have. An id, once given, stays with its name for as
-//! long as the broker runs, through all versions of its configuration, and is never given to another name: the
-//! routing state is kept by id, and would otherwise count for another class or tenant.
+//! long as the broker runs, through all versions of its configuration, and is never given to another name:
+//! the routing state is kept by id, and would otherwise count for another class or tenant.
 
 use routing::{ClassId, TenantId};
 use std::collections::BTreeMap;
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,3 +1,5 @@
+//! What is read of settings texts, what is wrong in them, and what a running broker takes over.
+
 use super::*;
 use routing::{ClassId, Idempotency, Tenths, ZoneId};
 use rstest::rstest;
@@ -9,9 +11,10 @@
         "Areas": ["north", "south"],
         "Tenants": [{"Name": "clinic", "QuotaRps": 2.5}, {"Name": "school", "QuotaRps": 5}],
         "Services": [
-            {"Name": "report", "OnTimeMs": 2000.0, "DeadlineMs": 5000.0, "Worth": 3.0, "Effect": "deduplicated",
-                "DedupWindowMs": 5000},
-            {"Name": "lookup", "OnTimeMs": 2000.0, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"}],
+            {"Name": "report", "OnTimeMs": 2000.0, "DeadlineMs": 5000.0, "Worth": 3.0,
+                "Effect": "deduplicated", "DedupWindowMs": 5000},
+            {"Name": "lookup", "OnTimeMs": 2000.0, "DeadlineMs": 5000.0, "Worth": 1.0,
+                "Effect": "idempotent"}],
         "Domain": {"Cells": 4, "Reach": 2, "Ranges": 8, "CompleteFrom": [1.0, 1.0], "MinShare": [0.4, 1.0]},
         "Limits": {"MaxAttempts": 3, "MaxOpen": 111, "ConnIdleMs": 15000.0, "StreamsPerConn": 32},
         "Rules": {"ColdFrom": 0.2, "WarmUpMs": 17000, "OverloadFactor": 3, "OverloadForMs": 1000},
@@ -68,6 +71,17 @@
     assert_eq!(read.broker_config.load_by_probe, is);
 }
 
+/// What the platform's text lacks is named; these words reach the broker's log.
+#[rstest]
+#[case("/Domain/MinShare", json!([]), "settings: `MinShare` is too short")]
+#[case("/Domain/CompleteFrom", json!([1.0]), "settings: `CompleteFrom` is too short")]
+#[case("/Services/1/Effect", json!("twice"), "settings: `Effect` is `twice`")]
+#[case("/PeriodMs", Value::Null, "settings: missing field `PeriodMs` at line 1 column ")]
+fn names_what_it_cannot_read(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+    let error = super::read(with(at, to).to_string().as_bytes()).unwrap_err().to_string();
+    assert!(error.starts_with(expected), "{error}");
+}
+
 #[rstest]
 fn finds_nothing_wrong_with_a_valid_one() {
     assert_eq!(check(&document(&valid())), []);
@@ -76,32 +90,88 @@
 /// Each error names the field, what it holds and what is allowed.
 #[rstest]
 #[case("/Domain/MinShare/0", json!(1.5), "`Domain.MinShare[0]` is 1.5: a share from 0 to 1 is allowed")]
-#[case("/Domain/MinShare/0", json!("much"), "`Domain.MinShare[0]` is \"much\": a share from 0 to 1 is allowed")]
-#[case("/Domain/CompleteFrom", json!([0.3, 1]), "`Domain.MinShare[0]` is 0.4: at most `CompleteFrom[0]`, 0.3, is allowed")]
-#[case("/Domain/CompleteFrom", json!([1.0]), "`Domain.CompleteFrom` is a list of 1: one for each of `Services`, 2, is allowed")]
+#[case(
+    "/Domain/MinShare/0",
+    json!("much"),
+    "`Domain.MinShare[0]` is \"much\": a share from 0 to 1 is allowed"
+)]
+#[case(
+    "/Domain/CompleteFrom",
+    json!([0.3, 1]),
+    "`Domain.MinShare[0]` is 0.4: at most `CompleteFrom[0]`, 0.3, is allowed"
+)]
+#[case(
+    "/Domain/CompleteFrom",
+    json!([1.0]),
+    "`Domain.CompleteFrom` is a list of 1: one for each of `Services`, 2, is allowed"
+)]
 #[case("/Stats/Via", json!("push"), "`Stats.Via` is \"push\": `piggyback` or `pull` or `silent` is allowed")]
 #[case("/Stats/Fields", json!("queue"), "`Stats.Fields` is \"queue\": a list is allowed")]
 #[case("/Limits/Probes", json!("yes"), "`Limits.Probes` is \"yes\": true or false is allowed")]
 #[case("/Domain/Reach", json!(0), "`Domain.Reach` is 0: a whole number from 1 to 65536 is allowed")]
 #[case("/Domain/Reach", json!(5), "`Domain.Reach` is 5: at most `Domain.Cells`, 4, is allowed")]
 #[case("/Domain/Cells", json!(2.5), "`Domain.Cells` is 2.5: a whole number from 1 to 65536 is allowed")]
-#[case("/Services/1/OnTimeMs", json!(6000), "`Services[1].OnTimeMs` is 6000: at most `DeadlineMs`, 5000, is allowed")]
-#[case("/Services/1/OnTimeMs", json!(20), "`Services[1].OnTimeMs` is 20: more than four times `PeriodMs`, 20, is allowed")]
+#[case(
+    "/Services/1/OnTimeMs",
+    json!(6000),
+    "`Services[1].OnTimeMs` is 6000: at most `DeadlineMs`, 5000, is allowed"
+)]
+#[case(
+    "/Services/1/OnTimeMs",
+    json!(20),
+    "`Services[1].OnTimeMs` is 20: more than four times `PeriodMs`, 20, is allowed"
+)]
 #[case(
     "/Services/1/OnTimeMs",
     Value::Null,
     "`Services[1].OnTimeMs` is missing: 1 to 600000 milliseconds is needed"
 )]
-#[case("/Services/1/Name", json!("report"), "`Services[1].Name` is \"report\" once more: each name once is allowed")]
-#[case("/Services/0/DedupWindowMs", json!(0), "`Services[0].DedupWindowMs` is 0: more than 0 where `Effect` is `deduplicated` is allowed")]
-#[case("/Services/0/Effect", json!("twice"), "`Services[0].Effect` is \"twice\": `idempotent` or `deduplicated` or `at_most_once` is allowed")]
+#[case(
+    "/Services/1/Name",
+    json!("report"),
+    "`Services[1].Name` is \"report\" once more: each name once is allowed"
+)]
+#[case(
+    "/Services/0/DedupWindowMs",
+    json!(0),
+    "`Services[0].DedupWindowMs` is 0: more than 0 where `Effect` is `deduplicated` is allowed"
+)]
+#[case(
+    "/Services/0/Effect",
+    json!("twice"),
+    "`Services[0].Effect` is \"twice\": `idempotent` or `deduplicated` or `at_most_once` is allowed"
+)]
 #[case("/Services", json!({}), "`Services` is an object: a list is allowed")]
-#[case("/Tenants/1/QuotaRps", json!(-1), "`Tenants[1].QuotaRps` is -1: a number from 0 to 1000000000 is allowed")]
-#[case("/Tenants/1/QuotaRPS", json!(1), "`Tenants[1].QuotaRPS` is unknown: `Tenants[].QuotaRps` is the nearest key")]
-#[case("/Rules/BudgetWindow", json!(1), "`Rules.BudgetWindow` is unknown: `Rules.BudgetWindowMs` is the nearest key")]
-#[case("/Rules/ResendRatio", json!(0.1), "`Rules.BudgetWindowMs` is missing: a window where `ExtraFloor` or `ResendRatio` stand is needed")]
-#[case("/Rules/ColdFrom", json!(0), "`Rules.ColdFrom` is 0: more than 0 where `WarmUpMs` is more than 0 is allowed")]
-#[case("/Limits/MaxOpen", json!(1e300), "`Limits.MaxOpen` is 1e+300: a whole number from 2 to 1000000 is allowed")]
+#[case(
+    "/Tenants/1/QuotaRps",
+    json!(-1),
+    "`Tenants[1].QuotaRps` is -1: a number from 0 to 1000000000 is allowed"
+)]
+#[case(
+    "/Tenants/1/QuotaRPS",
+    json!(1),
+    "`Tenants[1].QuotaRPS` is unknown: `Tenants[].QuotaRps` is the nearest key"
+)]
+#[case(
+    "/Rules/BudgetWindow",
+    json!(1),
+    "`Rules.BudgetWindow` is unknown: `Rules.BudgetWindowMs` is the nearest key"
+)]
+#[case(
+    "/Rules/ResendRatio",
+    json!(0.1),
+    "`Rules.BudgetWindowMs` is missing: a window where `ExtraFloor` or `ResendRatio` stand is needed"
+)]
+#[case(
+    "/Rules/ColdFrom",
+    json!(0),
+    "`Rules.ColdFrom` is 0: more than 0 where `WarmUpMs` is more than 0 is allowed"
+)]
+#[case(
+    "/Limits/MaxOpen",
+    json!(1e300),
+    "`Limits.MaxOpen` is 1e+300: a whole number from 2 to 1000000 is allowed"
+)]
 #[case("/Zone", json!(2), "`Zone` is 2: a place in `Areas`, less than 2, is allowed")]
 #[case("/Domain", Value::Null, "`Domain` is missing: what `Domain.Cells` stands in is needed")]
 fn names_what_is_wrong(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
@@ -272,10 +342,17 @@
     }
 
     proptest! {
-        #![proptest_config(ProptestConfig { cases: 1000, failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default() })]
+        #![proptest_config(ProptestConfig {
+            cases: 1000,
+            failure_persistence: None,
+            rng_seed: seed(),
+            ..ProptestConfig::default()
+        })]
 
         #[test]
-        fn is_rejected_or_can_be_served(changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)) {
+        fn is_rejected_or_can_be_served(
+            changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)
+        ) {
             let mut text = valid();
             for (at, to) in changes {
                 let mut all = Vec::new();
