--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -4,7 +4,7 @@
 use super::placeholder_address;
 use crate::startup::StartupConfig;
 use serde_json::json;
-use settings_migration::{Reshaped, Shape};
+use settings_migration::{DeploymentLayout, MigratedSettings};
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::Path;
@@ -42,7 +42,7 @@
     }
 }
 
-fn make_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<Reshaped, ReshapeError<'a>> {
+fn make_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<MigratedSettings, ReshapeError<'a>> {
     let in_shape = |mistakes| ReshapeError { file: request.shape, mistakes };
     let in_old = |mistakes| ReshapeError { file: request.old, mistakes };
     let shape = read_shape(request.shape).map_err(in_shape)?;
@@ -53,14 +53,14 @@
     Ok(reshaped)
 }
 
-fn read_shape(path: &Path) -> Result<Shape, Mistakes> {
+fn read_shape(path: &Path) -> Result<DeploymentLayout, Mistakes> {
     let text = std::fs::read_to_string(path).map_err(Mistakes::one)?;
-    Shape::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
+    DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
-fn make(request: &ReshapeRequest, shape: &Shape) -> Result<Reshaped, Mistakes> {
+fn make(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
-    let reshaped = settings_migration::reshape(&old, shape, request.zone)
+    let reshaped = settings_migration::migrate(&old, shape, request.zone)
         .map_err(|mistakes| Mistakes::list(&mistakes))?;
     StartupConfig::read(reshaped.text.as_bytes(), placeholder_address).map_err(Mistakes::one)?;
     Ok(reshaped)
@@ -70,16 +70,17 @@
     File::create_new(path)?.write_all(text.as_bytes())
 }
 
-fn print_result(request: &ReshapeRequest, reshaped: &Reshaped) {
+fn print_result(request: &ReshapeRequest, reshaped: &MigratedSettings) {
     if request.as_json {
         let old = request.old.display().to_string();
-        let left = reshaped.left.iter();
-        let left: Vec<_> = left.map(|(key, why)| json!({"key": key, "why": why})).collect();
+        let left = reshaped.left_behind.iter();
+        let left: Vec<_> =
+            left.map(|left| json!({"key": left.key, "why": left.reason.to_string()})).collect();
         println!("{}", json!({"old": old, "written": request.new.is_some(), "left": left}));
         return;
     }
-    for (key, why) in &reshaped.left {
-        println!("not carried over: `{key}`: {why}");
+    for left in &reshaped.left_behind {
+        println!("not carried over: `{}`: {}", left.key, left.reason);
     }
     match request.new {
         Some(new) => {
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -7,7 +7,6 @@
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, ErrorKind};
 use std::ops::ControlFlow::{self, Break, Continue};
-use tokio::net::TcpStream;
 use tokio::net::tcp::WriteHalf;
 use tokio::time::error::Elapsed;
 use tokio::time::{Instant, sleep_until, timeout};
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -96,10 +96,10 @@
     run_test(async {
         let text = "[fleet]\nbrokers = 2\nzones = east, west\n[layout]\ncells = 2\nreach = 1\nshards = 16\n
             [load]\ntold = pull\nprobes = true\nfields = queue\n";
-        let shape = settings_migration::Shape::read(text).unwrap();
+        let shape = settings_migration::DeploymentLayout::read(text).unwrap();
         let migrate = |config: &mut Value| {
             let migrated =
-                settings_migration::reshape(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
+                settings_migration::migrate(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
             *config = serde_json::from_str(&migrated.text).unwrap();
             // The old deployment's nodes are not in it; discovery lists the new ones.
             assert!(config.get("known").is_none());
