--- a/crates/broker-bench/src/fleet.rs
+++ b/crates/broker-bench/src/fleet.rs
@@ -3,7 +3,7 @@
 //! model.
 
 use config_rollout::{
-    Digest, Effect, Input, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy, Sample, StreamNo,
+    Digest, Effect, Input, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy, Sample, StreamId,
     VersionId,
 };
 use routing::Tenths;
@@ -34,10 +34,10 @@
     Service(Happening),
     Due(usize),
     /// A call reaches the service.
-    Called(usize, StreamNo),
-    Opened(usize, StreamNo),
-    Ended(usize, StreamNo),
-    Came(usize, StreamNo, u64),
+    Called(usize, StreamId),
+    Opened(usize, StreamId),
+    Ended(usize, StreamId),
+    Came(usize, StreamId, u64),
     Count(usize),
 }
 
@@ -68,7 +68,7 @@
 struct Broker {
     mind: Mind,
     runs: VersionId,
-    stream: StreamNo,
+    stream: StreamId,
     up: bool,
     nonce: u64,
     counts: Sample,
@@ -101,8 +101,8 @@
     pub fn new(brokers: usize, manner: &Manner, seed: u64, life: Option<Tenths>) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut mind = || match manner {
-            Manner::RolloutController(patience) => Mind::RolloutController(Box::new(RolloutController::new(
-                (**patience).clone(),
+            Manner::RolloutController(policy) => Mind::RolloutController(Box::new(RolloutController::new(
+                (**policy).clone(),
                 1,
                 PersistedState::of(version(0)),
                 rng.u64(..),
@@ -113,7 +113,7 @@
         let broker = |_| Broker {
             mind: mind(),
             runs: version(0),
-            stream: StreamNo(0),
+            stream: StreamId(0),
             up: false,
             nonce: 0,
             counts: Sample::default(),
@@ -177,7 +177,7 @@
         match event {
             Event::Service(happening) => self.serve(happening),
             Event::Due(no) => match self.brokers[no].mind {
-                Mind::RolloutController(_) => self.hear(no, Input::Due),
+                Mind::RolloutController(_) => self.hear(no, Input::TimerExpired),
                 Mind::Fixed(_) => self.call(no),
             },
             Event::Called(no, stream) => {
@@ -194,18 +194,18 @@
                 let broker = &mut self.brokers[no];
                 let bad = self.bad.contains(&broker.runs.number);
                 broker.counts.ended += 20;
-                broker.counts.bad += if bad { 20 } else { 0 };
-                broker.counts.ready = 100;
+                broker.counts.failed += if bad { 20 } else { 0 };
+                broker.counts.ready_nodes = 100;
                 let counts = broker.counts;
                 self.at(self.now + Tenths(SECOND), Event::Count(no));
                 if matches!(self.brokers[no].mind, Mind::RolloutController(_)) {
-                    self.hear(no, Input::Counted(counts));
+                    self.hear(no, Input::OutcomesCounted(counts));
                 }
             }
         }
     }
 
-    fn is_current(&self, no: usize, stream: StreamNo) -> bool {
+    fn is_current(&self, no: usize, stream: StreamId) -> bool {
         self.brokers[no].stream == stream
     }
 
@@ -236,13 +236,13 @@
 
     fn call(&mut self, no: usize) {
         let broker = &mut self.brokers[no];
-        broker.stream = StreamNo(broker.stream.0 + 1);
+        broker.stream = StreamId(broker.stream.0 + 1);
         broker.up = false;
         let (at, stream) = (self.trip(), self.brokers[no].stream);
         self.at(at, Event::Called(no, stream));
     }
 
-    fn opened(&mut self, no: usize, stream: StreamNo) {
+    fn opened(&mut self, no: usize, stream: StreamId) {
         self.brokers[no].up = true;
         if let Some(life) = self.life {
             // As if each moment were as likely: an exponential span.
@@ -258,24 +258,26 @@
             self.at(at, Event::Came(no, stream, 0));
         }
         if matches!(self.brokers[no].mind, Mind::RolloutController(_)) {
-            self.hear(no, Input::Opened(stream));
+            self.hear(no, Input::StreamOpened(stream));
         }
     }
 
-    fn ended(&mut self, no: usize, stream: StreamNo) {
+    fn ended(&mut self, no: usize, stream: StreamId) {
         self.brokers[no].up = false;
         match self.brokers[no].mind {
-            Mind::RolloutController(_) => self.hear(no, Input::Ended { stream, why: "cut".to_owned() }),
+            Mind::RolloutController(_) => {
+                self.hear(no, Input::StreamEnded { stream, reason: "cut".to_owned() })
+            }
             Mind::Fixed(wait) => self.at(self.now + wait, Event::Due(no)),
         }
     }
 
-    fn came(&mut self, no: usize, stream: StreamNo, number: u64) {
+    fn came(&mut self, no: usize, stream: StreamId, number: u64) {
         self.brokers[no].nonce += 1;
         let nonce = Nonce(self.brokers[no].nonce.to_string());
-        let offer = if number == 0 { Offer::Nothing } else { Offer::Sound(version(number)) };
+        let offer = if number == 0 { Offer::Empty } else { Offer::Valid(version(number)) };
         match self.brokers[no].mind {
-            Mind::RolloutController(_) => self.hear(no, Input::Came { stream, nonce, offer }),
+            Mind::RolloutController(_) => self.hear(no, Input::ResponseReceived { stream, nonce, offer }),
             Mind::Fixed(_) => {
                 if number > 0 && self.brokers[no].runs.number != number {
                     self.run(no, version(number));
@@ -294,26 +296,27 @@
 
     fn hear(&mut self, no: usize, input: Input) {
         let Mind::RolloutController(controller) = &mut self.brokers[no].mind else { return };
-        for effect in controller.hear(self.now, input) {
+        for effect in controller.handle(self.now, input) {
             match effect {
-                Effect::Call { .. } => self.call(no),
-                Effect::HangUp { .. } => self.brokers[no].stream.0 += 1,
-                Effect::Answer { .. } | Effect::TellWithdrawn { .. } => {
+                Effect::Connect { .. } => self.call(no),
+                Effect::Disconnect { .. } => self.brokers[no].stream.0 += 1,
+                Effect::Respond { .. } | Effect::ReportWithdrawal { .. } => {
                     *self.outcome.answers.entry(self.now.0 / SECOND).or_default() += 1;
                 }
                 Effect::Apply(version) => self.run(no, version),
-                Effect::PutBack(version) | Effect::Relabel(version) => {
-                    let back = matches!(effect, Effect::PutBack(_));
+                Effect::RollBack(version) | Effect::Renumber(version) => {
+                    let back = matches!(effect, Effect::RollBack(_));
                     let took = (self.now - self.since).0;
                     self.outcome.withdrawals.extend(back.then_some(took));
                     (self.brokers[no].runs, self.brokers[no].counts) = (version, Sample::default());
                 }
                 Effect::WakeAt(at) => self.at(at, Event::Due(no)),
-                Effect::Subscribe { .. } | Effect::Keep(_) | Effect::Remember | Effect::Say(_) => {}
+                Effect::Subscribe { .. } | Effect::StoreContents(_) | Effect::StoreState | Effect::Log(_) => {
+                }
             }
         }
         let Mind::RolloutController(controller) = &self.brokers[no].mind else { return };
         self.outcome.looks += 1;
-        self.outcome.wrong_reports += u64::from(controller.runs() != self.brokers[no].runs);
+        self.outcome.wrong_reports += u64::from(controller.running() != self.brokers[no].runs);
     }
 }
--- a/crates/broker-bench/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -26,9 +26,9 @@
 pub fn measure(brokers: usize, seed: u64) -> bool {
     let rate = brokers as f64 * CALLS_SHARE;
     let bound = rate + DEVIATIONS * rate.sqrt();
-    let patience = RolloutPolicy::default().spread(brokers as u32, rate);
-    let longest = patience.longest_wait.as_ms() / 1000.0;
-    let controller = Manner::RolloutController(Box::new(patience));
+    let policy = RolloutPolicy::default().spread_reconnects(brokers as u32, rate);
+    let longest = policy.max_backoff.as_ms() / 1000.0;
+    let controller = Manner::RolloutController(Box::new(policy));
     let fixed = Manner::FixedWait(Tenths(SECOND));
     let mut figures = Map::new();
     let mut pass = true;
@@ -153,16 +153,16 @@
 fn bytes() -> (usize, usize) {
     let filler = "x".repeat(DOCUMENT - r#"{"a":""}"#.len());
     let document = format!(r#"{{"a":"{filler}"}}"#).into_bytes();
-    let version = Version::of(12, "north", &document).unwrap_or_default();
+    let version = Version::from_document(12, "north", &document).unwrap_or_default();
     let response = DiscoveryResponse {
         version_info: "12".to_owned(),
-        resources: vec![version.resource()],
+        resources: vec![version.to_resource()],
         type_url: TYPE_URL.to_owned(),
         nonce: "12".to_owned(),
         ..DiscoveryResponse::default()
     };
     let runs = VersionId { number: 12, digest: Digest::of(&document) };
-    (response.encoded_len(), wire::request("north", runs, "12", None).encoded_len())
+    (response.encoded_len(), wire::discovery_request("north", runs, "12", None).encoded_len())
 }
 
 #[cfg(test)]
@@ -173,8 +173,8 @@
     /// The measure can fail: brokers that wait a fixed second break the bound that keepers keep.
     #[rstest]
     fn a_fixed_wait_breaks_the_bound() {
-        let patience = RolloutPolicy::default().spread(300, 30.0);
-        let controller = restart(300, &Manner::RolloutController(Box::new(patience)), 3, 1);
+        let policy = RolloutPolicy::default().spread_reconnects(300, 30.0);
+        let controller = restart(300, &Manner::RolloutController(Box::new(policy)), 3, 1);
         let fixed = restart(300, &Manner::FixedWait(Tenths(SECOND)), 3, 1);
         let worst = |outcome: &Outcome| outcome.calls.range(101..).map(|(_, calls)| *calls).max().unwrap();
         assert!(worst(&controller) <= 58 && worst(&fixed) == 300, "{} {}", worst(&controller), worst(&fixed));
--- a/crates/broker/src/command.rs
+++ b/crates/broker/src/command.rs
@@ -1,7 +1,7 @@
 //! The command line. Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the words, or in a file
 //! that was checked; 3 a broker could not be asked.
 
-use crate::{ConfigSource, serve, versions};
+use crate::{ConfigSource, config_rollout, serve};
 use clap::{Parser, Subcommand};
 use operator_config::Fitting;
 use serde_json::{Value, json};
@@ -108,7 +108,7 @@
             reshape_file(&old, &shape, zone.as_deref(), to.as_deref(), json)
         }
         Ok(Command::Control { command: ControlCommand::Status { at, json } }) => {
-            versions::status(at, WITHIN, json)
+            config_rollout::status(at, WITHIN, json)
         }
         Err(e) => {
             let code = if e.use_stderr() { 2 } else { 0 };
--- /dev/null
+++ b/crates/broker/src/config_rollout.rs
@@ -0,0 +1,204 @@
+//! Versions from a configuration service, brought to the engine. The streams, the checks and the state file live
+//! on a thread beside the broker's; here, on the broker's own, a version is taken over in one step between two
+//! turns.
+
+mod status_command;
+
+use crate::StartupConfig;
+use crate::desk::Engine;
+use crate::edition::{ConfigEpoch, EpochCounts};
+use ::config_rollout::{Sample, VersionId};
+use config_rollout_client::{
+    ClientConfig, ConfigReceiver, PublishedStatus, RestoredState, restore, run, serve_status,
+};
+use operator_config::Control;
+use routing::BrokerConfig;
+use settings::{BrokerSettings, Document, Mistake, check};
+pub use status_command::status;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::sync::Arc;
+use thiserror::Error;
+use tokio::sync::{mpsc, oneshot};
+use tracing::{info, warn};
+
+/// The name of the thread that carries the rollout out.
+const THREAD_NAME: &str = "control";
+
+/// A broker's rollout, prepared before it serves.
+pub struct PreparedRollout {
+    client_config: ClientConfig,
+    restored: RestoredState,
+    start_config: BrokerConfig,
+    status_listener: Option<TcpListener>,
+}
+
+/// The broker's own settings can't be what versions are compared with.
+#[derive(Debug, Error)]
+enum OwnSettingsError {
+    #[error("settings: {0}")]
+    Unreadable(#[source] settings::Unreadable),
+    #[error("settings: {0}")]
+    Invalid(Mistake),
+}
+
+impl From<OwnSettingsError> for io::Error {
+    fn from(error: OwnSettingsError) -> io::Error {
+        io::Error::new(io::ErrorKind::InvalidInput, error)
+    }
+}
+
+/// Takes the stored version over, if there is one, so that the broker serves under that from its first query on.
+pub fn prepare(startup: &mut StartupConfig, control: Control) -> io::Result<PreparedRollout> {
+    let own_document = read_own_settings(startup.settings.as_bytes(), control.document)?;
+    let Control { installation, document, keep, .. } = &control;
+    let restored = restore(own_document, &startup.broker_settings, keep.as_deref(), installation, *document);
+    if let Some(file) = &restored.unused_file {
+        let reason = file.to_string();
+        warn!(reason, "the kept version is passed over, the broker begins with its own file");
+    }
+    let version = restored.running.version;
+    if version.number > 0 {
+        info!(number = version.number, digest = %version.digest, "version taken up again, as it was kept");
+        let restored_settings = restored.running.broker_settings.clone();
+        let own = std::mem::replace(&mut startup.broker_settings, restored_settings);
+        keep_socket_waits(&mut startup.broker_settings.broker_config, &own.broker_config);
+    }
+    let status_listener = control.status.map(TcpListener::bind).transpose()?;
+    let client_config = ClientConfig {
+        name: startup.name.clone(),
+        installation: control.installation,
+        services: control.services,
+        policy: control.patience,
+        max_document_bytes: control.document,
+        state_file: control.keep,
+        count_interval: control.count_every,
+        seed: startup.seed,
+    };
+    let start_config = startup.broker_settings.broker_config.clone();
+    Ok(PreparedRollout { client_config, restored, start_config, status_listener })
+}
+
+fn read_own_settings(text: &[u8], max_bytes: usize) -> Result<Document, OwnSettingsError> {
+    let document = Document::parse(text, max_bytes).map_err(OwnSettingsError::Unreadable)?;
+    match check(&document).into_iter().next() {
+        Some(mistake) => Err(OwnSettingsError::Invalid(mistake)),
+        None => Ok(document),
+    }
+}
+
+impl PreparedRollout {
+    /// Starts to follow the configuration services, on a thread of its own; returns the address of the status
+    /// service.
+    pub fn begin(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
+        let PreparedRollout { client_config, restored, start_config, status_listener } = self;
+        let status_address = status_listener.as_ref().map(TcpListener::local_addr).transpose()?;
+        let status = PublishedStatus::new(&client_config, restored.running.version);
+        let (requests, received) = mpsc::channel(1);
+        actix_rt::spawn(serve_requests(engine, start_config, received, status.clone()));
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(move || {
+            runtime.block_on(async move {
+                if let Some(listener) = status_listener.and_then(into_async) {
+                    tokio::spawn(serve_status(status.clone(), listener));
+                }
+                run(client_config, restored, EngineHandle { requests }, status).await;
+            });
+        })?;
+        if let Some(address) = status_address {
+            info!(address = %address, "status service");
+        }
+        Ok(status_address)
+    }
+}
+
+fn into_async(listener: TcpListener) -> Option<tokio::net::TcpListener> {
+    let ready = listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener));
+    ready.inspect_err(|error| warn!(reason = %error, "no status service")).ok()
+}
+
+/// What the rollout's thread asks of the broker's.
+enum EngineRequest {
+    Apply { version: VersionId, broker_settings: Box<BrokerSettings>, done: oneshot::Sender<()> },
+    Renumber { version: VersionId, done: oneshot::Sender<()> },
+    CountOutcomes { reply: oneshot::Sender<Sample> },
+}
+
+/// The engine, as seen from the rollout's thread.
+struct EngineHandle {
+    requests: mpsc::Sender<EngineRequest>,
+}
+
+impl EngineHandle {
+    /// Sends a request and waits for its reply; `None`: the engine is gone.
+    async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> EngineRequest) -> Option<T> {
+        let (reply, replied) = oneshot::channel();
+        self.requests.send(request(reply)).await.ok()?;
+        replied.await.ok()
+    }
+}
+
+impl ConfigReceiver for EngineHandle {
+    async fn apply(&mut self, version: VersionId, broker_settings: BrokerSettings) {
+        let broker_settings = Box::new(broker_settings);
+        self.request(|done| EngineRequest::Apply { version, broker_settings, done }).await;
+    }
+
+    async fn renumber(&mut self, version: VersionId) {
+        self.request(|done| EngineRequest::Renumber { version, done }).await;
+    }
+
+    async fn count_outcomes(&mut self) -> Option<Sample> {
+        self.request(|reply| EngineRequest::CountOutcomes { reply }).await
+    }
+}
+
+/// What the start worked out for sockets holds in every version: a document has only the settings' own values.
+fn keep_socket_waits(config: &mut BrokerConfig, start_config: &BrokerConfig) {
+    config.send_lag = start_config.send_lag;
+    config.watch_on_request = start_config.watch_on_request;
+    config.rules.endpoint_list_max_age = start_config.rules.endpoint_list_max_age;
+}
+
+/// Carries out at the engine what the rollout's thread asks. The published version changes in the same step as
+/// the engine's configuration: nobody can see one without the other.
+async fn serve_requests(
+    engine: Rc<Engine>,
+    start_config: BrokerConfig,
+    mut requests: mpsc::Receiver<EngineRequest>,
+    status: Arc<PublishedStatus>,
+) {
+    while let Some(request) = requests.recv().await {
+        // Whoever asked may be gone: then there is nobody to reply to.
+        match request {
+            EngineRequest::Apply { version, mut broker_settings, done } => {
+                let config = &mut broker_settings.broker_config;
+                keep_socket_waits(config, &start_config);
+                // Zones have the ids of the start here, whatever order a version lists them in.
+                config.zone = start_config.zone;
+                engine.prescribe(ConfigEpoch::new(&broker_settings), broker_settings.broker_config);
+                status.running.store(Arc::new(version));
+                let _ = done.send(());
+            }
+            EngineRequest::Renumber { version, done } => {
+                status.running.store(Arc::new(version));
+                let _ = done.send(());
+            }
+            EngineRequest::CountOutcomes { reply } => _ = reply.send(count_outcomes(&engine)),
+        }
+    }
+}
+
+fn count_outcomes(engine: &Engine) -> Sample {
+    let EpochCounts { ended, late, declined, scrapped, turned_away, by_nodes } = engine.epoch().tally.get();
+    Sample {
+        ended,
+        failed: late + declined + scrapped + turned_away,
+        failed_on_nodes: by_nodes,
+        ready_nodes: engine.ready_nodes() as u64,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker/src/config_rollout/status_command.rs
@@ -0,0 +1,64 @@
+//! `control status`: asks a running broker what it runs, and prints it.
+
+use config_rollout_client::status_query::{BrokerStatus, RejectionStatus, StatusQueryError, fetch_status};
+use serde_json::json;
+use std::io;
+use std::net::SocketAddr;
+use std::process::ExitCode;
+use std::time::Duration;
+
+/// The exit code where no broker answers.
+const EXIT_NO_ANSWER: u8 = 3;
+
+/// Prints the status of the broker whose status service is at this address, as lines or as one JSON object.
+pub fn status(address: SocketAddr, timeout: Duration, as_json: bool) -> ExitCode {
+    match fetch(address, timeout) {
+        Ok(Ok(status)) if as_json => print_json(&status),
+        Ok(Ok(status)) => print_lines(&status),
+        Ok(Err(error)) => {
+            eprintln!("shard-broker: no status from {address}: {error}");
+            return ExitCode::from(EXIT_NO_ANSWER);
+        }
+        Err(error) => {
+            eprintln!("shard-broker: {error}");
+            return ExitCode::FAILURE;
+        }
+    }
+    ExitCode::SUCCESS
+}
+
+/// The outer error: no runtime.
+fn fetch(address: SocketAddr, timeout: Duration) -> io::Result<Result<BrokerStatus, StatusQueryError>> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    Ok(runtime.block_on(fetch_status(address, timeout)))
+}
+
+fn print_json(status: &BrokerStatus) {
+    let rejection = status.last_rejection.as_ref().map(|RejectionStatus { number, reason, at }| {
+        json!({"number": number.parse::<u64>().ok(), "reason": reason, "at": at})
+    });
+    let line = json!({"name": status.name, "installation": status.installation, "number": status.number,
+        "digest": status.digest, "since": status.since, "standing": status.standing,
+        "confirmed": status.confirmed, "unproven": status.unproven, "last_refusal": rejection});
+    println!("{line}");
+}
+
+fn print_lines(status: &BrokerStatus) {
+    println!("broker         {} of {}", status.name, status.installation);
+    println!("runs           version {}, {}", status.number, status.standing);
+    println!("digest         {}", status.digest);
+    println!("since          {:.3} (Unix time)", status.since);
+    println!("confirmed      version {}", status.confirmed);
+    if let Some(reason) = &status.unproven {
+        println!("not proven     {reason}");
+    }
+    match &status.last_rejection {
+        Some(RejectionStatus { number, reason, at }) if number.is_empty() => {
+            println!("last refusal   at {at:.3}: {reason}");
+        }
+        Some(RejectionStatus { number, reason, at }) => {
+            println!("last refusal   version {number} at {at:.3}: {reason}");
+        }
+        None => println!("last refusal   none"),
+    }
+}
--- a/crates/broker/src/versions/tests.rs
+++ b/crates/broker/src/config_rollout/tests.rs
@@ -1,10 +1,11 @@
-//! What a new version leaves as it was worked out at the start.
+//! What a new version leaves as the start worked it out.
 
 use super::*;
 use routing::Tenths;
 use rstest::rstest;
 
-/// A document has the settings' silence; on sockets lists are asked for sooner, also after a version was taken.
+/// A document has the settings' own waits; on sockets lists are asked for sooner, also after a version was
+/// applied.
 #[rstest]
 fn a_version_keeps_the_waits_of_sockets() {
     let mut start =
@@ -12,7 +13,7 @@
     start.rules.endpoint_list_max_age = Tenths(60_000);
     let mut version = BrokerConfig::default();
     version.rules.endpoint_list_max_age = Tenths(500_000);
-    keep_waits(&mut version, &start);
+    keep_socket_waits(&mut version, &start);
     let kept = (version.send_lag, version.watch_on_request, version.rules.endpoint_list_max_age);
     assert_eq!(kept, (Tenths(20_100), true, Tenths(60_000)));
 }
--- a/crates/broker/src/versions_off.rs
+++ b/crates/broker/src/config_rollout_disabled.rs
@@ -1,4 +1,4 @@
-//! Stands in for versions from a control service where the program is built without them.
+//! Takes the place of `config_rollout` where the program is built without that feature.
 
 use crate::StartupConfig;
 use crate::desk::Engine;
@@ -10,21 +10,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub struct Follower(Infallible);
+/// Never exists: no rollout can be prepared.
+pub struct PreparedRollout {
+    never: Infallible,
+}
 
-const WITHOUT: &str =
+const DISABLED: &str =
     "[control] is switched on, but this program is built without it (cargo build --features config-rollout)";
 
-pub fn prepare(_: &mut StartupConfig, _: Control) -> io::Result<Follower> {
-    Err(io::Error::other(WITHOUT))
+/// Fails: `[control]` needs the feature.
+pub fn prepare(_: &mut StartupConfig, _: Control) -> io::Result<PreparedRollout> {
+    Err(io::Error::other(DISABLED))
 }
 
-impl Follower {
+impl PreparedRollout {
+    /// Can't be reached.
     pub fn begin(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
-        match self.0 {}
+        match self.never {}
     }
 }
 
+/// Fails: the command needs the feature.
 pub fn status(_: SocketAddr, _: Duration, _: bool) -> ExitCode {
     eprintln!(
         "shard-broker: this program is built without `control` (cargo build --features config-rollout)"
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -13,6 +13,8 @@
 //! [`desk::QueryRequest`], hands it to [`desk::Engine::take`] and waits for the [`desk::QueryOutcome`].
 
 mod command;
+#[cfg_attr(not(feature = "config-rollout"), path = "config_rollout_disabled.rs")]
+mod config_rollout;
 pub mod desk;
 pub mod edition;
 pub mod frame;
@@ -25,8 +27,6 @@
 pub mod retrieval;
 pub mod roll;
 mod start;
-#[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
-mod versions;
 
 pub use leave::word;
 pub use operator_config::{Control, Fitting, LogForm};
@@ -68,7 +68,7 @@
 /// The same, fitted to an installation.
 pub async fn start_fitted(mut order: StartupConfig, fitting: Fitting) -> io::Result<Running> {
     let follower = match fitting.control {
-        Some(control) => Some(versions::prepare(&mut order, control)?),
+        Some(control) => Some(config_rollout::prepare(&mut order, control)?),
         None => None,
     };
     let listener = TcpListener::bind(order.listen).await?;
--- a/crates/broker/tests/control/party.rs
+++ b/crates/broker/tests/config_rollout/fixture.rs
@@ -1,7 +1,7 @@
-//! Who takes shard request: the program as processes, nodes that answer at once, clients, and documents that can be
-//! told apart from outside.
+//! What the tests share: the program as processes, nodes that answer at once, clients, and documents that can
+//! be distinguished from outside.
 
-use config_rollout_client::csds::{Told, ask};
+use config_rollout_client::status_query::{BrokerStatus, fetch_status};
 use node_emulator::Build;
 use node_emulator::net::Served;
 use serde_json::{Value, json};
@@ -15,24 +15,24 @@
 
 pub const INSTALLATION: &str = "halls";
 
-/// Waits until it holds; with what was waited for, where it does not come to that.
+/// Waits until the condition holds; panics with its description after 40 seconds.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + Duration::from_secs(40);
+    let deadline = Instant::now() + Duration::from_secs(40);
     while !holds() {
-        assert!(Instant::now() < until, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "not true in time: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A host of cell 0 that answers every shard request within a tenth of a millisecond.
+/// A node of placement group 0 that answers every shard request within a tenth of a millisecond.
 pub fn node() -> Served {
     Served::start(Build::default(), |_, _| 100).unwrap()
 }
 
-/// Version `number`: its shards and its time to stay away tell it from every other. Even shards lie in cell
-/// 0, odd ones in cell 1, which no node is in.
+/// Version `number`: its shards and its retry time distinguish it from every other. Even shards lie in
+/// placement group 0, odd ones in group 1, which no node is in.
 pub fn document(number: u64) -> Value {
-    let class = |name: &str, goal: f64| json!({"Name": name, "OnTimeMs": goal, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"});
+    let class = |name: &str, objective: f64| json!({"Name": name, "OnTimeMs": objective, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"});
     json!({"Instances": 3, "PeriodMs": 5.0, "RegistryMode": "subscribe", "Areas": ["hall"], "Tenants": [],
         "Services": [class("lookup", 2000.0), class("probe", 60.0)],
         "Domain": {"Cells": 2, "Reach": 1, "Ranges": 32 + 2 * number, "PerCall": 4,
@@ -43,8 +43,8 @@
             "OverloadForMs": 1000.0}})
 }
 
-/// What a broker starts from.
-pub struct Start<'a> {
+/// What a broker is started with.
+pub struct BrokerStart<'a> {
     pub folder: &'a Path,
     pub name: &'a str,
     pub node: SocketAddr,
@@ -56,20 +56,20 @@
 /// The program, serving.
 pub struct Broker {
     pub listens: SocketAddr,
-    pub status: SocketAddr,
+    pub status_address: SocketAddr,
     child: Child,
     lines: mpsc::Receiver<String>,
     pub log: Vec<String>,
 }
 
 impl Broker {
-    pub fn start(start: &Start) -> Broker {
+    pub fn start(start: &BrokerStart) -> Broker {
         let path = |ending: &str| -> PathBuf { start.folder.join(format!("{}.{ending}", start.name)) };
         let mut settings = document(0);
         (settings["Zone"], settings["Me"]) = (json!(0), json!(1));
         let member = json!({"id": "s-0", "host_port": start.node.to_string(), "locality": "hall", "flavor": "std",
             "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0});
-        // Discovery is down for as long as this lasts: the list is asked for, so the known roll holds.
+        // Discovery is down for as long as this lasts: the list is asked for, so the known list holds.
         let config = json!({"name": start.name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"revision": 1, "complete": true, "members": [member]}, "settings": settings});
@@ -91,33 +91,35 @@
             .spawn()
             .unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (tell, lines) = mpsc::channel();
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).for_each(|line| _ = tell.send(line)));
+        let (sender, lines) = mpsc::channel();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).for_each(|line| _ = sender.send(line))
+        });
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut broker = Broker { listens: nowhere, status: nowhere, child, lines, log: Vec::new() };
-        let told = broker.says("status service");
-        broker.status = told["address"].as_str().unwrap().parse().unwrap();
-        let told = broker.says("serves on");
-        let words = told["message"].as_str().unwrap();
+        let mut broker = Broker { listens: nowhere, status_address: nowhere, child, lines, log: Vec::new() };
+        let line = broker.wait_for_log("status service");
+        broker.status_address = line["address"].as_str().unwrap().parse().unwrap();
+        let line = broker.wait_for_log("serves on");
+        let words = line["message"].as_str().unwrap();
         broker.listens = words.split("serves on ").nth(1).unwrap().parse().unwrap();
         broker
     }
 
     /// The next line of the log with these words in its message.
-    pub fn says(&mut self, words: &str) -> Value {
+    pub fn wait_for_log(&mut self, words: &str) -> Value {
         loop {
             let line = self.lines.recv_timeout(Duration::from_secs(40));
-            let line = line.unwrap_or_else(|_| panic!("`{words}` is not said, but {:#?}", self.log));
-            let told: Value = serde_json::from_str(&line).unwrap_or_else(|_| panic!("no JSON: {line}"));
+            let line = line.unwrap_or_else(|_| panic!("`{words}` is not logged, but {:#?}", self.log));
+            let parsed: Value = serde_json::from_str(&line).unwrap_or_else(|_| panic!("no JSON: {line}"));
             self.log.push(line);
-            if told["message"].as_str().is_some_and(|message| message.contains(words)) {
-                return told;
+            if parsed["message"].as_str().is_some_and(|message| message.contains(words)) {
+                return parsed;
             }
         }
     }
 
-    pub fn told(&self) -> Told {
-        told(self.status)
+    pub fn status(&self) -> BrokerStatus {
+        fetch(self.status_address)
     }
 
     pub fn kill(&mut self) {
@@ -132,17 +134,17 @@
     }
 }
 
-/// What the broker with this status service says that it runs.
-pub fn told(status: SocketAddr) -> Told {
+/// What the broker with this status service reports.
+pub fn fetch(address: SocketAddr) -> BrokerStatus {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(ask(status, Duration::from_secs(20))).unwrap()
+    runtime.block_on(fetch_status(address, Duration::from_secs(20))).unwrap()
 }
 
-/// A client on one connection; it holds every answer against what an answer must be.
+/// A client on one connection; it checks that each response is what a response must be.
 pub struct Client {
     stream: BufReader<TcpStream>,
     name: String,
-    asked: u64,
+    queries: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -156,25 +158,25 @@
     pub fn new(name: &str, broker: SocketAddr) -> Client {
         let stream = TcpStream::connect(broker).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
-        Client { stream: BufReader::new(stream), name: name.to_owned(), asked: 0 }
+        Client { stream: BufReader::new(stream), name: name.to_owned(), queries: 0 }
     }
 
-    /// Asks for one shard, and waits for the one answer.
-    pub fn ask(&mut self, class: &str, shard: u64) -> Reply {
-        self.asked += 1;
+    /// Sends a query of one shard, and waits for the one response.
+    pub fn send_query(&mut self, class: &str, shard: u64) -> Reply {
+        self.queries += 1;
         let body = json!({"slices": [{"slice": shard, "mass": 1.0}], "filter": "x"}).to_string();
         let head = format!(
             "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {}-{}\r\nX-Service-Class: {class}\r\n\
              X-Time-Left-Ms: 5000\r\nContent-Length: {}\r\n\r\n",
             self.name,
-            self.asked,
+            self.queries,
             body.len()
         );
-        assert!(self.stream.buffer().is_empty(), "more than one answer");
+        assert!(self.stream.buffer().is_empty(), "more than one response");
         self.stream.get_mut().write_all((head + &body).as_bytes()).unwrap();
         let mut fields = BTreeMap::new();
         let mut line = String::new();
-        assert!(self.stream.read_line(&mut line).unwrap() > 0, "no answer");
+        assert!(self.stream.read_line(&mut line).unwrap() > 0, "no response");
         let status = line.split(' ').nth(1).unwrap().parse().unwrap();
         loop {
             line.clear();
@@ -188,11 +190,10 @@
         Reply { status, retry_after }
     }
 
-    /// By which version the module rejects a query that none can serve: what it tells of the time to
-    /// stay away. The shard is the last that version `least` has, so that an older one would not let it in.
-    /// None: the broker does not know the shard, and so runs an older one.
+    /// The version by which a query is rejected that no node can serve, from the time after which to retry. The shard is the last that version `least` has, so that an older one would not accept it.
+    /// None: the broker does not know the shard, so it runs an older version.
     pub fn probe(&mut self, least: u64) -> Option<u64> {
-        let Reply { status, retry_after } = self.ask("probe", 31 + 2 * least);
+        let Reply { status, retry_after } = self.send_query("probe", 31 + 2 * least);
         if status == 400 {
             return None;
         }
--- /dev/null
+++ b/crates/config-rollout-client/src/clock.rs
@@ -0,0 +1,40 @@
+//! The clock of the rollout: Unix time at the start, and monotonic from there on.
+
+use routing::Tenths;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::time::Instant;
+
+/// Microseconds in a tenth of a millisecond.
+const MICROS_PER_TENTH: u64 = 100;
+
+pub(crate) struct Clock {
+    started: Instant,
+    started_unix: Tenths,
+}
+
+impl Clock {
+    pub(crate) fn start() -> Clock {
+        Clock { started: Instant::now(), started_unix: unix_now() }
+    }
+
+    pub(crate) fn now(&self) -> Tenths {
+        let elapsed = self.started.elapsed().as_micros() / u128::from(MICROS_PER_TENTH);
+        self.started_unix + Tenths(elapsed as i64)
+    }
+
+    pub(crate) fn instant(&self, at: Tenths) -> Instant {
+        let tenths = u64::try_from((at - self.started_unix).0).unwrap_or(0);
+        self.started + Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
+    }
+}
+
+/// The Unix time now.
+pub(crate) fn unix_now() -> Tenths {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Tenths((since_epoch.as_micros() / u128::from(MICROS_PER_TENTH)) as i64)
+}
+
+/// A bound in tenths as a `Duration`, at least one tenth.
+pub(crate) fn duration_of(tenths: Tenths) -> Duration {
+    Duration::from_micros(tenths.0.max(1) as u64 * MICROS_PER_TENTH)
+}
--- a/crates/config-rollout-client/src/lib.rs
+++ b/crates/config-rollout-client/src/lib.rs
@@ -1,14 +1,30 @@
-//! Carries out what the `control` package decides, on one thread beside the broker: streams to control
-//! services by xDS's transport, the last good version in a file, and the client status service (CSDS).
+//! Carries out what the `config-rollout` package decides, on one thread beside the broker: streams to
+//! configuration services over xDS, the last confirmed version in a file, and the client status service (CSDS).
 //!
-//! A broker makes a [`Post`] and gives [`follow`] something that takes configurations, a [`Seat`]; everything
-//! else is decided by `config_rollout::RolloutController`. Whoever asks finds what the broker runs in the [`Shown`].
+//! A broker makes a [`ClientConfig`] and gives [`run`] a [`ConfigReceiver`] that takes configurations over;
+//! everything else is decided by `config_rollout::RolloutController`. What the broker runs can be read at any
+//! time from the [`PublishedStatus`], which [`serve_status`] serves to others.
 
-pub mod csds;
-mod follow;
-pub mod keep;
-mod shelf;
+#![warn(missing_docs)]
+
+mod client_config;
+mod client_status;
+mod clock;
+mod config_receiver;
+mod log;
+mod published_status;
+mod resource_cache;
+mod restore;
+mod rollout_client;
+pub mod state_file;
+pub mod status_query;
 pub mod wire;
+mod xds_stream;
 
-pub use follow::{Post, Seat, Shown, follow, show};
-pub use shelf::{RestoredState, restore};
+pub use client_config::ClientConfig;
+pub use client_status::serve as serve_status;
+pub use config_receiver::ConfigReceiver;
+pub use published_status::PublishedStatus;
+pub use resource_cache::CachedVersion;
+pub use restore::{RestoreError, RestoredState, UnusedStateFile, restore};
+pub use rollout_client::run;
--- /dev/null
+++ b/crates/config-rollout-client/src/restore.rs
@@ -0,0 +1,99 @@
+//! What a broker starts from: its own settings, or the version that it stored.
+
+use crate::resource_cache::{CachedVersion, InvalidDocument};
+use crate::state_file::{self, StateFileError};
+use crate::wire::{InvalidVersion, VerifiedVersion, Version};
+use config_rollout::{Digest, PersistedState, VersionId};
+use settings::{BrokerSettings, Document, revise};
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// What a broker starts from.
+#[derive(Debug)]
+pub struct RestoredState {
+    /// The broker's own document.
+    pub own_document: Document,
+    /// The version that it starts with.
+    pub running: CachedVersion,
+    /// What outlived the last process.
+    pub persisted: PersistedState,
+    /// A state file whose version was not used.
+    pub unused_file: Option<UnusedStateFile>,
+}
+
+/// A state file whose version was not used, and why.
+#[derive(Debug, Error)]
+#[error("{}: {reason}", path.display())]
+pub struct UnusedStateFile {
+    /// The file.
+    pub path: PathBuf,
+    /// Why.
+    #[source]
+    pub reason: RestoreError,
+}
+
+/// Why the version of a state file is not used.
+#[derive(Debug, Error)]
+pub enum RestoreError {
+    /// The file can't be used.
+    #[error(transparent)]
+    File(#[from] StateFileError),
+    /// The version is not whole, or for another installation.
+    #[error(transparent)]
+    Version(#[from] InvalidVersion),
+    /// The version can't be taken over by a broker with this own document.
+    #[error(transparent)]
+    Document(#[from] InvalidDocument),
+}
+
+/// Takes the stored version, if there is a file, it is whole, for this installation, and can be taken over by a
+/// broker with this own document; else the own document, as version 0. `max_document_bytes` bounds the stored
+/// document.
+pub fn restore(
+    own_document: Document,
+    broker_settings: &BrokerSettings,
+    state_file: Option<&Path>,
+    installation: &str,
+    max_document_bytes: usize,
+) -> RestoredState {
+    let stored = match state_file.map(|path| state_file::read(path, max_document_bytes)) {
+        Some(Ok(stored)) => Ok(Some(stored)),
+        None | Some(Err(StateFileError::Absent)) => Ok(None),
+        Some(Err(error)) => Err(RestoreError::from(error)),
+    };
+    let (stored, mut error) = match stored {
+        Ok(stored) => (stored, None),
+        Err(error) => (None, Some(error)),
+    };
+    let mut running = own_version(&own_document, broker_settings);
+    if let Some(version) = stored.as_ref().and_then(|stored| stored.version.as_ref()) {
+        match restore_version(&own_document, broker_settings, version, installation, max_document_bytes) {
+            Ok(restored) => running = restored,
+            // The file's numbers and withdrawn versions hold, though this broker can't take its contents over.
+            Err(unusable) => error = Some(unusable),
+        }
+    }
+    let fresh = || PersistedState::of(running.version);
+    let persisted = stored.as_ref().map_or_else(fresh, |stored| stored.to_persisted(running.version));
+    let unused_file =
+        state_file.zip(error).map(|(path, reason)| UnusedStateFile { path: path.into(), reason });
+    RestoredState { own_document, running, persisted, unused_file }
+}
+
+/// The broker's own document, as version 0.
+fn own_version(own_document: &Document, broker_settings: &BrokerSettings) -> CachedVersion {
+    let version = VersionId { number: 0, digest: Digest::of(&own_document.canonical()) };
+    CachedVersion { version, document: own_document.clone(), broker_settings: broker_settings.clone() }
+}
+
+fn restore_version(
+    own_document: &Document,
+    broker_settings: &BrokerSettings,
+    stored: &Version,
+    installation: &str,
+    max_document_bytes: usize,
+) -> Result<CachedVersion, RestoreError> {
+    let VerifiedVersion { version, document } = stored.verify(installation, max_document_bytes)?;
+    let revised = revise(own_document, &broker_settings.names, &document).map_err(InvalidDocument::from)?;
+    Ok(CachedVersion { version, document, broker_settings: revised.broker_settings })
+}
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,23 +1,28 @@
-//! The project's own resource in xDS's transport, and how a response is read. A version's number stands in
-//! the response's `version_info` too, so that operators of other proxies see it where they look for it.
+//! The project's own resource in xDS, and how a response is read. A version's number stands in the response's
+//! `version_info` too, so that operators of other proxies see it where they look for it.
 
-use config_rollout::{Digest, Offer, PersistedState, VersionId};
+use config_rollout::{Digest, Offer, VersionId};
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use envoy_types::pb::google::protobuf::Any;
 use envoy_types::pb::google::rpc::Status;
 use prost::Message;
 use settings::Document;
+use thiserror::Error;
 
 /// The resource type: `barleydrum.control.v1.Version`.
 pub const TYPE_URL: &str = "type.googleapis.com/barleydrum.control.v1.Version";
 
-/// The largest response that is read off the wire at all; above it the stream ends. It is far above the bound
-/// of a document, so that one that is too long can be turned down with a reason.
-pub const MOST_ON_WIRE: usize = 16 << 20;
+/// The largest response in bytes that is read at all; above it the stream ends. It is far above the bound of a
+/// document, so that one that is too long can be rejected with a reason.
+pub const MAX_RESPONSE_BYTES: usize = 16 << 20;
+
+/// `google.rpc.Code.INVALID_ARGUMENT`.
+const INVALID_ARGUMENT: i32 = 3;
 
 /// One version, as `docs/control.proto` describes it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Version {
+    /// Its number, at least 1.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// BLAKE3 of the document's canonical bytes (RFC 8785).
@@ -26,6 +31,7 @@
     /// JSON.
     #[prost(bytes = "vec", tag = "3")]
     pub document: Vec<u8>,
+    /// The installation that it is for.
     #[prost(string, tag = "4")]
     pub installation: String,
     /// Who made it, and why: for people.
@@ -33,10 +39,66 @@
     pub note: String,
 }
 
+/// A version whose digest is that of its document.
+#[derive(Clone, Debug)]
+pub struct VerifiedVersion {
+    /// Its number and digest.
+    pub version: VersionId,
+    /// Its contents.
+    pub document: Document,
+}
+
+/// Why a version can't be used.
+#[derive(Debug, Error)]
+pub enum InvalidVersion {
+    /// Number 0 is a broker's own file.
+    #[error("numbers of versions begin at 1")]
+    NumberZero,
+    /// It is for another installation.
+    #[error("it is for installation `{offered}`, this is `{own}`")]
+    OtherInstallation {
+        /// The installation that it is for.
+        offered: String,
+        /// The broker's.
+        own: String,
+    },
+    /// Its document is too long, or no JSON.
+    #[error("document: {0}")]
+    Document(String),
+    /// Its digest has another length than BLAKE3's.
+    #[error("a digest that has not 32 bytes")]
+    DigestLength,
+    /// Its digest is not that of its document.
+    #[error("its digest is told as {}, its contents have {}", claimed.short(), actual.short())]
+    DigestMismatch {
+        /// The digest that it states.
+        claimed: Digest,
+        /// The digest of its document.
+        actual: Digest,
+    },
+}
+
+/// Why a response can't be used.
+#[derive(Debug, Error)]
+enum InvalidResponse {
+    #[error("a resource type that was not asked for: `{0}`")]
+    UnrequestedType(String),
+    #[error("{0} versions in one response, one is allowed")]
+    SeveralVersions(usize),
+    #[error("a resource of type `{0}`")]
+    ResourceType(String),
+    #[error("unreadable: {0}")]
+    Unreadable(#[from] prost::DecodeError),
+    #[error("version_info is `{version_info}`, the version's number {number}")]
+    NumberMismatch { version_info: String, number: u64 },
+    #[error(transparent)]
+    Version(#[from] InvalidVersion),
+}
+
 impl Version {
-    /// Of a document that can be parsed; none of one that can't.
-    pub fn of(number: u64, installation: &str, document: &[u8]) -> Option<Version> {
-        let digest = Digest::of(&Document::parse(document, MOST_ON_WIRE).ok()?.canonical());
+    /// The version of a document; `None` where the document can't be parsed.
+    pub fn from_document(number: u64, installation: &str, document: &[u8]) -> Option<Version> {
+        let digest = Digest::of(&Document::parse(document, MAX_RESPONSE_BYTES).ok()?.canonical());
         Some(Version {
             number,
             digest: digest.0.to_vec(),
@@ -46,146 +108,80 @@
         })
     }
 
-    pub fn resource(&self) -> Any {
+    /// The resource of a response.
+    pub fn to_resource(&self) -> Any {
         Any { type_url: TYPE_URL.to_owned(), value: self.encode_to_vec() }
     }
 
-    /// What it is, if it is whole: its digest is that of its document, which is no longer than `most`.
-    pub fn open(&self, installation: &str, most: usize) -> Result<(VersionId, Document), String> {
+    /// Verifies that it is for this installation, and that its digest is that of its document, which has at
+    /// most `max_document_bytes`.
+    pub fn verify(
+        &self,
+        installation: &str,
+        max_document_bytes: usize,
+    ) -> Result<VerifiedVersion, InvalidVersion> {
         if self.number == 0 {
-            return Err("numbers of versions begin at 1".to_owned());
+            return Err(InvalidVersion::NumberZero);
         }
         if self.installation != installation {
-            return Err(format!("it is for installation `{}`, this is `{installation}`", self.installation));
-        }
-        let document = Document::parse(&self.document, most).map_err(|why| format!("document: {why}"))?;
-        let told = <[u8; 32]>::try_from(&self.digest[..]).map_err(|_| "a digest that has not 32 bytes")?;
-        let digest = Digest::of(&document.canonical());
-        if digest != Digest(told) {
-            return Err(format!(
-                "its digest is told as {}, its contents have {}",
-                Digest(told).short(),
-                digest.short()
-            ));
-        }
-        Ok((VersionId { number: self.number, digest }, document))
-    }
-}
-
-/// What a broker keeps on its disk.
-#[derive(Clone, PartialEq, Message)]
-pub struct Kept {
-    /// The last confirmed version; none: its own file.
-    #[prost(message, optional, tag = "1")]
-    pub version: Option<Version>,
-    #[prost(uint64, tag = "2")]
-    pub highest: u64,
-    #[prost(message, repeated, tag = "3")]
-    pub withdrawn: Vec<Withdrawn>,
-    /// The version on trial, and how often it was applied without its trial's end.
-    #[prost(message, optional, tag = "4")]
-    pub trying: Option<Withdrawn>,
-    #[prost(uint32, tag = "5")]
-    pub strikes: u32,
-}
-
-/// A version without its contents, and a word on it.
-#[derive(Clone, PartialEq, Message)]
-pub struct Withdrawn {
-    #[prost(uint64, tag = "1")]
-    pub number: u64,
-    #[prost(bytes = "vec", tag = "2")]
-    pub digest: Vec<u8>,
-    #[prost(string, tag = "3")]
-    pub why: String,
-}
-
-/// Withdrawn versions that are kept, the newest, and the bytes of each one's reason.
-const KEPT_WITHDRAWN: usize = 32;
-const KEPT_WHY: usize = 500;
-
-impl Withdrawn {
-    fn of(version: VersionId, why: &str) -> Withdrawn {
-        let why: String = why.chars().take(KEPT_WHY).collect();
-        Withdrawn { number: version.number, digest: version.digest.0.to_vec(), why }
-    }
-
-    fn id(&self) -> Option<VersionId> {
-        let digest = Digest(<[u8; 32]>::try_from(&self.digest[..]).ok()?);
-        Some(VersionId { number: self.number, digest })
-    }
-}
-
-impl Kept {
-    pub fn of(memory: &PersistedState, version: Option<Version>) -> Kept {
-        let mut withdrawn: Vec<_> = memory.withdrawn.iter().collect();
-        withdrawn.sort_by_key(|(version, _)| std::cmp::Reverse(version.number));
-        withdrawn.truncate(KEPT_WITHDRAWN);
-        Kept {
-            version,
-            highest: memory.highest,
-            withdrawn: withdrawn.into_iter().map(|(version, why)| Withdrawn::of(*version, why)).collect(),
-            trying: memory.trying.map(|(version, _)| Withdrawn::of(version, "")),
-            strikes: memory.trying.map_or(0, |(_, strikes)| strikes),
+            let (offered, own) = (self.installation.clone(), installation.to_owned());
+            return Err(InvalidVersion::OtherInstallation { offered, own });
         }
-    }
-
-    /// The memory, with what the broker goes on with.
-    pub fn memory(&self, confirmed: VersionId) -> PersistedState {
-        PersistedState {
-            confirmed,
-            highest: self.highest,
-            withdrawn: self.withdrawn.iter().filter_map(|w| Some((w.id()?, w.why.clone()))).collect(),
-            trying: self.trying.as_ref().and_then(|tried| Some((tried.id()?, self.strikes))),
+        let document = Document::parse(&self.document, max_document_bytes)
+            .map_err(|error| InvalidVersion::Document(error.to_string()))?;
+        let claimed = <[u8; 32]>::try_from(&self.digest[..]).map_err(|_| InvalidVersion::DigestLength)?;
+        let (claimed, actual) = (Digest(claimed), Digest::of(&document.canonical()));
+        if claimed != actual {
+            return Err(InvalidVersion::DigestMismatch { claimed, actual });
         }
+        Ok(VerifiedVersion { version: VersionId { number: self.number, digest: actual }, document })
     }
 }
 
-/// What a response brought: a version and its document, or the offer that stands for why there is none.
-pub fn read(
+/// What a response brought: a verified version, or the offer that stands for why there is none.
+pub fn read_response(
     response: &DiscoveryResponse,
     installation: &str,
-    most: usize,
-) -> Result<(VersionId, Document), Offer> {
-    let told: Option<u64> = response.version_info.parse().ok();
-    let broken = |number: Option<u64>, why: String| Offer::Broken { number, why };
+    max_document_bytes: usize,
+) -> Result<VerifiedVersion, Offer> {
+    let invalid =
+        |number: Option<u64>, why: InvalidResponse| Offer::Invalid { number, reason: why.to_string() };
     if response.type_url != TYPE_URL {
-        return Err(broken(None, format!("a resource type that was not asked for: `{}`", response.type_url)));
+        return Err(invalid(None, InvalidResponse::UnrequestedType(response.type_url.clone())));
     }
+    let stated: Option<u64> = response.version_info.parse().ok();
     let resource = match &response.resources[..] {
-        [] => return Err(Offer::Nothing),
+        [] => return Err(Offer::Empty),
         [resource] => resource,
-        more => return Err(broken(told, format!("{} versions in one response, one is allowed", more.len()))),
+        several => return Err(invalid(stated, InvalidResponse::SeveralVersions(several.len()))),
     };
     if resource.type_url != TYPE_URL {
-        return Err(broken(told, format!("a resource of type `{}`", resource.type_url)));
+        return Err(invalid(stated, InvalidResponse::ResourceType(resource.type_url.clone())));
     }
-    let version =
-        Version::decode(&resource.value[..]).map_err(|e| broken(told, format!("unreadable: {e}")))?;
-    if told != Some(version.number) {
-        let why =
-            format!("version_info is `{}`, the version's number {}", response.version_info, version.number);
-        return Err(broken(Some(version.number), why));
+    let version = Version::decode(&resource.value[..]).map_err(|error| invalid(stated, error.into()))?;
+    let number = version.number;
+    if stated != Some(number) {
+        let version_info = response.version_info.clone();
+        return Err(invalid(Some(number), InvalidResponse::NumberMismatch { version_info, number }));
     }
-    version.open(installation, most).map_err(|why| broken(Some(version.number), why))
+    version.verify(installation, max_document_bytes).map_err(|error| invalid(Some(number), error.into()))
 }
 
-/// A request on the stream: the first, an ACK, or a NACK with its reason.
-pub fn request(
+/// A request on the stream: the first, an acknowledgement (ACK), or a rejection (NACK) with its reason.
+pub fn discovery_request(
     installation: &str,
-    runs: VersionId,
+    running: VersionId,
     nonce: &str,
-    refusal: Option<String>,
+    rejection: Option<String>,
 ) -> DiscoveryRequest {
-    /// `google.rpc.Code.INVALID_ARGUMENT`.
-    const INVALID: i32 = 3;
+    let to_status = |message| Status { code: INVALID_ARGUMENT, message, ..Status::default() };
     DiscoveryRequest {
         // A broker on its own file has accepted none.
-        version_info: if runs.number > 0 { runs.number.to_string() } else { String::new() },
+        version_info: if running.number > 0 { running.number.to_string() } else { String::new() },
         resource_names: vec![installation.to_owned()],
         type_url: TYPE_URL.to_owned(),
         response_nonce: nonce.to_owned(),
-        error_detail: refusal.map(|message| Status { code: INVALID, message, ..Status::default() }),
+        error_detail: rejection.map(to_status),
         ..DiscoveryRequest::default()
     }
 }
--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -1,212 +1,240 @@
-//! The three machines together: what was heard goes to the one that it concerns, and what one decides the
-//! others hear.
+//! The three state machines together: each input goes to the one that it concerns, and what one decides is
+//! passed on to the others.
 
 use crate::effects::Effect;
-use crate::inputs::{Input, Nonce, Offer, ServiceNo, StreamNo};
+use crate::inputs::{Input, Nonce, Offer, ServiceIndex, StreamId};
+use crate::outcome_window::{OutcomeWindow, TimedSample};
+use crate::persisted_state::PersistedState;
 use crate::policy::RolloutPolicy;
-use crate::probation::{Past, Probation, ProbationCondition, Sample, Verdict};
-use crate::subscription::{self, Subscription};
+use crate::probation::{Probation, ProbationCondition};
+use crate::rejection::Rejection;
+use crate::sample::Sample;
+use crate::subscription::{Subscription, SubscriptionEvent};
+use crate::verdict::{UnprovenReason, Verdict};
 use crate::version::VersionId;
-use crate::versions::{Event, PersistedState, Rejection, Say, Standing, Versions};
+use crate::version_history::{RolloutState, VersionEvent, VersionHistory};
 use routing::Tenths;
 use std::collections::VecDeque;
 
-/// Nonces of one stream that are remembered as answered.
-const NONCES: usize = 64;
-/// Counts of a trial that are kept.
-const MOST_PIECES: usize = 1024;
+/// How many nonces of one stream are remembered as answered.
+const MAX_ANSWERED_NONCES: usize = 64;
+/// How many samples of a probation are kept.
+const MAX_PROBATION_SAMPLES: usize = 1024;
 
-/// Which version a broker runs, and how it came to.
+/// Decides which version a broker runs.
 #[derive(Debug)]
 pub struct RolloutController {
-    patience: RolloutPolicy,
+    policy: RolloutPolicy,
     subscription: Subscription,
-    versions: Versions,
-    /// Counts of settled versions, and those of the one on trial, which join them when it is confirmed.
-    past: Past,
-    during: Vec<(Tenths, Sample)>,
-    /// The running version's counts as last told.
-    counts: Sample,
-    trial: Option<Probation>,
+    history: VersionHistory,
+    /// Outcomes under settled versions.
+    settled_outcomes: OutcomeWindow,
+    /// Outcomes under the version on probation; they join the settled ones when it is confirmed.
+    probation_outcomes: Vec<TimedSample>,
+    /// The running version's counts as given last.
+    last_sample: Sample,
+    probation: Option<Probation>,
     /// Nonces that were answered on the stream, the newest last.
     answered: VecDeque<Nonce>,
 }
 
-/// What a broker truly runs.
+/// What a broker runs, and how it came to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    pub runs: VersionId,
+    /// The running version.
+    pub running: VersionId,
+    /// Since when it runs.
     pub since: Tenths,
-    pub standing: Standing,
-    /// The trial makes a pause.
-    pub clouded: bool,
-    /// Its trial ended without a verdict, and why.
-    pub unproven: Option<String>,
+    /// Whether it is on probation.
+    pub state: RolloutState,
+    /// The probation is paused because nodes are failing.
+    pub is_probation_paused: bool,
+    /// Why its probation ended without a verdict, if it did.
+    pub unproven: Option<UnprovenReason>,
+    /// The version that was confirmed last.
     pub confirmed: VersionId,
-    pub last_refusal: Option<Rejection>,
-    /// The service whose stream is up.
-    pub service: Option<ServiceNo>,
+    /// The last version that was rejected or withdrawn.
+    pub last_rejection: Option<Rejection>,
+    /// The service whose stream is open.
+    pub service: Option<ServiceIndex>,
 }
 
 impl RolloutController {
-    /// Of a broker with this memory, that may ask so many services.
+    /// The controller of a broker with this stored state, which may subscribe to any of `services`
+    /// services.
     pub fn new(
-        patience: RolloutPolicy,
+        policy: RolloutPolicy,
         services: usize,
-        memory: PersistedState,
+        persisted: PersistedState,
         seed: u64,
         now: Tenths,
     ) -> RolloutController {
         let rng = fastrand::Rng::with_seed(seed);
         RolloutController {
-            subscription: Subscription::new(patience.clone(), services, rng),
-            versions: Versions::new(memory, now),
-            past: Past::default(),
-            during: Vec::new(),
-            counts: Sample::default(),
-            trial: None,
+            subscription: Subscription::new(policy.clone(), services, rng),
+            history: VersionHistory::new(persisted, now),
+            settled_outcomes: OutcomeWindow::default(),
+            probation_outcomes: Vec::new(),
+            last_sample: Sample::default(),
+            probation: None,
             answered: VecDeque::new(),
-            patience,
+            policy,
         }
     }
 
+    /// What the broker runs; it agrees with the effects returned so far.
     pub fn report(&self) -> Report {
+        let is_paused = |probation: &Probation| probation.condition() == ProbationCondition::NodesFailing;
         Report {
-            runs: self.versions.runs(),
-            since: self.versions.since(),
-            standing: self.versions.standing(),
-            clouded: self.trial.as_ref().is_some_and(|trial| trial.sky() == ProbationCondition::Overcast),
-            unproven: self.versions.unproven().map(str::to_owned),
-            confirmed: self.versions.confirmed(),
-            last_refusal: self.versions.last_refusal().cloned(),
-            service: self.subscription.stream().map(|_| self.subscription.service()),
+            running: self.history.running(),
+            since: self.history.since(),
+            state: self.history.state(),
+            is_probation_paused: self.probation.as_ref().is_some_and(is_paused),
+            unproven: self.history.unproven(),
+            confirmed: self.history.confirmed(),
+            last_rejection: self.history.last_rejection().cloned(),
+            service: self.subscription.open_stream().map(|_| self.subscription.service()),
         }
     }
 
-    pub fn runs(&self) -> VersionId {
-        self.versions.runs()
+    /// The running version.
+    pub fn running(&self) -> VersionId {
+        self.history.running()
     }
 
-    /// What must outlast the process.
-    pub fn memory(&self) -> PersistedState {
-        self.versions.memory()
+    /// What must outlive the process.
+    pub fn persisted_state(&self) -> PersistedState {
+        self.history.persisted_state()
     }
 
     /// The highest number accepted; it never falls.
-    pub fn highest(&self) -> u64 {
-        self.versions.highest()
+    pub fn highest_accepted(&self) -> u64 {
+        self.history.highest_accepted()
     }
 
-    /// Whether contents of this version would be applied. For whoever reads a response: it spares checking
-    /// what is not taken anyway.
+    /// Whether contents of this version would be applied. For the reader of a response: it need not check
+    /// the contents of a version that would be rejected anyway.
     pub fn would_apply(&self, version: VersionId) -> bool {
-        self.versions.compare(&Offer::Sound(version)).0 == Event::Newer
+        self.history.compare(&Offer::Valid(version)).event == VersionEvent::Newer
     }
 
-    pub fn hear(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
+    /// Handles one input; the effects are to be carried out before the next.
+    pub fn handle(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let asleep_until = self.subscription.next_due();
+        let due_before = self.subscription.next_due();
+        self.dispatch(now, input, &mut effects);
+        if let Some(due) = self.subscription.next_due().filter(|due| Some(*due) != due_before) {
+            effects.push(Effect::WakeAt(due));
+        }
+        effects
+    }
+
+    fn dispatch(&mut self, now: Tenths, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::Start => self.subscription.hear(now, subscription::Event::Began, &mut effects),
-            Input::Due => self.subscription.hear(now, subscription::Event::Due, &mut effects),
-            Input::Opened(stream) if self.subscription.is_current(stream) => {
+            Input::Start => self.subscription.handle(now, SubscriptionEvent::Started, effects),
+            Input::TimerExpired => self.subscription.handle(now, SubscriptionEvent::TimerExpired, effects),
+            Input::StreamOpened(stream) if self.subscription.is_current(stream) => {
                 self.answered.clear();
-                self.subscription.hear(now, subscription::Event::Opened, &mut effects);
-                effects.push(Effect::Subscribe { stream, runs: self.versions.runs() });
+                self.subscription.handle(now, SubscriptionEvent::StreamOpened, effects);
+                effects.push(Effect::Subscribe { stream, running: self.history.running() });
             }
-            Input::Ended { stream, why } if self.subscription.is_current(stream) => {
-                self.subscription.note_gone(&why, &mut effects);
-                self.subscription.hear(now, subscription::Event::Ended, &mut effects);
+            Input::StreamEnded { stream, reason } if self.subscription.is_current(stream) => {
+                self.subscription.log_unreachable(&reason, effects);
+                self.subscription.handle(now, SubscriptionEvent::StreamEnded, effects);
             }
-            Input::Came { stream, nonce, offer } if self.subscription.is_current(stream) => {
-                self.came(now, stream, nonce, &offer, &mut effects);
+            Input::ResponseReceived { stream, nonce, offer } if self.subscription.is_current(stream) => {
+                self.handle_response(now, stream, nonce, &offer, effects);
             }
-            // Words of streams that are over.
-            Input::Opened(_) | Input::Ended { .. } | Input::Came { .. } => {}
-            Input::Counted(sample) => self.counted(now, sample, &mut effects),
+            // Messages of streams that are over.
+            Input::StreamOpened(_) | Input::StreamEnded { .. } | Input::ResponseReceived { .. } => {}
+            Input::OutcomesCounted(sample) => self.handle_outcomes(now, sample, effects),
         }
-        if let Some(due) = self.subscription.next_due().filter(|due| Some(*due) != asleep_until) {
-            effects.push(Effect::WakeAt(due));
-        }
-        effects
     }
 
-    /// Each nonce of a stream gets one answer: a response that is repeated under an answered one is passed
-    /// over.
-    fn came(
+    /// Each nonce of a stream gets one answer: a response repeated under an answered nonce is ignored.
+    fn handle_response(
         &mut self,
         now: Tenths,
-        stream: StreamNo,
+        stream: StreamId,
         nonce: Nonce,
         offer: &Offer,
         effects: &mut Vec<Effect>,
     ) {
-        self.subscription.hear(now, subscription::Event::Heard, effects);
+        self.subscription.handle(now, SubscriptionEvent::ResponseReceived, effects);
         if self.answered.contains(&nonce) {
             return;
         }
         self.answered.push_back(nonce.clone());
-        if self.answered.len() > NONCES {
+        if self.answered.len() > MAX_ANSWERED_NONCES {
             self.answered.pop_front();
         }
-        let (event, ..) = self.versions.compare(offer);
-        let said = self.versions.offered(now, offer, effects);
+        let comparison = self.history.compare(offer);
+        self.history.handle_offer(now, &comparison, effects);
+        self.follow_version_change(now, comparison.event);
+        let (running, rejection) = (self.history.running(), comparison.rejection);
+        effects.push(Effect::Respond { stream, nonce, running, rejection });
+        if matches!(comparison.event, VersionEvent::Older | VersionEvent::Forked) {
+            self.subscription.handle(now, SubscriptionEvent::HistoryConflict, effects);
+        }
+    }
+
+    /// Starts or ends the probation as the offer just handled requires.
+    fn follow_version_change(&mut self, now: Tenths, event: VersionEvent) {
         match event {
-            Event::Newer => {
-                let before = self.trial.take().map(|trial| trial.follow(now));
-                self.trial = before.or_else(|| Some(Probation::new(self.patience.clone(), &self.past, now)));
-                self.counts_anew();
+            VersionEvent::Newer => {
+                let probation = match self.probation.take() {
+                    Some(replaced) => replaced.successor(now),
+                    None => Probation::new(self.policy.clone(), &self.settled_outcomes, now),
+                };
+                self.probation = Some(probation);
+                self.reset_counts();
             }
-            Event::Returned => {
-                self.trial = None;
-                self.counts_anew();
+            VersionEvent::Reverted => {
+                self.probation = None;
+                self.reset_counts();
             }
             _ => {}
         }
-        let refusal = match said {
-            Say::Accepted => None,
-            Say::TurnedDown(why) => Some(why),
-        };
-        effects.push(Effect::Answer { stream, nonce, runs: self.versions.runs(), refusal });
-        if matches!(event, Event::Older | Event::Forked) {
-            self.subscription.hear(now, subscription::Event::Suspected, effects);
-        }
     }
 
-    /// What was counted of another version is no part of this one's.
-    fn counts_anew(&mut self) {
-        self.counts = Sample::default();
-        self.during.clear();
+    /// What was counted under another version does not count for this one.
+    fn reset_counts(&mut self) {
+        self.last_sample = Sample::default();
+        self.probation_outcomes.clear();
     }
 
-    fn counted(&mut self, now: Tenths, sample: Sample, effects: &mut Vec<Effect>) {
-        let since_last = sample.since(std::mem::replace(&mut self.counts, sample));
-        let span = self.patience.trial;
-        let Some(trial) = &mut self.trial else {
-            return self.past.note(now, since_last, span);
+    fn handle_outcomes(&mut self, now: Tenths, sample: Sample, effects: &mut Vec<Effect>) {
+        let since_last = sample.since(std::mem::replace(&mut self.last_sample, sample));
+        let Some(probation) = &mut self.probation else {
+            return self.settled_outcomes.record(now, since_last, self.policy.probation_duration);
         };
-        self.during.push((now, since_last));
-        if self.during.len() > MOST_PIECES {
-            self.during.remove(0);
+        self.probation_outcomes.push(TimedSample { at: now, sample: since_last });
+        if self.probation_outcomes.len() > MAX_PROBATION_SAMPLES {
+            self.probation_outcomes.remove(0);
         }
-        let (event, why) = match trial.judge(now, sample) {
-            Verdict::Waits => return,
-            Verdict::Clouded(why) => return self.versions.judged(now, Event::Clouded, &why, effects),
-            Verdict::Proven => (Event::Proven, String::new()),
-            Verdict::Unproven(why) => (Event::Unproven, why),
-            Verdict::Failed(why) => (Event::Failed, why),
-        };
-        self.trial = None;
-        self.versions.judged(now, event, &why, effects);
-        if event == Event::Failed {
-            self.counts_anew();
-            if let (Some(stream), Some(nonce)) = (self.subscription.stream(), self.answered.back()) {
-                let (nonce, runs) = (nonce.clone(), self.versions.runs());
-                effects.push(Effect::TellWithdrawn { stream, nonce, runs, why });
+        let verdict = probation.judge(now, sample);
+        if !matches!(verdict, Verdict::Pending | Verdict::Paused(_)) {
+            self.probation = None;
+        }
+        self.history.handle_verdict(now, &verdict, effects);
+        match verdict {
+            Verdict::Pending | Verdict::Paused(_) => {}
+            Verdict::Proven | Verdict::Unproven(_) => self.settle_probation_outcomes(),
+            Verdict::Failed(reason) => {
+                self.reset_counts();
+                if let (Some(stream), Some(nonce)) =
+                    (self.subscription.open_stream(), self.answered.back().cloned())
+                {
+                    let running = self.history.running();
+                    effects.push(Effect::ReportWithdrawal { stream, nonce, running, reason });
+                }
             }
         }
-        for (at, piece) in std::mem::take(&mut self.during) {
-            self.past.note(at, piece, span);
+    }
+
+    fn settle_probation_outcomes(&mut self) {
+        for TimedSample { at, sample } in std::mem::take(&mut self.probation_outcomes) {
+            self.settled_outcomes.record(at, sample, self.policy.probation_duration);
         }
     }
 }
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -1,78 +1,118 @@
-//! What a keeper does.
+//! What the [`RolloutController`](crate::RolloutController) asks the program around it to do.
 
-use crate::inputs::{Nonce, ServiceNo, StreamNo};
+use crate::inputs::{Nonce, ServiceIndex, StreamId};
+use crate::rejection::RejectionReason;
+use crate::verdict::{NodeLoss, ProbationFailure, UnprovenReason};
 use crate::version::VersionId;
 use routing::Tenths;
 
-/// One thing to do, in the order given, and before the next input is told.
+/// One action. Effects are carried out in the order given, all of them before the next input is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Open a stream to a service, under this number.
-    Call {
-        service: ServiceNo,
-        stream: StreamNo,
+    /// Open a stream to a configuration service, under this id.
+    Connect {
+        /// Which service.
+        service: ServiceIndex,
+        /// The id of the new stream.
+        stream: StreamId,
     },
-    /// End it; nothing that still comes on it counts.
-    HangUp {
-        stream: StreamNo,
+    /// Close the stream; nothing that still arrives on it counts.
+    Disconnect {
+        /// The stream to close.
+        stream: StreamId,
     },
-    /// Ask for the installation's version; `runs` is what the broker runs.
+    /// Ask for the installation's version.
     Subscribe {
-        stream: StreamNo,
-        runs: VersionId,
+        /// The stream that has just opened.
+        stream: StreamId,
+        /// What the broker runs.
+        running: VersionId,
     },
-    /// Answer the response with this nonce: accepted, or turned down with a reason.
-    Answer {
-        stream: StreamNo,
+    /// Acknowledge the response with this nonce, or reject it with a reason.
+    Respond {
+        /// The stream that the response came on.
+        stream: StreamId,
+        /// The nonce of the response.
         nonce: Nonce,
-        runs: VersionId,
-        refusal: Option<String>,
+        /// What the broker runs.
+        running: VersionId,
+        /// Why the response is rejected; `None` acknowledges it.
+        rejection: Option<RejectionReason>,
     },
-    /// Tell that a version which was accepted earlier is no longer run, on the newest nonce of the stream.
-    TellWithdrawn {
-        stream: StreamNo,
+    /// Report, on the newest nonce of the stream, that a version accepted earlier is no longer run.
+    ReportWithdrawal {
+        /// The open stream.
+        stream: StreamId,
+        /// The newest nonce that was answered on it.
         nonce: Nonce,
-        runs: VersionId,
-        why: String,
+        /// What the broker runs instead.
+        running: VersionId,
+        /// What the withdrawn version did.
+        reason: ProbationFailure,
     },
-    /// Take queries under this version from now on; it was the last one offered as sound.
+    /// Accept queries under this version from now on; it is the one that was last offered as valid.
     Apply(VersionId),
-    /// The same contents have a new number.
-    Relabel(VersionId),
-    /// Take queries under the last confirmed version again.
-    PutBack(VersionId),
-    /// This version is confirmed: keep its contents, for a withdrawal and for a restart.
-    Keep(VersionId),
-    /// Write down [`crate::PersistedState`], before what comes next is done.
-    Remember,
-    /// Be told `Due` at this moment.
+    /// The running contents have a new number.
+    Renumber(VersionId),
+    /// Accept queries under this version, the last confirmed one, again.
+    RollBack(VersionId),
+    /// This version is confirmed: store its contents, for a roll-back and for a restart.
+    StoreContents(VersionId),
+    /// Store the [`PersistedState`](crate::PersistedState) before the next effect is carried out.
+    StoreState,
+    /// Handle [`Input::TimerExpired`](crate::Input::TimerExpired) at this time.
     WakeAt(Tenths),
-    Say(LogEvent),
+    /// Write this event to the log.
+    Log(LogEvent),
 }
 
-/// What the log is told of.
+/// What an operator is told of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
+    /// A version was applied and is on probation.
     Applied(VersionId),
-    Relabelled(VersionId),
+    /// The running contents got a new number.
+    Renumbered(VersionId),
+    /// A version passed its probation.
     Confirmed(VersionId),
-    /// Its trial is over without a verdict, for this reason; it stays.
-    Unproven(VersionId, String),
-    TurnedDown {
+    /// A version's probation is over without a verdict; the version stays.
+    Unproven {
+        /// The version.
+        version: VersionId,
+        /// Why there is no verdict.
+        reason: UnprovenReason,
+    },
+    /// An offer was rejected.
+    Rejected {
+        /// The offered number, where it could be read.
         number: Option<u64>,
-        why: String,
+        /// Why.
+        reason: RejectionReason,
     },
+    /// A version failed its probation and was rolled back.
     Withdrawn {
+        /// The version that failed.
+        version: VersionId,
+        /// What runs instead.
+        running: VersionId,
+        /// What it did.
+        reason: ProbationFailure,
+    },
+    /// The probation pauses: nodes are failing.
+    ProbationPaused {
+        /// The version on probation.
         version: VersionId,
-        runs: VersionId,
-        why: String,
+        /// What shows that nodes are failing.
+        reason: NodeLoss,
     },
-    /// The trial makes a pause: something else is wrong.
-    Clouded(VersionId, String),
-    Reached(ServiceNo),
-    /// A service that had been reached, or was to be for the first time, can't be; told once until it can.
-    Gone {
-        service: ServiceNo,
-        why: String,
+    /// A service responded.
+    ServiceReached(ServiceIndex),
+    /// A service that had been reached, or was to be for the first time, can't be; logged once until it
+    /// can.
+    ServiceUnreachable {
+        /// Which service.
+        service: ServiceIndex,
+        /// The transport's error.
+        reason: String,
     },
 }
--- a/crates/config-rollout/src/inputs.rs
+++ b/crates/config-rollout/src/inputs.rs
@@ -1,44 +1,62 @@
-//! What a keeper hears.
+//! What the program around it gives the [`RolloutController`](crate::RolloutController) to handle.
 
-use crate::probation::Sample;
+use crate::sample::Sample;
 use crate::version::VersionId;
 
-/// A place in the list of control services.
+/// An index into the list of configuration services.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ServiceNo(pub usize);
+pub struct ServiceIndex(pub usize);
 
-/// One stream to a service; a new number for each call.
+/// One stream to a service; each connection attempt has a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StreamNo(pub u64);
+pub struct StreamId(pub u64);
 
-/// What a service marks its response with, unique on its stream.
+/// A service's mark of one response, unique on its stream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Nonce(pub String);
 
-/// What a response brought, once its contents were checked by whoever reads it.
+/// What a response offered, once its contents were checked by the program that read it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It can be taken over; the program holds its contents.
-    Sound(VersionId),
-    /// It can't, whatever the keeper thinks of its number.
-    Broken { number: Option<u64>, why: String },
-    /// The service has nothing for this installation.
-    Nothing,
+    /// It can be applied; the program holds its contents.
+    Valid(VersionId),
+    /// It can't be read or applied.
+    Invalid {
+        /// The offered number, where it could be read.
+        number: Option<u64>,
+        /// All that is wrong, as the reader of the response words it.
+        reason: String,
+    },
+    /// The service has no version for this installation.
+    Empty,
 }
 
+/// One thing that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Begin.
+    /// The program starts.
     Start,
-    /// The stream is up.
-    Opened(StreamNo),
-    /// It has ended, or never came up.
-    Ended { stream: StreamNo, why: String },
-    /// A response came on it.
-    Came { stream: StreamNo, nonce: Nonce, offer: Offer },
-    /// How what was taken under the running version ended, counted up since it was applied, and how many
-    /// nodes are ready. Told at a steady pace.
-    Counted(Sample),
-    /// A moment that was asked for has come.
-    Due,
+    /// The stream is open.
+    StreamOpened(StreamId),
+    /// The stream has ended, or never opened.
+    StreamEnded {
+        /// Which stream.
+        stream: StreamId,
+        /// The transport's error.
+        reason: String,
+    },
+    /// A response arrived.
+    ResponseReceived {
+        /// The stream that it arrived on.
+        stream: StreamId,
+        /// Its nonce.
+        nonce: Nonce,
+        /// What it offered.
+        offer: Offer,
+    },
+    /// How queries accepted under the running version ended, counted since it was applied, and how many
+    /// nodes are ready. Given at a steady interval.
+    OutcomesCounted(Sample),
+    /// A time requested by [`Effect::WakeAt`](crate::Effect::WakeAt) has come.
+    TimerExpired,
 }
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,38 +1,54 @@
-//! Which version of its configuration a broker runs. Decisions only: no I/O, no clock, no sockets; chance from
-//! a seed.
+//! Which version of its configuration a broker runs. Decisions only: no I/O, no clock, no sockets;
+//! randomness from a seed.
 //!
-//! A program makes one [`RolloutController`] and gives it all that it hears, one [`Input`] at a time with the moment; it
-//! carries out the [`Effect`]s that come back, in their order, before the next input. What a broker reports
-//! is [`RolloutController::report`], and it is what was last carried out.
+//! A program makes one [`RolloutController`] and gives it each [`Input`] with the current time; it carries
+//! out the [`Effect`]s that are returned, in their order, before the next input. What a broker reports is
+//! [`RolloutController::report`], which always agrees with the effects carried out last.
 //!
-//! Three machines stand behind it, each a table of state, input, next state and effect, and a short loop:
-//! - [`subscription`]: the way to a control service: `Resting`, `Waiting`, `Calling`, `Open`;
-//! - [`versions`]: what the broker runs: `Settled` or `OnTrial`, and what is to be said to each offer;
-//! - [`probation`]: whether a version on trial is to blame for what ends badly: `Clear` or `Clouded`.
+//! Three state machines stand behind it, each a table of state, event, next state and action, and a short
+//! loop:
+//! - [`subscription`]: the connection to a configuration service: `Idle`, `BackingOff`, `Connecting`,
+//!   `Open`;
+//! - [`version_history`]: what the broker runs, `Settled` or `OnProbation`, and how each offer is answered;
+//! - [`probation`]: whether a version on probation is to blame for failed queries: `Stable` or
+//!   `NodesFailing`.
 //!
 //! ```
 //! use routing::Tenths;
-//! use config_rollout::{Digest, Effect, Input, RolloutController, PersistedState, RolloutPolicy, VersionId};
+//! use config_rollout::{Digest, Effect, Input, RolloutController, PersistedState, RolloutPolicy,
+//! VersionId};
 //!
 //! let own = VersionId { number: 0, digest: Digest::of(b"the broker's own file") };
-//! let mut controller = RolloutController::new(RolloutPolicy::default(), 1, PersistedState::of(own), 7, Tenths(0));
-//! let effects = controller.hear(Tenths(0), Input::Start);
-//! assert!(matches!(effects[..], [Effect::Call { .. }, ..]));
+//! let state = PersistedState::of(own);
+//! let mut controller = RolloutController::new(RolloutPolicy::default(), 1, state, 7, Tenths(0));
+//! let effects = controller.handle(Tenths(0), Input::Start);
+//! assert!(matches!(effects[..], [Effect::Connect { .. }, ..]));
 //! ```
 
+#![warn(missing_docs)]
+
 mod controller;
 mod effects;
 mod inputs;
+mod outcome_window;
+mod persisted_state;
 mod policy;
 pub mod probation;
+mod rejection;
+mod sample;
 pub mod subscription;
+mod verdict;
 mod version;
-pub mod versions;
+pub mod version_history;
+mod wilson;
 
 pub use controller::{Report, RolloutController};
 pub use effects::{Effect, LogEvent};
-pub use inputs::{Input, Nonce, Offer, ServiceNo, StreamNo};
+pub use inputs::{Input, Nonce, Offer, ServiceIndex, StreamId};
+pub use persisted_state::{PersistedState, ProbationAttempt, WithdrawnVersion};
 pub use policy::RolloutPolicy;
-pub use probation::Sample;
+pub use rejection::{Rejection, RejectionReason};
+pub use sample::Sample;
+pub use verdict::{NodeLoss, ProbationFailure, UnprovenReason, Verdict};
 pub use version::{Digest, VersionId};
-pub use versions::{PersistedState, Rejection, Standing};
+pub use version_history::RolloutState;
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -1,438 +1,214 @@
-//! Whether a version on trial is to blame for what ends badly. It compares the share of queries taken
-//! under it that ended badly with the share before, beyond noise; and it holds its tongue while nodes are
-//! lost, for a hall that fell in the same minute looks the same from here.
+//! Whether a version on probation is to blame for failed queries. The share of queries that failed under it
+//! is compared with the share before, beyond noise; while nodes are failing there is no verdict, because a
+//! zone that was lost in the same minute looks the same from here.
 //!
-//! What it can't tell: a version that brings nodes down (it takes that for a cloud); a trouble of tenants or
-//! of the way to them that began in the same span as the version; harm too rare for the traffic that there
-//! was.
+//! What it can't tell: a version that brings nodes down (it takes that for failing nodes); a fault of
+//! tenants, or of the network to them, that began in the same span as the version; harm too rare for the
+//! traffic that there was.
 
+use crate::outcome_window::Baseline;
+pub use crate::outcome_window::OutcomeWindow;
 use crate::policy::RolloutPolicy;
-use ProbationCondition::{Clear, Overcast};
+use crate::sample::Sample;
+use crate::verdict::{NodeLoss, ProbationFailure, UnprovenReason, Verdict};
+use crate::wilson::score_interval;
+use ProbationCondition::{NodesFailing, Stable};
 use routing::Tenths;
-use std::collections::VecDeque;
 
-/// How queries of the running version ended, counted up since it was applied.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sample {
-    pub ended: u64,
-    /// Late, declined, scrapped or turned away.
-    pub bad: u64,
-    /// Of these: those of which an attempt found its node down, or lost its connection.
-    pub by_nodes: u64,
-    /// Nodes that are ready now.
-    pub ready: u64,
-}
-
-impl Sample {
-    /// Both together, with the more nodes of either.
-    fn and(self, other: Sample) -> Sample {
-        Sample {
-            ended: self.ended + other.ended,
-            bad: self.bad + other.bad,
-            by_nodes: self.by_nodes + other.by_nodes,
-            ready: self.ready.max(other.ready),
-        }
-    }
-
-    pub(crate) fn since(self, before: Sample) -> Sample {
-        Sample {
-            ended: self.ended.saturating_sub(before.ended),
-            bad: self.bad.saturating_sub(before.bad),
-            by_nodes: self.by_nodes.saturating_sub(before.by_nodes),
-            ready: self.ready,
-        }
-    }
-
-    /// Those that ended badly while their nodes were sound.
-    fn unblamed(self) -> u64 {
-        self.bad.saturating_sub(self.by_nodes)
-    }
-}
-
-/// Whether nodes are being lost while a version is on trial.
+/// Whether nodes are failing while a version is on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbationCondition {
-    Clear,
-    Overcast,
-}
-
-/// What the trial has come to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Waits,
-    Proven,
-    /// It ended without a verdict.
-    Unproven(String),
-    Failed(String),
-    /// It makes a pause, told when it begins.
-    Clouded(String),
+    /// Nodes are as they were before the version.
+    Stable,
+    /// Nodes are failing; the probation is paused.
+    NodesFailing,
 }
 
-type Guard = fn(&Probation, &Look) -> bool;
-type Act = fn(&mut Probation, &Look) -> Verdict;
-
-struct Row(&'static [ProbationCondition], Guard, ProbationCondition, Act);
-
-/// Under a sky, if the guard holds: the next sky, and the verdict. The first row that fits is taken.
-#[rustfmt::skip]
-const TABLE: &[Row] = &[
-    Row(&[Clear],    Probation::loses_nodes, Overcast, Probation::pause),
-    Row(&[Clear],    Probation::is_too_long, Clear,    Probation::give_up),
-    Row(&[Overcast], Probation::is_too_long, Clear,    Probation::give_up_lost),
-    Row(&[Overcast], Probation::loses_nodes, Overcast, Probation::skip),
-    Row(&[Overcast], |_, _| true,        Clear,    Probation::begin_anew),
-    Row(&[Clear],    Probation::is_worse,    Clear,    Probation::blame),
-    Row(&[Clear],    Probation::is_over,     Clear,    Probation::prove),
-    Row(&[Clear],    |_, _| true,        Clear,    Probation::wait),
-];
-
-/// How many standard deviations a difference must lie off: it is looked at again and again, so that two would
-/// blame a sound version every few minutes.
-const DEVIATIONS: f64 = 4.0;
-/// A fall of the ready nodes to less than this share of what there were is a cloud.
-const READY_LEFT: f64 = 0.9;
-/// Where too little ended before to compare with, this share ending badly is taken for usual.
-const USUAL: f64 = 0.5;
-/// The span before is looked at in so many pieces: the worst counts, so that a trouble that began shortly
-/// before the version is not laid to it.
-const PIECES: usize = 4;
+/// If fewer than this share of the nodes ready before are left, nodes are failing.
+const MIN_READY_RATIO: f64 = 0.9;
+/// Where too few queries ended before to compare with, this share failing is taken for usual.
+const UNKNOWN_FAILURE_RATIO: f64 = 0.5;
 
 /// What one look at the counts shows.
-struct Look {
+struct Observation {
     now: Tenths,
-    /// Since the sky was last clear.
-    after: Sample,
-}
-
-/// How queries ended of late, a piece for each time that it was told; as long back as a trial compares
-/// with.
-#[derive(Clone, Debug, Default)]
-pub struct Past {
-    pieces: VecDeque<(Tenths, Sample)>,
+    /// Since the condition was last stable.
+    sample: Sample,
 }
 
-impl Past {
-    /// Adds what ended since the last time.
-    pub fn note(&mut self, now: Tenths, since_last: Sample, span: Tenths) {
-        self.pieces.push_back((now, since_last));
-        while self.pieces.front().is_some_and(|(at, _)| *at <= now - span) {
-            self.pieces.pop_front();
-        }
-    }
+type Guard = fn(&Probation, &Observation) -> bool;
+type Action = fn(&mut Probation, &Observation) -> Verdict;
 
-    fn level(&self) -> Level {
-        let count = self.pieces.len();
-        let sum = |from: usize, to: usize| {
-            let pieces = self.pieces.range(from..to).map(|(_, piece)| *piece);
-            pieces.fold(Sample::default(), Sample::and)
-        };
-        let pieces = (0..PIECES).map(|no| sum(count * no / PIECES, count * (no + 1) / PIECES)).collect();
-        let whole = sum(0, count);
-        Level { ready: whole.ready, whole, pieces }
-    }
+/// In a condition, if the guard holds: the next condition, and the action that gives the verdict.
+struct Transition {
+    condition: ProbationCondition,
+    guard: Guard,
+    next: ProbationCondition,
+    action: Action,
 }
 
-/// How it was before the version.
-#[derive(Clone, Debug, Default)]
-struct Level {
-    ready: u64,
-    whole: Sample,
-    pieces: Vec<Sample>,
+const fn row(
+    condition: ProbationCondition,
+    guard: Guard,
+    next: ProbationCondition,
+    action: Action,
+) -> Transition {
+    Transition { condition, guard, next, action }
 }
 
-impl Level {
-    /// The share, at the most, that ended so before; the worst piece counts.
-    fn at_most(&self, least: u64, count: fn(Sample) -> u64, unknown: f64) -> f64 {
-        let known = self.pieces.iter().chain([&self.whole]).filter(|piece| piece.ended >= least);
-        let most = known.map(|piece| wilson(count(*piece), piece.ended).1).fold(f64::NAN, f64::max);
-        if most.is_nan() { unknown } else { most }
-    }
+/// The first row that fits is taken.
+#[rustfmt::skip]
+const TRANSITIONS: &[Transition] = &[
+    //  condition     guard                     next          action
+    row(Stable,       Probation::loses_nodes,   NodesFailing, Probation::pause),
+    row(Stable,       Probation::is_too_long,   Stable,       Probation::end_unproven),
+    row(NodesFailing, Probation::is_too_long,   Stable,       Probation::end_while_nodes_fail),
+    row(NodesFailing, Probation::loses_nodes,   NodesFailing, Probation::stay_pending),
+    row(NodesFailing, Probation::always,        Stable,       Probation::stay_pending),
+    row(Stable,       Probation::is_worse,      Stable,       Probation::fail),
+    row(Stable,       Probation::is_over,       Stable,       Probation::prove),
+    row(Stable,       Probation::always,        Stable,       Probation::stay_pending),
+];
+
+/// When counting began, and the counts at that time.
+#[derive(Clone, Copy, Debug)]
+struct CountStart {
+    at: Tenths,
+    sample: Sample,
 }
 
+/// The probation of one version.
 #[derive(Debug)]
 pub struct Probation {
-    patience: RolloutPolicy,
-    before: Level,
-    began: Tenths,
-    /// When the sky was last clear, and the counts at that time.
-    clear_since: (Tenths, Sample),
-    sky: ProbationCondition,
+    policy: RolloutPolicy,
+    baseline: Baseline,
+    started: Tenths,
+    /// When the condition was last stable.
+    count_start: CountStart,
+    condition: ProbationCondition,
 }
 
 impl Probation {
-    /// Of a version that is applied now, after this past.
-    pub fn new(patience: RolloutPolicy, past: &Past, now: Tenths) -> Probation {
-        let clear_since = (now, Sample::default());
-        Probation { patience, before: past.level(), began: now, clear_since, sky: Clear }
+    /// The probation of a version that is applied now, compared with these outcomes before it.
+    pub fn new(policy: RolloutPolicy, outcomes: &OutcomeWindow, now: Tenths) -> Probation {
+        Probation::from_baseline(policy, outcomes.baseline(), now)
+    }
+
+    /// The probation of a version that replaces another on probation: it is compared with what was before
+    /// both.
+    pub fn successor(&self, now: Tenths) -> Probation {
+        Probation::from_baseline(self.policy.clone(), self.baseline.clone(), now)
     }
 
-    /// Of one that takes the place of another on trial: the measure stays what was before both.
-    pub fn follow(&self, now: Tenths) -> Probation {
-        let (patience, before) = (self.patience.clone(), self.before.clone());
-        Probation { patience, before, began: now, clear_since: (now, Sample::default()), sky: Clear }
+    fn from_baseline(policy: RolloutPolicy, baseline: Baseline, now: Tenths) -> Probation {
+        let count_start = CountStart { at: now, sample: Sample::default() };
+        Probation { policy, baseline, started: now, count_start, condition: Stable }
     }
 
-    pub fn sky(&self) -> ProbationCondition {
-        self.sky
+    /// Whether nodes are failing.
+    pub fn condition(&self) -> ProbationCondition {
+        self.condition
     }
 
-    /// The loop that reads `TABLE`; `sample` counts since the version was applied.
+    /// Takes the first row of `TRANSITIONS` that fits; `sample` counts since the version was applied.
     pub fn judge(&mut self, now: Tenths, sample: Sample) -> Verdict {
-        let look = Look { now, after: sample.since(self.clear_since.1) };
-        let row = TABLE.iter().find(|row| row.0.contains(&self.sky) && row.1(self, &look));
-        let Some(Row(.., sky, act)) = row else { return Verdict::Waits };
-        self.sky = *sky;
-        if self.sky == Overcast {
-            // What ends under a cloud is not counted, nor is the time.
-            self.clear_since = (now, sample);
+        let observation = Observation { now, sample: sample.since(self.count_start.sample) };
+        let transition =
+            TRANSITIONS.iter().find(|row| row.condition == self.condition && (row.guard)(self, &observation));
+        let Some(transition) = transition else { return Verdict::Pending };
+        self.condition = transition.next;
+        if self.condition == NodesFailing {
+            // Neither queries nor time count while nodes are failing.
+            self.count_start = CountStart { at: now, sample };
         }
-        act(self, &look)
+        (transition.action)(self, &observation)
+    }
+
+    /// The largest share of queries failing on healthy nodes that is usual.
+    fn usual_failure_ratio(&self) -> f64 {
+        let min_ended = self.policy.min_ended_queries;
+        self.baseline.upper_bound(min_ended, Sample::failed_on_healthy_nodes, UNKNOWN_FAILURE_RATIO)
     }
 
     // ---- guards
 
-    /// Fewer nodes than before, or more queries that found theirs down.
-    fn loses_nodes(&self, look: &Look) -> bool {
-        let RolloutPolicy { least_ended, margin, .. } = self.patience;
-        let usual = self.before.at_most(least_ended, |sample| sample.by_nodes, 0.0);
-        let (least, _) = wilson(look.after.by_nodes, look.after.ended);
-        (look.after.ready as f64) < self.before.ready as f64 * READY_LEFT || least > usual + margin
+    fn always(&self, _: &Observation) -> bool {
+        true
     }
 
-    fn is_too_long(&self, look: &Look) -> bool {
-        look.now - self.began >= self.patience.longest_trial
+    /// Fewer nodes than before, or more queries that found theirs down.
+    fn loses_nodes(&self, observation: &Observation) -> bool {
+        let RolloutPolicy { min_ended_queries, failure_ratio_margin, .. } = self.policy;
+        let Sample { ended, failed_on_nodes, ready_nodes, .. } = observation.sample;
+        let usual = self.baseline.upper_bound(min_ended_queries, |sample| sample.failed_on_nodes, 0.0);
+        let lower = score_interval(failed_on_nodes, ended).lower;
+        (ready_nodes as f64) < self.baseline.ready_nodes as f64 * MIN_READY_RATIO
+            || lower > usual + failure_ratio_margin
     }
 
-    /// The share that ended badly with sound nodes is beyond what it was, by more than noise and the margin.
-    fn is_worse(&self, look: &Look) -> bool {
-        let RolloutPolicy { least_ended, margin, .. } = self.patience;
-        let usual = self.before.at_most(least_ended, Sample::unblamed, USUAL);
-        let (least, _) = wilson(look.after.unblamed(), look.after.ended);
-        look.after.ended >= least_ended && least > usual + margin
+    fn is_too_long(&self, observation: &Observation) -> bool {
+        observation.now - self.started >= self.policy.max_probation_duration
     }
 
-    /// Time and queries enough, and what was seen does not look worse. One that does, though not beyond
-    /// noise, is looked at on.
-    fn is_over(&self, look: &Look) -> bool {
-        let RolloutPolicy { least_ended, margin, trial, .. } = self.patience;
-        let usual = self.before.at_most(least_ended, Sample::unblamed, USUAL);
-        let looks_worse = look.after.unblamed() as f64 > (usual + margin) * look.after.ended as f64;
-        look.now - self.clear_since.0 >= trial && look.after.ended >= least_ended && !looks_worse
+    /// The share that failed on healthy nodes exceeds the usual one by more than noise and the margin.
+    fn is_worse(&self, observation: &Observation) -> bool {
+        let RolloutPolicy { min_ended_queries, failure_ratio_margin, .. } = self.policy;
+        let sample = observation.sample;
+        let lower = score_interval(sample.failed_on_healthy_nodes(), sample.ended).lower;
+        sample.ended >= min_ended_queries && lower > self.usual_failure_ratio() + failure_ratio_margin
     }
 
-    // ---- acts
-
-    fn wait(&mut self, _: &Look) -> Verdict {
-        Verdict::Waits
+    /// Enough time and queries, and what was seen does not look worse. A version that looks worse, though
+    /// not beyond noise, stays on probation.
+    fn is_over(&self, observation: &Observation) -> bool {
+        let RolloutPolicy { min_ended_queries, failure_ratio_margin, probation_duration, .. } = self.policy;
+        let sample = observation.sample;
+        let tolerated = (self.usual_failure_ratio() + failure_ratio_margin) * sample.ended as f64;
+        let looks_worse = sample.failed_on_healthy_nodes() as f64 > tolerated;
+        observation.now - self.count_start.at >= probation_duration
+            && sample.ended >= min_ended_queries
+            && !looks_worse
     }
 
-    fn skip(&mut self, _: &Look) -> Verdict {
-        Verdict::Waits
-    }
+    // ---- actions
 
-    fn begin_anew(&mut self, _: &Look) -> Verdict {
-        Verdict::Waits
+    fn stay_pending(&mut self, _: &Observation) -> Verdict {
+        Verdict::Pending
     }
 
-    fn pause(&mut self, look: &Look) -> Verdict {
-        let (ready, were) = (look.after.ready, self.before.ready);
-        let Sample { ended, by_nodes, .. } = look.after;
-        Verdict::Clouded(format!(
-            "nodes are being lost ({ready} ready, {were} before; {by_nodes} of {ended} retrievals found theirs down)"
-        ))
+    fn pause(&mut self, observation: &Observation) -> Verdict {
+        let Sample { ended, failed_on_nodes, ready_nodes, .. } = observation.sample;
+        let ready_before = self.baseline.ready_nodes;
+        Verdict::Paused(NodeLoss { ready: ready_nodes, ready_before, failed_on_nodes, ended })
     }
 
-    fn give_up(&mut self, look: &Look) -> Verdict {
-        let (ended, least) = (look.after.ended, self.patience.least_ended);
-        Verdict::Unproven(match ended < least {
-            true => format!("{ended} retrievals ended, {least} are needed"),
-            false => {
-                "it looked worse, though not beyond doubt, or nodes were being lost on and off".to_owned()
-            }
+    fn end_unproven(&mut self, observation: &Observation) -> Verdict {
+        let (ended, required) = (observation.sample.ended, self.policy.min_ended_queries);
+        Verdict::Unproven(match ended < required {
+            true => UnprovenReason::TooFewQueries { ended, required },
+            false => UnprovenReason::Inconclusive,
         })
     }
 
-    fn give_up_lost(&mut self, _: &Look) -> Verdict {
-        Verdict::Unproven("nodes were being lost all the while".to_owned())
+    fn end_while_nodes_fail(&mut self, _: &Observation) -> Verdict {
+        Verdict::Unproven(UnprovenReason::NodesFailing)
     }
 
-    fn prove(&mut self, _: &Look) -> Verdict {
+    fn prove(&mut self, _: &Observation) -> Verdict {
         Verdict::Proven
     }
 
-    fn blame(&mut self, look: &Look) -> Verdict {
-        let (after, before) = (look.after, self.before.whole);
-        let seconds = (look.now - self.clear_since.0).as_ms() / 1000.0;
-        Verdict::Failed(format!(
-            "{} of {} retrievals ended badly in {seconds:.1} s, {} of {} before it",
-            after.unblamed(),
-            after.ended,
-            before.unblamed(),
-            before.ended
-        ))
-    }
-}
-
-/// Between what bounds a share lies of which so many of so many were seen (Wilson's score interval).
-fn wilson(seen: u64, of: u64) -> (f64, f64) {
-    if of == 0 {
-        return (0.0, 1.0);
+    fn fail(&mut self, observation: &Observation) -> Verdict {
+        let (sample, before) = (observation.sample, self.baseline.total);
+        Verdict::Failed(ProbationFailure {
+            failed: sample.failed_on_healthy_nodes(),
+            ended: sample.ended,
+            observed: observation.now - self.count_start.at,
+            failed_before: before.failed_on_healthy_nodes(),
+            ended_before: before.ended,
+        })
     }
-    let (n, z) = (of as f64, DEVIATIONS);
-    let share = (seen.min(of)) as f64 / n;
-    let centre = share + z * z / (2.0 * n);
-    let spread = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
-    let whole = 1.0 + z * z / n;
-    (((centre - spread) / whole).max(0.0), ((centre + spread) / whole).min(1.0))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    const SECOND: i64 = 10_000;
-
-    /// A minute of 20 queries a second before: so many of a hundred bad, in each quarter of it.
-    fn past(bad: [u64; 4]) -> Past {
-        let mut past = Past::default();
-        for second in 0..60 {
-            let bad = 20 * bad[(second / 15) as usize] / 100;
-            let piece = Sample { ended: 20, bad, by_nodes: 0, ready: 100 };
-            past.note(Tenths(second * SECOND), piece, Tenths(60 * SECOND));
-        }
-        past
-    }
-
-    /// Plays a trial, a second at a time, to its first word; with the second.
-    fn play(past: &Past, each: impl Fn(i64, &mut Sample)) -> (i64, Verdict) {
-        let mut trial = Probation::new(RolloutPolicy::default(), past, Tenths(61 * SECOND));
-        let mut counts = Sample { ready: 100, ..Sample::default() };
-        for second in 1..=1000 {
-            each(second, &mut counts);
-            match trial.judge(Tenths((61 + second) * SECOND), counts) {
-                Verdict::Waits | Verdict::Clouded(_) => {}
-                verdict => return (second, verdict),
-            }
-        }
-        panic!("no word in a thousand seconds");
-    }
-
-    fn is_failed(verdict: &Verdict) -> bool {
-        matches!(verdict, Verdict::Failed(_))
-    }
-
-    #[rstest]
-    fn a_sound_one_is_proven_when_its_time_is_over() {
-        let word = play(&past([0; 4]), |_, counts| counts.ended += 20);
-        assert_eq!(word, (60, Verdict::Proven));
-    }
-
-    /// One that makes all fail from its third second on is blamed within seconds.
-    #[rstest]
-    fn blames_what_fails_seconds_later() {
-        let (at, verdict) = play(&past([0; 4]), |second, counts| {
-            counts.ended += 20;
-            counts.bad += if second > 3 { 20 } else { 0 };
-        });
-        assert!(is_failed(&verdict) && at <= 7, "{at}: {verdict:?}");
-    }
-
-    /// Noise about the same share is not blamed, by whatever seed.
-    #[rstest]
-    #[case(0.02)]
-    #[case(0.2)]
-    fn does_not_blame_noise(#[case] share: f64) {
-        for seed in 0..300 {
-            let mut rng = fastrand::Rng::with_seed(seed);
-            let mut draw = |counts: &mut Sample| {
-                counts.ended += 20;
-                counts.bad += (0..20).filter(|_| rng.f64() < share).count() as u64;
-            };
-            let mut past = Past::default();
-            for second in 0..60 {
-                let mut piece = Sample { ready: 100, ..Sample::default() };
-                draw(&mut piece);
-                past.note(Tenths(second * SECOND), piece, Tenths(60 * SECOND));
-            }
-            let draw = std::cell::RefCell::new(draw);
-            let (_, verdict) = play(&past, |_, counts| (draw.borrow_mut())(counts));
-            assert_eq!(verdict, Verdict::Proven, "seed {seed}");
-        }
-    }
-
-    /// Few queries, all bad, and nothing to compare with: not proven by them, and blamed once there are
-    /// more.
-    #[rstest]
-    fn what_looks_worse_is_not_proven() {
-        let patience = RolloutPolicy { trial: Tenths(3 * SECOND), margin: 0.2, ..RolloutPolicy::default() };
-        let mut trial = Probation::new(patience, &Past::default(), Tenths(0));
-        let words = (1..=60).map(|second: i64| {
-            let (ended, ready) = (second as u64 * 10, 5);
-            trial.judge(Tenths(second * SECOND), Sample { ended, bad: ended, by_nodes: 0, ready })
-        });
-        let first = words.into_iter().enumerate().find(|(_, verdict)| *verdict != Verdict::Waits).unwrap();
-        assert!(first.0 == 3 && is_failed(&first.1), "{first:?}");
-    }
-
-    /// A trouble that began a quarter of a minute before the version is not laid to it.
-    #[rstest]
-    fn does_not_blame_what_began_earlier() {
-        let word = play(&past([0, 0, 0, 40]), |_, counts| {
-            counts.ended += 20;
-            counts.bad += 8;
-        });
-        assert_eq!(word, (60, Verdict::Proven));
-    }
-
-    /// A hall lost in the same second: a pause, and the trial begins anew when it is back.
-    #[rstest]
-    #[case(true)]
-    #[case(false)]
-    fn waits_while_a_hall_is_lost(#[case] listed: bool) {
-        let word = play(&past([0; 4]), |second, counts| {
-            counts.ended += 20;
-            let lost = second <= 100;
-            counts.bad += if lost { 15 } else { 0 };
-            counts.by_nodes += if lost && !listed { 15 } else { 0 };
-            counts.ready = if lost && listed { 60 } else { 100 };
-        });
-        assert_eq!(word.1, Verdict::Proven);
-        assert!(word.0 >= 160, "{}", word.0);
-    }
-
-    /// And one that is to blame beside that is found once the hall is back.
-    #[rstest]
-    fn blames_once_the_hall_is_back() {
-        let (at, verdict) = play(&past([0; 4]), |second, counts| {
-            counts.ended += 20;
-            counts.bad += 15;
-            counts.ready = if second <= 100 { 60 } else { 100 };
-        });
-        assert!(is_failed(&verdict) && (101..=106).contains(&at), "{at}: {verdict:?}");
-    }
-
-    #[rstest]
-    #[case(100, 0, "0 retrievals ended, 30 are needed")]
-    #[case(60, 20, "nodes were being lost all the while")]
-    fn ends_without_a_verdict(#[case] ready: u64, #[case] a_second: u64, #[case] why: &str) {
-        let word = play(&past([0; 4]), |_, counts| {
-            counts.ended += a_second;
-            counts.ready = ready;
-        });
-        assert_eq!(word, (900, Verdict::Unproven(why.to_owned())));
-    }
-
-    /// Without a past to compare with, only what is bad beyond doubt is blamed.
-    #[rstest]
-    #[case(8, false)]
-    #[case(18, true)]
-    fn knows_no_usual_share_at_first(#[case] bad: u64, #[case] blamed: bool) {
-        let (_, verdict) = play(&Past::default(), |_, counts| {
-            counts.ended += 20;
-            counts.bad += bad;
-            counts.ready = 100;
-        });
-        assert_eq!(is_failed(&verdict), blamed, "{verdict:?}");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -0,0 +1,127 @@
+//! Waits, budgets and the choice of a service.
+
+use super::*;
+use rstest::rstest;
+
+fn new_subscription(services: usize) -> Subscription {
+    Subscription::new(RolloutPolicy::default(), services, fastrand::Rng::with_seed(3))
+}
+
+fn handle(subscription: &mut Subscription, now: i64, event: SubscriptionEvent) -> Vec<Effect> {
+    let mut effects = Vec::new();
+    subscription.handle(Tenths(now), event, &mut effects);
+    effects
+}
+
+/// Plays a service that refuses each connection attempt, and returns the times of the attempts.
+fn refused(subscription: &mut Subscription, connects: usize) -> Vec<i64> {
+    let mut at = vec![0];
+    handle(subscription, 0, Started);
+    while at.len() < connects {
+        handle(subscription, at[at.len() - 1], StreamEnded);
+        let due = subscription.next_due().unwrap().0;
+        assert!(handle(subscription, due - 1, TimerExpired).is_empty(), "sooner than due");
+        assert!(matches!(handle(subscription, due, TimerExpired)[..], [Effect::Connect { .. }]));
+        at.push(due);
+    }
+    at
+}
+
+#[rstest]
+fn waits_grow_with_jitter_to_a_bound() {
+    let connects = refused(&mut new_subscription(1), 60);
+    let waits: Vec<i64> = connects.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(waits.iter().all(|wait| *wait <= 600_000), "{waits:?}");
+    assert!(waits[..3].iter().all(|wait| *wait <= 40_000), "{waits:?}");
+    let late = &waits[20..];
+    let mean = late.iter().sum::<i64>() / late.len() as i64;
+    assert!((200_000..400_000).contains(&mean), "half of the longest, drawn: {mean}");
+}
+
+/// A service that accepts each stream and drops it at once gets no more attempts than the budget.
+#[rstest]
+fn keeps_the_budget_of_connects() {
+    let mut subscription = Subscription::new(
+        RolloutPolicy { max_backoff: Tenths(10), initial_backoff: Tenths(10), ..RolloutPolicy::default() },
+        1,
+        fastrand::Rng::with_seed(5),
+    );
+    let connects = refused(&mut subscription, 100);
+    for (at, connect) in connects.iter().enumerate() {
+        let lately = connects[..=at].iter().filter(|other| *connect - **other <= 600_000).count();
+        assert!(lately <= 10, "{lately} attempts in the minute before {connect}");
+    }
+}
+
+#[rstest]
+#[case(10_000, 2)]
+#[case(400_000, 1)]
+fn only_a_stable_stream_ends_the_row_of_failures(#[case] open_for: i64, #[case] doublings: i64) {
+    let mut waits = Vec::new();
+    for seed in 0..200 {
+        let mut subscription = Subscription::new(RolloutPolicy::default(), 1, fastrand::Rng::with_seed(seed));
+        handle(&mut subscription, 0, Started);
+        handle(&mut subscription, 1, StreamEnded);
+        let due = subscription.next_due().unwrap().0;
+        handle(&mut subscription, due, TimerExpired);
+        handle(&mut subscription, due, StreamOpened);
+        handle(&mut subscription, due, ResponseReceived);
+        handle(&mut subscription, due + open_for, StreamEnded);
+        waits.push(subscription.next_due().unwrap().0 - due - open_for);
+    }
+    let longest = waits.into_iter().max().unwrap();
+    let bound = 10_000 << (doublings - 1);
+    assert!((bound * 9 / 10..=bound).contains(&longest), "{longest} of {bound}");
+}
+
+/// A stream that never opens, or opens and brings no response, is given up in time.
+#[rstest]
+#[case(false)]
+#[case(true)]
+fn gives_up_without_a_response(#[case] opens: bool) {
+    let mut subscription = new_subscription(1);
+    handle(&mut subscription, 0, Started);
+    if opens {
+        handle(&mut subscription, 10, StreamOpened);
+    }
+    assert!(handle(&mut subscription, 149_999, TimerExpired).is_empty());
+    let effects = handle(&mut subscription, 150_000, TimerExpired);
+    assert!(
+        matches!(effects[..], [Effect::Disconnect { .. }, Effect::Log(LogEvent::ServiceUnreachable { .. })]),
+        "{effects:?}"
+    );
+    assert_eq!(subscription.state(), BackingOff);
+}
+
+/// A service with another history is left for the others, but stays where it is the only one.
+#[rstest]
+fn passes_over_a_suspect_service() {
+    let mut two = new_subscription(2);
+    handle(&mut two, 0, Started);
+    handle(&mut two, 1, StreamOpened);
+    let first = two.service();
+    assert!(matches!(handle(&mut two, 2, HistoryConflict)[..], [Effect::Disconnect { .. }]));
+    assert_ne!(two.service(), first);
+    // The other fails; the suspect is passed over, and so the other is asked again.
+    let due = two.next_due().unwrap().0;
+    handle(&mut two, due, TimerExpired);
+    handle(&mut two, due, StreamEnded);
+    assert_ne!(two.service(), first);
+    let mut one = new_subscription(1);
+    handle(&mut one, 0, Started);
+    handle(&mut one, 1, StreamOpened);
+    assert!(handle(&mut one, 2, HistoryConflict).is_empty());
+    assert_eq!(one.state(), Open);
+}
+
+#[rstest]
+fn ignores_messages_of_an_old_stream() {
+    let mut subscription = new_subscription(1);
+    handle(&mut subscription, 0, Started);
+    let old = subscription.stream;
+    handle(&mut subscription, 1, StreamEnded);
+    assert!(!subscription.is_current(old));
+    let due = subscription.next_due().unwrap().0;
+    handle(&mut subscription, due, TimerExpired);
+    assert!(!subscription.is_current(old) && subscription.is_current(StreamId(2)));
+}
--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -1,4 +1,4 @@
-//! What names a version: its number and the digest of its contents.
+//! What identifies a version: its number and the digest of its contents.
 
 use std::fmt;
 
@@ -7,6 +7,7 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
+    /// The digest of these canonical bytes.
     pub fn of(canonical: &[u8]) -> Digest {
         Digest(*blake3::hash(canonical).as_bytes())
     }
@@ -23,26 +24,28 @@
 }
 
 impl fmt::Display for Digest {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
 impl fmt::Debug for Digest {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(&self.short())
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.short())
     }
 }
 
 /// One version of an installation's configuration. Number 0 is a broker's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionId {
+    /// Given by the service; higher is newer.
     pub number: u64,
+    /// Of the contents.
     pub digest: Digest,
 }
 
 impl fmt::Display for VersionId {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} ({})", self.number, self.digest.short())
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{} ({})", self.number, self.digest.short())
     }
 }
--- /dev/null
+++ b/crates/config-rollout/src/wilson.rs
@@ -0,0 +1,25 @@
+//! Wilson's score interval of a share.
+
+/// How many standard deviations wide an interval is on each side. A probation is looked at again and again,
+/// so that two would blame a harmless version every few minutes.
+const DEVIATIONS: f64 = 4.0;
+
+/// The bounds of a share.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Interval {
+    pub(crate) lower: f64,
+    pub(crate) upper: f64,
+}
+
+/// The interval of the true share where `hits` of `total` were observed; 0 to 1 where nothing was.
+pub(crate) fn score_interval(hits: u64, total: u64) -> Interval {
+    if total == 0 {
+        return Interval { lower: 0.0, upper: 1.0 };
+    }
+    let (n, z) = (total as f64, DEVIATIONS);
+    let share = hits.min(total) as f64 / n;
+    let centre = share + z * z / (2.0 * n);
+    let spread = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
+    let scale = 1.0 + z * z / n;
+    Interval { lower: ((centre - spread) / scale).max(0.0), upper: ((centre + spread) / scale).min(1.0) }
+}
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -226,26 +226,26 @@
     let number = |name: &str| taken.number("control", name);
     let time = |name: &str| Tenths::from_ms(number(name));
     let patience = RolloutPolicy {
-        first_wait: time("first_wait_ms"),
-        longest_wait: time("longest_wait_ms"),
-        calls: number("calls_per_minute") as usize,
-        calls_window: Tenths::from_ms(60_000.0),
-        call_within: time("call_within_ms"),
-        steady: time("steady_ms"),
-        suspect_for: time("suspect_ms"),
-        trial: time("trial_ms"),
-        longest_trial: time("longest_trial_ms"),
-        least_ended: number("least_retrievals") as u64,
-        margin: number("margin"),
+        initial_backoff: time("first_wait_ms"),
+        max_backoff: time("longest_wait_ms"),
+        max_connects: number("calls_per_minute") as usize,
+        connect_window: Tenths::from_ms(60_000.0),
+        connect_timeout: time("call_within_ms"),
+        stable_stream_age: time("steady_ms"),
+        suspect_duration: time("suspect_ms"),
+        probation_duration: time("trial_ms"),
+        max_probation_duration: time("longest_trial_ms"),
+        min_ended_queries: number("least_retrievals") as u64,
+        failure_ratio_margin: number("margin"),
     };
     let mut orders = Vec::new();
-    if patience.longest_wait < patience.first_wait {
+    if patience.max_backoff < patience.initial_backoff {
         orders.push(Mistake::Order { key: "longest_wait_ms", less: "first_wait_ms" });
     }
-    if patience.longest_trial < patience.trial {
+    if patience.max_probation_duration < patience.probation_duration {
         orders.push(Mistake::Order { key: "longest_trial_ms", less: "trial_ms" });
     }
-    let patience = patience.spread(number("fleet_brokers") as u32, number("fleet_calls_per_s"));
+    let patience = patience.spread_reconnects(number("fleet_brokers") as u32, number("fleet_calls_per_s"));
     let control = Control {
         services,
         installation: installation.clone().unwrap_or_default(),
@@ -317,8 +317,8 @@
         let fitting = read(text).unwrap();
         let control = fitting.control.unwrap();
         assert_eq!((fitting.log, control.services.len()), (LogForm::Json, 2));
-        assert_eq!((control.patience.trial, control.document), (Tenths(5000), 1 << 20));
-        assert_eq!(control.patience.first_wait, Tenths(500_000), "5,000 brokers at 100 a second");
+        assert_eq!((control.patience.probation_duration, control.document), (Tenths(5000), 1 << 20));
+        assert_eq!(control.patience.initial_backoff, Tenths(500_000), "5,000 brokers at 100 a second");
         assert_eq!(control.keep, Some(PathBuf::from("C:\\kept")));
     }
 
