--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -1,6 +1,6 @@
-//! Versions from a configuration service, brought to the engine. The streams, the checks and the state file live
-//! on a thread beside the broker's; here, on the broker's own, a version is taken over in one step between two
-//! turns.
+//! Versions from a configuration service, brought to the engine. The streams, the checks and the state file
+//! live on a thread beside the broker's; here, on the broker's own, a version is taken over in one step
+//! between two turns.
 
 mod status_command;
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// Takes the stored version over, if there is one, so that the broker serves under that from its first query on.
+/// Takes the stored version over, if there is one, so that the broker serves under that from its first query
+/// on.
 pub fn prepare(startup: &mut StartupConfig, control: Control) -> io::Result<PreparedRollout> {
     let own_document = read_own_settings(startup.settings.as_bytes(), control.document)?;
     let Control { installation, document, keep, .. } = &control;
@@ -154,15 +155,16 @@
     }
 }
 
-/// What the start worked out for sockets holds in every version: a document has only the settings' own values.
+/// What the start worked out for sockets holds in every version: a document has only the settings' own
+/// values.
 fn keep_socket_waits(config: &mut BrokerConfig, start_config: &BrokerConfig) {
     config.send_lag = start_config.send_lag;
     config.watch_on_request = start_config.watch_on_request;
     config.rules.endpoint_list_max_age = start_config.rules.endpoint_list_max_age;
 }
 
-/// Carries out at the engine what the rollout's thread asks. The published version changes in the same step as
-/// the engine's configuration: nobody can see one without the other.
+/// Carries out at the engine what the rollout's thread asks. The published version changes in the same step
+/// as the engine's configuration: nobody can see one without the other.
 async fn serve_requests(
     engine: Rc<Engine>,
     start_config: BrokerConfig,
--- a/crates/broker/tests/config_rollout/fixture.rs
+++ b/crates/broker/tests/config_rollout/fixture.rs
@@ -32,15 +32,19 @@
 /// Version `number`: its shards and its retry time distinguish it from every other. Even shards lie in
 /// placement group 0, odd ones in group 1, which no node is in.
 pub fn document(number: u64) -> Value {
-    let class = |name: &str, objective: f64| json!({"Name": name, "OnTimeMs": objective, "DeadlineMs": 5000.0, "Worth": 1.0, "Effect": "idempotent"});
+    let class = |name: &str, objective: f64| {
+        json!({"Name": name, "OnTimeMs": objective, "DeadlineMs": 5000.0, "Worth": 1.0,
+            "Effect": "idempotent"})
+    };
     json!({"Instances": 3, "PeriodMs": 5.0, "RegistryMode": "subscribe", "Areas": ["hall"], "Tenants": [],
         "Services": [class("lookup", 2000.0), class("probe", 60.0)],
         "Domain": {"Cells": 2, "Reach": 1, "Ranges": 32 + 2 * number, "PerCall": 4,
             "CompleteFrom": [1.0, 1.0], "MinShare": [1.0, 1.0]},
         "Limits": {"ConnIdleMs": 15000.0, "ConnectTimeoutMs": 2000.0, "MaxAttempts": 3, "MaxOpen": 1000,
-            "MayCancel": true, "StreamsPerConn": 32, "RetryAfter": true, "MaxRetryAfterMs": 10.0 + number as f64},
-        "Rules": {"AskWithinMs": 50000.0, "StopSendingWithinMs": 250.0, "ColdFrom": 0.2, "WarmUpMs": 17000.0, "OverloadFactor": 3.0,
-            "OverloadForMs": 1000.0}})
+            "MayCancel": true, "StreamsPerConn": 32, "RetryAfter": true,
+            "MaxRetryAfterMs": 10.0 + number as f64},
+        "Rules": {"AskWithinMs": 50000.0, "StopSendingWithinMs": 250.0, "ColdFrom": 0.2, "WarmUpMs": 17000.0,
+            "OverloadFactor": 3.0, "OverloadForMs": 1000.0}})
 }
 
 /// What a broker is started with.
@@ -67,8 +71,8 @@
         let path = |ending: &str| -> PathBuf { start.folder.join(format!("{}.{ending}", start.name)) };
         let mut settings = document(0);
         (settings["Zone"], settings["Me"]) = (json!(0), json!(1));
-        let member = json!({"id": "s-0", "host_port": start.node.to_string(), "locality": "hall", "flavor": "std",
-            "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0});
+        let member = json!({"id": "s-0", "host_port": start.node.to_string(), "locality": "hall",
+            "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0});
         // Discovery is down for as long as this lasts: the list is asked for, so the known list holds.
         let config = json!({"name": start.name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -190,8 +194,9 @@
         Reply { status, retry_after }
     }
 
-    /// The version by which a query is rejected that no node can serve, from the time after which to retry. The shard is the last that version `least` has, so that an older one would not accept it.
-    /// None: the broker does not know the shard, so it runs an older version.
+    /// The version by which a query is rejected that no node can serve, from the time after which to retry.
+    /// The shard is the last that version `least` has, so that an older one would not accept it. None: the
+    /// broker does not know the shard, so it runs an older version.
     pub fn probe(&mut self, least: u64) -> Option<u64> {
         let Reply { status, retry_after } = self.send_query("probe", 31 + 2 * least);
         if status == 400 {
--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -1,5 +1,5 @@
-//! Versions from a configuration service, from outside: the program as processes, a test server that has every
-//! fault, clients that check that the brokers do what they report.
+//! Versions from a configuration service, from outside: the program as processes, a test server that has
+//! every fault, clients that check that the brokers do what they report.
 
 mod fixture;
 
@@ -14,13 +14,27 @@
 
 const ANY_PORT: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0));
 /// Short waits, and a probation that blames nothing: queries that no node can serve are part of the tests.
-const QUICK: &str = "first_wait_ms = 20\nlongest_wait_ms = 200\ncalls_per_minute = 600\ncall_within_ms = 5000\n\
-    margin = 1\ntrial_ms = 100\nlongest_trial_ms = 2000\ncount_every_ms = 20";
+const QUICK: &str = "first_wait_ms = 20\nlongest_wait_ms = 200\ncalls_per_minute = 600\n\
+    call_within_ms = 5000\nmargin = 1\ntrial_ms = 100\nlongest_trial_ms = 2000\ncount_every_ms = 20";
 
 fn text(number: u64) -> Vec<u8> {
     document(number).to_string().into_bytes()
 }
 
+/// The newest version that [`publish_versions`] publishes, and the one among them that is invalid.
+const LAST: u64 = 12;
+const INVALID: u64 = 5;
+/// How often each version is looked at before the next is published.
+const LOOKS_PER_VERSION: u64 = 6;
+
+/// What the threads of clients share.
+#[derive(Default)]
+struct Progress {
+    is_over: AtomicBool,
+    served: AtomicU64,
+    looks: AtomicU64,
+}
+
 /// Three brokers, a service that drops, delays, repeats, reorders and garbles by seed, queries all the
 /// while: at each look from outside the reported version is the one in force, all come to the newest, and
 /// each query has one response.
@@ -29,7 +43,6 @@
 #[case(2)]
 #[case(3)]
 fn the_reported_version_is_the_one_in_force(#[case] seed: u64) {
-    const LAST: u64 = 12;
     let faults = FaultPlan {
         seed,
         drop_ratio: 0.5,
@@ -46,68 +59,76 @@
         Broker::start(&BrokerStart { folder: folder.path(), name, node, services, control: QUICK })
     };
     let brokers: Vec<Broker> = ["n0", "n1", "n2"].into_iter().map(start).collect();
-    let (over, served, looks) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
-    let (over, served, looks) = (&over, &served, &looks);
+    let progress = &Progress::default();
     std::thread::scope(|scope| {
-        for (no, broker) in brokers.iter().enumerate() {
+        for (index, broker) in brokers.iter().enumerate() {
             let (listens, status_address) = (broker.listens, broker.status_address);
-            scope.spawn(move || {
-                let mut client = Client::new(&format!("c{no}"), listens);
-                while !over.load(Ordering::Relaxed) {
-                    assert_eq!(client.send_query("lookup", 2).status, 200);
-                    served.fetch_add(1, Ordering::Relaxed);
-                }
-            });
-            scope.spawn(move || {
-                let mut client = Client::new(&format!("p{no}"), listens);
-                let mut last = 0;
-                while !over.load(Ordering::Relaxed) {
-                    // Sent between two reports: the version in force was the one, the other, or one in between.
-                    let before = fetch(status_address).number;
-                    let in_force = client.probe(before);
-                    let after = fetch(status_address).number;
-                    let in_force =
-                        in_force.unwrap_or_else(|| panic!("{before} reported, an older one is in force"));
-                    assert!(
-                        (before..=after).contains(&in_force),
-                        "{before} reported, {in_force} in force, {after}"
-                    );
-                    assert!(last <= before, "no version was withdrawn, and yet {last} came before {before}");
-                    last = after;
-                    looks.fetch_add(1, Ordering::Relaxed);
-                }
-            });
-        }
-        for number in 1..=LAST {
-            if number == 5 {
-                // An invalid version: the brokers must stay with the fourth until the sixth comes.
-                let mut invalid = document(number);
-                invalid["Domain"]["MinShare"][0] = json!(3.0);
-                service.publish(number, INSTALLATION, invalid.to_string().as_bytes());
-            } else {
-                service.publish(number, INSTALLATION, &text(number));
-            }
-            let seen = looks.load(Ordering::Relaxed);
-            wait_until("some looks were made", || looks.load(Ordering::Relaxed) >= seen + 6);
+            scope.spawn(move || send_queries(index, listens, progress));
+            scope.spawn(move || compare_reports(index, listens, status_address, progress));
         }
+        publish_versions(&service, progress);
         let all = || brokers.iter().all(|broker| broker.status().number == LAST);
         wait_until("all run the newest", all);
         let confirmed = || brokers.iter().all(|broker| broker.status().standing != "on trial");
         wait_until("the probations are over", confirmed);
-        over.store(true, Ordering::Relaxed);
+        progress.is_over.store(true, Ordering::Relaxed);
     });
-    assert!(served.load(Ordering::Relaxed) > 0 && looks.load(Ordering::Relaxed) >= 6 * LAST);
+    let (served, looks) = (progress.served.load(Ordering::Relaxed), progress.looks.load(Ordering::Relaxed));
+    assert!(served > 0 && looks >= LOOKS_PER_VERSION * LAST);
     let digests: Vec<String> = brokers.iter().map(|broker| broker.status().digest).collect();
     assert!(digests.iter().all(|digest| *digest == digests[0]));
+    check_requests(&service);
+}
+
+fn send_queries(index: usize, broker: SocketAddr, progress: &Progress) {
+    let mut client = Client::new(&format!("c{index}"), broker);
+    while !progress.is_over.load(Ordering::Relaxed) {
+        assert_eq!(client.send_query("lookup", 2).status, 200);
+        progress.served.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+/// Sends a query between two reports: the version in force was the one, the other, or one in between.
+fn compare_reports(index: usize, broker: SocketAddr, status_address: SocketAddr, progress: &Progress) {
+    let mut client = Client::new(&format!("p{index}"), broker);
+    let mut last = 0;
+    while !progress.is_over.load(Ordering::Relaxed) {
+        let before = fetch(status_address).number;
+        let in_force = client.probe(before);
+        let after = fetch(status_address).number;
+        let in_force = in_force.unwrap_or_else(|| panic!("{before} reported, an older one is in force"));
+        assert!((before..=after).contains(&in_force), "{before} reported, {in_force} in force, {after}");
+        assert!(last <= before, "no version was withdrawn, and yet {last} came before {before}");
+        last = after;
+        progress.looks.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+fn publish_versions(service: &XdsTestServer, progress: &Progress) {
+    for number in 1..=LAST {
+        let mut version = document(number);
+        if number == INVALID {
+            // The brokers must stay with the version before it until the next comes.
+            version["Domain"]["MinShare"][0] = json!(3.0);
+        }
+        service.publish(number, INSTALLATION, version.to_string().as_bytes());
+        let seen = progress.looks.load(Ordering::Relaxed);
+        wait_until("some looks were made", || {
+            progress.looks.load(Ordering::Relaxed) >= seen + LOOKS_PER_VERSION
+        });
+    }
+}
+
+/// Something was rejected, streams were dropped, and each nonce had one response at the most.
+fn check_requests(service: &XdsTestServer) {
     let requests = service.requests();
     assert!(
         requests.iter().any(|request| request.rejection.is_some()),
         "nothing was rejected, though much was invalid"
     );
     assert!(service.streams() > 3, "no stream was ever dropped");
-    // Each nonce had one response at the most.
-    let mut nonces: Vec<_> =
-        requests.iter().filter(|request| !request.nonce.is_empty()).map(|request| &request.nonce).collect();
+    let answers = requests.iter().filter(|request| !request.nonce.is_empty());
+    let mut nonces: Vec<_> = answers.map(|request| &request.nonce).collect();
     let all = nonces.len();
     nonces.sort();
     nonces.dedup();
@@ -138,13 +159,7 @@
     (bad["Services"][0]["OnTimeMs"], bad["Services"][1]["OnTimeMs"]) = (json!(60.0), json!(60.0));
     service.publish(2, INSTALLATION, bad.to_string().as_bytes());
     wait_until("the second is applied", || broker.status().number == 2);
-    let mut failed = 0;
-    wait_until("the first is rolled back to", || {
-        let reply = client.send_query("lookup", 2);
-        failed += u64::from(reply.status == 503);
-        assert!([200, 503].contains(&reply.status), "{reply:?}");
-        broker.status().number == 1
-    });
+    let failed = query_until_rolled_back(&mut client, &broker);
     assert!(failed >= 30, "{failed} failed, 30 are the least to judge by");
     let status = broker.status();
     let RejectionStatus { number, reason, .. } = status.last_rejection.clone().unwrap();
@@ -165,6 +180,18 @@
     wait_until("the fourth is applied", || broker.status().number == 4);
 }
 
+/// Sends queries until version 1 runs again; returns how many failed.
+fn query_until_rolled_back(client: &mut Client, broker: &Broker) -> u64 {
+    let mut failed = 0;
+    wait_until("the first is rolled back to", || {
+        let reply = client.send_query("lookup", 2);
+        failed += u64::from(reply.status == 503);
+        assert!([200, 503].contains(&reply.status), "{reply:?}");
+        broker.status().number == 1
+    });
+    failed
+}
+
 /// Killed and restarted with no service reachable, a broker goes on with what it stored; a corrupt file is
 /// named and not used.
 #[rstest]
--- a/crates/config-rollout-client/src/lib.rs
+++ b/crates/config-rollout-client/src/lib.rs
@@ -1,5 +1,6 @@
 //! Carries out what the `config-rollout` package decides, on one thread beside the broker: streams to
-//! configuration services over xDS, the last confirmed version in a file, and the client status service (CSDS).
+//! configuration services over xDS, the last confirmed version in a file, and the client status service
+//! (CSDS).
 //!
 //! A broker makes a [`ClientConfig`] and gives [`run`] a [`ConfigReceiver`] that takes configurations over;
 //! everything else is decided by `config_rollout::RolloutController`. What the broker runs can be read at any
--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -1,6 +1,7 @@
 //! The log lines of a rollout; `docs/operate-control.md` explains each to operators.
 
 use config_rollout::{LogEvent, ServiceIndex};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
@@ -8,6 +9,7 @@
 pub(crate) fn log_event(event: &LogEvent, services: &[SocketAddr]) {
     let address =
         |service: &ServiceIndex| services.get(service.0).map_or(String::new(), SocketAddr::to_string);
+    let text = |reason: &dyn Display| reason.to_string();
     match event {
         LogEvent::Applied(version) => {
             info!(number = version.number, digest = %version.digest, "version applied, on trial");
@@ -19,18 +21,19 @@
             info!(number = version.number, digest = %version.digest, "version confirmed");
         }
         LogEvent::Unproven { version, reason } => {
-            warn!(number = version.number, digest = %version.digest, reason = reason.to_string(),
+            warn!(number = version.number, digest = %version.digest, reason = text(reason),
                 "version stays, not proven");
         }
         LogEvent::Rejected { number, reason } => {
-            warn!(number, reason = reason.to_string(), "version turned down")
+            warn!(number, reason = text(reason), "version turned down")
         }
         LogEvent::Withdrawn { version, running, reason } => {
-            warn!(number = version.number, digest = %version.digest, runs = running.number, reason = reason.to_string(),
-                "version withdrawn");
+            warn!(number = version.number, digest = %version.digest, runs = running.number,
+                reason = text(reason), "version withdrawn");
         }
         LogEvent::ProbationPaused { version, reason } => {
-            warn!(number = version.number, digest = %version.digest, reason = reason.to_string(), "trial makes a pause");
+            warn!(number = version.number, digest = %version.digest, reason = text(reason),
+                "trial makes a pause");
         }
         LogEvent::ServiceReached(service) => info!(service = address(service), "control service reached"),
         LogEvent::ServiceUnreachable { service, reason } => {
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -1,5 +1,5 @@
-//! The contents of the versions that the broker may need: the one offered last, the one that runs, the one that
-//! was confirmed last. It turns documents into settings, and decides nothing.
+//! The contents of the versions that the broker may need: the one offered last, the one that runs, the one
+//! that was confirmed last. It turns documents into settings, and decides nothing.
 
 use crate::wire::Version;
 use config_rollout::VersionId;
--- a/crates/config-rollout-client/src/restore.rs
+++ b/crates/config-rollout-client/src/restore.rs
@@ -46,9 +46,9 @@
     Document(#[from] InvalidDocument),
 }
 
-/// Takes the stored version, if there is a file, it is whole, for this installation, and can be taken over by a
-/// broker with this own document; else the own document, as version 0. `max_document_bytes` bounds the stored
-/// document.
+/// Takes the stored version, if there is a file, it is whole, for this installation, and can be taken over by
+/// a broker with this own document; else the own document, as version 0. `max_document_bytes` bounds the
+/// stored document.
 pub fn restore(
     own_document: Document,
     broker_settings: &BrokerSettings,
@@ -69,7 +69,8 @@
     if let Some(version) = stored.as_ref().and_then(|stored| stored.version.as_ref()) {
         match restore_version(&own_document, broker_settings, version, installation, max_document_bytes) {
             Ok(restored) => running = restored,
-            // The file's numbers and withdrawn versions hold, though this broker can't take its contents over.
+            // The file's numbers and withdrawn versions hold, though this broker can't take its contents
+            // over.
             Err(unusable) => error = Some(unusable),
         }
     }
--- a/crates/config-rollout-client/src/rollout_client.rs
+++ b/crates/config-rollout-client/src/rollout_client.rs
@@ -1,6 +1,6 @@
 //! The loop that carries the controller's effects out: stream events, timers and counts in; effects out. It
-//! waits until the broker has taken each configuration over before it answers a service, so that no answer runs
-//! ahead of what is applied.
+//! waits until the broker has taken each configuration over before it answers a service, so that no answer
+//! runs ahead of what is applied.
 
 use crate::client_config::ClientConfig;
 use crate::clock::{Clock, duration_of};
--- a/crates/config-rollout-client/src/state_file.rs
+++ b/crates/config-rollout-client/src/state_file.rs
@@ -1,6 +1,6 @@
-//! The last confirmed version, and what else must outlive the process, in one file. It is replaced as a whole,
-//! so that at any moment the file is the old one or the new one; a corrupt or foreign file is reported as such,
-//! and never taken for a version.
+//! The last confirmed version, and what else must outlive the process, in one file. It is replaced as a
+//! whole, so that at any moment the file is the old one or the new one; a corrupt or foreign file is reported
+//! as such, and never taken for a version.
 
 use crate::wire::Version;
 use config_rollout::{Digest, PersistedState, ProbationAttempt, VersionId, WithdrawnVersion};
--- a/crates/config-rollout-client/src/status_query.rs
+++ b/crates/config-rollout-client/src/status_query.rs
@@ -1,7 +1,7 @@
 //! Asks a running broker for its status over CSDS, for the command line and for tests.
 
 use crate::wire::TYPE_URL;
-use envoy_types::pb::envoy::service::status::v3::client_status_discovery_service_client::ClientStatusDiscoveryServiceClient;
+use envoy_types::pb::envoy::service::status::v3::client_status_discovery_service_client as csds_client;
 use envoy_types::pb::envoy::service::status::v3::{ClientStatusRequest, ClientStatusResponse};
 use envoy_types::pb::google::protobuf::{Timestamp, value::Kind};
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
         let endpoint =
             Endpoint::from_shared(format!("http://{address}")).map_err(StatusQueryError::Address)?;
         let channel = endpoint.connect().await.map_err(StatusQueryError::Connect)?;
-        let mut client = ClientStatusDiscoveryServiceClient::new(channel);
+        let mut client = csds_client::ClientStatusDiscoveryServiceClient::new(channel);
         let request = ClientStatusRequest::default();
         let response = client.fetch_client_status(request).await;
         let response = response.map_err(|status| StatusQueryError::Status(Box::new(status)))?;
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -12,8 +12,8 @@
 /// The resource type: `barleydrum.control.v1.Version`.
 pub const TYPE_URL: &str = "type.googleapis.com/barleydrum.control.v1.Version";
 
-/// The largest response in bytes that is read at all; above it the stream ends. It is far above the bound of a
-/// document, so that one that is too long can be rejected with a reason.
+/// The largest response in bytes that is read at all; above it the stream ends. It is far above the bound of
+/// a document, so that one that is too long can be rejected with a reason.
 pub const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// `google.rpc.Code.INVALID_ARGUMENT`.
--- a/crates/config-rollout-client/src/xds_stream.rs
+++ b/crates/config-rollout-client/src/xds_stream.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::MAX_RESPONSE_BYTES;
 use config_rollout::StreamId;
-use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
+use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client as ads_client;
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -80,7 +80,8 @@
         self.requests = Some(requests);
     }
 
-    /// Guards against a service that reads nothing: a request that does not fit into the queue ends the stream.
+    /// Guards against a service that reads nothing: a request that does not fit into the queue ends the
+    /// stream.
     pub(crate) fn send(&mut self, request: DiscoveryRequest) {
         let is_sent = self.requests.as_ref().is_some_and(|requests| requests.try_send(request).is_ok());
         if !is_sent {
@@ -100,8 +101,8 @@
     let channel = open_channel(address, timeout).await?;
     let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
     events.send(StreamEvent::Opened { stream, requests }).await.map_err(|_| StreamError::BrokerGone)?;
-    let mut client =
-        AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
+    let mut client = ads_client::AggregatedDiscoveryServiceClient::new(channel)
+        .max_decoding_message_size(MAX_RESPONSE_BYTES);
     let mut responses = client.stream_aggregated_resources(ReceiverStream::new(queue)).await?.into_inner();
     while let Some(response) = responses.message().await? {
         let event = StreamEvent::ResponseReceived { stream, response: Box::new(response) };
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -82,57 +82,66 @@
 
     fn handle(&mut self, input: Input) {
         for effect in self.controller.handle(Tenths(self.now), input) {
-            match effect {
-                Effect::Connect { stream, .. } => {
-                    (self.stream, self.is_connecting, self.is_open) = (stream, true, false)
-                }
-                Effect::Disconnect { .. } => (self.is_connecting, self.is_open) = (false, false),
-                Effect::Subscribe { stream, running } => {
-                    assert_eq!((stream, running), (self.stream, self.applied));
-                    (self.is_connecting, self.is_open) = (false, true);
-                }
-                Effect::Respond { stream, nonce, running, rejection } => {
-                    assert_eq!(
-                        (stream, running),
-                        (self.stream, self.applied),
-                        "a response that does not name what is applied"
-                    );
-                    *self.answers.entry((stream, nonce)).or_default() += 1;
-                    self.rejections.extend(rejection.map(|reason| reason.to_string()));
-                }
-                Effect::ReportWithdrawal { running, reason, .. } => {
-                    assert_eq!(running, self.applied);
-                    self.rejections.push(reason.to_string());
-                }
-                Effect::Apply(version) => {
-                    assert_ne!(self.applied, version, "applied twice");
-                    let attempt = self.stored.as_ref().and_then(|state| state.probation_attempt);
-                    assert_eq!(attempt.map(|attempt| attempt.version), Some(version), "not stored before");
-                    self.applied = version;
-                    self.applications.push(version);
-                    (self.counts.ended, self.counts.failed) = (0, 0);
-                }
-                Effect::Renumber(version) => {
-                    assert_eq!(self.applied.digest, version.digest);
-                    self.applied = version;
-                }
-                Effect::RollBack(version) => {
-                    assert_eq!(version, self.stored_contents, "only stored contents can be rolled back to");
-                    self.applied = version;
-                    (self.counts.ended, self.counts.failed) = (0, 0);
-                }
-                Effect::StoreContents(version) => {
-                    assert_eq!(version, self.applied);
-                    self.stored_contents = version;
-                }
-                Effect::StoreState => self.stored = Some(self.controller.persisted_state()),
-                Effect::WakeAt(at) => assert!(at.0 >= self.now),
-                Effect::Log(event) => self.log.push(event),
-            }
+            self.carry_out(effect);
         }
         assert_eq!(self.controller.report().running, self.applied, "the report is not what is applied");
     }
 
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Connect { stream, .. } => {
+                (self.stream, self.is_connecting, self.is_open) = (stream, true, false)
+            }
+            Effect::Disconnect { .. } => (self.is_connecting, self.is_open) = (false, false),
+            Effect::Subscribe { stream, running } => {
+                assert_eq!((stream, running), (self.stream, self.applied));
+                (self.is_connecting, self.is_open) = (false, true);
+            }
+            Effect::Respond { stream, nonce, running, rejection } => {
+                assert_eq!(
+                    (stream, running),
+                    (self.stream, self.applied),
+                    "a response on what is not applied"
+                );
+                *self.answers.entry((stream, nonce)).or_default() += 1;
+                self.rejections.extend(rejection.map(|reason| reason.to_string()));
+            }
+            Effect::ReportWithdrawal { running, reason, .. } => {
+                assert_eq!(running, self.applied);
+                self.rejections.push(reason.to_string());
+            }
+            Effect::Apply(version) => self.apply(version),
+            Effect::Renumber(version) => {
+                assert_eq!(self.applied.digest, version.digest);
+                self.applied = version;
+            }
+            Effect::RollBack(version) => {
+                assert_eq!(version, self.stored_contents, "only stored contents can be rolled back to");
+                self.run(version);
+            }
+            Effect::StoreContents(version) => {
+                assert_eq!(version, self.applied);
+                self.stored_contents = version;
+            }
+            Effect::StoreState => self.stored = Some(self.controller.persisted_state()),
+            Effect::WakeAt(at) => assert!(at.0 >= self.now),
+            Effect::Log(event) => self.log.push(event),
+        }
+    }
+
+    fn apply(&mut self, version: VersionId) {
+        assert_ne!(self.applied, version, "applied twice");
+        let attempt = self.stored.as_ref().and_then(|state| state.probation_attempt);
+        assert_eq!(attempt.map(|attempt| attempt.version), Some(version), "not stored before");
+        self.run(version);
+        self.applications.push(version);
+    }
+
+    fn run(&mut self, version: VersionId) {
+        self.applied = version;
+        (self.counts.ended, self.counts.failed) = (0, 0);
+    }
+
     fn offer(&mut self, offer: Offer) {
         self.nonce += 1;
         let nonce = Nonce(self.nonce.to_string());
--- a/crates/xds-test-server/src/discovery_service.rs
+++ b/crates/xds-test-server/src/discovery_service.rs
@@ -3,7 +3,7 @@
 use crate::fault_plan::FaultPlan;
 use crate::history::Shared;
 use config_rollout_client::wire::{TYPE_URL, Version};
-use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::AggregatedDiscoveryService;
+use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server as ads_server;
 use envoy_types::pb::envoy::service::discovery::v3::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse,
 };
@@ -28,7 +28,7 @@
 }
 
 #[tonic::async_trait]
-impl AggregatedDiscoveryService for DiscoveryService {
+impl ads_server::AggregatedDiscoveryService for DiscoveryService {
     type StreamAggregatedResourcesStream = BoxStream<'static, Result<DiscoveryResponse, Status>>;
     type DeltaAggregatedResourcesStream = BoxStream<'static, Result<DeltaDiscoveryResponse, Status>>;
 
--- a/crates/xds-test-server/src/lib.rs
+++ b/crates/xds-test-server/src/lib.rs
@@ -1,6 +1,6 @@
-//! A configuration service on loopback for tests and simulations: it serves numbered versions over xDS, and has
-//! the faults of real services, drawn by seed: it drops streams, responds late, repeats responses, sends an
-//! older version first, sends unreadable ones, stops, and comes back with another history.
+//! A configuration service on loopback for tests and simulations: it serves numbered versions over xDS, and
+//! has the faults of real services, drawn by seed: it drops streams, responds late, repeats responses, sends
+//! an older version first, sends unreadable ones, stops, and comes back with another history.
 //!
 //! It runs on a thread of its own, so that neither can hold the other up, it and a broker under test.
 
--- a/crates/xds-test-server/src/main.rs
+++ b/crates/xds-test-server/src/main.rs
@@ -1,5 +1,5 @@
-//! The test server as a program: serves the versions of a folder (`1.json`, `2.json`, ...), looks for new ones,
-//! and takes commands on standard input: `drop`, `vanish SECONDS`, `forget`, `said`.
+//! The test server as a program: serves the versions of a folder (`1.json`, `2.json`, ...), looks for new
+//! ones, and takes commands on standard input: `drop`, `vanish SECONDS`, `forget`, `said`.
 
 use clap::Parser;
 use std::collections::BTreeMap;
@@ -84,9 +84,7 @@
 /// Prints a request under the names that scripts of testers read.
 fn print_request(request: &RecordedRequest) {
     let RecordedRequest { node, version, nonce, rejection } = request;
-    println!(
-        "Said {{ node: {node:?}, version: {version:?}, nonce: {nonce:?}, refusal: {rejection:?} }}"
-    );
+    println!("Said {{ node: {node:?}, version: {version:?}, nonce: {nonce:?}, refusal: {rejection:?} }}");
 }
 
 /// The versions that stand in the folder, lowest first.
--- a/crates/xds-test-server/src/server.rs
+++ b/crates/xds-test-server/src/server.rs
@@ -4,7 +4,7 @@
 use crate::fault_plan::FaultPlan;
 use crate::history::{RecordedRequest, Shared};
 use config_rollout_client::wire::Version;
-use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::AggregatedDiscoveryServiceServer;
+use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server as ads_server;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -97,7 +97,7 @@
 async fn serve(listener: std::net::TcpListener, service: DiscoveryService, stopped: oneshot::Receiver<()>) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     let served = Server::builder()
-        .add_service(AggregatedDiscoveryServiceServer::new(service))
+        .add_service(ads_server::AggregatedDiscoveryServiceServer::new(service))
         .serve_with_incoming(TcpListenerStream::new(listener));
     tokio::select! {
         _ = served => {}
