--- a/crates/broker/src/command/mod.rs
+++ b/crates/broker/src/command/mod.rs
@@ -7,9 +7,9 @@
 mod mistakes;
 mod reshape;
 
+use crate::config_rollout;
 use crate::program::serve;
 use crate::startup::ConfigSource;
-use crate::versions;
 use check::{check, check_json_file, read_operator_file};
 use clap::{Parser, Subcommand};
 use mistakes::EXIT_MISTAKE;
@@ -131,7 +131,7 @@
             as_json: json,
         }),
         Command::Control { command: ControlCommand::Status { at, json } } => {
-            versions::status(at, STATUS_TIMEOUT, json)
+            config_rollout::status(at, STATUS_TIMEOUT, json)
         }
     }
 }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -16,6 +16,8 @@
 pub mod codec;
 mod command;
 pub mod config_epoch;
+#[cfg_attr(not(feature = "config-rollout"), path = "config_rollout_disabled.rs")]
+mod config_rollout;
 pub mod discovery;
 pub mod endpoint_list;
 pub mod engine;
@@ -30,8 +32,6 @@
 mod shutdown;
 pub mod socket_peek;
 mod startup;
-#[cfg_attr(not(feature = "config-rollout"), path = "versions_off.rs")]
-mod versions;
 
 pub use operator_config::{LogFormat, OperatorConfig, RolloutConfig};
 pub use program::run;
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use crate::query_handler::{QueryHandler, RejectedRequests};
 use crate::startup::StartupConfig;
-use crate::{discovery, versions};
+use crate::{config_rollout, discovery};
 use operator_config::OperatorConfig;
 use routing::EndpointListKind;
 use settings::BrokerSettings;
@@ -47,7 +47,7 @@
 /// An address can't be listened on, or what is switched on can't be started.
 pub async fn start_fitted(mut config: StartupConfig, operator: OperatorConfig) -> io::Result<Running> {
     let follower = match operator.rollout {
-        Some(control) => Some(versions::prepare(&mut config, control)?),
+        Some(control) => Some(config_rollout::prepare(&mut config, control)?),
         None => None,
     };
     let listener = TcpListener::bind(config.listen).await?;
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -58,7 +58,7 @@
     RolloutConfig {
         services,
         installation: values.get(CONTROL, "installation").to_owned(),
-        policy: policy.spread(number("fleet_brokers") as u32, number("fleet_calls_per_s")),
+        policy: policy.spread_reconnects(number("fleet_brokers") as u32, number("fleet_calls_per_s")),
         max_document_bytes: number("document_bytes") as usize,
         sample_interval: Duration::from_millis(number("count_every_ms") as u64),
         status_address: text("status_listen").and_then(|address| address.parse().ok()),
@@ -70,25 +70,25 @@
     let number = |name: &str| values.number(CONTROL, name);
     let duration = |name: &str| Tenths::from_ms(number(name));
     RolloutPolicy {
-        first_wait: duration("first_wait_ms"),
-        longest_wait: duration("longest_wait_ms"),
-        calls: number("calls_per_minute") as usize,
-        calls_window: Tenths::from_ms(MINUTE_MS),
-        call_within: duration("call_within_ms"),
-        steady: duration("steady_ms"),
-        suspect_for: duration("suspect_ms"),
-        trial: duration("trial_ms"),
-        longest_trial: duration("longest_trial_ms"),
-        least_ended: number("least_retrievals") as u64,
-        margin: number("margin"),
+        initial_backoff: duration("first_wait_ms"),
+        max_backoff: duration("longest_wait_ms"),
+        max_connects: number("calls_per_minute") as usize,
+        connect_window: Tenths::from_ms(MINUTE_MS),
+        connect_timeout: duration("call_within_ms"),
+        stable_stream_age: duration("steady_ms"),
+        suspect_duration: duration("suspect_ms"),
+        probation_duration: duration("trial_ms"),
+        max_probation_duration: duration("longest_trial_ms"),
+        min_ended_queries: number("least_retrievals") as u64,
+        failure_ratio_margin: number("margin"),
     }
 }
 
 /// Bounds must not be under what they bound.
 fn check_order(values: &mut KeyValues, policy: &RolloutPolicy) {
     let orders = [
-        ("first_wait_ms", policy.first_wait, "longest_wait_ms", policy.longest_wait),
-        ("trial_ms", policy.trial, "longest_trial_ms", policy.longest_trial),
+        ("first_wait_ms", policy.initial_backoff, "longest_wait_ms", policy.max_backoff),
+        ("trial_ms", policy.probation_duration, "longest_trial_ms", policy.max_probation_duration),
     ];
     for (lower_key, lower, key, bound) in orders {
         if bound < lower {
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -55,8 +55,8 @@
     let config = read(text).unwrap();
     let rollout = config.rollout.unwrap();
     assert_eq!((config.log_format, rollout.services.len()), (LogFormat::Json, 2));
-    assert_eq!((rollout.policy.trial, rollout.max_document_bytes), (Tenths(5000), 1 << 20));
-    assert_eq!(rollout.policy.first_wait, Tenths(500_000), "5,000 brokers at 100 a second");
+    assert_eq!((rollout.policy.probation_duration, rollout.max_document_bytes), (Tenths(5000), 1 << 20));
+    assert_eq!(rollout.policy.initial_backoff, Tenths(500_000), "5,000 brokers at 100 a second");
     assert_eq!(rollout.state_file, Some(PathBuf::from("C:\\kept")));
 }
 
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -30,17 +30,17 @@
     let config = read(SWITCHED_ON).unwrap();
     assert_eq!(config.log_format, LogFormat::Text);
     let policy = RolloutPolicy {
-        first_wait: seconds(1),
-        longest_wait: seconds(60),
-        calls: 10,
-        calls_window: seconds(60),
-        call_within: seconds(15),
-        steady: seconds(10),
-        suspect_for: seconds(300),
-        trial: seconds(60),
-        longest_trial: seconds(900),
-        least_ended: 30,
-        margin: 0.05,
+        initial_backoff: seconds(1),
+        max_backoff: seconds(60),
+        max_connects: 10,
+        connect_window: seconds(60),
+        connect_timeout: seconds(15),
+        stable_stream_age: seconds(10),
+        suspect_duration: seconds(300),
+        probation_duration: seconds(60),
+        max_probation_duration: seconds(900),
+        min_ended_queries: 30,
+        failure_ratio_margin: 0.05,
     };
     let rollout = RolloutConfig {
         services: vec!["127.0.0.1:18000".parse().unwrap(), "[::1]:18001".parse().unwrap()],
