--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -1,6 +1,7 @@
-//! What the module is measured against: each shard request to a holder drawn at random; and the design's ordinary path
-//! alone, without one of the exceptions that `docs/design.md` lists (no further attempts, no copies, no room,
-//! no health, no cold shares). They hear and do what the module does, and are no part of the product.
+//! What the module is measured against: each shard request to a holder drawn at random; and the design's
+//! ordinary path alone, without one of the exceptions that `docs/design.md` lists (no further attempts, no
+//! copies, no room, no health, no cold shares). They hear and do what the module does, and are no part of the
+//! product.
 
 use routing::{
     AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointState, GroupId, Input, NewQuery,
--- a/crates/broker-bench/src/demo.rs
+++ b/crates/broker-bench/src/demo.rs
@@ -1,9 +1,11 @@
 //! `demo`: a newcomer's first look. Hosts, discovery and brokers on loopback play a small hand-written trace
 //! that comes with the program: a rush, two hosts that die in it and come back cold, one that drains.
 
-use crate::rehearse::Mind;
-use crate::traces::{Planned, Played, Tolerance, run_plan, take_rows};
-use cluster_trace::plan::Planner;
+use crate::simulation::RoutingPolicy;
+use crate::trace_files::{Tolerance, TraceError, add_rows};
+use crate::trace_plan::PlanArgs;
+use crate::trace_run::{RunArgs, run_plan};
+use cluster_trace::plan::{Plan, Planner};
 use cluster_trace::{RejectionPolicy, TraceReader, find_layout};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +15,7 @@
 const MACHINES: &str = include_str!("../demo/machine_events.csv");
 
 pub fn run(page: PathBuf) -> ExitCode {
-    let planned = Planned {
+    let plan_args = PlanArgs {
         files: Vec::new(),
         layout: None,
         tolerate: Tolerance(RejectionPolicy::StopAtFirst),
@@ -33,26 +35,17 @@
         budget: None,
         brief: true,
     };
-    let played = Played {
-        planned,
+    let args = RunArgs {
+        plan: plan_args,
         brokers: 2,
         cells: 4,
         cores: 4,
-        mind: Mind::Module,
+        policy: RoutingPolicy::Module,
         loopback: true,
         report: Some(page.clone()),
         json: false,
     };
-    let made =
-        Planner::new(played.planned.replay_config()).map_err(|e| e.to_string()).and_then(|mut planner| {
-            for (name, text) in [("google-2011-machine-events", MACHINES), ("google-2011-task-events", TASKS)]
-            {
-                let layout = find_layout(name).ok_or("a layout is missing")?;
-                let reader = TraceReader::new(layout, text.as_bytes()).map_err(|e| e.to_string())?;
-                take_rows(reader, layout, RejectionPolicy::StopAtFirst, &mut planner)?;
-            }
-            planner.finish().map_err(|e| e.to_string())
-        });
+    let made = read_demo(&args.plan);
     let plan = match made {
         Ok(plan) => plan,
         Err(why) => {
@@ -61,7 +54,7 @@
         }
     };
     println!("Plays {} entries of a small trace on loopback ...", plan.entries.len());
-    let code = run_plan(plan, 0, &played);
+    let code = run_plan(plan, 0, &args);
     if code == ExitCode::SUCCESS {
         println!(
             "The plots are in {}, the figures in {}.",
@@ -71,3 +64,14 @@
     }
     code
 }
+
+/// The plan of the trace that comes with the program.
+fn read_demo(args: &PlanArgs) -> Result<Plan, TraceError> {
+    let mut planner = Planner::new(args.replay_config())?;
+    for (name, text) in [("google-2011-machine-events", MACHINES), ("google-2011-task-events", TASKS)] {
+        let layout = find_layout(name).ok_or(TraceError::MissingLayout)?;
+        let reader = TraceReader::new(layout, text.as_bytes())?;
+        add_rows(reader, layout, RejectionPolicy::StopAtFirst, &mut planner)?;
+    }
+    Ok(planner.finish()?)
+}
--- /dev/null
+++ b/crates/broker-bench/src/fault_injector/tests.rs
@@ -0,0 +1,91 @@
+//! Faults of networks, nodes and discovery, as they begin, overlap and end.
+
+use super::MessageDirection::{FromNode, ToNode};
+use super::*;
+use rstest::rstest;
+
+const NEAR: Tenths = Tenths(5);
+const FAR: Tenths = Tenths(20);
+
+fn injector() -> FaultInjector {
+    FaultInjector::new(ClusterSize { nodes: 4, zones: 2, placement_groups: 4, brokers: 2 }, NEAR, FAR, 1)
+}
+
+/// Each direction for itself, and as before when the fault has ended.
+#[rstest]
+#[case(Direction::ToNode, None, Some(NEAR))]
+#[case(Direction::FromNode, Some(NEAR), None)]
+#[case(Direction::Both, None, None)]
+fn partitions_hold_in_their_direction(
+    #[case] direction: Direction,
+    #[case] there: Option<Tenths>,
+    #[case] back: Option<Tenths>,
+) {
+    let mut injector = injector();
+    assert_eq!((injector.latency(0, 0, ToNode), injector.latency(0, 1, ToNode)), (Some(NEAR), Some(FAR)));
+    // Two partitions: messages are lost until both have ended.
+    for begins in [true, true, false] {
+        injector.apply(FaultAction::Partition { node: 0, direction, begins });
+    }
+    assert_eq!((injector.latency(0, 0, ToNode), injector.latency(0, 0, FromNode)), (there, back));
+    injector.apply(FaultAction::Partition { node: 0, direction, begins: false });
+    assert_eq!((injector.latency(0, 0, ToNode), injector.latency(0, 0, FromNode)), (Some(NEAR), Some(NEAR)));
+}
+
+#[rstest]
+fn delays_add_up_and_end() {
+    let mut injector = injector();
+    let mut delay = |more, begins| {
+        let (added, direction) = (Tenths(more), Direction::ToNode);
+        injector.apply(FaultAction::NetworkDelay { node: 0, added, direction, begins });
+        (injector.latency(0, 0, ToNode).unwrap().0, injector.latency(0, 0, FromNode).unwrap().0)
+    };
+    assert_eq!(
+        [delay(7, true), delay(3, true), delay(7, false), delay(3, false)],
+        [(12, 5), (15, 5), (8, 5), (5, 5)]
+    );
+}
+
+/// An unresponsive node loses all messages, in both directions; overlapping faults begin and end once.
+#[rstest]
+fn becomes_unresponsive_once() {
+    let mut injector = injector();
+    let mut silence = |begins| injector.apply(FaultAction::Unresponsive { node: 2, begins });
+    assert_eq!([silence(true), silence(true)], [Some(FaultEffect::Silence { node: 2 }), None]);
+    assert_eq!(silence(false), None);
+    assert_eq!(injector.latency(0, 2, ToNode), None);
+    assert_eq!(
+        injector.apply(FaultAction::Unresponsive { node: 2, begins: false }),
+        Some(FaultEffect::EndSilence { node: 2 })
+    );
+    assert_eq!(injector.latency(0, 2, FromNode), Some(NEAR));
+}
+
+#[rstest]
+fn the_endpoint_list_is_late_or_not_published() {
+    let mut injector = injector();
+    injector.apply(FaultAction::EndpointListDelay { added: Tenths(100), begins: true });
+    assert_eq!(injector.endpoint_list_delay(), Some(Tenths(100)));
+    assert_eq!(injector.apply(FaultAction::EndpointListOutage { begins: true }), None);
+    assert_eq!(injector.endpoint_list_delay(), None);
+    assert_eq!(
+        injector.apply(FaultAction::EndpointListOutage { begins: false }),
+        Some(FaultEffect::RepublishEndpoints)
+    );
+    injector.apply(FaultAction::EndpointListDelay { added: Tenths(100), begins: false });
+    assert_eq!(injector.endpoint_list_delay(), Some(Tenths::ZERO));
+}
+
+#[rstest]
+fn shares_are_drawn_at_random() {
+    let mut injector = injector();
+    injector.apply(FaultAction::SkewedTraffic { share: 0.5, begins: true });
+    let first = (0..10_000).filter(|_| injector.pick_broker(1, 2) == 0).count();
+    assert!((4_700..5_300).contains(&first), "{first}");
+    injector.apply(FaultAction::SkewedTraffic { share: 0.5, begins: false });
+    assert!((0..100).all(|no| injector.pick_broker(no, 2) == no % 2));
+    assert!(!injector.draws_query_of_death() && !injector.draws_error(0));
+    injector.apply(FaultAction::Errors { node: 0, share: 1.0, begins: true });
+    injector.apply(FaultAction::QueryOfDeath { share: 1.0, begins: true });
+    assert!(injector.draws_query_of_death() && injector.draws_error(0) && !injector.draws_error(1));
+}
--- /dev/null
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -0,0 +1,116 @@
+//! Each rule: what breaks it, and what does not.
+
+use super::*;
+use rstest::rstest;
+
+const READY: PublishedState = PublishedState { state: EndpointState::Ready, at: Tenths(0) };
+
+fn draining_since(at: i64) -> PublishedState {
+    PublishedState { state: EndpointState::Draining, at: Tenths(at) }
+}
+
+fn checker() -> InvariantChecker {
+    let class = |idempotency, min_coverage| ClassLimits {
+        deadline: Tenths(1000),
+        min_coverage,
+        idempotency,
+        dedup_window: Tenths(500),
+    };
+    let classes = vec![
+        class(Idempotency::Idempotent, 0.4),
+        class(Idempotency::IdempotencyKey, 1.0),
+        class(Idempotency::AtMostOnce, 1.0),
+    ];
+    let retry_budget = Some(RetryBudget { floor: 1.0, share: 0.5, window: Tenths(100) });
+    let limits = InvariantLimits { classes, retry_budget, grace: Tenths(50), slack: Tenths(5) };
+    InvariantChecker::new(limits, 1)
+}
+
+/// A day in which a query was lost breaks a rule.
+#[rstest]
+#[case(2, 0)]
+#[case(3, 1)]
+fn detects_lost_queries(#[case] sent: u64, #[case] violations: usize) {
+    let mut checker = checker();
+    let counts = QueryCounts { sent, rejected: 1, abandoned: 1, ..QueryCounts::default() };
+    checker.check_conservation(Tenths(0), &counts);
+    assert_eq!(checker.violations().len(), violations);
+}
+
+#[rstest]
+fn reports_how_near_a_rule_came() {
+    let mut checker = checker();
+    checker.query_sent(Tenths(0), 0, 0, Tenths(1000), &[0.5, 0.5]);
+    checker.shard_request_arrived(Tenths(25), Tenths(25), ShardRequestIndex(0), draining_since(0));
+    checker.shard_request_arrived(Tenths(30), Tenths(30), ShardRequestIndex(0), draining_since(10));
+    checker.node_strained(Tenths(40), 0.75);
+    checker.node_strained(Tenths(50), 0.25);
+    let closest: Vec<(u8, f64, Tenths)> = checker
+        .closest()
+        .iter()
+        .map(|(rule, closest)| (rule.as_bytes()[0] - b'0', closest.ratio, closest.at))
+        .collect();
+    assert_eq!(closest, [(3, 0.5, Tenths(25)), (4, 0.75, Tenths(40)), (6, 0.4, Tenths(30))]);
+}
+
+/// What happens to one query of two shard requests of equal weight, one step a word: `a0` shard request 0
+/// arrives,
+/// `t0` is accepted, `m0` answered; `d0` arrives at a node published as draining; `A01` a complete response
+/// of 0 and 1; `P0` a partial one; `D` rejected, `S` failed; `F` a node collapses; `C` the day ends; a number
+/// moves the clock. Then the rule that is broken, if any.
+#[rstest]
+#[case(0, "a0 t0 m0 a1 t1 m1 A01", "")]
+#[case(0, "a0 t0 m0 P0 C", "")]
+#[case(0, "a0 t0 m0 a1 P0 C", "")]
+#[case(0, "C", "1: no final")]
+#[case(0, "S D", "1: a second")]
+#[case(0, "1006 S", "1: a final answer past")]
+#[case(0, "1005 S", "")]
+#[case(0, "S 6 a0", "1: a part sent after")]
+#[case(0, "S 5 a0", "")]
+#[case(0, "P", "5: an answer under")]
+#[case(0, "a0 t0 m0 a1 t1 P01", "5: a part counted that no host")]
+#[case(0, "a0 t0 m0 P00", "5: a part counted twice")]
+#[case(0, "a0 t0 m0 A0", "5: an answer called whole")]
+#[case(1, "a0 t0 505 a0", "")]
+#[case(1, "a0 t0 506 a0", "2: numbered")]
+#[case(2, "a0 a0 t0 D", "2: at-most-once, declined")]
+#[case(2, "a0 a0 t0 S", "")]
+#[case(2, "a0 t0 a0", "2: at-most-once, sent again")]
+#[case(0, "55 d0", "")]
+#[case(0, "56 d0", "3: sent past")]
+#[case(0, "F", "4: a cold")]
+#[case(0, "a0 a0 a0 S", "")]
+#[case(0, "a0 a0 a0 a0 S", "6: more")]
+#[case(0, "a0 a0 101 a0 200 a0 a0", "6: more")]
+#[case(0, "a0 a0 101 a0 S", "")]
+fn detects_each_violation(#[case] class: usize, #[case] steps: &str, #[case] rule: &str) {
+    let mut checker = checker();
+    checker.query_sent(Tenths(0), 0, class, Tenths(1000), &[0.5, 0.5]);
+    let mut now = Tenths(0);
+    for step in steps.split(' ') {
+        let (word, rest) = step.split_at(1);
+        let shard_requests: Vec<ShardRequestIndex> =
+            rest.bytes().map(|b| ShardRequestIndex(usize::from(b - b'0'))).collect();
+        let shard_request = shard_requests.first().copied().unwrap_or(ShardRequestIndex(0));
+        let mut end = |end: QueryEnd| _ = checker.query_ended(now, 0, &end);
+        match word {
+            "a" => checker.shard_request_arrived(now, now, shard_request, READY),
+            "d" => checker.shard_request_arrived(now, now, shard_request, draining_since(0)),
+            "t" => checker.shard_request_accepted(now, shard_request),
+            "m" => checker.shard_request_answered(now, shard_request),
+            "A" => end(QueryEnd::Responded { complete: true, counted: shard_requests }),
+            "P" => end(QueryEnd::Responded { complete: false, counted: shard_requests }),
+            "D" => end(QueryEnd::Rejected),
+            "S" => end(QueryEnd::Failed),
+            "F" => checker.node_collapsed(now),
+            "C" => checker.finish(now),
+            _ => now = Tenths(step.parse().unwrap()),
+        }
+    }
+    let broken: Vec<&str> = checker.violations().keys().copied().collect();
+    match rule {
+        "" => assert!(broken.is_empty(), "{broken:?}"),
+        rule => assert!(broken.len() == 1 && broken[0].starts_with(rule), "{broken:?}"),
+    }
+}
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -4,17 +4,17 @@
 //! Sockets and clocks are not deterministic; this is how the day is all the same. There is one clock,
 //! tokio's, paused: it moves a millisecond at a time, and only when every party is idle. Idle is no guess by
 //! waiting: each broker's open queries must be those that clients wait for, its attempts those that hosts
-//! hold or have just heard, and its question for changes of the endpoint list must lie at discovery; whatever is on
-//! its way, in either direction, makes one of them differ. Then one thing happens, in a stated order, and the
-//! parties come to rest again. A machine that is too busy makes this slow, never different; past a stated
-//! patience there is no figure at all.
-
-use crate::audit::{Audit, Final, PartNo};
-use crate::outcome::{Of, Outcome, Standings};
-use crate::rehearse::Cast;
-use crate::scene::{self, ROLL_LATE};
+//! hold or have just heard, and its question for changes of the endpoint list must lie at discovery; whatever
+//! is on its way, in either direction, makes one of them differ. Then one thing happens, in a stated order,
+//! and the parties come to rest again. A machine that is too busy makes this slow, never different; past a
+//! stated patience there is no figure at all.
+
+use crate::invariants::{InvariantChecker, PublishedState, QueryEnd, ShardRequestIndex};
+use crate::results::{DayResults, NodeCounts, QueryOrigin};
+use crate::simulation::SimulationConfig;
+use crate::simulation::deployment::{self, ENDPOINT_LIST_DELAY};
 use broker::{Running, StartupConfig};
-use cluster_trace::plan::{NodeEvent, Plan, PlanEntry, PlanEvent, PlannedShardRequest, ReplayConfig};
+use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, PlannedShardRequest, ReplayConfig};
 use node_emulator::script::{self, Catalog, Client, Heard, Node, Reply, ShardRequest};
 use node_emulator::{Host, JobNo, Load, State, Taken};
 use routing::{EndpointState, Tenths};
@@ -60,26 +60,26 @@
 pub fn play(
     plan: Plan,
     replay: &ReplayConfig,
-    cast: Cast,
+    config: SimulationConfig,
     going_on: impl FnMut(Tenths, Tenths) -> bool,
-) -> Result<Outcome, NoFigure> {
-    play_within(PATIENCE, plan, replay, cast, going_on)
+) -> Result<DayResults, NoFigure> {
+    play_within(PATIENCE, plan, replay, config, going_on)
 }
 
 fn play_within(
     patience: Duration,
     plan: Plan,
     replay: &ReplayConfig,
-    cast: Cast,
+    config: SimulationConfig,
     going_on: impl FnMut(Tenths, Tenths) -> bool,
-) -> Result<Outcome, NoFigure> {
+) -> Result<DayResults, NoFigure> {
     // Paused from its first moment: what is left of a millisecond would else differ from run to run.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
     let runtime = actix_rt::Runtime::from(runtime);
     runtime.block_on(async {
-        let mut day = Day::begin(patience, plan, replay, cast).await?;
+        let mut day = Day::begin(patience, plan, replay, config).await?;
         day.play(going_on).await?;
-        Ok(day.outcome)
+        Ok(day.results)
     })
 }
 
@@ -97,7 +97,7 @@
 
 struct Query {
     broker: usize,
-    of: Of,
+    origin: QueryOrigin,
     first: usize,
     /// Shard and microseconds of each shard request.
     shard_requests: Vec<(u32, u64)>,
@@ -108,7 +108,7 @@
     host: usize,
     line: usize,
     id: String,
-    shard_request: PartNo,
+    shard_request: ShardRequestIndex,
 }
 
 /// The reply to a query, and the connection that it came on; none: it broke off.
@@ -119,7 +119,7 @@
     now: Tenths,
     last: Tenths,
     plan: VecDeque<PlanEntry>,
-    cast: Cast,
+    config: SimulationConfig,
     names: Vec<String>,
     cut_offs: Vec<u32>,
     /// Tenants have quotas, so that brokers know them by name.
@@ -132,7 +132,7 @@
     inbox: Vec<(usize, usize, Heard)>,
     /// When discovery will tell of a host, and what it told last.
     telling: VecDeque<(Tenths, usize)>,
-    told: Vec<(EndpointState, Tenths)>,
+    published: Vec<PublishedState>,
     brokers: Vec<Running>,
     /// Idle connections of clients by broker, and since when.
     idle: Vec<Vec<(Tenths, Client)>>,
@@ -145,8 +145,8 @@
     job_of: BTreeMap<(usize, usize, String), JobNo>,
     next_job: u64,
     hasher: blake3::Hasher,
-    audit: Audit,
-    outcome: Outcome,
+    invariants: InvariantChecker,
+    results: DayResults,
 }
 
 impl Day {
@@ -154,22 +154,22 @@
         patience: Duration,
         plan: Plan,
         replay: &ReplayConfig,
-        cast: Cast,
+        config: SimulationConfig,
     ) -> Result<Day, NoFigure> {
         let catalog = Catalog::start().await?;
         let (tell, heard) = mpsc::unbounded_channel();
         let nodes = (0..replay.nodes as usize).map(|at| Node::reserved(at, tell.clone()));
         let nodes = nodes.collect::<io::Result<Vec<Node>>>()?;
-        let hosts: Vec<Host> = (0..replay.nodes).map(|_| scene::dead_host(&cast)).collect();
+        let hosts: Vec<Host> = (0..replay.nodes).map(|_| deployment::stopped_node(&config)).collect();
         let mut brokers = Vec::new();
-        for no in 0..cast.brokers {
-            let seed = cast.seed ^ u64::from(no).rotate_left(32);
+        for no in 0..config.brokers {
+            let seed = config.seed ^ u64::from(no).rotate_left(32);
             let config = json!({"name": format!("b{no}"), "listen": "127.0.0.1:0",
                 "discovery": catalog.address.to_string(), "seed": format!("{seed:x}"),
                 // As much as the day may need: connections that are let go for want of room are another
                 // matter.
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 16384},
-                "settings": scene::settings(replay, &cast)});
+                "settings": deployment::settings(replay, &config)});
             let mut order =
                 StartupConfig::read(config.to_string().as_bytes(), |_| None).map_err(NoFigure::Settings)?;
             order.since = Some(SINCE);
@@ -186,7 +186,7 @@
             cut_offs: replay.classes.iter().map(|told| told.deadline_ms).collect(),
             quotas: replay.quota_per_s.is_some(),
             catalog,
-            told: vec![(EndpointState::Removed, Tenths(0)); hosts.len()],
+            published: vec![PublishedState { state: EndpointState::Removed, at: Tenths(0) }; hosts.len()],
             nodes,
             hosts,
             heard,
@@ -202,10 +202,10 @@
             job_of: BTreeMap::new(),
             next_job: 0,
             hasher: blake3::Hasher::new(),
-            audit: Audit::new(scene::bounds(replay, SLACK), brokers.len()),
+            invariants: InvariantChecker::new(deployment::invariant_limits(replay, SLACK), brokers.len()),
             brokers,
-            outcome: Outcome::new(scene::worth(replay), replay.tenant_weights.len()),
-            cast,
+            results: DayResults::new(deployment::class_values(replay), replay.tenant_weights.len()),
+            config,
         };
         day.gather().await?;
         Ok(day)
@@ -229,11 +229,11 @@
             self.due().await?;
             if step.is_multiple_of(STEPS_A_SECOND) {
                 if !going_on(self.now.min(self.last), self.last) {
-                    self.outcome.stopped_at = Some(self.now);
+                    self.results.stopped_at = Some(self.now);
                     break;
                 }
                 if self.now <= self.last {
-                    self.outcome.second(self.now).hosts = Standings::of(&self.hosts, self.now);
+                    self.results.second(self.now).nodes = NodeCounts::of(&self.hosts, self.now);
                 }
             }
             let over = self.plan.is_empty() && self.waiting == 0 && self.jobs.is_empty();
@@ -245,12 +245,12 @@
             tokio::time::advance(Duration::from_millis(1)).await;
             self.rest().await?;
         }
-        if self.outcome.stopped_at.is_none() {
-            self.audit.close(self.now);
+        if self.results.stopped_at.is_none() {
+            self.invariants.finish(self.now);
         }
-        self.outcome.broken = self.audit.broken().clone();
-        self.outcome.nearest = self.audit.nearest().clone();
-        self.outcome.digest = self.hasher.finalize().to_hex().to_string();
+        self.results.violations = self.invariants.violations().clone();
+        self.results.closest = self.invariants.closest().clone();
+        self.results.digest = self.hasher.finalize().to_hex().to_string();
         Ok(())
     }
 
@@ -262,7 +262,7 @@
                 let load = self.hosts[host].load(self.now);
                 if let Some(Job { host, line, id, shard_request }) = self.jobs.remove(&no) {
                     self.job_of.remove(&(host, line, id.clone()));
-                    self.audit.made(self.now, shard_request);
+                    self.invariants.shard_request_answered(self.now, shard_request);
                     // Its id is its value: a client can tell it from any other shard request's.
                     self.nodes[host].end_with(line, &id, 'S', &report(load), &format!("v{id}")).await;
                     self.rest().await?;
@@ -422,11 +422,11 @@
     // ---- hosts
 
     /// What a shard request's id on the wire says: the query and its shard request.
-    fn part_of(&self, id: &str) -> Option<(PartNo, u64)> {
+    fn part_of(&self, id: &str) -> Option<(ShardRequestIndex, u64)> {
         let (no, shard) = numbers(id)?;
         let query = self.queries.get(no)?;
         let at = query.shard_requests.iter().position(|(s, _)| *s == shard)?;
-        Some((PartNo(query.first + at), query.shard_requests[at].1))
+        Some((ShardRequestIndex(query.first + at), query.shard_requests[at].1))
     }
 
     async fn arrive(
@@ -436,18 +436,18 @@
         shard_request: &ShardRequest,
     ) -> Result<(), NoFigure> {
         self.hasher.update(format!("{} {host} {}\n", self.now.0, shard_request.id).as_bytes());
-        self.outcome.push(self.now);
-        let (no, us) = self.part_of(&shard_request.id).unwrap_or((PartNo(usize::MAX), 0));
-        self.audit.arrived(self.now, self.now, no, self.told[host]);
+        self.results.record_attempt(self.now);
+        let (no, us) = self.part_of(&shard_request.id).unwrap_or((ShardRequestIndex(usize::MAX), 0));
+        self.invariants.shard_request_arrived(self.now, self.now, no, self.published[host]);
         self.next_job += 1;
         let job = JobNo(self.next_job);
         let taken = self.hosts[host].take(self.now, job, us);
         if self.hosts[host].is_cold(self.now) {
-            self.audit.strained(self.now, self.hosts[host].strain());
+            self.invariants.node_strained(self.now, self.hosts[host].strain());
         }
         match taken {
             Taken::Begun | Taken::Queued => {
-                self.audit.taken(self.now, no);
+                self.invariants.shard_request_accepted(self.now, no);
                 // The same shard request again on one connection: the broker waits for the newer alone.
                 if let Some(older) = self.job_of.insert((host, line, shard_request.id.clone()), job) {
                     self.jobs.remove(&older);
@@ -462,7 +462,7 @@
             // It fell while this was on its way.
             Taken::Unreachable => {}
             Taken::FellOver => {
-                self.audit.fell_over(self.now);
+                self.invariants.node_collapsed(self.now);
                 self.fall(host).await?;
             }
         }
@@ -476,28 +476,28 @@
             }
         }
         self.nodes[host].fall().await?;
-        self.telling.push_back((self.now + ROLL_LATE, host));
+        self.telling.push_back((self.now + ENDPOINT_LIST_DELAY, host));
         Ok(())
     }
 
-    async fn host_event(&mut self, host: usize, event: NodeEvent) -> Result<(), NoFigure> {
+    async fn host_event(&mut self, host: usize, event: PlannedNodeEvent) -> Result<(), NoFigure> {
         match event {
-            NodeEvent::StartWarm => {
-                self.hosts[host] = scene::warm_host(&self.cast);
+            PlannedNodeEvent::StartWarm => {
+                self.hosts[host] = deployment::warm_node(&self.config);
                 self.nodes[host].listen()?;
                 return self.tell(host).await;
             }
-            NodeEvent::StartCold => {
+            PlannedNodeEvent::StartCold => {
                 self.hosts[host].start(self.now);
                 self.nodes[host].listen()?;
-                self.telling.push_back((self.now + ROLL_LATE, host));
+                self.telling.push_back((self.now + ENDPOINT_LIST_DELAY, host));
             }
-            NodeEvent::Drain => {
+            PlannedNodeEvent::Drain => {
                 self.hosts[host].drain();
                 return self.tell(host).await;
             }
-            NodeEvent::Stop => self.fall(host).await?,
-            NodeEvent::SlowDown(share) => self.hosts[host].slow(share),
+            PlannedNodeEvent::Stop => self.fall(host).await?,
+            PlannedNodeEvent::SlowDown(share) => self.hosts[host].slow(share),
         }
         self.rest().await
     }
@@ -513,9 +513,9 @@
         let started = self.hosts[host].started().map(|at| (SINCE + at).as_ms());
         let id = format!("h-{host}");
         let entry = json!({"id": id, "host_port": self.nodes[host].address.to_string(), "locality": "hall",
-            "cell": host as u32 % self.cast.cells, "phase": phase, "up_since_ms": started.unwrap_or(0.0)});
+            "cell": host as u32 % self.config.placement_groups, "phase": phase, "up_since_ms": started.unwrap_or(0.0)});
         self.catalog.set(&id, entry);
-        self.told[host] = (scene::endpoint_state(state), self.now);
+        self.published[host] = PublishedState { state: deployment::endpoint_state(state), at: self.now };
         self.rest().await
     }
 
@@ -529,15 +529,16 @@
     ) -> Result<(), NoFigure> {
         let no = self.queries.len();
         let broker = no % self.brokers.len();
-        let of = Of { class, tenant, at: self.now };
-        self.outcome.ask(of);
+        let origin = QueryOrigin { class, tenant, sent_at: self.now };
+        self.results.record_query(origin);
         let weights: Vec<f64> = told.iter().map(|planned| planned.weight).collect();
-        let PartNo(first) = self.audit.asked(self.now, broker, class, self.time_of(class), &weights);
+        let ShardRequestIndex(first) =
+            self.invariants.query_sent(self.now, broker, class, self.time_of(class), &weights);
         let shard_requests = told.iter().map(|planned| (planned.shard, planned.work_us)).collect();
-        self.queries.push(Query { broker, of, first, shard_requests });
+        self.queries.push(Query { broker, origin, first, shard_requests });
         let slices: Vec<(u32, f64)> = told.iter().map(|planned| (planned.shard, planned.weight)).collect();
         let (left, body) = (u64::from(self.cut_offs[class]), script::body(&slices, "x"));
-        let by = scene::tenant_name(tenant);
+        let by = deployment::tenant_name(tenant);
         let by = Some(&by[..]).filter(|_| self.quotas);
         let request = script::request_of(by, &format!("r{no}"), &self.names[class], left, &body);
         let fresh = self.idle[broker].pop().filter(|(since, _)| self.now - *since < IDLE);
@@ -567,7 +568,7 @@
     }
 
     fn end(&mut self, no: usize, reply: Option<(Reply, Client)>) {
-        let Query { broker, of, first, ref shard_requests } = self.queries[no];
+        let Query { broker, origin, first, ref shard_requests } = self.queries[no];
         let (status, body) = reply.as_ref().map_or((0, ""), |(reply, _)| (reply.status, &reply.body[..]));
         let end = match status {
             200 => match serde_json::from_str::<Answered>(body) {
@@ -575,25 +576,28 @@
                     let shard_request = |item: &Item| {
                         let at = shard_requests.iter().position(|(shard, _)| *shard == item.slice);
                         let mine = at.filter(|_| item.body == format!("vr{no}.{}", item.slice));
-                        PartNo(mine.map_or(usize::MAX, |at| first + at))
+                        ShardRequestIndex(mine.map_or(usize::MAX, |at| first + at))
                     };
-                    Final::Answered { whole: entire, held: items.iter().map(shard_request).collect() }
+                    QueryEnd::Responded {
+                        complete: entire,
+                        counted: items.iter().map(shard_request).collect(),
+                    }
                 }
-                Err(_) => Final::Answered { whole: false, held: Vec::new() },
+                Err(_) => QueryEnd::Responded { complete: false, counted: Vec::new() },
             },
-            503 => Final::Declined,
+            503 => QueryEnd::Rejected,
             // Anything else promises nothing.
-            _ => Final::Scrapped,
+            _ => QueryEnd::Failed,
         };
         self.hasher.update(format!("{} r{no} {status} {end:?}\n", self.now.0).as_bytes());
         if let Some((_, client)) = reply {
             self.idle[broker].push((self.now, client));
         }
-        let Some(share) = self.audit.ends(self.now, no, &end) else { return };
+        let Some(share) = self.invariants.query_ended(self.now, no, &end) else { return };
         match end {
-            Final::Answered { .. } => self.outcome.answer(self.now, of, share),
-            Final::Declined => self.outcome.decline(self.now, of),
-            Final::Scrapped => self.outcome.scrap(self.now),
+            QueryEnd::Responded { .. } => self.results.record_response(self.now, origin, share),
+            QueryEnd::Rejected => self.results.record_rejection(self.now, origin),
+            QueryEnd::Failed => self.results.record_failure(self.now),
         }
     }
 }
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::rehearse::Mind;
-use crate::rehearse::tests::planned;
+use crate::simulation::RoutingPolicy;
+use crate::simulation::tests::planned;
 use cluster_trace::plan::{PlanEntry, RetryBudget};
 use node_emulator::Cancel;
 use rstest::rstest;
@@ -14,19 +14,27 @@
         nodes: 6,
         shards: 12,
         retry_budget,
-        ..crate::rehearse::tests::replay_config()
+        ..crate::simulation::tests::replay_config()
     }
 }
 
-fn cast() -> Cast {
-    Cast { brokers: 2, mind: Mind::Module, seed: 5, cells: 3, cores: 4, warm_jobs: None, cancel: Cancel::All }
+fn config() -> SimulationConfig {
+    SimulationConfig {
+        brokers: 2,
+        policy: RoutingPolicy::Module,
+        seed: 5,
+        placement_groups: 3,
+        cores: 4,
+        warm_jobs: None,
+        cancel: Cancel::All,
+    }
 }
 
-/// Three seconds of queries, four shard requests of 20 ms each, so many a second; half of the hosts die in one
-/// instant and come back cold, one drains.
-fn plan(a_second: u64, events: &[(u64, u32, NodeEvent)]) -> Plan {
+/// Three seconds of queries, four shard requests of 20 ms each, so many a second; half of the hosts die in
+/// one instant and come back cold, one drains.
+fn plan(a_second: u64, events: &[(u64, u32, PlannedNodeEvent)]) -> Plan {
     let host = |at, host, event| PlanEntry { at, event: PlanEvent::Node { node: host, event } };
-    let mut entries: Vec<PlanEntry> = (0..6).map(|no| host(0, no, NodeEvent::StartWarm)).collect();
+    let mut entries: Vec<PlanEntry> = (0..6).map(|no| host(0, no, PlannedNodeEvent::StartWarm)).collect();
     entries.extend(events.iter().map(|(at, no, event)| host(*at, *no, *event)));
     for no in 0..3 * a_second {
         let shard_requests = (0..4).map(|at| planned((no as u32 * 5 + at) % 12, 20_000)).collect();
@@ -38,14 +46,14 @@
 }
 
 fn troubled() -> Plan {
-    let mut events: Vec<_> = [0, 2, 4].map(|no| (8_000, no, NodeEvent::Stop)).to_vec();
-    events.extend([0, 2, 4].map(|no| (14_000, no, NodeEvent::StartCold)));
-    events.extend([(17_000, 1, NodeEvent::Drain), (24_000, 1, NodeEvent::Stop)]);
+    let mut events: Vec<_> = [0, 2, 4].map(|no| (8_000, no, PlannedNodeEvent::Stop)).to_vec();
+    events.extend([0, 2, 4].map(|no| (14_000, no, PlannedNodeEvent::StartCold)));
+    events.extend([(17_000, 1, PlannedNodeEvent::Drain), (24_000, 1, PlannedNodeEvent::Stop)]);
     plan(80, &events)
 }
 
-fn day(plan: Plan) -> Outcome {
-    play(plan, &replay_config(), cast(), |_, _| true).unwrap()
+fn day(plan: Plan) -> DayResults {
+    play(plan, &replay_config(), config(), |_, _| true).unwrap()
 }
 
 /// The same service and the same digest of all that hosts and clients got, on five runs, one of them beside a
@@ -53,7 +61,7 @@
 #[rstest]
 fn the_same_day_on_sockets_each_time() {
     let first = day(troubled());
-    assert!(first.broken.is_empty() && first.service.share() > 0.5, "{}", first.json());
+    assert!(first.violations.is_empty() && first.service.share() > 0.5, "{}", first.json());
     assert!(first.attempts > first.queries && first.queries == 240, "{}", first.json());
     for _ in 0..3 {
         assert_eq!(day(troubled()).json(), first.json());
@@ -77,45 +85,50 @@
 
 #[rstest]
 fn serves_all_in_quiet_times() {
-    let outcome = day(plan(60, &[]));
-    assert!(outcome.service.share() > 0.99 && outcome.broken.is_empty(), "{}", outcome.json());
+    let results = day(plan(60, &[]));
+    assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
 }
 
 /// Hotter than the hosts can bear: rejected at once, and the figure says so.
 #[rstest]
 fn declines_at_once_under_too_much() {
-    let outcome = day(plan(500, &[]));
-    assert!(outcome.broken.is_empty() && outcome.declined > 100, "{}", outcome.json());
-    assert!(outcome.slowest_decline < scene::GOAL && outcome.service.share() < 0.95, "{}", outcome.json());
+    let results = day(plan(500, &[]));
+    assert!(results.violations.is_empty() && results.rejected > 100, "{}", results.json());
+    assert!(
+        results.slowest_rejection < deployment::LATENCY_OBJECTIVE && results.service.share() < 0.95,
+        "{}",
+        results.json()
+    );
 }
 
 /// Without patience there is no figure, rather than a wrong one.
 #[rstest]
 fn says_when_there_is_no_figure() {
-    let none = play_within(Duration::ZERO, troubled(), &replay_config(), cast(), |_, _| true);
+    let none = play_within(Duration::ZERO, troubled(), &replay_config(), config(), |_, _| true);
     assert!(matches!(none, Err(NoFigure::Busy { .. })), "{none:?}");
 }
 
 /// Broken off, it tells what was played as partial.
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
-    let outcome = play(troubled(), &replay_config(), cast(), |now, _| now < Tenths(10_000)).unwrap();
-    assert_eq!(outcome.stopped_at, Some(Tenths(10_000)));
-    assert!(outcome.broken.is_empty() && outcome.queries < 120, "{}", outcome.json());
+    let results = play(troubled(), &replay_config(), config(), |now, _| now < Tenths(10_000)).unwrap();
+    assert_eq!(results.stopped_at, Some(Tenths(10_000)));
+    assert!(results.violations.is_empty() && results.queries < 120, "{}", results.json());
 }
 
-/// The clock stands while anything is under way: a request that no desk has, a shard request that no broker has out, at a host or
-/// among what was just heard. Without this a day is the same only as long as the kernel is quick.
+/// The clock stands while anything is under way: a request that no desk has, a shard request that no broker
+/// has out, at a host or among what was just heard. Without this a day is the same only as long as the kernel
+/// is quick.
 #[rstest]
 #[case(|day: &mut Day| day.waiting += 1, "a request or an answer")]
-#[case(|day: &mut Day| _ = day.jobs.insert(JobNo(9), Job { host: 0, line: 0, id: "r0.1".into(), shard_request: PartNo(0) }), "a part")]
+#[case(|day: &mut Day| _ = day.jobs.insert(JobNo(9), Job { host: 0, line: 0, id: "r0.1".into(), shard_request: ShardRequestIndex(0) }), "a part")]
 #[case(|day: &mut Day| day.inbox.push((0, 0, Heard::Call(vec![shard_request()]))), "a part")]
 fn the_clock_stands_while_anything_is_under_way(#[case] put: fn(&mut Day), #[case] what: &str) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     actix_rt::Runtime::from(runtime).block_on(async {
         let mut day =
-            Day::begin(Duration::from_secs(20), plan(60, &[]), &replay_config(), cast()).await.unwrap();
+            Day::begin(Duration::from_secs(20), plan(60, &[]), &replay_config(), config()).await.unwrap();
         day.due().await.unwrap();
         assert!(day.under_way().is_none() && day.hold_what_is_out());
         put(&mut day);
--- a/crates/broker-bench/src/main.rs
+++ b/crates/broker-bench/src/main.rs
@@ -1,24 +1,28 @@
-//! The laboratory: measures the product's shard requests at size, in virtual time. Figures it prints are simulated.
-//! Exit codes: 0 passed, or sound; 1 not so; 2 a mistake in the words, or a file that can't be begun.
+//! The bench: simulates and measures the product at size, in virtual time and on loopback sockets. Its
+//! figures are simulated. Exit codes of measures: 0 all bounds were kept; 1 one was not; 2 wrong arguments.
 
-mod audit;
 mod baseline;
 mod demo;
+mod fault_injector;
 mod fleet;
-mod incident;
-mod laboratory;
-mod lean;
+mod footprint_benchmark;
+mod invariants;
 mod loopback;
-mod outcome;
-mod reading;
-mod rehearsal;
-mod rehearse;
+mod overload_benchmark;
+mod reader_benchmark;
 mod report;
-mod rush;
-mod scene;
-mod traces;
+mod results;
+mod scenario_day;
+mod scenario_figures;
+mod simulate_command;
+mod simulation;
+mod simulation_benchmark;
+mod trace_check;
+mod trace_files;
+mod trace_plan;
+mod trace_run;
+mod traffic;
 mod versions;
-mod weather;
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
@@ -32,7 +36,7 @@
         broker-bench trace check task_events/part-00000-of-00500.csv.gz\n  \
         broker-bench trace check --layout azure-2017-vmtable --tolerate 0.01 --json vms.csv"
 )]
-struct Words {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -47,7 +51,8 @@
     },
     /// Play scripted incidents in virtual time, by several seeds, beside a baseline. Its figures are
     /// simulated.
-    Rehearse(rehearsal::Rehearsed),
+    #[command(visible_alias = "rehearse")]
+    Simulate(simulate_command::SimulateArgs),
     /// Public cluster traces in CSV.
     Trace {
         #[command(subcommand)]
@@ -82,16 +87,16 @@
         /// Rejected rows: `first` ends it at the first, `count` counts them, a share as 0.01 ends it past
         /// that.
         #[arg(long, default_value = "count")]
-        tolerate: traces::Tolerance,
+        tolerate: trace_files::Tolerance,
         /// One JSON object for scripts.
         #[arg(long)]
         json: bool,
     },
     /// Print what brokers and hosts would feel of a window of these files, and the plan's digest.
-    Plan(traces::Planned),
+    Plan(trace_plan::PlanArgs),
     /// Play the plan among model hosts: the module or a baseline in virtual time, or brokers on loopback
     /// sockets.
-    Run(traces::Played),
+    Run(trace_run::RunArgs),
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -113,25 +118,30 @@
 }
 
 fn main() -> ExitCode {
-    let (what, size, seed, program, against) = match Words::parse().command {
+    let (what, size, seed, program, against) = match Arguments::parse().command {
         Command::Trace { command: TraceCommand::Check { files, layout, tolerate, json } } => {
-            return traces::check(&files, layout.as_deref(), tolerate, json);
+            return trace_check::run(&files, layout.as_deref(), tolerate, json);
         }
-        Command::Rehearse(words) => return rehearsal::run(&words),
+        Command::Simulate(args) => return simulate_command::run(&args),
         Command::Demo { report } => return demo::run(report),
-        Command::Trace { command: TraceCommand::Plan(planned) } => return traces::plan(&planned),
-        Command::Trace { command: TraceCommand::Run(played) } => return traces::run(&played),
+        Command::Trace { command: TraceCommand::Plan(planned) } => return trace_plan::run(&planned),
+        Command::Trace { command: TraceCommand::Run(played) } => return trace_run::run(&played),
         Command::Measure { what, size, seed, program, against } => (what, size, seed, program, against),
     };
-    let labs = match size {
-        Size::Small => laboratory::Sizes { small: (30, 10), large: (120, 60), seeds: 2 },
-        Size::Full => laboratory::Sizes { small: (60, 30), large: (600, 300), seeds: 3 },
+    let dimensions = |nodes, brokers| simulation_benchmark::ClusterDimensions { nodes, brokers };
+    let simulations = match size {
+        Size::Small => {
+            simulation_benchmark::Sizes { small: dimensions(30, 10), large: dimensions(120, 60), seeds: 2 }
+        }
+        Size::Full => {
+            simulation_benchmark::Sizes { small: dimensions(60, 30), large: dimensions(600, 300), seeds: 3 }
+        }
     };
     let (brokers, rows, day) = match size {
         Size::Small => (
             500,
             500_000,
-            rush::Size {
+            overload_benchmark::Size {
                 hosts: 30,
                 brokers: 12,
                 seconds: 30,
@@ -142,14 +152,20 @@
         Size::Full => (
             5000,
             5_000_000,
-            rush::Size { hosts: 150, brokers: 80, seconds: 60, a_second: 600.0, sweep: (&[12, 80, 300], 2) },
+            overload_benchmark::Size {
+                hosts: 150,
+                brokers: 80,
+                seconds: 60,
+                a_second: 600.0,
+                sweep: (&[12, 80, 300], 2),
+            },
         ),
     };
     let pass = match what {
         What::Control => Ok(versions::measure(brokers, seed)),
-        What::Trace => reading::measure(rows, &day, seed),
-        What::Rehearsal => laboratory::measure(&labs),
-        What::Lean => lean::measure(&program, &against),
+        What::Trace => reader_benchmark::measure(rows, &day, seed),
+        What::Rehearsal => simulation_benchmark::measure(&simulations),
+        What::Lean => footprint_benchmark::measure(&program, &against),
     };
     match pass {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/broker-bench/src/rush.rs
+++ b/crates/broker-bench/src/overload_benchmark.rs
@@ -1,8 +1,8 @@
-//! `measure trace`, second shard request: a rush day at size, in virtual time, by the module as it stands, the design
-//! without its exceptions, and random choice. All figures are simulated.
+//! `measure trace`, second shard request: a rush day at size, in virtual time, by the module as it stands,
+//! the design without its exceptions, and random choice. All figures are simulated.
 
-use crate::outcome::Outcome;
-use crate::rehearse::{Cast, Mind, World};
+use crate::results::DayResults;
+use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use cluster_trace::plan::{ClassSpec, CountRange, Plan, Planner, ReplayConfig};
 use cluster_trace::{RowOutcome, TraceReader, find_layout};
 use node_emulator::Cancel;
@@ -25,7 +25,7 @@
 /// can do.
 const ONE: f64 = 0.4;
 const TIMES: [f64; 3] = [1.0, 2.0, 4.0];
-const MINDS: [Mind; 3] = [Mind::Module, Mind::Design, Mind::Random];
+const MINDS: [RoutingPolicy; 3] = [RoutingPolicy::Module, RoutingPolicy::Design, RoutingPolicy::Random];
 /// At 1x the module serves all but what a few dead hosts had and what came in the rush's worst moments.
 const SERVES: f64 = 0.95;
 /// What keeping the rules may cost beside a baseline that breaks them.
@@ -94,23 +94,31 @@
     let (tasks, machines) = files(size, seed);
     for (name, text) in [("google-2011-machine-events", &machines), ("google-2011-task-events", &tasks)] {
         let layout = find_layout(name).ok_or("no such layout")?;
-        for outcome in TraceReader::new(layout, text.as_bytes()).map_err(|e| e.to_string())? {
-            let RowOutcome::Accepted(row) = outcome else { return Err(format!("{outcome:?}")) };
+        for results in TraceReader::new(layout, text.as_bytes()).map_err(|e| e.to_string())? {
+            let RowOutcome::Accepted(row) = results else { return Err(format!("{results:?}")) };
             planner.add_row(&row).map_err(|e| e.to_string())?;
         }
     }
     planner.finish().map_err(|e| e.to_string())
 }
 
-fn play(size: &Size, seed: u64, times: f64, mind: Mind) -> Result<Outcome, String> {
+fn play(size: &Size, seed: u64, times: f64, policy: RoutingPolicy) -> Result<DayResults, String> {
     let (plan, cells) = (plan(size, seed, ONE * times)?, (size.hosts / 5).max(3));
     let (brokers, cancel) = (size.brokers, Cancel::All);
-    let cast = Cast { brokers, mind, seed, cells, cores: 4, warm_jobs: None, cancel };
-    Ok(World::new(plan, &replay_config(size, seed, ONE * times), cast).play(|_, _| true))
+    let config = SimulationConfig {
+        brokers,
+        policy,
+        seed,
+        placement_groups: cells,
+        cores: 4,
+        warm_jobs: None,
+        cancel,
+    };
+    Ok(Simulation::new(plan, &replay_config(size, seed, ONE * times), config).run(|_, _| true))
 }
 
-/// Rule 4 by the number of brokers: the module's days at each load and seed, and the most that a cold host was sent,
-/// of what makes it fall over.
+/// Rule 4 by the number of brokers: the module's days at each load and seed, and the most that a cold host
+/// was sent, of what makes it fall over.
 fn sweep(size: &Size, brokers: &[u32], seeds: u64) -> Result<(Value, bool), String> {
     let days = brokers.iter().flat_map(|brokers| {
         TIMES.iter().flat_map(move |times| (1..=seeds).map(move |seed| (*brokers, *times, seed)))
@@ -119,10 +127,10 @@
         .collect::<Vec<_>>()
         .into_par_iter()
         .map(|(brokers, times, seed)| {
-            let day = play(&Size { brokers, ..*size }, seed, times, Mind::Module)?;
-            let cold = day.nearest.iter().find(|(rule, _)| rule.starts_with('4'));
-            let kept = !day.broken.keys().any(|rule| rule.starts_with('4'));
-            Ok((brokers, times, kept, cold.map_or(0.0, |(_, near)| near.ratio)))
+            let day = play(&Size { brokers, ..*size }, seed, times, RoutingPolicy::Module)?;
+            let cold = day.closest.iter().find(|(rule, _)| rule.starts_with('4'));
+            let kept = !day.violations.keys().any(|rule| rule.starts_with('4'));
+            Ok((brokers, times, kept, cold.map_or(0.0, |(_, closest)| closest.ratio)))
         })
         .collect();
     let (mut figures, mut kept) = (BTreeMap::new(), true);
@@ -141,12 +149,13 @@
 /// serves no less than a baseline that breaks none, and at 1x what the constant says.
 pub fn measure(size: &Size, seed: u64) -> Result<(Value, bool), String> {
     let began = Instant::now();
-    let days: Vec<(f64, Mind)> = TIMES.iter().flat_map(|times| MINDS.map(|mind| (*times, mind))).collect();
-    let played: Result<Vec<(f64, Mind, Outcome)>, String> = days
+    let days: Vec<(f64, RoutingPolicy)> =
+        TIMES.iter().flat_map(|times| MINDS.map(|policy| (*times, policy))).collect();
+    let played: Result<Vec<(f64, RoutingPolicy, DayResults)>, String> = days
         .into_par_iter()
-        .map(|(times, mind)| {
-            let outcome = play(size, seed, times, mind)?;
-            Ok((times, mind, outcome))
+        .map(|(times, policy)| {
+            let results = play(size, seed, times, policy)?;
+            Ok((times, policy, results))
         })
         .collect();
     let played = played?;
@@ -154,29 +163,29 @@
         "load  mind      service  worst 10 s  median ms    p99 ms  answered  declined  pushes a retrieval"
     );
     let (mut figures, mut pass) = (BTreeMap::new(), true);
-    for (times, mind, day) in &played {
-        let name = format!("{mind:?}").to_lowercase();
+    for (times, policy, day) in &played {
+        let name = format!("{policy:?}").to_lowercase();
         println!(
             "{times:>3}x  {name:<8} {:>8.4} {:>11.4} {:>10.1} {:>9.1} {:>9} {:>9} {:>19.2}",
             day.service.share(),
             day.worst_window(),
             day.latency_ms(0.5),
             day.latency_ms(0.99),
-            day.answered,
-            day.declined,
+            day.responded,
+            day.rejected,
             day.attempts as f64 / day.queries.max(1) as f64
         );
         let told = json!({"service": day.service.share(), "worst_10_s": day.worst_window(),
-            "retrievals": day.queries, "declined": day.declined, "scrapped": day.scrapped,
-            "broken": day.broken.keys().collect::<Vec<_>>(), "digest": &day.digest[..16]});
+            "retrievals": day.queries, "declined": day.rejected, "scrapped": day.failed,
+            "broken": day.violations.keys().collect::<Vec<_>>(), "digest": &day.digest[..16]});
         figures.insert(format!("{times}x_{name}"), told);
-        if *mind == Mind::Module {
+        if *policy == RoutingPolicy::Module {
             // A run that breaks a rule counts for nothing: what it served by that is no measure.
-            let others = played.iter().filter(|(t, _, day)| t == times && day.broken.is_empty());
+            let others = played.iter().filter(|(t, _, day)| t == times && day.violations.is_empty());
             let best = others.map(|(.., day)| day.service.share()).fold(0.0, f64::max);
             let any = played.iter().filter(|(t, ..)| t == times).map(|(.., day)| day.service.share());
             let served = day.service.share();
-            pass &= day.broken.is_empty() && served >= best - 0.005 && (*times > 1.0 || served >= SERVES);
+            pass &= day.violations.is_empty() && served >= best - 0.005 && (*times > 1.0 || served >= SERVES);
             pass &= served >= KEEPS * any.fold(0.0, f64::max);
         }
     }
@@ -200,12 +209,13 @@
     use super::*;
     use rstest::rstest;
 
-    /// Many brokers' first attempts, and long shard requests of several that met, brought cold hosts down at 2x and 4x.
+    /// Many brokers' first attempts, and long shard requests of several that met, brought cold hosts down at
+    /// 2x and 4x.
     #[rstest]
     fn no_cold_host_falls_over(#[values(1.0, 2.0, 4.0)] times: f64, #[values(1, 4)] seed: u64) {
         let size = Size { hosts: 30, brokers: 12, seconds: 30, a_second: 120.0, sweep: (&[], 0) };
-        let day = play(&size, seed, times, Mind::Module).unwrap();
-        assert!(day.broken.is_empty(), "{:?}", day.broken);
-        assert!(day.nearest.keys().any(|rule| rule.starts_with('4')), "no cold host was asked at all");
+        let day = play(&size, seed, times, RoutingPolicy::Module).unwrap();
+        assert!(day.violations.is_empty(), "{:?}", day.violations);
+        assert!(day.closest.keys().any(|rule| rule.starts_with('4')), "no cold host was asked at all");
     }
 }
--- a/crates/broker-bench/src/reading.rs
+++ b/crates/broker-bench/src/reader_benchmark.rs
@@ -1,7 +1,7 @@
-//! `measure trace`, first shard request: rows a second and peak memory of the trace readers, beside the bare CSV
-//! reader, in turn on one file that is made here and removed.
+//! `measure trace`, first shard request: rows a second and peak memory of the trace readers, beside the bare
+//! CSV reader, in turn on one file that is made here and removed.
 
-use crate::rush;
+use crate::overload_benchmark;
 use cluster_trace::{
     ReadSummary, RejectionPolicy, RowOutcome, RowSorter, SortWindow, TraceReader, find_layout,
 };
@@ -90,7 +90,7 @@
 }
 
 /// Plays and prints; whether all bounds were kept.
-pub fn measure(rows: u64, size: &rush::Size, seed: u64) -> Result<bool, String> {
+pub fn measure(rows: u64, size: &overload_benchmark::Size, seed: u64) -> Result<bool, String> {
     let tenth = make(rows / 10, seed).map_err(|e| e.to_string())?;
     read(&tenth.0)?;
     let before = peak_kb();
@@ -107,7 +107,7 @@
     let after = peak_kb();
     speeds.sort_by(|a, b| a.0.total_cmp(&b.0));
     let (ratio, ours, bare) = speeds[speeds.len() / 2];
-    let (days, kept) = rush::measure(size, seed)?;
+    let (days, kept) = overload_benchmark::measure(size, seed)?;
     let pass = kept && ratio >= SPEED_BOUND && after - before <= MEMORY_BOUND && taken + rejected == rows;
     let figures = json!({"rows": rows, "taken": taken, "rejected": rejected, "rows_a_second": ours.round(),
         "bare_rows_a_second": bare.round(), "ratio": ratio, "ratio_least": speeds[0].0,
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -1,7 +1,7 @@
 //! A day as a page: figures, and plots of load, service, latency and hosts over time. One HTML file that
 //! needs nothing else, the plots in it as SVG; the figures beside it as JSON.
 
-use crate::outcome::{Outcome, Second, Service};
+use crate::results::{DayResults, SecondResults, Service};
 use plotters::prelude::*;
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -21,11 +21,11 @@
     points: Vec<(f64, f64)>,
 }
 
-type Reading = fn(&Second) -> Option<f64>;
+type Reading = fn(&SecondResults) -> Option<f64>;
 
-fn curve(outcome: &Outcome, name: &'static str, colour: RGBColor, reading: Reading) -> Curve {
-    let point = |(at, second): (usize, &Second)| Some((at as f64, reading(second)?));
-    Curve { name, colour, points: outcome.seconds.iter().enumerate().filter_map(point).collect() }
+fn curve(results: &DayResults, name: &'static str, colour: RGBColor, reading: Reading) -> Curve {
+    let point = |(at, second): (usize, &SecondResults)| Some((at as f64, reading(second)?));
+    Curve { name, colour, points: results.seconds.iter().enumerate().filter_map(point).collect() }
 }
 
 /// Draws curves over the day's seconds, from 0 to `most` at the least.
@@ -73,24 +73,24 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn plots(outcome: &Outcome) -> Result<Vec<(String, String)>, String> {
-    let seconds = outcome.seconds.len();
-    let line = |name, colour, reading: Reading| curve(outcome, name, colour, reading);
+fn plots(results: &DayResults) -> Result<Vec<(String, String)>, String> {
+    let seconds = results.seconds.len();
+    let line = |name, colour, reading: Reading| curve(results, name, colour, reading);
     let load = [
         line("asked", BLUE_GREY, |s| Some(f64::from(s.asked))),
-        line("answered", GREEN_ISH, |s| Some(f64::from(s.answered))),
-        line("declined", AMBER, |s| Some(f64::from(s.declined))),
-        line("scrapped", RED_ISH, |s| Some(f64::from(s.scrapped))),
+        line("answered", GREEN_ISH, |s| Some(f64::from(s.responded))),
+        line("declined", AMBER, |s| Some(f64::from(s.rejected))),
+        line("scrapped", RED_ISH, |s| Some(f64::from(s.failed))),
     ];
     let service = [line("service", GREEN_ISH, |s| (s.service.asked > 0.0).then(|| s.service.share()))];
     let latency =
         [line("median", GREEN_ISH, |s| s.latency_ms(0.5)), line("p99", AMBER, |s| s.latency_ms(0.99))];
     let attempts = [line("pushes", BLUE_GREY, |s| Some(f64::from(s.attempts)))];
     let hosts = [
-        line("warm", GREEN_ISH, |s| standing(s, s.hosts.warm)),
-        line("cold", AMBER, |s| standing(s, s.hosts.cold)),
-        line("draining", BLUE_GREY, |s| standing(s, s.hosts.draining)),
-        line("gone", RED_ISH, |s| standing(s, s.hosts.gone)),
+        line("warm", GREEN_ISH, |s| standing(s, s.nodes.warm)),
+        line("cold", AMBER, |s| standing(s, s.nodes.warming_up)),
+        line("draining", BLUE_GREY, |s| standing(s, s.nodes.draining)),
+        line("gone", RED_ISH, |s| standing(s, s.nodes.down)),
     ];
     let all: [(&str, &str, &[Curve]); 5] = [
         ("Retrievals a second", "a second", &load),
@@ -105,16 +105,16 @@
 }
 
 /// Nothing is noted of hosts behind the plan's end.
-fn standing(second: &Second, count: u32) -> Option<f64> {
-    let all = second.hosts.warm + second.hosts.cold + second.hosts.draining + second.hosts.gone;
+fn standing(second: &SecondResults, count: u32) -> Option<f64> {
+    let all = second.nodes.warm + second.nodes.warming_up + second.nodes.draining + second.nodes.down;
     (all > 0).then(|| f64::from(count))
 }
 
 fn share(service: &Service) -> String {
-    service.told().map_or("nothing asked".to_owned(), |share| format!("{share:.4}"))
+    service.share_if_asked().map_or("nothing asked".to_owned(), |share| format!("{share:.4}"))
 }
 
-fn page(outcome: &Outcome, told: &Value, title: &str) -> Result<String, String> {
+fn page(results: &DayResults, told: &Value, title: &str) -> Result<String, String> {
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>\
          body{{font:15px/1.5 sans-serif;max-width:920px;margin:2em auto;color:#222}}\
@@ -126,7 +126,7 @@
     );
     // Writing to a string can't fail.
     let mut put = |text: std::fmt::Arguments| _ = page.write_fmt(text);
-    if let Some(at) = outcome.stopped_at {
+    if let Some(at) = results.stopped_at {
         put(format_args!(
             "<p class=\"bad\">Partial: broken off at {:.1} s; all figures are of what was played.</p>",
             at.as_ms() / 1000.0
@@ -137,52 +137,52 @@
         put(format_args!("<tr><td>{}</td><td>{}</td></tr>", escape(name), escape(&value)));
     };
     let all = "Service (payoff answered within the goal time over payoff asked for)";
-    row(&mut put, all, share(&outcome.service));
-    for (worth, service) in outcome.worth.iter().zip(&outcome.by_class) {
+    row(&mut put, all, share(&results.service));
+    for (worth, service) in results.classes.iter().zip(&results.by_class) {
         let name = format!("… of category {} (payoff {})", worth.name, worth.priority_weight);
         row(&mut put, &name, share(service));
     }
-    if outcome.by_caller.len() > 1 {
-        for (no, service) in outcome.by_caller.iter().enumerate() {
+    if results.by_tenant.len() > 1 {
+        for (no, service) in results.by_tenant.iter().enumerate() {
             row(&mut put, &format!("… of caller {no}"), share(service));
         }
     }
-    row(&mut put, "Worst 10 s", format!("{:.4}", outcome.worst_window()));
+    row(&mut put, "Worst 10 s", format!("{:.4}", results.worst_window()));
     let ends = [
-        ("Retrievals asked", outcome.queries),
-        ("Answered", outcome.answered),
-        ("Declined", outcome.declined),
-        ("Scrapped", outcome.scrapped),
-        ("Pushes", outcome.attempts),
+        ("Retrievals asked", results.queries),
+        ("Answered", results.responded),
+        ("Declined", results.rejected),
+        ("Scrapped", results.failed),
+        ("Pushes", results.attempts),
     ];
     for (name, count) in ends {
         row(&mut put, name, count.to_string());
     }
     for (name, quantile) in [("Latency, median", 0.5), ("Latency, p99", 0.99), ("Latency, most", 1.0)] {
-        row(&mut put, name, format!("{:.1} ms", outcome.latency_ms(quantile)));
+        row(&mut put, name, format!("{:.1} ms", results.latency_ms(quantile)));
     }
     row(
         &mut put,
         "Slowest decline, from when it was asked",
-        format!("{:.1} ms", outcome.slowest_decline.as_ms()),
+        format!("{:.1} ms", results.slowest_rejection.as_ms()),
     );
     put(format_args!("</table>"));
-    if outcome.broken.is_empty() {
+    if results.violations.is_empty() {
         put(format_args!("<p>No rule was broken, by what clients and hosts got.</p>"));
     }
-    for (rule, told) in &outcome.broken {
-        let (rule, at) = (escape(rule), told.first.as_ms() / 1000.0);
+    for (rule, told) in &results.violations {
+        let (rule, at) = (escape(rule), told.first_at.as_ms() / 1000.0);
         put(format_args!(
             "<p class=\"bad\">Rule broken: {rule} ({} times, first at {at:.1} s)</p>",
-            told.times
+            told.count
         ));
     }
     put(format_args!("<table><tr><th>How near each rule came (1 is its limit)</th><th></th></tr>"));
-    for (rule, near) in &outcome.nearest {
+    for (rule, near) in &results.closest {
         row(&mut put, rule, format!("{:.3} at {:.1} s", near.ratio, near.at.as_ms() / 1000.0));
     }
     put(format_args!("</table>"));
-    for (heading, svg) in plots(outcome)? {
+    for (heading, svg) in plots(results)? {
         put(format_args!("{heading}{svg}"));
     }
     put(format_args!("<h2>Figures</h2><p><code>{}</code></p></html>\n", escape(&told.to_string())));
@@ -190,8 +190,8 @@
 }
 
 /// Writes the page, and the figures beside it.
-pub fn write(path: &Path, outcome: &Outcome, told: &Value, title: &str) -> io::Result<()> {
-    let page = page(outcome, told, title).map_err(io::Error::other)?;
+pub fn write(path: &Path, results: &DayResults, told: &Value, title: &str) -> io::Result<()> {
+    let page = page(results, told, title).map_err(io::Error::other)?;
     std::fs::write(path, page)?;
     std::fs::write(path.with_extension("json"), format!("{told}\n"))
 }
--- /dev/null
+++ b/crates/broker-bench/src/results.rs
@@ -0,0 +1,271 @@
+//! The results of a day, whoever played it: service, latencies, and what happened second by second.
+
+use crate::invariants::{ClosestApproach, QueryCounts, Violations};
+use hdrhistogram::Histogram;
+use routing::Tenths;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+/// What clients got, of what they asked for: queries by their priority weight.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Service {
+    pub asked: f64,
+    pub earned: f64,
+}
+
+impl Service {
+    /// 1 where nothing was asked; see [`Service::share_if_asked`] for what is printed.
+    pub fn share(&self) -> f64 {
+        if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
+    }
+
+    /// None where nothing was asked.
+    pub fn share_if_asked(&self) -> Option<f64> {
+        (self.asked > 0.0).then(|| self.share())
+    }
+}
+
+/// How many nodes are in which state.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct NodeCounts {
+    pub warm: u32,
+    pub warming_up: u32,
+    pub draining: u32,
+    pub down: u32,
+}
+
+/// One second of the day: queries that were sent in it, and those that ended in it.
+#[derive(Clone, Debug, Default)]
+pub struct SecondResults {
+    pub service: Service,
+    pub asked: u32,
+    pub responded: u32,
+    pub rejected: u32,
+    pub failed: u32,
+    pub attempts: u32,
+    /// Latencies of responses, in tenths of a millisecond.
+    pub latencies: Vec<u32>,
+    pub nodes: NodeCounts,
+}
+
+impl SecondResults {
+    /// The latency that this share of the responses does not exceed, in milliseconds.
+    pub fn latency_ms(&self, quantile: f64) -> Option<f64> {
+        let mut sorted = self.latencies.clone();
+        sorted.sort_unstable();
+        let rank = ((sorted.len() as f64 * quantile).ceil() as usize).clamp(1, sorted.len().max(1));
+        sorted.get(rank - 1).map(|tenths| f64::from(*tenths) / 10.0)
+    }
+}
+
+/// What a query of a class is worth, and until when.
+#[derive(Clone, Debug)]
+pub struct ClassValue {
+    pub name: String,
+    pub priority_weight: f64,
+    pub latency_objective: Tenths,
+}
+
+/// Where a query comes from, and when it was sent first.
+#[derive(Clone, Copy, Debug)]
+pub struct QueryOrigin {
+    pub class: usize,
+    pub tenant: usize,
+    pub sent_at: Tenths,
+}
+
+/// The results of a day.
+#[derive(Debug)]
+pub struct DayResults {
+    pub classes: Vec<ClassValue>,
+    pub service: Service,
+    pub by_class: Vec<Service>,
+    pub by_tenant: Vec<Service>,
+    pub seconds: Vec<SecondResults>,
+    /// Of answers, in tenths of a millisecond.
+    pub latency: Histogram<u64>,
+    pub queries: u64,
+    pub responded: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    pub attempts: u64,
+    /// Clients that left before their response.
+    pub abandoned: u64,
+    /// How often queries were sent, with the clients' retries.
+    pub client_attempts: u64,
+    /// Events of the simulation, in virtual time.
+    pub events: u64,
+    /// The longest time from a query to its rejection.
+    pub slowest_rejection: Tenths,
+    /// Broken rules.
+    pub violations: BTreeMap<&'static str, Violations>,
+    /// How near each rule came to its limit.
+    pub closest: BTreeMap<&'static str, ClosestApproach>,
+    /// BLAKE3 over what happened, in its order.
+    pub digest: String,
+    /// The day was broken off at this time.
+    pub stopped_at: Option<Tenths>,
+}
+
+const SECOND_TENTHS: i64 = 10_000;
+/// The length of the worst window, in seconds.
+const WINDOW_S: usize = 10;
+
+impl DayResults {
+    pub fn new(classes: Vec<ClassValue>, tenants: usize) -> DayResults {
+        DayResults {
+            service: Service::default(),
+            by_class: vec![Service::default(); classes.len()],
+            by_tenant: vec![Service::default(); tenants],
+            classes,
+            seconds: Vec::new(),
+            latency: Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed")),
+            queries: 0,
+            responded: 0,
+            rejected: 0,
+            failed: 0,
+            attempts: 0,
+            abandoned: 0,
+            client_attempts: 0,
+            events: 0,
+            slowest_rejection: Tenths::ZERO,
+            violations: BTreeMap::new(),
+            closest: BTreeMap::new(),
+            digest: String::new(),
+            stopped_at: None,
+        }
+    }
+
+    /// The second of this time.
+    pub fn second(&mut self, at: Tenths) -> &mut SecondResults {
+        let no = (at.0.max(0) / SECOND_TENTHS) as usize;
+        if self.seconds.len() <= no {
+            self.seconds.resize(no + 1, SecondResults::default());
+        }
+        &mut self.seconds[no]
+    }
+
+    /// A client sends a query for the first time.
+    pub fn record_query(&mut self, origin: QueryOrigin) {
+        let priority_weight = self.classes[origin.class].priority_weight;
+        self.queries += 1;
+        let second = self.second(origin.sent_at);
+        second.asked += 1;
+        second.service.asked += priority_weight;
+        self.service.asked += priority_weight;
+        self.by_class[origin.class].asked += priority_weight;
+        self.by_tenant[origin.tenant].asked += priority_weight;
+    }
+
+    /// A response with this coverage reaches its client.
+    pub fn record_response(&mut self, now: Tenths, origin: QueryOrigin, coverage: f64) {
+        let latency = now - origin.sent_at;
+        self.responded += 1;
+        // What can't be recorded is longer than any deadline.
+        self.latency.record(latency.0.max(0) as u64).unwrap_or_default();
+        let second = self.second(now);
+        second.responded += 1;
+        second.latencies.push(latency.0.max(0) as u32);
+        let ClassValue { priority_weight, latency_objective, .. } = self.classes[origin.class];
+        if latency <= latency_objective {
+            // A partial response earns the share of the weight that it has.
+            let earned = priority_weight * coverage;
+            self.second(origin.sent_at).service.earned += earned;
+            self.service.earned += earned;
+            self.by_class[origin.class].earned += earned;
+            self.by_tenant[origin.tenant].earned += earned;
+        }
+    }
+
+    /// A client gets a rejection, and does not retry.
+    pub fn record_rejection(&mut self, now: Tenths, origin: QueryOrigin) {
+        self.rejected += 1;
+        self.second(now).rejected += 1;
+        self.slowest_rejection = self.slowest_rejection.max(now - origin.sent_at);
+    }
+
+    /// A client gets a failure, and does not retry.
+    pub fn record_failure(&mut self, now: Tenths) {
+        self.failed += 1;
+        self.second(now).failed += 1;
+    }
+
+    /// A broker sends an attempt.
+    pub fn record_attempt(&mut self, now: Tenths) {
+        self.attempts += 1;
+        self.second(now).attempts += 1;
+    }
+
+    /// The worst ten seconds, of those in which at least half of the usual was asked.
+    pub fn worst_window(&self) -> f64 {
+        let windows = self.seconds.chunks(WINDOW_S).map(|seconds| {
+            seconds.iter().fold(Service::default(), |sum, s| Service {
+                asked: sum.asked + s.service.asked,
+                earned: sum.earned + s.service.earned,
+            })
+        });
+        let mean = self.service.asked / self.seconds.len().div_ceil(WINDOW_S).max(1) as f64;
+        let full = windows.filter(|window| window.asked >= mean / 2.0);
+        full.map(|window| window.share()).fold(1.0, f64::min)
+    }
+
+    /// The latency that this share of the responses does not exceed, in milliseconds.
+    pub fn latency_ms(&self, quantile: f64) -> f64 {
+        self.latency.value_at_quantile(quantile) as f64 / 10.0
+    }
+
+    /// How queries ended.
+    pub fn query_counts(&self) -> QueryCounts {
+        QueryCounts {
+            sent: self.queries,
+            responded: self.responded,
+            rejected: self.rejected,
+            failed: self.failed,
+            abandoned: self.abandoned,
+        }
+    }
+
+    /// The figures as scripts read them.
+    pub fn json(&self) -> Value {
+        let by_class: serde_json::Map<String, Value> = self
+            .classes
+            .iter()
+            .zip(&self.by_class)
+            .map(|(w, s)| (w.name.clone(), json!(s.share_if_asked())))
+            .collect();
+        let by_tenant: Vec<Option<f64>> = self.by_tenant.iter().map(Service::share_if_asked).collect();
+        let broken: serde_json::Map<String, Value> = self
+            .violations
+            .iter()
+            .map(|(rule, violations)| ((*rule).to_owned(), json!(violations.count)))
+            .collect();
+        let approach =
+            |closest: &ClosestApproach| json!({"ratio": closest.ratio, "at_s": closest.at.as_ms() / 1000.0});
+        let nearest: serde_json::Map<String, Value> =
+            self.closest.iter().map(|(rule, closest)| ((*rule).to_owned(), approach(closest))).collect();
+        json!({
+            "nearest": nearest,
+            "service": self.service.share(),
+            "by_category": by_class,
+            "by_caller": by_tenant,
+            "worst_10_s": self.worst_window(),
+            "retrievals": self.queries,
+            "answered": self.responded,
+            "declined": self.rejected,
+            "scrapped": self.failed,
+            "left": self.abandoned,
+            "tries": self.client_attempts,
+            "pushes": self.attempts,
+            "broken": broken,
+            "latency_ms": {
+                "median": self.latency_ms(0.5),
+                "p99": self.latency_ms(0.99),
+                "most": self.latency.max() as f64 / 10.0,
+            },
+            "slowest_decline_ms": self.slowest_rejection.as_ms(),
+            "digest": self.digest,
+            "partial": self.stopped_at.is_some(),
+            "played_s": self.stopped_at.map(|at| at.as_ms() / 1000.0),
+        })
+    }
+}
--- /dev/null
+++ b/crates/broker-bench/src/scenario_day.rs
@@ -0,0 +1,130 @@
+//! One day of a scenario: what it is made of, and how it is played, in virtual time or for sockets. The same
+//! scenario, size and seed give the same digest.
+
+use crate::fault_injector::{FaultEffect, FaultInjector};
+use crate::results::DayResults;
+use crate::simulation::{FaultSchedule, RoutingPolicy, Simulation, SimulationConfig};
+use crate::traffic::{self, NODE_CORES};
+use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig};
+use fault_scenarios::{CancelBehavior, ClusterSize, FaultAction, NodeTransition, Scenario, ScheduledAction};
+use node_emulator::Cancel;
+use routing::Tenths;
+use thiserror::Error;
+
+/// Nodes of a placement group.
+const GROUP_NODES: u32 = 5;
+
+/// One day of a scenario.
+pub struct ScenarioDay<'a> {
+    pub scenario: &'a Scenario,
+    pub nodes: u32,
+    pub brokers: u32,
+    pub zones: u32,
+    pub seed: u64,
+    pub policy: RoutingPolicy,
+}
+
+/// What a day is played with.
+struct DaySetup {
+    actions: Vec<ScheduledAction>,
+    replay: ReplayConfig,
+    plan: Plan,
+    config: SimulationConfig,
+    injector: FaultInjector,
+}
+
+/// A day for sockets.
+pub struct SocketDay {
+    pub plan: Plan,
+    pub replay: ReplayConfig,
+    pub config: SimulationConfig,
+}
+
+/// A scenario has a fault that can't be played on sockets.
+#[derive(Debug, Error)]
+#[error("{scenario}: {action:?} is not played on sockets")]
+pub struct NotOnSockets {
+    pub scenario: String,
+    pub action: FaultAction,
+}
+
+impl ScenarioDay<'_> {
+    fn setup(&self) -> DaySetup {
+        let ScenarioDay { scenario, nodes, brokers, zones, seed, policy } = *self;
+        let placement_groups = (nodes / GROUP_NODES).max(zones).max(1);
+        let cluster = ClusterSize { nodes, zones, placement_groups, brokers };
+        let actions = scenario.schedule(&cluster, seed);
+        let replay = traffic::replay_config(nodes, scenario, seed);
+        let plan = traffic::plan_day(&replay, &actions, scenario.seconds);
+        let (near, far) = (Tenths::from_ms(scenario.near_ms), Tenths::from_ms(scenario.far_ms));
+        let injector = FaultInjector::new(cluster, near, far, seed);
+        let cancel = match scenario.cancel {
+            CancelBehavior::DropsAll => Cancel::All,
+            CancelBehavior::DropsWaiting => Cancel::Waiting,
+            CancelBehavior::DropsNothing => Cancel::Nothing,
+        };
+        let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
+        let cores = NODE_CORES;
+        let config = SimulationConfig { brokers, policy, seed, placement_groups, cores, warm_jobs, cancel };
+        DaySetup { actions, replay, plan, config, injector }
+    }
+
+    /// Plays the day in virtual time.
+    pub fn simulate(&self) -> DayResults {
+        let DaySetup { actions, replay, plan, config, injector } = self.setup();
+        let faults = FaultSchedule { injector, actions, clients: self.scenario.clients };
+        Simulation::with_faults(plan, &replay, config, faults).run(|_, _| true)
+    }
+
+    /// The same day with its faults as node events of the plan, which sockets can play as virtual time does:
+    /// nodes that crash, drain, restart, or are slow, and the queries, with surges.
+    ///
+    /// # Errors
+    ///
+    /// The scenario has another fault, of networks, of discovery, or of nodes' responses.
+    pub fn for_sockets(&self) -> Result<SocketDay, NotOnSockets> {
+        let DaySetup { actions, replay, mut plan, config, mut injector } = self.setup();
+        for scheduled in &actions {
+            let effect = match scheduled.action {
+                FaultAction::Outage { .. }
+                | FaultAction::BeginDrain { .. }
+                | FaultAction::FinishDrain { .. }
+                | FaultAction::Slowdown { .. } => injector.apply(scheduled.action),
+                FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => None,
+                action => {
+                    let scenario = self.scenario.name.clone();
+                    return Err(NotOnSockets { scenario, action });
+                }
+            };
+            if let Some(event) = effect.and_then(node_event) {
+                plan.entries.push(PlanEntry { at: scheduled.at.0.max(0) as u64, event });
+            }
+        }
+        plan.entries.sort_by_key(|entry| entry.at);
+        Ok(SocketDay { plan, replay, config })
+    }
+
+    /// When the last fault is over, in whole seconds.
+    pub fn faults_end(&self) -> usize {
+        let ends = self.scenario.faults.iter().map(|fault| fault.start_s + fault.duration_s);
+        ends.fold(0.0, f64::max).min(self.scenario.seconds).ceil() as usize
+    }
+}
+
+/// The plan's event for what a fault does to a node.
+fn node_event(effect: FaultEffect) -> Option<PlanEvent> {
+    let (node, event) = match effect {
+        FaultEffect::ChangeNode { node, transition } => match transition {
+            NodeTransition::Stops => (node, PlannedNodeEvent::Stop),
+            NodeTransition::Drains => (node, PlannedNodeEvent::Drain),
+            NodeTransition::Starts => (node, PlannedNodeEvent::StartCold),
+            NodeTransition::Unchanged => return None,
+        },
+        FaultEffect::SetSpeed { node, speed_factor } => (node, PlannedNodeEvent::SlowDown(speed_factor)),
+        _ => return None,
+    };
+    Some(PlanEvent::Node { node: node as u32, event })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker-bench/src/simulation/config.rs
@@ -0,0 +1,56 @@
+//! What a simulation is made of, beside its plan.
+
+use crate::fault_injector::FaultInjector;
+use fault_scenarios::{ClientBehavior, ScheduledAction};
+use node_emulator::Cancel;
+use std::fmt;
+
+/// What a simulated broker decides by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
+pub enum RoutingPolicy {
+    /// The product's routing decisions.
+    Module,
+    /// Each shard request to a replica drawn at random, once.
+    Random,
+    /// The design's ordinary path, without the module's exceptions.
+    Design,
+    /// The module behind admission control: fair shares between tenants, a rate that adapts, a budget for
+    /// retries.
+    #[value(name = "door", alias = "admission-controller")]
+    AdmissionController,
+}
+
+impl fmt::Display for RoutingPolicy {
+    /// As figures name it.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            RoutingPolicy::Module => "Module",
+            RoutingPolicy::Random => "Random",
+            RoutingPolicy::Design => "Design",
+            RoutingPolicy::AdmissionController => "Door",
+        })
+    }
+}
+
+/// What a simulation is made of, beside its plan.
+#[derive(Clone, Debug)]
+pub struct SimulationConfig {
+    pub brokers: u32,
+    pub policy: RoutingPolicy,
+    pub seed: u64,
+    pub placement_groups: u32,
+    /// Cores of a node.
+    pub cores: usize,
+    /// After how many jobs a started node is warm; none: it warms up with time.
+    pub warm_jobs: Option<u32>,
+    /// What a node does with work that is cancelled.
+    pub cancel: Cancel,
+}
+
+/// The faults of a day, and what its clients do.
+pub struct FaultSchedule {
+    pub injector: FaultInjector,
+    /// In the order of their times.
+    pub actions: Vec<ScheduledAction>,
+    pub clients: ClientBehavior,
+}
--- /dev/null
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -0,0 +1,247 @@
+//! What a replay's configuration means for brokers, nodes and the checked rules: the same in virtual time and
+//! on sockets.
+
+use crate::invariants::{ClassLimits, InvariantLimits};
+use crate::results::ClassValue;
+use crate::simulation::config::SimulationConfig;
+use cluster_trace::plan::{ClassIdempotency, ClassSpec, ReplayConfig};
+use node_emulator::{Build, Host, State};
+use routing::{
+    BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
+    ShardLayout, Tenant, TenantId, Tenths,
+};
+use serde_json::{Value, json};
+
+/// How long a message takes through the network.
+pub const ONE_WAY_LATENCY: Tenths = Tenths(5);
+/// The least time between two turns of a broker.
+pub const TURN_PERIOD: Tenths = Tenths(50);
+/// How late the endpoint list is with nodes that start or stop.
+pub const ENDPOINT_LIST_DELAY: Tenths = Tenths(10_000);
+/// The latency objective of all classes, and the longest time after which a rejected client may retry.
+pub const LATENCY_OBJECTIVE: Tenths = Tenths(20_000);
+/// How long an attempt may still go to a node that was published as draining or removed.
+const DRAIN_GRACE: Tenths = Tenths(2500);
+const ENDPOINT_LIST_MAX_AGE: Tenths = Tenths(100_000);
+const MAX_OPEN_QUERIES: u32 = 2000;
+const MAX_ATTEMPTS: u32 = 3;
+/// What a query beyond its tenant's quota is worth to brokers; the service figure counts all alike.
+const OVER_QUOTA_WEIGHT: f64 = 0.1;
+/// How many placement groups hold a shard.
+const REPLICA_GROUPS: u32 = 2;
+
+/// The idempotency of a class, and its deduplication window.
+fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, Tenths) {
+    match idempotency {
+        ClassIdempotency::Idempotent => (Idempotency::Idempotent, Tenths::ZERO),
+        ClassIdempotency::IdempotencyKey { dedup_window_ms } => {
+            (Idempotency::IdempotencyKey, Tenths::from_ms(f64::from(dedup_window_ms)))
+        }
+        ClassIdempotency::AtMostOnce => (Idempotency::AtMostOnce, Tenths::ZERO),
+    }
+}
+
+fn deadline_of(class: &ClassSpec) -> Tenths {
+    Tenths::from_ms(f64::from(class.deadline_ms))
+}
+
+fn retry_budget(replay: &ReplayConfig) -> Option<RetryBudget> {
+    let budget = replay.retry_budget?;
+    let window = Tenths::from_ms(f64::from(budget.window_ms));
+    Some(RetryBudget { floor: budget.floor, share: budget.ratio, window })
+}
+
+/// The quota of each tenant, in queries a second; empty where there are none.
+fn tenant_quotas(replay: &ReplayConfig) -> Vec<f64> {
+    let total: f64 = replay.tenant_weights.iter().sum();
+    let quota = |quota: f64| replay.tenant_weights.iter().map(move |weight| quota * weight / total).collect();
+    replay.quota_per_s.map(quota).unwrap_or_default()
+}
+
+/// A tenant's name on the wire.
+pub fn tenant_name(index: usize) -> String {
+    format!("u{index}")
+}
+
+/// How a node is built.
+fn node_build(config: &SimulationConfig) -> Build {
+    Build { cores: config.cores, warm_jobs: config.warm_jobs, cancel: config.cancel, ..Build::default() }
+}
+
+/// A node that is warm already.
+pub fn warm_node(config: &SimulationConfig) -> Host {
+    Host::new(node_build(config), None)
+}
+
+/// A node without a process.
+pub fn stopped_node(config: &SimulationConfig) -> Host {
+    let mut node = warm_node(config);
+    node.die();
+    node
+}
+
+/// The state that discovery publishes.
+pub fn endpoint_state(state: State) -> EndpointState {
+    match state {
+        State::Ready => EndpointState::Ready,
+        State::Draining => EndpointState::Draining,
+        State::Dead => EndpointState::Removed,
+    }
+}
+
+/// What brokers in virtual time are configured with.
+pub fn broker_config(replay: &ReplayConfig, config: &SimulationConfig) -> BrokerConfig {
+    let class = |(index, class): (usize, &ClassSpec)| {
+        let (effect, dedup_window) = idempotency_of(class.idempotency);
+        let request_class = RequestClass {
+            latency_objective: LATENCY_OBJECTIVE.min(deadline_of(class)),
+            deadline: deadline_of(class),
+            priority_weight: class.priority_weight,
+            min_coverage: class.min_coverage,
+            complete_coverage: 1.0,
+            effect,
+            dedup_window,
+            ..RequestClass::default()
+        };
+        (ClassId(index as u16), request_class)
+    };
+    let quota = |(no, quota_per_s)| (TenantId(no), Tenant { quota_per_s });
+    let build = node_build(config);
+    BrokerConfig {
+        brokers: config.brokers,
+        period: TURN_PERIOD,
+        send_lag: ONE_WAY_LATENCY,
+        classes: replay.classes.iter().enumerate().map(class).collect(),
+        tenants: tenant_quotas(replay).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
+        over_quota_weight: OVER_QUOTA_WEIGHT,
+        layout: ShardLayout {
+            placement_groups: config.placement_groups,
+            replica_groups: REPLICA_GROUPS,
+            shards: replay.shards,
+            max_batch_size: 1,
+        },
+        limits: RequestLimits {
+            max_open: MAX_OPEN_QUERIES,
+            max_attempts: MAX_ATTEMPTS,
+            allow_hedging: true,
+            allow_cancel: true,
+            retry_after: true,
+            max_retry_after: LATENCY_OBJECTIVE,
+        },
+        rules: SafetyRules {
+            initial_capacity_share: build.initial_capacity_share,
+            warm_up_period: build.warm_up_period,
+            overload_factor: build.overload_factor,
+            overload_window: build.overload_window,
+            endpoint_list_max_age: ENDPOINT_LIST_MAX_AGE,
+            drain_grace: DRAIN_GRACE,
+            retry_budget: retry_budget(replay),
+        },
+        ..BrokerConfig::default()
+    }
+}
+
+/// The same as a settings text, for brokers on sockets.
+pub fn settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
+    let services: Vec<Value> = replay.classes.iter().map(service_settings).collect();
+    let tenant = |(index, quota): (usize, f64)| json!({"Name": tenant_name(index), "QuotaRps": quota});
+    let tenants: Vec<Value> = tenant_quotas(replay).into_iter().enumerate().map(tenant).collect();
+    json!({
+        "Instances": config.brokers,
+        "PeriodMs": TURN_PERIOD.as_ms(),
+        "RegistryMode": "automatic",
+        "Areas": ["hall"],
+        "Zone": 0,
+        "Tenants": tenants,
+        "OverShareWorth": OVER_QUOTA_WEIGHT,
+        "Prices": {"LateFail": 0.0},
+        "Services": services,
+        "Domain": domain_settings(replay, config),
+        "Limits": {
+            "ConnIdleMs": 600_000.0,
+            "ConnectTimeoutMs": 1000.0,
+            "MaxAttempts": MAX_ATTEMPTS,
+            "MaxOpen": MAX_OPEN_QUERIES,
+            "MayCancel": true,
+            "SecondCopies": true,
+            "StreamsPerConn": 64,
+            "RetryAfter": true,
+            "MaxRetryAfterMs": LATENCY_OBJECTIVE.as_ms(),
+        },
+        "Rules": rule_settings(replay, config),
+    })
+}
+
+fn service_settings(class: &ClassSpec) -> Value {
+    let (idempotency, dedup_window) = idempotency_of(class.idempotency);
+    let effect = match idempotency {
+        Idempotency::Idempotent => "idempotent",
+        Idempotency::IdempotencyKey => "deduplicated",
+        Idempotency::AtMostOnce => "at_most_once",
+    };
+    json!({
+        "Name": class.name,
+        "OnTimeMs": LATENCY_OBJECTIVE.min(deadline_of(class)).as_ms(),
+        "DeadlineMs": class.deadline_ms,
+        "Worth": class.priority_weight,
+        "LateShare": 0.0,
+        "Effect": effect,
+        "DedupWindowMs": dedup_window.as_ms(),
+    })
+}
+
+fn domain_settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
+    let of_classes = |value: fn(&ClassSpec) -> f64| replay.classes.iter().map(value).collect::<Vec<f64>>();
+    json!({
+        "Cells": config.placement_groups,
+        "Reach": REPLICA_GROUPS,
+        "Ranges": replay.shards,
+        "PerCall": 1,
+        "CompleteFrom": of_classes(|_| 1.0),
+        "MinShare": of_classes(|class| class.min_coverage),
+        "FetchParts": vec![0; replay.classes.len()],
+    })
+}
+
+fn rule_settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
+    let build = node_build(config);
+    let mut rules = json!({
+        "AskWithinMs": ENDPOINT_LIST_MAX_AGE.as_ms(),
+        "ColdFrom": build.initial_capacity_share,
+        "WarmUpMs": build.warm_up_period.as_ms(),
+        "OverloadFactor": build.overload_factor,
+        "OverloadForMs": build.overload_window.as_ms(),
+        "StopSendingWithinMs": DRAIN_GRACE.as_ms(),
+    });
+    if let Some(budget) = replay.retry_budget {
+        rules["ExtraFloor"] = json!(budget.floor);
+        rules["ResendRatio"] = json!(budget.ratio);
+        rules["BudgetWindowMs"] = json!(budget.window_ms);
+    }
+    rules
+}
+
+/// What the checked rules allow; `slack` is how much later than it was done something may be observed.
+pub fn invariant_limits(replay: &ReplayConfig, slack: Tenths) -> InvariantLimits {
+    let limits = |class: &ClassSpec| {
+        let (idempotency, dedup_window) = idempotency_of(class.idempotency);
+        ClassLimits {
+            deadline: deadline_of(class),
+            min_coverage: class.min_coverage,
+            idempotency,
+            dedup_window,
+        }
+    };
+    let classes = replay.classes.iter().map(limits).collect();
+    InvariantLimits { classes, retry_budget: retry_budget(replay), grace: DRAIN_GRACE, slack }
+}
+
+/// What queries of each class are worth.
+pub fn class_values(replay: &ReplayConfig) -> Vec<ClassValue> {
+    let value = |class: &ClassSpec| ClassValue {
+        name: class.name.clone(),
+        priority_weight: class.priority_weight,
+        latency_objective: LATENCY_OBJECTIVE.min(deadline_of(class)),
+    };
+    replay.classes.iter().map(value).collect()
+}
--- /dev/null
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -0,0 +1,213 @@
+//! Nodes of a simulation: they accept and finish attempts, start and stop, and are published by discovery.
+
+use crate::fault_injector::MessageDirection;
+use crate::invariants::{PublishedState, ShardRequestIndex};
+use crate::results::NodeCounts;
+use crate::simulation::Simulation;
+use crate::simulation::deployment::{self, ENDPOINT_LIST_DELAY, ONE_WAY_LATENCY};
+use crate::simulation::event::{AttemptKey, Event};
+use crate::simulation::runner::{ClientRequest, RunningAttempt};
+use cluster_trace::plan::PlannedNodeEvent;
+use node_emulator::{Host, JobNo, State, Taken};
+use routing::{
+    AttemptOutcome, Endpoint, EndpointList, EndpointListKind, EndpointState, Input, NodeId, PlacementGroupId,
+    Tenths, ZoneId,
+};
+
+/// How long a node is down that a query stopped.
+const QUERY_OF_DEATH_OUTAGE: Tenths = Tenths(30_000);
+
+impl Simulation {
+    pub(super) fn handle_node_event(&mut self, node: usize, event: PlannedNodeEvent) {
+        match event {
+            PlannedNodeEvent::StartWarm => {
+                self.nodes[node] = deployment::warm_node(&self.config);
+                self.schedule(self.now, Event::EndpointPublished { node });
+            }
+            PlannedNodeEvent::StartCold => {
+                self.nodes[node].start(self.now);
+                self.schedule_publication(node, ENDPOINT_LIST_DELAY);
+            }
+            PlannedNodeEvent::Drain => {
+                self.nodes[node].drain();
+                self.schedule_publication(node, ONE_WAY_LATENCY);
+            }
+            PlannedNodeEvent::Stop => self.stop_node(node),
+            PlannedNodeEvent::SlowDown(share) => self.nodes[node].slow(share),
+        }
+    }
+
+    /// The node's process stops, and its connections are lost; the endpoint list is late with it.
+    pub(super) fn stop_node(&mut self, node: usize) {
+        for job in self.nodes[node].die() {
+            if let Some(RunningAttempt { key, .. }) = self.jobs.remove(&job) {
+                self.job_of.remove(&key);
+                self.send_result(key, node, AttemptOutcome::ConnectionLost);
+            }
+        }
+        self.schedule_publication(node, ENDPOINT_LIST_DELAY);
+    }
+
+    // Attempts.
+
+    pub(super) fn handle_attempt(&mut self, key: AttemptKey, node: usize) {
+        let index = ShardRequestIndex(key.shard_request.0 as usize);
+        let shard_request = &self.shard_requests[index.0];
+        let sent = shard_request.attempts.get(key.attempt.0 as usize);
+        let sent_at = sent.map_or(self.now, |attempt| attempt.sent_at);
+        let work_us = shard_request.work_us;
+        self.invariants.shard_request_arrived(self.now, sent_at, index, self.published[node]);
+        self.last_job += 1;
+        let job = JobNo(self.last_job);
+        let warm_up_us = self.warm_up_work_us(index);
+        let taken = match self.injector.active_faults[node].is_rejecting() {
+            true => Taken::Refused,
+            false => self.nodes[node].take_as(self.now, job, work_us, warm_up_us),
+        };
+        if self.nodes[node].is_cold(self.now) {
+            self.invariants.node_strained(self.now, self.nodes[node].strain());
+        }
+        let outcome = match taken {
+            Taken::Begun | Taken::Queued => return self.accept_attempt(key, node, job),
+            Taken::Refused => AttemptOutcome::Overloaded,
+            Taken::Unreachable => AttemptOutcome::ConnectFailed,
+            Taken::FellOver => {
+                self.invariants.node_collapsed(self.now);
+                self.stop_node(node);
+                AttemptOutcome::ConnectionLost
+            }
+        };
+        self.send_result(key, node, outcome);
+    }
+
+    fn accept_attempt(&mut self, key: AttemptKey, node: usize, job: JobNo) {
+        let index = ShardRequestIndex(key.shard_request.0 as usize);
+        self.invariants.shard_request_accepted(self.now, index);
+        self.jobs.insert(job, RunningAttempt { key, node });
+        self.job_of.insert(key, job);
+        if self.request_of(index).is_some_and(|request| request.is_query_of_death) {
+            self.injector.active_faults[node].begin_outage();
+            self.schedule(self.now + QUERY_OF_DEATH_OUTAGE, Event::NodeRecovers(node));
+            self.stop_node(node);
+        } else {
+            self.schedule_finish(node);
+        }
+    }
+
+    pub(super) fn handle_cancel(&mut self, key: AttemptKey) {
+        let Some(job) = self.job_of.remove(&key) else { return };
+        if let Some(RunningAttempt { node, .. }) = self.jobs.remove(&job) {
+            self.nodes[node].give_up(self.now, job);
+            self.schedule_finish(node);
+        }
+    }
+
+    /// Finishes the jobs of a node that are done. An event for a time that is not scheduled any more is
+    /// ignored.
+    pub(super) fn handle_finish(&mut self, node: usize) {
+        if self.next_finish[node] != Some(self.now) {
+            return;
+        }
+        self.next_finish[node] = None;
+        while let Some(job) = self.nodes[node].end(self.now) {
+            let Some(RunningAttempt { key, .. }) = self.jobs.remove(&job) else { continue };
+            self.job_of.remove(&key);
+            if self.injector.draws_error(node) {
+                self.send_result(key, node, AttemptOutcome::Errored);
+            } else {
+                let index = ShardRequestIndex(key.shard_request.0 as usize);
+                self.invariants.shard_request_answered(self.now, index);
+                self.send_result(key, node, AttemptOutcome::Succeeded);
+            }
+        }
+        self.schedule_finish(node);
+    }
+
+    pub(super) fn schedule_finish(&mut self, node: usize) {
+        if let Some(at) = self.nodes[node].next_end()
+            && self.next_finish[node] != Some(at)
+        {
+            self.next_finish[node] = Some(at);
+            self.schedule(at, Event::NodeFinishes(node));
+        }
+    }
+
+    /// A result is sent to its broker, and may be lost on its way.
+    fn send_result(&mut self, key: AttemptKey, node: usize, outcome: AttemptOutcome) {
+        if let Some(latency) = self.injector.latency(key.broker, node, MessageDirection::FromNode) {
+            self.schedule(self.now + latency, Event::ResultArrives { key, outcome });
+        }
+    }
+
+    fn request_of(&self, index: ShardRequestIndex) -> Option<&ClientRequest> {
+        let query = self.queries.partition_point(|query| query.shard_requests.end <= index.0);
+        self.queries.get(query).map(|query| &self.requests[query.request])
+    }
+
+    /// What a shard request counts for on a warming node, in microseconds of work.
+    fn warm_up_work_us(&self, index: ShardRequestIndex) -> u64 {
+        self.request_of(index).map_or(0, |request| self.mean_work_us[request.origin.class])
+    }
+
+    // Discovery.
+
+    /// Discovery will publish the node's state, unless it publishes nothing now.
+    pub(super) fn schedule_publication(&mut self, node: usize, delay: Tenths) {
+        if let Some(added) = self.injector.endpoint_list_delay() {
+            self.schedule(self.now + delay + added, Event::EndpointPublished { node });
+        }
+    }
+
+    fn endpoint(&self, node: usize) -> Endpoint {
+        Endpoint {
+            node: NodeId(node as u64),
+            zone: ZoneId(self.injector.zone_of(node) as u16),
+            placement_group: PlacementGroupId(node as u32 % self.config.placement_groups),
+            state: deployment::endpoint_state(self.nodes[node].state()),
+            started_at: self.nodes[node].started(),
+        }
+    }
+
+    pub(super) fn publish_endpoint(&mut self, node: usize) {
+        if self.injector.endpoint_list_delay().is_none() {
+            return;
+        }
+        let endpoint = self.endpoint(node);
+        self.published[node] = PublishedState { state: endpoint.state, at: self.now };
+        for broker in 0..self.brokers.len() {
+            let entries = [endpoint.clone()].into();
+            let delta = EndpointList { kind: EndpointListKind::Delta, entries };
+            self.notify_broker(broker, Input::EndpointList(delta));
+        }
+    }
+
+    pub(super) fn send_endpoint_snapshot(&mut self, broker: usize) {
+        let all = (0..self.nodes.len()).map(|node| self.endpoint(node));
+        let entries: Vec<Endpoint> =
+            all.filter(|endpoint| endpoint.state != EndpointState::Removed).collect();
+        for (node, published) in self.nodes.iter().zip(&mut self.published) {
+            let state = deployment::endpoint_state(node.state());
+            if state != published.state {
+                *published = PublishedState { state, at: self.now };
+            }
+        }
+        let snapshot = EndpointList { kind: EndpointListKind::Snapshot, entries: entries.into() };
+        self.notify_broker(broker, Input::EndpointList(snapshot));
+    }
+}
+
+impl NodeCounts {
+    pub fn of(nodes: &[Host], now: Tenths) -> NodeCounts {
+        let mut counts = NodeCounts::default();
+        for node in nodes {
+            let count = match node.state() {
+                State::Ready if node.is_cold(now) => &mut counts.warming_up,
+                State::Ready => &mut counts.warm,
+                State::Draining => &mut counts.draining,
+                State::Dead => &mut counts.down,
+            };
+            *count += 1;
+        }
+        counts
+    }
+}
--- a/crates/broker-bench/src/rehearse/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -1,8 +1,11 @@
 use super::*;
+use crate::results::DayResults;
 use cluster_trace::plan::{
-    ClassIdempotency, ClassSpec, CountRange, PlanEntry, PlannedShardRequest, RetryBudget,
+    ClassIdempotency, ClassSpec, CountRange, Plan, PlanEntry, PlanEvent, PlannedNodeEvent,
+    PlannedShardRequest, ReplayConfig, RetryBudget,
 };
 use node_emulator::Cancel;
+use routing::Tenths;
 use rstest::rstest;
 
 /// Four kinds of classes, eight hosts, a tight budget.
@@ -44,14 +47,25 @@
     PlannedShardRequest { shard, weight: 0.25, work_us }
 }
 
-fn cast(mind: Mind) -> Cast {
-    Cast { brokers: 3, mind, seed: 5, cells: 4, cores: 4, warm_jobs: None, cancel: Cancel::All }
+fn config(policy: RoutingPolicy) -> SimulationConfig {
+    SimulationConfig {
+        brokers: 3,
+        policy,
+        seed: 5,
+        placement_groups: 4,
+        cores: 4,
+        warm_jobs: None,
+        cancel: Cancel::All,
+    }
 }
 
 /// Twelve seconds of queries, four shard requests of 20 ms each, so many a second; and these events of hosts.
-fn plan(a_second: u64, hosts: &[(u64, u32, NodeEvent)]) -> Plan {
+fn plan(a_second: u64, hosts: &[(u64, u32, PlannedNodeEvent)]) -> Plan {
     let mut entries: Vec<PlanEntry> = (0..8)
-        .map(|host| PlanEntry { at: 0, event: PlanEvent::Node { node: host, event: NodeEvent::StartWarm } })
+        .map(|host| PlanEntry {
+            at: 0,
+            event: PlanEvent::Node { node: host, event: PlannedNodeEvent::StartWarm },
+        })
         .collect();
     for (at, host, event) in hosts {
         entries.push(PlanEntry { at: *at, event: PlanEvent::Node { node: *host, event: *event } });
@@ -65,43 +79,43 @@
     Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
 
-fn play(mind: Mind, a_second: u64, hosts: &[(u64, u32, NodeEvent)]) -> Outcome {
-    World::new(plan(a_second, hosts), &replay_config(), cast(mind)).play(|_, _| true)
+fn play(policy: RoutingPolicy, a_second: u64, hosts: &[(u64, u32, PlannedNodeEvent)]) -> DayResults {
+    Simulation::new(plan(a_second, hosts), &replay_config(), config(policy)).run(|_, _| true)
 }
 
 #[rstest]
 fn the_same_plan_has_the_same_decisions() {
-    let (one, other) = (play(Mind::Module, 100, &[]), play(Mind::Module, 100, &[]));
+    let (one, other) = (play(RoutingPolicy::Module, 100, &[]), play(RoutingPolicy::Module, 100, &[]));
     assert_eq!(one.json(), other.json());
 }
 
 /// Within what the hosts can do all is served, and no rule is broken.
 #[rstest]
 fn serves_all_in_quiet_times() {
-    let outcome = play(Mind::Module, 100, &[]);
-    assert!(outcome.service.share() > 0.99 && outcome.broken.is_empty(), "{}", outcome.json());
-    assert_eq!(outcome.answered, 1200);
+    let results = play(RoutingPolicy::Module, 100, &[]);
+    assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
+    assert_eq!(results.responded, 1200);
 }
 
 /// Half of the hosts lost in one instant, and back cold: no rule is broken; a drain likewise.
 #[rstest]
 fn keeps_the_rules_when_half_is_lost() {
     let lost = [0, 2, 4, 6];
-    let mut events: Vec<_> = lost.iter().map(|host| (40_000, *host, NodeEvent::Stop)).collect();
-    events.extend(lost.iter().map(|host| (70_000, *host, NodeEvent::StartCold)));
-    events.extend([(90_000, 1, NodeEvent::Drain), (110_000, 1, NodeEvent::Stop)]);
-    let outcome = play(Mind::Module, 100, &events);
-    assert!(outcome.broken.is_empty(), "{}", outcome.json());
-    assert!(outcome.service.share() > 0.5, "{}", outcome.json());
+    let mut events: Vec<_> = lost.iter().map(|host| (40_000, *host, PlannedNodeEvent::Stop)).collect();
+    events.extend(lost.iter().map(|host| (70_000, *host, PlannedNodeEvent::StartCold)));
+    events.extend([(90_000, 1, PlannedNodeEvent::Drain), (110_000, 1, PlannedNodeEvent::Stop)]);
+    let results = play(RoutingPolicy::Module, 100, &events);
+    assert!(results.violations.is_empty(), "{}", results.json());
+    assert!(results.service.share() > 0.5, "{}", results.json());
 }
 
 /// More than the hosts can bear: what is given up is given up at once, and more is served than by chance.
 #[rstest]
 fn declines_at_once_under_too_much() {
-    let (module, random) = (play(Mind::Module, 600, &[]), play(Mind::Random, 600, &[]));
-    assert!(module.broken.is_empty(), "{}", module.json());
+    let (module, random) = (play(RoutingPolicy::Module, 600, &[]), play(RoutingPolicy::Random, 600, &[]));
+    assert!(module.violations.is_empty(), "{}", module.json());
     assert!(
-        module.declined > 0 && module.service.share() > random.service.share(),
+        module.rejected > 0 && module.service.share() > random.service.share(),
         "{} {}",
         module.json(),
         random.json()
@@ -111,11 +125,11 @@
 /// Broken off, it tells what was played as partial, and holds nothing that was open against anybody.
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
-    let outcome =
-        World::new(plan(100, &[]), &replay_config(), cast(Mind::Module)).play(|now, _| now < Tenths(50_000));
-    assert_eq!(outcome.stopped_at, Some(Tenths(50_000)));
-    assert!(outcome.broken.is_empty() && outcome.queries < 500, "{}", outcome.json());
-    assert_eq!(outcome.json()["partial"], serde_json::json!(true));
+    let results = Simulation::new(plan(100, &[]), &replay_config(), config(RoutingPolicy::Module))
+        .run(|now, _| now < Tenths(50_000));
+    assert_eq!(results.stopped_at, Some(Tenths(50_000)));
+    assert!(results.violations.is_empty() && results.queries < 500, "{}", results.json());
+    assert_eq!(results.json()["partial"], serde_json::json!(true));
 }
 
 /// Thousands asked in one instant: each has its answer, and what is given up is given up at once.
@@ -124,21 +138,25 @@
     let mut sudden = plan(250, &[]);
     let asks = |entry: &PlanEntry| matches!(entry.event, PlanEvent::Query { .. });
     sudden.entries.iter_mut().filter(|entry| asks(entry)).for_each(|entry| entry.at = 10_000);
-    let outcome = World::new(sudden, &replay_config(), cast(Mind::Module)).play(|_, _| true);
-    assert!(outcome.broken.is_empty() && outcome.queries == 3000, "{}", outcome.json());
-    assert_eq!(outcome.answered + outcome.declined + outcome.scrapped, 3000);
-    assert!(outcome.declined > 0 && outcome.slowest_decline < scene::GOAL, "{}", outcome.json());
+    let results = Simulation::new(sudden, &replay_config(), config(RoutingPolicy::Module)).run(|_, _| true);
+    assert!(results.violations.is_empty() && results.queries == 3000, "{}", results.json());
+    assert_eq!(results.responded + results.rejected + results.failed, 3000);
+    assert!(
+        results.rejected > 0 && results.slowest_rejection < deployment::LATENCY_OBJECTIVE,
+        "{}",
+        results.json()
+    );
 }
 
-/// The baselines break what the module keeps: the audit is one that can fail.
+/// The baselines break what the module keeps: the rules can be broken.
 #[rstest]
-fn the_audit_can_fail() {
-    let lost: Vec<_> = [0, 2, 4, 6].map(|host| (40_000, host, NodeEvent::Stop)).to_vec();
-    let outcome = play(Mind::Random, 100, &lost);
+fn the_checker_finds_violations() {
+    let lost: Vec<_> = [0, 2, 4, 6].map(|host| (40_000, host, PlannedNodeEvent::Stop)).to_vec();
+    let results = play(RoutingPolicy::Random, 100, &lost);
     assert!(
-        outcome.broken.keys().any(|rule| rule.starts_with("2: at-most-once, declined")),
+        results.violations.keys().any(|rule| rule.starts_with("2: at-most-once, declined")),
         "{}",
-        outcome.json()
+        results.json()
     );
 }
 
@@ -151,9 +169,9 @@
 fn no_cold_host_falls_at_any_size(#[case] brokers: u32) {
     let (hosts, shards) = (40, 32);
     let host = |at, host, event| PlanEntry { at, event: PlanEvent::Node { node: host, event } };
-    let mut entries: Vec<PlanEntry> = (0..hosts).map(|no| host(0, no, NodeEvent::StartWarm)).collect();
-    entries.extend((0..hosts).step_by(4).map(|no| host(5_000, no, NodeEvent::Stop)));
-    entries.extend((0..hosts).step_by(4).map(|no| host(15_000, no, NodeEvent::StartCold)));
+    let mut entries: Vec<PlanEntry> = (0..hosts).map(|no| host(0, no, PlannedNodeEvent::StartWarm)).collect();
+    entries.extend((0..hosts).step_by(4).map(|no| host(5_000, no, PlannedNodeEvent::Stop)));
+    entries.extend((0..hosts).step_by(4).map(|no| host(15_000, no, PlannedNodeEvent::StartCold)));
     for no in 0..3_000 {
         let shard_requests = (0..4).map(|at| planned((no as u32 * 5 + at) % shards, 80_000)).collect();
         entries.push(PlanEntry {
@@ -164,8 +182,8 @@
     entries.sort_by_key(|entry| entry.at);
     let plan =
         Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 };
-    let cast = Cast { brokers, cells: 8, ..cast(Mind::Module) };
-    let outcome =
-        World::new(plan, &ReplayConfig { nodes: hosts, shards, ..replay_config() }, cast).play(|_, _| true);
-    assert!(outcome.broken.is_empty() && outcome.service.share() > 0.6, "{}", outcome.json());
+    let config = SimulationConfig { brokers, placement_groups: 8, ..config(RoutingPolicy::Module) };
+    let results = Simulation::new(plan, &ReplayConfig { nodes: hosts, shards, ..replay_config() }, config)
+        .run(|_, _| true);
+    assert!(results.violations.is_empty() && results.service.share() > 0.6, "{}", results.json());
 }
--- /dev/null
+++ b/crates/broker-bench/src/trace_check.rs
@@ -0,0 +1,91 @@
+//! The command `trace check`: what of trace files can be used.
+//!
+//! Exit codes: 0 every row; 1 some were rejected, or the policy ended it; 2 a wrong argument, or a file that
+//! can't be opened.
+
+use crate::trace_files::{FileSummary, TimeSpan, Tolerance, choose_layout, read_file};
+use cluster_trace::{LAYOUTS, Layout, PolicyViolation};
+use serde_json::{Value, json};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+const EXIT_REJECTED: u8 = 1;
+const EXIT_UNUSABLE: u8 = 2;
+
+/// Runs the command.
+pub fn run(files: &[PathBuf], layout: Option<&str>, tolerance: Tolerance, as_json: bool) -> ExitCode {
+    let mut objects = Vec::new();
+    let mut is_clean = true;
+    for file in files {
+        let Some(layout) = choose_layout(file, layout) else { return fail_unknown_layout(file) };
+        match read_file(file, layout, tolerance.0, |_| Ok(())) {
+            Ok(summary) => {
+                is_clean &= summary.is_clean();
+                if as_json {
+                    objects.push(to_json(&summary, file, layout));
+                } else {
+                    print(&summary, file, layout);
+                }
+            }
+            Err(error) => {
+                eprintln!("broker-bench: {error}");
+                return ExitCode::from(EXIT_UNUSABLE);
+            }
+        }
+    }
+    if as_json {
+        println!("{}", json!({"sound": is_clean, "files": objects}));
+    }
+    if is_clean { ExitCode::SUCCESS } else { ExitCode::from(EXIT_REJECTED) }
+}
+
+fn fail_unknown_layout(file: &Path) -> ExitCode {
+    let names: Vec<&str> = LAYOUTS.iter().map(|layout| layout.name).collect();
+    eprintln!(
+        "broker-bench: {}: no layout fits its name; say which with --layout: {}",
+        file.display(),
+        names.join(", ")
+    );
+    ExitCode::from(EXIT_UNUSABLE)
+}
+
+fn print(summary: &FileSummary, file: &Path, layout: &Layout) {
+    println!("{} ({})", file.display(), layout.name);
+    println!("  {:<20} {:>12}", "lines", summary.rows.lines);
+    println!("  {:<20} {:>12}", "taken", summary.rows.accepted);
+    for (reason, rejected) in &summary.rows.rejected {
+        println!("  {:<20} {:>12}", reason.code(), rejected.count);
+        for example in &rejected.examples {
+            println!("      {example}");
+        }
+    }
+    if let Some(TimeSpan { first, last }) = summary.span {
+        println!("  from {:.1} s to {:.1} s on the trace's clock", first as f64 / 1e6, last as f64 / 1e6);
+    }
+    for step in &summary.clock_steps {
+        let seconds = step.offset_us as f64 / 1e6;
+        println!("  the clock stepped back at line {}, by {seconds:.1} s", step.line);
+    }
+    match &summary.violation {
+        Some(PolicyViolation::FirstRejected(_)) => println!("  stopped at the first that was rejected"),
+        Some(PolicyViolation::ShareExceeded { rejected, lines }) => {
+            println!("  stopped: {rejected} of {lines} lines were rejected, more than the stated share");
+        }
+        None => {}
+    }
+}
+
+fn to_json(summary: &FileSummary, file: &Path, layout: &Layout) -> Value {
+    let rejected = summary.rows.rejected.iter();
+    let rejected: serde_json::Map<String, Value> =
+        rejected.map(|(reason, rows)| (reason.code().to_owned(), json!(rows.count))).collect();
+    json!({
+        "file": file.display().to_string(),
+        "layout": layout.name,
+        "lines": summary.rows.lines,
+        "taken": summary.rows.accepted,
+        "rejected": rejected,
+        "steps": summary.clock_steps.len(),
+        "stopped": summary.violation.is_some(),
+    })
+}
--- /dev/null
+++ b/crates/broker-bench/src/trace_files.rs
@@ -0,0 +1,171 @@
+//! Reads trace files: chooses the layout, sorts the rows, and applies the policy for rejected ones.
+
+use cluster_trace::plan::{PlanError, Planner};
+use cluster_trace::{
+    ClockStep, Layout, OpenError, PolicyViolation, ReadSummary, RejectionPolicy, Row, RowOrder, RowOutcome,
+    RowSorter, SortWindow, TraceReader, find_layout,
+};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::str::FromStr;
+use thiserror::Error;
+
+/// Why a trace can't be used.
+#[derive(Debug, Error)]
+pub enum TraceError {
+    #[error(transparent)]
+    Open(#[from] OpenError),
+    #[error(transparent)]
+    Read(#[from] io::Error),
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+    /// The policy for rejected rows ended the reading.
+    #[error(transparent)]
+    Policy(#[from] PolicyViolation),
+    #[error("{}: the policy ended it; see `trace check`", .0.display())]
+    StoppedByPolicy(PathBuf),
+    #[error("{}: no layout fits its name", .0.display())]
+    UnknownLayout(PathBuf),
+    #[error("a layout is missing")]
+    MissingLayout,
+}
+
+/// A text that is no [`Tolerance`].
+#[derive(Debug, Error)]
+#[error("`first`, `count`, or a share from 0 to 1 is allowed")]
+pub struct ParseToleranceError;
+
+/// The policy for rejected rows as an argument: `first`, `count`, or a share as `0.01`.
+#[derive(Clone, Copy)]
+pub struct Tolerance(pub RejectionPolicy);
+
+impl FromStr for Tolerance {
+    type Err = ParseToleranceError;
+
+    fn from_str(text: &str) -> Result<Tolerance, ParseToleranceError> {
+        match (text, text.parse::<f64>()) {
+            ("first", _) => Ok(Tolerance(RejectionPolicy::StopAtFirst)),
+            ("count", _) => Ok(Tolerance(RejectionPolicy::SkipAndCount)),
+            (_, Ok(share)) if (0.0..=1.0).contains(&share) => Ok(Tolerance(RejectionPolicy::StopPast(share))),
+            _ => Err(ParseToleranceError),
+        }
+    }
+}
+
+/// The layout of this name, or else the one that the file's name looks like: as published, the files lie in
+/// folders or have names of their kind.
+pub fn choose_layout(file: &Path, name: Option<&str>) -> Option<&'static Layout> {
+    if let Some(name) = name {
+        return find_layout(name);
+    }
+    let path = file.to_string_lossy().replace('-', "_");
+    let kinds = [
+        ("task_events", "google-2011-task-events"),
+        ("machine_events", "google-2011-machine-events"),
+        ("batch_task", "alibaba-2018-batch-task"),
+        ("batch_instance", "alibaba-2018-batch-instance"),
+        ("machine_meta", "alibaba-2018-machine-meta"),
+        ("vmtable", "azure-2017-vmtable"),
+    ];
+    kinds.into_iter().find(|(kind, _)| path.contains(kind)).and_then(|(_, name)| find_layout(name))
+}
+
+/// The first and the last time of the accepted rows, in microseconds.
+#[derive(Clone, Copy, Debug)]
+pub struct TimeSpan {
+    pub first: u64,
+    pub last: u64,
+}
+
+/// What was read of one file.
+pub struct FileSummary {
+    pub rows: ReadSummary,
+    pub clock_steps: Vec<ClockStep>,
+    /// None without accepted rows.
+    pub span: Option<TimeSpan>,
+    /// Why the policy ended the reading, if it did.
+    pub violation: Option<PolicyViolation>,
+}
+
+/// Reads a file, and hands each accepted row on.
+pub fn read_file(
+    file: &Path,
+    layout: &'static Layout,
+    policy: RejectionPolicy,
+    use_row: impl FnMut(&Row) -> Result<(), PlanError>,
+) -> Result<FileSummary, TraceError> {
+    read_rows(TraceReader::open(layout, file)?, layout, policy, use_row)
+}
+
+/// Adds all rows of a reader to a plan; returns how many were rejected.
+pub fn add_rows(
+    reader: TraceReader,
+    layout: &'static Layout,
+    policy: RejectionPolicy,
+    planner: &mut Planner,
+) -> Result<u64, TraceError> {
+    let summary = read_rows(reader, layout, policy, |row| planner.add_row(row))?;
+    match summary.violation {
+        Some(violation) => Err(violation.into()),
+        None => Ok(summary.rows.rejected_count()),
+    }
+}
+
+fn read_rows(
+    reader: TraceReader,
+    layout: &'static Layout,
+    policy: RejectionPolicy,
+    mut use_row: impl FnMut(&Row) -> Result<(), PlanError>,
+) -> Result<FileSummary, TraceError> {
+    let is_sorted = layout.row_order == RowOrder::ByTime;
+    let lists_machines = !layout.has_work() && is_sorted;
+    let rows = ReadSummary::new(policy, lists_machines);
+    let mut summary = FileSummary { rows, clock_steps: Vec::new(), span: None, violation: None };
+    let mut sorter = RowSorter::new(SortWindow::default());
+    let mut outcomes = Vec::new();
+    for outcome in reader {
+        match outcome {
+            RowOutcome::Accepted(row) if is_sorted => sorter.add(row, &mut outcomes),
+            outcome => outcomes.push(outcome),
+        }
+        summary.add(&mut outcomes, &mut use_row)?;
+        if summary.violation.is_some() {
+            break;
+        }
+    }
+    if summary.violation.is_none() {
+        sorter.finish(&mut outcomes);
+        summary.add(&mut outcomes, &mut use_row)?;
+    }
+    summary.clock_steps = sorter.steps().to_vec();
+    Ok(summary)
+}
+
+impl FileSummary {
+    /// Whether all rows were accepted.
+    pub fn is_clean(&self) -> bool {
+        self.violation.is_none() && self.rows.rejected_count() == 0
+    }
+
+    fn add(
+        &mut self,
+        outcomes: &mut Vec<RowOutcome>,
+        use_row: &mut impl FnMut(&Row) -> Result<(), PlanError>,
+    ) -> Result<(), TraceError> {
+        for outcome in outcomes.drain(..) {
+            match self.rows.add(outcome) {
+                Ok(Some(row)) => {
+                    use_row(&row)?;
+                    let span = self.span.unwrap_or(TimeSpan { first: row.at, last: row.at });
+                    self.span = Some(TimeSpan { first: span.first.min(row.at), last: span.last.max(row.at) });
+                }
+                Ok(None) => {}
+                Err(violation) => {
+                    self.violation = Some(violation);
+                    return Ok(());
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/broker-bench/src/trace_run.rs
@@ -0,0 +1,207 @@
+//! The command `trace run`: plays the plan of trace files, in virtual time or on loopback sockets.
+//!
+//! Exit codes: 0 no rule broken; 1 a rule was broken, or there is no plan; 2 a wrong argument, or a file that
+//! can't be opened; 3 no figure, as the machine was too busy; 4 interrupted.
+
+use crate::results::DayResults;
+use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
+use crate::trace_plan::{PlanArgs, ReadPlan, read_plan};
+use crate::{loopback, report};
+use clap::Args;
+use cluster_trace::plan::Plan;
+use indicatif::{ProgressBar, ProgressStyle};
+use node_emulator::Cancel;
+use routing::Tenths;
+use serde_json::{Value, json};
+use std::path::PathBuf;
+use std::process::ExitCode;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+const EXIT_RULE_BROKEN: u8 = 1;
+const EXIT_WRONG_ARGUMENTS: u8 = 2;
+const EXIT_NO_FIGURE: u8 = 3;
+const EXIT_INTERRUPTED: u8 = 4;
+
+const TENTHS_PER_S: i64 = 10_000;
+
+/// The figures that are printed, by their JSON keys.
+const PRINTED_FIGURES: &[&str] = &[
+    "by_category",
+    "by_caller",
+    "retrievals",
+    "answered",
+    "declined",
+    "slowest_decline_ms",
+    "scrapped",
+    "pushes",
+    "latency_ms",
+    "plan",
+    "digest",
+];
+
+/// A plan, and who plays it.
+#[derive(Args, Clone)]
+pub struct RunArgs {
+    #[command(flatten)]
+    pub plan: PlanArgs,
+    #[arg(long, default_value_t = 3)]
+    pub brokers: u32,
+    /// Cells of hosts; each shard is held by two.
+    #[arg(long, default_value_t = 6)]
+    pub cells: u32,
+    /// Cores of a host.
+    #[arg(long, default_value_t = 4)]
+    pub cores: usize,
+    /// Who decides: the module, or a baseline.
+    #[arg(long = "mind", default_value = "module")]
+    pub policy: RoutingPolicy,
+    /// The brokers on sockets, with hosts, discovery and clients on loopback, in place of the module in
+    /// virtual time.
+    #[arg(long)]
+    pub loopback: bool,
+    /// Leave a page of plots here (HTML that needs nothing else), and the figures beside it as JSON.
+    #[arg(long, value_name = "FILE")]
+    pub report: Option<PathBuf>,
+    /// One JSON object for scripts.
+    #[arg(long)]
+    pub json: bool,
+}
+
+impl RunArgs {
+    fn simulation_config(&self) -> SimulationConfig {
+        SimulationConfig {
+            brokers: self.brokers.max(1),
+            policy: self.policy,
+            seed: self.plan.seed,
+            placement_groups: self.cells.clamp(1, self.plan.hosts.max(1)),
+            cores: self.cores.max(1),
+            warm_jobs: None,
+            cancel: Cancel::All,
+        }
+    }
+
+    fn place(&self) -> &'static str {
+        if self.loopback { "on loopback sockets" } else { "in virtual time" }
+    }
+
+    fn title(&self) -> String {
+        format!(
+            "simulated: {} brokers, {} hosts in {} cells, load {}, seed {}, {}, {}",
+            self.brokers,
+            self.plan.hosts,
+            self.cells,
+            self.plan.load,
+            self.plan.seed,
+            self.place(),
+            self.policy
+        )
+    }
+}
+
+/// Runs the command.
+pub fn run(args: &RunArgs) -> ExitCode {
+    match read_plan(&args.plan) {
+        Ok(ReadPlan { plan, rejected_rows }) => run_plan(plan, rejected_rows, args),
+        Err(failure) => {
+            eprintln!("broker-bench: {}", failure.error);
+            ExitCode::from(failure.exit_code)
+        }
+    }
+}
+
+/// Plays a plan, and prints the results.
+pub fn run_plan(plan: Plan, rejected_rows: u64, args: &RunArgs) -> ExitCode {
+    if args.loopback && args.policy != RoutingPolicy::Module {
+        eprintln!("broker-bench: on loopback the broker plays, which has the module: no --mind there");
+        return ExitCode::from(EXIT_WRONG_ARGUMENTS);
+    }
+    let plan_digest = plan.digest();
+    let results = match play(plan, args) {
+        Ok(results) => results,
+        Err(error) => {
+            eprintln!("broker-bench: no figure: {error}");
+            return ExitCode::from(EXIT_NO_FIGURE);
+        }
+    };
+    let mut figures = results.json();
+    figures["plan"] = json!(plan_digest);
+    figures["rejected_rows"] = json!(rejected_rows);
+    figures["seed"] = json!(args.plan.seed);
+    figures["played"] = json!(args.place());
+    figures["simulated"] = json!(true);
+    if args.json {
+        println!("{figures}");
+    } else {
+        print_results(&results, &figures, args);
+    }
+    if let Some(path) = &args.report
+        && let Err(error) = report::write(path, &results, &figures, &args.title())
+    {
+        eprintln!("broker-bench: {}: {error}", path.display());
+        return ExitCode::from(EXIT_WRONG_ARGUMENTS);
+    }
+    match results.stopped_at {
+        Some(_) => ExitCode::from(EXIT_INTERRUPTED),
+        // Only the product's decisions have to keep the rules; a baseline is what it is.
+        None if results.violations.is_empty() || args.policy != RoutingPolicy::Module => ExitCode::SUCCESS,
+        None => ExitCode::from(EXIT_RULE_BROKEN),
+    }
+}
+
+/// Plays a plan to its end, or until the user interrupts it.
+fn play(plan: Plan, args: &RunArgs) -> Result<DayResults, loopback::NoFigure> {
+    let (config, replay) = (args.simulation_config(), args.plan.replay_config());
+    let is_interrupted = interrupt_flag();
+    let bar = progress_bar(Tenths(plan.entries.last().map_or(0, |entry| entry.at) as i64));
+    let goes_on = |now: Tenths, _| {
+        bar.set_position((now.0 / TENTHS_PER_S) as u64);
+        !is_interrupted.load(Ordering::Relaxed)
+    };
+    let results = match args.loopback {
+        true => loopback::play(plan, &replay, config, goes_on),
+        false => Ok(Simulation::new(plan, &replay, config).run(goes_on)),
+    };
+    bar.finish_and_clear();
+    results
+}
+
+/// Is set when the user interrupts the program (SIGINT).
+fn interrupt_flag() -> Arc<AtomicBool> {
+    let flag = Arc::new(AtomicBool::new(false));
+    // Without a handler the signal ends the process as it does by default.
+    let _ = signal_hook::flag::register(signal_hook::consts::SIGINT, flag.clone());
+    flag
+}
+
+/// A bar on standard error, where that is a terminal; it moves once for each second of the day.
+fn progress_bar(last: Tenths) -> ProgressBar {
+    let bar = ProgressBar::new((last.0 / TENTHS_PER_S).max(1) as u64);
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} s of the day, {elapsed} {msg}");
+    bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
+}
+
+fn print_results(results: &DayResults, figures: &Value, args: &RunArgs) {
+    println!("{}", args.title());
+    if let Some(at) = results.stopped_at {
+        println!(
+            "PARTIAL            broken off at {:.1} s: figures are of what was played",
+            at.as_ms() / 1000.0
+        );
+    }
+    println!(
+        "service            {:.4} (payoff answered within the goal time over payoff asked for)",
+        results.service.share()
+    );
+    println!("worst 10 s         {:.4}", results.worst_window());
+    for key in PRINTED_FIGURES {
+        println!("{key:<18} {}", figures[key]);
+    }
+    for (rule, violations) in &results.violations {
+        println!(
+            "RULE BROKEN        {rule} ({} times, first at {:.1} s)",
+            violations.count,
+            violations.first_at.as_ms() / 1000.0
+        );
+    }
+}
--- a/crates/cluster-trace/src/classify.rs
+++ b/crates/cluster-trace/src/classify.rs
@@ -59,7 +59,8 @@
 fn read_row(layout: &Layout, line: u64, record: &ByteRecord) -> Result<Row, Box<RejectedRow>> {
     check_column_count(layout, line, record)?;
     let mut fields = Fields::default();
-    // The whole row is checked at once; only where that fails is each field checked, to find the one at fault.
+    // The whole row is checked at once; only where that fails is each field checked, to find the one at
+    // fault.
     let valid_row = std::str::from_utf8(record.as_slice()).ok();
     for (index, (column, bytes)) in layout.columns.iter().zip(record).enumerate() {
         if column.format == ColumnFormat::Ignored {
--- a/crates/cluster-trace/src/layout.rs
+++ b/crates/cluster-trace/src/layout.rs
@@ -1,5 +1,5 @@
-//! The published layouts, each a table of its columns. The names of columns are the publisher's; a column's role
-//! says what a replay makes of it.
+//! The published layouts, each a table of its columns. The names of columns are the publisher's; a column's
+//! role says what a replay makes of it.
 
 use ColumnFormat::{Code, Count, Id, Ignored, Number, Time};
 use ColumnRole::{
@@ -124,7 +124,8 @@
 /// The layouts that are known.
 #[rustfmt::skip]
 pub const LAYOUTS: &[Layout] = &[
-    Layout { name: "google-2011-task-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime, columns: &[
+    Layout { name: "google-2011-task-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime,
+    columns: &[
         required("timestamp", Time, At),
         ignored("missing info"),
         required("job ID", Count(u64::MAX), Job),
@@ -139,7 +140,8 @@
         ignored("disk space request"),
         ignored("different machines restriction"),
     ] },
-    Layout { name: "google-2011-machine-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime, columns: &[
+    Layout { name: "google-2011-machine-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime,
+    columns: &[
         required("timestamp", Time, At),
         required("machine ID", Count(u64::MAX), Machine),
         required("event type", Code(&["0", "1", "2"]), Event),
@@ -147,7 +149,8 @@
         optional("CPUs", Number(1e6), Cpu),
         optional("memory", Number(1e6), Memory),
     ] },
-    Layout { name: "alibaba-2018-batch-task", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+    Layout { name: "alibaba-2018-batch-task", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted,
+    columns: &[
         required("task_name", Id, Task),
         optional("instance_num", Count(10_000_000), Instances),
         required("job_name", Id, Job),
@@ -158,7 +161,8 @@
         optional("plan_cpu", Number(1e6), Cpu),
         optional("plan_mem", Number(1e6), Memory),
     ] },
-    Layout { name: "alibaba-2018-batch-instance", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+    Layout { name: "alibaba-2018-batch-instance", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted,
+    columns: &[
         required("instance_name", Id, Task),
         required("task_name", Id, Unused),
         required("job_name", Id, Job),
@@ -174,7 +178,8 @@
         optional("mem_avg", Number(1e6), Memory),
         ignored("mem_max"),
     ] },
-    Layout { name: "alibaba-2018-machine-meta", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+    Layout { name: "alibaba-2018-machine-meta", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted,
+    columns: &[
         required("machine_id", Id, Machine),
         required("time_stamp", Time, At),
         ignored("failure_domain_1"),
@@ -183,7 +188,8 @@
         optional("mem_size", Number(1e6), Memory),
         required("status", Code(&["USING", "IMPORT", "REMOVE"]), Event),
     ] },
-    Layout { name: "azure-2017-vmtable", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted, columns: &[
+    Layout { name: "azure-2017-vmtable", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted,
+    columns: &[
         required("vmid", Id, Task),
         required("subscriptionid", Id, Tenant),
         required("deploymentid", Id, Job),
--- a/crates/cluster-trace/src/lib.rs
+++ b/crates/cluster-trace/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! A [`Layout`] describes the columns of a published trace. [`TraceReader`] gives a [`RowOutcome`] for each
 //! line: accepted, as a [`Row`], or rejected, with the line, the column, its value, what is allowed, and a
-//! [`RejectionReason`] whose code never changes. [`RowSorter`] then puts rows in the order of their times within
-//! a bounded window, and tells a clock that stepped from a single row with a wrong time. [`ReadSummary`] counts
-//! (lines read = accepted + rejected by reason) and applies the [`RejectionPolicy`].
+//! [`RejectionReason`] whose code never changes. [`RowSorter`] then puts rows in the order of their times
+//! within a bounded window, and tells a clock that stepped from a single row with a wrong time.
+//! [`ReadSummary`] counts (lines read = accepted + rejected by reason) and applies the [`RejectionPolicy`].
 //!
 //! [`plan`] turns rows into what brokers and nodes are to do.
 //!
--- a/crates/cluster-trace/src/line_blocks.rs
+++ b/crates/cluster-trace/src/line_blocks.rs
@@ -1,6 +1,7 @@
-//! Cuts a file into blocks of whole physical lines, for the CSV reader. Each line becomes one record, whatever is
-//! in it. A line that no row of the known layouts can be (megabytes long, blank, with a quote that is not
-//! closed) is replaced by a placeholder, so that memory stays bounded, and its fault is kept beside it.
+//! Cuts a file into blocks of whole physical lines, for the CSV reader. Each line becomes one record,
+//! whatever is in it. A line that no row of the known layouts can be (megabytes long, blank, with a quote
+//! that is not closed) is replaced by a placeholder, so that memory stays bounded, and its fault is kept
+//! beside it.
 
 use crate::rejection_reason::RejectionReason;
 use std::collections::VecDeque;
--- a/crates/cluster-trace/src/plan/planner.rs
+++ b/crates/cluster-trace/src/plan/planner.rs
@@ -1,13 +1,13 @@
 //! Collects rows and makes the plan of them.
 
 use crate::plan::{
-    ClassSpec, NodeEvent, Plan, PlanEntry, PlanError, PlanEvent, PlannedShardRequest, ReplayConfig,
+    ClassSpec, Plan, PlanEntry, PlanError, PlanEvent, PlannedNodeEvent, PlannedShardRequest, ReplayConfig,
 };
 use crate::row::{MachineEvent, Row, RowDetail, TraceId, WorkEvent};
 use std::collections::BTreeMap;
 
-/// Work whose amount the trace does not give counts as this, in the trace's unit: the least that traces give in
-/// practice.
+/// Work whose amount the trace does not give counts as this, in the trace's unit: the least that traces give
+/// in practice.
 const DEFAULT_WORK_UNITS: f64 = 0.01;
 /// The least work of a shard request, in microseconds.
 const MIN_WORK_US: u64 = 50;
@@ -77,7 +77,7 @@
     /// Microseconds of the trace's clock.
     at: u64,
     node: u32,
-    event: NodeEvent,
+    event: PlannedNodeEvent,
 }
 
 /// What is known of a node as the window begins.
@@ -180,10 +180,10 @@
         let subject = row.machine.map_or(0, |machine| machine.0) ^ row.at;
         let drains = || draw(self.config.seed, DrawPurpose::Drain, subject) < self.config.drain_share;
         let event = match event {
-            MachineEvent::Added => NodeEvent::StartCold,
-            MachineEvent::Updated => NodeEvent::SlowDown((cpu / machine.first_cpu).min(1.0)),
-            MachineEvent::Removed if drains() => NodeEvent::Drain,
-            MachineEvent::Removed => NodeEvent::Stop,
+            MachineEvent::Added => PlannedNodeEvent::StartCold,
+            MachineEvent::Updated => PlannedNodeEvent::SlowDown((cpu / machine.first_cpu).min(1.0)),
+            MachineEvent::Removed if drains() => PlannedNodeEvent::Drain,
+            MachineEvent::Removed => PlannedNodeEvent::Stop,
         };
         self.node_events.push(NodeEventRecord { at: row.at, node: machine.node, event });
     }
@@ -234,8 +234,8 @@
         })
     }
 
-    /// Milliseconds of work for one unit of the trace's, so that the window offers the configured share of what
-    /// the nodes can do.
+    /// Milliseconds of work for one unit of the trace's, so that the window offers the configured share of
+    /// what the nodes can do.
     fn ms_per_unit(&self) -> f64 {
         let config = &self.config;
         let seconds = (config.to - config.from) as f64 / 1e6 * config.time_scale;
@@ -256,8 +256,8 @@
             let (at, node) = (self.replay_time(record.at), record.node);
             let entry = |at, event| PlanEntry { at, event: PlanEvent::Node { node, event } };
             entries.push(entry(at, record.event));
-            if record.event == NodeEvent::Drain {
-                entries.push(entry(at + self.config.drain_duration, NodeEvent::Stop));
+            if record.event == PlannedNodeEvent::Drain {
+                entries.push(entry(at + self.config.drain_duration, PlannedNodeEvent::Stop));
             }
         }
         entries
@@ -268,11 +268,11 @@
         for record in self.node_events.iter().filter(|record| record.at <= self.config.from) {
             let state = states.entry(record.node).or_insert(InitialNodeState { is_up: false, speed: 1.0 });
             match record.event {
-                NodeEvent::StartCold | NodeEvent::StartWarm => {
+                PlannedNodeEvent::StartCold | PlannedNodeEvent::StartWarm => {
                     *state = InitialNodeState { is_up: true, speed: 1.0 }
                 }
-                NodeEvent::Drain | NodeEvent::Stop => state.is_up = false,
-                NodeEvent::SlowDown(share) => state.speed = share,
+                PlannedNodeEvent::Drain | PlannedNodeEvent::Stop => state.is_up = false,
+                PlannedNodeEvent::SlowDown(share) => state.speed = share,
             }
         }
         // Nodes that no machine of the trace is mapped to are there all the while.
@@ -281,8 +281,8 @@
         let mut entries = Vec::new();
         for (node, state) in states.into_iter().chain(unmapped).filter(|(_, state)| state.is_up) {
             let entry = |event| PlanEntry { at: 0, event: PlanEvent::Node { node, event } };
-            entries.push(entry(NodeEvent::StartWarm));
-            entries.extend((state.speed < 1.0).then(|| entry(NodeEvent::SlowDown(state.speed))));
+            entries.push(entry(PlannedNodeEvent::StartWarm));
+            entries.extend((state.speed < 1.0).then(|| entry(PlannedNodeEvent::SlowDown(state.speed))));
         }
         entries
     }
--- a/crates/cluster-trace/src/plan/replay_config.rs
+++ b/crates/cluster-trace/src/plan/replay_config.rs
@@ -26,7 +26,8 @@
     pub shards: u32,
     /// The classes of queries; the trace's classes are mapped onto them.
     pub classes: Vec<ClassSpec>,
-    /// How much of the traffic each tenant has, relative to the others; the trace's users are mapped onto them.
+    /// How much of the traffic each tenant has, relative to the others; the trace's users are mapped onto
+    /// them.
     pub tenant_weights: Vec<f64>,
     /// Queries a second that all tenants together may send within their quotas; none: there are no quotas.
     pub quota_per_s: Option<f64>,
@@ -103,8 +104,8 @@
     /// Deadline of [`ClassSpec::idempotent`].
     const DEFAULT_DEADLINE_MS: u32 = 5000;
 
-    /// A class of idempotent queries with five seconds to the deadline; its priority weight and least coverage
-    /// are 1.
+    /// A class of idempotent queries with five seconds to the deadline; its priority weight and least
+    /// coverage are 1.
     pub fn idempotent(name: &str, share: f64, shard_requests: CountRange, weight_skew: f64) -> ClassSpec {
         ClassSpec {
             name: name.to_owned(),
--- a/crates/cluster-trace/src/plan/replay_plan.rs
+++ b/crates/cluster-trace/src/plan/replay_plan.rs
@@ -54,7 +54,7 @@
         /// The node's number.
         node: u32,
         /// What happens to it.
-        event: NodeEvent,
+        event: PlannedNodeEvent,
     },
 }
 
@@ -71,7 +71,7 @@
 
 /// What happens to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeEvent {
+pub enum PlannedNodeEvent {
     /// It is there from the beginning, and warm.
     StartWarm,
     /// It starts, and has to warm up.
@@ -90,11 +90,11 @@
         write!(f, "{} ", self.at)?;
         match &self.event {
             PlanEvent::Node { node, event } => match event {
-                NodeEvent::StartWarm => write!(f, "host {node} warm"),
-                NodeEvent::StartCold => write!(f, "host {node} start"),
-                NodeEvent::Drain => write!(f, "host {node} drain"),
-                NodeEvent::Stop => write!(f, "host {node} death"),
-                NodeEvent::SlowDown(share) => write!(f, "host {node} slow {share:.4}"),
+                PlannedNodeEvent::StartWarm => write!(f, "host {node} warm"),
+                PlannedNodeEvent::StartCold => write!(f, "host {node} start"),
+                PlannedNodeEvent::Drain => write!(f, "host {node} drain"),
+                PlannedNodeEvent::Stop => write!(f, "host {node} death"),
+                PlannedNodeEvent::SlowDown(share) => write!(f, "host {node} slow {share:.4}"),
             },
             PlanEvent::Query { class, tenant, shard_requests } => {
                 write!(f, "ask {class} {tenant}")?;
--- a/crates/cluster-trace/src/read_summary.rs
+++ b/crates/cluster-trace/src/read_summary.rs
@@ -1,5 +1,5 @@
-//! Counts what was read, finds what no single row shows (duplicates, machines that were never added), and applies
-//! the policy for rejected rows.
+//! Counts what was read, finds what no single row shows (duplicates, machines that were never added), and
+//! applies the policy for rejected rows.
 
 use crate::rejection_reason::RejectionReason;
 use crate::row::{MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, TraceId, WorkEvent};
--- a/crates/cluster-trace/src/row.rs
+++ b/crates/cluster-trace/src/row.rs
@@ -85,7 +85,8 @@
     pub at: u64,
     /// The machine that it is about or that the work runs on.
     pub machine: Option<TraceId>,
-    /// CPU as the trace has it: a share of the largest machine, cores, or per cent. None where it is not given.
+    /// CPU as the trace has it: a share of the largest machine, cores, or per cent. None where it is not
+    /// given.
     pub cpu: Option<f64>,
     /// Memory, in the trace's unit.
     pub memory: Option<f64>,
--- a/crates/cluster-trace/src/row_sorter.rs
+++ b/crates/cluster-trace/src/row_sorter.rs
@@ -227,8 +227,8 @@
         }
     }
 
-    /// The clock has stepped. After a step backwards time goes on where it was; a step forwards is a gap in the
-    /// trace, and is kept.
+    /// The clock has stepped. After a step backwards time goes on where it was; a step forwards is a gap in
+    /// the trace, and is kept.
     fn step_clock(&mut self, out: &mut Vec<RowOutcome>) {
         let is_backwards = self.state == Holding(Behind);
         self.state = Steady;
--- a/crates/cluster-trace/src/trace_reader.rs
+++ b/crates/cluster-trace/src/trace_reader.rs
@@ -1,6 +1,6 @@
-//! Reads a file into outcomes, one for each line, in bounded memory. A file that is opened by its path is read
-//! ahead on threads of its own: one cuts blocks of lines, a few classify them in turn, and the outcomes come in
-//! the order of the lines.
+//! Reads a file into outcomes, one for each line, in bounded memory. A file that is opened by its path is
+//! read ahead on threads of its own: one cuts blocks of lines, a few classify them in turn, and the outcomes
+//! come in the order of the lines.
 
 use crate::classify::classify_row;
 use crate::layout::Layout;
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -1,7 +1,7 @@
 //! What rows become: windows, samples, time scales, nodes; and that it is the same each time.
 
 use cluster_trace::plan::{
-    ClassSpec, CountRange, NodeEvent, Plan, PlanError, PlanEvent, Planner, ReplayConfig,
+    ClassSpec, CountRange, Plan, PlanError, PlanEvent, PlannedNodeEvent, Planner, ReplayConfig,
 };
 use cluster_trace::{MachineEvent, Row, RowDetail, TraceId, WorkEvent};
 use rstest::rstest;
@@ -91,7 +91,7 @@
     plan.entries.iter().filter_map(query).collect()
 }
 
-fn node_events(plan: &Plan) -> Vec<(u64, u32, NodeEvent)> {
+fn node_events(plan: &Plan) -> Vec<(u64, u32, PlannedNodeEvent)> {
     let event = |entry: &cluster_trace::plan::PlanEntry| match entry.event {
         PlanEvent::Node { node, event } => Some((entry.at, node, event)),
         PlanEvent::Query { .. } => None,
@@ -148,8 +148,8 @@
     assert!(tenants.contains(&0) && tenants.contains(&1));
 }
 
-/// Work that was running as the window began becomes queries at its beginning: spans that reach into it, and tasks
-/// that were scheduled and had not ended. A job longer than the window is there once.
+/// Work that was running as the window began becomes queries at its beginning: spans that reach into it, and
+/// tasks that were scheduled and had not ended. A job longer than the window is there once.
 #[rstest]
 fn begins_with_what_was_running() {
     let rows = [
@@ -166,8 +166,8 @@
     assert_eq!((at, plan.running_at_start), (vec![0, 0, 500_000], 1));
 }
 
-/// Machines become nodes: there from the beginning, stopped, started again under their name, slow; drained first
-/// where that is configured; half of them stopped at the same time.
+/// Machines become nodes: there from the beginning, stopped, started again under their name, slow; drained
+/// first where that is configured; half of them stopped at the same time.
 #[rstest]
 #[case(0.0, false)]
 #[case(1.0, true)]
@@ -180,13 +180,17 @@
     let plan = plan(ReplayConfig { drain_share: drains, ..config() }, &rows).unwrap();
     let mut events = node_events(&plan);
     let warm: Vec<_> = events.drain(..4).collect();
-    assert!(warm.iter().zip(0..).all(|(event, no)| *event == (0, no, NodeEvent::StartWarm)), "{warm:?}");
+    assert!(
+        warm.iter().zip(0..).all(|(event, no)| *event == (0, no, PlannedNodeEvent::StartWarm)),
+        "{warm:?}"
+    );
     let ends = |host, at: u64| match drained {
-        true => vec![(at, host, NodeEvent::Drain), (at + 5000, host, NodeEvent::Stop)],
-        false => vec![(at, host, NodeEvent::Stop)],
+        true => vec![(at, host, PlannedNodeEvent::Drain), (at + 5000, host, PlannedNodeEvent::Stop)],
+        false => vec![(at, host, PlannedNodeEvent::Stop)],
     };
     let mut expected = [ends(0, 200_000), ends(1, 200_000)].concat();
-    expected.extend([(300_000, 0, NodeEvent::StartCold), (400_000, 2, NodeEvent::SlowDown(0.5))]);
+    expected
+        .extend([(300_000, 0, PlannedNodeEvent::StartCold), (400_000, 2, PlannedNodeEvent::SlowDown(0.5))]);
     expected.sort_by_key(|event| event.0);
     assert_eq!((events, plan.unmapped_machine_rows), (expected, 2));
 }
@@ -217,8 +221,8 @@
     assert_eq!(plan(config, &rows()), Err(why));
 }
 
-/// A file that comes slower than anything is played, a byte at a time, is the same plan: it is made before the day
-/// begins, so that a slow reader puts off the start and nothing else.
+/// A file that comes slower than anything is played, a byte at a time, is the same plan: it is made before
+/// the day begins, so that a slow reader puts off the start and nothing else.
 #[rstest]
 fn a_slow_reader_changes_nothing() {
     struct Trickle<'a>(&'a [u8]);
--- a/crates/cluster-trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Hand-written rows in the published layouts: each bad one is rejected with its reason, and every line has an
-//! outcome.
+//! Hand-written rows in the published layouts: each bad one is rejected with its reason, and every line has
+//! an outcome.
 
 use cluster_trace::*;
 use flate2::Compression;
@@ -309,8 +309,8 @@
     }
 }
 
-/// Read ahead on other threads, over many blocks, each line has the outcome that it has on one thread; a user that
-/// stops midway leaves no thread behind that waits for ever, and a slow one loses nothing.
+/// Read ahead on other threads, over many blocks, each line has the outcome that it has on one thread; a user
+/// that stops midway leaves no thread behind that waits for ever, and a slow one loses nothing.
 #[rstest]
 #[case(false)]
 #[case(true)]
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,10 +1,10 @@
-//! Scripted faults: what goes wrong with nodes, zones, discovery, clients and brokers, and when. No I/O and no
-//! clock; random choices follow a seed.
+//! Scripted faults: what goes wrong with nodes, zones, discovery, clients and brokers, and when. No I/O and
+//! no clock; random choices follow a seed.
 //!
 //! [`Scenario::parse`] reads an INI text, or lists every error in it with line and key.
-//! [`Scenario::schedule`] turns it into a list of actions for a cluster of a given size. [`ActiveFaults`] holds
-//! the overlapping faults of one node; its table of transitions is the one place that decides what they add up
-//! to. [`LIBRARY`] has the scenarios that come with the product.
+//! [`Scenario::schedule`] turns it into a list of actions for a cluster of a given size. [`ActiveFaults`]
+//! holds the overlapping faults of one node; its table of transitions is the one place that decides what they
+//! add up to. [`LIBRARY`] has the scenarios that come with the product.
 //!
 //! ```
 //! use fault_scenarios::{ClusterSize, Scenario};
--- a/crates/fault-scenarios/src/schedule.rs
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -89,7 +89,8 @@
     pub fn schedule(&self, cluster: &ClusterSize, seed: u64) -> Vec<ScheduledAction> {
         let mut schedule = Vec::new();
         for (index, fault) in self.faults.iter().enumerate() {
-            // Each fault has random numbers of its own, so that a change to one leaves the others as they are.
+            // Each fault has random numbers of its own, so that a change to one leaves the others as they
+            // are.
             let mut rng = fastrand::Rng::with_seed(seed ^ (index as u64 + 1).rotate_left(40));
             schedule.extend(fault.actions(cluster, &mut rng));
         }
--- a/crates/fault-scenarios/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -110,8 +110,8 @@
     assert!(schedule.iter().all(|scheduled| scheduled.at <= Tenths(500_000)));
 }
 
-/// One step a word: `d` an outage begins, `u` it ends, `D` a drain begins, `X` its time is over. The condition at
-/// the end, and the transition of each step.
+/// One step a word: `d` an outage begins, `u` it ends, `D` a drain begins, `X` its time is over. The
+/// condition at the end, and the transition of each step.
 #[rstest]
 #[case("d u", NodeCondition::Ready, "dies starts")]
 #[case("d d u", NodeCondition::Down, "dies - -")]
