--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -43,7 +43,7 @@
     seeds: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    #[arg(long = "mind", default_value = "module")]
+    #[arg(long = "mind", value_name = "MIND", default_value = "module")]
     policy: RoutingPolicy,
     /// The same days by this one too; the difference is told with its bounds.
     #[arg(long)]
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -54,7 +54,7 @@
     #[arg(long, default_value_t = 4)]
     pub cores: usize,
     /// Who decides: the module, or a baseline.
-    #[arg(long = "mind", default_value = "module")]
+    #[arg(long = "mind", value_name = "MIND", default_value = "module")]
     pub policy: RoutingPolicy,
     /// The brokers on sockets, with hosts, discovery and clients on loopback, in place of the module in
     /// virtual time.
