--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -25,7 +25,7 @@
     /// ...and so many more. 0 and up.
     pub retry_floor: f64,
     /// The most tenants that are told apart; any more share one bucket. 1 at least.
-    pub most_callers: u32,
+    pub max_tenants: u32,
     /// While overloaded, a tenant that asks for more than its share is rejected for the rest, while others
     /// ask. Off: only retries have a budget, and the broker's cutoff falls on all tenants alike.
     pub shares: bool,
@@ -46,7 +46,7 @@
             burst: Tenths(10_000),
             retry_share: 0.2,
             retry_floor: 3.0,
-            most_callers: 10_000,
+            max_tenants: 10_000,
             shares: true,
         }
     }
@@ -105,7 +105,7 @@
             check("burst_ms", self.burst.as_ms(), self.burst >= Tenths::ZERO, "0 and up"),
             check("retry_share", self.retry_share, self.retry_share >= 0.0, "0 and up"),
             check("retry_floor", self.retry_floor, self.retry_floor >= 0.0, "0 and up"),
-            check("most_callers", f64::from(self.most_callers), self.most_callers >= 1, "1 at least"),
+            check("most_callers", f64::from(self.max_tenants), self.max_tenants >= 1, "1 at least"),
         ]
     }
 }
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -58,7 +58,7 @@
             now: Tenths::ZERO,
             rate: AdaptiveRate::default(),
             load: LoadStatistics::new(config.window),
-            tenants: TenantTable::new(config.window, config.most_callers as usize),
+            tenants: TenantTable::new(config.window, config.max_tenants as usize),
             mode: Mode::Normal,
             decision_counts: DecisionCounts::default(),
             started_at: None,
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -405,7 +405,7 @@
 /// Memory is bounded: past the most tenants, the rest share one.
 #[rstest]
 fn tenants_past_the_most_share_one() {
-    let mut admission = controller(AdmissionConfig { most_callers: 3, ..AdmissionConfig::default() });
+    let mut admission = controller(AdmissionConfig { max_tenants: 3, ..AdmissionConfig::default() });
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let inputs: Vec<Input> = (0..50).flat_map(|tenant| queries.query(tenant, 1, 0)).collect();
@@ -416,8 +416,7 @@
 /// All values that can't be used are named at once.
 #[rstest]
 fn invalid_values_are_named_all_at_once() {
-    let invalid =
-        AdmissionConfig { level: 1.5, decrease: 0.0, most_callers: 0, ..AdmissionConfig::default() };
+    let invalid = AdmissionConfig { level: 1.5, decrease: 0.0, max_tenants: 0, ..AdmissionConfig::default() };
     let keys: Vec<&str> = invalid.check().unwrap_err().iter().map(|value| value.key).collect();
     assert_eq!(keys, ["level", "decrease", "most_callers"]);
     assert!(AdmissionController::new(invalid, &BrokerConfig::default()).is_err());
--- a/crates/broker-bench/src/fleet.rs
+++ b/crates/broker-bench/src/fleet.rs
@@ -266,7 +266,7 @@
         self.brokers[no].up = false;
         match self.brokers[no].mind {
             Mind::RolloutController(_) => {
-                self.hear(no, Input::StreamEnded { stream, reason: "cut".to_owned() })
+                self.hear(no, Input::StreamEnded { stream, reason: "cut".to_owned() });
             }
             Mind::Fixed(wait) => self.at(self.now + wait, Event::Due(no)),
         }
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -279,7 +279,7 @@
         while let Some(entry) = self.plan.pop_front_if(|entry| entry.at as i64 <= self.now.0) {
             match entry.event {
                 PlanEvent::Query { class, tenant, shard_requests } => {
-                    self.ask(class, tenant, &shard_requests).await?
+                    self.ask(class, tenant, &shard_requests).await?;
                 }
                 PlanEvent::Node { node, event } => self.host_event(node as usize, event).await?,
             }
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -97,14 +97,14 @@
 /// What brokers in virtual time are configured with.
 pub fn broker_config(replay: &ReplayConfig, config: &SimulationConfig) -> BrokerConfig {
     let class = |(index, class): (usize, &ClassSpec)| {
-        let (effect, dedup_window) = idempotency_of(class.idempotency);
+        let (idempotency, dedup_window) = idempotency_of(class.idempotency);
         let request_class = RequestClass {
             latency_objective: LATENCY_OBJECTIVE.min(deadline_of(class)),
             deadline: deadline_of(class),
             priority_weight: class.priority_weight,
             min_coverage: class.min_coverage,
             complete_coverage: 1.0,
-            effect,
+            idempotency,
             dedup_window,
             ..RequestClass::default()
         };
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -246,12 +246,12 @@
         Some(AttemptResult { shard_request, attempt, node: in_flight.node, outcome, duration })
     }
 
-    /// Takes over what load probes brought. `sound`: the node answered.
+    /// Takes over what load probes brought. `is_valid`: the node answered.
     fn collect_probe_results(&self) {
         for ProbeReply { node, report } in self.nodes.fetch_probe_replies() {
-            let sound = report.is_some();
+            let is_valid = report.is_some();
             let report = report.map(|report| read_load_report(&report)).unwrap_or_default();
-            self.push_input(Input::ProbeEnded(ProbeResult { node, sound, report }));
+            self.push_input(Input::ProbeEnded(ProbeResult { node, is_valid, report }));
         }
     }
 }
--- a/crates/broker/src/query_handler.rs
+++ b/crates/broker/src/query_handler.rs
@@ -96,9 +96,9 @@
 /// without which a response of a class that has one holds nothing.
 fn can_be_carried(epoch: &ConfigEpoch, request: &Request, class: ClassId) -> bool {
     epoch.classes.get(&class).is_some_and(|class| {
-        let has_key = class.effect == Idempotency::IdempotencyKey
+        let has_key = class.idempotency == Idempotency::IdempotencyKey
             && request.headers().contains_key(IDEMPOTENCY_KEY_HEADER);
-        !has_key && class.second_parts == 0
+        !has_key && class.second_phase_shard_requests == 0
     })
 }
 
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -77,7 +77,7 @@
 }
 
 fn warn_of_second_phases(broker_settings: &BrokerSettings) {
-    if broker_settings.broker_config.classes.values().any(|class| class.second_parts > 0) {
+    if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
         warn!("a request class has a second phase, which this protocol lacks: its queries are rejected");
     }
 }
--- a/crates/broker/tests/config_rollout/fixture.rs
+++ b/crates/broker/tests/config_rollout/fixture.rs
@@ -96,7 +96,7 @@
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (sender, lines) = mpsc::channel();
         std::thread::spawn(move || {
-            stderr.lines().map_while(Result::ok).for_each(|line| _ = sender.send(line))
+            stderr.lines().map_while(Result::ok).for_each(|line| _ = sender.send(line));
         });
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut broker = Broker { listens: nowhere, status_address: nowhere, child, lines, log: Vec::new() };
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -52,7 +52,7 @@
     run_test(async {
         let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
         let cluster = TestCluster::start_with(1, few, |startup| {
-            startup.limits.client_io_timeout = Duration::from_secs(90)
+            startup.limits.client_io_timeout = Duration::from_secs(90);
         })
         .await;
         let mut held = Vec::new();
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -203,7 +203,7 @@
         let mut cluster = TestCluster::start_with(
             1,
             |config| {
-                config["settings"]["Tenants"] = json!([{"Name": "ours", "Share": 1.0, "QuotaRps": 100.0}])
+                config["settings"]["Tenants"] = json!([{"Name": "ours", "Share": 1.0, "QuotaRps": 100.0}]);
             },
             |_| (),
         )
--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -25,7 +25,7 @@
                 "version stays, not proven");
         }
         LogEvent::Rejected { number, reason } => {
-            warn!(number, reason = text(reason), "version turned down")
+            warn!(number, reason = text(reason), "version turned down");
         }
         LogEvent::Withdrawn { version, running, reason } => {
             warn!(number = version.number, digest = %version.digest, runs = running.number,
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -90,7 +90,7 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Connect { stream, .. } => {
-                (self.stream, self.is_connecting, self.is_open) = (stream, true, false)
+                (self.stream, self.is_connecting, self.is_open) = (stream, true, false);
             }
             Effect::Disconnect { .. } => (self.is_connecting, self.is_open) = (false, false),
             Effect::Subscribe { stream, running } => {
--- a/crates/operator-config/src/admission_section.rs
+++ b/crates/operator-config/src/admission_section.rs
@@ -42,7 +42,7 @@
         burst: duration("burst_ms"),
         retry_share: number("retry_share"),
         retry_floor: number("retry_floor"),
-        most_callers: number("most_callers") as u32,
+        max_tenants: number("most_callers") as u32,
         shares: values.get(ADMISSION, "shares") == "on",
     }
 }
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -61,7 +61,7 @@
         burst: seconds(1),
         retry_share: 0.2,
         retry_floor: 3.0,
-        most_callers: 10_000,
+        max_tenants: 10_000,
         shares: true,
     };
     assert_eq!(config.admission, Some(admission));
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -56,9 +56,9 @@
     /// The weight from which a response is complete, from 0 to 1.
     pub complete_coverage: f64,
     /// Shard requests of a second phase, asked for after the first response; 0: there is none.
-    pub second_parts: u32,
+    pub second_phase_shard_requests: u32,
     /// What a second execution of a shard request would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// With an idempotency key: how long repeats are dropped, from the first attempt that may have been
     /// executed.
     pub dedup_window: Tenths,
--- a/crates/routing/src/effective_config.rs
+++ b/crates/routing/src/effective_config.rs
@@ -36,8 +36,8 @@
             late_weight_share: class.late_weight_share,
             min_coverage: class.min_coverage.min(class.complete_coverage),
             complete_coverage: class.complete_coverage,
-            has_second_phase: class.second_parts > 0,
-            idempotency: class.effect,
+            has_second_phase: class.second_phase_shard_requests > 0,
+            idempotency: class.idempotency,
             dedup_window: class.dedup_window,
             priority_weight: class.priority_weight,
         }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -160,7 +160,7 @@
     /// The node that was probed.
     pub node: NodeId,
     /// The node responded; else the probe failed or timed out.
-    pub sound: bool,
+    pub is_valid: bool,
     /// The node's load report; empty where none came.
     pub report: Vec<(LoadMetric, f64)>,
 }
--- a/crates/routing/src/state/broker.rs
+++ b/crates/routing/src/state/broker.rs
@@ -304,11 +304,11 @@
         let is_usable = |value: &f64| value.is_finite() && *value >= 0.0;
         let figure = |metric: LoadMetric| {
             let values = result.report.iter().filter(|(_, value)| is_usable(value));
-            values.clone().find(|(told, _)| *told == metric).map(|(_, value)| *value)
+            values.clone().find(|(reported, _)| *reported == metric).map(|(_, value)| *value)
         };
         let load = LoadReport {
             received_at: self.now,
-            is_valid: result.sound,
+            is_valid: result.is_valid,
             queue_length: figure(LoadMetric::QueueLength),
             service_rate: figure(LoadMetric::ServiceRate),
         };
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -113,8 +113,8 @@
                     late_weight_share: value(&words, "late-share", 0.0),
                     min_coverage: value(&words, "min-coverage", 1.0),
                     complete_coverage: value(&words, "complete-coverage", 1.0),
-                    second_parts: value(&words, "second-phase", 0),
-                    effect: match value(&words, "idempotency", String::new()).as_str() {
+                    second_phase_shard_requests: value(&words, "second-phase", 0),
+                    idempotency: match value(&words, "idempotency", String::new()).as_str() {
                         "key" => Idempotency::IdempotencyKey,
                         "at-most-once" => Idempotency::AtMostOnce,
                         _ => Idempotency::Idempotent,
@@ -228,7 +228,7 @@
                 let (class, tenant) = (ClassId(class as u16), TenantId(value(&words, "tenant", 0)));
                 let (time_left, work) = (span(&words, "time-left", 3000.0), span(&words, "work", 0.0));
                 self.open.insert(query_id);
-                if self.broker_config.classes.get(&class).is_some_and(|c| c.second_parts > 0) {
+                if self.broker_config.classes.get(&class).is_some_and(|c| c.second_phase_shard_requests > 0) {
                     self.awaiting_second_phase.insert(query_id);
                 }
                 self.inputs.push(Input::Query(NewQuery {
@@ -252,7 +252,7 @@
                 let queue = words[2].parse().map(|queue| (LoadMetric::QueueLength, queue)).into_iter();
                 let rate = words.get(3).map(|rate| (LoadMetric::ServiceRate, rate.parse().unwrap()));
                 let (node, report) = (NodeId(id(words[1])), queue.chain(rate).collect());
-                Input::ProbeEnded(ProbeResult { node, sound: words[2] != "none", report })
+                Input::ProbeEnded(ProbeResult { node, is_valid: words[2] != "none", report })
             }
             "response-started" => Input::ResponseStarted(ShardRequestId(id(words[1]))),
             "end" => return self.end(words[1], words[2]),
--- a/crates/settings-migration/src/deployment_layout.rs
+++ b/crates/settings-migration/src/deployment_layout.rs
@@ -28,7 +28,7 @@
         })?;
         let (mut stated, mut errors) = (Vec::new(), Vec::new());
         for (section, properties) in &ini {
-            for (name, text) in properties.iter() {
+            for (name, text) in properties {
                 match read_value(section.unwrap_or(""), name, text) {
                     Ok(value) => stated.push(value),
                     Err(error) => errors.push(error),
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`DeploymentLayout::read`] reads the shape file, INI: what the new deployment looks like. [`KEYS`] lists
 //!   its keys.
-//! - [`migrate`] gives the new file's text, and lists what of the old one it could not carry over, or all
+//! - [`migrate()`] gives the new file's text, and lists what of the old one it could not carry over, or all
 //!   that stands against the new one. What a deployment's layout decides is never taken from the old file.
 //!
 //! ```
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -124,8 +124,8 @@
         late_weight_share: service.late_weight_share,
         min_coverage: share(&text.domain.min_share, "MinShare")?,
         complete_coverage: share(&text.domain.complete_from, "CompleteFrom")?,
-        second_parts: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
-        effect: idempotency(&service.effect)?,
+        second_phase_shard_requests: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
+        idempotency: idempotency(&service.effect)?,
         dedup_window: Tenths::from_ms(service.dedup_window_ms),
     })
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -45,7 +45,7 @@
         super::read(text.as_bytes()).unwrap();
     assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
     let class = &read.classes[&ClassId(0)];
-    assert_eq!((class.effect, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
+    assert_eq!((class.idempotency, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.retry_budget.is_none());
     assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
@@ -332,10 +332,10 @@
         all.push(place.to_owned());
         match value {
             Value::Object(object) => {
-                object.iter().for_each(|(key, v)| places(v, &format!("{place}/{key}"), all))
+                object.iter().for_each(|(key, v)| places(v, &format!("{place}/{key}"), all));
             }
             Value::Array(list) => {
-                list.iter().enumerate().for_each(|(at, v)| places(v, &format!("{place}/{at}"), all))
+                list.iter().enumerate().for_each(|(at, v)| places(v, &format!("{place}/{at}"), all));
             }
             _ => {}
         }
--- a/crates/simulator-adapter/src/broker_host.rs
+++ b/crates/simulator-adapter/src/broker_host.rs
@@ -127,7 +127,7 @@
         };
         let values = load_values.into_iter().map(f64::from);
         let report = load_metrics.iter().copied().zip(values).collect();
-        Input::ProbeEnded(ProbeResult { node, sound: is_healthy, report })
+        Input::ProbeEnded(ProbeResult { node, is_valid: is_healthy, report })
     }
 }
 
