--- a/Makefile
+++ b/Makefile
@@ -7,9 +7,9 @@
 	@echo "lint   formatting and clippy"
 	@echo "run    one broker, CONFIG=path of its config file"
 	@echo "measure-trace    how fast traces are read; SIZE=small for a short one"
-	@echo "measure-rehearsal  the laboratory, and every scripted incident; SIZE=small for a short one"
-	@echo "measure-lean     what a retrieval costs beside AGAINST=path of an earlier build"
-	@echo "measure-control  a fleet's versions in virtual time; SIZE=small for a short one"
+	@echo "measure-rehearsal  the simulation benchmark: every scripted fault scenario; SIZE=small for a short one"
+	@echo "measure-lean     what a query costs beside AGAINST=path of an earlier build"
+	@echo "measure-control  many brokers' versions in virtual time; SIZE=small for a short one"
 
 build:
 	cargo build --release --locked
