--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -121,7 +121,7 @@
         objective_stretch: service.aim_stretch,
         deadline: Tenths::from_ms(service.deadline_ms),
         priority_weight: service.worth,
-        late_weight_share: service.late_weight_share,
+        late_weight_share: service.late_share,
         min_coverage: share(&text.domain.min_share, "MinShare")?,
         complete_coverage: share(&text.domain.complete_from, "CompleteFrom")?,
         second_phase_shard_requests: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
--- a/crates/settings/src/settings_text.rs
+++ b/crates/settings/src/settings_text.rs
@@ -52,7 +52,7 @@
     pub deadline_ms: f64,
     pub worth: f64,
     #[serde(default)]
-    pub late_weight_share: f64,
+    pub late_share: f64,
     pub effect: String,
     #[serde(default)]
     pub dedup_window_ms: f64,
