--- a/crates/broker-bench/src/footprint_benchmark.rs
+++ b/crates/broker-bench/src/footprint_benchmark.rs
@@ -114,7 +114,9 @@
         let until = Instant::now() + Duration::from_secs(10);
         while Instant::now() < until {
             let line = lines.next().ok_or("it ended")?.map_err(|e| e.to_string())?;
-            if let Some((_, address)) = line.split_once("listen_address=") {
+            // Builds up to 076ab53 log it as `NAME serves on ADDRESS`.
+            let address = line.split_once("listen_address=").or_else(|| line.split_once("serves on "));
+            if let Some((_, address)) = address {
                 broker.listens = address.trim().parse().map_err(|_| "no address told")?;
                 std::thread::spawn(move || lines.for_each(drop));
                 return Ok(broker);
