--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// A document that could be parsed. Whether its values are allowed is for [`crate::check`].
+/// A document that could be parsed. Whether its values are allowed is for [`crate::check()`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document(pub(crate) Value);
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,8 +2,8 @@
 //! it. Makes no decision about queries.
 //!
 //! - [`read`] reads the text that a broker starts from, as the platform gives it: unknown keys are skipped.
-//! - [`Document`] is the whole settings text of an installation; [`check`] lists everything wrong in one.
-//! - [`revise`] turns a document into what a running broker takes over, or lists why it can't.
+//! - [`Document`] is the whole settings text of an installation; [`check()`] lists everything wrong in one.
+//! - [`revise()`] turns a document into what a running broker takes over, or lists why it can't.
 //!
 //! ```
 //! let document = settings::Document::parse(br#"{"PeriodMs": 5.0, "Rulez": {}}"#, 1 << 20).unwrap();
