--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -8,7 +8,7 @@
 use crate::offered_query::OfferedQuery;
 use crate::rules::{Decision, DecisionCounts, find_rule};
 use crate::tenants::{TenantTable, TenantUsage};
-use routing::{BrokerConfig, Effect, GroupId, Input, NewQuery, QueryId, TenantId, Tenths};
+use routing::{BrokerConfig, Effect, GroupId, Input, LogEvent, NewQuery, QueryId, TenantId, Tenths};
 use std::collections::BTreeSet;
 
 /// Admission control in front of one broker.
@@ -139,7 +139,7 @@
         if self.mode == Mode::Overloaded {
             self.share_rate();
         }
-        self.describe_change(previous_mode).map(Effect::Say)
+        self.describe_change(previous_mode).map(Effect::Log)
     }
 
     fn take_step(&mut self) {
@@ -158,13 +158,12 @@
         self.tenants.set_shares(shares);
     }
 
-    fn describe_change(&self, previous_mode: Mode) -> Option<String> {
+    fn describe_change(&self, previous_mode: Mode) -> Option<LogEvent> {
         match (previous_mode, self.mode) {
             (Mode::Normal, Mode::Overloaded) => {
-                let rate = self.rate.per_second();
-                Some(format!("admission overloaded: {rate:.0} shard requests a second admitted"))
+                Some(LogEvent::AdmissionOverloaded { admitted_per_s: self.rate.per_second() })
             }
-            (Mode::Overloaded, Mode::Normal) => Some("admission normal: all admitted again".to_owned()),
+            (Mode::Overloaded, Mode::Normal) => Some(LogEvent::AdmissionNormal),
             _ => None,
         }
     }
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -242,8 +242,9 @@
     assert_eq!(admission.mode(), Mode::Overloaded);
     assert!(admission.rate() > 0.0);
     assert!(effects.iter().any(|effect| {
-        matches!(effect, Effect::Say(line) if line.starts_with("admission overloaded: ")
-            && line.ends_with(" shard requests a second admitted"))
+        matches!(effect, Effect::Log(event @ LogEvent::AdmissionOverloaded { .. })
+            if event.to_string().starts_with("admission overloaded: ")
+                && event.to_string().ends_with(" shard requests a second admitted"))
     }));
 }
 
@@ -362,8 +363,8 @@
         }
     }
     assert_eq!(admission.mode(), Mode::Normal, "{:.1}", admission.rate());
-    let normal_line = Effect::Say("admission normal: all admitted again".to_owned());
-    assert!(effects.contains(&normal_line));
+    assert!(effects.contains(&Effect::Log(LogEvent::AdmissionNormal)));
+    assert_eq!(LogEvent::AdmissionNormal.to_string(), "admission normal: all admitted again");
 }
 
 /// Where the configuration does not let clients be sent a time to retry after, a rejection has none.
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -148,7 +148,7 @@
                 state.wake_at = Some(state.wake_at.map_or(at, |earlier| earlier.min(at)));
             }
             // Simulated nodes report no load by probes, and brokers are configured for that.
-            Effect::Probe { .. } | Effect::CloseIdle { .. } | Effect::WatchEndpoints | Effect::Say(_) => {}
+            Effect::Probe { .. } | Effect::CloseIdle { .. } | Effect::WatchEndpoints | Effect::Log(_) => {}
         }
     }
 
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -8,8 +8,8 @@
 use crate::node_pool::{AttemptId, AttemptToSend};
 use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
-    Tenths,
+    AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, LogEvent, NodeId, QueryId, ShardId,
+    ShardRequestId, Tenths,
 };
 use std::collections::BTreeMap;
 use tracing::info;
@@ -54,7 +54,7 @@
             Effect::CloseIdle { node } => self.nodes.close_idle(node),
             Effect::Wake { after } => self.wake_by(now + after),
             Effect::WatchEndpoints => self.watch_requested.notify_one(),
-            Effect::Say(line) => info!("{line}"),
+            Effect::Log(event) => log_event(event),
         }
     }
 
@@ -148,3 +148,25 @@
         batches
     }
 }
+
+/// Writes an event of the routing decisions to the log: a stable text, variables as fields.
+fn log_event(event: LogEvent) {
+    match event {
+        LogEvent::CutoffActivated { pressure } => {
+            info!(pressure = to_hundredths(pressure), "cutoff active, light shard requests stay unsent");
+        }
+        LogEvent::CutoffDeactivated { pressure } => {
+            info!(pressure = to_hundredths(pressure), "cutoff inactive, all shard requests are sent");
+        }
+        LogEvent::QueryQuarantined { lost_nodes } => info!(lost_nodes, "query of death quarantined"),
+        LogEvent::AdmissionOverloaded { admitted_per_s } => {
+            info!(admitted_per_s = admitted_per_s.round(), "admission overloaded");
+        }
+        LogEvent::AdmissionNormal => info!("admission normal, all admitted again"),
+    }
+}
+
+/// Rounds a share for the log.
+fn to_hundredths(share: f64) -> f64 {
+    (share * 100.0).round() / 100.0
+}
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -1,6 +1,7 @@
 //! What a broker does.
 
 use crate::ids::{AttemptNumber, NodeId, QueryId, ShardRequestId};
+use crate::log_event::LogEvent;
 use crate::time::Tenths;
 
 /// One thing to do; the effects of a turn are carried out in their order.
@@ -58,6 +59,6 @@
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Write a line to the log.
-    Say(String),
+    /// Write to the log.
+    Log(LogEvent),
 }
--- a/crates/routing/src/state/broker.rs
+++ b/crates/routing/src/state/broker.rs
@@ -9,6 +9,7 @@
 use crate::ids::{BatchId, ClassId, GroupId, NodeId, PlacementGroupId, QueryId, ShardRequestId};
 use crate::ids::{TenantId, ZoneId};
 use crate::inputs::{LoadMetric, ProbeResult};
+use crate::log_event::LogEvent;
 use crate::state::query::ShardRequest;
 use crate::statistics::{BaselineLatency, DecayingCounter, LossRatio, SlidingWindow};
 use crate::time::Tenths;
@@ -215,11 +216,11 @@
     /// Remembers whether the cutoff is active, and logs when that changes.
     pub(crate) fn set_cutoff_active(&mut self, pressure: f64, active: bool) {
         if std::mem::replace(&mut self.cutoff_active, active) != active {
-            let change = match active {
-                true => "cutoff active, light shard requests stay unsent",
-                false => "cutoff inactive, all shard requests are sent",
+            let event = match active {
+                true => LogEvent::CutoffActivated { pressure },
+                false => LogEvent::CutoffDeactivated { pressure },
             };
-            self.effects.push(Effect::Say(format!("pressure {pressure:.2}: {change}")));
+            self.effects.push(Effect::Log(event));
         }
     }
 
@@ -227,7 +228,7 @@
     pub(crate) fn quarantine(&mut self, query: &Query, until: Tenths) {
         self.quarantined.insert(query.signature(), until);
         let lost_nodes = query.lost_nodes.len();
-        self.effects.push(Effect::Say(format!("quarantined: {lost_nodes} nodes lost with a query")));
+        self.effects.push(Effect::Log(LogEvent::QueryQuarantined { lost_nodes }));
     }
 
     /// Whether a query is refused; forgets those whose time is over.
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -393,7 +393,7 @@
             Effect::Probe { node } => format!("probe {}", name(node.0)),
             Effect::CloseIdle { node } => format!("close {}", name(node.0)),
             Effect::WatchEndpoints => "watch".to_owned(),
-            Effect::Say(line) => format!("log {line}"),
+            Effect::Log(event) => format!("log {event}"),
         });
     }
 }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -77,7 +77,7 @@
 
 #[rstest]
 #[case(send(), "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
-#[case(Effect::Say("two servers unknown".into()), "58 0300 1300 74776f207365727665727320756e6b6e6f776e")]
+#[case(Effect::Log(LogEvent::QueryQuarantined { lost_nodes: 2 }), "58 0300 2600 71756172616e74696e65643a2032206e6f646573206c6f737420776974682061207175657279")]
 #[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
 #[case(Effect::Respond { query: QueryId(1), complete: true }, "5c 0300 0100000000000000 01")]
 #[case(Effect::WatchEndpoints, "5a 0300 01")]
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -55,7 +55,7 @@
                 self.records.put_f64_le(after.as_ms());
             }
             Effect::WatchEndpoints => self.records.put_u8(1),
-            Effect::Say(line) => self.put_text(line),
+            Effect::Log(event) => self.put_text(&event.to_string()),
         }
     }
 
@@ -98,6 +98,6 @@
         Effect::Probe { .. } => code::PROBE,
         Effect::Wake { .. } => code::WAKE,
         Effect::WatchEndpoints => code::WATCH_ENDPOINTS,
-        Effect::Say(_) => code::LOG,
+        Effect::Log(_) => code::LOG,
     }
 }
