--- /dev/null
+++ b/crates/routing/src/broker/endpoints.rs
@@ -0,0 +1,39 @@
+//! The endpoint list: taking it in, and asking for it.
+
+use super::Broker;
+use crate::effects::Effect;
+use crate::inputs::EndpointList;
+use crate::policy::{endpoint_watch, slow_start};
+use crate::state::Timer;
+
+impl Broker {
+    /// Takes an endpoint list in.
+    pub(super) fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        let (now, has_list, wall_clock) =
+            (self.state.now, self.state.endpoint_list.has_list, list.wall_clock);
+        let presumed_start =
+            |listed_start| slow_start::presumed_start(now, has_list, wall_clock, listed_start);
+        self.state.nodes.apply_endpoint_list(now, list, presumed_start);
+        self.state.endpoint_list.record_list(list.kind);
+    }
+
+    /// Watches the endpoint list, and asks once more later where nothing has come at all.
+    pub(super) fn watch_endpoints(&mut self) {
+        if self.state.endpoint_list.is_stale {
+            self.state.effects.push(Effect::WatchEndpoints);
+            let max_age = self.config.broker.rules.endpoint_list_max_age;
+            let at = self.state.now + endpoint_watch::max_silence(max_age);
+            self.state.timers.schedule(at, Timer::WatchEndpoints);
+        }
+    }
+
+    /// A call for the list failed: the next one comes later.
+    pub(super) fn endpoint_list_failed(&mut self) {
+        let max_age = self.config.broker.rules.endpoint_list_max_age;
+        let failures = self.state.endpoint_list.failures;
+        let delay = endpoint_watch::delay_after_failure(max_age, failures, self.rng.f64());
+        self.state.endpoint_list.record_failure();
+        self.state.timers.cancel_all(Timer::WatchEndpoints);
+        self.state.timers.schedule(self.state.now + delay, Timer::WatchEndpoints);
+    }
+}
--- /dev/null
+++ b/crates/routing/src/broker/finish.rs
@@ -0,0 +1,117 @@
+//! How queries end, and what their ends read of them. The guards and actions of the table in
+//! `policy::query_life` for queries that were sent.
+
+use super::Broker;
+use crate::config::Idempotency;
+use crate::effects::Effect;
+use crate::ids::QueryId;
+use crate::log_event::LogEvent;
+use crate::policy::coverage;
+use crate::policy::give_up::{Ending, ending, retry_after};
+use crate::state::{Query, Timer};
+
+/// Guards.
+impl Broker {
+    /// Its other shard requests wait for the canary's response.
+    pub(crate) fn awaits_canary(&self, query: &Query) -> bool {
+        query.canary_in_flight
+    }
+
+    /// A response is due now.
+    pub(crate) fn is_settled(&self, query: &Query) -> bool {
+        coverage::is_settled(query, self.state.now)
+    }
+
+    /// What has been received is enough for a response.
+    pub(crate) fn has_min_coverage(&self, query: &Query) -> bool {
+        coverage::has_min_coverage(query)
+    }
+
+    /// Unsent shard requests can make up for those that failed.
+    pub(crate) fn can_substitute(&self, query: &Query) -> bool {
+        coverage::can_substitute(query)
+    }
+
+    /// The minimum coverage is missed whatever still comes in.
+    pub(crate) fn is_hopeless(&self, query: &Query) -> bool {
+        coverage::is_hopeless(query)
+    }
+
+    /// A response after the latency objective is worth waiting for.
+    pub(crate) fn is_late_useful(&self, query: &Query) -> bool {
+        coverage::is_late_useful(query)
+    }
+
+    /// A response after the latency objective is no longer worth waiting for.
+    pub(crate) fn is_late_useless(&self, query: &Query) -> bool {
+        !coverage::is_late_useful(query)
+    }
+
+    /// A second phase follows.
+    pub(crate) fn has_phase_to_come(&self, query: &Query) -> bool {
+        query.has_phase_to_come()
+    }
+}
+
+/// Actions.
+impl Broker {
+    /// Responds with what has been received.
+    pub(crate) fn respond(&mut self, query: &mut Query) {
+        let complete = coverage::is_complete(query);
+        self.state.effects.push(Effect::Respond { query: query.id, complete });
+        query.first_phase_complete |= complete && !query.in_second_phase;
+    }
+
+    /// Ends the first phase; its shard requests are forgotten.
+    pub(crate) fn end_phase(&mut self, query: &mut Query) {
+        self.cancel_attempts(query);
+        self.state.queries.forget_first_phase(query);
+        query.in_second_phase = true;
+    }
+
+    /// Ends a query without a response.
+    pub(crate) fn give_up(&mut self, query: &mut Query) {
+        if self.is_query_of_death(query) {
+            self.quarantine(query);
+        }
+        let current_policy = self.config.classes.get(&query.class);
+        let mut policies = std::iter::once(&query.policy).chain(current_policy);
+        let is_idempotent = policies.all(|policy| policy.idempotency == Idempotency::Idempotent);
+        let id = query.id;
+        let effect = match ending(is_idempotent, query.was_never_executed(), query.in_second_phase) {
+            Ending::Reject => self.rejection(id, query),
+            Ending::Fail => Effect::Fail { query: id },
+        };
+        self.state.effects.push(effect);
+    }
+
+    fn rejection(&self, id: QueryId, query: &Query) -> Effect {
+        let retry_after = retry_after(&query.config.broker.limits, query.policy.latency_objective);
+        Effect::Reject { query: id, retry_after }
+    }
+
+    fn quarantine(&mut self, query: &Query) {
+        self.state.quarantine.insert(query.signature(), self.state.now, query.policy.deadline);
+        let lost_nodes = query.lost_nodes.len();
+        self.state.effects.push(Effect::Log(LogEvent::QueryQuarantined { lost_nodes }));
+    }
+
+    /// Forgets a query that has finished.
+    pub(super) fn forget_query(&mut self, query: &Query) {
+        self.cancel_attempts(query);
+        self.state.queries.forget(query);
+        self.state.timers.cancel(query.times.objective_at, Timer::Objective(query.id));
+        self.state.timers.cancel(query.times.deadline_at, Timer::Deadline(query.id));
+    }
+
+    /// Cancels what a query has in flight, where that is allowed.
+    fn cancel_attempts(&mut self, query: &Query) {
+        if !query.config.broker.limits.allow_cancel {
+            return;
+        }
+        let cancelled = query.cancellable_attempts();
+        let effects =
+            cancelled.map(|id| Effect::Cancel { shard_request: id.shard_request, attempt: id.number });
+        self.state.effects.extend(effects);
+    }
+}
--- /dev/null
+++ b/crates/routing/src/broker/mod.rs
@@ -0,0 +1,182 @@
+//! The broker's event loop. It takes in what has come, gathers the inputs of the rules in `policy`, calls
+//! them, and keeps what they decide as effects. A file for each step:
+//!
+//! - `accept`: a query comes in and gets its times, its configuration and its place.
+//! - `admit`: whether it is sent, waits or is rejected.
+//! - `select`: which of its shard requests are sent.
+//! - `send`: attempts, retries and hedges.
+//! - `attempt_ended`: what the end of an attempt says of its query, node and connection.
+//! - `finish`: responses, rejections and failures.
+//! - `nodes`: what is known of nodes as the rules read it.
+//! - `endpoints`, `reconfigure`: the endpoint list, and changes of the configuration.
+
+mod accept;
+mod admit;
+mod attempt_ended;
+mod endpoints;
+mod finish;
+mod nodes;
+mod reconfigure;
+mod select;
+mod send;
+
+use crate::config::BrokerConfig;
+use crate::effective_config::EffectiveConfig;
+use crate::effects::Effect;
+use crate::ids::QueryId;
+use crate::inputs::Input;
+use crate::policy::concurrency_limit::ConcurrencyLimit;
+use crate::policy::polling;
+use crate::policy::query_life::{Step, TABLE};
+use crate::policy::reconfiguration::derive_config;
+use crate::policy::send_delay::max_send_delay;
+use crate::state::{BrokerState, QueryEvent, QueryState, ShardRequestState, Timer};
+use crate::time::Tenths;
+use std::sync::Arc;
+
+/// The routing decisions of one broker, made from nothing but what that broker was told.
+///
+/// Make it with [`Broker::start`], give [`Broker::turn`] all that has come in, and carry out what comes back.
+pub struct Broker {
+    /// The configuration under which queries are accepted now; each keeps its own to its end.
+    config: Arc<EffectiveConfig>,
+    rng: fastrand::Rng,
+    seed: u64,
+    state: BrokerState,
+}
+
+impl Broker {
+    /// A broker that has just started and knows nothing but its configuration. `seed` is where its chance
+    /// comes from, `now` the moment by the clock of all later turns.
+    pub fn start(config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
+        let limit = ConcurrencyLimit::initial(config.limits.max_open);
+        let mut state = BrokerState::new(now, seed, limit);
+        if config.watch_on_request {
+            state.timers.schedule(now, Timer::WatchEndpoints);
+        }
+        Broker { config: Arc::new(derive_config(config)), rng: fastrand::Rng::with_seed(seed), seed, state }
+    }
+
+    /// Takes in all that has come since the last turn, in order, and tells what to do at this same moment, in
+    /// order.
+    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+        self.begin_turn(now);
+        for input in inputs {
+            self.handle(input);
+        }
+        while let Some(timer) = self.state.timers.pop_due(now) {
+            self.fire(timer);
+        }
+        for id in std::mem::take(&mut self.state.queries.updated) {
+            self.state.queries.rank_shard_requests(id);
+            self.advance(id, QueryEvent::Ready);
+        }
+        self.send_queued();
+        if let Some(after) = self.state.timers.next_wake_up(now) {
+            self.state.effects.push(Effect::Wake { after });
+        }
+        std::mem::take(&mut self.state.effects)
+    }
+
+    fn begin_turn(&mut self, now: Tenths) {
+        self.state.now = now;
+        self.state.average_latency = self.state.nodes.mean_latency();
+        self.state.superseded_configs.retain(|superseded| superseded.binds_until > now);
+        self.state.quarantine.forget(now);
+        let windows = self.binding_configs().map(|config| config.retry_budget.window);
+        let max_window = windows.max().unwrap_or_default();
+        let send_delay = self.max_send_delay();
+        self.state.retries.forget(now, max_window, send_delay);
+        self.state.demand.forget_before(now - max_window + send_delay);
+    }
+
+    fn handle(&mut self, input: &Input) {
+        match input {
+            Input::EndpointList(list) => self.apply_endpoint_list(list),
+            Input::EndpointListFailed => self.endpoint_list_failed(),
+            Input::Config(config) => self.reconfigure((**config).clone()),
+            Input::Query(query) => self.accept(query),
+            Input::ShardRequest(shard_request) => self.accept_shard_request(shard_request),
+            Input::ResponseStarted(id) => self.state.queries.mark_response_started(*id),
+            Input::AttemptEnded(result) => self.attempt_ended(result),
+            Input::ClientLeft(id) => self.advance(*id, QueryEvent::ClientLeft),
+            Input::ProbeEnded(result) => self.probe_ended(result),
+            Input::Woken | Input::Ignored => {}
+        }
+    }
+
+    fn fire(&mut self, timer: Timer) {
+        match timer {
+            Timer::Objective(id) => self.advance(id, QueryEvent::ObjectiveNear),
+            Timer::Deadline(id) => self.advance(id, QueryEvent::DeadlineNear),
+            Timer::AttemptCheck(attempt) => self.check_attempt(attempt),
+            Timer::Resend(shard_request) => self.state.queries.to_send.push(shard_request),
+            Timer::FirstPhaseEnd(id) => self.advance(id, QueryEvent::ResponseReceived),
+            Timer::AdmissionCheck(id) => self.advance(id, QueryEvent::Ready),
+            Timer::WatchEndpoints => self.watch_endpoints(),
+        }
+    }
+
+    /// Takes a query through the rows of [`TABLE`] that an event calls for.
+    fn advance(&mut self, id: QueryId, event: QueryEvent) {
+        let Some(mut query) = self.state.queries.take(id) else { return };
+        for row in TABLE {
+            if !row.applies(self, &query, event) {
+                continue;
+            }
+            match row.step {
+                Step::Record(record) => record(self, &query),
+                Step::Move(to, action) => {
+                    query.state = to;
+                    action(self, &mut query);
+                    break;
+                }
+            }
+        }
+        match query.state {
+            QueryState::Finished => self.forget_query(&query),
+            QueryState::Responded => {
+                self.state.queries.put(query);
+                self.advance(id, QueryEvent::ResponseSent);
+            }
+            _ => self.state.queries.put(query),
+        }
+    }
+
+    /// Sends the queued shard requests; those of one turn to one node share a batch.
+    fn send_queued(&mut self) {
+        let queries = &mut self.state.queries;
+        self.state.in_flight_this_turn = (queries.in_flight.len() + queries.to_send.len()) as f64;
+        for id in std::mem::take(&mut queries.to_send) {
+            let Some((mut query, index)) = self.state.queries.take_by_shard_request(id) else { continue };
+            let is_queued = query.shard_requests[index].state == ShardRequestState::Queued;
+            if is_queued && query.state == QueryState::InFlight {
+                self.send_attempt(&mut query, index);
+            }
+            let query_id = query.id;
+            let has_failed = query.shard_requests[index].state == ShardRequestState::Failed;
+            self.state.queries.put(query);
+            if has_failed {
+                self.advance(query_id, QueryEvent::ShardRequestFailed);
+            }
+        }
+        self.state.nodes.close_batches();
+    }
+
+    /// The newest configuration, and older ones that still bind: what may be done is what all of them allow.
+    fn binding_configs(&self) -> impl Iterator<Item = &EffectiveConfig> {
+        let superseded = self.state.superseded_configs.iter().map(|superseded| &*superseded.config);
+        std::iter::once(&*self.config).chain(superseded)
+    }
+
+    /// The longest way of an attempt to its node.
+    fn max_send_delay(&self) -> Tenths {
+        max_send_delay(&self.config.broker)
+    }
+
+    /// Schedules a timer for the next look at something that waits.
+    fn poll(&mut self, latency_objective: Tenths, timer: Timer) {
+        let at = self.state.now + polling::interval(latency_objective);
+        self.state.timers.schedule(at, timer);
+    }
+}
--- /dev/null
+++ b/crates/routing/src/broker/select.rs
@@ -0,0 +1,78 @@
+//! Which shard requests of a query are sent.
+
+use super::Broker;
+use crate::effects::Effect;
+use crate::log_event::LogEvent;
+use crate::policy::coverage::WEIGHT_ROUNDING;
+use crate::policy::{cutoff, reach};
+use crate::state::{Query, ShardRequest, ShardRequestState};
+
+impl Broker {
+    /// Queues what the cutoff leaves, or the minimum coverage where the limit allows no more; while nodes
+    /// fail, a canary request first.
+    pub(crate) fn send(&mut self, query: &mut Query) {
+        self.record_cutoff(query);
+        let in_flight = self.state.queries.in_flight.len();
+        let limit = self.state.concurrency_limit.shard_requests() as usize;
+        let is_first_send = query.shard_requests.iter().all(|s| s.attempts.is_empty());
+        let shard_requests = query.shard_requests.len();
+        query.canary_in_flight =
+            self.state.node_failures.wants_canary(self.state.now, is_first_send, shard_requests);
+        let mut sent = 0.0;
+        for (count, index) in self.select(query, query.min_coverage_only).into_iter().enumerate() {
+            let is_needed = !query.allows_partial() || sent + WEIGHT_ROUNDING < query.policy.min_coverage;
+            if !is_needed && in_flight + count >= limit {
+                continue;
+            }
+            sent += query.shard_requests[index].weight;
+            let is_held = query.canary_in_flight && count > 0;
+            if query.shard_requests[index].state == ShardRequestState::Unsent && !is_held {
+                self.queue(query, index);
+            }
+        }
+    }
+
+    /// Queues a shard request to be sent at the end of this turn.
+    pub(super) fn queue(&mut self, query: &mut Query, index: usize) {
+        self.state.demand.record(self.state.now);
+        self.state.queries.queue(&mut query.shard_requests[index]);
+    }
+
+    /// The indices of the shard requests to send, in the order of sending.
+    pub(super) fn select(&self, query: &Query, min_coverage_only: bool) -> Vec<usize> {
+        let base = cutoff::base(self.pressure_for(query));
+        cutoff::select_shard_requests(query, base, min_coverage_only, |shard_request| {
+            self.is_out_of_reach(query, shard_request)
+        })
+    }
+
+    /// Whether no replica can answer a shard request in time.
+    pub(super) fn is_out_of_reach(&self, query: &Query, shard_request: &ShardRequest) -> bool {
+        let in_flight = self.state.queries.in_flight.len();
+        let ignores_failures = reach::ignores_failures(query.probed_at.is_some(), in_flight);
+        let latencies = self.latencies();
+        let usable = self.replicas(query, shard_request, |id| self.may_receive(id, shard_request));
+        let waits = usable.map(|id| {
+            let node = &self.state.nodes[id];
+            reach::expected_wait(node, || latencies.of(node), ignores_failures)
+        });
+        reach::is_out_of_reach(waits.min(), self.state.now, query.times.objective_at)
+    }
+
+    fn pressure_for(&self, query: &Query) -> f64 {
+        self.state.pressure.for_query(self.state.now, query.within_quota)
+    }
+
+    /// Remembers whether the cutoff is active for a query that is decided on, and logs when that changes.
+    pub(super) fn record_cutoff(&mut self, query: &Query) {
+        let pressure = self.pressure_for(query);
+        let is_active = cutoff::is_active(pressure);
+        if std::mem::replace(&mut self.state.is_cutoff_active, is_active) != is_active {
+            let event = match is_active {
+                true => LogEvent::CutoffActivated { pressure },
+                false => LogEvent::CutoffDeactivated { pressure },
+            };
+            self.state.effects.push(Effect::Log(event));
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/broker/send.rs
@@ -0,0 +1,193 @@
+//! Attempts: sending queued shard requests, looking at attempts that are silent, and the conditions of
+//! another attempt.
+
+use super::Broker;
+use crate::effects::Effect;
+use crate::ids::NodeId;
+use crate::policy::attempt_limit::AttemptLimit;
+use crate::policy::hedging::{
+    NodeProgress, ReplacementConditions, SilentAttempt, hedge_delay, should_replace,
+};
+use crate::policy::idempotency::is_repeat_harmless;
+use crate::policy::query_of_death::{RetryHold, is_query_of_death, retry_hold};
+use crate::state::{AttemptId, BatchedAttempt, InFlightAttempt, Query, QueryState};
+use crate::state::{ShardRequestState, Timer};
+use crate::time::Tenths;
+
+/// Sending.
+impl Broker {
+    /// Sends a queued shard request, or leaves it queued while no replica may have it or the retry budget is
+    /// spent. It fails where another attempt is no longer harmless, or its query brings nodes down.
+    pub(super) fn send_attempt(&mut self, query: &mut Query, index: usize) {
+        let is_retry = query.shard_requests[index].was_attempted();
+        let in_flight_weight = query.weight_in(&[ShardRequestState::InFlight]);
+        let hold = retry_hold(is_retry, self.is_query_of_death(query), in_flight_weight);
+        if hold == RetryHold::GivenUp || is_retry && !self.may_retry(query, index, true) {
+            self.leave_unsent(query, index, ShardRequestState::Failed);
+            return;
+        }
+        let may_send = hold == RetryHold::Free && (!is_retry || self.has_retry_budget());
+        // Drawn also where it may not be sent, so that the chance of later decisions does not depend on that.
+        let replica = self.choose_replica(query, index);
+        match replica.filter(|_| may_send) {
+            Some(node) => self.send_to(query, index, node),
+            None => {
+                self.leave_unsent(query, index, ShardRequestState::Queued);
+                let id = query.shard_requests[index].id;
+                self.poll(query.policy.latency_objective, Timer::Resend(id));
+            }
+        }
+    }
+
+    /// A shard request with another attempt in flight goes on waiting for that.
+    fn leave_unsent(&mut self, query: &mut Query, index: usize, state: ShardRequestState) {
+        let shard_request = &mut query.shard_requests[index];
+        let is_in_flight = shard_request.attempts_in_flight() > 0;
+        shard_request.state = if is_in_flight { ShardRequestState::InFlight } else { state };
+    }
+
+    fn send_to(&mut self, query: &mut Query, index: usize, node: NodeId) {
+        let now = self.state.now;
+        let attempt = self.record_attempt(query, index, node);
+        let useful_until = query.times.objective_at + query.policy.useful_after_objective;
+        let timeout = (useful_until.min(query.times.deadline_at) - now).max(Tenths(1));
+        self.state.effects.push(Effect::Send { shard_request: attempt.shard_request, node, timeout });
+        let check_at = now + self.hedge_delay(query.times.latency_objective);
+        self.state.timers.schedule(check_at, Timer::AttemptCheck(attempt));
+    }
+
+    /// Enters an attempt in its node's batch, in its shard request and in the retry budget.
+    fn record_attempt(&mut self, query: &mut Query, index: usize, node: NodeId) -> AttemptId {
+        let now = self.state.now;
+        let connection = self.connection_after_idle(node, !query.allows_partial());
+        let slow_start_class = self.is_warming_up(node).then_some(query.class);
+        let max_batch_size = self.config.broker.layout.max_batch_size;
+        let batched = BatchedAttempt { max_batch_size, slow_start_class, connection };
+        let in_flight_at_send = self.state.in_flight_this_turn;
+        let in_flight = InFlightAttempt {
+            node,
+            batch: self.state.nodes.join_batch(now, node, batched),
+            within_quota: query.within_quota,
+            class: query.class,
+            latency_objective: query.policy.latency_objective,
+            in_flight_at_send,
+            limit_was_used: self.state.concurrency_limit.is_used_by(in_flight_at_send),
+            after_idle: connection,
+            counted_unresponsive: false,
+        };
+        let shard_request = &mut query.shard_requests[index];
+        let is_retry = shard_request.was_attempted();
+        let id = self.state.queries.record_attempt(now, shard_request, in_flight);
+        if is_retry {
+            self.state.retries.record_retry(now, id);
+        }
+        id
+    }
+}
+
+/// Another attempt.
+impl Broker {
+    /// How long an attempt may be silent before another is considered.
+    fn hedge_delay(&self, latency_objective: Tenths) -> Tenths {
+        hedge_delay(self.average_latency(), latency_objective)
+    }
+
+    /// Looks at an attempt that has been in flight for the hedge delay, and again until it ends or is
+    /// replaced.
+    pub(super) fn check_attempt(&mut self, id: AttemptId) {
+        let Some((mut query, index)) = self.state.queries.take_by_shard_request(id.shard_request) else {
+            return;
+        };
+        if query.state == QueryState::InFlight && query.shard_requests[index].awaits(id.number) {
+            self.replace_if_lost(&mut query, index, id);
+        }
+        self.state.queries.put(query);
+    }
+
+    fn replace_if_lost(&mut self, query: &mut Query, index: usize, id: AttemptId) {
+        if !self.looks_lost(query, index, id) {
+            self.poll(query.times.latency_objective, Timer::AttemptCheck(id));
+            // The canary has had its time: the others no longer wait for it.
+            if query.canary_in_flight {
+                self.send(query);
+            }
+        } else if query.config.broker.limits.allow_hedging {
+            self.queue(query, index);
+        } else {
+            let AttemptId { shard_request, number: attempt } = id;
+            self.state.effects.push(Effect::Cancel { shard_request, attempt });
+        }
+    }
+
+    /// Whether an attempt is to be replaced. An attempt that is silent on a reused connection is counted for
+    /// that.
+    fn looks_lost(&mut self, query: &Query, index: usize, id: AttemptId) -> bool {
+        let attempt = self.silent_attempt(query, index, id);
+        let is_connection_unresponsive = attempt.is_silent() && self.record_unresponsive(id);
+        let other = self.choose_replica(query, index);
+        let latencies = self.latencies();
+        let limits = &query.config.broker.limits;
+        let conditions = ReplacementConditions {
+            allow_hedging: limits.allow_hedging,
+            allow_cancel: limits.allow_cancel,
+            is_connection_unresponsive,
+            is_only_attempt: query.shard_requests[index].attempts_in_flight() == 1,
+            may_retry: self.may_retry(query, index, true),
+            has_retry_budget: self.has_retry_budget(),
+            other_latency: other.map(|node| latencies.of(&self.state.nodes[node])),
+            objective_at: query.times.objective_at,
+        };
+        should_replace(&attempt, conditions)
+    }
+
+    fn silent_attempt(&self, query: &Query, index: usize, id: AttemptId) -> SilentAttempt {
+        let attempt = &query.shard_requests[index].attempts[usize::from(id.number.0)];
+        let latencies = self.latencies();
+        let node = self.state.nodes.get(attempt.node).map(|node| NodeProgress {
+            newest_answered_sent_at: node.newest_answered_sent_at,
+            last_success_at: node.last_success_at,
+            latency: latencies.of(node),
+        });
+        SilentAttempt {
+            now: self.state.now,
+            sent_at: attempt.sent_at,
+            node,
+            average_latency: self.average_latency(),
+            hedge_delay: self.hedge_delay(query.times.latency_objective),
+        }
+    }
+
+    /// Whether another attempt of a shard request is harmless and within the limit of attempts. Its class's
+    /// idempotency counts as it was when the query was accepted and as it is now: nodes may know of a change
+    /// already, and what either forbids is not done. `is_hedge`: an attempt may still be in flight.
+    pub(super) fn may_retry(&self, query: &Query, index: usize, is_hedge: bool) -> bool {
+        let shard_request = &query.shard_requests[index];
+        let first_executed_at = shard_request.earliest_execution(is_hedge);
+        let arrives_at = self.state.now + self.max_send_delay();
+        let current_policy = self.config.classes.get(&query.class);
+        let mut policies = std::iter::once(&query.policy).chain(current_policy);
+        self.attempt_limit(query).allows_another(shard_request.attempts_made())
+            && policies.all(|policy| is_repeat_harmless(policy, first_executed_at, arrives_at))
+    }
+
+    fn attempt_limit(&self, query: &Query) -> AttemptLimit {
+        let own_yield = query.policy.priority_weight / query.shard_requests.len() as f64;
+        AttemptLimit {
+            max_attempts: query.config.broker.limits.max_attempts,
+            own_yield,
+            best_yield: self.state.class_yields.best_at_full_coverage(own_yield),
+        }
+    }
+
+    /// Whether the retry budget covers one more attempt, under every configuration that binds.
+    fn has_retry_budget(&self) -> bool {
+        let (now, send_delay) = (self.state.now, self.max_send_delay());
+        self.binding_configs()
+            .all(|config| self.state.retries.allows_retry(&config.retry_budget, now, send_delay))
+    }
+
+    /// Whether a query brings down the nodes that execute it.
+    pub(super) fn is_query_of_death(&self, query: &Query) -> bool {
+        is_query_of_death(query.lost_nodes.len(), query.weight_in(&[ShardRequestState::Received]))
+    }
+}
--- a/crates/routing/src/effective_config.rs
+++ b/crates/routing/src/effective_config.rs
@@ -51,9 +51,9 @@
     pub(crate) classes: BTreeMap<ClassId, Arc<ClassPolicy>>,
     /// The stated budget, or the broker's own where none is stated.
     pub(crate) retry_budget: RetryBudget,
-    /// Of all classes.
+    /// The shortest latency objective of all classes.
     pub(crate) shortest_objective: Tenths,
-    /// So many replicas of one placement group are chosen among.
+    /// How many replicas of one placement group a broker chooses among.
     pub(crate) max_group_replicas: usize,
 }
 
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -42,8 +42,8 @@
 pub struct EndpointList {
     /// What the list covers.
     pub kind: EndpointListKind,
-    /// What the wall clock showed as the list came, by which the nodes' start times were taken. It may be stepped at
-    /// any time.
+    /// What the wall clock showed as the list came, by which the nodes' start times were taken. It may be
+    /// stepped at any time.
     pub wall_clock: Tenths,
     /// The nodes; shared, as many brokers of a simulation may hold one list.
     pub entries: Arc<[Endpoint]>,
@@ -155,8 +155,8 @@
     Cancelled,
     /// It was cancelled before anything was sent.
     NotSent,
-    /// It could not be sent for want of something on this broker's own machine: a descriptor, a port, memory. That
-    /// says nothing of the node.
+    /// It could not be sent for want of something on this broker's own machine: a descriptor, a port, memory.
+    /// That says nothing of the node.
     LocalShortage,
 }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,11 @@
 //! The routing decisions of a broker that reads many shards for one query: which replica gets a shard
-//! request, whether to retry or hedge it, what to leave unsent under pressure, what to reject, when to respond.
+//! request, whether to retry or hedge it, what to leave unsent under pressure, what to reject, when to
+//! respond.
 //!
 //! A front end (a program that owns sockets, or a simulator's wire) makes one [`Broker`] from a
-//! [`BrokerConfig`], a seed and the time, then hands it all that has come in with [`Broker::turn`] and carries
-//! out the [`Effect`]s that come back, in their order. The library does no I/O and reads no clock; chance comes
-//! from the seed alone.
+//! [`BrokerConfig`], a seed and the time, then hands it all that has come in with [`Broker::turn`] and
+//! carries out the [`Effect`]s that come back, in their order. The library does no I/O and reads no clock;
+//! chance comes from the seed alone.
 //!
 //! ```
 //! use routing::{Broker, BrokerConfig, Input, Tenths};
@@ -13,8 +14,9 @@
 //! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
 //! ```
 //!
-//! A query is `Pending`, `InFlight`, perhaps `PastObjective` or `BetweenPhases`, `Responded` and `Finished`;
-//! the table of its transitions is in `policy/query_life.rs`.
+//! Where to read: `policy` has every decision, a file for each rule; `policy/query_life.rs` the states of a
+//! query and what moves it from one to the next. `broker` is the event loop that gathers the rules' inputs and
+//! calls them; `state` is what a broker remembers.
 
 #![warn(missing_docs)]
 
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// A change worth a line in the log. The front end decides how it is written: `shard-broker` logs it with structured
-/// fields, a simulator's wire takes the text that [`fmt::Display`] gives.
+/// A change worth a line in the log. The front end decides how it is written: `shard-broker` logs it with
+/// structured fields, a simulator's wire takes the text that [`fmt::Display`] gives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
     /// Pressure passed the design's threshold: light shard requests stay unsent from now on.
--- /dev/null
+++ b/crates/routing/src/policy/canary/tests.rs
@@ -0,0 +1,30 @@
+//! When a canary request goes first.
+
+use super::NodeFailureRate;
+use crate::time::Tenths;
+use rstest::rstest;
+
+const NOW: Tenths = Tenths(1000);
+
+fn failure_rate(failures: usize, attempts: usize) -> NodeFailureRate {
+    let mut rate = NodeFailureRate::default();
+    (0..attempts).for_each(|attempt| rate.record(NOW, attempt < failures));
+    rate
+}
+
+#[rstest]
+#[case::nodes_fail(3, 20, true, 2, true)]
+#[case::a_tenth_is_not_enough(2, 20, true, 2, false)]
+#[case::one_failure_alone_is_not_enough(1, 1, true, 2, false)]
+#[case::some_were_sent_before(3, 20, false, 2, false)]
+#[case::one_shard_request_is_its_own_canary(3, 20, true, 1, false)]
+fn wants_canary(
+    #[case] failures: usize,
+    #[case] attempts: usize,
+    #[case] is_first_send: bool,
+    #[case] shard_requests: usize,
+    #[case] expected: bool,
+) {
+    let rate = failure_rate(failures, attempts);
+    assert_eq!(rate.wants_canary(NOW, is_first_send, shard_requests), expected);
+}
--- a/crates/routing/src/policy/cutoff.rs
+++ b/crates/routing/src/policy/cutoff.rs
@@ -1,73 +1,100 @@
-//! The design's ordinary path, Rank-S: shard requests by weight, and under pressure none that scores too
-//! little.
+//! The cutoff: which shard requests of a query are sent. This is the design's ordinary path, Rank-S.
+//!
+//! A shard request's score is weight × B^(−rank); what scores under [`MIN_SCORE`] stays unsent. Ranks go by
+//! weight, the heaviest first. The base B is 1 while pressure is at or below [`PRESSURE_THRESHOLD`], so that
+//! everything is sent, and rises linearly from there to [`MAX_BASE`] at a pressure of 1. A response that
+//! covers less than the minimum coverage is worth nothing, so the cutoff never goes below that. It shows in
+//! the log (`CutoffActivated`) and in partial responses.
 
-use super::*;
+use super::coverage::WEIGHT_ROUNDING;
+use crate::state::{Query, ShardRequest, ShardRequestState};
 
-/// The design's score under which a shard request stays unsent, and the ceiling of the base B.
+#[cfg(test)]
+mod tests;
+
+/// The pressure, as a share, up to which everything is sent.
+const PRESSURE_THRESHOLD: f64 = 0.1;
+
+/// The score under which a shard request stays unsent.
 const MIN_SCORE: f64 = 0.0001;
+
+/// The base at a pressure of 1.
 const MAX_BASE: f64 = 10.0;
 
-impl Broker {
-    /// Indices of the shard requests to send, in order: score = weight x B^-rank, none that scores under
-    /// `MIN_SCORE`, and never less than the minimum coverage; with `min_coverage_only`, no more than that.
-    /// Those of even weight share a rank, else many would collapse to a few as B passes 1. One out of reach
-    /// counts as cut, else a dead shard's heavy one is sent for nothing while light ones are trimmed.
-    pub(super) fn select(&mut self, query: &Query, min_coverage_only: bool) -> Vec<usize> {
-        let base = self.base(query.within_quota);
-        let (mut rank, mut rank_weight) = (0, f64::INFINITY);
-        // Whether it is cut, and its index: sorted, those that are cut come last.
-        let mut ranking: Vec<(bool, usize)> = Vec::new();
-        let failed = |shard_request: &ShardRequest| shard_request.state == ShardRequestState::Failed;
-        for (index, request) in query.shard_requests.iter().enumerate().filter(|(_, s)| !failed(s)) {
-            if request.weight + WEIGHT_ROUNDING < rank_weight {
-                (rank, rank_weight) = (index, request.weight);
-            }
-            let is_light = base > 1.0 && request.weight * base.powi(-(rank as i32)) < MIN_SCORE;
-            let is_cut = query.allows_partial()
-                && (min_coverage_only || is_light || self.is_out_of_reach(query, request));
-            ranking.push((is_cut, index));
-        }
-        if !min_coverage_only {
-            ranking.sort();
-        }
-        let mut covered = 0.0;
-        ranking.retain(|(is_cut, index)| {
-            let is_sent = !is_cut || covered + WEIGHT_ROUNDING < query.policy.min_coverage;
-            covered += if is_sent { query.shard_requests[*index].weight } else { 0.0 };
-            is_sent
-        });
-        ranking.into_iter().map(|(_, index)| index).collect()
+/// Whether the cutoff leaves light shard requests unsent at this pressure.
+pub(crate) fn is_active(pressure: f64) -> bool {
+    pressure > PRESSURE_THRESHOLD
+}
+
+/// The base B at this pressure, from 1 to 10.
+pub(crate) fn base(pressure: f64) -> f64 {
+    let excess = (pressure - PRESSURE_THRESHOLD) / (1.0 - PRESSURE_THRESHOLD);
+    1.0 + (MAX_BASE - 1.0) * excess.max(0.0)
+}
+
+/// A shard request in the order of sending: those that are cut come last.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    is_cut: bool,
+    index: usize,
+}
+
+/// The indices of the shard requests to send, in the order of sending.
+///
+/// Left out are those that scored too little at `base`, and those that no replica can answer in time
+/// (`is_out_of_reach`): sent first for its weight, the request to a dead shard would take the place of light
+/// ones that can be served. With `min_coverage_only` everything is left out that the minimum coverage does
+/// not need. Failed shard requests are not selected again. A query that needs all of its shard requests gets
+/// all of them.
+pub(crate) fn select_shard_requests(
+    query: &Query,
+    base: f64,
+    min_coverage_only: bool,
+    is_out_of_reach: impl Fn(&ShardRequest) -> bool,
+) -> Vec<usize> {
+    let scores = score_shard_requests(query, base);
+    let mut candidates: Vec<Candidate> = Vec::new();
+    for (index, score) in scores {
+        let is_light = base > 1.0 && score < MIN_SCORE;
+        let is_cut = query.allows_partial()
+            && (min_coverage_only || is_light || is_out_of_reach(&query.shard_requests[index]));
+        candidates.push(Candidate { is_cut, index });
     }
+    if !min_coverage_only {
+        candidates.sort();
+    }
+    keep_min_coverage(query, candidates)
+}
 
-    /// Whether no replica may have a shard request now, or the best can't bring it in time. A healthy idle
-    /// one can: a slow pair of replicas is used for what it can do. With nothing in flight, failures alone
-    /// keep none from being asked: a blackout would last.
-    pub(super) fn is_out_of_reach(&self, query: &Query, shard_request: &ShardRequest) -> bool {
-        let ignores_failures = query.probed_at.is_some() && self.state.in_flight.is_empty();
-        let is_idle = |node: &Node| {
-            let is_healthy = node.consecutive_failures == 0 || ignores_failures;
-            node.batches.is_empty() && is_healthy && node.reported_wait() == Tenths::ZERO
-        };
-        let wait = |node: &Node| match is_idle(node) {
-            true => Tenths::ZERO,
-            false => self.latency(node) + node.reported_wait(),
-        };
-        let may_receive = |id| self.may_receive(id, shard_request);
-        let usable = self.state.replicas_of(&query.config, shard_request, may_receive);
-        let shortest = usable.map(|id| wait(&self.state.nodes[&id])).min();
-        let is_late = |wait: Tenths| self.state.now + wait.times(LATENCY_SPREAD) > query.times.objective_at;
-        shortest.is_none_or(is_late)
+/// The shard requests that have not failed, by index, with their scores. Those of equal weight share a rank:
+/// with a rank each, many equal ones would fall below the least score as soon as the base passes 1.
+fn score_shard_requests(query: &Query, base: f64) -> Vec<(usize, f64)> {
+    let mut rank = 0;
+    let mut rank_weight = f64::INFINITY;
+    let mut scores = Vec::with_capacity(query.shard_requests.len());
+    for (index, request) in query.shard_requests.iter().enumerate() {
+        if request.state == ShardRequestState::Failed {
+            continue;
+        }
+        if request.weight + WEIGHT_ROUNDING < rank_weight {
+            rank = index;
+            rank_weight = request.weight;
+        }
+        scores.push((index, request.weight * base.powi(-(rank as i32))));
     }
+    scores
+}
 
-    /// The base B by the pressure, the share refused as overloaded or timed out. One tenant's storm would
-    /// lift it for all: who is within its quota is not judged by the overload of those beyond theirs.
-    fn base(&mut self, within_quota: bool) -> f64 {
-        let (now, pressure) = (self.state.now, &self.state.pressure);
-        let all = pressure.all.share(now, SMOOTHING_SPAN, MIN_SAMPLES);
-        let within = pressure.within_quota.share(now, SMOOTHING_SPAN, MIN_SAMPLES);
-        let pressure = if within_quota { within } else { within.max(all) };
-        self.state.set_cutoff_active(pressure, pressure > PRESSURE_THRESHOLD);
-        let excess = (pressure - PRESSURE_THRESHOLD) / (1.0 - PRESSURE_THRESHOLD);
-        1.0 + (MAX_BASE - 1.0) * excess.max(0.0)
+/// What is sent of the candidates: all that are not cut, and of the cut ones as many as the minimum coverage
+/// needs.
+fn keep_min_coverage(query: &Query, candidates: Vec<Candidate>) -> Vec<usize> {
+    let mut covered = 0.0;
+    let mut selected = Vec::with_capacity(candidates.len());
+    for candidate in candidates {
+        if !candidate.is_cut || covered + WEIGHT_ROUNDING < query.policy.min_coverage {
+            covered += query.shard_requests[candidate.index].weight;
+            selected.push(candidate.index);
+        }
     }
+    selected
 }
--- /dev/null
+++ b/crates/routing/src/policy/cutoff/tests.rs
@@ -0,0 +1,65 @@
+//! Rank-S: scores, the base, and what is selected.
+
+use super::{base, is_active, select_shard_requests};
+use crate::policy::test_queries::{class, query, with_states};
+use crate::state::ShardRequestState::{Failed, Unsent};
+use rstest::rstest;
+
+#[rstest]
+#[case::calm(0.0, 1.0)]
+#[case::at_the_threshold(0.1, 1.0)]
+#[case::halfway(0.55, 5.5)]
+#[case::all_lost(1.0, 10.0)]
+fn the_base_rises_with_pressure(#[case] pressure: f64, #[case] expected: f64) {
+    assert!((base(pressure) - expected).abs() < 1e-12);
+    assert_eq!(is_active(pressure), expected > 1.0);
+}
+
+fn selected(weights: &[f64], min_coverage: f64, base: f64) -> Vec<usize> {
+    select_shard_requests(&query(class(min_coverage, 1.0), weights), base, false, |_| false)
+}
+
+// At base 10 the scores of 0.6, 0.3, 0.09, 0.009, 0.001 are 0.6, 0.03, 0.0009, 0.000009, 0.0000001.
+const WEIGHTS: [f64; 5] = [0.6, 0.3, 0.09, 0.009, 0.001];
+
+#[rstest]
+#[case::calm(0.4, 1.0, &[0, 1, 2, 3, 4])]
+#[case::light_ones_stay_unsent(0.4, 10.0, &[0, 1, 2])]
+#[case::but_not_below_the_minimum_coverage(0.995, 10.0, &[0, 1, 2, 3])]
+#[case::all_are_needed(1.0, 10.0, &[0, 1, 2, 3, 4])]
+fn what_scores_too_little_stays_unsent(
+    #[case] min_coverage: f64,
+    #[case] base: f64,
+    #[case] expected: &[usize],
+) {
+    assert_eq!(selected(&WEIGHTS, min_coverage, base), expected);
+}
+
+/// With a rank each, most of a hundred equal shard requests would score too little as soon as the base passes
+/// 1.
+#[rstest]
+fn equal_weights_share_a_rank() {
+    assert_eq!(selected(&[0.01; 100], 0.4, 10.0).len(), 100);
+}
+
+#[rstest]
+fn one_out_of_reach_goes_last_and_only_for_the_minimum_coverage() {
+    let select = |min_coverage| {
+        let query = query(class(min_coverage, 1.0), &[0.5, 0.3, 0.2]);
+        select_shard_requests(&query, 1.0, false, |shard_request| shard_request.weight == 0.5)
+    };
+    assert_eq!(select(0.4), [1, 2]);
+    assert_eq!(select(0.6), [1, 2, 0]);
+}
+
+#[rstest]
+fn at_minimum_coverage_the_heaviest_are_enough() {
+    let query = query(class(0.7, 1.0), &[0.5, 0.3, 0.2]);
+    assert_eq!(select_shard_requests(&query, 1.0, true, |_| false), [0, 1]);
+}
+
+#[rstest]
+fn failed_ones_are_not_selected_again_and_keep_their_ranks() {
+    let query = with_states(query(class(0.0, 1.0), &WEIGHTS), &[Unsent, Failed, Unsent, Unsent, Unsent]);
+    assert_eq!(select_shard_requests(&query, 10.0, false, |_| false), [0, 2]);
+}
--- /dev/null
+++ b/crates/routing/src/policy/idempotency.rs
@@ -0,0 +1,28 @@
+//! Idempotency: whether another attempt could give a shard request a second effect (rule 2).
+
+use crate::config::Idempotency;
+use crate::effective_config::ClassPolicy;
+use crate::time::Tenths;
+
+#[cfg(test)]
+mod tests;
+
+/// Whether another attempt is harmless. `first_executed_at` is when the first attempt was sent that was
+/// executed, or may be (none: no attempt was); `arrives_at` is when the new attempt reaches its node at the
+/// latest.
+///
+/// An idempotent class may always repeat. With an idempotency key nodes drop repeats for the class's window
+/// from the first attempt on, so the new attempt must arrive within it. An at-most-once class never repeats
+/// what may have been executed: its shard request fails instead, and the query is answered as failed.
+pub(crate) fn is_repeat_harmless(
+    policy: &ClassPolicy,
+    first_executed_at: Option<Tenths>,
+    arrives_at: Tenths,
+) -> bool {
+    let Some(first_executed_at) = first_executed_at else { return true };
+    match policy.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::IdempotencyKey => arrives_at - first_executed_at <= policy.dedup_window,
+        Idempotency::AtMostOnce => false,
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/latency/tests.rs
@@ -0,0 +1,89 @@
+//! What latency is expected of a node.
+
+use super::{ClassBaselines, LatencyEstimate, average_latency, observed_latency};
+use crate::ids::{ClassId, NodeId, PlacementGroupId, ZoneId};
+use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
+use crate::state::{Node, NodeTable};
+use crate::time::Tenths;
+use rstest::rstest;
+
+#[rstest]
+fn before_any_measurement_an_eighth_of_the_objective_is_expected() {
+    assert_eq!(average_latency(None, Tenths(8_000)), Tenths(1_000));
+    assert_eq!(average_latency(Some(Tenths(300)), Tenths(8_000)), Tenths(300));
+    assert_eq!(average_latency(Some(Tenths::ZERO), Tenths(8_000)), Tenths(1));
+}
+
+/// A dead node answers at once, with an error. By its durations alone it would be the fastest of all.
+#[rstest]
+#[case::success(false, 0, 10, 10)]
+#[case::first_failure(true, 0, 10, 100)]
+#[case::third_failure(true, 2, 10, 400)]
+#[case::up_to_the_objective(true, 16, 10, 1_000)]
+#[case::a_slow_failure(true, 0, 700, 700)]
+fn failures_count_as_slow(
+    #[case] is_failure: bool,
+    #[case] consecutive_failures: u32,
+    #[case] duration: i64,
+    #[case] expected: i64,
+) {
+    let observed =
+        observed_latency(Tenths(duration), is_failure, consecutive_failures, Tenths(100), Tenths(1_000));
+    assert_eq!(observed, Tenths(expected));
+}
+
+/// Nodes of one zone, the first so many of them measured with this latency.
+fn zone_of_nodes(measured: u64, latency: Tenths) -> NodeTable {
+    let mut nodes = NodeTable::new(1);
+    let entries = (0..10).map(|id| Endpoint {
+        node: NodeId(id),
+        zone: ZoneId(0),
+        placement_group: PlacementGroupId(0),
+        state: EndpointState::Ready,
+        started_at: None,
+    });
+    let list = EndpointList {
+        kind: EndpointListKind::Snapshot,
+        wall_clock: Tenths::ZERO,
+        entries: entries.collect(),
+    };
+    nodes.apply_endpoint_list(Tenths::ZERO, &list, |listed_start| listed_start);
+    for id in 0..measured {
+        nodes.update(NodeId(id), |node| node.record_latency(Tenths::ZERO, latency, 1.0));
+    }
+    nodes
+}
+
+// With four nodes at the average of 100, eight at 200 make a mean of 167, four at 200 one of 150.
+#[rstest]
+#[case::slow_zone(8, 166)]
+#[case::half_as_slow_again_is_not_enough(4, 100)]
+#[case::nothing_measured(0, 100)]
+fn an_unmeasured_node_is_expected_to_be_like_its_zone(#[case] measured: u64, #[case] expected: i64) {
+    let nodes = zone_of_nodes(measured, Tenths(200));
+    let estimate = LatencyEstimate { nodes: &nodes, now: Tenths::ZERO, average: Tenths(100) };
+    assert_eq!(estimate.of(&nodes[NodeId(9)]), Tenths(expected));
+}
+
+#[rstest]
+fn a_measured_latency_fades_to_the_average() {
+    let nodes = NodeTable::new(1);
+    let mut node = Node::default();
+    node.record_latency(Tenths::ZERO, Tenths(1_100), 1.0);
+    let at = |now| LatencyEstimate { nodes: &nodes, now: Tenths(now), average: Tenths(100) }.of(&node);
+    assert_eq!(at(0), Tenths(1_100));
+    assert_eq!(at(50_000), Tenths(100 + 367));
+    assert_eq!(at(5_000_000), Tenths(100));
+}
+
+#[rstest]
+fn a_baseline_needs_32_samples_and_never_rises() {
+    let mut baselines = ClassBaselines::default();
+    (0..31).for_each(|_| baselines.record(ClassId(0), Tenths(50)));
+    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 70.0);
+    baselines.record(ClassId(0), Tenths(50));
+    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 50.0);
+    (0..100).for_each(|_| baselines.record(ClassId(0), Tenths(500)));
+    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 50.0);
+    assert_eq!(baselines.of(ClassId(1), Tenths::ZERO), 1.0);
+}
--- /dev/null
+++ b/crates/routing/src/policy/load_probe.rs
@@ -0,0 +1,51 @@
+//! Load probes: where nodes report their load only when they are probed, replicas are asked before the first
+//! shard requests of a query go out, and their reports are waited for a short while.
+//!
+//! A broker that has a query every few seconds has no latency that tells how a node is now. The cost is one
+//! short wait for each query whose replicas have no recent report, and the probes.
+
+use crate::inputs::{LoadMetric, ProbeResult};
+use crate::state::{LoadReport, Node};
+use crate::time::Tenths;
+
+#[cfg(test)]
+mod tests;
+
+/// A report is recent for this share of the latency objective.
+const MAX_AGE_SHARE: f64 = 0.02;
+
+/// Reports are waited for this share of the latency objective at the most.
+const MAX_WAIT_SHARE: f64 = 0.02;
+
+/// Whether a replica is to be probed for a query with this latency objective: its last report is not recent,
+/// and none is on the way. A probe that is not answered within the objective counts as lost.
+pub(crate) fn needs_probe(node: &Node, now: Tenths, latency_objective: Tenths) -> bool {
+    let is_probed = node.probe_sent_at.is_some_and(|at| now - at <= latency_objective);
+    let max_age = latency_objective.times(MAX_AGE_SHARE);
+    !is_probed && node.load.is_none_or(|load| now - load.received_at > max_age)
+}
+
+/// How long reports are waited for.
+pub(crate) fn max_wait(latency_objective: Tenths) -> Tenths {
+    latency_objective.times(MAX_WAIT_SHARE)
+}
+
+/// Whether a query that probed its replicas then may still wait for their reports.
+pub(crate) fn may_wait(probed_at: Option<Tenths>, now: Tenths, latency_objective: Tenths) -> bool {
+    probed_at.is_some_and(|at| now - at < max_wait(latency_objective))
+}
+
+/// Reads a probe's result; of each metric the first usable value counts.
+pub(crate) fn read_report(now: Tenths, result: &ProbeResult) -> LoadReport {
+    let first = |metric: LoadMetric| {
+        let is_usable = |value: f64| value.is_finite() && value >= 0.0;
+        let mut values = result.report.iter().filter(|(reported, _)| *reported == metric);
+        values.find(|(_, value)| is_usable(*value)).map(|(_, value)| *value)
+    };
+    LoadReport {
+        received_at: now,
+        is_valid: result.is_valid,
+        queue_length: first(LoadMetric::QueueLength),
+        service_rate: first(LoadMetric::ServiceRate),
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/load_probe/tests.rs
@@ -0,0 +1,48 @@
+//! When nodes are probed, and what their reports are worth.
+
+use super::{max_wait, may_wait, needs_probe, read_report};
+use crate::ids::NodeId;
+use crate::inputs::{LoadMetric, ProbeResult};
+use crate::state::{LoadReport, Node};
+use crate::time::Tenths;
+use rstest::rstest;
+
+const OBJECTIVE: Tenths = Tenths(10_000);
+
+fn node(probe_sent_at: Option<i64>, received_at: Option<i64>) -> Node {
+    let load = received_at.map(|at| LoadReport { received_at: Tenths(at), ..LoadReport::default() });
+    Node { probe_sent_at: probe_sent_at.map(Tenths), load, ..Node::default() }
+}
+
+#[rstest]
+#[case::never_reported(node(None, None), true)]
+#[case::recent(node(None, Some(99_800)), false)]
+#[case::old(node(None, Some(99_799)), true)]
+#[case::on_the_way(node(Some(90_000), None), false)]
+#[case::probe_was_lost(node(Some(89_999), None), true)]
+fn nodes_are_probed(#[case] node: Node, #[case] expected: bool) {
+    assert_eq!(needs_probe(&node, Tenths(100_000), OBJECTIVE), expected);
+}
+
+#[rstest]
+fn reports_are_waited_for_a_fiftieth_of_the_objective() {
+    assert_eq!(max_wait(OBJECTIVE), Tenths(200));
+    assert!(may_wait(Some(Tenths(1_000)), Tenths(1_199), OBJECTIVE));
+    assert!(!may_wait(Some(Tenths(1_000)), Tenths(1_200), OBJECTIVE));
+    assert!(!may_wait(None, Tenths(1_000), OBJECTIVE));
+}
+
+#[rstest]
+fn the_first_usable_value_of_a_metric_counts() {
+    let report = vec![
+        (LoadMetric::QueueLength, f64::NAN),
+        (LoadMetric::Ignored, 9.0),
+        (LoadMetric::QueueLength, -1.0),
+        (LoadMetric::QueueLength, 3.0),
+        (LoadMetric::QueueLength, 4.0),
+        (LoadMetric::ServiceRate, f64::INFINITY),
+    ];
+    let load = read_report(Tenths(7), &ProbeResult { node: NodeId(1), is_valid: true, report });
+    assert_eq!((load.received_at, load.is_valid), (Tenths(7), true));
+    assert_eq!((load.queue_length, load.service_rate), (Some(3.0), None));
+}
--- /dev/null
+++ b/crates/routing/src/policy/node_health/tests.rs
@@ -0,0 +1,39 @@
+//! What counts for or against a node.
+
+use super::{is_next_failure, tells_nothing};
+use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, NotSent, TimedOut};
+use crate::state::Execution::{self, MaybeExecuted, Unsent};
+use crate::time::Tenths;
+use rstest::rstest;
+
+#[rstest]
+#[case::never_sent(Unsent, NotSent, false, false, true)]
+#[case::timed_out(MaybeExecuted, TimedOut, true, true, false)]
+#[case::its_connection_was_closed_before(MaybeExecuted, ConnectionLost, true, false, true)]
+#[case::it_closed_the_connection(MaybeExecuted, ConnectionLost, false, false, false)]
+#[case::cancelled_early(MaybeExecuted, Cancelled, false, true, true)]
+#[case::cancelled_late(MaybeExecuted, Cancelled, false, false, false)]
+fn ends_that_tell_nothing(
+    #[case] execution: Execution,
+    #[case] outcome: AttemptOutcome,
+    #[case] on_reused_connection: bool,
+    #[case] is_before_latency: bool,
+    #[case] expected: bool,
+) {
+    assert_eq!(tells_nothing(execution, outcome, on_reused_connection, is_before_latency), expected);
+}
+
+/// A node that hangs takes down all that is in flight there. That is one failure in a row, not ten, or the
+/// node would be shunned for long after a short pause.
+#[rstest]
+#[case::sent_after_the_last(true, 101, 100, true)]
+#[case::in_flight_together(true, 99, 100, false)]
+#[case::no_failure(false, 101, 100, false)]
+fn failures_in_a_row(
+    #[case] blames_node: bool,
+    #[case] sent_at: i64,
+    #[case] last_failure_at: i64,
+    #[case] expected: bool,
+) {
+    assert_eq!(is_next_failure(blames_node, Tenths(sent_at), Tenths(last_failure_at)), expected);
+}
--- /dev/null
+++ b/crates/routing/src/policy/outcome.rs
@@ -0,0 +1,65 @@
+//! What the outcome of an attempt means: for its execution, for pressure, for its node.
+
+use crate::inputs::AttemptOutcome;
+use crate::state::Execution;
+
+#[cfg(test)]
+mod tests;
+
+/// The meaning of an outcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct OutcomeMeaning {
+    /// Whether the node has executed the shard request.
+    pub(crate) execution: Execution,
+    /// It counts as overload in the pressure.
+    pub(crate) is_overload: bool,
+    /// It counts as a failure of the node.
+    pub(crate) blames_node: bool,
+    /// The node's process looks as if it were down.
+    pub(crate) looks_down: bool,
+}
+
+impl OutcomeMeaning {
+    const fn of(execution: Execution) -> OutcomeMeaning {
+        OutcomeMeaning { execution, is_overload: false, blames_node: false, looks_down: false }
+    }
+
+    const fn overload(self) -> OutcomeMeaning {
+        OutcomeMeaning { is_overload: true, ..self }
+    }
+
+    const fn blames_node(self) -> OutcomeMeaning {
+        OutcomeMeaning { blames_node: true, ..self }
+    }
+
+    const fn looks_down(self) -> OutcomeMeaning {
+        OutcomeMeaning { looks_down: true, ..self }
+    }
+}
+
+impl AttemptOutcome {
+    /// The one table of what outcomes mean.
+    pub(crate) fn meaning(self) -> OutcomeMeaning {
+        use Execution::{MaybeExecuted, NotExecuted, Unsent};
+        match self {
+            AttemptOutcome::Succeeded => OutcomeMeaning::of(MaybeExecuted),
+            AttemptOutcome::Errored => OutcomeMeaning::of(MaybeExecuted).blames_node(),
+            AttemptOutcome::Overloaded => OutcomeMeaning::of(NotExecuted).overload().blames_node(),
+            AttemptOutcome::TimedOut => OutcomeMeaning::of(MaybeExecuted).overload().blames_node(),
+            AttemptOutcome::ConnectFailed => OutcomeMeaning::of(NotExecuted).blames_node().looks_down(),
+            AttemptOutcome::ConnectionLost => OutcomeMeaning::of(MaybeExecuted).blames_node().looks_down(),
+            AttemptOutcome::Cancelled => OutcomeMeaning::of(MaybeExecuted),
+            AttemptOutcome::NotSent | AttemptOutcome::LocalShortage => OutcomeMeaning::of(Unsent),
+        }
+    }
+
+    /// Whether it says something of how nodes bear the load: the attempt was sent, and ended by itself.
+    pub fn tells_of_load(self) -> bool {
+        self != AttemptOutcome::Cancelled && self.meaning().execution != Execution::Unsent
+    }
+
+    /// Whether it counts as overload in the pressure.
+    pub fn is_overload(self) -> bool {
+        self.meaning().is_overload
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/outcome/tests.rs
@@ -0,0 +1,31 @@
+//! What outcomes mean.
+
+use crate::inputs::AttemptOutcome::{self, *};
+use crate::state::Execution::{self, MaybeExecuted, NotExecuted, Unsent};
+use rstest::rstest;
+
+// Outcome, execution, counts as overload, blames the node, looks down, tells of load.
+#[rstest]
+#[case(Succeeded, MaybeExecuted, false, false, false, true)]
+#[case(Errored, MaybeExecuted, false, true, false, true)]
+#[case(Overloaded, NotExecuted, true, true, false, true)]
+#[case(TimedOut, MaybeExecuted, true, true, false, true)]
+#[case(ConnectFailed, NotExecuted, false, true, true, true)]
+#[case(ConnectionLost, MaybeExecuted, false, true, true, true)]
+#[case(Cancelled, MaybeExecuted, false, false, false, false)]
+#[case(NotSent, Unsent, false, false, false, false)]
+#[case(LocalShortage, Unsent, false, false, false, false)]
+fn outcomes(
+    #[case] outcome: AttemptOutcome,
+    #[case] execution: Execution,
+    #[case] is_overload: bool,
+    #[case] blames_node: bool,
+    #[case] looks_down: bool,
+    #[case] tells_of_load: bool,
+) {
+    let meaning = outcome.meaning();
+    assert_eq!(meaning.execution, execution);
+    assert_eq!((meaning.is_overload, outcome.is_overload()), (is_overload, is_overload));
+    assert_eq!((meaning.blames_node, meaning.looks_down), (blames_node, looks_down));
+    assert_eq!(outcome.tells_of_load(), tells_of_load);
+}
--- /dev/null
+++ b/crates/routing/src/policy/query_of_death/tests.rs
@@ -0,0 +1,53 @@
+//! Queries that bring nodes down.
+
+use super::{Quarantine, RetryHold, counts_as_lost_node, is_query_of_death, retry_hold};
+use crate::inputs::AttemptOutcome::{self, ConnectFailed, ConnectionLost, TimedOut};
+use crate::policy::test_queries::{class, query};
+use crate::time::Tenths;
+use rstest::rstest;
+
+#[rstest]
+#[case::two_lost(2, 0.0, true)]
+#[case::one_lost(1, 0.0, false)]
+#[case::one_answered(2, 0.1, false)]
+fn queries_of_death(#[case] lost_nodes: usize, #[case] received_weight: f64, #[case] expected: bool) {
+    assert_eq!(is_query_of_death(lost_nodes, received_weight), expected);
+}
+
+#[rstest]
+#[case::under_execution(ConnectionLost, false, true)]
+#[case::closed_while_idle(ConnectionLost, true, false)]
+#[case::refused(ConnectFailed, false, false)]
+#[case::silent(TimedOut, false, false)]
+fn lost_nodes(#[case] outcome: AttemptOutcome, #[case] on_reused_connection: bool, #[case] expected: bool) {
+    assert_eq!(counts_as_lost_node(outcome, on_reused_connection), expected);
+}
+
+#[rstest]
+#[case::first_attempt(false, true, 0.0, RetryHold::Free)]
+#[case::sound_query(true, false, 0.0, RetryHold::Free)]
+#[case::another_in_flight(true, true, 0.1, RetryHold::Held)]
+#[case::nothing_in_flight(true, true, 0.0, RetryHold::GivenUp)]
+fn retries_wait_for_proof(
+    #[case] is_retry: bool,
+    #[case] is_query_of_death: bool,
+    #[case] in_flight_weight: f64,
+    #[case] expected: RetryHold,
+) {
+    assert_eq!(retry_hold(is_retry, is_query_of_death, in_flight_weight), expected);
+}
+
+#[rstest]
+fn the_same_query_is_rejected_for_one_deadline() {
+    let signature = query(class(1.0, 1.0), &[0.5, 0.5]).signature();
+    let other = query(class(1.0, 1.0), &[1.0]).signature();
+    let mut quarantine = Quarantine::default();
+    quarantine.insert(signature.clone(), Tenths(1_000), Tenths(500));
+    assert!(quarantine.contains(&signature, Tenths(1_499)));
+    assert!(!quarantine.contains(&other, Tenths(1_499)));
+    assert!(!quarantine.contains(&signature, Tenths(1_500)));
+    quarantine.forget(Tenths(1_499));
+    assert!(!quarantine.is_empty());
+    quarantine.forget(Tenths(1_500));
+    assert!(quarantine.is_empty());
+}
--- /dev/null
+++ b/crates/routing/src/policy/query_times.rs
@@ -0,0 +1,55 @@
+//! The times of a query: until when a response is on time, until when it is of any use, and how two phases
+//! share the latency objective.
+
+use crate::effective_config::ClassPolicy;
+use crate::state::QueryTimes;
+use crate::time::Tenths;
+
+#[cfg(test)]
+mod tests;
+
+/// A response leaves this share of the latency objective before it, for the way to the client.
+const OBJECTIVE_MARGIN: f64 = 0.02;
+
+/// A response is decided on this many turns before the latency objective: the decision waits for a turn, and
+/// its effects are carried out in the course of the next.
+const OBJECTIVE_TURNS: f64 = 2.0;
+
+/// A last response is decided on this many turns before the client stops waiting.
+const DEADLINE_TURNS: f64 = 4.0;
+
+/// Of the latency objective, the second phase of a query keeps this share for itself.
+const SECOND_PHASE_SHARE: f64 = 0.5;
+
+/// What a query's times follow from.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Arrival {
+    pub(crate) now: Tenths,
+    /// How long the client will wait.
+    pub(crate) time_left: Tenths,
+    /// The work of all shard requests, where that is told; else zero.
+    pub(crate) work: Tenths,
+    /// The least time between two turns of the broker.
+    pub(crate) turn_period: Tenths,
+}
+
+impl Arrival {
+    /// The times of a query that arrives now. The latency objective grows with the work that the query is
+    /// expected to be, and never passes the class's deadline or what the client will wait.
+    pub(crate) fn times(&self, policy: &ClassPolicy) -> QueryTimes {
+        let stretched = policy.latency_objective + self.work.times(policy.objective_stretch);
+        let latency_objective = stretched.min(policy.deadline).min(self.time_left);
+        let margin =
+            policy.latency_objective.times(OBJECTIVE_MARGIN) + self.turn_period.times(OBJECTIVE_TURNS);
+        QueryTimes {
+            latency_objective,
+            objective_at: self.now + latency_objective - margin,
+            deadline_at: self.now + self.time_left - self.turn_period.times(DEADLINE_TURNS),
+        }
+    }
+}
+
+/// When the first phase of a query with two must give its response.
+pub(crate) fn first_phase_ends_at(objective_at: Tenths, latency_objective: Tenths) -> Tenths {
+    objective_at - latency_objective.times(SECOND_PHASE_SHARE)
+}
--- /dev/null
+++ b/crates/routing/src/policy/query_times/tests.rs
@@ -0,0 +1,37 @@
+//! The times of a query.
+
+use super::{Arrival, first_phase_ends_at};
+use crate::config::RequestClass;
+use crate::policy::test_queries::{class, query};
+use crate::time::Tenths;
+use rstest::rstest;
+
+const NOW: Tenths = Tenths(100_000);
+
+fn arrival(time_left: i64, work: i64) -> Arrival {
+    Arrival { now: NOW, time_left: Tenths(time_left), work: Tenths(work), turn_period: Tenths(50) }
+}
+
+// Objective 10,000, deadline 30,000; margins: 2% of the objective and two turns, four turns.
+#[rstest]
+#[case::usual(arrival(30_000, 0), 10_000, 109_700, 129_800)]
+#[case::grows_with_the_work(arrival(30_000, 1_000), 12_000, 111_700, 129_800)]
+#[case::never_past_the_deadline(arrival(60_000, 50_000), 30_000, 129_700, 159_800)]
+#[case::never_past_the_client(arrival(4_000, 0), 4_000, 103_700, 103_800)]
+fn times(
+    #[case] arrival: Arrival,
+    #[case] latency_objective: i64,
+    #[case] objective_at: i64,
+    #[case] deadline_at: i64,
+) {
+    let class = RequestClass { objective_stretch: 2.0, ..class(1.0, 1.0) };
+    let times = arrival.times(&query(class, &[1.0]).policy);
+    assert_eq!(times.latency_objective, Tenths(latency_objective));
+    assert_eq!(times.objective_at, Tenths(objective_at));
+    assert_eq!(times.deadline_at, Tenths(deadline_at));
+}
+
+#[rstest]
+fn a_second_phase_keeps_half_of_the_objective() {
+    assert_eq!(first_phase_ends_at(Tenths(109_700), Tenths(10_000)), Tenths(104_700));
+}
--- /dev/null
+++ b/crates/routing/src/policy/reach.rs
@@ -0,0 +1,38 @@
+//! Reach: whether any replica can answer a shard request in time.
+//!
+//! A shard request out of reach is sent last (`cutoff`) and counts against the admission of its query
+//! (`admission`). It is out of reach where no replica may receive it, or where even the best one is expected
+//! to answer after the objective.
+
+use crate::state::Node;
+use crate::time::Tenths;
+
+#[cfg(test)]
+mod tests;
+
+/// Single shard requests take up to this multiple of the expected wait.
+const LATENESS_RATIO: f64 = 1.5;
+
+/// How long a replica is expected to take. An idle, healthy node counts as no wait at all, however slow it
+/// was: a slow pair of replicas is still used for what it can do. `ignores_failures`: failures do not make a
+/// node unhealthy, see [`ignores_failures`].
+pub(crate) fn expected_wait(node: &Node, latency: impl FnOnce() -> Tenths, ignores_failures: bool) -> Tenths {
+    let is_healthy = node.consecutive_failures == 0 || ignores_failures;
+    if node.batches.is_empty() && is_healthy && node.reported_wait() == Tenths::ZERO {
+        return Tenths::ZERO;
+    }
+    latency() + node.reported_wait()
+}
+
+/// Whether past failures alone keep no node from being asked. After an outage of all nodes nothing is in
+/// flight, and every node has failed; if that put all shards out of reach, no attempt would ever find out
+/// that the outage is over. Where nodes are probed, the query has asked them just now.
+pub(crate) fn ignores_failures(was_probed: bool, attempts_in_flight: usize) -> bool {
+    was_probed && attempts_in_flight == 0
+}
+
+/// Whether a shard request is out of reach. `shortest_wait` is the least of its replicas' expected waits;
+/// none: no replica may receive it.
+pub(crate) fn is_out_of_reach(shortest_wait: Option<Tenths>, now: Tenths, objective_at: Tenths) -> bool {
+    shortest_wait.is_none_or(|wait| now + wait.times(LATENESS_RATIO) > objective_at)
+}
--- /dev/null
+++ b/crates/routing/src/policy/reach/tests.rs
@@ -0,0 +1,64 @@
+//! Which shard requests can be answered in time.
+
+use super::{expected_wait, ignores_failures, is_out_of_reach};
+use crate::ids::BatchId;
+use crate::state::{LoadReport, Node};
+use crate::time::Tenths;
+use rstest::rstest;
+
+fn idle() -> Node {
+    Node::default()
+}
+
+fn busy() -> Node {
+    let mut node = Node::default();
+    node.batches.insert(BatchId(1), Default::default());
+    node
+}
+
+fn with_queue(queue_length: f64) -> Node {
+    let load = LoadReport {
+        is_valid: true,
+        queue_length: Some(queue_length),
+        service_rate: Some(10.0),
+        ..LoadReport::default()
+    };
+    Node { load: Some(load), ..Node::default() }
+}
+
+fn failing() -> Node {
+    Node { consecutive_failures: 1, ..Node::default() }
+}
+
+// The latency is 700; three in a queue at ten a second take 3,000.
+#[rstest]
+#[case::idle(idle(), false, 0)]
+#[case::busy(busy(), false, 700)]
+#[case::reports_a_queue(with_queue(3.0), false, 3_700)]
+#[case::reports_no_queue(with_queue(0.0), false, 0)]
+#[case::failing(failing(), false, 700)]
+#[case::failing_but_asked_all_the_same(failing(), true, 0)]
+fn waits(#[case] node: Node, #[case] ignores_failures: bool, #[case] expected: i64) {
+    assert_eq!(expected_wait(&node, || Tenths(700), ignores_failures), Tenths(expected));
+}
+
+/// Every node has failed in an outage, and nothing is in flight that could tell that it is over.
+#[rstest]
+#[case::after_an_outage(true, 0, true)]
+#[case::something_is_in_flight(true, 1, false)]
+#[case::nodes_were_not_asked(false, 0, false)]
+fn failures_alone_hold_nothing(
+    #[case] was_probed: bool,
+    #[case] attempts_in_flight: usize,
+    #[case] expected: bool,
+) {
+    assert_eq!(ignores_failures(was_probed, attempts_in_flight), expected);
+}
+
+#[rstest]
+#[case::in_time(Some(600), false)]
+#[case::too_late(Some(601), true)]
+#[case::no_replica(None, true)]
+fn out_of_reach(#[case] shortest_wait: Option<i64>, #[case] expected: bool) {
+    assert_eq!(is_out_of_reach(shortest_wait.map(Tenths), Tenths(100), Tenths(1_000)), expected);
+}
--- /dev/null
+++ b/crates/routing/src/policy/reconfiguration/tests.rs
@@ -0,0 +1,43 @@
+//! What outlives a configuration.
+
+use super::{binding_period, derive_config, keeps_yield};
+use crate::config::{BrokerConfig, RequestClass, RetryBudget, SafetyRules};
+use crate::effective_config::ClassPolicy;
+use crate::policy::test_queries::{class, query};
+use crate::time::Tenths;
+use rstest::rstest;
+use std::sync::Arc;
+
+fn rules(warm_up: i64, overload_window: i64, budget_window: i64) -> BrokerConfig {
+    let retry_budget = RetryBudget { floor: 1.0, share: 0.1, window: Tenths(budget_window) };
+    let rules = SafetyRules {
+        warm_up_period: Tenths(warm_up),
+        overload_window: Tenths(overload_window),
+        retry_budget: Some(retry_budget),
+        ..SafetyRules::default()
+    };
+    BrokerConfig { rules, ..BrokerConfig::default() }
+}
+
+/// A change that took effect at once would let twice a budget through in one window.
+#[rstest]
+#[case::retries_on_their_way(rules(1, 1, 1_000), 1_100)]
+#[case::warm_up(rules(2_000, 1, 1_000), 2_000)]
+#[case::overload_window(rules(1, 3_000, 1_000), 3_000)]
+fn a_configuration_binds_for_its_longest_window(#[case] old: BrokerConfig, #[case] expected: i64) {
+    assert_eq!(binding_period(&derive_config(old), Tenths(100)), Tenths(expected));
+}
+
+fn policy(priority_weight: f64, min_coverage: f64) -> Arc<ClassPolicy> {
+    query(RequestClass { priority_weight, ..class(min_coverage, 1.0) }, &[1.0]).policy
+}
+
+#[rstest]
+fn a_yield_is_kept_while_its_class_is_worth_the_same() {
+    let old = policy(1.0, 0.5);
+    assert!(keeps_yield(Some(&old), Some(&policy(1.0, 0.5))));
+    assert!(!keeps_yield(Some(&old), Some(&policy(2.0, 0.5))));
+    assert!(!keeps_yield(Some(&old), Some(&policy(1.0, 0.4))));
+    assert!(!keeps_yield(Some(&old), None));
+    assert!(!keeps_yield(None, None));
+}
--- a/crates/routing/src/policy/replica_choice.rs
+++ b/crates/routing/src/policy/replica_choice.rs
@@ -1,60 +1,66 @@
-//! Which replica gets a shard request.
+//! Replica choice: which replica of its shard a shard request goes to.
+//!
+//! The rule: least smoothed latency × (own batches in flight + 1 + reported queue). Joining the batch that
+//! this turn already sends to a node opens no other, so it counts no more. Replicas that this shard request
+//! has not tried come before those that it has. Scores within [`TIE_MARGIN`] of the best count as equal;
+//! among those a replica in the broker's own zone is preferred, then one with an open batch, then chance
+//! decides, so that brokers that know the same do not all choose the same node.
 
-use super::*;
+use crate::ids::NodeId;
+use crate::state::Node;
+use crate::time::Tenths;
 
-/// A broker chooses among so many replicas of a shard at the most, evenly from its placement groups. The largest usual
-/// fleet has hardly more (200 nodes in 12 groups, each shard in 4 of them: 67); past that the time that a choice takes,
-/// and the nodes that a broker meets, no longer grow with the fleet. Harm: a broker knows only its own part of it.
-const MAX_SHARD_REPLICAS: usize = 64;
+#[cfg(test)]
+mod tests;
 
-/// How many replicas of one placement group are chosen among.
-pub(super) fn max_group_replicas(layout: &ShardLayout) -> usize {
-    MAX_SHARD_REPLICAS.div_ceil(layout.replica_groups.max(1) as usize)
-}
+/// Scores this share above the best count as equal to it.
+const TIE_MARGIN: f64 = 0.1;
 
-/// A node that left its probe unanswered counts as one with so many shard requests waiting.
+/// A node that left its probe unanswered counts as one with this many shard requests waiting.
 const UNREPORTED_QUEUE: f64 = 32.0;
 
-impl Broker {
-    /// The replica rule: least smoothed latency x (own batches in flight + 1), where joining a batch of this
-    /// turn opens no other. Close calls go to the own zone, then to a batch of this turn, then by chance.
-    pub(super) fn choose_replica(&mut self, query: &Query, shard_request: &ShardRequest) -> Option<NodeId> {
-        let is_usable = |id| !shard_request.is_in_flight_at(id) && self.may_receive(id, shard_request);
-        let usable: Vec<NodeId> = self.state.replicas_of(&query.config, shard_request, is_usable).collect();
-        let all_tried = usable.iter().all(|id| shard_request.has_tried(*id));
-        let untried = usable.into_iter().filter(|id| all_tried || !shard_request.has_tried(*id));
-        let scored: Vec<(f64, NodeId)> = untried.map(|id| (self.score(&self.state.nodes[&id]), id)).collect();
-        let best = scored.iter().map(|(score, _)| *score).fold(f64::INFINITY, f64::min);
-        let is_close = |score: f64| score <= best * (1.0 + PRESSURE_THRESHOLD);
-        let close = scored.iter().filter(|(score, _)| is_close(*score)).map(|(_, id)| *id);
-        let own_zone = self.config.broker.zone;
-        let preference = |node: &Node| (node.zone != own_zone, node.open_batch.is_none());
-        let first = close.clone().map(|id| preference(&self.state.nodes[&id])).min()?;
-        let tied: Vec<NodeId> = close.filter(|id| preference(&self.state.nodes[id]) == first).collect();
-        Some(tied[self.rng.usize(..tied.len())])
-    }
+/// A replica that may receive the shard request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Candidate {
+    pub(crate) node: NodeId,
+    /// The shard request had an attempt there.
+    pub(crate) was_tried: bool,
+    /// See [`score`].
+    pub(crate) score: f64,
+    pub(crate) is_in_other_zone: bool,
+    /// It has no batch of this turn that could be joined.
+    pub(crate) needs_new_batch: bool,
+}
 
-    fn score(&self, node: &Node) -> f64 {
-        let max_batch_size = self.config.broker.layout.max_batch_size;
-        let joins_batch = node.open_batch.is_some_and(|batch| batch.shard_requests < max_batch_size);
-        let batches = (node.batches.len() + usize::from(!joins_batch)) as f64;
-        // One that left its probe unanswered comes after all that did answer.
-        let queue = match (node.probe_sent_at, node.load) {
-            (None, None) => 0.0,
-            (None, Some(load)) if load.is_valid => load.queue_length.unwrap_or(0.0),
-            _ => UNREPORTED_QUEUE,
-        };
-        self.latency(node).0 as f64 * (batches + queue)
-    }
+/// A replica's score, in tenths of a millisecond of expected work: the lower the better. `latency` is its
+/// smoothed latency.
+pub(crate) fn score(node: &Node, latency: Tenths, max_batch_size: u32) -> f64 {
+    let joins_batch = node.open_batch.is_some_and(|batch| batch.shard_requests < max_batch_size);
+    let batches = (node.batches.len() + usize::from(!joins_batch)) as f64;
+    latency.0 as f64 * (batches + queue_length(node))
+}
 
-    /// Smoothed latency. What was measured long ago fades toward the average, or that of a zone slower by
-    /// half: a slow zone, or way there, shows at all its nodes. Silence since the oldest batch in flight
-    /// counts too.
-    pub(super) fn latency(&self, node: &Node) -> Tenths {
-        let overall = self.average_latency();
-        let zone = self.state.zone_mean_latency(node.zone, overall, 1.0 / NEWEST_SHARE);
-        let average = if zone > overall.times(LATENCY_SPREAD) { zone } else { overall };
-        let faded = node.faded_latency(self.state.now, average, SMOOTHING_SPAN);
-        faded.max(node.silence(self.state.now))
+/// The reported queue of a node; a node that left its probe unanswered comes after all that did answer.
+fn queue_length(node: &Node) -> f64 {
+    match (node.probe_sent_at, node.load) {
+        (None, None) => 0.0,
+        (None, Some(load)) if load.is_valid => load.queue_length.unwrap_or(0.0),
+        _ => UNREPORTED_QUEUE,
     }
 }
+
+/// Chooses among the candidates; none where there are none. Chance is drawn once for each choice that is
+/// made.
+pub(crate) fn choose(candidates: &[Candidate], rng: &mut fastrand::Rng) -> Option<NodeId> {
+    let all_tried = candidates.iter().all(|candidate| candidate.was_tried);
+    let eligible = candidates.iter().filter(|candidate| all_tried || !candidate.was_tried);
+    let best = eligible.clone().map(|candidate| candidate.score).fold(f64::INFINITY, f64::min);
+    let close = eligible.filter(|candidate| candidate.score <= best * (1.0 + TIE_MARGIN));
+    let preference = |candidate: &Candidate| (candidate.is_in_other_zone, candidate.needs_new_batch);
+    let preferred = close.clone().map(preference).min()?;
+    let tied: Vec<NodeId> = close
+        .filter(|candidate| preference(candidate) == preferred)
+        .map(|candidate| candidate.node)
+        .collect();
+    Some(tied[rng.usize(..tied.len())])
+}
--- /dev/null
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -0,0 +1,168 @@
+//! What a node that warms up may receive.
+
+use super::{DemandRate, RecentDemand, SlowStartRequest, is_warming_up, looks_restarted, presumed_start};
+use crate::config::SafetyRules;
+use crate::ids::ShardRequestId;
+use crate::state::Execution::{MaybeExecuted, NotExecuted};
+use crate::time::Tenths;
+use rstest::rstest;
+
+const NOW: Tenths = Tenths(100_000);
+
+fn rules() -> SafetyRules {
+    SafetyRules {
+        initial_capacity_share: 0.2,
+        warm_up_period: Tenths(100_000),
+        overload_factor: 2.0,
+        overload_window: Tenths(10_000),
+        ..SafetyRules::default()
+    }
+}
+
+/// Just started: in a window the node bears 2.0 × 0.2 × 10,000 = 4,000 of work, and a shard request costs
+/// 1,000.
+fn request(rules: &SafetyRules, brokers: u32) -> SlowStartRequest<'_> {
+    SlowStartRequest {
+        now: NOW,
+        rules,
+        brokers,
+        started_at: NOW,
+        start_known_at: NOW,
+        consecutive_failures: 0,
+        cost: 1_000.0,
+        shard_request: ShardRequestId(1),
+        demand: DemandRate { shard_requests: 100.0, span: Tenths(10_000) },
+        ready_nodes: 10,
+        draw_seed: 1,
+    }
+}
+
+#[rstest]
+#[case::first(0.0, 0, true)]
+#[case::up_to_its_share(1_000.0, 0, true)]
+#[case::beyond_its_share(1_001.0, 0, false)]
+#[case::one_failure(1_000.0, 1, true)]
+#[case::failing_gets_one(0.0, 2, true)]
+#[case::failing_gets_no_more(1.0, 2, false)]
+fn few_brokers_share_what_the_node_bears(
+    #[case] sent_lately: f64,
+    #[case] consecutive_failures: u32,
+    #[case] expected: bool,
+) {
+    let rules = rules();
+    let request = SlowStartRequest { consecutive_failures, ..request(&rules, 2) };
+    assert_eq!(request.may_receive(|_| sent_lately), expected);
+}
+
+#[rstest]
+fn a_single_broker_sends_one_that_is_more_than_its_share() {
+    let rules = rules();
+    let heavy = SlowStartRequest { cost: 9_000.0, ..request(&rules, 1) };
+    assert!(heavy.may_receive(|_| 0.0));
+    assert!(!heavy.may_receive(|_| 1.0));
+}
+
+#[rstest]
+fn a_warm_node_receives_anything() {
+    let rules = rules();
+    let warm = SlowStartRequest { started_at: NOW - rules.warm_up_period, ..request(&rules, 2) };
+    assert!(warm.may_receive(|_| 1_000_000.0));
+    assert!(!is_warming_up(Some(warm.started_at), NOW, rules.warm_up_period));
+    assert!(is_warming_up(Some(warm.started_at + Tenths(1)), NOW, rules.warm_up_period));
+    assert!(!is_warming_up(None, NOW, rules.warm_up_period));
+}
+
+/// Three hundred brokers hear of a node that has just started, and each sees only its own traffic. Together
+/// they must stay within what it bears, 4 shard requests in a window, by three standard deviations: they mean
+/// m with m + 3√m = 4, which is m = 1.
+#[rstest]
+fn many_brokers_together_stay_within_what_the_node_bears() {
+    let rules = rules();
+    let sent_at = |age: i64| {
+        let brokers = 0..300u64;
+        let sends = brokers.filter(|broker| {
+            let request = SlowStartRequest {
+                now: NOW + Tenths(age),
+                draw_seed: broker.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+                ..request(&rules, 300)
+            };
+            request.may_receive(|_| 0.0)
+        });
+        sends.count()
+    };
+    assert_eq!(sent_at(0), 0);
+    // A window later the node is warmer: it bears 5.6, so 1.9 are meant, and chance may pass that.
+    let sent = sent_at(10_000);
+    assert!((1..=5).contains(&sent), "{sent} of 300 brokers");
+}
+
+/// A broker that has a query now and then meets the node with many shard requests at once: each is drawn for
+/// by itself, and as many go as its share says.
+#[rstest]
+fn a_broker_that_rarely_meets_the_node_draws_for_each_shard_request() {
+    let rules = rules();
+    let rare = DemandRate { shard_requests: 50.0, span: Tenths(10_000) };
+    let sends = (0..10_000).filter(|id| {
+        let request = SlowStartRequest {
+            shard_request: ShardRequestId(*id),
+            demand: rare,
+            ready_nodes: 100,
+            ..request(&rules, 300)
+        };
+        request.may_receive(|_| 0.0)
+    });
+    // One in 300 windows is meant, and half a shard request is expected there in each: two in 300 go.
+    let sent = sends.count();
+    assert!((40..=95).contains(&sent), "{sent} of 10,000");
+}
+
+#[rstest]
+fn what_was_sent_uses_up_what_has_accumulated() {
+    let rules = rules();
+    let late = SlowStartRequest {
+        now: NOW + Tenths(90_000),
+        start_known_at: NOW - Tenths(2_000_000),
+        ..request(&rules, 30)
+    };
+    assert!(late.may_receive(|from| if from == late.start_known_at { 1_000.0 } else { 0.0 }));
+    assert!(!late.may_receive(|from| if from == late.start_known_at { 1_000_000.0 } else { 0.0 }));
+}
+
+/// Start times come from other machines' wall clocks, which may be set by an hour. An age that is read too
+/// great puts full load on a cold node.
+#[rstest]
+#[case::first_list(false, 50_000, 20_000, 70_000)]
+#[case::first_list_from_a_clock_ahead(false, 50_000, 60_000, 100_000)]
+#[case::later_list(true, 50_000, 20_000, 100_000)]
+fn how_old_a_process_is_taken_to_be(
+    #[case] has_earlier_list: bool,
+    #[case] wall_clock: i64,
+    #[case] listed_start: i64,
+    #[case] expected: i64,
+) {
+    let start = presumed_start(NOW, has_earlier_list, Tenths(wall_clock), Tenths(listed_start));
+    assert_eq!(start, Tenths(expected));
+}
+
+/// One reset must not put a healthy node through slow start; a process that went down refuses the next
+/// connection.
+#[rstest]
+fn a_node_that_refuses_after_another_failure_looks_restarted() {
+    assert!(looks_restarted(true, NotExecuted, 2));
+    assert!(!looks_restarted(true, NotExecuted, 1));
+    assert!(!looks_restarted(true, MaybeExecuted, 2));
+    assert!(!looks_restarted(false, NotExecuted, 2));
+}
+
+#[rstest]
+fn demand_is_a_rate_over_what_is_remembered() {
+    let mut demand = RecentDemand::default();
+    let empty = demand.rate(NOW, Tenths(10_000));
+    assert_eq!((empty.shard_requests, empty.span), (1.0, Tenths(10_000)));
+    demand.record(NOW - Tenths(30_000));
+    demand.record(NOW - Tenths(20_000));
+    let rate = demand.rate(NOW, Tenths(10_000));
+    assert_eq!((rate.shard_requests, rate.span), (2.0, Tenths(30_000)));
+    demand.forget_before(NOW - Tenths(20_000));
+    assert_eq!(demand.rate(NOW, Tenths(10_000)).shard_requests, 1.0);
+}
--- /dev/null
+++ b/crates/routing/src/state/broker_state.rs
@@ -0,0 +1,91 @@
+//! What lives as long as the broker.
+
+use super::endpoint_list_status::EndpointListStatus;
+use super::node_table::NodeTable;
+use super::query_table::QueryTable;
+use super::timers::Timers;
+use crate::effective_config::EffectiveConfig;
+use crate::effects::Effect;
+use crate::policy::canary::NodeFailureRate;
+use crate::policy::class_yield::ClassYields;
+use crate::policy::completion_chance::OverloadRate;
+use crate::policy::concurrency_limit::ConcurrencyLimit;
+use crate::policy::idle_connections::IdleConnectionHistory;
+use crate::policy::latency::ClassBaselines;
+use crate::policy::pressure::Pressure;
+use crate::policy::query_of_death::Quarantine;
+use crate::policy::quota::TenantRates;
+use crate::policy::retry_budget::RetryHistory;
+use crate::policy::slow_start::RecentDemand;
+use crate::time::Tenths;
+use std::sync::Arc;
+
+/// A configuration that is no longer the newest, and until when it still binds.
+#[derive(Debug)]
+pub(crate) struct SupersededConfig {
+    pub(crate) binds_until: Tenths,
+    pub(crate) config: Arc<EffectiveConfig>,
+}
+
+/// All state of a broker.
+#[derive(Debug)]
+pub(crate) struct BrokerState {
+    /// The time of this turn.
+    pub(crate) now: Tenths,
+    /// What this turn does.
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) timers: Timers,
+    pub(crate) nodes: NodeTable,
+    pub(crate) endpoint_list: EndpointListStatus,
+    pub(crate) queries: QueryTable,
+    pub(crate) superseded_configs: Vec<SupersededConfig>,
+
+    /// Smoothed latency over all nodes, as of the beginning of this turn; none before any was measured.
+    pub(crate) average_latency: Option<Tenths>,
+    /// The cutoff leaves light shard requests unsent.
+    pub(crate) is_cutoff_active: bool,
+    /// Shard requests in flight or to be sent at the end of this turn.
+    pub(crate) in_flight_this_turn: f64,
+
+    // What the rules of `policy` remember, each of its own.
+    pub(crate) baselines: ClassBaselines,
+    pub(crate) class_yields: ClassYields,
+    pub(crate) concurrency_limit: ConcurrencyLimit,
+    pub(crate) demand: RecentDemand,
+    pub(crate) idle_connections: IdleConnectionHistory,
+    pub(crate) node_failures: NodeFailureRate,
+    pub(crate) overload_rate: OverloadRate,
+    pub(crate) pressure: Pressure,
+    pub(crate) quarantine: Quarantine,
+    pub(crate) retries: RetryHistory,
+    pub(crate) tenant_rates: TenantRates,
+}
+
+impl BrokerState {
+    /// The state of a broker that has just started. `seed` draws the replicas that it chooses among.
+    pub(crate) fn new(now: Tenths, seed: u64, concurrency_limit: ConcurrencyLimit) -> BrokerState {
+        BrokerState {
+            now,
+            effects: Vec::new(),
+            timers: Timers::default(),
+            nodes: NodeTable::new(seed),
+            endpoint_list: EndpointListStatus::default(),
+            queries: QueryTable::default(),
+            superseded_configs: Vec::new(),
+            average_latency: None,
+            is_cutoff_active: false,
+            in_flight_this_turn: 0.0,
+            baselines: ClassBaselines::default(),
+            class_yields: ClassYields::default(),
+            concurrency_limit,
+            demand: RecentDemand::default(),
+            idle_connections: IdleConnectionHistory::default(),
+            node_failures: NodeFailureRate::default(),
+            overload_rate: OverloadRate::default(),
+            pressure: Pressure::default(),
+            quarantine: Quarantine::default(),
+            retries: RetryHistory::default(),
+            tenant_rates: TenantRates::default(),
+        }
+    }
+}
--- a/crates/routing/src/state/mod.rs
+++ b/crates/routing/src/state/mod.rs
@@ -2,15 +2,21 @@
 //! node, the broker. State, bookkeeping and look-ups only; every decision is in `policy`.
 
 mod attempt;
-mod broker;
+mod broker_state;
+mod endpoint_list_status;
 mod node;
 mod node_table;
 mod query;
 mod query_table;
-mod replica_group;
+mod timers;
 
 pub(crate) use attempt::{AttemptId, ConnectionAfterIdle, ConnectionUse, Execution, InFlightAttempt};
-pub(crate) use broker::{BrokerState, ClassYield, SupersededConfig, Timer};
-pub(crate) use node::Node;
-pub(crate) use query::{Query, QueryEvent, QueryState, QueryTimes, ShardRequest, ShardRequestState};
-pub(crate) use query_table::NewAttempt;
+pub(crate) use broker_state::{BrokerState, SupersededConfig};
+#[cfg(test)]
+pub(crate) use node::OpenBatch;
+pub(crate) use node::{LoadReport, Node};
+pub(crate) use node_table::{BatchedAttempt, NodeTable};
+pub(crate) use query::{
+    Query, QueryEvent, QuerySignature, QueryState, QueryTimes, ShardRequest, ShardRequestState,
+};
+pub(crate) use timers::Timer;
--- a/crates/routing/src/state/node.rs
+++ b/crates/routing/src/state/node.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// A batch that is in flight at a node.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub(crate) struct Batch {
     pub(crate) sent_at: Tenths,
     pub(crate) in_flight: u32,
--- a/crates/routing/src/state/node_table.rs
+++ b/crates/routing/src/state/node_table.rs
@@ -1,52 +1,155 @@
-//! Bookkeeping of nodes: sums over the ready ones, batches, the endpoint list.
+//! All nodes that the broker knows, with sums over the ready ones.
 
 use super::attempt::ConnectionAfterIdle;
-use super::broker::BrokerState;
 use super::node::{Batch, Node, OpenBatch, SlowStartAttempt};
-use crate::ids::{BatchId, ClassId, NodeId, ZoneId};
+use crate::ids::{BatchId, ClassId, NodeId, PlacementGroupId, ZoneId};
 use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
+use crate::policy::replica_subset::ReplicaGroup;
 use crate::time::Tenths;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Index;
+
+/// Over the ready nodes of a zone whose latency is known: how many, and the sum of their latencies.
+#[derive(Clone, Copy, Debug, Default)]
+struct ZoneLatency {
+    nodes: usize,
+    sum: i64,
+}
 
 /// What a node adds to the sums over ready nodes.
-struct Share {
+struct Contribution {
     ready: usize,
     measured: usize,
     latency: i64,
 }
 
-impl Share {
-    fn of(node: &Node) -> Share {
+impl Contribution {
+    fn of(node: &Node) -> Contribution {
         match (node.state, node.latency) {
-            (EndpointState::Ready, Some(latency)) => Share { ready: 1, measured: 1, latency: latency.0 },
-            (EndpointState::Ready, None) => Share { ready: 1, measured: 0, latency: 0 },
-            _ => Share { ready: 0, measured: 0, latency: 0 },
+            (EndpointState::Ready, Some(latency)) => {
+                Contribution { ready: 1, measured: 1, latency: latency.0 }
+            }
+            (EndpointState::Ready, None) => Contribution { ready: 1, measured: 0, latency: 0 },
+            _ => Contribution { ready: 0, measured: 0, latency: 0 },
         }
     }
 }
 
-impl<const SLICES: usize> BrokerState<SLICES> {
+/// An attempt that joins a batch to its node.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct BatchedAttempt {
+    pub(crate) max_batch_size: u32,
+    /// Its class, where the node is warming up.
+    pub(crate) slow_start_class: Option<ClassId>,
+    pub(crate) connection: Option<ConnectionAfterIdle>,
+}
+
+/// The nodes by id.
+#[derive(Debug)]
+pub(crate) struct NodeTable {
+    nodes: BTreeMap<NodeId, Node>,
+    /// The ready nodes of each placement group.
+    replicas_by_group: BTreeMap<PlacementGroupId, ReplicaGroup>,
+    /// Seeds the order in which this broker takes the replicas of a large group.
+    subset_seed: u64,
+    ready: usize,
+    /// Ready nodes whose latency is known, and the sum of their latencies.
+    measured: usize,
+    latency_sum: Tenths,
+    zones: BTreeMap<ZoneId, ZoneLatency>,
+    with_open_batch: Vec<NodeId>,
+    last_batch: BatchId,
+}
+
+impl Index<NodeId> for NodeTable {
+    type Output = Node;
+
+    fn index(&self, id: NodeId) -> &Node {
+        &self.nodes[&id]
+    }
+}
+
+impl NodeTable {
+    /// A table without nodes.
+    pub(crate) fn new(subset_seed: u64) -> NodeTable {
+        NodeTable {
+            nodes: BTreeMap::new(),
+            replicas_by_group: BTreeMap::new(),
+            subset_seed,
+            ready: 0,
+            measured: 0,
+            latency_sum: Tenths::ZERO,
+            zones: BTreeMap::new(),
+            with_open_batch: Vec::new(),
+            last_batch: BatchId::default(),
+        }
+    }
+
+    /// A node, if it is known.
+    pub(crate) fn get(&self, id: NodeId) -> Option<&Node> {
+        self.nodes.get(&id)
+    }
+
+    /// How many nodes are ready.
+    pub(crate) fn ready(&self) -> usize {
+        self.ready
+    }
+
     /// The mean of the smoothed latencies of the ready nodes; none before any was measured.
     pub(crate) fn mean_latency(&self) -> Option<Tenths> {
-        (self.measured_nodes > 0).then(|| Tenths(self.latency_sum.0 / self.measured_nodes as i64))
+        (self.measured > 0).then(|| Tenths(self.latency_sum.0 / self.measured as i64))
     }
 
-    /// The mean over a zone's measured nodes, together with `more` nodes at `average`.
-    pub(crate) fn zone_mean_latency(&self, zone: ZoneId, average: Tenths, more: f64) -> Tenths {
+    /// The mean latency over a zone's measured nodes together with `prior_nodes` at `prior_latency`.
+    pub(crate) fn zone_mean_latency(&self, zone: ZoneId, prior_latency: Tenths, prior_nodes: f64) -> Tenths {
         let known = self.zones.get(&zone).copied().unwrap_or_default();
-        let sum = known.sum as f64 + more * average.0 as f64;
-        Tenths((sum / (known.nodes as f64 + more)) as i64)
+        let sum = known.sum as f64 + prior_nodes * prior_latency.0 as f64;
+        Tenths((sum / (known.nodes as f64 + prior_nodes)) as i64)
+    }
+
+    /// The ready nodes of some placement groups that are usable, at most so many of each group.
+    pub(crate) fn replicas<'a>(
+        &'a self,
+        groups: impl Iterator<Item = PlacementGroupId> + 'a,
+        max_per_group: usize,
+        is_usable: impl Fn(NodeId) -> bool + Copy + 'a,
+    ) -> impl Iterator<Item = NodeId> + 'a {
+        let groups = groups.filter_map(|group| self.replicas_by_group.get(&group));
+        groups.flat_map(move |group| {
+            let candidates = group.candidates(max_per_group);
+            candidates.filter(move |id| is_usable(*id)).take(max_per_group)
+        })
     }
 
     /// Changes a node, if it is known, and keeps the sums over the ready ones.
-    pub(crate) fn update_node(&mut self, id: NodeId, change: impl FnOnce(&mut Node)) {
+    pub(crate) fn update(&mut self, id: NodeId, change: impl FnOnce(&mut Node)) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
-        let (group_before, zone_before, before) = (node.placement_group, node.zone, Share::of(node));
+        let (group_before, zone_before, before) = (node.placement_group, node.zone, Contribution::of(node));
         change(node);
-        let (group, zone, after) = (node.placement_group, node.zone, Share::of(node));
-        let is_idle = node.batches.is_empty();
-        self.ready_nodes = self.ready_nodes + after.ready - before.ready;
-        self.measured_nodes = self.measured_nodes + after.measured - before.measured;
+        let (group, zone, after) = (node.placement_group, node.zone, Contribution::of(node));
+        let is_forgotten = node.state == EndpointState::Removed && node.batches.is_empty();
+        self.move_contribution(zone_before, &before, zone, &after);
+        let has_moved = group_before != group;
+        if before.ready == 1 && (after.ready == 0 || has_moved) {
+            let replicas = self.replicas_by_group.get_mut(&group_before);
+            replicas.into_iter().for_each(|replicas| replicas.remove(self.subset_seed, id));
+        }
+        if after.ready == 1 && (before.ready == 0 || has_moved) {
+            self.replicas_by_group.entry(group).or_default().insert(self.subset_seed, id);
+        } else if is_forgotten {
+            self.nodes.remove(&id);
+        }
+    }
+
+    fn move_contribution(
+        &mut self,
+        zone_before: ZoneId,
+        before: &Contribution,
+        zone: ZoneId,
+        after: &Contribution,
+    ) {
+        self.ready = self.ready + after.ready - before.ready;
+        self.measured = self.measured + after.measured - before.measured;
         self.latency_sum = Tenths(self.latency_sum.0 + after.latency - before.latency);
         let left = self.zones.entry(zone_before).or_default();
         left.nodes -= before.measured;
@@ -54,29 +157,13 @@
         let entered = self.zones.entry(zone).or_default();
         entered.nodes += after.measured;
         entered.sum += after.latency;
-        let has_moved = group_before != group;
-        if before.ready == 1 && (after.ready == 0 || has_moved) {
-            let (group, draw) = (self.replicas_by_group.get_mut(&group_before), self.replica_draw);
-            group.into_iter().for_each(|nodes| nodes.remove(draw, id));
-        }
-        if after.ready == 1 && (before.ready == 0 || has_moved) {
-            self.replicas_by_group.entry(group).or_default().insert(self.replica_draw, id);
-        } else if after.ready == 0 && is_idle && self.nodes[&id].state == EndpointState::Removed {
-            self.nodes.remove(&id);
-        }
     }
 
     /// Puts an attempt into this turn's batch to its node, or into a new one where that is full.
-    pub(crate) fn join_batch(
-        &mut self,
-        id: NodeId,
-        max_batch_size: u32,
-        warming_up: Option<ClassId>,
-        connection: Option<ConnectionAfterIdle>,
-    ) -> BatchId {
-        let now = self.now;
+    pub(crate) fn join_batch(&mut self, now: Tenths, id: NodeId, attempt: BatchedAttempt) -> BatchId {
         let node = self.nodes.entry(id).or_default();
-        let batch = match node.open_batch.filter(|batch| batch.shard_requests < max_batch_size) {
+        let open = node.open_batch.filter(|batch| batch.shard_requests < attempt.max_batch_size);
+        let batch = match open {
             Some(open) => OpenBatch { id: open.id, shard_requests: open.shard_requests + 1 },
             None => {
                 self.last_batch.0 += 1;
@@ -84,48 +171,56 @@
             }
         };
         node.open_batch = Some(batch);
-        node.connection = connection;
-        self.nodes_with_open_batch.push(id);
+        node.connection = attempt.connection;
+        self.with_open_batch.push(id);
         node.batches.entry(batch.id).or_insert(Batch { sent_at: now, in_flight: 0 }).in_flight += 1;
-        node.slow_start_attempts.extend(warming_up.map(|class| SlowStartAttempt { sent_at: now, class }));
+        if let Some(class) = attempt.slow_start_class {
+            node.slow_start_attempts.push_back(SlowStartAttempt { sent_at: now, class });
+        }
         batch.id
     }
 
     /// The turn's batches leave; what is sent later travels in others.
     pub(crate) fn close_batches(&mut self) {
-        for id in self.nodes_with_open_batch.drain(..) {
-            self.nodes.get_mut(&id).into_iter().for_each(|node| node.open_batch = None);
+        for id in self.with_open_batch.drain(..) {
+            if let Some(node) = self.nodes.get_mut(&id) {
+                node.open_batch = None;
+            }
         }
     }
 
-    /// Takes an endpoint list in. Where a new process runs under an old id, nothing known of the old one
-    /// holds. `presumed_start`: when a process is taken to have started, by the start time that the list gives.
+    /// Takes an endpoint list in. `presumed_start` tells when a process is taken to have started, by the
+    /// start time that the list gives. Where a new process runs under an old id, nothing known of the old one
+    /// holds.
     pub(crate) fn apply_endpoint_list(
         &mut self,
+        now: Tenths,
         list: &EndpointList,
         presumed_start: impl Fn(Tenths) -> Tenths,
     ) {
-        if list.kind != EndpointListKind::Cached {
-            self.endpoint_list_failures = 0;
-            self.endpoint_list_is_stale = false;
-        }
         if list.kind != EndpointListKind::Delta {
             self.remove_unlisted(list);
         }
-        let is_restarted = |endpoint: &&Endpoint| self.apply_endpoint(endpoint, &presumed_start);
+        let is_restarted = |endpoint: &&Endpoint| self.apply_endpoint(now, endpoint, &presumed_start);
         let restarted: Vec<&Endpoint> = list.entries.iter().filter(is_restarted).collect();
         for endpoint in restarted {
-            self.update_node(endpoint.node, Node::forget_process);
+            self.update(endpoint.node, Node::forget_process);
         }
-        self.has_endpoint_list |= list.kind != EndpointListKind::Cached;
     }
 
-    /// Takes in what the list says of a node; tells whether its process is another than the one known. Guards
-    /// against start times that go backward: a clock that was stepped gives a later process an earlier one.
-    fn apply_endpoint(&mut self, endpoint: &Endpoint, presumed_start: impl Fn(Tenths) -> Tenths) -> bool {
+    /// Takes in what the list says of a node; tells whether its process is another than the one known. Any
+    /// other start time means another process, also an earlier one: after a machine's clock was set back, a
+    /// later process has an earlier start time, and read as the old one it would keep that one's age and be
+    /// sent full load while cold.
+    fn apply_endpoint(
+        &mut self,
+        now: Tenths,
+        endpoint: &Endpoint,
+        presumed_start: impl Fn(Tenths) -> Tenths,
+    ) -> bool {
         self.nodes.entry(endpoint.node).or_default();
-        let (mut is_another, now) = (false, self.now);
-        self.update_node(endpoint.node, |node| {
+        let mut is_another = false;
+        self.update(endpoint.node, |node| {
             is_another = endpoint.started_at.is_some() && endpoint.started_at != node.listed_start;
             if is_another {
                 node.start_known_at = now;
@@ -139,12 +234,12 @@
         is_another
     }
 
-    /// What a snapshot does not name is removed.
+    /// What a list of all nodes does not name is removed.
     fn remove_unlisted(&mut self, list: &EndpointList) {
         let listed: BTreeSet<NodeId> = list.entries.iter().map(|endpoint| endpoint.node).collect();
         let unlisted: Vec<NodeId> = self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
         for id in unlisted {
-            self.update_node(id, |node| node.state = EndpointState::Removed);
+            self.update(id, |node| node.state = EndpointState::Removed);
         }
     }
 }
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -1,6 +1,6 @@
 //! State of one query and its shard requests.
 
-use super::attempt::{Attempt, Execution};
+use super::attempt::{Attempt, AttemptId, Execution};
 use crate::effective_config::{ClassPolicy, EffectiveConfig};
 use crate::ids::{AttemptNumber, ClassId, GroupId, NodeId, QueryId, ShardId, ShardRequestId};
 use crate::inputs::{NewQuery, NewShardRequest};
@@ -211,13 +211,18 @@
         self.shard_requests.iter().filter(|s| states.contains(&s.state)).map(|s| s.weight).sum()
     }
 
-    /// Its class as it was when the query was accepted, and as it is now. Guards against a change that nodes
-    /// know of already: what either forbids is not done.
-    pub(crate) fn policies<'a>(
-        &'a self,
-        current: Option<&'a Arc<ClassPolicy>>,
-    ) -> impl Iterator<Item = &'a ClassPolicy> {
-        std::iter::once(&self.policy).chain(current).map(|policy| &**policy)
+    /// Its attempts in flight that can be cancelled: a shard request whose response has begun to arrive keeps
+    /// its own.
+    pub(crate) fn cancellable_attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
+        let cancellable = self.shard_requests.iter().filter(|s| !s.response_started);
+        cancellable.flat_map(|shard_request| {
+            let attempts = shard_request.attempts.iter().enumerate();
+            let in_flight = attempts.filter(|(_, attempt)| attempt.execution == Execution::InFlight);
+            in_flight.map(|(number, _)| AttemptId {
+                shard_request: shard_request.id,
+                number: AttemptNumber(number as u16),
+            })
+        })
     }
 
     /// None of its attempts was executed, or can still be.
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -277,7 +277,8 @@
         }
     }
 
-    /// Ends the newest attempt that is out of a shard request, of all shard requests, or all that are out at `@node`.
+    /// Ends the newest attempt that is out of a shard request, of all shard requests, or all that are out at
+    /// `@node`.
     fn end(&mut self, which: &str, how: &str) {
         let end = match how {
             "succeeded" => AttemptOutcome::Succeeded,
