--- a/crates/routing/src/broker/attempt_ended.rs
+++ b/crates/routing/src/broker/attempt_ended.rs
@@ -131,16 +131,21 @@
         });
     }
 
-    /// Counts an attempt in flight that is silent on a reused connection, once. Whether reused connections
-    /// fail.
-    pub(super) fn record_unresponsive(&mut self, id: AttemptId) -> bool {
+    /// Counts an attempt in flight that is silent on a reused connection, once.
+    pub(super) fn record_unresponsive(&mut self, id: AttemptId) {
         let attempt = self.state.queries.in_flight.get_mut(&id);
-        let Some(attempt) = attempt.filter(|attempt| attempt.on_reused_connection()) else { return false };
+        let Some(attempt) = attempt.filter(|attempt| attempt.on_reused_connection()) else { return };
         let was_counted = std::mem::replace(&mut attempt.counted_unresponsive, true);
         if !was_counted {
             self.state.idle_connections.record_unresponsive(self.state.now);
         }
-        self.state.idle_connections.reused_connections_fail(self.state.now)
+    }
+
+    /// An attempt in flight was counted as silent on a reused connection, and such connections fail.
+    pub(super) fn is_connection_unresponsive(&self, id: AttemptId) -> bool {
+        let attempt = self.state.queries.in_flight.get(&id);
+        attempt.is_some_and(|attempt| attempt.counted_unresponsive)
+            && self.state.idle_connections.reused_connections_fail(self.state.now)
     }
 }
 
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -105,7 +105,13 @@
     }
 
     fn replace_if_lost(&mut self, query: &mut Query, index: usize, id: AttemptId) {
-        if !self.looks_lost(query, index, id) {
+        let attempt = self.silent_attempt(query, index, id);
+        if attempt.is_silent() {
+            self.record_unresponsive(id);
+        }
+        let other = self.choose_replica(query, index);
+        let conditions = self.replacement_conditions(query, index, id, other);
+        if !should_replace(&attempt, conditions) {
             self.poll(query.times.latency_objective, Timer::AttemptCheck(id));
             // The canary has had its time: the others no longer wait for it.
             if query.canary_in_flight {
@@ -119,25 +125,26 @@
         }
     }
 
-    /// Whether an attempt is to be replaced. An attempt that is silent on a reused connection is counted for
-    /// that.
-    fn looks_lost(&mut self, query: &Query, index: usize, id: AttemptId) -> bool {
-        let attempt = self.silent_attempt(query, index, id);
-        let is_connection_unresponsive = attempt.is_silent() && self.record_unresponsive(id);
-        let other = self.choose_replica(query, index);
-        let latencies = self.latencies();
+    /// The conditions under which an attempt is replaced by one at another replica.
+    fn replacement_conditions(
+        &self,
+        query: &Query,
+        index: usize,
+        id: AttemptId,
+        other: Option<NodeId>,
+    ) -> ReplacementConditions {
         let limits = &query.config.broker.limits;
-        let conditions = ReplacementConditions {
+        let latencies = self.latencies();
+        ReplacementConditions {
             allow_hedging: limits.allow_hedging,
             allow_cancel: limits.allow_cancel,
-            is_connection_unresponsive,
+            is_connection_unresponsive: self.is_connection_unresponsive(id),
             is_only_attempt: query.shard_requests[index].attempts_in_flight() == 1,
             may_retry: self.may_retry(query, index, true),
             has_retry_budget: self.has_retry_budget(),
             other_latency: other.map(|node| latencies.of(&self.state.nodes[node])),
             objective_at: query.times.objective_at,
-        };
-        should_replace(&attempt, conditions)
+        }
     }
 
     fn silent_attempt(&self, query: &Query, index: usize, id: AttemptId) -> SilentAttempt {
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -22,7 +22,7 @@
 #[rstest]
 #[case::enough(0.4, 0.4, true)]
 #[case::rounded(0.4, 0.39996, true)]
-#[case::too_little(0.4, 0.3999, false)]
+#[case::too_little(0.4, 0.39994, false)]
 fn a_response_covers_the_minimum(#[case] min_coverage: f64, #[case] weight: f64, #[case] expected: bool) {
     assert_eq!(covers_minimum(&query(class(min_coverage, 1.0), &[1.0]), weight), expected);
 }
--- a/crates/routing/src/policy/cutoff/tests.rs
+++ b/crates/routing/src/policy/cutoff/tests.rs
@@ -35,6 +35,23 @@
     assert_eq!(selected(&WEIGHTS, min_coverage, base), expected);
 }
 
+// The heaviest has rank 0, so its score is its weight at any base.
+#[rstest]
+#[case::at_the_least_score(0.0001, 2.0, true)]
+#[case::under_the_least_score(0.000099, 2.0, false)]
+#[case::anything_is_sent_while_calm(0.000001, 1.0, true)]
+fn the_least_score_is_a_ten_thousandth(#[case] weight: f64, #[case] base: f64, #[case] is_sent: bool) {
+    assert_eq!(!selected(&[weight], 0.0, base).is_empty(), is_sent);
+}
+
+// Ranks 0 and 1 at base 10: weights that differ by more than rounding don't share a rank.
+#[rstest]
+#[case::within_rounding(0.00049, 2)]
+#[case::beyond_rounding(0.0004, 1)]
+fn weights_within_rounding_share_a_rank(#[case] lighter: f64, #[case] expected: usize) {
+    assert_eq!(selected(&[0.0005, lighter], 0.0, 10.0).len(), expected);
+}
+
 /// With a rank each, most of a hundred equal shard requests would score too little as soon as the base passes
 /// 1.
 #[rstest]
