--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -74,9 +74,8 @@
         if self.is_query_of_death(query) {
             self.quarantine(query);
         }
-        let current_policy = self.config.classes.get(&query.class);
-        let mut policies = std::iter::once(&query.policy).chain(current_policy);
-        let is_idempotent = policies.all(|policy| policy.idempotency == Idempotency::Idempotent);
+        let is_idempotent =
+            self.binding_policies(query).all(|policy| policy.idempotency == Idempotency::Idempotent);
         let id = query.id;
         let effect = match ending(is_idempotent, query.was_never_executed(), query.in_second_phase) {
             Ending::Reject => self.rejection(id, query),
--- a/crates/routing/src/broker/select.rs
+++ b/crates/routing/src/broker/select.rs
@@ -3,35 +3,38 @@
 use super::Broker;
 use crate::effects::Effect;
 use crate::log_event::LogEvent;
-use crate::policy::coverage::WEIGHT_ROUNDING;
 use crate::policy::{cutoff, reach};
 use crate::state::{Query, ShardRequest, ShardRequestState};
 
 impl Broker {
-    /// Queues what the cutoff leaves, or the minimum coverage where the limit allows no more; while nodes
-    /// fail, a canary request first.
+    /// Queues what the cutoff leaves and the concurrency limit has room for; while nodes fail, a canary
+    /// request first.
     pub(crate) fn send(&mut self, query: &mut Query) {
         self.record_cutoff(query);
-        let in_flight = self.state.queries.in_flight.len();
-        let limit = self.state.concurrency_limit.shard_requests() as usize;
-        let is_first_send = query.shard_requests.iter().all(|s| s.attempts.is_empty());
-        let shard_requests = query.shard_requests.len();
-        query.canary_in_flight =
-            self.state.node_failures.wants_canary(self.state.now, is_first_send, shard_requests);
-        let mut sent = 0.0;
-        for (count, index) in self.select(query, query.min_coverage_only).into_iter().enumerate() {
-            let is_needed = !query.allows_partial() || sent + WEIGHT_ROUNDING < query.policy.min_coverage;
-            if !is_needed && in_flight + count >= limit {
-                continue;
-            }
-            sent += query.shard_requests[index].weight;
-            let is_held = query.canary_in_flight && count > 0;
-            if query.shard_requests[index].state == ShardRequestState::Unsent && !is_held {
+        query.canary_in_flight = self.wants_canary(query);
+        let selected = self.select(query, query.min_coverage_only);
+        let canary = selected.first().copied();
+        for index in self.limit_to_capacity(query, &selected) {
+            let is_unsent = query.shard_requests[index].state == ShardRequestState::Unsent;
+            let is_held = query.canary_in_flight && canary != Some(index);
+            if is_unsent && !is_held {
                 self.queue(query, index);
             }
         }
     }
 
+    fn wants_canary(&self, query: &Query) -> bool {
+        let is_first_send = query.shard_requests.iter().all(|s| s.attempts.is_empty());
+        let shard_requests = query.shard_requests.len();
+        self.state.node_failures.wants_canary(self.state.now, is_first_send, shard_requests)
+    }
+
+    fn limit_to_capacity(&self, query: &Query, selected: &[usize]) -> Vec<usize> {
+        let in_flight = self.state.queries.in_flight.len();
+        let limit = self.state.concurrency_limit.shard_requests() as usize;
+        cutoff::limit_to_capacity(query, selected, in_flight, limit)
+    }
+
     /// Queues a shard request to be sent at the end of this turn.
     pub(super) fn queue(&mut self, query: &mut Query, index: usize) {
         self.state.demand.record(self.state.now);
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -2,13 +2,14 @@
 //! another attempt.
 
 use super::Broker;
+use crate::effective_config::ClassPolicy;
 use crate::effects::Effect;
 use crate::ids::NodeId;
 use crate::policy::attempt_limit::AttemptLimit;
 use crate::policy::hedging::{
     NodeProgress, ReplacementConditions, SilentAttempt, hedge_delay, should_replace,
 };
-use crate::policy::idempotency::is_repeat_harmless;
+use crate::policy::idempotency::{self, is_repeat_harmless};
 use crate::policy::query_of_death::{RetryHold, is_query_of_death, retry_hold};
 use crate::state::{AttemptId, BatchedAttempt, InFlightAttempt, Query, QueryState};
 use crate::state::{ShardRequestState, Timer};
@@ -164,19 +165,23 @@
         }
     }
 
-    /// Whether another attempt of a shard request is harmless and within the limit of attempts. Its class's
-    /// idempotency counts as it was when the query was accepted and as it is now: nodes may know of a change
-    /// already, and what either forbids is not done. `is_hedge`: an attempt may still be in flight.
+    /// Whether another attempt of a shard request is harmless and within the limit of attempts. `is_hedge`:
+    /// an attempt may still be in flight.
     pub(super) fn may_retry(&self, query: &Query, index: usize, is_hedge: bool) -> bool {
         let shard_request = &query.shard_requests[index];
         let first_executed_at = shard_request.earliest_execution(is_hedge);
         let arrives_at = self.state.now + self.max_send_delay();
-        let current_policy = self.config.classes.get(&query.class);
-        let mut policies = std::iter::once(&query.policy).chain(current_policy);
+        let mut policies = self.binding_policies(query);
         self.attempt_limit(query).allows_another(shard_request.attempts_made())
             && policies.all(|policy| is_repeat_harmless(policy, first_executed_at, arrives_at))
     }
 
+    /// The policies of its class that bind a query.
+    pub(super) fn binding_policies<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = &'a ClassPolicy> {
+        let current = self.config.classes.get(&query.class).map(|policy| &**policy);
+        idempotency::binding_policies(&query.policy, current)
+    }
+
     fn attempt_limit(&self, query: &Query) -> AttemptLimit {
         let own_yield = query.policy.priority_weight / query.shard_requests.len() as f64;
         AttemptLimit {
--- a/crates/routing/src/policy/cutoff.rs
+++ b/crates/routing/src/policy/cutoff.rs
@@ -66,6 +66,27 @@
     keep_min_coverage(query, candidates)
 }
 
+/// What is sent of the selected shard requests while `in_flight` are in flight under a limit of `limit`: all
+/// that the minimum coverage needs, and beyond it only as many as the limit has room for. A query that takes
+/// no partial responses needs all of them.
+pub(crate) fn limit_to_capacity(
+    query: &Query,
+    selected: &[usize],
+    in_flight: usize,
+    limit: usize,
+) -> Vec<usize> {
+    let mut covered = 0.0;
+    let mut sent = Vec::with_capacity(selected.len());
+    for (position, index) in selected.iter().copied().enumerate() {
+        let is_needed = !query.allows_partial() || covered + WEIGHT_ROUNDING < query.policy.min_coverage;
+        if is_needed || in_flight + position < limit {
+            covered += query.shard_requests[index].weight;
+            sent.push(index);
+        }
+    }
+    sent
+}
+
 /// The shard requests that have not failed, by index, with their scores. Those of equal weight share a rank:
 /// with a rank each, many equal ones would fall below the least score as soon as the base passes 1.
 fn score_shard_requests(query: &Query, base: f64) -> Vec<(usize, f64)> {
--- a/crates/routing/src/policy/cutoff/tests.rs
+++ b/crates/routing/src/policy/cutoff/tests.rs
@@ -1,6 +1,6 @@
 //! Rank-S: scores, the base, and what is selected.
 
-use super::{base, is_active, select_shard_requests};
+use super::{base, is_active, limit_to_capacity, select_shard_requests};
 use crate::policy::test_queries::{class, query, with_states};
 use crate::state::ShardRequestState::{Failed, Unsent};
 use rstest::rstest;
@@ -80,3 +80,20 @@
     let query = with_states(query(class(0.0, 1.0), &WEIGHTS), &[Unsent, Failed, Unsent, Unsent, Unsent]);
     assert_eq!(select_shard_requests(&query, 10.0, false, |_| false), [0, 2]);
 }
+
+// Weights 0.5, 0.3, 0.2 with 10 in flight.
+#[rstest]
+#[case::room_for_all(0.5, 13, &[0, 1, 2])]
+#[case::room_for_two(0.5, 12, &[0, 1])]
+#[case::only_what_is_needed(0.5, 10, &[0])]
+#[case::needs_two(0.6, 10, &[0, 1])]
+#[case::needs_all(1.0, 10, &[0, 1, 2])]
+#[case::needs_nothing(0.0, 10, &[])]
+fn beyond_the_minimum_coverage_the_limit_decides(
+    #[case] min_coverage: f64,
+    #[case] limit: usize,
+    #[case] expected: &[usize],
+) {
+    let query = query(class(min_coverage, 1.0), &[0.5, 0.3, 0.2]);
+    assert_eq!(limit_to_capacity(&query, &[0, 1, 2], 10, limit), expected);
+}
--- a/crates/routing/src/policy/idempotency.rs
+++ b/crates/routing/src/policy/idempotency.rs
@@ -7,6 +7,16 @@
 #[cfg(test)]
 mod tests;
 
+/// The policies of its class that bind a query: as it was when the query was accepted, and as it is now
+/// (none: the class was removed). Nodes may know of a change already, so what either of the two forbids is
+/// not done.
+pub(crate) fn binding_policies<'a>(
+    accepted: &'a ClassPolicy,
+    current: Option<&'a ClassPolicy>,
+) -> impl Iterator<Item = &'a ClassPolicy> {
+    std::iter::once(accepted).chain(current)
+}
+
 /// Whether another attempt is harmless. `first_executed_at` is when the first attempt was sent that was
 /// executed, or may be (none: no attempt was); `arrives_at` is when the new attempt reaches its node at the
 /// latest.
