--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -1,14 +1,41 @@
-//! The rate of shard requests that is admitted while overloaded: multiplicative decrease, and an increase
-//! that is slower once the rate is back where it was lowered.
+//! The rate of shard requests that is admitted while overloaded: multiplicative increase and decrease, and a
+//! slower increase past the rate at which losses were last seen (as congestion control slows down at its
+//! last peak; Jacobson, 'Congestion Avoidance and Control', 1988).
+//!
+//! The rate shows in the log line of [`ModeChange`](crate::mode_change::ModeChange) and as
+//! [`AdmissionController::rate`](crate::AdmissionController::rate).
 
-use crate::mode::STEPS_PER_WINDOW;
+use crate::window::{STEPS_PER_WINDOW, seconds};
 use routing::Tenths;
 
+/// After a decrease, losses count as those of the rate before it for this share of the window: an attempt
+/// that finds a long queue times out late.
+const DECREASE_HOLD_RATIO: f64 = 0.5;
+
+/// The lowest rate, in shard requests a second: in one window as many as make one loss the configured level
+/// (a share, 0 to 1).
+///
+/// Without a lowest rate, a rate that is decreased in every step falls to nothing. Nothing is admitted then,
+/// so nothing can succeed, and no step finds losses below the level again. The cost is that overloaded nodes
+/// get this rate however long the overload lasts.
+pub(crate) fn min_rate(level: f64, window: Tenths) -> f64 {
+    1.0 / level / seconds(window)
+}
+
+/// The rate at which the limit starts, in shard requests a second: what the nodes have served, and `min_rate`
+/// at the least.
+///
+/// A rate that started higher and followed losses alone would overshoot: losses show late, and until they do
+/// it would add to the queues that cause them.
+pub(crate) fn initial_rate(served_per_second: f64, min_rate: f64) -> f64 {
+    min_rate.max(served_per_second)
+}
+
 /// The admitted rate, in shard requests a second; 0 while all are admitted.
 #[derive(Debug, Default)]
 pub(crate) struct AdaptiveRate {
     per_second: f64,
-    /// The rate before it was last lowered.
+    /// The rate before it was last decreased, or the initial one.
     before_decrease: f64,
     decreased_at: Tenths,
 }
@@ -31,21 +58,24 @@
         self.per_second = 0.0;
     }
 
-    /// The time since the rate was last lowered.
-    pub fn time_since_decrease(&self, now: Tenths) -> Tenths {
-        now - self.decreased_at
+    /// Whether the rate may be decreased: the effect of the last decrease, or of the start, has had time to
+    /// show. Otherwise losses of what was admitted before a decrease would be answered by decrease after
+    /// decrease, down to the lowest rate.
+    pub fn may_decrease(&self, now: Tenths, window: Tenths) -> bool {
+        now - self.decreased_at >= window.times(DECREASE_HOLD_RATIO)
     }
 
-    /// Lowers the rate by a factor, to `min_per_second` at the least.
+    /// Multiplies the rate by `factor` (0 to 1), to `min_per_second` at the least.
     pub fn decrease(&mut self, now: Tenths, factor: f64, min_per_second: f64) {
         self.before_decrease = self.per_second;
         self.per_second = min_per_second.max(self.per_second * factor);
         self.decreased_at = now;
     }
 
-    /// Raises the rate by the ratio each step up to where it was last lowered, and past that by the ratio
-    /// each window. Guards against a rate that overshoots because losses show late: past its last peak it was
-    /// too high before.
+    /// Raises the rate by `ratio` in each step up to the rate before the last decrease, and past that by the
+    /// same ratio of it in each window. That rate was too high when it was last reached; as losses show late,
+    /// a rate that passed it at full speed would overshoot. The cost is a slow return where the overload's
+    /// cause is gone.
     pub fn increase(&mut self, ratio: f64) {
         if self.per_second < self.before_decrease {
             self.per_second = (self.per_second * (1.0 + ratio)).min(self.before_decrease);
@@ -54,3 +84,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -1,46 +1,54 @@
-//! The controller: follows the load by steps, and decides on each offered query.
+//! The controller: follows the load in steps, and decides on each offered query. It gathers the inputs of the
+//! rules, calls them in order, and records what they decide; each rule stands in a file of its own.
+//!
+//! Each step (a tenth of the window):
+//! 1. [`overload_detection`](crate::overload_detection): is there overload?
+//! 2. [`mode`](crate::mode): the next mode, and how the admitted rate changes.
+//! 3. [`adaptive_rate`](crate::adaptive_rate): the rate.
+//! 4. [`fair_share`](crate::fair_share): each tenant's share of it.
+//!
+//! Each query, while overloaded:
+//! 1. [`retry_budget`](crate::retry_budget): is its tenant's budget for retries spent?
+//! 2. [`quota`](crate::quota): is it within its tenant's share?
+//! 3. [`retry_after`](crate::retry_after): when may a rejected one come back?
 
-use crate::adaptive_rate::AdaptiveRate;
+use crate::adaptive_rate::{AdaptiveRate, initial_rate, min_rate};
 use crate::config::{AdmissionConfig, InvalidValue};
+use crate::decision::{Decision, DecisionCounts};
 use crate::fair_share::{max_min_shares, tenant_weight};
+use crate::filtered_turn::{FilteredTurn, TurnDecisions};
 use crate::load_statistics::LoadStatistics;
-use crate::mode::{DECREASE_HOLD_RATIO, Finding, Mode, STEPS_PER_WINDOW, find_step};
-use crate::offered_query::OfferedQuery;
-use crate::rules::{Decision, DecisionCounts, find_rule};
+use crate::mode::{Mode, RateChange, StepInputs, has_headroom, next_step};
+use crate::mode_change::ModeChange;
+use crate::offered_query::{OfferedQuery, offered_queries};
+use crate::overload_detection::is_overloaded;
+use crate::quota::{QuotaDecision, QuotaInputs, check_quota};
+use crate::retry_after::retry_after;
+use crate::retry_budget::RetryBudget;
 use crate::tenants::{TenantTable, TenantUsage};
-use routing::{BrokerConfig, Effect, GroupId, Input, NewQuery, QueryId, TenantId, Tenths};
-use std::collections::BTreeSet;
+use crate::window::{STEPS_PER_WINDOW, observed_seconds, step_length};
+use routing::{BrokerConfig, ClassId, Effect, Input, TenantId, Tenths};
 
 /// Admission control in front of one broker.
 pub struct AdmissionController {
-    pub(crate) config: AdmissionConfig,
-    pub(crate) broker_config: BrokerConfig,
-    pub(crate) now: Tenths,
-    pub(crate) rate: AdaptiveRate,
-    pub(crate) load: LoadStatistics,
-    pub(crate) tenants: TenantTable,
+    config: AdmissionConfig,
+    broker_config: BrokerConfig,
+    now: Tenths,
     mode: Mode,
+    rate: AdaptiveRate,
+    load: LoadStatistics,
+    tenants: TenantTable,
     decision_counts: DecisionCounts,
     /// When the first inputs came.
     started_at: Option<Tenths>,
     last_step_at: Tenths,
 }
 
-/// What the controller makes of a turn's inputs.
-#[derive(Clone, Debug, Default)]
-pub struct FilteredTurn {
-    /// What the broker gets: all inputs but rejected queries and what belongs to them.
-    pub inputs: Vec<Input>,
-    /// What is done at once: a log line where the mode changed, then rejections.
-    pub effects: Vec<Effect>,
-}
-
-/// What was decided on the queries of a turn that are not simply admitted.
-#[derive(Default)]
-struct TurnDecisions {
-    rejected: BTreeSet<QueryId>,
-    rejected_groups: BTreeSet<GroupId>,
-    at_min_coverage: BTreeSet<QueryId>,
+/// What all steps of a turn are judged by.
+#[derive(Clone, Copy)]
+struct ObservedLoad {
+    is_overloaded: bool,
+    requested_per_second: f64,
 }
 
 impl AdmissionController {
@@ -56,10 +64,10 @@
         Ok(AdmissionController {
             broker_config: broker_config.clone(),
             now: Tenths::ZERO,
+            mode: Mode::Normal,
             rate: AdaptiveRate::default(),
             load: LoadStatistics::new(config.window),
             tenants: TenantTable::new(config.window, config.max_tenants as usize),
-            mode: Mode::Normal,
             decision_counts: DecisionCounts::default(),
             started_at: None,
             last_step_at: Tenths::ZERO,
@@ -67,7 +75,7 @@
         })
     }
 
-    /// Whether all queries are admitted, or a rate.
+    /// Whether all queries are admitted, or a limited rate.
     pub fn mode(&self) -> Mode {
         self.mode
     }
@@ -82,113 +90,113 @@
         self.decision_counts
     }
 
-    /// Sees a turn's inputs before the broker does, and decides on the queries among them.
+    /// Handles a turn's inputs before the broker does: counts what ended, takes the steps that are due, and
+    /// decides on the queries.
     pub fn filter_inputs(&mut self, now: Tenths, inputs: &[Input]) -> FilteredTurn {
-        self.now = now;
-        if self.started_at.is_none_or(|started_at| started_at > now) {
-            self.started_at = Some(now);
-            self.last_step_at = now;
-        }
-        let offered = self.read_inputs(inputs);
-        let mut effects = Vec::from_iter(self.advance_steps());
-        let decisions = self.decide_all(&offered, &mut effects);
+        self.set_time(now);
+        self.read_inputs(inputs);
+        let mode_change = self.advance_steps();
+        let mut effects = Vec::from_iter(mode_change.map(|change| Effect::Say(change.to_string())));
+        let decisions = self.decide_all(&offered_queries(inputs), &mut effects);
         let inputs = inputs.iter().filter_map(|input| decisions.filter_input(input)).collect();
         FilteredTurn { inputs, effects }
     }
 
-    /// Sees what the broker did: its rejections count as overload.
+    /// Counts what the broker did in the same turn: its rejections count as overload.
     pub fn record_effects(&mut self, effects: &[Effect]) {
         self.load.record_effects(self.now, effects);
     }
 
-    /// Counts what ended, takes over a new configuration, and collects the queries with their shard requests.
-    fn read_inputs(&mut self, inputs: &[Input]) -> Vec<OfferedQuery> {
-        let mut offered: Vec<OfferedQuery> = Vec::new();
+    /// A clock that was set back starts the observation anew, from the time that it tells.
+    fn set_time(&mut self, now: Tenths) {
+        self.now = now;
+        if self.started_at.is_none_or(|started_at| started_at > now) {
+            self.started_at = Some(now);
+            self.last_step_at = now;
+        }
+    }
+
+    /// Counts the attempts that ended, and takes over a new configuration.
+    fn read_inputs(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
                 Input::AttemptEnded(result) => self.load.record_result(self.now, result),
                 Input::Config(broker_config) => self.broker_config = (**broker_config).clone(),
-                Input::Query(query) => offered.push(OfferedQuery::new(query)),
-                Input::ShardRequest(shard_request) => {
-                    let mut newest_first = offered.iter_mut().rev();
-                    if let Some(query) = newest_first.find(|query| query.group == shard_request.group) {
-                        query.shard_requests += 1;
-                    }
-                }
                 _ => {}
             }
         }
-        offered
     }
 
     // ---- steps
 
-    /// Takes each step that has passed since the last, a window's at most; a log line where the mode changed.
-    fn advance_steps(&mut self) -> Option<Effect> {
-        let step_length = Tenths((self.config.window.0 / STEPS_PER_WINDOW).max(1));
+    /// Takes each step that has passed since the last, a window's at most.
+    fn advance_steps(&mut self) -> Option<ModeChange> {
+        let step_length = step_length(self.config.window);
         let steps = ((self.now - self.last_step_at).0 / step_length.0).min(STEPS_PER_WINDOW);
         if steps == 0 {
             return None;
         }
         self.last_step_at = self.now;
         let previous_mode = self.mode;
+        let observed = self.observe_load();
         for _ in 0..steps {
-            self.take_step();
+            self.take_step(observed);
         }
         self.tenants.forget_idle(self.now);
         if self.mode == Mode::Overloaded {
             self.share_rate();
         }
-        self.describe_change(previous_mode).map(Effect::Say)
+        ModeChange::between(previous_mode, self.mode, self.rate.per_second())
     }
 
-    fn take_step(&mut self) {
-        let is_above = self.load.is_above(self.config.level, self.now);
-        let finding = if is_above { Finding::AboveLevel } else { Finding::BelowLevel };
-        if let Some(step) = find_step(self, finding) {
-            self.mode = step.next;
-            (step.action)(self);
+    fn observe_load(&self) -> ObservedLoad {
+        ObservedLoad {
+            is_overloaded: is_overloaded(&self.load.overload_inputs(self.now), self.config.overload_level),
+            requested_per_second: self.tenants.requested(self.now) / self.observed_s(),
         }
     }
 
-    fn share_rate(&mut self) {
-        let weight = |tenant| tenant_weight(&self.broker_config, tenant);
-        let demands = self.tenants.demands(self.now, self.observed_s(), weight);
-        let shares = max_min_shares(self.rate.per_second(), self.config.increase, demands);
-        self.tenants.set_shares(shares);
+    fn take_step(&mut self, observed: ObservedLoad) {
+        let admitted_per_second = self.rate.per_second();
+        let requested_per_second = observed.requested_per_second;
+        let min_headroom = self.config.recovery_headroom;
+        let inputs = StepInputs {
+            is_overloaded: observed.is_overloaded,
+            may_decrease: self.rate.may_decrease(self.now, self.config.window),
+            has_headroom: has_headroom(admitted_per_second, requested_per_second, min_headroom),
+        };
+        let step = next_step(self.mode, &inputs);
+        self.mode = step.next;
+        self.change_rate(step.rate_change);
     }
 
-    fn describe_change(&self, previous_mode: Mode) -> Option<String> {
-        match (previous_mode, self.mode) {
-            (Mode::Normal, Mode::Overloaded) => {
-                let rate = self.rate.per_second();
-                Some(format!("admission overloaded: {rate:.0} shard requests a second admitted"))
+    fn change_rate(&mut self, rate_change: RateChange) {
+        let min_rate = min_rate(self.config.overload_level, self.config.window);
+        match rate_change {
+            RateChange::Keep => {}
+            RateChange::Start => {
+                let served_per_second = self.load.served(self.now) / self.observed_s();
+                self.rate.start(self.now, initial_rate(served_per_second, min_rate));
+                self.tenants.refill_buckets();
             }
-            (Mode::Overloaded, Mode::Normal) => Some("admission normal: all admitted again".to_owned()),
-            _ => None,
+            RateChange::Decrease => self.rate.decrease(self.now, self.config.decrease_factor, min_rate),
+            RateChange::Increase => self.rate.increase(self.config.increase_ratio),
+            RateChange::Stop => self.rate.stop(),
         }
     }
 
-    /// Guards against a rate that falls to nothing while every step is above the level: one that admits
-    /// nothing can never find itself below. As many shard requests a window as make one loss the level.
-    pub(crate) fn min_rate(&self) -> f64 {
-        1.0 / self.config.level / self.window_s()
-    }
-
-    /// Shard requests a second that all tenants request.
-    pub(crate) fn requested_per_second(&self) -> f64 {
-        self.tenants.requested(self.now) / self.observed_s()
+    fn share_rate(&mut self) {
+        let weight = |tenant| tenant_weight(&self.broker_config, tenant);
+        let demands = self.tenants.demands(self.now, self.observed_s(), weight);
+        // A tenant's demand may grow as fast as the rate itself does.
+        let headroom = self.config.increase_ratio;
+        let shares = max_min_shares(self.rate.per_second(), headroom, demands);
+        self.tenants.set_shares(shares);
     }
 
-    /// Seconds of the window that the controller has seen: one that began lately has counted less.
-    pub(crate) fn observed_s(&self) -> f64 {
+    fn observed_s(&self) -> f64 {
         let since_start = self.started_at.map_or(Tenths::ZERO, |started_at| self.now - started_at);
-        let observed_s = since_start.min(self.config.window).as_ms() / 1000.0;
-        observed_s.max(self.window_s() / STEPS_PER_WINDOW as f64)
-    }
-
-    fn window_s(&self) -> f64 {
-        self.config.window.as_ms() / 1000.0
+        observed_seconds(since_start, self.config.window)
     }
 
     // ---- queries
@@ -196,59 +204,85 @@
     fn decide_all(&mut self, offered: &[OfferedQuery], effects: &mut Vec<Effect>) -> TurnDecisions {
         let mut decisions = TurnDecisions::default();
         for query in offered {
-            let decision = self.decide(query);
-            if decision.is_rejection() {
-                decisions.rejected.insert(query.id);
-                decisions.rejected_groups.insert(query.group);
-                effects.push(Effect::Reject { query: query.id, retry_after: self.retry_after() });
-            } else if decision == Decision::AdmitAtMinCoverage {
-                decisions.at_min_coverage.insert(query.id);
+            match self.decide(query) {
+                Decision::Admit => {}
+                Decision::AdmitAtMinCoverage => decisions.limit_to_min_coverage(query.id),
+                Decision::RejectRetryBudget | Decision::RejectQuota => {
+                    decisions.reject(query.id, query.group);
+                    let retry_after = retry_after(self.config.window, &self.broker_config.limits);
+                    effects.push(Effect::Reject { query: query.id, retry_after });
+                }
             }
         }
         decisions
     }
 
     fn decide(&mut self, query: &OfferedQuery) -> Decision {
-        let query = &OfferedQuery { tenant: self.tenants.counted_as(query.tenant), ..*query };
-        let shard_requests = f64::from(query.shard_requests);
+        let tenant = self.tenants.counted_as(query.tenant);
         let (now, window) = (self.now, self.config.window);
-        self.tenant(query.tenant).record_requested(now, window, shard_requests);
-        // The last row of each mode holds always.
-        let Some(rule) = find_rule(self, query) else { return Decision::Admit };
-        (rule.action)(self, query);
-        self.decision_counts.record(rule.decision);
-        if !rule.decision.is_rejection() {
-            self.load.record_admitted(now, shard_requests);
+        self.tenant(tenant).record_requested(now, window, f64::from(query.shard_requests));
+        let decision = match self.mode {
+            Mode::Normal => Decision::Admit,
+            Mode::Overloaded => self.decide_overloaded(tenant, query),
+        };
+        self.record_decision(tenant, query, decision);
+        decision
+    }
+
+    /// The rules of overloaded mode, in their order.
+    fn decide_overloaded(&mut self, tenant: TenantId, query: &OfferedQuery) -> Decision {
+        let (now, window, burst) = (self.now, self.config.window, self.config.burst);
+        let admitted_attempts = self.tenant(tenant).admitted_attempts(now, window);
+        if query.is_retry() && self.retry_budget().is_exceeded(admitted_attempts) {
+            return Decision::RejectRetryBudget;
+        }
+        self.tenant(tenant).fill_bucket(now, burst);
+        match check_quota(&self.quota_inputs(tenant, query)) {
+            QuotaDecision::WithinQuota => {
+                self.tenant(tenant).take_tokens(f64::from(query.shard_requests));
+                Decision::Admit
+            }
+            QuotaDecision::Exempt => Decision::Admit,
+            QuotaDecision::MinCoverageOnly => Decision::AdmitAtMinCoverage,
+            QuotaDecision::Reject => Decision::RejectQuota,
         }
-        rule.decision
     }
 
-    pub(crate) fn tenant(&mut self, tenant: TenantId) -> &mut TenantUsage {
-        self.tenants.get_or_insert(tenant, self.now, self.rate.per_second())
+    fn retry_budget(&self) -> RetryBudget {
+        RetryBudget { ratio: self.config.retry_ratio, min_retries: self.config.min_retries }
     }
 
-    /// When a retry may find its budget again: after the time in which the effect of a decrease shows; zero
-    /// where the configuration does not let clients be sent a time.
-    fn retry_after(&self) -> Tenths {
-        let limits = &self.broker_config.limits;
-        if !limits.retry_after {
-            return Tenths::ZERO;
+    fn quota_inputs(&mut self, tenant: TenantId, query: &OfferedQuery) -> QuotaInputs {
+        let burst = self.config.burst;
+        let usage = self.tenant(tenant);
+        let is_limited = usage.is_limited;
+        let bucket_covers = usage.bucket_covers(f64::from(query.shard_requests), burst);
+        QuotaInputs {
+            is_limited,
+            bucket_covers,
+            allows_partial: self.allows_partial(query.class),
+            has_other_tenants: self.tenants.has_others(tenant, self.now),
+            is_enforced: self.config.enforce_quotas,
         }
-        self.config.window.times(DECREASE_HOLD_RATIO).min(limits.max_retry_after).max(Tenths(1))
     }
-}
 
-impl TurnDecisions {
-    /// The input as the broker gets it; none where it belongs to a rejected query.
-    fn filter_input(&self, input: &Input) -> Option<Input> {
-        match input {
-            Input::Query(query) if self.rejected.contains(&query.id) => None,
-            Input::Query(query) if self.at_min_coverage.contains(&query.id) => {
-                Some(Input::Query(NewQuery { min_coverage_only: true, ..query.clone() }))
-            }
-            Input::ShardRequest(shard_request) if self.rejected_groups.contains(&shard_request.group) => None,
-            Input::ClientLeft(query) if self.rejected.contains(query) => None,
-            _ => Some(input.clone()),
+    /// Whether queries of the class may be answered with less than complete coverage.
+    fn allows_partial(&self, class: ClassId) -> bool {
+        let class = self.broker_config.classes.get(&class);
+        class.is_some_and(|class| class.min_coverage < class.complete_coverage)
+    }
+
+    fn record_decision(&mut self, tenant: TenantId, query: &OfferedQuery, decision: Decision) {
+        self.decision_counts.record(decision);
+        if decision.is_rejection() {
+            return;
         }
+        let (now, window) = (self.now, self.config.window);
+        self.tenant(tenant).record_admitted(now, window, query.is_retry());
+        self.load.record_admitted(now, f64::from(query.shard_requests));
+    }
+
+    fn tenant(&mut self, tenant: TenantId) -> &mut TenantUsage {
+        self.tenants.get_or_insert(tenant, self.now, self.rate.per_second())
     }
 }
--- /dev/null
+++ b/crates/admission-control/src/decision/tests.rs
@@ -0,0 +1,28 @@
+//! Decisions and their counts.
+
+use super::{Decision, DecisionCounts};
+use rstest::rstest;
+
+#[rstest]
+#[case(Decision::Admit, false, DecisionCounts { admitted: 1, ..DecisionCounts::default() })]
+#[case(
+    Decision::AdmitAtMinCoverage,
+    false,
+    DecisionCounts { admitted_at_min_coverage: 1, ..DecisionCounts::default() }
+)]
+#[case(
+    Decision::RejectRetryBudget,
+    true,
+    DecisionCounts { rejected_by_retry_budget: 1, ..DecisionCounts::default() }
+)]
+#[case(Decision::RejectQuota, true, DecisionCounts { rejected_by_quota: 1, ..DecisionCounts::default() })]
+fn each_decision_has_a_count_of_its_own(
+    #[case] decision: Decision,
+    #[case] is_rejection: bool,
+    #[case] expected: DecisionCounts,
+) {
+    let mut counts = DecisionCounts::default();
+    counts.record(decision);
+    assert_eq!(counts, expected);
+    assert_eq!(decision.is_rejection(), is_rejection);
+}
--- /dev/null
+++ b/crates/admission-control/src/fair_share/tests.rs
@@ -0,0 +1,62 @@
+//! How a rate is shared.
+
+use super::{Demand, max_min_shares, tenant_weight};
+use routing::{BrokerConfig, Tenant, TenantId};
+use rstest::rstest;
+
+fn demand(tenant: u32, per_second: f64, weight: f64) -> Demand {
+    Demand { tenant: TenantId(tenant), per_second, weight }
+}
+
+/// The shares by tenant, and who is limited.
+fn shares(per_second: f64, headroom: f64, demands: Vec<Demand>) -> Vec<(u32, f64, bool)> {
+    let mut shares: Vec<(u32, f64, bool)> = max_min_shares(per_second, headroom, demands)
+        .into_iter()
+        .map(|share| (share.tenant.0, share.per_second, share.is_limited))
+        .collect();
+    shares.sort_by_key(|(tenant, ..)| *tenant);
+    shares
+}
+
+/// One tenant storms: the quiet ones get what they request, the storming one what is left.
+#[rstest]
+fn quiet_tenants_are_served_before_the_largest() {
+    let demands = vec![demand(0, 1000.0, 1.0), demand(1, 10.0, 1.0), demand(2, 20.0, 1.0)];
+    assert_eq!(shares(100.0, 0.0, demands), [(0, 70.0, true), (1, 10.0, false), (2, 20.0, false)]);
+}
+
+#[rstest]
+fn tenants_that_all_request_more_get_even_shares() {
+    let demands = vec![demand(0, 1000.0, 1.0), demand(1, 500.0, 1.0)];
+    assert_eq!(shares(100.0, 0.0, demands), [(0, 50.0, true), (1, 50.0, true)]);
+}
+
+#[rstest]
+fn weights_divide_what_is_left() {
+    let demands = vec![demand(0, 1000.0, 3.0), demand(1, 1000.0, 1.0), demand(2, 20.0, 4.0)];
+    assert_eq!(shares(100.0, 0.0, demands), [(0, 60.0, true), (1, 20.0, true), (2, 20.0, false)]);
+}
+
+/// With a share of just its demand, a tenant whose demand grows would be limited at once.
+#[rstest]
+fn a_quiet_tenant_gets_headroom() {
+    let demands = vec![demand(0, 1000.0, 1.0), demand(1, 10.0, 1.0)];
+    assert_eq!(shares(100.0, 0.5, demands), [(0, 85.0, true), (1, 15.0, false)]);
+}
+
+#[rstest]
+#[case(&[], 0, 1.0)]
+#[case(&[4.0, 2.0], 0, 4.0)]
+#[case(&[4.0, 2.0], 7, 3.0)]
+#[case(&[0.0], 0, f64::MIN_POSITIVE)]
+fn a_weight_is_the_quota_or_the_mean_of_quotas(
+    #[case] quotas: &[f64],
+    #[case] tenant: u32,
+    #[case] expected: f64,
+) {
+    let mut config = BrokerConfig::default();
+    for (tenant, quota) in quotas.iter().enumerate() {
+        config.tenants.insert(TenantId(tenant as u32), Tenant { quota_per_s: *quota });
+    }
+    assert_eq!(tenant_weight(&config, TenantId(tenant)), expected);
+}
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -12,8 +12,10 @@
 //! tenants by max-min fairness, each with a token bucket, and retries have a budget by tenant.
 //! `docs/admission.md` gives the reasons.
 //!
-//! Read `mode.rs` (the table of modes) and `rules.rs` (the table of decisions) first; `controller.rs` is the
-//! loop that reads both.
+//! Each rule stands in a file of its name, as a function or a plain type whose arguments are all that it
+//! reads: `overload_detection`, `mode` (the table of modes), `adaptive_rate`, `fair_share`, `retry_budget`,
+//! `quota`, `retry_after`. The state that they read is counted in `load_statistics`, `tenants` and
+//! `token_bucket`. `controller` gathers their inputs and calls them; it is the place to start reading.
 //!
 //! ```
 //! use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
@@ -36,16 +38,24 @@
 mod admitted_broker;
 mod config;
 mod controller;
+mod decision;
 mod fair_share;
+mod filtered_turn;
 mod load_statistics;
 mod mode;
+mod mode_change;
 mod offered_query;
-mod rules;
+mod overload_detection;
+mod quota;
+mod retry_after;
+mod retry_budget;
 mod tenants;
 mod token_bucket;
+mod window;
 
 pub use admitted_broker::AdmittedBroker;
 pub use config::{AdmissionConfig, InvalidValue};
-pub use controller::{AdmissionController, FilteredTurn};
+pub use controller::AdmissionController;
+pub use decision::{Decision, DecisionCounts};
+pub use filtered_turn::FilteredTurn;
 pub use mode::Mode;
-pub use rules::{Decision, DecisionCounts};
--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -1,29 +1,31 @@
-//! What the nodes and the broker did of late: losses, rejections, and the shard requests that were served.
+//! Counts of what the nodes and the broker did within the window: losses, rejections, and the shard requests
+//! that were served. Counts only; what they mean is decided elsewhere.
 
-use crate::mode::Window;
+use crate::overload_detection::OverloadInputs;
+use crate::window::Window;
 use routing::{AttemptOutcome, AttemptResult, Effect, Tenths};
 
-/// The loss ratio is judged over this share of the window: what the last steps found, not the whole window's
-/// past.
+/// Losses are counted over this share of the window, so that a step is judged by what has just happened and
+/// not by what an earlier decrease has already answered.
 const LOSS_WINDOW_RATIO: f64 = 0.2;
 
 /// Counters of load over a sliding window.
 pub(crate) struct LoadStatistics {
     window: Tenths,
-    /// Attempts lost to overloaded nodes (`harmed`), of all attempts that ended and count (`all`).
+    /// Attempts lost to overload (`marked`), of all attempts that ended and tell of load (`total`).
     losses: Window,
-    /// Queries that the broker rejected (`harmed`).
+    /// Queries that the broker rejected (`marked`).
     broker_rejections: Window,
-    /// Shard requests admitted (`all`).
+    /// Shard requests admitted (`total`).
     admitted: Window,
-    /// Attempts that the broker sent (`all`).
+    /// Attempts that the broker sent (`total`).
     sent: Window,
-    /// Attempts that succeeded (`all`).
+    /// Attempts that succeeded (`total`).
     succeeded: Window,
 }
 
 impl LoadStatistics {
-    /// Nothing counted yet.
+    /// Counters that have counted nothing.
     pub fn new(window: Tenths) -> LoadStatistics {
         LoadStatistics {
             window,
@@ -59,18 +61,20 @@
         self.admitted.count(now, self.window, 0.0, shard_requests);
     }
 
-    /// Whether the loss ratio, or the broker's rejections for each admitted shard request, exceed the level;
-    /// out of as many as make one of them the level, where fewer were counted.
-    pub fn is_above(&self, level: f64, now: Tenths) -> bool {
-        let min_count = 1.0 / level;
-        let loss_ratio = self.losses.share(now, self.loss_window(), min_count);
-        let rejected = self.broker_rejections.sums(now, self.window).marked;
-        let admitted = self.admitted.sums(now, self.window).total;
-        loss_ratio > level || rejected / admitted.max(min_count) > level
+    /// The counts by which overload is judged.
+    pub fn overload_inputs(&self, now: Tenths) -> OverloadInputs {
+        let losses = self.losses.sums(now, self.loss_window());
+        OverloadInputs {
+            lost_attempts: losses.marked,
+            ended_attempts: losses.total,
+            rejected_queries: self.broker_rejections.sums(now, self.window).marked,
+            admitted_shard_requests: self.admitted.sums(now, self.window).total,
+        }
     }
 
     /// Admitted shard requests that the nodes served within the window: the attempts that succeeded, times
-    /// the shard requests admitted for each attempt sent.
+    /// the shard requests admitted for each attempt sent. Under the broker's cutoff fewer attempts are sent
+    /// than shard requests are admitted.
     pub fn served(&self, now: Tenths) -> f64 {
         let succeeded = self.succeeded.sums(now, self.window).total;
         let sent = self.sent.sums(now, self.window).total;
@@ -82,3 +86,6 @@
         self.window.times(LOSS_WINDOW_RATIO)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/admission-control/src/load_statistics/tests.rs
@@ -0,0 +1,85 @@
+//! What is counted as load, and over which span.
+
+use super::LoadStatistics;
+use routing::{
+    AttemptNumber, AttemptOutcome, AttemptResult, Effect, NodeId, QueryId, ShardRequestId, Tenths,
+};
+use rstest::rstest;
+
+const WINDOW: Tenths = Tenths(50_000);
+
+fn result(outcome: AttemptOutcome) -> AttemptResult {
+    AttemptResult {
+        shard_request: ShardRequestId(1),
+        attempt: AttemptNumber(0),
+        node: NodeId(1),
+        outcome,
+        duration: Tenths(100),
+    }
+}
+
+fn send() -> Effect {
+    Effect::Send { shard_request: ShardRequestId(1), node: NodeId(1), timeout: Tenths(10_000) }
+}
+
+fn reject() -> Effect {
+    Effect::Reject { query: QueryId(1), retry_after: Tenths::ZERO }
+}
+
+/// Attempts that were cancelled or never sent say nothing of how nodes bear the load; an error of a node is
+/// an end, but no overload.
+#[rstest]
+#[case(AttemptOutcome::Succeeded, 0.0, 1.0)]
+#[case(AttemptOutcome::Errored, 0.0, 1.0)]
+#[case(AttemptOutcome::Overloaded, 1.0, 1.0)]
+#[case(AttemptOutcome::TimedOut, 1.0, 1.0)]
+#[case(AttemptOutcome::Cancelled, 0.0, 0.0)]
+#[case(AttemptOutcome::NotSent, 0.0, 0.0)]
+fn only_outcomes_that_tell_of_load_count(
+    #[case] outcome: AttemptOutcome,
+    #[case] lost_attempts: f64,
+    #[case] ended_attempts: f64,
+) {
+    let mut load = LoadStatistics::new(WINDOW);
+    load.record_result(Tenths(0), &result(outcome));
+    let inputs = load.overload_inputs(Tenths(0));
+    assert_eq!((inputs.lost_attempts, inputs.ended_attempts), (lost_attempts, ended_attempts));
+}
+
+/// A decrease of the rate answers the losses of one moment. If they were judged over the whole window they
+/// would be answered again and again for seconds.
+#[rstest]
+fn losses_are_counted_over_a_fifth_of_the_window_and_rejections_over_all_of_it() {
+    let mut load = LoadStatistics::new(WINDOW);
+    load.record_result(Tenths(0), &result(AttemptOutcome::TimedOut));
+    load.record_effects(Tenths(0), &[reject()]);
+    load.record_admitted(Tenths(0), 3.0);
+    let counts = |at: i64| {
+        let inputs = load.overload_inputs(Tenths(at));
+        (inputs.lost_attempts, inputs.rejected_queries, inputs.admitted_shard_requests)
+    };
+    assert_eq!(counts(9_000), (1.0, 1.0, 3.0));
+    assert_eq!(counts(10_000), (0.0, 1.0, 3.0));
+    assert_eq!(counts(45_000), (0.0, 1.0, 3.0));
+    assert_eq!(counts(50_000), (0.0, 0.0, 0.0));
+}
+
+/// Under the cutoff half of the shard requests stay unsent. The rate is in shard requests as admitted, so an
+/// attempt that succeeded stands for two.
+#[rstest]
+fn served_shard_requests_are_those_that_attempts_stand_for() {
+    let mut load = LoadStatistics::new(WINDOW);
+    load.record_admitted(Tenths(0), 40.0);
+    load.record_effects(Tenths(0), &vec![send(); 20]);
+    for _ in 0..15 {
+        load.record_result(Tenths(0), &result(AttemptOutcome::Succeeded));
+    }
+    load.record_result(Tenths(0), &result(AttemptOutcome::Overloaded));
+    assert_eq!(load.served(Tenths(0)), 30.0);
+}
+
+#[rstest]
+fn nothing_is_served_where_nothing_was_sent() {
+    let load = LoadStatistics::new(WINDOW);
+    assert_eq!(load.served(Tenths(0)), 0.0);
+}
--- a/crates/admission-control/src/offered_query.rs
+++ b/crates/admission-control/src/offered_query.rs
@@ -1,6 +1,6 @@
 //! A query as the controller sees it, for the turn in which it comes.
 
-use routing::{ClassId, GroupId, NewQuery, QueryId, TenantId};
+use routing::{ClassId, GroupId, Input, NewQuery, QueryId, TenantId};
 
 /// A query that is offered in this turn.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
 
 impl OfferedQuery {
     /// The query before its shard requests are counted.
-    pub fn new(query: &NewQuery) -> OfferedQuery {
+    fn new(query: &NewQuery) -> OfferedQuery {
         OfferedQuery {
             id: query.id,
             group: query.group,
@@ -33,3 +33,25 @@
         self.client_attempt > 0
     }
 }
+
+/// The queries among a turn's inputs, in their order, each with its shard requests counted. A shard request
+/// belongs to the newest query of its group.
+pub(crate) fn offered_queries(inputs: &[Input]) -> Vec<OfferedQuery> {
+    let mut offered: Vec<OfferedQuery> = Vec::new();
+    for input in inputs {
+        match input {
+            Input::Query(query) => offered.push(OfferedQuery::new(query)),
+            Input::ShardRequest(shard_request) => {
+                let mut newest_first = offered.iter_mut().rev();
+                if let Some(query) = newest_first.find(|query| query.group == shard_request.group) {
+                    query.shard_requests += 1;
+                }
+            }
+            _ => {}
+        }
+    }
+    offered
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/admission-control/src/retry_after.rs
@@ -0,0 +1,20 @@
+//! The time after which the client of a rejected query may send it again (`Retry-After`).
+
+use routing::{RequestLimits, Tenths};
+
+/// The time to retry after, as a share of the window: by then a decrease of the rate shows, and part of the
+/// retries that were counted against the budget have left the window.
+const RETRY_AFTER_WINDOW_RATIO: f64 = 0.5;
+
+/// When a rejected query may be sent again: after half the window, up to the configured maximum; zero (none
+/// is sent) where the configuration does not let clients be told.
+pub(crate) fn retry_after(window: Tenths, limits: &RequestLimits) -> Tenths {
+    if !limits.retry_after {
+        return Tenths::ZERO;
+    }
+    // Zero would mean that there is none.
+    window.times(RETRY_AFTER_WINDOW_RATIO).min(limits.max_retry_after).max(Tenths(1))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/admission-control/src/retry_after/tests.rs
@@ -0,0 +1,24 @@
+//! When a rejected query may be sent again.
+
+use super::retry_after;
+use routing::{RequestLimits, Tenths};
+use rstest::rstest;
+
+#[rstest]
+#[case(50_000, true, 60_000, 25_000)]
+#[case(50_000, true, 10_000, 10_000)]
+#[case(50_000, true, 0, 1)]
+#[case(50_000, false, 60_000, 0)]
+fn half_a_window_up_to_the_configured_maximum(
+    #[case] window: i64,
+    #[case] retry_after_allowed: bool,
+    #[case] max_retry_after: i64,
+    #[case] expected: i64,
+) {
+    let limits = RequestLimits {
+        retry_after: retry_after_allowed,
+        max_retry_after: Tenths(max_retry_after),
+        ..RequestLimits::default()
+    };
+    assert_eq!(retry_after(Tenths(window), &limits), Tenths(expected));
+}
--- /dev/null
+++ b/crates/admission-control/src/retry_budget/tests.rs
@@ -0,0 +1,28 @@
+//! What a retry budget allows.
+
+use super::{AdmittedAttempts, RetryBudget};
+use rstest::rstest;
+
+/// Clients that are rejected come back at once and keep an overload going after its cause is over. Their
+/// retries must stay a share of their first attempts.
+#[rstest]
+#[case(0.0, 2.0, false)]
+#[case(0.0, 3.0, true)]
+#[case(10.0, 4.0, false)]
+#[case(10.0, 5.0, true)]
+#[case(100.0, 22.0, false)]
+#[case(100.0, 23.0, true)]
+fn a_budget_is_a_floor_and_a_share_of_first_attempts(
+    #[case] first_attempts: f64,
+    #[case] retries: f64,
+    #[case] expected: bool,
+) {
+    let budget = RetryBudget { ratio: 0.2, min_retries: 3.0 };
+    assert_eq!(budget.is_exceeded(AdmittedAttempts { first_attempts, retries }), expected);
+}
+
+#[rstest]
+fn a_budget_of_nothing_admits_no_retry() {
+    let budget = RetryBudget { ratio: 0.0, min_retries: 0.0 };
+    assert!(budget.is_exceeded(AdmittedAttempts { first_attempts: 1000.0, retries: 0.0 }));
+}
--- a/crates/admission-control/src/tenants.rs
+++ b/crates/admission-control/src/tenants.rs
@@ -1,26 +1,28 @@
-//! The tenants that asked within the window: what each requested and retried, its share and its token bucket.
+//! The tenants that requested something within the window: what each requested and retried, its share and its
+//! token bucket. State only; what is decided by it stands in `retry_budget`, `quota` and `fair_share`.
 
 use crate::fair_share::{Demand, Share};
-use crate::mode::Window;
+use crate::retry_budget::AdmittedAttempts;
 use crate::token_bucket::TokenBucket;
+use crate::window::Window;
 use routing::{TenantId, Tenths};
 use std::collections::BTreeMap;
 
-/// The tenant that all share who come past the most that are told apart.
+/// The tenant under which all are counted that come when the table is full.
 const OVERFLOW_TENANT: TenantId = TenantId(u32::MAX);
 
-/// One tenant, while it asks.
+/// One tenant, while it requests something.
 pub(crate) struct TenantUsage {
-    /// Shard requests requested (`all`).
+    /// Shard requests requested (`total`).
     requested: Window,
-    /// Retries admitted (`harmed`), first attempts admitted (`all`).
+    /// Retries admitted (`marked`), first attempts admitted (`total`).
     attempts: Window,
     /// Its share while overloaded, in shard requests a second.
-    pub share_per_second: f64,
+    share_per_second: f64,
     /// The share is less than it requests.
     pub is_limited: bool,
-    /// Holds its share of a burst.
-    pub bucket: TokenBucket,
+    /// Holds its share over bursts.
+    bucket: TokenBucket,
 }
 
 impl TenantUsage {
@@ -40,10 +42,10 @@
         self.requested.sums(now, window).total
     }
 
-    /// Whether one more retry exceeds `ratio` of its first attempts and `floor`.
-    pub fn is_over_retry_budget(&self, now: Tenths, window: Tenths, ratio: f64, floor: f64) -> bool {
-        let admitted = self.attempts.sums(now, window);
-        admitted.marked + 1.0 > floor + ratio * admitted.total
+    /// Its queries that were admitted within the window.
+    pub fn admitted_attempts(&self, now: Tenths, window: Tenths) -> AdmittedAttempts {
+        let sums = self.attempts.sums(now, window);
+        AdmittedAttempts { first_attempts: sums.total, retries: sums.marked }
     }
 
     /// Adds to its bucket what its share gave since it was last filled.
@@ -51,13 +53,18 @@
         self.bucket.fill(now, self.share_per_second, burst);
     }
 
-    /// Whether its bucket, as last filled, holds so many shard requests, or is full.
-    pub fn bucket_covers(&self, shard_requests: f64, burst: Tenths) -> bool {
-        self.bucket.covers(shard_requests, self.share_per_second, burst)
+    /// Whether its bucket, as last filled, holds this many tokens, or all that it can hold.
+    pub fn bucket_covers(&self, tokens: f64, burst: Tenths) -> bool {
+        self.bucket.covers(tokens, self.share_per_second, burst)
+    }
+
+    /// Removes tokens from its bucket.
+    pub fn take_tokens(&mut self, tokens: f64) {
+        self.bucket.remove(tokens);
     }
 }
 
-/// All tenants that asked within the window.
+/// All tenants that requested something within the window.
 pub(crate) struct TenantTable {
     window: Tenths,
     max_tenants: usize,
@@ -65,19 +72,21 @@
 }
 
 impl TenantTable {
-    /// A table of nobody, of `max_tenants` at the most and one that the rest share.
+    /// An empty table for `max_tenants` tenants, and one more under which all others are counted.
     pub fn new(window: Tenths, max_tenants: usize) -> TenantTable {
         TenantTable { window, max_tenants, tenants: BTreeMap::new() }
     }
 
-    /// The tenant under which one is counted. Guards against memory without bound: past the most, tenants
-    /// share one.
+    /// The tenant under which one is counted. Once the table is full, new tenants are counted as one, so that
+    /// a client that makes up tenant names can't use up the memory. The cost is that these share one quota
+    /// and one retry budget.
     pub fn counted_as(&self, tenant: TenantId) -> TenantId {
         let is_full = self.tenants.len() >= self.max_tenants;
         if is_full && !self.tenants.contains_key(&tenant) { OVERFLOW_TENANT } else { tenant }
     }
 
-    /// A tenant; a new one starts with a full bucket and an even share of the rate.
+    /// A tenant; a new one starts with a full bucket and an even share of the rate, which is in shard
+    /// requests a second.
     pub fn get_or_insert(&mut self, tenant: TenantId, now: Tenths, per_second: f64) -> &mut TenantUsage {
         let even_share = per_second / (self.tenants.len() + 1) as f64;
         self.tenants.entry(tenant).or_insert_with(|| TenantUsage {
@@ -94,13 +103,13 @@
         self.tenants.values().map(|usage| usage.requested(now, self.window)).sum()
     }
 
-    /// Whether any other tenant asked within the window.
+    /// Whether any other tenant requested something within the window.
     pub fn has_others(&self, tenant: TenantId, now: Tenths) -> bool {
         let mut others = self.tenants.iter().filter(|(id, _)| **id != tenant);
         others.any(|(_, usage)| usage.requested(now, self.window) > 0.0)
     }
 
-    /// What each tenant requests a second, counted over `elapsed_s` seconds.
+    /// What each tenant requests, in shard requests a second, counted over `elapsed_s` seconds.
     pub fn demands(&self, now: Tenths, elapsed_s: f64, weight: impl Fn(TenantId) -> f64) -> Vec<Demand> {
         let demand = |(tenant, usage): (&TenantId, &TenantUsage)| Demand {
             tenant: *tenant,
@@ -120,15 +129,19 @@
         }
     }
 
-    /// Fills all buckets.
+    /// Fills all buckets up.
     pub fn refill_buckets(&mut self) {
-        self.tenants.values_mut().for_each(|usage| usage.bucket.refill_whole());
+        self.tenants.values_mut().for_each(|usage| usage.bucket.refill());
     }
 
-    /// Guards against memory that grows with every tenant ever seen: one that asked nothing for a window is
-    /// forgotten, as it would start anew with a full bucket.
+    /// Forgets the tenants that requested nothing within the window, so that memory does not grow with every
+    /// tenant ever seen. Nothing is lost: their retries have left the window too, and their buckets would be
+    /// full again.
     pub fn forget_idle(&mut self, now: Tenths) {
         let window = self.window;
         self.tenants.retain(|_, usage| usage.requested(now, window) > 0.0);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/admission-control/src/token_bucket.rs
+++ b/crates/admission-control/src/token_bucket.rs
@@ -1,10 +1,16 @@
-//! A token bucket whose rate may change while it fills.
+//! A token bucket (as in RFC 2697) whose rate may change while it fills.
 
+use crate::window::seconds;
 use routing::Tenths;
 
-/// Tokens for shard requests. The depth is the burst's worth of the rate, one token at least.
+/// The smallest depth of a bucket, in tokens: a tenant whose share in a burst is less than one shard request
+/// still gets one now and then.
+const MIN_DEPTH: f64 = 1.0;
+
+/// Tokens for shard requests, one each. The depth is what the rate gives in `burst`, [`MIN_DEPTH`] at least.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
+    /// Negative while tokens are owed.
     tokens: f64,
     filled_at: Tenths,
 }
@@ -15,30 +21,34 @@
         TokenBucket { tokens: f64::INFINITY, filled_at: now }
     }
 
-    /// Fills it up without moving the moment from which it fills on.
-    pub fn refill_whole(&mut self) {
+    /// Fills it up; the time from which it fills on stays.
+    pub fn refill(&mut self) {
         self.tokens = f64::INFINITY;
     }
 
     /// Adds what the rate gave since it was last filled, up to its depth.
     pub fn fill(&mut self, now: Tenths, per_second: f64, burst: Tenths) {
-        let elapsed_s = (now - self.filled_at).as_ms() / 1000.0;
+        let elapsed_s = seconds(now - self.filled_at);
         self.tokens = (self.tokens + per_second * elapsed_s).min(depth(per_second, burst));
         self.filled_at = now;
     }
 
-    /// Whether it holds so many tokens, or all that it can.
+    /// Whether it holds this many tokens, or all that it can hold: a query with more shard requests than the
+    /// bucket is deep would never be admitted otherwise.
     pub fn covers(&self, tokens: f64, per_second: f64, burst: Tenths) -> bool {
         self.tokens >= tokens || self.tokens >= depth(per_second, burst)
     }
 
-    /// Removes tokens; it may owe some afterwards.
+    /// Removes tokens; some may be owed afterwards.
     pub fn remove(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 }
 
+/// Tokens that a full bucket holds.
 fn depth(per_second: f64, burst: Tenths) -> f64 {
-    let burst_s = burst.as_ms() / 1000.0;
-    (per_second * burst_s).max(1.0)
+    (per_second * seconds(burst)).max(MIN_DEPTH)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -251,7 +251,7 @@
 /// retry after, and never reach the broker; first attempts are still admitted.
 #[rstest]
 fn retries_past_their_budget_are_rejected_at_once() {
-    let mut admission = controller(AdmissionConfig { retry_floor: 2.0, ..AdmissionConfig::default() });
+    let mut admission = controller(AdmissionConfig { min_retries: 2.0, ..AdmissionConfig::default() });
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let inputs: Vec<Input> = (0..40).flat_map(|_| queries.query(0, 1, 1)).collect();
@@ -372,7 +372,7 @@
     let mut config = broker_config(&[]);
     config.limits.retry_after = false;
     let mut admission = AdmissionController::new(
-        AdmissionConfig { retry_floor: 0.0, retry_share: 0.0, ..AdmissionConfig::default() },
+        AdmissionConfig { min_retries: 0.0, retry_ratio: 0.0, ..AdmissionConfig::default() },
         &config,
     )
     .unwrap();
@@ -417,8 +417,134 @@
 /// All values that can't be used are named at once.
 #[rstest]
 fn invalid_values_are_named_all_at_once() {
-    let invalid = AdmissionConfig { level: 1.5, decrease: 0.0, max_tenants: 0, ..AdmissionConfig::default() };
+    let invalid = AdmissionConfig {
+        overload_level: 1.5,
+        decrease_factor: 0.0,
+        max_tenants: 0,
+        ..AdmissionConfig::default()
+    };
     let keys: Vec<&str> = invalid.check().unwrap_err().iter().map(|value| value.key).collect();
     assert_eq!(keys, ["level", "decrease", "most_callers"]);
     assert!(AdmissionController::new(invalid, &BrokerConfig::default()).is_err());
 }
+
+/// An operator has quotas not enforced: a tenant that storms among others is not held to its share. Retries
+/// still have their budget.
+#[rstest]
+fn without_enforced_quotas_only_retries_are_rejected() {
+    let config = AdmissionConfig { enforce_quotas: false, ..AdmissionConfig::default() };
+    let mut admission = controller(config);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    for _ in 0..10 {
+        now += Tenths(5000);
+        let mut inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
+        inputs.extend(queries.query(1, 4, 0));
+        let turn = nodes.step(&mut admission, now, inputs);
+        assert!(rejections(&turn.effects).is_empty(), "{:?}", turn.effects);
+    }
+    let inputs: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 1)).collect();
+    assert!(!rejections(&nodes.step(&mut admission, now, inputs).effects).is_empty());
+}
+
+/// A tenant beyond its share sends a burst in one turn: what its bucket holds is admitted, and each admitted query
+/// takes its tokens, so that the rest, and one more at the same time, is rejected.
+#[rstest]
+fn an_admitted_query_takes_its_tokens() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let inputs: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 0)).collect();
+    let turn = nodes.step(&mut admission, now, inputs);
+    let admitted = query_ids(&turn.inputs).len();
+    assert!((1..40).contains(&admitted), "{admitted} of 100, where the nodes serve 40 a second");
+    assert_eq!(rejections(&turn.effects).len(), 100 - admitted);
+    let again = admission.filter_inputs(now, &queries.query(0, 1, 0));
+    assert_eq!(rejections(&again.effects).len(), 1);
+}
+
+/// What was decided is counted by decision, for the broker's figures.
+#[rstest]
+fn decisions_are_counted() {
+    let mut admission = controller(AdmissionConfig { min_retries: 0.0, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let before = admission.decision_counts();
+    // The budget has a fifth of 20 first attempts a tenant.
+    let retries: Vec<Input> = (0..40).flat_map(|_| queries.query(1, 0, 1)).collect();
+    let retries_rejected = rejections(&nodes.step(&mut admission, now, retries).effects).len() as u64;
+    let storm: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 0)).collect();
+    let storm_rejected = rejections(&nodes.step(&mut admission, now, storm).effects).len() as u64;
+    let partial: Vec<Input> = (0..7).flat_map(|_| queries.query_of_class(ClassId(1), 0, 1, 0)).collect();
+    assert!(rejections(&nodes.step(&mut admission, now, partial).effects).is_empty());
+    let after = admission.decision_counts();
+    assert!(retries_rejected > 0 && storm_rejected > 0);
+    assert_eq!(after.rejected_by_retry_budget - before.rejected_by_retry_budget, retries_rejected);
+    assert_eq!(after.rejected_by_quota - before.rejected_by_quota, storm_rejected);
+    assert_eq!(after.admitted_at_min_coverage - before.admitted_at_min_coverage, 7);
+    assert_eq!(after.admitted - before.admitted, 140 - retries_rejected - storm_rejected);
+}
+
+/// Rejected queries have cost the nodes nothing, and are not first attempts to retry after: if they counted,
+/// a client that is rejected over and over would earn itself a budget.
+#[rstest]
+fn rejected_queries_earn_no_budget_for_retries() {
+    let mut admission = controller(AdmissionConfig { min_retries: 0.0, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let storm: Vec<Input> = (0..1000).flat_map(|_| queries.query(0, 1, 0)).collect();
+    nodes.step(&mut admission, now, storm);
+    let retries: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 0, 1)).collect();
+    let admitted = query_ids(&nodes.step(&mut admission, now, retries).inputs).len();
+    assert!(admitted < 20, "{admitted} of 100 retries, for some 30 admitted first attempts");
+}
+
+/// A new configuration comes while overloaded: it holds from its own turn on.
+#[rstest]
+fn a_new_configuration_holds_at_once() {
+    let mut config = broker_config(&[]);
+    let admission_config =
+        AdmissionConfig { min_retries: 0.0, retry_ratio: 0.0, ..AdmissionConfig::default() };
+    let mut admission = AdmissionController::new(admission_config, &config).unwrap();
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
+    assert_eq!(rejections(&effects)[0].1, Tenths(20_000), "half a window, up to the configured maximum");
+    config.limits.retry_after = false;
+    let mut inputs = vec![Input::Config(config.into())];
+    inputs.extend(queries.query(0, 1, 3));
+    let effects = admission.filter_inputs(now, &inputs).effects;
+    assert_eq!(rejections(&effects)[0].1, Tenths::ZERO);
+}
+
+/// Losses in turns of a few milliseconds, as a broker's are: the mode is judged once a step, not once a turn,
+/// and no turn may put the next step off.
+#[rstest]
+fn steps_are_taken_between_short_turns() {
+    let mut admission = controller(AdmissionConfig::default());
+    let mut queries = QueryMaker::default();
+    let mut overloaded_at = None;
+    for turn in 0..400 {
+        let mut inputs = queries.query(0, 1, 0);
+        inputs.extend(attempts_ended(AttemptOutcome::Overloaded, 2));
+        admission.filter_inputs(Tenths(turn * 50), &inputs);
+        if admission.mode() == Mode::Overloaded {
+            overloaded_at = overloaded_at.or(Some(turn * 50));
+        }
+    }
+    assert_eq!(overloaded_at, Some(5000), "at the first step");
+}
+
+/// The clock is set back while the broker runs. If the observed time went on from the old one, rates would be
+/// counts divided by the shortest time, ten times too high: the observation starts anew.
+#[rstest]
+fn a_clock_that_is_set_back_starts_the_observation_anew() {
+    let rate_after = |first_turn: Tenths| {
+        let mut admission = controller(AdmissionConfig::default());
+        admission.filter_inputs(first_turn, &[Input::Woken]);
+        let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+        overload(&mut admission, &mut nodes, &mut queries, &[0]);
+        admission.rate()
+    };
+    assert_eq!(rate_after(Tenths(36_000_000)), rate_after(Tenths(0)));
+}
--- a/crates/operator-config/src/admission_section.rs
+++ b/crates/operator-config/src/admission_section.rs
@@ -23,26 +23,27 @@
             line,
             section: ADMISSION.to_owned(),
             key: error.key.to_owned(),
-            found: error.holds,
+            found: error.found,
             allowed: error.allowed.to_owned(),
         }));
     }
     Some(config)
 }
 
+/// The operator's keys and the fields that they set.
 fn admission_config(values: &KeyValues) -> AdmissionConfig {
     let number = |name: &str| values.number(ADMISSION, name);
     let duration = |name: &str| Tenths::from_ms(number(name));
     AdmissionConfig {
-        level: number("level"),
+        overload_level: number("level"),
         window: duration("window_ms"),
-        decrease: number("decrease"),
-        increase: number("increase"),
-        open_above: number("open_above"),
+        decrease_factor: number("decrease"),
+        increase_ratio: number("increase"),
+        recovery_headroom: number("open_above"),
         burst: duration("burst_ms"),
-        retry_share: number("retry_share"),
-        retry_floor: number("retry_floor"),
+        retry_ratio: number("retry_share"),
+        min_retries: number("retry_floor"),
         max_tenants: number("most_callers") as u32,
-        shares: values.get(ADMISSION, "shares") == "on",
+        enforce_quotas: values.get(ADMISSION, "shares") == "on",
     }
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(config.admission, Some(AdmissionConfig::default()));
     let config = read("[admission]\ndoor = on\nshares = off\nwindow_ms = 2000\n").unwrap();
     let admission = config.admission.unwrap();
-    assert_eq!((admission.shares, admission.window), (false, Tenths(20_000)));
+    assert_eq!((admission.enforce_quotas, admission.window), (false, Tenths(20_000)));
 }
 
 #[rstest]
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -53,16 +53,16 @@
     };
     assert_eq!(config.rollout, Some(rollout));
     let admission = AdmissionConfig {
-        level: 0.1,
+        overload_level: 0.1,
         window: seconds(5),
-        decrease: 0.8,
-        increase: 0.1,
-        open_above: 2.0,
+        decrease_factor: 0.8,
+        increase_ratio: 0.1,
+        recovery_headroom: 2.0,
         burst: seconds(1),
-        retry_share: 0.2,
-        retry_floor: 3.0,
+        retry_ratio: 0.2,
+        min_retries: 3.0,
         max_tenants: 10_000,
-        shares: true,
+        enforce_quotas: true,
     };
     assert_eq!(config.admission, Some(admission));
 }
