--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -63,11 +63,11 @@
     );
     if let Some(file) = &restored.unused_file {
         let reason = file.to_string();
-        warn!(reason, "the kept version is passed over, the broker begins with its own file");
+        warn!(reason, "persisted version not used, starting with own file");
     }
     let version = restored.running.version;
     if version.number > 0 {
-        info!(number = version.number, digest = %version.digest, "version taken up again, as it was kept");
+        info!(number = version.number, digest = %version.digest, "persisted version restored");
         let restored_settings = restored.running.broker_settings.clone();
         let own = std::mem::replace(&mut startup.broker_settings, restored_settings);
         keep_socket_waits(&mut startup.broker_settings.broker_config, &own.broker_config);
--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -164,13 +164,14 @@
     let status = broker.status();
     let RejectionStatus { number, reason, .. } = status.last_rejection.clone().unwrap();
     assert_eq!((&number[..], &status.standing[..]), ("2", "confirmed"), "{status:?}");
-    assert!(reason.contains("ended badly"), "{reason}");
+    assert!(reason.contains(" queries failed in "), "{reason}");
     let withdrawn = broker.wait_for_log("version withdrawn");
     assert_eq!((&withdrawn["number"], &withdrawn["runs"]), (&json!(2), &json!(1)));
     wait_until("the service is notified", || {
         let requests = service.requests();
         let last = requests.last().unwrap();
-        last.version == "1" && last.rejection.as_ref().is_some_and(|reason| reason.contains("ended badly"))
+        last.version == "1"
+            && last.rejection.as_ref().is_some_and(|reason| reason.contains(" queries failed in "))
     });
     // The same contents under a higher number are rejected; others are applied.
     service.publish(3, INSTALLATION, bad.to_string().as_bytes());
@@ -207,7 +208,7 @@
     };
     let mut broker = start(&service);
     service.publish(7, INSTALLATION, &text(7));
-    broker.wait_for_log("version kept");
+    broker.wait_for_log("version persisted");
     service.stop();
     broker.kill();
     let mut broker = start(&service);
@@ -224,14 +225,14 @@
     assert_eq!(broker.status().number, 7);
     service.publish(8, INSTALLATION, &text(8));
     wait_until("the eighth is applied", || broker.status().number == 8);
-    broker.wait_for_log("version kept");
+    broker.wait_for_log("version persisted");
     broker.kill();
     let whole = std::fs::read(&kept).unwrap();
     std::fs::write(&kept, &whole[..whole.len() / 2]).unwrap();
     service.stop();
     let broker = start(&service);
     assert_eq!((broker.status().number, &broker.status().standing[..]), (0, "own file"));
-    assert!(broker.log.iter().any(|line| line.contains("it is torn")), "{:#?}", broker.log);
+    assert!(broker.log.iter().any(|line| line.contains(": corrupt: ")), "{:#?}", broker.log);
 }
 
 /// Killed while a version is on probation, it is applied again; what was withdrawn stays so after a restart.
@@ -346,7 +347,7 @@
     let mut broker = Broker::start(&start);
     service.publish(1, INSTALLATION, &text(1));
     // Once as it is put on probation, and once as it is confirmed.
-    (0..2).for_each(|_| _ = broker.wait_for_log("nothing kept"));
+    (0..2).for_each(|_| _ = broker.wait_for_log("state not persisted"));
     std::fs::create_dir(&lasting).unwrap();
     wait_until("the state is stored", || lasting.join("state").exists());
 }
--- a/crates/config-rollout-client/src/client_status.rs
+++ b/crates/config-rollout-client/src/client_status.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Serves what the broker publishes of itself, for as long as the listener lives.
+/// Serves what the broker publishes of itself, until the listener fails.
 pub async fn serve(status: Arc<PublishedStatus>, listener: TcpListener) {
     let service = ClientStatusDiscoveryServiceServer::new(StatusService { status });
     let served = Server::builder()
@@ -61,14 +61,15 @@
         .add_service(service)
         .serve_with_incoming(TcpListenerStream::new(listener));
     if let Err(error) = served.await {
-        warn!(reason = %error, "the status service has ended");
+        warn!(reason = %error, "status service ended");
     }
 }
 
-/// The state's name in the node's metadata (`standing`).
+/// The state's name in the node's metadata (`standing`). Scripts read these words, so they stay, also where the
+/// code has other terms: a trial is the probation.
 fn standing(report: &Report, running: VersionId) -> &'static str {
     match report.state {
-        // The broker has taken another version over than the controller has reported yet.
+        // The broker has applied another version than the controller has reported yet.
         _ if report.running != running => "being applied",
         RolloutState::OnProbation if report.is_probation_paused => "on trial, in a pause",
         RolloutState::OnProbation => "on trial",
--- a/crates/config-rollout-client/src/clock.rs
+++ b/crates/config-rollout-client/src/clock.rs
@@ -7,21 +7,25 @@
 /// Microseconds in a tenth of a millisecond.
 const MICROS_PER_TENTH: u64 = 100;
 
+/// Unix time that never goes back, though the wall clock may be set.
 pub(crate) struct Clock {
     started: Instant,
     started_unix: Tenths,
 }
 
 impl Clock {
+    /// A clock that agrees with the wall clock now.
     pub(crate) fn start() -> Clock {
         Clock { started: Instant::now(), started_unix: unix_now() }
     }
 
+    /// The time now.
     pub(crate) fn now(&self) -> Tenths {
         let elapsed = self.started.elapsed().as_micros() / u128::from(MICROS_PER_TENTH);
         self.started_unix + Tenths(elapsed as i64)
     }
 
+    /// The instant of a time; a time before the start is the start.
     pub(crate) fn instant(&self, at: Tenths) -> Instant {
         let tenths = u64::try_from((at - self.started_unix).0).unwrap_or(0);
         self.started + Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
--- a/crates/config-rollout-client/src/lib.rs
+++ b/crates/config-rollout-client/src/lib.rs
@@ -2,7 +2,7 @@
 //! configuration services over xDS, the last confirmed version in a file, and the client status service
 //! (CSDS).
 //!
-//! A broker makes a [`ClientConfig`] and gives [`run`] a [`ConfigReceiver`] that takes configurations over;
+//! A broker makes a [`ClientConfig`] and gives [`run`] a [`ConfigReceiver`] that applies configurations;
 //! everything else is decided by `config_rollout::RolloutController`. What the broker runs can be read at any
 //! time from the [`PublishedStatus`], which [`serve_status`] serves to others.
 
--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -1,6 +1,7 @@
-//! The log lines of a rollout; `docs/operate-control.md` explains each to operators.
+//! The log lines of a rollout: one for each event, with a stable text and its variables as fields.
+//! `docs/operate-control.md` explains each to operators.
 
-use config_rollout::{LogEvent, ServiceIndex};
+use config_rollout::{LogEvent, ServiceIndex, VersionId};
 use std::fmt::Display;
 use std::net::SocketAddr;
 use tracing::{info, warn};
@@ -12,32 +13,44 @@
     let text = |reason: &dyn Display| reason.to_string();
     match event {
         LogEvent::Applied(version) => {
-            info!(number = version.number, digest = %version.digest, "version applied, on trial");
+            info!(number = version.number, digest = %version.digest, "version applied, on probation");
         }
         LogEvent::Renumbered(version) => {
-            info!(number = version.number, digest = %version.digest, "version has a new number");
+            info!(number = version.number, digest = %version.digest, "version renumbered");
         }
         LogEvent::Confirmed(version) => {
             info!(number = version.number, digest = %version.digest, "version confirmed");
         }
         LogEvent::Unproven { version, reason } => {
             warn!(number = version.number, digest = %version.digest, reason = text(reason),
-                "version stays, not proven");
+                "probation ended without a verdict, version stays");
         }
         LogEvent::Rejected { number, reason } => {
-            warn!(number, reason = text(reason), "version turned down");
+            warn!(number, reason = text(reason), "version rejected");
         }
         LogEvent::Withdrawn { version, running, reason } => {
             warn!(number = version.number, digest = %version.digest, runs = running.number,
-                reason = text(reason), "version withdrawn");
+                reason = text(reason), "version withdrawn, rolled back");
         }
         LogEvent::ProbationPaused { version, reason } => {
             warn!(number = version.number, digest = %version.digest, reason = text(reason),
-                "trial makes a pause");
+                "probation paused");
+        }
+        LogEvent::ServiceReached(service) => {
+            info!(service = address(service), "configuration service reached");
         }
-        LogEvent::ServiceReached(service) => info!(service = address(service), "control service reached"),
         LogEvent::ServiceUnreachable { service, reason } => {
-            warn!(service = address(service), reason, "control service gone, what runs is kept");
+            warn!(service = address(service), reason, "configuration service unreachable");
         }
     }
 }
+
+/// The confirmed version is in the state file: a restart goes on with it.
+pub(crate) fn log_persisted(version: VersionId) {
+    info!(number = version.number, digest = %version.digest, "version persisted");
+}
+
+/// The state file could not be written: a restart would go back to what was persisted before.
+pub(crate) fn log_not_persisted(error: &dyn Display) {
+    warn!(reason = %error, "state not persisted");
+}
--- a/crates/config-rollout-client/src/published_status.rs
+++ b/crates/config-rollout-client/src/published_status.rs
@@ -13,7 +13,7 @@
     pub name: String,
     /// Its installation.
     pub installation: String,
-    /// Set in the same step in which the broker takes a configuration over.
+    /// Set in the same step in which the broker applies a configuration.
     pub running: ArcSwap<VersionId>,
     /// The controller's last report.
     pub report: ArcSwap<Report>,
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -1,13 +1,13 @@
-//! The contents of the versions that the broker may need: the one offered last, the one that runs, the one
-//! that was confirmed last. It turns documents into settings, and decides nothing.
+//! The contents of the versions that the broker may need: the one that was offered last, the one that runs,
+//! and the one that was confirmed last. It turns documents into settings, and decides nothing.
 
 use crate::wire::Version;
 use config_rollout::VersionId;
 use settings::{BrokerSettings, Document, NameRegistry, Revised, ValidationError, revise};
 use std::fmt;
 
-/// How many mistakes of a document are listed; the others are counted.
-const MAX_LISTED_MISTAKES: usize = 20;
+/// How many errors of a document are listed; the others are counted.
+const MAX_LISTED_ERRORS: usize = 20;
 
 /// A version with its contents.
 #[derive(Clone, Debug)]
@@ -36,15 +36,15 @@
 /// A document that a running broker can't take over, with all that is wrong with it.
 #[derive(Debug, thiserror::Error)]
 pub struct InvalidDocument {
-    mistakes: Vec<ValidationError>,
+    errors: Vec<ValidationError>,
 }
 
 impl fmt::Display for InvalidDocument {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let listed: Vec<String> =
-            self.mistakes.iter().take(MAX_LISTED_MISTAKES).map(ValidationError::to_string).collect();
+            self.errors.iter().take(MAX_LISTED_ERRORS).map(ValidationError::to_string).collect();
         formatter.write_str(&listed.join("; "))?;
-        match self.mistakes.len().saturating_sub(listed.len()) {
+        match self.errors.len().saturating_sub(listed.len()) {
             0 => Ok(()),
             more => write!(formatter, "; and {more} more"),
         }
@@ -52,17 +52,17 @@
 }
 
 impl From<Vec<ValidationError>> for InvalidDocument {
-    fn from(mistakes: Vec<ValidationError>) -> InvalidDocument {
-        InvalidDocument { mistakes }
+    fn from(errors: Vec<ValidationError>) -> InvalidDocument {
+        InvalidDocument { errors }
     }
 }
 
-/// The contents at hand.
+/// The contents of these versions.
 #[derive(Debug)]
 pub(crate) struct ResourceCache {
     /// The broker's own document: what a version may not change while the process runs.
     own_document: Document,
-    /// The ids of all names so far.
+    /// The ids of all names of classes and tenants so far.
     names: NameRegistry,
     offered: Option<CachedVersion>,
     pub(crate) running: CachedVersion,
@@ -76,7 +76,10 @@
         ResourceCache { own_document, names, offered: None, confirmed: running.clone(), running }
     }
 
-    /// Checks an offered document and keeps it at hand.
+    /// Checks an offered document, and holds it until it is applied or another is offered.
+    ///
+    /// # Errors
+    /// All that is wrong with it.
     pub(crate) fn check(&mut self, version: VersionId, document: &Document) -> Result<(), InvalidDocument> {
         let Revised { broker_settings, .. } = revise(&self.own_document, &self.names, document)?;
         self.offered = Some(CachedVersion { version, document: document.clone(), broker_settings });
--- a/crates/config-rollout-client/src/restore.rs
+++ b/crates/config-rollout-client/src/restore.rs
@@ -38,17 +38,17 @@
     /// The file can't be used.
     #[error(transparent)]
     File(#[from] StateFileError),
-    /// The version is not whole, or for another installation.
+    /// The version is not intact, or for another installation.
     #[error(transparent)]
     Version(#[from] InvalidVersion),
-    /// The version can't be taken over by a broker with this own document.
+    /// The version can't be applied by a broker with this own document.
     #[error(transparent)]
     Document(#[from] InvalidDocument),
 }
 
-/// Takes the stored version, if there is a file, it is whole, for this installation, and can be taken over by
-/// a broker with this own document; else the own document, as version 0. `max_document_bytes` bounds the
-/// stored document.
+/// The stored version, if there is a file, its version is intact and for this installation, and a broker with
+/// this own document can apply it; else the own document, as version 0. `max_document_bytes` bounds the stored
+/// document. A file whose version is not used is reported in [`RestoredState::unused_file`].
 pub fn restore(
     own_document: Document,
     broker_settings: &BrokerSettings,
@@ -69,8 +69,7 @@
     if let Some(version) = stored.as_ref().and_then(|stored| stored.version.as_ref()) {
         match restore_version(&own_document, broker_settings, version, installation, max_document_bytes) {
             Ok(restored) => running = restored,
-            // The file's numbers and withdrawn versions hold, though this broker can't take its contents
-            // over.
+            // The numbers and withdrawn versions of the file still hold.
             Err(unusable) => error = Some(unusable),
         }
     }
--- a/crates/config-rollout-client/src/rollout_client.rs
+++ b/crates/config-rollout-client/src/rollout_client.rs
@@ -1,11 +1,12 @@
-//! The loop that carries the controller's effects out: stream events, timers and counts in; effects out. It
-//! waits until the broker has taken each configuration over before it answers a service, so that no answer
-//! runs ahead of what is applied.
+//! The loop that carries out what the controller decides: stream events, timers and counts in; effects out.
+//!
+//! Effects are carried out one after another, and the loop waits until the broker has applied a configuration
+//! before it carries out the next. So no acknowledgement is sent for a version that is not applied yet.
 
 use crate::client_config::ClientConfig;
 use crate::clock::{Clock, duration_of};
 use crate::config_receiver::ConfigReceiver;
-use crate::log::log_event;
+use crate::log::{log_event, log_not_persisted, log_persisted};
 use crate::published_status::PublishedStatus;
 use crate::resource_cache::ResourceCache;
 use crate::restore::RestoredState;
@@ -17,17 +18,17 @@
 };
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
+use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
-use tracing::{info, warn};
 
 /// What a broker calls itself to the service.
 const USER_AGENT: &str = "barleydrum";
-/// A state that could not be stored is stored after this: a full disk or a failing sync may last.
-const STORE_AGAIN_AFTER: Duration = Duration::from_secs(1);
-/// How long the loop sleeps where no timer is set.
+/// A state that could not be stored is stored again after this: a full disk or a failing sync may last.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How long the loop sleeps at most where no timer is set.
 const LONGEST_SLEEP: Duration = Duration::from_secs(3600);
 
 /// Follows the configuration services until the broker is gone.
@@ -73,7 +74,7 @@
     events: mpsc::Sender<StreamEvent>,
     stream: Option<XdsStream>,
     wake_at: Option<Instant>,
-    /// When the state is stored that could not be stored before.
+    /// When to try again to store the state, after that has failed.
     store_again_at: Option<Instant>,
 }
 
@@ -177,7 +178,7 @@
             Effect::StoreContents(version) => {
                 self.cache.confirm();
                 if self.store_state().await {
-                    info!(number = version.number, digest = %version.digest, "version kept");
+                    log_persisted(version);
                 }
             }
             Effect::StoreState => _ = self.store_state().await,
@@ -220,20 +221,20 @@
         }
     }
 
-    /// Whether the state was stored; if not, that is tried again. It is written on a thread for that: a slow disk
-    /// holds up neither the broker nor its status.
+    /// Stores the state, where there is a file for it, and returns whether it was stored; if not, that is tried
+    /// again after [`STORE_RETRY_DELAY`]. The file is written on a thread for blocking calls: a slow disk
+    /// delays neither the broker nor its status.
     async fn store_state(&mut self) -> bool {
         let Some(path) = self.config.state_file.clone() else { return false };
         let confirmed = self.cache.confirmed.to_wire(&self.config.installation);
         let state = state_file::StoredState::new(&self.controller.persisted_state(), confirmed);
-        let result = match tokio::task::spawn_blocking(move || state_file::write(&path, &state)).await {
-            Ok(written) => written.map_err(|error| error.to_string()),
-            Err(error) => Err(error.to_string()),
-        };
-        if let Err(reason) = &result {
-            warn!(reason, "nothing kept: a restart would go back to what was kept last");
+        let written = tokio::task::spawn_blocking(move || state_file::write(&path, &state)).await;
+        // A write that panicked is a write that failed.
+        let result = written.map_err(io::Error::from).flatten();
+        if let Err(error) = &result {
+            log_not_persisted(error);
         }
-        self.store_again_at = result.is_err().then(|| Instant::now() + STORE_AGAIN_AFTER);
+        self.store_again_at = result.is_err().then(|| Instant::now() + STORE_RETRY_DELAY);
         result.is_ok()
     }
 }
--- a/crates/config-rollout-client/src/state_file.rs
+++ b/crates/config-rollout-client/src/state_file.rs
@@ -1,6 +1,9 @@
-//! The last confirmed version, and what else must outlive the process, in one file. It is replaced as a
-//! whole, so that at any moment the file is the old one or the new one; a corrupt or foreign file is reported
-//! as such, and never taken for a version.
+//! The last confirmed version, and what else must outlive the process, in one file.
+//!
+//! The file is replaced as a whole (draft, sync, rename, sync of the folder), so that a crash at any moment
+//! leaves the old file or the new one. It begins with a line that names its format, then a line with the
+//! BLAKE3 checksum of the rest, in hex, then the rest: a [`StoredState`] as a protobuf message. A corrupt or
+//! foreign file is reported as such, and never taken for a version.
 
 use crate::wire::Version;
 use config_rollout::{Digest, PersistedState, ProbationAttempt, VersionId, WithdrawnVersion};
@@ -12,14 +15,15 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The first line of such a file.
+/// The first line of such a file. Files of earlier releases have it, so it stays.
 const MARK: &[u8] = b"barleydrum kept version, form 1\n";
 /// Bytes that the file may have beside the document.
 const MAX_BYTES_BESIDE_DOCUMENT: usize = 64 * 1024;
 /// Hex digits of the checksum in the second line.
 const CHECKSUM_DIGITS: usize = 64;
-/// How many withdrawn versions are stored, the newest, and how many characters of each one's reason.
+/// How many withdrawn versions are stored: those with the highest numbers.
 const MAX_WITHDRAWN: usize = 32;
+/// How many characters of the reason of each are stored.
 const MAX_REASON_CHARS: usize = 500;
 
 /// The contents of the file.
@@ -34,10 +38,10 @@
     /// Withdrawn versions, the newest first.
     #[prost(message, repeated, tag = "3")]
     pub withdrawn: Vec<StoredVersionId>,
-    /// The version on probation, if there is one.
+    /// The version that was on probation when the state was stored, if there was one.
     #[prost(message, optional, tag = "4")]
     pub on_probation: Option<StoredVersionId>,
-    /// How often that was applied without its probation's end.
+    /// How often that was applied by a process that ended before its probation did.
     #[prost(uint32, tag = "5")]
     pub unfinished_runs: u32,
 }
@@ -102,20 +106,20 @@
     }
 }
 
-/// Why a file is not used.
+/// Why a state file is not used. The texts follow the file's path.
 #[derive(Debug, Error)]
 pub enum StateFileError {
     /// There is no file.
-    #[error("there is none")]
+    #[error("there is no such file")]
     Absent,
     /// The file can't be read.
-    #[error("it can't be read: {0}")]
+    #[error("can't be read: {0}")]
     Io(#[source] io::Error),
     /// The file is of another kind.
-    #[error("it is foreign: it does not begin as a kept version does")]
+    #[error("not a state file of a broker")]
     Foreign,
     /// The file is of this kind, but not as it was written.
-    #[error("it is torn: {0}")]
+    #[error("corrupt: {0}")]
     Corrupt(#[source] Corruption),
 }
 
@@ -123,19 +127,19 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Corruption {
     /// It has no bytes.
-    #[error("it is empty")]
+    #[error("the file is empty")]
     Empty,
     /// It ends within its first two lines.
-    #[error("it ends early")]
+    #[error("the file ends early")]
     Truncated,
     /// It is longer than any that would have been written.
-    #[error("it is longer than a version may be")]
+    #[error("the file is longer than a stored version may be")]
     TooLong,
     /// The checksum does not match.
-    #[error("its checksum is not that of its contents")]
+    #[error("the checksum does not match the contents")]
     Checksum,
     /// The checksum matches, but the contents can't be decoded.
-    #[error("its contents can't be read")]
+    #[error("the contents can't be decoded")]
     Contents,
 }
 
@@ -145,8 +149,10 @@
     }
 }
 
-/// Writes the state beside the file, syncs it, puts it in the file's place, and syncs the folder. A crash at
-/// any point leaves the old file or the new.
+/// Writes the state to a draft beside the file, syncs it, renames it over the file, and syncs the folder.
+///
+/// # Errors
+/// Any step that fails; the file is then the old one, unless only the last sync failed. The draft is removed.
 pub fn write(path: &Path, state: &StoredState) -> io::Result<()> {
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let draft = draft_of(path);
@@ -156,8 +162,8 @@
     File::open(folder)?.sync_all()
 }
 
-/// What is written before it takes the file's place. Its name is always the same: what a kill leaves of it is
-/// replaced by the next write.
+/// The draft of a file. Its name is always the same, so that what a killed process has left of it is replaced
+/// by the next write.
 fn draft_of(path: &Path) -> PathBuf {
     let name = path.file_name().unwrap_or_default();
     let mut draft = OsString::from(".kept-");
@@ -174,7 +180,10 @@
     file.sync_all()
 }
 
-/// Reads the file; `max_document_bytes` bounds the document and, with some room for the rest, the file.
+/// Reads the file; `max_document_bytes` bounds the document, and with [`MAX_BYTES_BESIDE_DOCUMENT`] the file.
+///
+/// # Errors
+/// There is no file, it can't be read, or it is not as a broker has written it.
 pub fn read(path: &Path, max_document_bytes: usize) -> Result<StoredState, StateFileError> {
     let file = match File::open(path) {
         Ok(file) => file,
--- a/crates/config-rollout-client/src/status_query.rs
+++ b/crates/config-rollout-client/src/status_query.rs
@@ -44,7 +44,7 @@
     pub at: f64,
 }
 
-/// Why a status could not be had.
+/// Why a status could not be fetched.
 #[derive(Debug, Error)]
 pub enum StatusQueryError {
     /// The address makes no endpoint.
@@ -57,14 +57,17 @@
     #[error("{0}")]
     Status(#[source] Box<tonic::Status>),
     /// The answer has no version.
-    #[error("an answer that does not tell a version")]
+    #[error("the answer has no version")]
     NoVersion,
     /// The time for the answer was over.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// Asks the broker whose status service is at this address.
+/// Asks the broker whose status service is at this address; `timeout` bounds the whole exchange.
+///
+/// # Errors
+/// There is no answer in time, or none that has a version.
 pub async fn fetch_status(address: SocketAddr, timeout: Duration) -> Result<BrokerStatus, StatusQueryError> {
     let exchange = async {
         let endpoint =
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,12 +1,21 @@
-//! The project's own resource in xDS, and how a response is read. A version's number stands in the response's
-//! `version_info` too, so that operators of other proxies see it where they look for it.
+//! The project's own resource in xDS, and how a response is read: the edge at which the wire's names become the
+//! code's terms. A version's number stands in the response's `version_info` too, so that operators of other
+//! proxies see it where they look for it.
+//!
+//! | wire | code |
+//! | --- | --- |
+//! | `Version.number`, `DiscoveryResponse.version_info` | [`VersionId::number`] |
+//! | `Version.digest` | [`VersionId::digest`] |
+//! | resource name | the installation |
+//! | `response_nonce` | [`Nonce`](config_rollout::Nonce) |
+//! | `error_detail` | [`RejectionReason`](config_rollout::RejectionReason) |
 
 use config_rollout::{Digest, Offer, VersionId};
 use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use envoy_types::pb::google::protobuf::Any;
 use envoy_types::pb::google::rpc::Status;
 use prost::Message;
-use settings::Document;
+use settings::{Document, DocumentError};
 use thiserror::Error;
 
 /// The resource type: `barleydrum.control.v1.Version`.
@@ -52,7 +61,7 @@
 #[derive(Debug, Error)]
 pub enum InvalidVersion {
     /// Number 0 is a broker's own file.
-    #[error("numbers of versions begin at 1")]
+    #[error("version numbers begin at 1")]
     NumberZero,
     /// It is for another installation.
     #[error("it is for installation `{offered}`, this is `{own}`")]
@@ -64,12 +73,12 @@
     },
     /// Its document is too long, or no JSON.
     #[error("document: {0}")]
-    Document(String),
+    Document(#[source] DocumentError),
     /// Its digest has another length than BLAKE3's.
-    #[error("a digest that has not 32 bytes")]
+    #[error("its digest does not have 32 bytes")]
     DigestLength,
     /// Its digest is not that of its document.
-    #[error("its digest is told as {}, its contents have {}", claimed.short(), actual.short())]
+    #[error("its digest is given as {}, that of its contents is {}", claimed.short(), actual.short())]
     DigestMismatch {
         /// The digest that it states.
         claimed: Digest,
@@ -81,13 +90,13 @@
 /// Why a response can't be used.
 #[derive(Debug, Error)]
 enum InvalidResponse {
-    #[error("a resource type that was not asked for: `{0}`")]
+    #[error("a resource type that was not requested: `{0}`")]
     UnrequestedType(String),
     #[error("{0} versions in one response, one is allowed")]
     SeveralVersions(usize),
     #[error("a resource of type `{0}`")]
     ResourceType(String),
-    #[error("unreadable: {0}")]
+    #[error("can't be decoded: {0}")]
     Unreadable(#[from] prost::DecodeError),
     #[error("version_info is `{version_info}`, the version's number {number}")]
     NumberMismatch { version_info: String, number: u64 },
@@ -113,8 +122,11 @@
         Any { type_url: TYPE_URL.to_owned(), value: self.encode_to_vec() }
     }
 
-    /// Verifies that it is for this installation, and that its digest is that of its document, which has at
-    /// most `max_document_bytes`.
+    /// Verifies that it is for this installation, and that its digest is that of its document, which may have
+    /// `max_document_bytes`.
+    ///
+    /// # Errors
+    /// The first thing that is wrong.
     pub fn verify(
         &self,
         installation: &str,
@@ -127,8 +139,8 @@
             let (offered, own) = (self.installation.clone(), installation.to_owned());
             return Err(InvalidVersion::OtherInstallation { offered, own });
         }
-        let document = Document::parse(&self.document, max_document_bytes)
-            .map_err(|error| InvalidVersion::Document(error.to_string()))?;
+        let document =
+            Document::parse(&self.document, max_document_bytes).map_err(InvalidVersion::Document)?;
         let claimed = <[u8; 32]>::try_from(&self.digest[..]).map_err(|_| InvalidVersion::DigestLength)?;
         let (claimed, actual) = (Digest(claimed), Digest::of(&document.canonical()));
         if claimed != actual {
@@ -138,7 +150,10 @@
     }
 }
 
-/// What a response brought: a verified version, or the offer that stands for why there is none.
+/// Reads a response's version, and verifies it; see [`Version::verify`].
+///
+/// # Errors
+/// The offer to give to the controller where there is no verified version: an empty or an invalid one.
 pub fn read_response(
     response: &DiscoveryResponse,
     installation: &str,
--- a/crates/config-rollout-client/src/xds_stream.rs
+++ b/crates/config-rollout-client/src/xds_stream.rs
@@ -12,10 +12,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::{Channel, Endpoint};
 
-/// How many stream events wait for the client, and requests for a stream, at the most.
+/// How many events of streams may wait for the client, and how many requests for a stream.
 pub(crate) const QUEUE_CAPACITY: usize = 16;
 
-/// What a stream's task tells the client.
+/// What a stream's task reports to the client.
 pub(crate) enum StreamEvent {
     Opened { stream: StreamId, requests: mpsc::Sender<DiscoveryRequest> },
     ResponseReceived { stream: StreamId, response: Box<DiscoveryResponse> },
@@ -33,7 +33,7 @@
     Status(#[source] Box<tonic::Status>),
     #[error("the service ended the stream")]
     EndedByService,
-    #[error("the broker is gone")]
+    #[error("the broker has ended")]
     BrokerGone,
 }
 
@@ -80,8 +80,10 @@
         self.requests = Some(requests);
     }
 
-    /// Guards against a service that reads nothing: a request that does not fit into the queue ends the
-    /// stream.
+    /// Queues a request. A request that does not fit into the queue ends the stream: a service that reads
+    /// nothing would otherwise hold an unbounded queue, or the loop of the client. It shows as a stream that
+    /// ended, and the client connects again after its backoff. A broker has one answer for each response, so
+    /// a service that reads never comes near the bound.
     pub(crate) fn send(&mut self, request: DiscoveryRequest) {
         let is_sent = self.requests.as_ref().is_some_and(|requests| requests.try_send(request).is_ok());
         if !is_sent {
@@ -113,7 +115,7 @@
 
 async fn open_channel(address: SocketAddr, timeout: Duration) -> Result<Channel, StreamError> {
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(StreamError::Address)?;
-    // A connection that fell silent is noticed by its pings.
+    // A connection that is silently dead is noticed by its pings.
     let endpoint = endpoint
         .connect_timeout(timeout)
         .http2_keep_alive_interval(timeout)
--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -8,17 +8,18 @@
 use crate::policy::RolloutPolicy;
 use crate::probation::{Probation, ProbationCondition};
 use crate::rejection::Rejection;
+use crate::rollout_state::{RolloutState, VersionEvent};
 use crate::sample::Sample;
 use crate::subscription::{Subscription, SubscriptionEvent};
 use crate::verdict::{UnprovenReason, Verdict};
 use crate::version::VersionId;
-use crate::version_history::{RolloutState, VersionEvent, VersionHistory};
+use crate::version_history::VersionHistory;
 use routing::Tenths;
 use std::collections::VecDeque;
 
 /// How many nonces of one stream are remembered as answered.
 const MAX_ANSWERED_NONCES: usize = 64;
-/// How many samples of a probation are kept.
+/// How many samples of a probation are held in memory; the oldest are dropped first.
 const MAX_PROBATION_SAMPLES: usize = 1024;
 
 /// Decides which version a broker runs.
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -9,7 +9,8 @@
 //! loop:
 //! - [`subscription`]: the connection to a configuration service: `Idle`, `BackingOff`, `Connecting`,
 //!   `Open`;
-//! - [`version_history`]: what the broker runs, `Settled` or `OnProbation`, and how each offer is answered;
+//! - [`version_history`]: what the broker runs, `Settled` or `OnProbation`; each offer is first compared with
+//!   what is known ([`offer_comparison`]);
 //! - [`probation`]: whether a version on probation is to blame for failed queries: `Stable` or
 //!   `NodesFailing`.
 //!
@@ -30,11 +31,14 @@
 mod controller;
 mod effects;
 mod inputs;
+mod known_versions;
+pub mod offer_comparison;
 mod outcome_window;
 mod persisted_state;
 mod policy;
 pub mod probation;
 mod rejection;
+mod rollout_state;
 mod sample;
 pub mod subscription;
 mod verdict;
@@ -48,7 +52,7 @@
 pub use persisted_state::{PersistedState, ProbationAttempt, WithdrawnVersion};
 pub use policy::RolloutPolicy;
 pub use rejection::{Rejection, RejectionReason};
+pub use rollout_state::{RolloutState, VersionEvent};
 pub use sample::Sample;
 pub use verdict::{NodeLoss, ProbationFailure, UnprovenReason, Verdict};
 pub use version::{Digest, VersionId};
-pub use version_history::RolloutState;
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -1,6 +1,6 @@
 //! Whether a version on probation is to blame for failed queries. The share of queries that failed under it
-//! is compared with the share before, beyond noise; while nodes are failing there is no verdict, because a
-//! zone that was lost in the same minute looks the same from here.
+//! is compared with the share before, beyond noise (Wilson's score interval); while nodes are failing there is
+//! no verdict, because a zone that is lost in the same minute makes queries fail just as a bad version does.
 //!
 //! What it can't tell: a version that brings nodes down (it takes that for failing nodes); a fault of
 //! tenants, or of the network to them, that began in the same span as the version; harm too rare for the
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -130,8 +130,8 @@
 }
 
 #[rstest]
-#[case(100, 0, "0 retrievals ended, 30 are needed")]
-#[case(60, 20, "nodes were being lost all the while")]
+#[case(100, 0, "0 queries ended, 30 are needed")]
+#[case(60, 20, "nodes were failing until the end")]
 fn ends_without_a_verdict(#[case] ready_nodes: u64, #[case] per_second: u64, #[case] reason_text: &str) {
     let (second, verdict) = play(&outcomes_before([0; 4]), |_, counts| {
         counts.ended += per_second;
--- a/crates/config-rollout/src/rejection.rs
+++ b/crates/config-rollout/src/rejection.rs
@@ -1,5 +1,5 @@
-//! Why a version is not taken, or not kept. The texts are shown to operators and sent to the configuration
-//! service.
+//! Why a version is rejected or withdrawn. The texts are shown to operators, sent to the configuration
+//! service (as the detail of a NACK), and stored with withdrawn versions.
 
 use crate::verdict::ProbationFailure;
 use crate::version::Digest;
@@ -17,7 +17,7 @@
     pub at: Tenths,
 }
 
-/// Why a version is not taken, or not kept.
+/// Why a version is rejected or withdrawn.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RejectionReason {
     /// It can't be read or applied; the words are those of whoever read it.
@@ -50,7 +50,7 @@
         highest: u64,
     },
     /// The process ended too often during its probation.
-    #[error("the broker ended {ends} times while it was on trial")]
+    #[error("the broker process ended {ends} times while it was on probation")]
     ProcessEnded {
         /// How often.
         ends: u32,
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -1,6 +1,10 @@
-//! The connection to a configuration service: when to connect, to which of several, when to give up. Guards
-//! against overloading a service that has just come back, and against one that accepts streams and drops
-//! them.
+//! The connection to a configuration service: when to connect, to which of several, when to give up.
+//!
+//! Two failures decide the rules. A service that comes back is called by its whole fleet at once: the backoff
+//! is drawn with full jitter, so that the calls spread. A service that accepts streams and drops them would
+//! be called in a tight loop, as no connection attempt fails: a budget bounds the attempts in any window. The
+//! cost is that a broker may learn of a new version some waits later. An unreachable service shows as one log
+//! event until it responds again.
 
 use crate::effects::{Effect, LogEvent};
 use crate::inputs::{ServiceIndex, StreamId};
@@ -70,14 +74,14 @@
     //  states              event             guard                    next        action
     row(&[Idle],             Started,          Subscription::always,    Connecting, Subscription::connect),
     row(&[BackingOff],       TimerExpired,     Subscription::is_due,    Connecting, Subscription::connect),
-    row(&[Connecting],       StreamOpened,     Subscription::always,    Open,       Subscription::note_open),
+    row(&[Connecting],       StreamOpened,     Subscription::always,    Open,       Subscription::record_open),
     row(&[Connecting, Open], TimerExpired,     Subscription::is_due,    BackingOff, Subscription::give_up),
-    row(&[Open],             ResponseReceived, Subscription::always,    Open,       Subscription::note_reply),
+    row(&[Open],             ResponseReceived, Subscription::always,    Open,       Subscription::record_response),
     row(&[Connecting, Open], StreamEnded,      Subscription::always,    BackingOff, Subscription::back_off),
-    row(&[Open],             HistoryConflict,  Subscription::has_other, BackingOff, Subscription::leave),
+    row(&[Open],             HistoryConflict,  Subscription::has_other, BackingOff, Subscription::change_service),
 ];
 
-/// How often a wait is doubled at the most, so that the doubling does not overflow.
+/// How often the bound of a wait is doubled at most, so that it does not overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,9 +98,9 @@
     state: SubscriptionState,
     stream: StreamId,
     service: ServiceIndex,
-    /// For each service, until when it is passed over.
+    /// For each service, until when it is passed over because its history conflicts with the broker's.
     suspect_until: Vec<Tenths>,
-    /// Connection attempts that came to nothing, in a row.
+    /// Failed connection attempts in a row, and streams that ended before they were stable.
     failures: u32,
     /// The end of the wait, or the time by which a response must have arrived.
     due: Option<Tenths>,
@@ -196,25 +200,27 @@
         effects.push(Effect::Connect { service: self.service, stream: self.stream });
     }
 
-    fn note_open(&mut self, now: Tenths, _: &mut Vec<Effect>) {
+    fn record_open(&mut self, now: Tenths, _: &mut Vec<Effect>) {
         self.opened_at = now;
     }
 
-    /// The service is there, and the time for the first response is over.
-    fn note_reply(&mut self, _: Tenths, effects: &mut Vec<Effect>) {
+    /// The service responds: there is no time-out until the next connection attempt.
+    fn record_response(&mut self, _: Tenths, effects: &mut Vec<Effect>) {
         self.due = None;
         if self.logged.replace(Reachability::Reached) != Some(Reachability::Reached) {
             effects.push(Effect::Log(LogEvent::ServiceReached(self.service)));
         }
     }
 
+    /// No response came in time.
     fn give_up(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
         self.log_unreachable("no response in time", effects);
         self.back_off(now, effects);
     }
 
-    fn leave(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+    /// The service has another history than the broker: another service is tried.
+    fn change_service(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
         self.suspect_until[self.service.0] = now + self.policy.suspect_duration;
         self.back_off(now, effects);
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -27,6 +27,8 @@
     at
 }
 
+/// A service is down for long. If its brokers called it at a fixed interval they would overload it as it comes back:
+/// the waits between attempts grow, are drawn, and stay under a bound.
 #[rstest]
 fn waits_grow_with_jitter_to_a_bound() {
     let connects = refused(&mut new_subscription(1), 60);
@@ -53,6 +55,8 @@
     }
 }
 
+/// A service accepts streams and drops them soon after. A stream that was open for a moment must not reset the
+/// backoff, or the service would be called again at once; one that was stable does.
 #[rstest]
 #[case(10_000, 2)]
 #[case(400_000, 1)]
@@ -93,7 +97,8 @@
     assert_eq!(subscription.state(), BackingOff);
 }
 
-/// A service with another history is left for the others, but stays where it is the only one.
+/// A service shows another history. The broker changes to another service and avoids the first one for a while;
+/// where it is the only one, the broker stays connected.
 #[rstest]
 fn passes_over_a_suspect_service() {
     let mut two = new_subscription(2);
@@ -114,6 +119,8 @@
     assert_eq!(one.state(), Open);
 }
 
+/// A message of a stream that has ended arrives after the next connection attempt began. It must not be taken for
+/// one of the new stream.
 #[rstest]
 fn ignores_messages_of_an_old_stream() {
     let mut subscription = new_subscription(1);
--- a/crates/config-rollout/src/verdict.rs
+++ b/crates/config-rollout/src/verdict.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum UnprovenReason {
     /// Too few queries ended to judge by.
-    #[error("{ended} retrievals ended, {required} are needed")]
+    #[error("{ended} queries ended, {required} are needed")]
     TooFewQueries {
         /// Queries that ended.
         ended: u64,
@@ -31,17 +31,17 @@
         required: u64,
     },
     /// The counts pointed neither way for long enough.
-    #[error("it looked worse, though not beyond doubt, or nodes were being lost on and off")]
+    #[error("more queries failed than before, but not beyond noise, or nodes failed on and off")]
     Inconclusive,
     /// Nodes were failing until the end.
-    #[error("nodes were being lost all the while")]
+    #[error("nodes were failing until the end")]
     NodesFailing,
 }
 
 /// The counts by which a version failed its probation.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error(
-    "{failed} of {ended} retrievals ended badly in {:.1} s, {failed_before} of {ended_before} before it",
+    "{failed} of {ended} queries failed in {:.1} s, {failed_before} of {ended_before} before it",
     observed.as_ms() / 1000.0
 )]
 pub struct ProbationFailure {
@@ -60,8 +60,8 @@
 /// The counts by which nodes are held to be failing.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error(
-    "nodes are being lost ({ready} ready, {ready_before} before; \
-     {failed_on_nodes} of {ended} retrievals found theirs down)"
+    "nodes are failing ({ready} ready, {ready_before} before; \
+     {failed_on_nodes} of {ended} queries found a node down)"
 )]
 pub struct NodeLoss {
     /// Nodes that are ready.
--- a/crates/config-rollout/src/version_history.rs
+++ b/crates/config-rollout/src/version_history.rs
@@ -1,70 +1,22 @@
-//! What a broker runs, and how each offer is answered. Guards against brokers that drift apart, against a
-//! service that lost its state or forked, and against a version that is applied twice.
+//! What a broker runs, and how it got there: the table of rollout states, and what is done on each event.
+//!
+//! An offer is compared with what is known ([`offer_comparison`](crate::offer_comparison)) and the probation
+//! gives its verdict ([`probation`](crate::probation)); either is an event, which the table turns into the
+//! next state and effects. An offer with a rejection reason is rejected, every other is acknowledged. Each
+//! change shows as a log event ([`LogEvent`]).
 
 use crate::effects::{Effect, LogEvent};
 use crate::inputs::Offer;
-use crate::persisted_state::{PersistedState, ProbationAttempt, WithdrawnVersion};
+use crate::known_versions::{AcceptedNumbers, WithdrawnContents};
+use crate::offer_comparison::{Comparison, ComparisonInputs, compare_offer};
+use crate::persisted_state::{PersistedState, ProbationAttempt};
 use crate::rejection::{Rejection, RejectionReason};
+use crate::rollout_state::RolloutState::{self, OnProbation, Settled};
+use crate::rollout_state::VersionEvent::{self, Empty, Failed, Forked, Invalid, Newer, Older, Paused};
+use crate::rollout_state::VersionEvent::{Proven, Renumbered, Reverted, Unchanged, Unproven, Withdrawn};
 use crate::verdict::{UnprovenReason, Verdict};
-use crate::version::{Digest, VersionId};
-use RolloutState::{OnProbation, Settled};
-use VersionEvent::{Empty, Failed, Forked, Invalid, Newer, Older, Paused, Proven, Renumbered, Reverted};
-use VersionEvent::{Unchanged, Unproven, Withdrawn};
+use crate::version::VersionId;
 use routing::Tenths;
-use std::collections::BTreeMap;
-
-/// Whether the running version is still on probation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RolloutState {
-    /// Confirmed, or the broker's own file.
-    Settled,
-    /// Applied, and observed until the verdict.
-    OnProbation,
-}
-
-/// An offer as it compares with what is known, or the verdict of the probation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionEvent {
-    /// It can't be read or applied.
-    Invalid,
-    /// The service has none.
-    Empty,
-    /// These contents were withdrawn earlier.
-    Withdrawn,
-    /// Its number is known with other contents.
-    Forked,
-    /// Its number is not above the highest that was accepted.
-    Older,
-    /// It is what runs.
-    Unchanged,
-    /// A higher number with the contents that run.
-    Renumbered,
-    /// A higher number with the contents that were confirmed last, while others are on probation.
-    Reverted,
-    /// A higher number with other contents.
-    Newer,
-    /// The version passed its probation.
-    Proven,
-    /// The probation ended without a verdict.
-    Unproven,
-    /// The version failed its probation.
-    Failed,
-    /// The probation is paused.
-    Paused,
-}
-
-/// An offer, compared with what is known.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Comparison {
-    /// How it compares.
-    pub event: VersionEvent,
-    /// The offered number, where it could be read.
-    pub number: Option<u64>,
-    /// The offered version, where it is valid.
-    pub version: Option<VersionId>,
-    /// Why it is rejected, if it is.
-    pub rejection: Option<RejectionReason>,
-}
 
 /// What an action needs of the offer or the verdict that caused it.
 struct EventContext<'a> {
@@ -100,8 +52,7 @@
 const ANY: &[RolloutState] = &[Settled, OnProbation];
 const PROBATION: &[RolloutState] = &[OnProbation];
 
-/// The row that fits is taken; where none fits, nothing happens. An offer with a rejection reason is
-/// rejected, every other is acknowledged.
+/// The row that fits is taken; where none fits, nothing happens.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
     //  states     event       next               action
@@ -109,8 +60,8 @@
     row(ANY,       Withdrawn,  None,              VersionHistory::reject),
     row(ANY,       Forked,     None,              VersionHistory::reject),
     row(ANY,       Older,      None,              VersionHistory::reject),
-    row(ANY,       Empty,      None,              VersionHistory::keep_running),
-    row(ANY,       Unchanged,  None,              VersionHistory::keep_running),
+    row(ANY,       Empty,      None,              VersionHistory::do_nothing),
+    row(ANY,       Unchanged,  None,              VersionHistory::do_nothing),
     row(ANY,       Renumbered, None,              VersionHistory::renumber),
     row(PROBATION, Reverted,   Some(Settled),     VersionHistory::revert),
     row(ANY,       Newer,      Some(OnProbation), VersionHistory::apply),
@@ -120,19 +71,10 @@
     row(PROBATION, Paused,     None,              VersionHistory::log_pause),
 ];
 
-/// How many numbers and withdrawn digests are remembered; the oldest are forgotten first.
-const MAX_REMEMBERED: usize = 256;
 /// A version during whose probation the process ended this often is not tried again. One end may have any
 /// cause.
 const MAX_UNFINISHED_RUNS: u32 = 3;
 
-/// Why, and under which number, contents were withdrawn.
-#[derive(Clone, Debug)]
-struct Withdrawal {
-    number: u64,
-    reason: String,
-}
-
 /// The running version, and what is known of those before it.
 #[derive(Debug)]
 pub struct VersionHistory {
@@ -141,10 +83,10 @@
     state: RolloutState,
     /// The last one confirmed; what a roll-back goes to.
     confirmed: VersionId,
-    highest_accepted: u64,
-    known: BTreeMap<u64, Digest>,
-    withdrawn: BTreeMap<Digest, Withdrawal>,
+    accepted: AcceptedNumbers,
+    withdrawn: WithdrawnContents,
     last_rejection: Option<Rejection>,
+    /// The version on probation; after a restart, the one whose probation the last process did not finish.
     probation_attempt: Option<ProbationAttempt>,
     /// The running version's probation ended without a verdict, and why.
     unproven: Option<UnprovenReason>,
@@ -154,17 +96,13 @@
     /// The history of a broker that runs what it confirmed last: its own file, or what it stored earlier.
     pub fn new(persisted: PersistedState, now: Tenths) -> VersionHistory {
         let PersistedState { confirmed, highest_accepted, withdrawn, probation_attempt } = persisted;
-        let withdrawn = withdrawn.into_iter().map(|WithdrawnVersion { version, reason }| {
-            (version.digest, Withdrawal { number: version.number, reason })
-        });
         let mut history = VersionHistory {
             running: confirmed,
             since: now,
             state: Settled,
             confirmed,
-            highest_accepted: highest_accepted.max(confirmed.number),
-            known: BTreeMap::from([(confirmed.number, confirmed.digest)]),
-            withdrawn: withdrawn.collect(),
+            accepted: AcceptedNumbers::new(confirmed, highest_accepted),
+            withdrawn: WithdrawnContents::new(withdrawn),
             last_rejection: None,
             probation_attempt,
             unproven: None,
@@ -173,28 +111,27 @@
         history
     }
 
-    /// Guards against a version that ends the process again and again, before any probation could judge it.
+    /// Withdraws a version during whose probation the process ended [`MAX_UNFINISHED_RUNS`] times. A version
+    /// that crashes the broker is never judged by its probation, and a broker that applied it after each
+    /// restart would serve nobody. The attempts are counted in the stored state, which is written before the
+    /// version is applied. It shows as the last rejection in the broker's status. The cost is that a harmless
+    /// version is withdrawn where something else ended the process that often.
     fn withdraw_after_repeated_ends(&mut self, now: Tenths) {
         let attempt = self.probation_attempt.filter(|attempt| attempt.unfinished_runs >= MAX_UNFINISHED_RUNS);
         let Some(ProbationAttempt { version, unfinished_runs }) = attempt else { return };
         let reason = RejectionReason::ProcessEnded { ends: unfinished_runs };
         self.probation_attempt = None;
-        self.highest_accepted = self.highest_accepted.max(version.number);
-        self.withdrawn
-            .insert(version.digest, Withdrawal { number: version.number, reason: reason.to_string() });
+        self.accepted.raise_highest(version.number);
+        self.withdrawn.withdraw(version, &reason);
         self.last_rejection = Some(Rejection { number: Some(version.number), reason, at: now });
     }
 
     /// What must outlive the process.
     pub fn persisted_state(&self) -> PersistedState {
-        let withdrawn = self.withdrawn.iter().map(|(digest, withdrawal)| WithdrawnVersion {
-            version: VersionId { number: withdrawal.number, digest: *digest },
-            reason: withdrawal.reason.clone(),
-        });
         PersistedState {
             confirmed: self.confirmed,
-            highest_accepted: self.highest_accepted,
-            withdrawn: withdrawn.collect(),
+            highest_accepted: self.accepted.highest(),
+            withdrawn: self.withdrawn.to_persisted(),
             probation_attempt: self.probation_attempt,
         }
     }
@@ -221,7 +158,7 @@
 
     /// The highest number accepted; it never falls.
     pub fn highest_accepted(&self) -> u64 {
-        self.highest_accepted
+        self.accepted.highest()
     }
 
     /// The last version that was rejected or withdrawn.
@@ -236,47 +173,14 @@
 
     /// How an offer compares with what is known.
     pub fn compare(&self, offer: &Offer) -> Comparison {
-        match offer {
-            Offer::Empty => Comparison { event: Empty, number: None, version: None, rejection: None },
-            Offer::Invalid { number, reason } => {
-                let rejection = Some(RejectionReason::Invalid(reason.clone()));
-                Comparison { event: Invalid, number: *number, version: None, rejection }
-            }
-            Offer::Valid(version) => {
-                let (event, rejection) = self.compare_version(*version);
-                Comparison { event, number: Some(version.number), version: Some(*version), rejection }
-            }
-        }
-    }
-
-    /// The order counts: withdrawn contents are reported as such under any number, and a fork as a fork
-    /// even where its number is old.
-    fn compare_version(&self, version: VersionId) -> (VersionEvent, Option<RejectionReason>) {
-        let VersionId { number, digest } = version;
-        if version == self.running {
-            return (Unchanged, None);
-        }
-        if let Some(Withdrawal { number, reason }) = self.withdrawn.get(&digest).cloned() {
-            return (Withdrawn, Some(RejectionReason::Withdrawn { number, reason }));
-        }
-        if let Some(known) = self.known.get(&number).copied().filter(|known| *known != digest) {
-            return (Forked, Some(RejectionReason::Forked { number, known, offered: digest }));
-        }
-        if self.probation_attempt.is_some_and(|attempt| attempt.version == version) {
-            // The process ended during its probation, and goes on where it was.
-            return (Newer, None);
-        }
-        if number <= self.highest_accepted {
-            let highest = self.highest_accepted;
-            return (Older, Some(RejectionReason::Older { number, highest }));
-        }
-        if digest == self.running.digest {
-            return (Renumbered, None);
-        }
-        if digest == self.confirmed.digest {
-            return (Reverted, None);
-        }
-        (Newer, None)
+        let inputs = ComparisonInputs {
+            running: self.running,
+            confirmed: self.confirmed,
+            on_probation: self.probation_attempt.map(|attempt| attempt.version),
+            accepted: &self.accepted,
+            withdrawn: &self.withdrawn,
+        };
+        compare_offer(offer, &inputs)
     }
 
     /// Handles an offer that was compared just now.
@@ -311,7 +215,7 @@
 
     // ---- actions
 
-    fn keep_running(&mut self, _: &EventContext, _: &mut Vec<Effect>) {}
+    fn do_nothing(&mut self, _: &EventContext, _: &mut Vec<Effect>) {}
 
     fn reject(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let (number, Some(reason)) = (context.number, context.rejection.cloned()) else { return };
@@ -328,7 +232,7 @@
 
     fn apply(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
-        self.accept(version);
+        self.accepted.accept(version);
         self.run(version, context.now);
         let earlier_runs = self
             .probation_attempt
@@ -344,7 +248,7 @@
     /// The same contents under a higher number: nothing is applied, and what was proven stays so.
     fn renumber(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
-        self.accept(version);
+        self.accepted.accept(version);
         self.running = version;
         effects.push(Effect::Renumber(version));
         effects.push(Effect::Log(LogEvent::Renumbered(version)));
@@ -379,11 +283,11 @@
     }
 
     /// Rolls back to the last confirmed version. It needs no probation, and the contents that failed are
-    /// not taken again under any number: so a broker can't alternate between the two.
+    /// not applied again under any number, so that a broker can't alternate between the two.
     fn withdraw(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(Verdict::Failed(failure)) = context.verdict else { return };
         let (withdrawn, reason) = (self.running, RejectionReason::from(*failure));
-        self.remember_withdrawn(withdrawn, &reason);
+        self.withdrawn.withdraw(withdrawn, &reason);
         self.run(self.confirmed, context.now);
         self.last_rejection = Some(Rejection { number: Some(withdrawn.number), reason, at: context.now });
         self.probation_attempt = None;
@@ -398,28 +302,8 @@
         effects.push(Effect::Log(LogEvent::ProbationPaused { version: self.running, reason: *reason }));
     }
 
-    // ---- parts of actions
-
+    /// The running version is this one from now on.
     fn run(&mut self, version: VersionId, now: Tenths) {
         (self.running, self.since, self.unproven) = (version, now, None);
     }
-
-    fn accept(&mut self, version: VersionId) {
-        self.highest_accepted = self.highest_accepted.max(version.number);
-        self.known.insert(version.number, version.digest);
-        while self.known.len() > MAX_REMEMBERED {
-            self.known.pop_first();
-        }
-    }
-
-    fn remember_withdrawn(&mut self, version: VersionId, reason: &RejectionReason) {
-        if self.withdrawn.len() >= MAX_REMEMBERED {
-            let oldest = self.withdrawn.iter().min_by_key(|(_, withdrawal)| withdrawal.number);
-            if let Some(digest) = oldest.map(|(digest, _)| *digest) {
-                self.withdrawn.remove(&digest);
-            }
-        }
-        let withdrawal = Withdrawal { number: version.number, reason: reason.to_string() };
-        self.withdrawn.insert(version.digest, withdrawal);
-    }
 }
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -187,6 +187,9 @@
     assert!(simulation.rejections.is_empty());
 }
 
+/// A service that lost its state or forked offers an older number, or other contents under a known one. If brokers
+/// followed it, they would run different configurations under one number. Each such offer is rejected with its
+/// reason, and what runs stays.
 #[rstest]
 #[case(3, "older", "version 3 is older than version 5, accepted before")]
 #[case(4, "known", "version 4 is older than version 5, accepted before")]
@@ -201,8 +204,8 @@
     assert_eq!((simulation.applied, simulation.applications.len()), (version(5, "five"), 2));
 }
 
-/// A stream dropped between applying and acknowledging: the same version comes again, and is not applied
-/// again.
+/// The stream is dropped after a version was applied and before it was acknowledged. The service sends the same
+/// version again: it is acknowledged, and not applied a second time.
 #[rstest]
 fn applies_once_although_the_acknowledgement_was_lost() {
     let mut simulation = Simulation::connected(1);
@@ -254,7 +257,7 @@
     simulation.offer_version(2, "bad");
     simulation.serve_queries(3, 20);
     assert_eq!((simulation.applied, simulation.stored_contents), (version(1, "good"), version(1, "good")));
-    assert!(simulation.last_rejection().contains("ended badly"), "{}", simulation.last_rejection());
+    assert!(simulation.last_rejection().contains(" queries failed in "), "{}", simulation.last_rejection());
     for (number, expected) in [(2, "these contents were withdrawn as version 2"), (3, "these contents were")]
     {
         simulation.offer_version(number, "bad");
@@ -271,7 +274,8 @@
     assert_eq!(simulation.stored_contents, version(5, "better"));
 }
 
-/// Two versions, one right after the other, the second bad: back to the last that was confirmed.
+/// Two versions come one right after the other, and queries fail under the second. The first was never confirmed,
+/// so the broker rolls back past it, to the last confirmed version.
 #[rstest]
 fn rolls_back_past_a_version_never_confirmed() {
     let mut simulation = Simulation::connected(1);
@@ -284,7 +288,8 @@
     assert_eq!(simulation.applied, version(1, "confirmed"));
 }
 
-/// The service is gone for an hour and comes back with a lower number, or another history: what runs stays.
+/// The service is unreachable for an hour and comes back with a lower number, or another history. The running
+/// version stays all the while, one log event says so, and a higher number is applied again.
 #[rstest]
 #[case(2, "b")]
 #[case(3, "other")]
@@ -313,7 +318,8 @@
     assert_eq!(simulation.applied, version(4, "d"));
 }
 
-/// Two services that disagree: the one with the other history is left for the other.
+/// Two services disagree on the contents of a version. The broker rejects the offer of the one with the other
+/// history, and connects to the other service.
 #[rstest]
 fn leaves_a_service_that_disagrees() {
     let mut simulation = Simulation::connected(2);
@@ -326,7 +332,8 @@
     assert_eq!(simulation.applied, version(1, "a"));
 }
 
-/// What was withdrawn, and the highest number, outlive the process.
+/// A broker is restarted after it withdrew a version. Without the stored state it would apply the same contents
+/// again, or an older number: both are rejected.
 #[rstest]
 fn remembers_after_a_restart() {
     let mut simulation = Simulation::connected(1);
@@ -343,7 +350,8 @@
     assert!(simulation.last_rejection().starts_with("version 4 is older than version 5"));
 }
 
-/// A version that ends the process before any probation could judge it is applied three times, and no more.
+/// A version crashes the process before its probation can judge it, and a supervisor restarts the broker each
+/// time. The version is applied three times, and no more; the next one is applied.
 #[rstest]
 fn does_not_end_the_process_again_and_again() {
     let mut persisted = PersistedState::of(version(0, "own"));
@@ -358,7 +366,9 @@
     simulation.open();
     simulation.offer_version(2, "deadly");
     assert_eq!(simulation.applied, version(0, "own"));
-    assert!(simulation.last_rejection().contains("the broker ended 3 times while it was on trial"));
+    assert!(
+        simulation.last_rejection().contains("the broker process ended 3 times while it was on probation")
+    );
     simulation.offer_version(3, "mended");
     assert_eq!(simulation.applied, version(3, "mended"));
 }
