--- a/crates/config-rollout-client/src/state_file.rs
+++ b/crates/config-rollout-client/src/state_file.rs
@@ -180,7 +180,7 @@
     file.sync_all()
 }
 
-/// Reads the file; `max_document_bytes` bounds the document, and with [`MAX_BYTES_BESIDE_DOCUMENT`] the file.
+/// Reads the file; `max_document_bytes` bounds the document, and with some room for the rest the file.
 ///
 /// # Errors
 /// There is no file, it can't be read, or it is not as a broker has written it.
--- a/crates/ini-lines/src/lib.rs
+++ b/crates/ini-lines/src/lib.rs
@@ -1,5 +1,5 @@
-//! Finds the line that a section, or a key in it, stands on in an INI text. The INI parser keeps no lines,
-//! and an error message that names one is found faster.
+//! Finds the line of a section, or of a key in it, in an INI text, for error messages: the INI parser does not
+//! record lines.
 //!
 //! ```
 //! let text = "[log]\n\nformat = json\n";
@@ -16,8 +16,8 @@
     numbered.find(|(_, line)| section_name(line) == Some(section)).map(|(number, _)| number)
 }
 
-/// The line where a key first stands in a section, counted from 1; none where it does not stand there. A key
-/// before the first section is not found.
+/// The line of the first occurrence of a key in a section, counted from 1; none where the section does not have
+/// it. A key before the first section is not found.
 pub fn key_line(text: &str, section: &str, key: &str) -> Option<usize> {
     let mut is_within = false;
     for (number, line) in numbered_lines(text) {
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Over which time `calls_per_minute` counts, in milliseconds.
+/// The window of `calls_per_minute`, in milliseconds.
 const MINUTE_MS: f64 = 60_000.0;
 
-/// How configuration versions are had from configuration services.
+/// How a broker gets its configuration versions from configuration services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
     /// The services' addresses; one at least.
@@ -24,11 +24,11 @@
     pub policy: RolloutPolicy,
     /// The longest document of a version, in bytes.
     pub max_document_bytes: usize,
-    /// How often queries are counted for the probation.
+    /// How often the outcomes of queries are counted for the probation.
     pub sample_interval: Duration,
-    /// Where the client status service listens.
+    /// Where the client status service listens; none: it does not.
     pub status_address: Option<SocketAddr>,
-    /// Where the last confirmed version is kept.
+    /// The file that the last confirmed version is stored in; none: it is not stored.
     pub state_file: Option<PathBuf>,
 }
 
@@ -52,6 +52,7 @@
     Some(rollout_config(values, services, policy))
 }
 
+/// The keys beside the policy, and the fields that they set.
 fn rollout_config(values: &KeyValues, services: Vec<SocketAddr>, policy: RolloutPolicy) -> RolloutConfig {
     let number = |name: &str| values.number(CONTROL, name);
     let text = |name: &str| Some(values.get(CONTROL, name)).filter(|text| !text.is_empty());
@@ -66,6 +67,8 @@
     }
 }
 
+/// The keys of the policy, and the fields that they set: a "trial" is the probation, "retrievals" are queries,
+/// "calls" connection attempts, "waits" the backoff.
 fn rollout_policy(values: &KeyValues) -> RolloutPolicy {
     let number = |name: &str| values.number(CONTROL, name);
     let duration = |name: &str| Tenths::from_ms(number(name));
@@ -84,7 +87,7 @@
     }
 }
 
-/// Bounds must not be under what they bound.
+/// Adds an error for each bound that is less than what it bounds.
 fn check_order(values: &mut KeyValues, policy: &RolloutPolicy) {
     let orders = [
         ("first_wait_ms", policy.initial_backoff, "longest_wait_ms", policy.max_backoff),
--- a/crates/operator-config/src/key_values.rs
+++ b/crates/operator-config/src/key_values.rs
@@ -1,12 +1,12 @@
-//! Reads the operator's file key by key: values that are allowed one by one, and what is wrong.
+//! Reads the operator's file key by key: the values that are allowed by themselves, and all errors.
 
 use crate::{KEYS, Key, OperatorConfigError};
 use ini::{Ini, ParseOption};
 
-/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
+/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
 const SIMILARITY_SCALE: f64 = 1e6;
 
-/// The values of a file that are allowed one by one, and everything that is wrong with it.
+/// The values of a file that are allowed by themselves, and everything that is wrong with it.
 pub(crate) struct KeyValues<'a> {
     text: &'a str,
     values: Vec<KeyValue>,
@@ -19,7 +19,10 @@
 }
 
 impl<'a> KeyValues<'a> {
-    /// Reads a file's text; fails where it is no INI.
+    /// Reads a file's text.
+    ///
+    /// # Errors
+    /// The text is no INI. Other errors are collected in `errors`.
     pub fn read(text: &'a str) -> Result<KeyValues<'a>, OperatorConfigError> {
         // Backslashes stay as they are: a path may hold them.
         let options = ParseOption { enabled_escape: false, enabled_quote: true, ..ParseOption::default() };
@@ -88,7 +91,7 @@
         Ok(KeyValue { key, value: value.trim().to_owned() })
     }
 
-    /// The line that a section stands on; the first where it stands nowhere.
+    /// The line of a section's header; the first line where it has none.
     pub fn section_line(&self, section: &str) -> usize {
         ini_lines::section_line(self.text, section).unwrap_or(1)
     }
@@ -101,7 +104,7 @@
         stated.map_or_else(default, |stated| &stated.value)
     }
 
-    /// The value of a key that holds a number.
+    /// The value of a key that holds a number; its type was checked when it was read.
     pub fn number(&self, section: &str, name: &str) -> f64 {
         self.get(section, name).parse().unwrap_or(0.0)
     }
@@ -112,6 +115,7 @@
     }
 }
 
+/// The most similar name.
 fn nearest(name: &str, among: impl Iterator<Item = &'static str>) -> &'static str {
     let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * SIMILARITY_SCALE) as u64;
     among.max_by_key(similarity).unwrap_or_default()
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -30,6 +30,7 @@
     }
 }
 
+/// A day in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
 
 const fn number(least: f64, most: f64) -> ValueType {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,5 +1,8 @@
 //! Reads the operator's file, `deploy/operator.ini`: what is switched on at an installation, and how. Without
-//! the file, or with an empty one, everything in it is off.
+//! the file, or with an empty one, everything is off.
+//!
+//! `keys` is the table of keys; `control_section` and `admission_section` are the edge at which the words of the
+//! keys become the terms of the code.
 //!
 //! ```
 //! let text = "[control]\nservices = 127.0.0.1:18000\ninstallation = north\n";
@@ -47,7 +50,10 @@
     Json,
 }
 
-/// Reads the file's text, or lists everything that is wrong with it.
+/// Reads the file's text.
+///
+/// # Errors
+/// Everything that is wrong with it.
 pub fn read(text: &str) -> Result<OperatorConfig, Vec<OperatorConfigError>> {
     let mut values = KeyValues::read(text).map_err(|error| vec![error])?;
     let config = OperatorConfig {
--- a/crates/operator-config/src/operator_config_error.rs
+++ b/crates/operator-config/src/operator_config_error.rs
@@ -69,7 +69,7 @@
         /// The key.
         key: &'static str,
     },
-    /// A bound is under what it bounds.
+    /// A bound is less than what it bounds.
     #[error("`{key}` of [control] must be more than `{lower_key}`, or the same")]
     WrongOrder {
         /// The key.
--- a/crates/settings-migration/src/deployment_layout.rs
+++ b/crates/settings-migration/src/deployment_layout.rs
@@ -1,12 +1,12 @@
-//! What the new deployment looks like, as the shape file says.
+//! The layout of the new deployment, as the shape file states it.
 
 use crate::{KEYS, Key, LayoutError};
 use ini::{Ini, ParseOption};
 
-/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
+/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
 const SIMILARITY_SCALE: f64 = 1e6;
 
-/// What the new deployment looks like, as far as its shape file says.
+/// The layout of the new deployment, as far as its shape file states it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeploymentLayout {
     stated: Vec<StatedValue>,
@@ -20,7 +20,10 @@
 }
 
 impl DeploymentLayout {
-    /// Reads a shape file's text, or lists everything that is wrong with it.
+    /// Reads a shape file's text.
+    ///
+    /// # Errors
+    /// Everything that is wrong with it.
     pub fn read(text: &str) -> Result<DeploymentLayout, Vec<LayoutError>> {
         let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|error| {
@@ -38,7 +41,7 @@
         if errors.is_empty() { Ok(DeploymentLayout { stated }) } else { Err(errors) }
     }
 
-    /// What the shape file says for a settings key.
+    /// The text that the shape file states for a settings key.
     pub(crate) fn text(&self, settings_key: &str) -> Option<&str> {
         let stated = self.stated.iter().find(|stated| stated.key.settings_key == settings_key);
         stated.map(|stated| &stated.text[..])
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -1,10 +1,10 @@
 //! Converts a broker's file for one deployment into its counterpart for another: another layout of shards,
 //! other zones, load reported in another way. Does no I/O; `shard-broker reshape` is the command.
 //!
-//! - [`DeploymentLayout::read`] reads the shape file, INI: what the new deployment looks like. [`KEYS`] lists
-//!   its keys.
-//! - [`migrate()`] gives the new file's text, and lists what of the old one it could not carry over, or all
-//!   that stands against the new one. What a deployment's layout decides is never taken from the old file.
+//! - [`DeploymentLayout::read`] reads the shape file, INI: the layout of the new deployment. [`KEYS`] lists its
+//!   keys, and which settings key each one sets.
+//! - [`migrate()`] returns the new file's text and what of the old file is not in it, or all errors of the new
+//!   file. What a deployment's layout decides is never taken from the old file.
 //!
 //! ```
 //! let layout = settings_migration::DeploymentLayout::read("[load]\ntold = pull\nprobes = true\n").unwrap();
--- a/crates/settings-migration/src/migrate.rs
+++ b/crates/settings-migration/src/migrate.rs
@@ -15,8 +15,11 @@
 /// The file's key that holds the nodes that the broker knew last.
 const KNOWN_NODES: &str = "known";
 
-/// Makes the new file of an old one. `zone`: this broker's, where the shape file does not say it for all.
-/// Nothing comes back but errors where the new file could not be served from.
+/// The new deployment's file for a broker with this old file. `zone`: this broker's, where the shape file does
+/// not state one for all brokers.
+///
+/// # Errors
+/// All errors of the new file: a broker could not serve from it.
 pub fn migrate(
     old: &[u8],
     layout: &DeploymentLayout,
@@ -58,11 +61,12 @@
 }
 
 impl Migration<'_> {
+    /// Records a key that is not carried over.
     fn leave(&mut self, key: &str, reason: LeftBehindReason) {
         self.left_behind.push(LeftBehind { key: key.to_owned(), reason });
     }
 
-    /// Removes what the settings have no key for, as far as the outermost two levels show it.
+    /// Removes the keys on the outermost two levels that the settings do not have.
     fn leave_unknown_keys(&mut self) {
         for key in settings_object::keys(self.settings) {
             if !is_known(&key) && settings_object::remove(self.settings, &key).is_some() {
@@ -71,6 +75,7 @@
         }
     }
 
+    /// Removes the keys that describe the old fleet's machines.
     fn leave_old_fleet(&mut self) {
         for key in OLD_FLEET_KEYS {
             if self.settings.remove(*key).is_some() {
--- a/crates/settings-migration/src/migrated_settings.rs
+++ b/crates/settings-migration/src/migrated_settings.rs
@@ -1,8 +1,8 @@
-//! What a migration gives.
+//! The result of a migration.
 
 use thiserror::Error;
 
-/// The new file, and what of the old one is not in it.
+/// The new file, and the keys of the old one that are not in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigratedSettings {
     /// The new file's text.
@@ -20,7 +20,7 @@
     pub reason: LeftBehindReason,
 }
 
-/// Why a key of the old file was not carried over; shown in words for an operator.
+/// Why a key of the old file was not carried over. The texts follow the key.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LeftBehindReason {
     /// The settings have no such key.
@@ -30,9 +30,9 @@
     #[error("describes the old fleet; nothing reads it")]
     DescribesOldFleet,
     /// The new deployment's layout decides it, and the shape file does not say it.
-    #[error("goes by the deployment's shape, and the shape file does not say it")]
+    #[error("is decided by the deployment's layout, and the shape file does not state it")]
     DecidedByLayout,
     /// It lists nodes of the old fleet.
-    #[error("nodes of the old fleet; discovery tells the new ones")]
+    #[error("lists nodes of the old fleet; discovery lists the new ones")]
     KnownNodes,
 }
--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -1,9 +1,9 @@
-//! What stands against a migrated file.
+//! Why a file can't be migrated.
 
 use settings::{DocumentError, ValidationError};
 use thiserror::Error;
 
-/// One thing that stands against a migrated file.
+/// One reason why a file can't be migrated.
 #[derive(Debug, Error)]
 pub enum MigrationError {
     /// The old file is no JSON object.
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -1,5 +1,20 @@
-//! Makes a broker's configuration of a settings text: the configuration of the routing decisions, and what
-//! the program needs beside it.
+//! Turns a settings text into a broker's configuration: the one place where the words of the settings keys
+//! become the terms of the code. The keys stay as the platform gives them
+//! ([`SettingsText`](crate::settings_text) has their names); everything past this module has the code's terms.
+//!
+//! | key | code |
+//! | --- | --- |
+//! | `Instances` | brokers |
+//! | `Services`, `Worth`, `OnTimeMs`, `AimStretch` | request classes, priority weight, latency objective, its stretch |
+//! | `Effect`, `DedupWindowMs` | idempotency, deduplication window |
+//! | `Domain.Cells`, `Reach`, `Ranges`, `PerCall` | placement groups, replica groups, shards, batch size |
+//! | `Domain.MinShare`, `CompleteFrom`, `FetchParts` | minimum coverage, complete coverage, shard requests of the second phase |
+//! | `OverShareWorth` | weight of queries beyond their tenant's quota |
+//! | `Limits.SecondCopies`, `MayCancel` | hedging, cancelling |
+//! | `Rules.ColdFrom`, `WarmUpMs` | initial capacity share and period of slow start |
+//! | `Rules.AskWithinMs`, `StopSendingWithinMs` | maximal age of the endpoint list, drain grace |
+//! | `Rules.ExtraFloor`, `ResendRatio`, `BudgetWindowMs` | floor, share and window of the retry budget |
+//! | `Areas`, `Zone` | zones |
 
 use crate::settings_text::{ClassText, LimitsText, RulesText, SettingsText};
 use crate::{NameRegistry, SettingsError};
@@ -18,18 +33,18 @@
     pub names: NameRegistry,
     /// The zones' names, by zone id.
     pub zones: Vec<String>,
-    /// What holds for a connection to a node.
+    /// Limits of a connection to a node.
     pub connections: ConnectionSettings,
-    /// What the values of a load report are, in their order.
+    /// What each value of a load report is, in their order.
     pub load_report: Vec<LoadMetric>,
 }
 
-/// What holds for a connection to a node; none where the text is silent.
+/// Limits of a connection to a node; none where the text does not state them.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionSettings {
-    /// A node closes a connection that was idle for so long.
+    /// A node closes a connection that was idle for this long.
     pub idle_timeout: Option<Tenths>,
-    /// A connection that is not up by then never comes up.
+    /// A connection that is not established within this time never will be.
     pub connect_timeout: Option<Tenths>,
     /// The shard requests that one connection carries at a time.
     pub max_shard_requests: Option<u32>,
@@ -41,7 +56,10 @@
     pub tenants: Vec<usize>,
 }
 
-/// Reads a settings text, or says which key is wrong. Ids go by the order in the text.
+/// Reads a settings text; unknown keys are skipped. Ids go by the order in the text.
+///
+/// # Errors
+/// The first thing that is wrong: no JSON, a missing key, a value of the wrong type or kind.
 pub fn read(text: &[u8]) -> Result<BrokerSettings, SettingsError> {
     let text: SettingsText = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
     let names = NameRegistry::in_order(text.class_names(), text.tenant_names());
@@ -62,7 +80,7 @@
 }
 
 impl BrokerSettings {
-    /// Makes the configuration of a text, with these ids for its request classes and tenants.
+    /// The configuration that a text states, with these ids for its request classes and tenants.
     pub(crate) fn from_text(
         text: &SettingsText,
         names: NameRegistry,
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,5 +1,5 @@
-//! The one validator, for an installation's document and for a broker's own file. It lists everything wrong
-//! at once: the field, what it holds, what is allowed.
+//! The validator of settings documents, for versions from a service and for a broker's own file. It lists all
+//! errors at once, each with the key, its value and what is allowed.
 
 use crate::consistency::check_consistency;
 use crate::document::{Document, join_key, type_name};
@@ -14,17 +14,17 @@
 const MAX_LIST_ITEMS: usize = 10_000;
 /// How many characters of a wrong text are shown.
 const SHOWN_CHARACTERS: usize = 40;
-/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
+/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
 const SIMILARITY_SCALE: f64 = 1e6;
 
-/// Everything wrong with a document; empty: it can be used.
+/// Everything that is wrong with a document, up to 100 errors; empty where it can be used.
 pub fn check(document: &Document) -> Vec<ValidationError> {
     let mut errors = Vec::new();
     check_value(&document.0, "", "", &mut errors);
     if errors.is_empty() {
         match serde_json::from_value::<SettingsText>(document.0.clone()) {
             Ok(text) => check_consistency(&text, &mut errors),
-            // What the table allows can be read; should it ever not be, that is reported and not passed over.
+            // Can't happen while the table of keys and the types agree; if it does, it is reported.
             Err(error) => errors.push(ValidationError::invalid(
                 "document",
                 error.to_string(),
@@ -36,7 +36,8 @@
     errors
 }
 
-/// `place` is where a value stands, `key` the same as the table of keys writes it.
+/// `place` is the path of a value, such as `Tenants[1].Name`; `key` is the same path as the table of keys writes
+/// it, `Tenants[].Name`.
 fn check_value(value: &Value, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let field = Field::find(key);
     match value {
@@ -78,13 +79,13 @@
     }
 }
 
-/// Lists the keys that must stand in this object and do not.
+/// Adds an error for each required key that is missing in this object.
 fn check_required(entries: &Map<String, Value>, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let mut reported: BTreeSet<&str> = BTreeSet::new();
     for field in FIELDS.iter().filter(|field| field.is_required) {
         let Some(rest) = key_within(field.key, key) else { continue };
         let first = rest.split(['.', '[']).next().unwrap_or(rest);
-        // An installation without tenants is allowed, so that the keys of one do not make the list needed.
+        // An installation without tenants is allowed: the required keys of a tenant do not make the list required.
         if !entries.contains_key(first) && reported.insert(first) && first != "Tenants" {
             let allowed =
                 if first == rest { field.value_type.describe() } else { format!("what `{rest}` stands in") };
--- a/crates/settings/src/compare.rs
+++ b/crates/settings/src/compare.rs
@@ -26,7 +26,8 @@
     comparison.changes
 }
 
-/// `place` is where a value stands, `key` the same as the table of keys writes it.
+/// `place` is the path of a value, such as `Tenants[school].Name`; `key` is the same path as the table of keys
+/// writes it, `Tenants[].Name`.
 struct Comparison {
     changes: Vec<Change>,
 }
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -1,14 +1,14 @@
-//! What must hold between several settings keys, and so can't be checked one by one.
+//! Checks that involve several settings keys, and so can't be made key by key.
 
 use crate::ValidationError;
 use crate::settings_text::{ClassText, DomainText, LimitsText, RulesText, SettingsText};
 use std::collections::BTreeSet;
 
-/// An objective must be longer than so many turns. Two turns before the latency objective and four before the
-/// deadline a response must be on its way: with less time each query would be given up as it is accepted.
+/// A latency objective must be longer than this many turns. A response must be on its way two turns before the
+/// latency objective and four before the deadline: with less time each query would fail as it is accepted.
 const MIN_OBJECTIVE_TURNS: f64 = 4.0;
 
-/// Checks what no key shows by itself.
+/// Adds an error for each value that is allowed by itself, but not with the others.
 pub(crate) fn check_consistency(text: &SettingsText, errors: &mut Vec<ValidationError>) {
     check_class_lists(text, errors);
     check_names(text, errors);
@@ -38,7 +38,7 @@
         }
     }
     if classes == 0 {
-        errors.push(ValidationError::invalid("Services", "empty", "one category at least"));
+        errors.push(ValidationError::invalid("Services", "empty", "one request class at least"));
     }
 }
 
@@ -122,7 +122,7 @@
         let found = rules.overload_factor.to_string();
         errors.push(ValidationError::invalid("Rules.OverloadFactor", found, allowed));
     }
-    // Without its window a stated budget would be ignored, and a broker's own be kept in its place.
+    // Without its window a stated budget would be ignored, and the broker's default used instead.
     if rules.budget_window_ms.is_none() && (rules.extra_floor.is_some() || rules.resend_ratio.is_some()) {
         let allowed = "a window where `ExtraFloor` or `ResendRatio` stand".to_owned();
         errors.push(ValidationError::MissingKey { field: "Rules.BudgetWindowMs".to_owned(), allowed });
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,5 +1,5 @@
-//! A whole settings text as a document: bounded before it is parsed, and with one canonical form, so that
-//! two texts that say the same have the same bytes to take a digest of.
+//! A settings text as a document: bounded before it is parsed, and with one canonical form, so that two texts
+//! with the same meaning have the same digest.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -35,8 +35,14 @@
 }
 
 impl Document {
-    /// Guards against texts that take the memory of a broker: the bound is held against the length before a
-    /// byte is parsed, and nesting is cut off by the parser (128 deep).
+    /// Parses a text of at most `max_bytes`.
+    ///
+    /// A text from a service could otherwise take all of a broker's memory, or its stack by deep nesting: the
+    /// length is checked before a byte is parsed, and the parser ends at a nesting of 128. Such a text is an
+    /// error that shows as a rejected version.
+    ///
+    /// # Errors
+    /// The text is too long, is no JSON, or is JSON but no object.
     pub fn parse(text: &[u8], max_bytes: usize) -> Result<Document, DocumentError> {
         if text.len() > max_bytes {
             return Err(DocumentError::TooLong { bytes: text.len(), max_bytes });
@@ -58,11 +64,12 @@
         serde_json_canonicalizer::to_vec(&self.0).unwrap_or_default()
     }
 
-    /// What one key on the outermost level holds.
+    /// The value of a key of the outermost object.
     pub(crate) fn get(&self, key: &str) -> Option<&Value> {
         self.0.get(key)
     }
 
+    /// Sets a key of the outermost object.
     pub(crate) fn set(&mut self, key: &str, value: Value) {
         if let Value::Object(entries) = &mut self.0 {
             entries.insert(key.to_owned(), value);
@@ -87,7 +94,7 @@
     }
 }
 
-/// The place of a key within an object at `place`; the outermost object's place is empty.
+/// The path of a key in an object with the path `place`; the outermost object has an empty path.
 pub(crate) fn join_key(place: &str, key: &str) -> String {
     if place.is_empty() { key.to_owned() } else { format!("{place}.{key}") }
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -7,8 +7,8 @@
 /// When a value that differs from the one before takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Applies {
-    /// At once, for everything; where a rule looks back over a window, the tighter of both until that is
-    /// over.
+    /// At once, for everything; where a rule counts over a window, the tighter of the old and the new value
+    /// applies until the window has passed.
     Immediately,
     /// For queries accepted from then on; an open one keeps the configuration it was accepted under.
     NewQueries,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,11 @@
-//! Reads the settings text into the configuration of the routing decisions and what the program needs beside
+//! Reads settings texts: into the configuration of the routing decisions, and into what the program needs beside
 //! it. Makes no decision about queries.
 //!
 //! - [`read`] reads the text that a broker starts from, as the platform gives it: unknown keys are skipped.
 //! - [`Document`] is the whole settings text of an installation; [`check()`] lists everything wrong in one.
-//! - [`revise()`] turns a document into what a running broker takes over, or lists why it can't.
+//! - [`revise()`] turns a document into what a running broker applies, or lists why it can't.
+//!
+//! `broker_settings` is the edge: there the words of the keys become the terms of the code.
 //!
 //! ```
 //! let document = settings::Document::parse(br#"{"PeriodMs": 5.0, "Rulez": {}}"#, 1 << 20).unwrap();
--- a/crates/settings/src/name_registry.rs
+++ b/crates/settings/src/name_registry.rs
@@ -1,6 +1,6 @@
-//! Which ids the names of request classes and tenants have. An id, once given, stays with its name for as
-//! long as the broker runs, through all versions of its configuration, and is never given to another name:
-//! the routing state is kept by id, and would otherwise count for another class or tenant.
+//! Which ids the names of request classes and tenants have. An id, once assigned, stays with its name for as
+//! long as the broker runs, through all versions of its configuration, and is never assigned to another name:
+//! the routing state is stored by id, and would otherwise count for another class or tenant.
 
 use routing::{ClassId, TenantId};
 use std::collections::BTreeMap;
@@ -12,6 +12,7 @@
     tenants: NumberedNames,
 }
 
+/// Names with their numbers, and the next free number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct NumberedNames {
     numbers: BTreeMap<String, usize>,
@@ -19,7 +20,7 @@
 }
 
 impl NumberedNames {
-    /// Numbers by the order of a list; of two items with one name the first has it.
+    /// Numbers by the order of a list; of two items with the same name the first one's number counts.
     fn in_order<'a>(names: impl Iterator<Item = &'a str>) -> NumberedNames {
         let mut numbered = NumberedNames::default();
         for name in names {
--- a/crates/settings/src/revise.rs
+++ b/crates/settings/src/revise.rs
@@ -1,4 +1,4 @@
-//! What a running broker takes over from a new document: which keys differ, when each applies, and the
+//! What a running broker applies of a new document: which keys differ, when each applies, and the
 //! configuration with the ids that the broker already uses.
 
 use crate::broker_settings::AssignedNumbers;
@@ -13,7 +13,7 @@
 /// The key of the list of zone names.
 const ZONES: &str = "Areas";
 
-/// A document that a running broker can take over.
+/// A document that a running broker can apply.
 #[derive(Clone, Debug)]
 pub struct Revised {
     /// What the broker runs with from now on.
@@ -24,8 +24,11 @@
     pub changes: Vec<Change>,
 }
 
-/// Makes what a broker takes over of `new`, while it runs with `running` and these ids; or lists everything
-/// that stands against it. The broker's own keys are `running`'s; `new` leaves them out, or says the same.
+/// Checks that a broker that runs with `running` and these ids can apply `new`, and returns what it then runs
+/// with. Keys that are each broker's own are taken from `running`; `new` leaves them out, or has the same.
+///
+/// # Errors
+/// Everything that is wrong with `new`, and every change that needs a restart.
 pub fn revise(
     running: &Document,
     names: &NameRegistry,
@@ -55,8 +58,8 @@
     }
 }
 
-/// A broker's zone is where it stands: it keeps the zone's name, as the new document may list zones in
-/// another order.
+/// A broker stays in its zone. The zone is compared by its name, as the new document may list zones in another
+/// order.
 fn fill_in_zone(document: &mut Document, running: &Document, new: &Document) -> Result<(), ValidationError> {
     let running_zone = zone_name(running);
     if new.get(ZONE).is_some() {
@@ -113,7 +116,8 @@
     BrokerSettings::from_text(&text, names, &numbers).map_err(|error| unreadable(&error))
 }
 
-/// The error of a document that was checked and still can't be read; reported and not passed over.
+/// The error of a document that was checked and still can't be read. This can't happen while the table of keys
+/// and the types agree; if it does, it is reported.
 fn unreadable(error: &dyn std::error::Error) -> Vec<ValidationError> {
     vec![ValidationError::invalid("document", error.to_string(), "")]
 }
--- a/crates/settings/src/settings_error.rs
+++ b/crates/settings/src/settings_error.rs
@@ -21,6 +21,6 @@
         effect: String,
     },
     /// There are more request classes than class ids.
-    #[error("settings: too many categories")]
+    #[error("settings: too many request classes")]
     TooManyClasses,
 }
--- a/crates/settings/src/settings_text.rs
+++ b/crates/settings/src/settings_text.rs
@@ -1,5 +1,5 @@
-//! The settings text as it comes from the platform, before anything is made of it. Fields have the names of
-//! the text's keys.
+//! The settings text as it comes from the platform. Fields have the names of the text's keys; `broker_settings`
+//! turns them into the terms of the code.
 
 use serde::Deserialize;
 
--- a/crates/xds-test-server/src/discovery_service.rs
+++ b/crates/xds-test-server/src/discovery_service.rs
@@ -14,9 +14,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status, Streaming};
 
-/// How many responses wait for a stream.
+/// How many responses may wait for a stream.
 const RESPONSE_QUEUE_CAPACITY: usize = 8;
 
+/// The service, as each connection sees it.
 pub(crate) struct DiscoveryService {
     shared: Arc<Shared>,
 }
@@ -50,7 +51,7 @@
     }
 }
 
-/// The stream is to be dropped, or its broker is gone.
+/// The stream is dropped by a drawn fault, or its broker has ended it.
 struct StreamDropped;
 
 /// One broker's stream.
@@ -84,7 +85,7 @@
                     if std::mem::replace(&mut is_subscribed, true) {
                         continue;
                     }
-                    // What the broker runs already is not sent again.
+                    // The version that the broker runs is not sent to it.
                     self.last_sent = request.version_info.parse().ok();
                     self.send_newest(&mut newest).await
                 }
--- a/crates/xds-test-server/src/history.rs
+++ b/crates/xds-test-server/src/history.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// How many requests are kept, the newest.
+/// How many requests are recorded: the newest.
 const MAX_RECORDED_REQUESTS: usize = 100_000;
 
 /// A request of a broker: its first, an acknowledgement, or a rejection.
@@ -23,6 +23,7 @@
     pub rejection: Option<String>,
 }
 
+/// The versions by number, the brokers' requests, and counters.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) versions: BTreeMap<u64, Version>,
--- a/crates/xds-test-server/src/lib.rs
+++ b/crates/xds-test-server/src/lib.rs
@@ -2,7 +2,7 @@
 //! has the faults of real services, drawn by seed: it drops streams, responds late, repeats responses, sends
 //! an older version first, sends unreadable ones, stops, and comes back with another history.
 //!
-//! It runs on a thread of its own, so that neither can hold the other up, it and a broker under test.
+//! It runs on a thread of its own, so that it and a broker under test can't delay each other.
 
 #![warn(missing_docs)]
 
--- a/crates/xds-test-server/src/server.rs
+++ b/crates/xds-test-server/src/server.rs
@@ -24,7 +24,10 @@
 }
 
 impl XdsTestServer {
-    /// Listens at this address; port 0 for any.
+    /// Listens at this address; port 0 for any free one.
+    ///
+    /// # Errors
+    /// The address can't be listened on, or there is no runtime.
     pub fn start(address: SocketAddr, faults: FaultPlan) -> std::io::Result<XdsTestServer> {
         let shared = Arc::new(Shared::new(faults));
         let mut server = XdsTestServer { address, shared, shutdown: None, thread: None };
@@ -32,8 +35,8 @@
         Ok(server)
     }
 
-    /// Serves this document under this number from now on, whatever was before: a lower number, or another
-    /// document under a known one, is a history that was lost or forked.
+    /// Serves this document under this number from now on, whatever was published before. A lower number, or
+    /// another document under a known one, plays a service that has lost its state or forked.
     pub fn publish(&self, number: u64, installation: &str, document: &[u8]) {
         let unreadable = || Version {
             number,
@@ -52,7 +55,7 @@
         self.shared.drops.send_modify(|times| *times += 1);
     }
 
-    /// Accepts nothing more, and drops every stream.
+    /// Stops listening, and drops every stream.
     pub fn stop(&mut self) {
         self.drop_streams();
         self.shutdown.take();
@@ -60,6 +63,9 @@
     }
 
     /// Listens at its address again, with the versions that it had.
+    ///
+    /// # Errors
+    /// As [`XdsTestServer::start`].
     pub fn restart(&mut self) -> std::io::Result<()> {
         let listener = std::net::TcpListener::bind(self.address)?;
         listener.set_nonblocking(true)?;
@@ -72,7 +78,7 @@
         Ok(())
     }
 
-    /// Forgets every version: its state is lost.
+    /// Forgets every version, as a service that has lost its state.
     pub fn forget_versions(&self) {
         self.shared.history().versions.clear();
     }
