--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -22,8 +22,8 @@
     1.0 / level / seconds(window)
 }
 
-/// The rate at which the limit starts, in shard requests a second: what the nodes have served, and `min_rate`
-/// at the least.
+/// The rate at which the limit starts, in shard requests a second: what the nodes have served, but not less than
+/// `min_rate`.
 ///
 /// A rate that started higher and followed losses alone would overshoot: losses show late, and until they do
 /// it would add to the queues that cause them.
@@ -65,7 +65,7 @@
         now - self.decreased_at >= window.times(DECREASE_HOLD_RATIO)
     }
 
-    /// Multiplies the rate by `factor` (0 to 1), to `min_per_second` at the least.
+    /// Multiplies the rate by `factor` (0 to 1), but not below `min_per_second`.
     pub fn decrease(&mut self, now: Tenths, factor: f64, min_per_second: f64) {
         self.before_decrease = self.per_second;
         self.per_second = min_per_second.max(self.per_second * factor);
--- a/crates/admission-control/src/adaptive_rate/tests.rs
+++ b/crates/admission-control/src/adaptive_rate/tests.rs
@@ -42,8 +42,9 @@
 #[case(24_999, false)]
 #[case(25_000, true)]
 fn half_a_window_passes_between_decreases(#[case] after: i64, #[case] expected: bool) {
-    let mut rate = started(100.0);
-    assert_eq!(rate.may_decrease(Tenths(after), WINDOW), expected, "after the start");
+    let mut rate = AdaptiveRate::default();
+    rate.start(Tenths(70_000), 100.0);
+    assert_eq!(rate.may_decrease(Tenths(70_000 + after), WINDOW), expected, "after the start");
     rate.decrease(Tenths(100_000), 0.75, 2.0);
     assert_eq!(rate.may_decrease(Tenths(100_000 + after), WINDOW), expected, "after a decrease");
 }
@@ -64,6 +65,26 @@
     assert_eq!(rate.per_second(), 110.0, "by the same amount each step");
 }
 
+/// The peak is where the rate was last decreased, not where it was ever highest: a second decrease lowers it.
+#[rstest]
+fn the_last_peak_is_that_of_the_last_decrease() {
+    let mut rate = started(100.0);
+    rate.decrease(Tenths(0), 0.5, 2.0);
+    rate.decrease(Tenths(50_000), 0.5, 2.0);
+    rate.increase(1.0);
+    assert_eq!(rate.per_second(), 50.0);
+    rate.increase(0.5);
+    assert_eq!(rate.per_second(), 52.5, "slower past 50");
+}
+
+/// A limit that has just started is at what the nodes served: from there on it grows slowly, as past a peak.
+#[rstest]
+fn the_initial_rate_counts_as_a_peak() {
+    let mut rate = started(100.0);
+    rate.increase(0.5);
+    assert_eq!(rate.per_second(), 105.0);
+}
+
 #[rstest]
 fn a_stopped_rate_is_none() {
     let mut rate = started(100.0);
--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -27,7 +27,7 @@
     pub retry_ratio: f64,
     /// Retries that are admitted beside those, in a window. 0 and up.
     pub min_retries: f64,
-    /// The most tenants that are told apart; any more share one quota and one retry budget. 1 at least.
+    /// The most tenants that have a quota and a retry budget each; all others share one of each. 1 at least.
     pub max_tenants: u32,
     /// Whether, while overloaded, a query beyond its tenant's share is rejected or served at its minimum
     /// coverage while other tenants request something. Off: only retries have a budget, and the broker's
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Counts the attempts that ended, and takes over a new configuration.
+    /// Counts the attempts that ended, and applies a new configuration.
     fn read_inputs(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
@@ -129,7 +129,8 @@
 
     // ---- steps
 
-    /// Takes each step that has passed since the last, a window's at most.
+    /// Takes each step that has passed since the last, a window's at most: the window holds nothing older to
+    /// judge by, and a turn after a long silence must not take long.
     fn advance_steps(&mut self) -> Option<ModeChange> {
         let step_length = step_length(self.config.window);
         let steps = ((self.now - self.last_step_at).0 / step_length.0).min(STEPS_PER_WINDOW);
--- a/crates/admission-control/src/mode.rs
+++ b/crates/admission-control/src/mode.rs
@@ -1,7 +1,7 @@
 //! The mode: whether all queries are admitted, or a limited rate of shard requests.
 //!
-//! [`next_step`] is the table of modes. It is read once a step (a tenth of the configured window) and says
-//! which mode comes next and how the admitted rate changes. Whether there is overload is decided by
+//! [`next_step`] is the table of modes. It is read once a step (a tenth of the configured window) and
+//! decides which mode comes next and how the admitted rate changes. Whether there is overload is decided by
 //! [`overload_detection`](crate::overload_detection); what the changes come to, by
 //! [`adaptive_rate`](crate::adaptive_rate). A change of mode shows as a log line
 //! ([`ModeChange`](crate::mode_change::ModeChange)).
--- a/crates/admission-control/src/quota.rs
+++ b/crates/admission-control/src/quota.rs
@@ -21,7 +21,7 @@
     pub is_enforced: bool,
 }
 
-/// What the quota says of a query.
+/// What the quota decides on a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaDecision {
     /// Admitted, for as many tokens as it has shard requests.
--- a/crates/admission-control/src/retry_after.rs
+++ b/crates/admission-control/src/retry_after.rs
@@ -7,7 +7,7 @@
 const RETRY_AFTER_WINDOW_RATIO: f64 = 0.5;
 
 /// When a rejected query may be sent again: after half the window, up to the configured maximum; zero (none
-/// is sent) where the configuration does not let clients be told.
+/// is sent) where the configuration does not allow one.
 pub(crate) fn retry_after(window: Tenths, limits: &RequestLimits) -> Tenths {
     if !limits.retry_after {
         return Tenths::ZERO;
--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -6,7 +6,7 @@
 //! first attempts stops that, whatever the clients do; it is that of tower's `retry::budget` and of other
 //! proxies, counted by tenant. The cost is that some retries are rejected that could have been served.
 //!
-//! Retries are known only where the front end is told of them (`client_attempt`). A rejection shows as
+//! Retries are known only where the front end passes them on (`client_attempt`). A rejection shows as
 //! [`Decision::RejectRetryBudget`](crate::Decision::RejectRetryBudget) in the counts of decisions.
 
 /// How many retries a tenant may send within the window.
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// A document that a running broker can't take over, with all that is wrong with it.
+/// A document that a running broker can't apply, with all that is wrong with it.
 #[derive(Debug, thiserror::Error)]
 pub struct InvalidDocument {
     errors: Vec<ValidationError>,
--- a/crates/config-rollout-client/src/state_file/tests.rs
+++ b/crates/config-rollout-client/src/state_file/tests.rs
@@ -1,9 +1,10 @@
 //! Writing and reading, corruption, and a file of an earlier release.
 
-use super::*;
+use super::{StateFileError, StoredState, draft_of, parse, read, write};
 use crate::wire::Version;
-use config_rollout::{Digest, ProbationAttempt, WithdrawnVersion};
+use config_rollout::{Digest, PersistedState, ProbationAttempt, VersionId, WithdrawnVersion};
 use rstest::rstest;
+use std::path::Path;
 
 fn state(number: u64) -> StoredState {
     let version = Version::from_document(number, "site", br#"{"a": 1}"#);
@@ -23,7 +24,8 @@
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 1);
 }
 
-/// A kill may leave a write half done: what it leaves is used by nobody, and the next write leaves nothing of it.
+/// The process is killed in the middle of a write. The draft that is left must not be read as the state, and the
+/// next write replaces it.
 #[rstest]
 fn a_write_that_was_cut_leaves_nothing_behind() {
     let folder = tempfile::tempdir().unwrap();
@@ -36,7 +38,8 @@
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 1);
 }
 
-/// Cut at any byte, or with any one bit flipped, it is no state.
+/// A disk returns a file that was cut short, or with a bit flipped. A broker that took it for a version would run
+/// what nobody published: cut at any byte, or with any one bit flipped, the file is no state.
 #[rstest]
 fn a_corrupt_file_is_no_state() {
     let folder = tempfile::tempdir().unwrap();
@@ -56,8 +59,8 @@
     assert!(matches!(read(&path, 100), Err(StateFileError::Corrupt(_))));
 }
 
-/// The file was written by commit 076ab53, whose brokers must go on with it after an upgrade. What is written
-/// of the same state today has the same bytes.
+/// A broker is upgraded, and finds the state file of the release before (written by commit 076ab53). It must read
+/// it; the same state is written with the same bytes, so that a downgrade works too.
 #[rstest]
 fn a_file_of_an_earlier_release_is_read_and_written_the_same() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/kept-version-form-1");
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -66,7 +66,7 @@
     Log(LogEvent),
 }
 
-/// What an operator is told of.
+/// What is logged for an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A version was applied and is on probation.
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -11,8 +11,7 @@
 //!   `Open`;
 //! - [`version_history`]: what the broker runs, `Settled` or `OnProbation`; each offer is first compared with
 //!   what is known ([`offer_comparison`]);
-//! - [`probation`]: whether a version on probation is to blame for failed queries: `Stable` or
-//!   `NodesFailing`.
+//! - [`probation`]: whether a version on probation makes queries fail: `Stable` or `NodesFailing`.
 //!
 //! ```
 //! use routing::Tenths;
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -1,12 +1,12 @@
-//! How queries ended lately: what a probation compares with.
+//! How queries ended before a version was applied: what its probation compares with.
 
 use crate::sample::Sample;
 use crate::wilson::score_interval;
 use routing::Tenths;
 use std::collections::VecDeque;
 
-/// The window is compared in this many parts: the worst counts, so that a fault which began shortly before
-/// the version is not blamed on it.
+/// The window is compared in this many parts, of which the worst counts, so that a version does not fail for a
+/// fault which began shortly before it.
 const PARTS: usize = 4;
 
 /// What was counted up to a time.
@@ -16,7 +16,7 @@
     pub(crate) sample: Sample,
 }
 
-/// How queries ended lately, one sample for each count, as long back as a probation compares with.
+/// How queries ended within a span, one sample for each count.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeWindow {
     samples: VecDeque<TimedSample>,
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -20,7 +20,7 @@
     pub connect_timeout: Tenths,
     /// A stream that was open for this long ends the row of failures.
     pub stable_stream_age: Tenths,
-    /// A service with an older or another history is passed over for this long while there are others.
+    /// A service with an older or another history is avoided for this long while there are others.
     pub suspect_duration: Tenths,
     /// How long an applied version is on probation.
     pub probation_duration: Tenths,
@@ -28,8 +28,8 @@
     pub max_probation_duration: Tenths,
     /// The least number of ended queries by which a version is judged.
     pub min_ended_queries: u64,
-    /// By how much the share of failed queries (0 to 1) must exceed the usual share to be blamed on a
-    /// version.
+    /// By how much the share of failed queries (0 to 1) must exceed the usual share for a version to fail its
+    /// probation.
     pub failure_ratio_margin: f64,
 }
 
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -1,10 +1,9 @@
-//! Whether a version on probation is to blame for failed queries. The share of queries that failed under it
-//! is compared with the share before, beyond noise (Wilson's score interval); while nodes are failing there is
+//! Whether a version on probation makes queries fail. The share of queries that failed under it is compared with the share before, beyond noise (Wilson's score interval); while nodes are failing there is
 //! no verdict, because a zone that is lost in the same minute makes queries fail just as a bad version does.
 //!
-//! What it can't tell: a version that brings nodes down (it takes that for failing nodes); a fault of
-//! tenants, or of the network to them, that began in the same span as the version; harm too rare for the
-//! traffic that there was.
+//! What it can't tell: a version that brings nodes down (it looks like failing nodes); a fault of tenants, or
+//! of the network to them, that began in the same span as the version; failures that are too rare for the
+//! traffic during the probation.
 
 use crate::outcome_window::Baseline;
 pub use crate::outcome_window::OutcomeWindow;
@@ -158,8 +157,8 @@
         sample.ended >= min_ended_queries && lower > self.usual_failure_ratio() + failure_ratio_margin
     }
 
-    /// Enough time and queries, and what was seen does not look worse. A version that looks worse, though
-    /// not beyond noise, stays on probation.
+    /// There was enough time and there were enough queries, and no larger share failed than usual. While a larger
+    /// share failed, though not beyond noise, the version stays on probation.
     fn is_over(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, probation_duration, .. } = self.policy;
         let sample = observation.sample;
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -1,6 +1,10 @@
 //! Single probations: what is blamed, what is not, and what pauses.
 
-use super::*;
+use super::{OutcomeWindow, Probation};
+use crate::policy::RolloutPolicy;
+use crate::sample::Sample;
+use crate::verdict::Verdict;
+use routing::Tenths;
 use rstest::rstest;
 
 const SECOND: i64 = 10_000;
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -1,8 +1,8 @@
 //! The connection to a configuration service: when to connect, to which of several, when to give up.
 //!
-//! Two failures decide the rules. A service that comes back is called by its whole fleet at once: the backoff
-//! is drawn with full jitter, so that the calls spread. A service that accepts streams and drops them would
-//! be called in a tight loop, as no connection attempt fails: a budget bounds the attempts in any window. The
+//! Two failures shape the rules. A service that comes back is connected to by its whole fleet at once: the
+//! backoff is drawn with full jitter, so that the attempts spread. A service that accepts streams and drops
+//! them would be connected to in a tight loop, as no attempt fails: a budget bounds the attempts in any window. The
 //! cost is that a broker may learn of a new version some waits later. An unreachable service shows as one log
 //! event until it responds again.
 
@@ -98,7 +98,7 @@
     state: SubscriptionState,
     stream: StreamId,
     service: ServiceIndex,
-    /// For each service, until when it is passed over because its history conflicts with the broker's.
+    /// For each service, until when it is avoided because its history conflicts with the broker's.
     suspect_until: Vec<Tenths>,
     /// Failed connection attempts in a row, and streams that ended before they were stable.
     failures: u32,
@@ -182,7 +182,7 @@
         self.due.is_some_and(|due| due <= now)
     }
 
-    /// There is another service that is not passed over.
+    /// There is another service that is not avoided.
     fn has_other(&self, now: Tenths) -> bool {
         let mut others = self.suspect_until.iter().enumerate().filter(|(index, _)| *index != self.service.0);
         others.any(|(_, until)| *until <= now)
@@ -249,7 +249,7 @@
         Some(*oldest + self.policy.connect_window + Tenths(1))
     }
 
-    /// The next service in order that is not passed over; where all are, the next.
+    /// The next service in order that is not avoided; where all are, the next.
     fn choose_service(&mut self, now: Tenths) {
         let count = self.suspect_until.len();
         let following = (1..=count).map(|step| (self.service.0 + step) % count);
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -1,6 +1,13 @@
 //! Waits, budgets and the choice of a service.
 
-use super::*;
+use super::SubscriptionEvent::{
+    self, HistoryConflict, ResponseReceived, Started, StreamEnded, StreamOpened, TimerExpired,
+};
+use super::{Subscription, SubscriptionState::BackingOff, SubscriptionState::Open};
+use crate::effects::{Effect, LogEvent};
+use crate::inputs::StreamId;
+use crate::policy::RolloutPolicy;
+use routing::Tenths;
 use rstest::rstest;
 
 fn new_subscription(services: usize) -> Subscription {
--- a/crates/config-rollout/src/verdict.rs
+++ b/crates/config-rollout/src/verdict.rs
@@ -13,7 +13,7 @@
     Proven,
     /// The probation ended without a verdict.
     Unproven(UnprovenReason),
-    /// The version is to blame for failed queries.
+    /// The version makes queries fail.
     Failed(ProbationFailure),
     /// The probation has just been paused.
     Paused(NodeLoss),
--- a/crates/config-rollout/src/wilson.rs
+++ b/crates/config-rollout/src/wilson.rs
@@ -1,7 +1,7 @@
 //! Wilson's score interval of a share.
 
-/// How many standard deviations wide an interval is on each side. A probation is looked at again and again,
-/// so that two would blame a harmless version every few minutes.
+/// How many standard deviations wide an interval is on each side. A probation compares its counts each second,
+/// so that a narrower interval would fail harmless versions by chance.
 const DEVIATIONS: f64 = 4.0;
 
 /// The bounds of a share.
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,5 +1,5 @@
 //! The table of all keys of the operator's file: where each stands, its default, and what it may hold. The
-//! shipped file and the operators' page say the same.
+//! shipped file and the operators' page have the same defaults and bounds.
 
 use crate::value_type::ValueType::{self, Address, Addresses, OneOf, Text};
 
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,6 +1,7 @@
 //! What the file may say, and what is said of one that is wrong.
 
-use super::*;
+use super::{KEYS, LogFormat, OperatorConfig, OperatorConfigError, read};
+use admission_control::AdmissionConfig;
 use routing::Tenths;
 use rstest::rstest;
 use std::path::PathBuf;
--- a/crates/settings-migration/src/migrate.rs
+++ b/crates/settings-migration/src/migrate.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Sets a key to what the layout says, or removes it where it may not keep its old value.
+    /// Sets a key to what the layout states, or removes it where its old value may not stay.
     fn migrate_key(&mut self, key: &Key) {
         match self.stated(key) {
             Some(text) => {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// What the new deployment says for a key; a zone that the caller states comes first.
+    /// The new deployment's text for a key; a zone that the caller states takes precedence.
     fn stated(&self, key: &Key) -> Option<String> {
         let own_zone = self.zone.filter(|_| key.settings_key == ZONE);
         own_zone.or(self.layout.text(key.settings_key)).map(str::to_owned)
--- a/crates/settings-migration/src/migrated_settings.rs
+++ b/crates/settings-migration/src/migrated_settings.rs
@@ -29,7 +29,7 @@
     /// It describes the machines of the old fleet.
     #[error("describes the old fleet; nothing reads it")]
     DescribesOldFleet,
-    /// The new deployment's layout decides it, and the shape file does not say it.
+    /// The new deployment's layout decides it, and the shape file does not state it.
     #[error("is decided by the deployment's layout, and the shape file does not state it")]
     DecidedByLayout,
     /// It lists nodes of the old fleet.
--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -20,7 +20,7 @@
         /// The new deployment's, with commas between them.
         zones: String,
     },
-    /// The new deployment has zones, and neither the shape file nor the caller says the broker's.
+    /// The new deployment has zones, and neither the shape file nor the caller states the broker's.
     #[error("`zone` is missing: this broker's, in [fleet] or by --zone")]
     MissingZone,
     /// The new settings are no document.
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -1,6 +1,6 @@
 //! What a migration carries over, and what it says of files that are wrong.
 
-use super::*;
+use super::{DeploymentLayout, KEYS, migrate};
 use rstest::rstest;
 use serde_json::{Value, json};
 use settings::FIELDS;
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -10,11 +10,11 @@
     /// At once, for everything; where a rule counts over a window, the tighter of the old and the new value
     /// applies until the window has passed.
     Immediately,
-    /// For queries accepted from then on; an open one keeps the configuration it was accepted under.
+    /// For queries accepted from then on; an open query goes by the configuration that it was accepted under.
     NewQueries,
     /// Not while the broker runs: a version that changes it is rejected.
     AfterRestart,
-    /// Each broker's own, from its file; a version leaves it out, or says the same.
+    /// Each broker's own, from its file; a version leaves it out, or has the same value.
     PerBroker,
     /// Never: the broker does not read it.
     Never,
@@ -43,7 +43,7 @@
 
 /// The longest time that a key may hold, in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
-/// The longest deadline, in milliseconds: the longest that a client may say it waits.
+/// The longest deadline, in milliseconds: the longest wait that a client may state.
 const MAX_DEADLINE_MS: f64 = 600_000.0;
 const EFFECTS: &[&str] = &["idempotent", "deduplicated", "at_most_once"];
 const REGISTRY_MODES: &[&str] = &["automatic", "subscribe"];
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! it. Makes no decision about queries.
 //!
 //! - [`read`] reads the text that a broker starts from, as the platform gives it: unknown keys are skipped.
-//! - [`Document`] is the whole settings text of an installation; [`check()`] lists everything wrong in one.
+//! - [`Document`] is the whole settings text of an installation; [`check()`] lists all errors of one.
 //! - [`revise()`] turns a document into what a running broker applies, or lists why it can't.
 //!
 //! `broker_settings` is the edge: there the words of the keys become the terms of the code.
--- a/crates/settings/src/name_registry.rs
+++ b/crates/settings/src/name_registry.rs
@@ -5,7 +5,7 @@
 use routing::{ClassId, TenantId};
 use std::collections::BTreeMap;
 
-/// Names of request classes and tenants with their ids. Names that are no longer in use keep theirs.
+/// Names of request classes and tenants with their ids. Names that are no longer in use still have theirs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NameRegistry {
     classes: NumberedNames,
--- a/crates/settings/src/settings_error.rs
+++ b/crates/settings/src/settings_error.rs
@@ -17,7 +17,7 @@
     /// A request class has an `Effect` that there is none of.
     #[error("settings: `Effect` is `{effect}`")]
     UnknownEffect {
-        /// What the text says.
+        /// The value in the text.
         effect: String,
     },
     /// There are more request classes than class ids.
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,6 @@
-//! What is read of settings texts, what is wrong in them, and what a running broker takes over.
+//! What is read of settings texts, which errors they have, and what a running broker applies.
 
-use super::*;
+use super::{Applies, BrokerSettings, Document, FIELDS, Revised, ValidationError, check, compare, revise};
 use routing::{ClassId, Idempotency, Tenths, ZoneId};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -299,8 +299,10 @@
 /// Whatever stands in one place of a document: the check rejects or passes it, and what it passes can be read
 /// and served by.
 mod arbitrary_values {
-    use super::*;
+    use super::{check, compare, document, revise, valid};
     use proptest::prelude::*;
+    use routing::Tenths;
+    use serde_json::{Value, json};
 
     /// The same sequence in every run, unless PROPTEST_RNG_SEED names another; a failure prints what it
     /// failed with.
--- a/crates/xds-test-server/src/history.rs
+++ b/crates/xds-test-server/src/history.rs
@@ -15,7 +15,7 @@
 pub struct RecordedRequest {
     /// The broker's name.
     pub node: String,
-    /// What it runs, as it says; empty for its own file.
+    /// The version that it reports to run; empty for its own file.
     pub version: String,
     /// The nonce of the response that it answers; empty in the first request.
     pub nonce: String,
