--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -144,6 +144,7 @@
             self.take_step(observed);
         }
         self.tenants.forget_idle(self.now);
+        // Nobody reads the shares in normal mode.
         if self.mode == Mode::Overloaded {
             self.share_rate();
         }
@@ -287,3 +288,6 @@
         self.tenants.get_or_insert(tenant, self.now, self.rate.per_second())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -535,16 +535,143 @@
     assert_eq!(overloaded_at, Some(5000), "at the first step");
 }
 
+/// A rate that grew with each turn would be back at the overload within milliseconds: it changes once a step,
+/// however many turns there are in it.
+#[rstest]
+fn the_rate_changes_once_a_step() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    // What was lost leaves the fifth of the window in which losses are judged.
+    for _ in 0..10 {
+        now += Tenths(5000);
+        nodes.step(&mut admission, now, queries.query(0, 20, 0));
+    }
+    let mut rates = vec![admission.rate()];
+    for _ in 0..400 {
+        now += Tenths(50);
+        admission.filter_inputs(now, &queries.query(0, 1, 0));
+        rates.push(admission.rate());
+    }
+    rates.dedup();
+    assert!(rates.len() <= 5, "four steps, {} rates", rates.len());
+}
+
+/// A broker starts in the middle of an overload. What its first turn brings is not judged before a step has
+/// passed: a rate that started at what the nodes served until then would be next to nothing.
+#[rstest]
+fn the_first_turn_takes_no_step() {
+    let mut admission = controller(AdmissionConfig::default());
+    admission.filter_inputs(Tenths(900_000), &attempts_ended(AttemptOutcome::Overloaded, 50));
+    assert_eq!(admission.mode(), Mode::Normal);
+    admission.filter_inputs(Tenths(905_000), &[Input::Woken]);
+    assert_eq!(admission.mode(), Mode::Overloaded);
+}
+
+/// Nodes that serve 40 shard requests a second, for two seconds, and are then overloaded: the rate when the
+/// limit starts, and the time at which it does.
+fn initial_rate(first_turn: Tenths) -> f64 {
+    let mut admission = controller(AdmissionConfig::default());
+    admission.filter_inputs(first_turn, &[Input::Woken]);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    for step in 0..20 {
+        let shard_requests = if step < 4 { 20 } else { 60 };
+        nodes.step(&mut admission, Tenths(step * 5000), queries.query(0, shard_requests, 0));
+        if admission.mode() == Mode::Overloaded {
+            return admission.rate();
+        }
+    }
+    panic!("never overloaded");
+}
+
+/// The limit starts at what the nodes have served a second, counted over the time since the broker started.
+#[rstest]
+fn the_limit_starts_at_the_served_rate() {
+    let rate = initial_rate(Tenths(0));
+    assert!((30.0..50.0).contains(&rate), "{rate}");
+}
+
 /// The clock is set back while the broker runs. If the observed time went on from the old one, rates would be
-/// counts divided by the shortest time, ten times too high: the observation starts anew.
+/// counts divided by the shortest time, many times too high: the observation starts anew.
 #[rstest]
 fn a_clock_that_is_set_back_starts_the_observation_anew() {
-    let rate_after = |first_turn: Tenths| {
-        let mut admission = controller(AdmissionConfig::default());
-        admission.filter_inputs(first_turn, &[Input::Woken]);
-        let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
-        overload(&mut admission, &mut nodes, &mut queries, &[0]);
-        admission.rate()
+    assert_eq!(initial_rate(Tenths(36_000_000)), initial_rate(Tenths(0)));
+}
+
+/// Overload, back to normal, and overload again a few seconds later. In the first one a tenant was let through
+/// with a query far larger than its bucket, and owes tokens: it starts the second with a full bucket, as all do.
+#[rstest]
+fn buckets_are_full_when_a_limit_starts() {
+    let mut admission = controller(AdmissionConfig::default());
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let is_admitted = |turn: &FilteredTurn| ids_and_tenants(&turn.inputs).iter().any(|(_, id)| *id == 0);
+    // Its bucket fills up meanwhile; then it is admitted, and owes.
+    let mut has_owed = false;
+    for _ in 0..20 {
+        now += Tenths(5000);
+        let mut inputs = queries.query(0, 500, 0);
+        inputs.extend(queries.query(1, 10, 0));
+        has_owed |= is_admitted(&nodes.step(&mut admission, now, inputs));
+    }
+    assert!(has_owed && admission.mode() == Mode::Overloaded);
+    while admission.mode() == Mode::Overloaded {
+        now += Tenths(5000);
+        let mut inputs = queries.query(0, 1, 0);
+        inputs.extend(queries.query(1, 1, 0));
+        nodes.step(&mut admission, now, inputs);
+        assert!(now < Tenths(600_000), "back to normal while it still owes");
+    }
+    loop {
+        now += Tenths(5000);
+        let mut inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 8, 0)).collect();
+        inputs.extend(queries.query(1, 10, 0));
+        let turn = nodes.step(&mut admission, now, inputs);
+        if admission.mode() == Mode::Overloaded {
+            assert!(is_admitted(&turn), "its bucket is full");
+            return;
+        }
+    }
+}
+
+/// Retries of two tenants past the most that are told apart: they share one budget.
+#[rstest]
+#[case(1, false)]
+#[case(3, true)]
+fn tenants_past_the_most_share_a_retry_budget(#[case] max_tenants: u32, #[case] is_admitted: bool) {
+    let config = AdmissionConfig { max_tenants, min_retries: 2.0, retry_ratio: 0.0, ..Default::default() };
+    let mut admission = controller(config);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let spent: Vec<Input> = (0..3).flat_map(|_| queries.query(5, 0, 1)).collect();
+    assert_eq!(rejections(&admission.filter_inputs(now, &spent).effects).len(), 1);
+    let turn = admission.filter_inputs(now, &queries.query(6, 0, 1));
+    assert_eq!(rejections(&turn.effects).is_empty(), is_admitted);
+}
+
+/// Tenants that requested nothing for a window make room in the table: those that come after them are told
+/// apart again, each with a budget of its own.
+#[rstest]
+fn idle_tenants_make_room_for_others() {
+    let config = AdmissionConfig {
+        max_tenants: 2,
+        min_retries: 2.0,
+        retry_ratio: 0.0,
+        enforce_quotas: false,
+        ..AdmissionConfig::default()
     };
-    assert_eq!(rate_after(Tenths(36_000_000)), rate_after(Tenths(0)));
+    let mut admission = controller(config);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    for _ in 0..12 {
+        now += Tenths(5000);
+        let mut inputs = queries.query(5, 30, 0);
+        inputs.extend(queries.query(6, 30, 0));
+        nodes.step(&mut admission, now, inputs);
+    }
+    assert_eq!(admission.mode(), Mode::Overloaded);
+    let spent: Vec<Input> = (0..3).flat_map(|_| queries.query(5, 0, 1)).collect();
+    assert_eq!(rejections(&admission.filter_inputs(now, &spent).effects).len(), 1);
+    let turn = admission.filter_inputs(now, &queries.query(6, 0, 1));
+    assert!(rejections(&turn.effects).is_empty(), "it has a budget of its own");
 }
