--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Counts the attempts that ended, and takes over a new configuration.
+    /// Counts the attempts that ended, and applies a new configuration.
     fn read_inputs(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
@@ -129,7 +129,8 @@
 
     // ---- steps
 
-    /// Takes each step that has passed since the last, a window's at most.
+    /// Takes each step that has passed since the last, a window's at most: the window holds nothing older to
+    /// judge by, and a turn after a long silence must not take long.
     fn advance_steps(&mut self) -> Option<LogEvent> {
         let step_length = step_length(self.config.window);
         let steps = ((self.now - self.last_step_at).0 / step_length.0).min(STEPS_PER_WINDOW);
@@ -143,6 +144,7 @@
             self.take_step(observed);
         }
         self.tenants.forget_idle(self.now);
+        // Nobody reads the shares in normal mode.
         if self.mode == Mode::Overloaded {
             self.share_rate();
         }
@@ -286,3 +288,6 @@
         self.tenants.get_or_insert(tenant, self.now, self.rate.per_second())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/settings-migration/src/deployment_layout.rs
+++ b/crates/settings-migration/src/deployment_layout.rs
@@ -1,12 +1,10 @@
-//! What the new deployment looks like, as the shape file says.
+//! The layout of the new deployment, as the shape file states it.
 
 use crate::{KEYS, Key, LayoutError};
 use ini::{Ini, ParseOption};
+use nearest_name::nearest_name;
 
-/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
-const SIMILARITY_SCALE: f64 = 1e6;
-
-/// What the new deployment looks like, as far as its shape file says.
+/// The layout of the new deployment, as far as its shape file states it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeploymentLayout {
     stated: Vec<StatedValue>,
@@ -20,7 +18,10 @@
 }
 
 impl DeploymentLayout {
-    /// Reads a shape file's text, or lists everything that is wrong with it.
+    /// Reads a shape file's text.
+    ///
+    /// # Errors
+    /// Everything that is wrong with it.
     pub fn read(text: &str) -> Result<DeploymentLayout, Vec<LayoutError>> {
         let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|error| {
@@ -38,7 +39,7 @@
         if errors.is_empty() { Ok(DeploymentLayout { stated }) } else { Err(errors) }
     }
 
-    /// What the shape file says for a settings key.
+    /// The text that the shape file states for a settings key.
     pub(crate) fn text(&self, settings_key: &str) -> Option<&str> {
         let stated = self.stated.iter().find(|stated| stated.key.settings_key == settings_key);
         stated.map(|stated| &stated.text[..])
@@ -60,15 +61,12 @@
 }
 
 fn unknown_key(section: &str, name: &str) -> LayoutError {
-    let place = format!("{section}.{name}");
-    let similarity = |key: &&Key| {
-        let other = format!("{}.{}", key.section, key.name);
-        (strsim::jaro_winkler(&place, &other) * SIMILARITY_SCALE) as u64
-    };
-    let nearest = KEYS.iter().max_by_key(similarity);
+    let places: Vec<String> = KEYS.iter().map(|key| format!("{}.{}", key.section, key.name)).collect();
+    let nearest = nearest_name(&format!("{section}.{name}"), &places);
+    let show = |place: &String| place.split_once('.').map(|(section, name)| format!("{name} of [{section}]"));
     LayoutError::UnknownKey {
         section: section.to_owned(),
         key: name.to_owned(),
-        nearest: nearest.map(|key| format!("{} of [{}]", key.name, key.section)).unwrap_or_default(),
+        nearest: nearest.and_then(show).unwrap_or_default(),
     }
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,10 +1,11 @@
-//! The one validator, for an installation's document and for a broker's own file. It lists everything wrong
-//! at once: the field, what it holds, what is allowed.
+//! The validator of settings documents, for versions from a service and for a broker's own file. It lists all
+//! errors at once, each with the key, its value and what is allowed.
 
 use crate::consistency::check_consistency;
 use crate::document::{Document, join_key, type_name};
 use crate::settings_text::SettingsText;
 use crate::{FIELDS, Field, ValidationError, ValueType};
+use nearest_name::nearest_name;
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
@@ -14,17 +15,15 @@
 const MAX_LIST_ITEMS: usize = 10_000;
 /// How many characters of a wrong text are shown.
 const SHOWN_CHARACTERS: usize = 40;
-/// By this a similarity from 0 to 1 becomes a whole number, which has a total order.
-const SIMILARITY_SCALE: f64 = 1e6;
 
-/// Everything wrong with a document; empty: it can be used.
+/// Everything that is wrong with a document, up to 100 errors; empty where it can be used.
 pub fn check(document: &Document) -> Vec<ValidationError> {
     let mut errors = Vec::new();
     check_value(&document.0, "", "", &mut errors);
     if errors.is_empty() {
         match serde_json::from_value::<SettingsText>(document.0.clone()) {
             Ok(text) => check_consistency(&text, &mut errors),
-            // What the table allows can be read; should it ever not be, that is reported and not passed over.
+            // Can't happen while the table of keys and the types agree; if it does, it is reported.
             Err(error) => errors.push(ValidationError::invalid(
                 "document",
                 error.to_string(),
@@ -36,7 +35,8 @@
     errors
 }
 
-/// `place` is where a value stands, `key` the same as the table of keys writes it.
+/// `place` is the path of a value, such as `Tenants[1].Name`; `key` is the same path as the table of keys writes
+/// it, `Tenants[].Name`.
 fn check_value(value: &Value, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let field = Field::find(key);
     match value {
@@ -78,13 +78,13 @@
     }
 }
 
-/// Lists the keys that must stand in this object and do not.
+/// Adds an error for each required key that is missing in this object.
 fn check_required(entries: &Map<String, Value>, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let mut reported: BTreeSet<&str> = BTreeSet::new();
     for field in FIELDS.iter().filter(|field| field.is_required) {
         let Some(rest) = key_within(field.key, key) else { continue };
         let first = rest.split(['.', '[']).next().unwrap_or(rest);
-        // An installation without tenants is allowed, so that the keys of one do not make the list needed.
+        // An installation without tenants is allowed: the required keys of a tenant do not make the list required.
         if !entries.contains_key(first) && reported.insert(first) && first != "Tenants" {
             let allowed =
                 if first == rest { field.value_type.describe() } else { format!("what `{rest}` stands in") };
@@ -129,13 +129,13 @@
     }
 }
 
+/// The known key that is most similar to an unknown one.
 fn nearest_key(key: &str) -> &'static str {
-    let similarity = |other: &str| (strsim::jaro_winkler(key, other) * SIMILARITY_SCALE) as u64;
-    let nearest = FIELDS.iter().max_by_key(|field| similarity(field.key)).map_or("", |field| field.key);
+    let nearest = nearest_name(key, FIELDS.iter().map(|field| field.key)).unwrap_or_default();
     if key.contains(['.', '[']) {
         return nearest;
     }
     // A whole branch is a key too: `Rulez` is nearest to `Rules`, not to one of the keys below it.
     let branches = FIELDS.iter().map(|field| field.key.split(['.', '[']).next().unwrap_or(field.key));
-    branches.max_by_key(|branch| similarity(branch)).unwrap_or(nearest)
+    nearest_name(key, branches).unwrap_or(nearest)
 }
--- a/crates/xds-test-server/src/history.rs
+++ b/crates/xds-test-server/src/history.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// How many requests are kept, the newest.
+/// How many requests are recorded: the newest.
 const MAX_RECORDED_REQUESTS: usize = 100_000;
 
 /// A request of a broker: its first, an acknowledgement, or a rejection.
@@ -15,7 +15,7 @@
 pub struct RecordedRequest {
     /// The broker's name.
     pub node: String,
-    /// What it runs, as it says; empty for its own file.
+    /// The version that it reports to run; empty for its own file.
     pub version: String,
     /// The nonce of the response that it answers; empty in the first request.
     pub nonce: String,
@@ -23,6 +23,7 @@
     pub rejection: Option<String>,
 }
 
+/// The versions by number, the brokers' requests, and counters.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) versions: BTreeMap<u64, Version>,
