--- a/crates/broker-bench/src/versions.rs
+++ b/crates/broker-bench/src/versions.rs
@@ -1,7 +1,7 @@
 //! `measure control`: a fleet whose control service restarts, against brokers that call again after a fixed
 //! wait; then one whose streams are dropped all the while; then a version that fails.
 
-use crate::fleet::{Fleet, Happening, Manner, Outcome, SECOND};
+use crate::rollout_simulation::{ReconnectPolicy, RolloutResults, RolloutSimulation, SECOND, ServiceEvent};
 use config_rollout::{Digest, RolloutPolicy, VersionId};
 use config_rollout_client::wire::{self, TYPE_URL, Version};
 use envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse;
@@ -28,8 +28,8 @@
     let bound = rate + DEVIATIONS * rate.sqrt();
     let policy = RolloutPolicy::default().spread_reconnects(brokers as u32, rate);
     let longest = policy.max_backoff.as_ms() / 1000.0;
-    let controller = Manner::RolloutController(Box::new(policy));
-    let fixed = Manner::FixedWait(Tenths(SECOND));
+    let controller = ReconnectPolicy::RolloutController(Box::new(policy));
+    let fixed = ReconnectPolicy::FixedWait(Tenths(SECOND));
     let mut figures = Map::new();
     let mut pass = true;
     println!("{brokers} brokers, one service, virtual time (simulated), seed {seed}");
@@ -42,10 +42,10 @@
     for (name, down) in [("restart, 1 s", 1), ("restart, 30 s", 30), ("restart, 10 min", 600)] {
         for (manner, who) in [(&controller, "keeper"), (&fixed, "fixed wait")] {
             let outcome = restart(brokers, manner, seed, down);
-            let arrivals = outcome.arrivals.get(&2).cloned().unwrap_or_default();
+            let arrivals = outcome.arrival_times.get(&2).cloned().unwrap_or_default();
             let told = tell(&format!("{name}, {who}"), &outcome, &arrivals, 100 + down);
             if who == "keeper" {
-                let all = outcome.at_end.get(&2) == Some(&brokers);
+                let all = outcome.brokers_by_version.get(&2) == Some(&brokers);
                 let calm = told.worst as f64 <= bound;
                 let soon = told.last <= longest * WITHIN_WAITS;
                 pass &= all && calm && soon && outcome.wrong_reports == 0;
@@ -54,14 +54,15 @@
         }
     }
     let dropped = drops(brokers, &controller, seed);
-    let arrivals = dropped.arrivals.get(&6).cloned().unwrap_or_default();
+    let arrivals = dropped.arrival_times.get(&6).cloned().unwrap_or_default();
     let told = tell("drops, streams of 20 s", &dropped, &arrivals, 30);
-    pass &= dropped.at_end.get(&6) == Some(&brokers) && dropped.wrong_reports == 0;
+    pass &= dropped.brokers_by_version.get(&6) == Some(&brokers) && dropped.wrong_reports == 0;
     figures.insert("drops".to_owned(), told.json());
     let failed = fails(brokers, &controller, seed);
-    let told = tell("a version that fails, out", &failed, &failed.withdrawals, 30);
-    pass &=
-        failed.at_end.get(&1) == Some(&brokers) && failed.wrong_reports == 0 && told.last <= WITHDRAWN_WITHIN;
+    let told = tell("a version that fails, out", &failed, &failed.rollback_times, 30);
+    pass &= failed.brokers_by_version.get(&1) == Some(&brokers)
+        && failed.wrong_reports == 0
+        && told.last <= WITHDRAWN_WITHIN;
     figures.insert("fails".to_owned(), told.json());
     let (response, answer) = bytes();
     println!("\na version of {DOCUMENT} bytes: {response} bytes a response, {answer} an answer");
@@ -76,33 +77,30 @@
 }
 
 /// All run version 1; the service is gone for so long, and comes back with version 2.
-fn restart(brokers: usize, manner: &Manner, seed: u64, down: i64) -> Outcome {
-    let mut fleet = Fleet::new(brokers, manner, seed, None);
-    fleet.schedule(1, Happening::Publish(1));
-    fleet.schedule(100, Happening::Down);
-    fleet.schedule(100 + down, Happening::Publish(2));
-    fleet.schedule(100 + down, Happening::Up);
-    fleet.play(100 + down + 300);
-    fleet.outcome
+fn restart(brokers: usize, policy: &ReconnectPolicy, seed: u64, down: i64) -> RolloutResults {
+    let mut fleet = RolloutSimulation::new(brokers, policy, seed, None);
+    fleet.schedule_service(1, ServiceEvent::Publish(1));
+    fleet.schedule_service(100, ServiceEvent::Down);
+    fleet.schedule_service(100 + down, ServiceEvent::Publish(2));
+    fleet.schedule_service(100 + down, ServiceEvent::Up);
+    fleet.run(100 + down + 300)
 }
 
 /// Streams are dropped after 20 s on average, while versions come every 20 s.
-fn drops(brokers: usize, manner: &Manner, seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(brokers, manner, seed, Some(Tenths(20 * SECOND)));
+fn drops(brokers: usize, policy: &ReconnectPolicy, seed: u64) -> RolloutResults {
+    let mut fleet = RolloutSimulation::new(brokers, policy, seed, Some(Tenths(20 * SECOND)));
     for number in 1..=6 {
-        fleet.schedule(20 * number as i64, Happening::Publish(number));
+        fleet.schedule_service(20 * number as i64, ServiceEvent::Publish(number));
     }
-    fleet.play(420);
-    fleet.outcome
+    fleet.run(420)
 }
 
 /// The second passes its checks and makes everything fail.
-fn fails(brokers: usize, manner: &Manner, seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(brokers, manner, seed, None);
-    fleet.schedule(1, Happening::Publish(1));
-    fleet.schedule(120, Happening::PublishBad(2));
-    fleet.play(180);
-    fleet.outcome
+fn fails(brokers: usize, policy: &ReconnectPolicy, seed: u64) -> RolloutResults {
+    let mut fleet = RolloutSimulation::new(brokers, policy, seed, None);
+    fleet.schedule_service(1, ServiceEvent::Publish(1));
+    fleet.schedule_service(120, ServiceEvent::PublishFailing(2));
+    fleet.run(180)
 }
 
 struct Told {
@@ -124,7 +122,7 @@
 }
 
 /// Prints a line on these times, and on the calls from this second on.
-fn tell(name: &str, outcome: &Outcome, arrivals: &[i64], from: i64) -> Told {
+fn tell(name: &str, outcome: &RolloutResults, arrivals: &[i64], from: i64) -> Told {
     let mut spread: Histogram<u64> =
         Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
     arrivals.iter().for_each(|tenths| _ = spread.record((*tenths).max(0) as u64));
@@ -135,10 +133,10 @@
         median: seconds(spread.value_at_quantile(0.5)),
         ninety_ninth: seconds(spread.value_at_quantile(0.99)),
         last: seconds(spread.max()),
-        worst: worst(&outcome.calls),
+        worst: worst(&outcome.connects_by_second),
         arrived: arrivals.len(),
         wrong: outcome.wrong_reports,
-        looks: outcome.looks,
+        looks: outcome.status_checks,
     };
     println!(
         "{name:<28} {:>9.2} {:>9.2} {:>9.2} {:>12} {:>7}",
@@ -174,19 +172,24 @@
     #[rstest]
     fn a_fixed_wait_breaks_the_bound() {
         let policy = RolloutPolicy::default().spread_reconnects(300, 30.0);
-        let controller = restart(300, &Manner::RolloutController(Box::new(policy)), 3, 1);
-        let fixed = restart(300, &Manner::FixedWait(Tenths(SECOND)), 3, 1);
-        let worst = |outcome: &Outcome| outcome.calls.range(101..).map(|(_, calls)| *calls).max().unwrap();
+        let controller = restart(300, &ReconnectPolicy::RolloutController(Box::new(policy)), 3, 1);
+        let fixed = restart(300, &ReconnectPolicy::FixedWait(Tenths(SECOND)), 3, 1);
+        let worst = |outcome: &RolloutResults| {
+            outcome.connects_by_second.range(101..).map(|(_, calls)| *calls).max().unwrap()
+        };
         assert!(worst(&controller) <= 58 && worst(&fixed) == 300, "{} {}", worst(&controller), worst(&fixed));
-        assert_eq!((controller.at_end.get(&2), controller.wrong_reports), (Some(&300), 0));
+        assert_eq!((controller.brokers_by_version.get(&2), controller.wrong_reports), (Some(&300), 0));
     }
 
     /// One seed, one outcome.
     #[rstest]
     fn is_the_same_by_seed() {
-        let manner = Manner::RolloutController(Box::default());
+        let manner = ReconnectPolicy::RolloutController(Box::default());
         let play = || drops(50, &manner, 9);
         let (one, other) = (play(), play());
-        assert_eq!((one.arrivals, one.calls), (other.arrivals, other.calls));
+        assert_eq!(
+            (one.arrival_times, one.connects_by_second),
+            (other.arrival_times, other.connects_by_second)
+        );
     }
 }
