--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -1,226 +1,302 @@
-//! What the module is measured against: each shard request to a holder drawn at random; and the design's
-//! ordinary path alone, without one of the exceptions that `docs/design.md` lists (no further attempts, no
-//! copies, no room, no health, no cold shares). They hear and do what the module does, and are no part of the
-//! product.
+//! The routing that the product is compared with: each shard request to a replica drawn at random; or the design's
+//! ordinary path alone, without the exceptions that `docs/design.md` lists (no retries, no hedging, no admission
+//! control, no outlier ejection, no slow start). A baseline gets the inputs and gives the effects of
+//! [`routing::Broker`], and is no part of the product.
 
 use routing::{
-    AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointState, GroupId, Input, NewQuery,
-    NewShardRequest, NodeId, PlacementGroupId, QueryId, RequestClass, ShardLayout, ShardRequestId, Tenths,
+    AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointList, EndpointState, GroupId,
+    Input, NewQuery, NewShardRequest, NodeId, PlacementGroupId, QueryId, RequestClass, ShardLayout,
+    ShardRequestId, Tenths,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The design's score under which a shard request of a partial response stays unsent.
+const MIN_SCORE: f64 = 0.0001;
+/// The overload ratio from which on light shard requests stay unsent.
+const CUTOFF_OVERLOAD_RATIO: f64 = 0.1;
+/// The base B, as the overload ratio goes from the cutoff's to 1.
+const MIN_BASE: f64 = 1.0;
+const MAX_BASE: f64 = 10.0;
+/// Attempts count for the overload ratio with a weight that decays by this time constant, in tenths of a
+/// millisecond.
+const OVERLOAD_TIME_CONSTANT: f64 = 50_000.0;
+/// The weight of the newest latency in a node's smoothed latency.
+const NEWEST_LATENCY_WEIGHT: f64 = 0.25;
+/// How much the weights of a query may differ from 1 in sum, by rounding.
+const WEIGHT_ROUNDING: f64 = 0.00005;
+/// The latency of all nodes while none was measured: all are alike then.
+const UNKNOWN_LATENCY: f64 = 1.0;
+/// Responses leave this many turns before they are due.
+const MARGIN_TURNS: f64 = 4.0;
+
+/// How a baseline chooses replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum BaselinePolicy {
+    /// At random.
     Random,
+    /// The design's ordinary path: the shortest expected wait, and the cutoff under overload.
     Design,
 }
 
 struct Node {
-    cell: PlacementGroupId,
+    placement_group: PlacementGroupId,
+    /// Smoothed, in tenths of a millisecond; none before the first result.
     latency: Option<f64>,
-    out: u32,
+    in_flight: u32,
 }
 
 struct ShardRequest {
     id: ShardRequestId,
     new: NewShardRequest,
-    /// Where it was sent, none for what stays unsent; and whether its value came.
-    sent: Option<NodeId>,
-    came: Option<bool>,
+    state: ShardRequestState,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ShardRequestState {
+    Pending,
+    Received,
+    /// Unsent, or its attempt did not succeed.
+    Failed,
 }
 
-struct Open {
+struct OpenQuery {
     class: ClassId,
-    goal: Tenths,
-    until: Tenths,
+    /// When a response has to leave to be on time.
+    objective_at: Tenths,
+    /// When a response has to leave to be of any use.
+    deadline_at: Tenths,
     shard_requests: Vec<ShardRequest>,
 }
 
+impl OpenQuery {
+    fn received_weight(&self) -> f64 {
+        let received = self.shard_requests.iter().filter(|s| s.state == ShardRequestState::Received);
+        received.map(|shard_request| shard_request.new.weight).sum()
+    }
+
+    fn has_pending(&self) -> bool {
+        self.shard_requests.iter().any(|s| s.state == ShardRequestState::Pending)
+    }
+}
+
+/// The share of the attempts that ended as overloaded or timed out; older ones count for less.
+#[derive(Default)]
+struct OverloadRatio {
+    overloaded: f64,
+    total: f64,
+    updated_at: Tenths,
+}
+
+impl OverloadRatio {
+    fn decay(&mut self, now: Tenths) {
+        let kept = (-((now - self.updated_at).0 as f64) / OVERLOAD_TIME_CONSTANT).exp();
+        self.overloaded *= kept;
+        self.total *= kept;
+        self.updated_at = now;
+    }
+
+    fn record(&mut self, now: Tenths, is_overloaded: bool) {
+        self.decay(now);
+        self.total += 1.0;
+        self.overloaded += f64::from(u8::from(is_overloaded));
+    }
+
+    fn ratio(&mut self, now: Tenths) -> f64 {
+        self.decay(now);
+        if self.total > 0.0 { self.overloaded / self.total.max(1.0) } else { 0.0 }
+    }
+}
+
+/// A broker that decides by a baseline.
 pub struct Baseline {
-    how: How,
+    policy: BaselinePolicy,
     rng: fastrand::Rng,
     layout: ShardLayout,
     period: Tenths,
     classes: BTreeMap<ClassId, RequestClass>,
     nodes: BTreeMap<NodeId, Node>,
     groups: BTreeMap<GroupId, QueryId>,
-    open: BTreeMap<QueryId, Open>,
-    owner: BTreeMap<ShardRequestId, QueryId>,
-    /// Parts that ended as full or timed out, and all, smoothed; and when.
-    harm: (f64, f64, Tenths),
+    open_queries: BTreeMap<QueryId, OpenQuery>,
+    query_of: BTreeMap<ShardRequestId, QueryId>,
+    overload_ratio: OverloadRatio,
 }
 
-/// The design page's figures.
-const CUT: f64 = 0.0001;
-const START: f64 = 0.1;
-const SPAN: f64 = 50_000.0;
-const NEWEST: f64 = 0.25;
-const ROUNDING: f64 = 0.00005;
-
 impl Baseline {
-    pub fn new(how: How, broker_config: &BrokerConfig, seed: u64) -> Baseline {
+    /// A broker that has just started. `seed` is where its random numbers come from.
+    pub fn new(policy: BaselinePolicy, broker_config: &BrokerConfig, seed: u64) -> Baseline {
         Baseline {
-            how,
+            policy,
             rng: fastrand::Rng::with_seed(seed),
             layout: broker_config.layout.clone(),
             period: broker_config.period,
             classes: broker_config.classes.clone(),
             nodes: BTreeMap::new(),
             groups: BTreeMap::new(),
-            open: BTreeMap::new(),
-            owner: BTreeMap::new(),
-            harm: (0.0, 0.0, Tenths(0)),
+            open_queries: BTreeMap::new(),
+            query_of: BTreeMap::new(),
+            overload_ratio: OverloadRatio::default(),
         }
     }
 
-    pub fn turn(&mut self, now: Tenths, heard: &[Input]) -> Vec<Effect> {
-        let (mut effects, mut fresh) = (Vec::new(), Vec::new());
-        for input in heard {
+    /// As [`routing::Broker::turn`].
+    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        let mut new_queries = Vec::new();
+        for input in inputs {
             match input {
-                Input::EndpointList(roll) => {
-                    for entry in roll.entries.iter() {
-                        match entry.state {
-                            EndpointState::Ready => {
-                                let node = Node { cell: entry.placement_group, latency: None, out: 0 };
-                                self.nodes.entry(entry.node).or_insert(node);
-                            }
-                            _ => _ = self.nodes.remove(&entry.node),
-                        }
-                    }
-                }
+                Input::EndpointList(list) => self.update_nodes(list),
                 Input::Query(new) => {
-                    fresh.push(new.id);
-                    self.take(new, now, &mut effects);
+                    new_queries.push(new.id);
+                    self.accept(new, now, &mut effects);
                 }
-                Input::ShardRequest(new) => self.add(new),
-                Input::AttemptEnded(result) => self.ended(result, now),
+                Input::ShardRequest(new) => self.add_shard_request(new),
+                Input::AttemptEnded(result) => self.record_result(result, now),
                 _ => {}
             }
         }
-        fresh.into_iter().for_each(|id| self.send(id, now, &mut effects));
-        self.finish(now, &mut effects);
+        for id in new_queries {
+            self.send(id, now, &mut effects);
+        }
+        self.respond_or_reject(now, &mut effects);
         effects
     }
 
-    fn take(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
+    fn update_nodes(&mut self, list: &EndpointList) {
+        for endpoint in list.entries.iter() {
+            if endpoint.state == EndpointState::Ready {
+                let placement_group = endpoint.placement_group;
+                let node = Node { placement_group, latency: None, in_flight: 0 };
+                self.nodes.entry(endpoint.node).or_insert(node);
+            } else {
+                self.nodes.remove(&endpoint.node);
+            }
+        }
+    }
+
+    fn accept(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
-        let margin = self.period.times(4.0);
-        let goal = self.classes.get(&new.class).map_or(Tenths::ZERO, |class| class.latency_objective);
-        let (goal, until) = (now + goal - margin, now + new.time_left - margin);
-        self.open.insert(new.id, Open { class: new.class, goal, until, shard_requests: Vec::new() });
-        effects.push(Effect::Wake { after: goal.min(until) - now });
-        effects.push(Effect::Wake { after: until - now });
+        let margin = self.period.times(MARGIN_TURNS);
+        let class = self.classes.get(&new.class);
+        let latency_objective = class.map_or(Tenths::ZERO, |class| class.latency_objective);
+        let objective_at = now + latency_objective - margin;
+        let deadline_at = now + new.time_left - margin;
+        let shard_requests = Vec::new();
+        let query = OpenQuery { class: new.class, objective_at, deadline_at, shard_requests };
+        self.open_queries.insert(new.id, query);
+        effects.push(Effect::Wake { after: objective_at.min(deadline_at) - now });
+        effects.push(Effect::Wake { after: deadline_at - now });
     }
 
-    fn add(&mut self, new: &NewShardRequest) {
+    fn add_shard_request(&mut self, new: &NewShardRequest) {
         let Some(id) = self.groups.get(&new.group).copied() else { return };
-        if let Some(open) = self.open.get_mut(&id) {
-            open.shard_requests.push(ShardRequest { id: new.id, new: new.clone(), sent: None, came: None });
-            self.owner.insert(new.id, id);
+        if let Some(query) = self.open_queries.get_mut(&id) {
+            let state = ShardRequestState::Pending;
+            query.shard_requests.push(ShardRequest { id: new.id, new: new.clone(), state });
+            self.query_of.insert(new.id, id);
         }
     }
 
-    /// B as the design has it.
+    /// The design's base B: a shard request's score is its weight x B^-rank.
     fn base(&mut self, now: Tenths) -> f64 {
-        self.fade(now);
-        let pressure = if self.harm.1 > 0.0 { self.harm.0 / self.harm.1.max(1.0) } else { 0.0 };
-        1.0 + 9.0 * ((pressure - START) / (1.0 - START)).max(0.0)
-    }
-
-    fn fade(&mut self, now: Tenths) {
-        let keep = (-((now - self.harm.2).0 as f64) / SPAN).exp();
-        self.harm = (self.harm.0 * keep, self.harm.1 * keep, now);
+        let overload = self.overload_ratio.ratio(now);
+        let excess = (overload - CUTOFF_OVERLOAD_RATIO) / (1.0 - CUTOFF_OVERLOAD_RATIO);
+        MIN_BASE + (MAX_BASE - MIN_BASE) * excess.max(0.0)
     }
 
+    /// Sends a query's shard requests, but for those that the design's cutoff leaves out.
     fn send(&mut self, id: QueryId, now: Tenths, effects: &mut Vec<Effect>) {
         let base = self.base(now);
-        let Some(mut open) = self.open.remove(&id) else { return };
-        let partial = self.classes.get(&open.class).is_some_and(|c| c.min_coverage < c.complete_coverage);
-        if self.how == How::Design {
-            open.shard_requests.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
+        let Some(mut query) = self.open_queries.remove(&id) else { return };
+        let is_design = self.policy == BaselinePolicy::Design;
+        if is_design {
+            query.shard_requests.sort_by(|a, b| b.new.weight.total_cmp(&a.new.weight));
         }
-        for (rank, shard_request) in open.shard_requests.iter_mut().enumerate() {
+        let class = self.classes.get(&query.class);
+        let has_cutoff = is_design && class.is_some_and(|class| class.min_coverage < class.complete_coverage);
+        let timeout = (query.deadline_at - now).max(Tenths(1));
+        for (rank, shard_request) in query.shard_requests.iter_mut().enumerate() {
             let score = shard_request.new.weight * base.powi(-(rank as i32));
-            if self.how == How::Design && partial && score < CUT {
-                shard_request.came = Some(false);
+            let is_cut = has_cutoff && score < MIN_SCORE;
+            let replica = if is_cut { None } else { self.choose_replica(&shard_request.new) };
+            let Some(node) = replica else {
+                shard_request.state = ShardRequestState::Failed;
                 continue;
+            };
+            if let Some(node) = self.nodes.get_mut(&node) {
+                node.in_flight += 1;
             }
-            match self.choose(&shard_request.new) {
-                Some(node) => {
-                    shard_request.sent = Some(node);
-                    self.nodes.get_mut(&node).into_iter().for_each(|node| node.out += 1);
-                    let timeout = (open.until - now).max(Tenths(1));
-                    effects.push(Effect::Send { shard_request: shard_request.id, node, timeout });
-                }
-                None => shard_request.came = Some(false),
-            }
+            effects.push(Effect::Send { shard_request: shard_request.id, node, timeout });
         }
-        self.open.insert(id, open);
-    }
-
-    fn choose(&mut self, shard_request: &NewShardRequest) -> Option<NodeId> {
-        let cells: BTreeSet<PlacementGroupId> = self.layout.groups_of(shard_request.shard).collect();
-        let holders: Vec<(NodeId, &Node)> = self
-            .nodes
-            .iter()
-            .filter(|(_, node)| cells.contains(&node.cell))
-            .map(|(id, node)| (*id, node))
-            .collect();
-        if holders.is_empty() {
+        self.open_queries.insert(id, query);
+    }
+
+    fn choose_replica(&mut self, shard_request: &NewShardRequest) -> Option<NodeId> {
+        let groups: BTreeSet<PlacementGroupId> = self.layout.groups_of(shard_request.shard).collect();
+        let holds_shard = |node: &Node| groups.contains(&node.placement_group);
+        let nodes = self.nodes.iter().filter(|(_, node)| holds_shard(node));
+        let replicas: Vec<(NodeId, &Node)> = nodes.map(|(id, node)| (*id, node)).collect();
+        if replicas.is_empty() {
             return None;
         }
-        if self.how == How::Random {
-            return Some(holders[self.rng.usize(..holders.len())].0);
+        let drawn = self.rng.usize(..replicas.len());
+        if self.policy == BaselinePolicy::Random {
+            return Some(replicas[drawn].0);
         }
-        // Unheard replicas count as average.
-        let heard: Vec<f64> = self.nodes.values().filter_map(|node| node.latency).collect();
-        let average = if heard.is_empty() { 1.0 } else { heard.iter().sum::<f64>() / heard.len() as f64 };
-        let cost = |node: &Node| node.latency.unwrap_or(average) * f64::from(node.out + 1);
-        let first = self.rng.usize(..holders.len());
-        let turned = holders[first..].iter().chain(&holders[..first]);
-        turned.min_by(|a, b| cost(a.1).total_cmp(&cost(b.1))).map(|(id, _)| *id)
-    }
-
-    fn ended(&mut self, result: &AttemptResult, now: Tenths) {
-        self.fade(now);
-        self.harm.1 += 1.0;
-        self.harm.0 += f64::from(u8::from(matches!(
-            result.outcome,
-            AttemptOutcome::Overloaded | AttemptOutcome::TimedOut
-        )));
+        let average_latency = self.average_latency();
+        let expected_wait =
+            |node: &Node| node.latency.unwrap_or(average_latency) * f64::from(node.in_flight + 1);
+        // Of equal ones the first from a drawn one on is chosen.
+        let in_drawn_order = replicas[drawn..].iter().chain(&replicas[..drawn]);
+        let fastest = in_drawn_order.min_by(|a, b| expected_wait(a.1).total_cmp(&expected_wait(b.1)));
+        fastest.map(|(id, _)| *id)
+    }
+
+    /// Over the nodes whose latency is known.
+    fn average_latency(&self) -> f64 {
+        let known: Vec<f64> = self.nodes.values().filter_map(|node| node.latency).collect();
+        if known.is_empty() { UNKNOWN_LATENCY } else { known.iter().sum::<f64>() / known.len() as f64 }
+    }
+
+    fn record_result(&mut self, result: &AttemptResult, now: Tenths) {
+        let AttemptResult { shard_request: id, outcome, .. } = *result;
+        let is_overloaded = matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::TimedOut);
+        self.overload_ratio.record(now, is_overloaded);
         if let Some(node) = self.nodes.get_mut(&result.node) {
-            node.out = node.out.saturating_sub(1);
-            let took = result.duration.0 as f64;
-            node.latency = Some(node.latency.map_or(took, |old| old + NEWEST * (took - old)));
+            node.in_flight = node.in_flight.saturating_sub(1);
+            let newest = result.duration.0 as f64;
+            let smoothed = |old: f64| old + NEWEST_LATENCY_WEIGHT * (newest - old);
+            node.latency = Some(node.latency.map_or(newest, smoothed));
         }
-        let Some(open) = self.owner.remove(&result.shard_request).and_then(|id| self.open.get_mut(&id))
+        let Some(query) = self.query_of.remove(&id).and_then(|query| self.open_queries.get_mut(&query))
         else {
             return;
         };
-        let ok = result.outcome == AttemptOutcome::Succeeded;
-        open.shard_requests
-            .iter_mut()
-            .filter(|p| p.id == result.shard_request)
-            .for_each(|p| p.came = Some(ok));
-    }
-
-    fn finish(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
-        let mut over = Vec::new();
-        for (id, open) in &self.open {
-            let came: f64 =
-                open.shard_requests.iter().filter(|p| p.came == Some(true)).map(|p| p.new.weight).sum();
-            let least = self.classes.get(&open.class).map_or(1.0, |c| c.min_coverage);
-            let settled = open.shard_requests.iter().all(|p| p.came.is_some());
-            let enough = came + ROUNDING >= least;
-            if settled || now >= open.until || now >= open.goal && enough {
-                let whole = came + ROUNDING >= 1.0;
-                effects.push(match enough {
-                    true => Effect::Respond { query: *id, complete: whole },
-                    false => Effect::Reject { query: *id, retry_after: Tenths::ZERO },
-                });
-                over.push(*id);
+        let succeeded = outcome == AttemptOutcome::Succeeded;
+        for shard_request in query.shard_requests.iter_mut().filter(|shard_request| shard_request.id == id) {
+            shard_request.state =
+                if succeeded { ShardRequestState::Received } else { ShardRequestState::Failed };
+        }
+    }
+
+    /// Ends the queries whose shard requests have all ended, or whose time is over.
+    fn respond_or_reject(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+        let mut ended = Vec::new();
+        for (id, query) in &self.open_queries {
+            let coverage = query.received_weight() + WEIGHT_ROUNDING;
+            let min_coverage = self.classes.get(&query.class).map_or(1.0, |class| class.min_coverage);
+            let is_enough = coverage >= min_coverage;
+            let is_due = now >= query.deadline_at || now >= query.objective_at && is_enough;
+            if query.has_pending() && !is_due {
+                continue;
             }
+            effects.push(match is_enough {
+                true => Effect::Respond { query: *id, complete: coverage >= 1.0 },
+                false => Effect::Reject { query: *id, retry_after: Tenths::ZERO },
+            });
+            ended.push(*id);
+        }
+        for id in ended {
+            self.open_queries.remove(&id);
         }
-        over.into_iter().for_each(|id| _ = self.open.remove(&id));
     }
 }
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -1,6 +1,6 @@
 //! Brokers of a simulation: they collect inputs, take turns, and their effects are carried out.
 
-use crate::baseline::{Baseline, How};
+use crate::baseline::{Baseline, BaselinePolicy};
 use crate::fault_injector::MessageDirection;
 use crate::invariants::{QueryEnd, ShardRequestIndex};
 use crate::simulation::Simulation;
@@ -23,7 +23,7 @@
 
 impl Decider {
     fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Tenths) -> Decider {
-        let baseline = |how| Decider::Baseline(Box::new(Baseline::new(how, config, seed)));
+        let baseline = |policy| Decider::Baseline(Box::new(Baseline::new(policy, config, seed)));
         let module = || Broker::start(config.clone(), seed, now);
         match policy {
             RoutingPolicy::Module => Decider::Module(Box::new(module())),
@@ -32,8 +32,8 @@
                     .unwrap_or_else(|_| unreachable!("the default admission configuration is valid"));
                 Decider::Admitted(Box::new(AdmittedBroker::new(controller, module())))
             }
-            RoutingPolicy::Random => baseline(How::Random),
-            RoutingPolicy::Design => baseline(How::Design),
+            RoutingPolicy::Random => baseline(BaselinePolicy::Random),
+            RoutingPolicy::Design => baseline(BaselinePolicy::Design),
         }
     }
 
