--- a/crates/broker-bench/src/fault_injector/tests.rs
+++ b/crates/broker-bench/src/fault_injector/tests.rs
@@ -1,7 +1,9 @@
 //! Faults of networks, nodes and discovery, as they begin, overlap and end.
 
-use super::MessageDirection::{FromNode, ToNode};
-use super::*;
+use crate::fault_injector::MessageDirection::{FromNode, ToNode};
+use crate::fault_injector::{FaultEffect, FaultInjector};
+use fault_scenarios::{ClusterSize, Direction, FaultAction};
+use routing::Tenths;
 use rstest::rstest;
 
 const NEAR: Tenths = Tenths(5);
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -10,7 +10,10 @@
 //! | 5 | responses compared with what nodes answered for them |
 //! | 6 | shard requests that reach nodes again, in any window, compared with what was sent in it |
 
+mod rules;
+
 use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
+use rules::{approach, violation};
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
@@ -26,7 +29,9 @@
 /// What the rules allow.
 #[derive(Clone, Debug)]
 pub struct InvariantLimits {
+    /// By class.
     pub classes: Vec<ClassLimits>,
+    /// None: any number of retries is allowed.
     pub retry_budget: Option<RetryBudget>,
     /// How long a shard request may still be sent to a node whose end was published.
     pub grace: Tenths,
@@ -127,6 +132,7 @@
 const WEIGHT_ROUNDING: f64 = 0.0001;
 
 impl InvariantChecker {
+    /// A checker of a day with this many brokers, in which nothing has happened.
     pub fn new(limits: InvariantLimits, brokers: usize) -> InvariantChecker {
         InvariantChecker {
             closest: BTreeMap::new(),
@@ -161,12 +167,12 @@
 
     /// A warming node has this share of the work that makes it collapse.
     pub fn node_strained(&mut self, now: Tenths, ratio: f64) {
-        self.record_approach(now, "4: work sent to a cold host, of what makes it fall over", ratio);
+        self.record_approach(now, approach::LOAD_ON_WARMING_NODE, ratio);
     }
 
     /// A warming node collapsed.
     pub fn node_collapsed(&mut self, now: Tenths) {
-        self.record_violation(now, "4: a cold host fell over");
+        self.record_violation(now, violation::WARMING_NODE_COLLAPSED);
     }
 
     /// A query is sent to a broker; returns its first shard request, the others follow. `time_left` is its
@@ -207,13 +213,13 @@
     ) {
         let slack = self.limits.slack;
         let Some(shard_request) = self.shard_requests.get_mut(index.0) else {
-            return self.record_violation(now, "1: a part that nobody asked for");
+            return self.record_violation(now, violation::UNKNOWN_SHARD_REQUEST);
         };
         shard_request.arrivals += 1;
         let (is_retry, accepted_at) = (shard_request.arrivals > 1, shard_request.accepted_at);
         let Query { broker, class, ended_at, .. } = self.queries[shard_request.query];
         if ended_at.is_some_and(|ended_at| sent_at - ended_at > slack) {
-            self.record_violation(now, "1: a part sent after the final answer");
+            self.record_violation(now, violation::ATTEMPT_AFTER_RESPONSE);
         }
         if let Some(accepted_at) = accepted_at {
             self.check_repeat(now, class, accepted_at);
@@ -230,10 +236,10 @@
         let ClassLimits { idempotency, dedup_window, .. } = self.limits.classes[class];
         match idempotency {
             Idempotency::AtMostOnce => {
-                self.record_violation(now, "2: at-most-once, sent again though it may have run");
+                self.record_violation(now, violation::AT_MOST_ONCE_REPEATED);
             }
             Idempotency::IdempotencyKey if now - accepted_at > dedup_window + self.limits.slack => {
-                self.record_violation(now, "2: numbered, sent again outside its window");
+                self.record_violation(now, violation::KEY_EXPIRED);
             }
             _ => {}
         }
@@ -241,9 +247,9 @@
 
     fn check_grace(&mut self, now: Tenths, sent_after: Tenths) {
         let grace = self.limits.grace;
-        self.record_approach(now, "3: sent after the word, of the grace", sent_after.over(grace));
+        self.record_approach(now, approach::TIME_SINCE_PUBLISHED, sent_after.over(grace));
         if sent_after > grace + self.limits.slack {
-            self.record_violation(now, "3: sent past the grace to a host that drains or is gone");
+            self.record_violation(now, violation::ATTEMPT_PAST_GRACE);
         }
     }
 
@@ -258,9 +264,9 @@
         while accepted.pop_front_if(|at| *at < now - window - slack).is_some() {}
         let allowed = floor + share * accepted.len() as f64;
         let retries = retries.len() as f64;
-        self.record_approach(now, "6: further pushes in a window, of the budget", retries / allowed.max(1.0));
+        self.record_approach(now, approach::RETRIES_IN_WINDOW, retries / allowed.max(1.0));
         if retries > allowed {
-            self.record_violation(now, "6: more further pushes in a window than the budget allows");
+            self.record_violation(now, violation::RETRY_BUDGET_EXCEEDED);
         }
     }
 
@@ -281,26 +287,26 @@
     /// A query's end reaches its client; returns the weight that its response has. None: it had ended before.
     pub fn query_ended(&mut self, now: Tenths, query: usize, end: &QueryEnd) -> Option<f64> {
         let Some(Query { class, until, ended_at, shard_requests, .. }) = self.queries.get_mut(query) else {
-            self.record_violation(now, "1: an answer to what was not asked");
+            self.record_violation(now, violation::UNKNOWN_QUERY);
             return None;
         };
         let (class, until, shard_requests) = (*class, *until, shard_requests.clone());
         let had_ended = ended_at.is_some();
         ended_at.get_or_insert(now);
         if had_ended {
-            self.record_violation(now, "1: a second final answer");
+            self.record_violation(now, violation::SECOND_RESPONSE);
             return None;
         }
         let ClassLimits { deadline, min_coverage, idempotency, .. } = self.limits.classes[class];
         let time_used = 1.0 - (until - now).over(deadline);
-        self.record_approach(now, "1: a final answer, of the client's time", time_used);
+        self.record_approach(now, approach::TIME_TO_RESPONSE, time_used);
         if now > until + self.limits.slack {
-            self.record_violation(now, "1: a final answer past the client's time");
+            self.record_violation(now, violation::RESPONSE_TOO_LATE);
         }
         let mut own_requests = self.shard_requests[shard_requests.clone()].iter();
         let maybe_executed = own_requests.any(|shard_request| shard_request.accepted_at.is_some());
         if idempotency == Idempotency::AtMostOnce && *end == QueryEnd::Rejected && maybe_executed {
-            self.record_violation(now, "2: at-most-once, declined though it may have run");
+            self.record_violation(now, violation::AT_MOST_ONCE_REJECTED);
         }
         let QueryEnd::Responded { complete, counted } = end else { return Some(0.0) };
         let coverage = self.check_counted(now, &shard_requests, counted);
@@ -314,14 +320,14 @@
         distinct.sort();
         distinct.dedup();
         if distinct.len() < counted.len() {
-            self.record_violation(now, "5: a part counted twice");
+            self.record_violation(now, violation::COUNTED_TWICE);
         }
         let mut weight = 0.0;
         for index in distinct {
             let shard_request = self.shard_requests.get(index.0).filter(|_| own.contains(&index.0));
             match shard_request.filter(|request| request.answered_at.is_some_and(|at| at <= now)) {
                 Some(shard_request) => weight += shard_request.weight,
-                None => self.record_violation(now, "5: a part counted that no host made a value for"),
+                None => self.record_violation(now, violation::COUNTED_UNANSWERED),
             }
         }
         let total: f64 = self.shard_requests[own.clone()].iter().map(|request| request.weight).sum();
@@ -330,12 +336,12 @@
 
     fn check_coverage(&mut self, now: Tenths, coverage: f64, min_coverage: f64, is_complete: bool) {
         let ratio = min_coverage / coverage.max(WEIGHT_ROUNDING);
-        self.record_approach(now, "5: the least share, of what an answer held", ratio);
+        self.record_approach(now, approach::MIN_COVERAGE, ratio);
         if coverage + WEIGHT_ROUNDING < min_coverage {
-            self.record_violation(now, "5: an answer under the least share");
+            self.record_violation(now, violation::UNDER_MIN_COVERAGE);
         }
         if is_complete && coverage + WEIGHT_ROUNDING < 1.0 {
-            self.record_violation(now, "5: an answer called whole that is not");
+            self.record_violation(now, violation::FALSELY_COMPLETE);
         }
     }
 
@@ -348,6 +354,7 @@
         }
     }
 
+    /// Whether nobody owes a query's client a response any more.
     pub fn is_released(&self, query: usize) -> bool {
         self.queries.get(query).is_some_and(|query| query.is_released)
     }
@@ -355,7 +362,7 @@
     /// Sent = responded + rejected + failed + abandoned, in each day that was played to its end.
     pub fn check_conservation(&mut self, now: Tenths, counts: &QueryCounts) {
         if counts.sent != counts.responded + counts.rejected + counts.failed + counts.abandoned {
-            self.record_violation(now, "1: what was asked and what became of it are not the same number");
+            self.record_violation(now, violation::COUNTS_DIFFER);
         }
     }
 
@@ -363,7 +370,7 @@
     pub fn finish(&mut self, now: Tenths) {
         let lost = self.queries.iter().filter(|query| query.ended_at.is_none()).count();
         for _ in 0..lost {
-            self.record_violation(now, "1: no final answer");
+            self.record_violation(now, violation::NO_RESPONSE);
         }
     }
 }
--- a/crates/broker-bench/src/invariants/tests.rs
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -1,6 +1,9 @@
 //! Each rule: what breaks it, and what does not.
 
-use super::*;
+use crate::invariants::{
+    ClassLimits, InvariantChecker, InvariantLimits, PublishedState, QueryCounts, QueryEnd, ShardRequestIndex,
+};
+use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
 use rstest::rstest;
 
 const READY: PublishedState = PublishedState { state: EndpointState::Ready, at: Tenths(0) };
@@ -54,35 +57,34 @@
 }
 
 /// What happens to one query of two shard requests of equal weight, one step a word: `a0` shard request 0
-/// arrives,
-/// `t0` is accepted, `m0` answered; `d0` arrives at a node published as draining; `A01` a complete response
-/// of 0 and 1; `P0` a partial one; `D` rejected, `S` failed; `F` a node collapses; `C` the day ends; a number
-/// moves the clock. Then the rule that is broken, if any.
+/// arrives at a node, `t0` it is accepted, `m0` answered; `d0` it arrives at a node published as draining; `A01`
+/// the client gets a complete response of 0 and 1; `P0` a partial one; `D` it is rejected, `S` failed; `F` a node
+/// collapses; `C` the day ends; a number moves the clock to that time. Then the rule that is broken, if any.
 #[rstest]
 #[case(0, "a0 t0 m0 a1 t1 m1 A01", "")]
 #[case(0, "a0 t0 m0 P0 C", "")]
 #[case(0, "a0 t0 m0 a1 P0 C", "")]
-#[case(0, "C", "1: no final")]
-#[case(0, "S D", "1: a second")]
-#[case(0, "1006 S", "1: a final answer past")]
+#[case(0, "C", "1: no final response")]
+#[case(0, "S D", "1: a second final response")]
+#[case(0, "1006 S", "1: a final response past")]
 #[case(0, "1005 S", "")]
-#[case(0, "S 6 a0", "1: a part sent after")]
+#[case(0, "S 6 a0", "1: an attempt after")]
 #[case(0, "S 5 a0", "")]
-#[case(0, "P", "5: an answer under")]
-#[case(0, "a0 t0 m0 a1 t1 P01", "5: a part counted that no host")]
-#[case(0, "a0 t0 m0 P00", "5: a part counted twice")]
-#[case(0, "a0 t0 m0 A0", "5: an answer called whole")]
+#[case(0, "P", "5: a response under")]
+#[case(0, "a0 t0 m0 a1 t1 P01", "5: a shard request counted that no node")]
+#[case(0, "a0 t0 m0 P00", "5: a shard request counted twice")]
+#[case(0, "a0 t0 m0 A0", "5: a response called complete")]
 #[case(1, "a0 t0 505 a0", "")]
-#[case(1, "a0 t0 506 a0", "2: numbered")]
-#[case(2, "a0 a0 t0 D", "2: at-most-once, declined")]
+#[case(1, "a0 t0 506 a0", "2: idempotency key")]
+#[case(2, "a0 a0 t0 D", "2: at-most-once, rejected")]
 #[case(2, "a0 a0 t0 S", "")]
-#[case(2, "a0 t0 a0", "2: at-most-once, sent again")]
+#[case(2, "a0 t0 a0", "2: at-most-once, attempted again")]
 #[case(0, "55 d0", "")]
-#[case(0, "56 d0", "3: sent past")]
-#[case(0, "F", "4: a cold")]
+#[case(0, "56 d0", "3: an attempt past")]
+#[case(0, "F", "4: a warming node collapsed")]
 #[case(0, "a0 a0 a0 S", "")]
-#[case(0, "a0 a0 a0 a0 S", "6: more")]
-#[case(0, "a0 a0 101 a0 200 a0 a0", "6: more")]
+#[case(0, "a0 a0 a0 a0 S", "6: more retries")]
+#[case(0, "a0 a0 101 a0 200 a0 a0", "6: more retries")]
 #[case(0, "a0 a0 101 a0 S", "")]
 fn detects_each_violation(#[case] class: usize, #[case] steps: &str, #[case] rule: &str) {
     let mut checker = checker();
