--- /dev/null
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -0,0 +1,108 @@
+//! Starts the parties of a day: discovery, nodes without a process, and brokers.
+
+use crate::invariants::InvariantChecker;
+use crate::loopback::NoFigure;
+use crate::loopback::clients::Clients;
+use crate::loopback::day::{ClassOnWire, Day, UNIX_START};
+use crate::loopback::nodes::{Nodes, Publications};
+use crate::results::DayResults;
+use crate::simulation::SimulationConfig;
+use crate::simulation::deployment;
+use broker::{Running, StartupConfig};
+use cluster_trace::plan::{Plan, ReplayConfig};
+use node_emulator::DiscoveryCatalog;
+use routing::Tenths;
+use serde_json::json;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::{spawn_local, yield_now};
+
+/// How much later than it was done something may be observed on sockets.
+const INVARIANT_SLACK: Tenths = Tenths(500);
+/// Limits of each broker: as much as a day may need, so that no connection is closed for want of room.
+const BROKER_CORES: f64 = 1.0;
+const BROKER_MEMORY_MB: u32 = 2048;
+const BROKER_SOCKETS: u32 = 16_384;
+
+impl Day {
+    /// Starts the parties, and waits until every broker watches the endpoint list. The clock stands at 0.
+    pub(super) async fn start(
+        settle_timeout: Duration,
+        plan: Plan,
+        replay: &ReplayConfig,
+        config: SimulationConfig,
+    ) -> Result<Day, NoFigure> {
+        let catalog = DiscoveryCatalog::start().await?;
+        let nodes = Nodes::reserve(replay.nodes, &config)?;
+        let brokers = start_brokers(replay, &config, catalog.address).await?;
+        let last_entry_at = Tenths(plan.entries.last().map_or(0, |entry| entry.at) as i64);
+        let invariant_limits = deployment::invariant_limits(replay, INVARIANT_SLACK);
+        let mut day = Day {
+            settle_timeout,
+            now: Tenths(0),
+            last_entry_at,
+            plan: plan.entries.into(),
+            classes: replay.classes.iter().map(ClassOnWire::of).collect(),
+            has_quotas: replay.quota_per_s.is_some(),
+            publications: Publications::of_removed(replay.nodes as usize),
+            catalog,
+            nodes,
+            clients: Clients::new(brokers.len()),
+            queries: Vec::new(),
+            hasher: blake3::Hasher::new(),
+            invariants: InvariantChecker::new(invariant_limits, brokers.len()),
+            brokers,
+            results: DayResults::new(deployment::class_values(replay), replay.tenant_weights.len()),
+            config,
+        };
+        keep_runtime_busy();
+        day.settle().await?;
+        Ok(day)
+    }
+}
+
+/// A runtime that has nothing to do but wait for a socket would, as its clock is paused, move that clock on to
+/// the next timer by itself, and time-outs would fire at once. A task that never waits prevents that; it costs
+/// one core.
+fn keep_runtime_busy() {
+    spawn_local(async {
+        loop {
+            yield_now().await;
+        }
+    });
+}
+
+async fn start_brokers(
+    replay: &ReplayConfig,
+    config: &SimulationConfig,
+    discovery: SocketAddr,
+) -> Result<Vec<Running>, NoFigure> {
+    let mut brokers = Vec::new();
+    for number in 0..config.brokers {
+        let startup_config = startup_config(number, replay, config, discovery)?;
+        brokers.push(broker::start(startup_config).await?);
+    }
+    Ok(brokers)
+}
+
+fn startup_config(
+    number: u32,
+    replay: &ReplayConfig,
+    config: &SimulationConfig,
+    discovery: SocketAddr,
+) -> Result<StartupConfig, NoFigure> {
+    let seed = config.seed ^ u64::from(number).rotate_left(32);
+    let text = json!({
+        "name": format!("b{number}"),
+        "listen": "127.0.0.1:0",
+        "discovery": discovery.to_string(),
+        "seed": format!("{seed:x}"),
+        "limits": {"cores": BROKER_CORES, "memory_mb": BROKER_MEMORY_MB, "sockets": BROKER_SOCKETS},
+        "settings": deployment::settings(replay, config),
+    });
+    let no_environment = |_: &str| None;
+    let mut startup_config =
+        StartupConfig::read(text.to_string().as_bytes(), no_environment).map_err(NoFigure::Settings)?;
+    startup_config.since = Some(UNIX_START);
+    Ok(startup_config)
+}
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -11,9 +11,12 @@
     ShardLayout, Tenant, TenantId, Tenths,
 };
 use serde_json::{Value, json};
+use std::collections::BTreeMap;
 
 /// How long a message takes through the network.
 pub const ONE_WAY_LATENCY: Tenths = Tenths(5);
+/// The name of the only zone on sockets.
+pub const ZONE_NAME: &str = "zone-0";
 /// The least time between two turns of a broker.
 pub const TURN_PERIOD: Tenths = Tenths(50);
 /// How late the endpoint list is with nodes that start or stop.
@@ -27,6 +30,10 @@
 const MAX_ATTEMPTS: u32 = 3;
 /// What a query beyond its tenant's quota is worth to brokers; the service figure counts all alike.
 const OVER_QUOTA_WEIGHT: f64 = 0.1;
+/// Limits of a connection to a node, on sockets.
+const CONNECTION_IDLE_TIMEOUT: Tenths = Tenths(6_000_000);
+const CONNECT_TIMEOUT: Tenths = Tenths(10_000);
+const STREAMS_PER_CONNECTION: u32 = 64;
 /// How many placement groups hold a shard.
 const REPLICA_GROUPS: u32 = 2;
 
@@ -45,6 +52,10 @@
     Tenths::from_ms(f64::from(class.deadline_ms))
 }
 
+fn latency_objective_of(class: &ClassSpec) -> Tenths {
+    LATENCY_OBJECTIVE.min(deadline_of(class))
+}
+
 fn retry_budget(replay: &ReplayConfig) -> Option<RetryBudget> {
     let budget = replay.retry_budget?;
     let window = Tenths::from_ms(f64::from(budget.window_ms));
@@ -54,8 +65,9 @@
 /// The quota of each tenant, in queries a second; empty where there are none.
 fn tenant_quotas(replay: &ReplayConfig) -> Vec<f64> {
     let total: f64 = replay.tenant_weights.iter().sum();
-    let quota = |quota: f64| replay.tenant_weights.iter().map(move |weight| quota * weight / total).collect();
-    replay.quota_per_s.map(quota).unwrap_or_default()
+    let shares =
+        |quota: f64| replay.tenant_weights.iter().map(move |weight| quota * weight / total).collect();
+    replay.quota_per_s.map(shares).unwrap_or_default()
 }
 
 /// A tenant's name on the wire.
@@ -64,7 +76,7 @@
 }
 
 /// How a node is built.
-fn node_build(config: &SimulationConfig) -> NodeSpec {
+fn node_spec(config: &SimulationConfig) -> NodeSpec {
     NodeSpec {
         cores: config.cores,
         warm_up_jobs: config.warm_jobs,
@@ -75,7 +87,7 @@
 
 /// A node that is warm already.
 pub fn warm_node(config: &SimulationConfig) -> EmulatedNode {
-    EmulatedNode::new(node_build(config), None)
+    EmulatedNode::new(node_spec(config), None)
 }
 
 /// A node without a process.
@@ -96,56 +108,77 @@
 
 /// What brokers in virtual time are configured with.
 pub fn broker_config(replay: &ReplayConfig, config: &SimulationConfig) -> BrokerConfig {
-    let class = |(index, class): (usize, &ClassSpec)| {
-        let (idempotency, dedup_window) = idempotency_of(class.idempotency);
-        let request_class = RequestClass {
-            latency_objective: LATENCY_OBJECTIVE.min(deadline_of(class)),
-            deadline: deadline_of(class),
-            priority_weight: class.priority_weight,
-            min_coverage: class.min_coverage,
-            complete_coverage: 1.0,
-            idempotency,
-            dedup_window,
-            ..RequestClass::default()
-        };
-        (ClassId(index as u16), request_class)
-    };
-    let quota = |(no, quota_per_s)| (TenantId(no), Tenant { quota_per_s });
-    let build = node_build(config);
     BrokerConfig {
         brokers: config.brokers,
         period: TURN_PERIOD,
         send_lag: ONE_WAY_LATENCY,
-        classes: replay.classes.iter().enumerate().map(class).collect(),
-        tenants: tenant_quotas(replay).into_iter().enumerate().map(|(no, q)| quota((no as u32, q))).collect(),
+        classes: request_classes(replay),
+        tenants: tenants(replay),
         over_quota_weight: OVER_QUOTA_WEIGHT,
-        layout: ShardLayout {
-            placement_groups: config.placement_groups,
-            replica_groups: REPLICA_GROUPS,
-            shards: replay.shards,
-            max_batch_size: 1,
-        },
-        limits: RequestLimits {
-            max_open: MAX_OPEN_QUERIES,
-            max_attempts: MAX_ATTEMPTS,
-            allow_hedging: true,
-            allow_cancel: true,
-            retry_after: true,
-            max_retry_after: LATENCY_OBJECTIVE,
-        },
-        rules: SafetyRules {
-            initial_capacity_share: build.initial_capacity_share,
-            warm_up_period: build.warm_up_period,
-            overload_factor: build.overload_factor,
-            overload_window: build.overload_window,
-            endpoint_list_max_age: ENDPOINT_LIST_MAX_AGE,
-            drain_grace: DRAIN_GRACE,
-            retry_budget: retry_budget(replay),
-        },
+        layout: shard_layout(replay, config),
+        limits: request_limits(),
+        rules: safety_rules(replay, config),
         ..BrokerConfig::default()
     }
 }
 
+fn request_classes(replay: &ReplayConfig) -> BTreeMap<ClassId, RequestClass> {
+    let classes = replay.classes.iter().enumerate();
+    classes.map(|(index, class)| (ClassId(index as u16), request_class(class))).collect()
+}
+
+fn request_class(class: &ClassSpec) -> RequestClass {
+    let (idempotency, dedup_window) = idempotency_of(class.idempotency);
+    RequestClass {
+        latency_objective: latency_objective_of(class),
+        deadline: deadline_of(class),
+        priority_weight: class.priority_weight,
+        min_coverage: class.min_coverage,
+        complete_coverage: 1.0,
+        idempotency,
+        dedup_window,
+        ..RequestClass::default()
+    }
+}
+
+fn tenants(replay: &ReplayConfig) -> BTreeMap<TenantId, Tenant> {
+    let quotas = tenant_quotas(replay).into_iter().enumerate();
+    quotas.map(|(index, quota_per_s)| (TenantId(index as u32), Tenant { quota_per_s })).collect()
+}
+
+fn shard_layout(replay: &ReplayConfig, config: &SimulationConfig) -> ShardLayout {
+    ShardLayout {
+        placement_groups: config.placement_groups,
+        replica_groups: REPLICA_GROUPS,
+        shards: replay.shards,
+        max_batch_size: 1,
+    }
+}
+
+fn request_limits() -> RequestLimits {
+    RequestLimits {
+        max_open: MAX_OPEN_QUERIES,
+        max_attempts: MAX_ATTEMPTS,
+        allow_hedging: true,
+        allow_cancel: true,
+        retry_after: true,
+        max_retry_after: LATENCY_OBJECTIVE,
+    }
+}
+
+fn safety_rules(replay: &ReplayConfig, config: &SimulationConfig) -> SafetyRules {
+    let node = node_spec(config);
+    SafetyRules {
+        initial_capacity_share: node.initial_capacity_share,
+        warm_up_period: node.warm_up_period,
+        overload_factor: node.overload_factor,
+        overload_window: node.overload_window,
+        endpoint_list_max_age: ENDPOINT_LIST_MAX_AGE,
+        drain_grace: DRAIN_GRACE,
+        retry_budget: retry_budget(replay),
+    }
+}
+
 /// The same as a settings text, for brokers on sockets.
 pub fn settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
     let services: Vec<Value> = replay.classes.iter().map(service_settings).collect();
@@ -155,7 +188,7 @@
         "Instances": config.brokers,
         "PeriodMs": TURN_PERIOD.as_ms(),
         "RegistryMode": "automatic",
-        "Areas": ["hall"],
+        "Areas": [ZONE_NAME],
         "Zone": 0,
         "Tenants": tenants,
         "OverShareWorth": OVER_QUOTA_WEIGHT,
@@ -163,13 +196,13 @@
         "Services": services,
         "Domain": domain_settings(replay, config),
         "Limits": {
-            "ConnIdleMs": 600_000.0,
-            "ConnectTimeoutMs": 1000.0,
+            "ConnIdleMs": CONNECTION_IDLE_TIMEOUT.as_ms(),
+            "ConnectTimeoutMs": CONNECT_TIMEOUT.as_ms(),
             "MaxAttempts": MAX_ATTEMPTS,
             "MaxOpen": MAX_OPEN_QUERIES,
             "MayCancel": true,
             "SecondCopies": true,
-            "StreamsPerConn": 64,
+            "StreamsPerConn": STREAMS_PER_CONNECTION,
             "RetryAfter": true,
             "MaxRetryAfterMs": LATENCY_OBJECTIVE.as_ms(),
         },
@@ -186,7 +219,7 @@
     };
     json!({
         "Name": class.name,
-        "OnTimeMs": LATENCY_OBJECTIVE.min(deadline_of(class)).as_ms(),
+        "OnTimeMs": latency_objective_of(class).as_ms(),
         "DeadlineMs": class.deadline_ms,
         "Worth": class.priority_weight,
         "LateShare": 0.0,
@@ -209,13 +242,13 @@
 }
 
 fn rule_settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
-    let build = node_build(config);
+    let node = node_spec(config);
     let mut rules = json!({
         "AskWithinMs": ENDPOINT_LIST_MAX_AGE.as_ms(),
-        "ColdFrom": build.initial_capacity_share,
-        "WarmUpMs": build.warm_up_period.as_ms(),
-        "OverloadFactor": build.overload_factor,
-        "OverloadForMs": build.overload_window.as_ms(),
+        "ColdFrom": node.initial_capacity_share,
+        "WarmUpMs": node.warm_up_period.as_ms(),
+        "OverloadFactor": node.overload_factor,
+        "OverloadForMs": node.overload_window.as_ms(),
         "StopSendingWithinMs": DRAIN_GRACE.as_ms(),
     });
     if let Some(budget) = replay.retry_budget {
@@ -246,7 +279,7 @@
     let value = |class: &ClassSpec| ClassValue {
         name: class.name.clone(),
         priority_weight: class.priority_weight,
-        latency_objective: LATENCY_OBJECTIVE.min(deadline_of(class)),
+        latency_objective: latency_objective_of(class),
     };
     replay.classes.iter().map(value).collect()
 }
--- a/crates/broker-bench/src/simulation/runner.rs
+++ b/crates/broker-bench/src/simulation/runner.rs
@@ -111,6 +111,7 @@
         )
     }
 
+    /// A day with faults, and with clients that may retry.
     pub fn with_faults(
         plan: Plan,
         replay: &ReplayConfig,
@@ -118,17 +119,13 @@
         faults: FaultSchedule,
     ) -> Simulation {
         let broker_config = deployment::broker_config(replay, &config);
-        let broker_seed = |number: u32| config.seed ^ u64::from(number).rotate_left(32);
-        let brokers = (0..config.brokers)
-            .map(|number| SimulatedBroker::first(config.policy, &broker_config, broker_seed(number)))
-            .collect();
         let nodes: Vec<EmulatedNode> = (0..replay.nodes).map(|_| deployment::stopped_node(&config)).collect();
         let limits = deployment::invariant_limits(replay, ONE_WAY_LATENCY);
         let removed = PublishedState { state: EndpointState::Removed, at: Tenths(0) };
         let mut simulation = Simulation {
             now: Tenths(0),
             queue: EventQueue::default(),
-            brokers,
+            brokers: first_brokers(&config, &broker_config),
             next_finish: vec![None; nodes.len()],
             published: vec![removed; nodes.len()],
             nodes,
@@ -237,6 +234,12 @@
     }
 }
 
+fn first_brokers(config: &SimulationConfig, broker_config: &BrokerConfig) -> Vec<SimulatedBroker> {
+    let seed = |number: u32| config.seed ^ u64::from(number).rotate_left(32);
+    let start = |number| SimulatedBroker::first(config.policy, broker_config, seed(number));
+    (0..config.brokers).map(start).collect()
+}
+
 /// Mean work of a shard request, by class.
 fn mean_work_us(plan: &Plan, classes: usize) -> Vec<u64> {
     let (mut work_us, mut counts) = (vec![0; classes], vec![0; classes]);
