--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -18,6 +18,7 @@
 
 mod discovery_catalog;
 mod emulated_node;
+mod frame;
 mod http_client;
 mod http_server;
 mod job;
@@ -31,15 +32,13 @@
 
 pub use discovery_catalog::DiscoveryCatalog;
 pub use emulated_node::EmulatedNode;
+pub use frame::encode_frame;
 pub use http_client::{HttpClient, HttpResponse, query_body, query_request, tenant_query_request};
 pub use job::{JobId, SubmitOutcome};
 pub use load_report::LoadReport;
-pub use node_event::{EventSender, PeerEvent, ReceivedEvent, ShardRequest, encode_frame};
+pub use node_event::{EventSender, PeerEvent, ReceivedEvent, ShardRequest};
 pub use node_server::{NodeServer, ReceivedShardRequest, WorkFunction};
 pub use node_spec::{Cancel, NodeSpec};
 pub use node_state::NodeState;
 pub use scripted_discovery::ScriptedDiscovery;
 pub use scripted_node::ScriptedNode;
-
-/// The longest frame, in bytes; a longer one closes the connection.
-const MAX_FRAME_BYTES: usize = 1 << 20;
--- a/crates/node-emulator/src/node_event.rs
+++ b/crates/node-emulator/src/node_event.rs
@@ -1,6 +1,6 @@
 //! What a scripted node receives from brokers, and how that is read from frames.
 
-use crate::MAX_FRAME_BYTES;
+use crate::frame::{BATCH, CANCEL, LOAD_PROBE, MAX_FRAME_BYTES, split_first_entry};
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
 
@@ -46,11 +46,6 @@
 /// Where scripted nodes send what they receive.
 pub type EventSender = mpsc::UnboundedSender<ReceivedEvent>;
 
-/// A frame whose length field says `excess` bytes more than there are.
-pub fn encode_frame(payload: &[u8], excess: i32) -> Vec<u8> {
-    [&(payload.len() as i32 + excess).to_le_bytes()[..], payload].concat()
-}
-
 /// The next frame; none: the connection is closed, or its frame is too long or cut short.
 pub(crate) async fn read_event(from: &mut (impl AsyncReadExt + Unpin)) -> Option<PeerEvent> {
     let length = from.read_u32_le().await.ok()? as usize;
@@ -60,27 +55,19 @@
     let mut frame = vec![0; length];
     from.read_exact(&mut frame).await.ok()?;
     Some(match frame.split_first() {
-        Some((b'2', id)) => text(id).map_or(PeerEvent::Unknown, PeerEvent::Cancel),
-        Some((b'4', [])) => PeerEvent::LoadProbe,
-        Some((b'1', batch)) => parse_batch(batch).map_or(PeerEvent::Unknown, PeerEvent::Batch),
+        Some((&CANCEL, id)) => text(id).map_or(PeerEvent::Unknown, PeerEvent::Cancel),
+        Some((&LOAD_PROBE, [])) => PeerEvent::LoadProbe,
+        Some((&BATCH, batch)) => parse_batch(batch).map_or(PeerEvent::Unknown, PeerEvent::Batch),
         _ => PeerEvent::Unknown,
     })
 }
 
-/// A batch's shard requests, each a line `ID SHARD LIST LENGTH` and so many bytes.
 fn parse_batch(mut rest: &[u8]) -> Option<Vec<ShardRequest>> {
     let mut shard_requests = Vec::new();
     while !rest.is_empty() {
-        let line_end = rest.iter().position(|byte| *byte == b'\n')?;
-        let line = text(&rest[..line_end])?;
-        let [id, shard, list, length] = line.split(' ').collect::<Vec<_>>()[..] else { return None };
-        let (value, after) = rest[line_end + 1..].split_at_checked(length.parse().ok()?)?;
-        shard_requests.push(ShardRequest {
-            id: id.to_owned(),
-            shard: shard.parse().ok()?,
-            list: list.to_owned(),
-            text: text(value)?,
-        });
+        let (entry, after) = split_first_entry(rest)?;
+        let (id, list) = (entry.id.to_owned(), entry.list.to_owned());
+        shard_requests.push(ShardRequest { id, shard: entry.shard, list, text: text(entry.text)? });
         rest = after;
     }
     Some(shard_requests)
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -1,15 +1,21 @@
-//! The model on a loopback socket, with frames as the protocol has them. Real time comes in here. It records
-//! what it received, so that a test can hold the rules against that.
+//! The model of a node on a loopback socket, with the frames of the protocol and in real time. It records what it
+//! received, so that a test can check the rules by that.
+//!
+//! One thread accepts connections, one completes jobs as they come due, and one serves each connection. They share
+//! one lock.
+
+mod connection;
 
-use crate::MAX_FRAME_BYTES;
 use crate::emulated_node::EmulatedNode;
-use crate::job::{JobId, SubmitOutcome};
+use crate::frame::SUCCEEDED;
+use crate::job::JobId;
 use crate::load_report::LoadReport;
 use crate::node_spec::NodeSpec;
 use crate::node_state::NodeState;
+use connection::{Writer, serve, write_response};
 use routing::Tenths;
 use std::collections::BTreeMap;
-use std::io::{self, BufRead, BufReader, Read, Write};
+use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -23,6 +29,11 @@
 /// Added to a wait for a completion, so that the job is due when it ends.
 const COMPLETION_MARGIN_US: u64 = 50;
 
+const US_PER_TENTH: u64 = 100;
+
+/// The value of every response.
+const RESPONSE_VALUE: &[u8] = b"v";
+
 /// A shard request as its node received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedShardRequest {
@@ -43,8 +54,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionId(u64);
 
-type Writer = Arc<Mutex<TcpStream>>;
-
 /// A shard request that the node has not finished.
 struct PendingRequest {
     connection: ConnectionId,
@@ -142,7 +151,7 @@
         state.crash();
         drop(state);
         self.shared.jobs_changed.notify_all();
-        // Wakes the listener, which then sees that it is stopped.
+        // A connection wakes the accepting thread, which then sees that the server is stopped.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -153,7 +162,7 @@
     }
 
     fn now(&self) -> Tenths {
-        Tenths((self.started_at.elapsed().as_micros() / 100) as i64)
+        Tenths((self.started_at.elapsed().as_micros() / u128::from(US_PER_TENTH)) as i64)
     }
 }
 
@@ -163,7 +172,7 @@
         self.pending.clear();
         self.jobs.clear();
         for connection in std::mem::take(&mut self.connections).into_values() {
-            // One that its peer has closed already needs nothing more.
+            // Fails where the peer has closed it already, which is as good.
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
@@ -174,7 +183,7 @@
     }
 }
 
-/// Without a process a connection is dropped as it comes: on loopback that is as near to a refusal as it gets
+/// Accepts connections. Without a process they are dropped as they come: as near to a refusal as loopback allows
 /// while the address is kept.
 fn accept(shared: &Arc<Shared>, listener: &TcpListener) {
     for stream in listener.incoming() {
@@ -208,121 +217,14 @@
             let load = state.node.load(now);
             if let Some(request) = state.pending.remove(&job) {
                 state.jobs.remove(&(request.connection, request.id.clone()));
-                respond(&request.writer, &request.id, 'S', load, b"v");
+                write_response(&request.writer, &request.id, SUCCEEDED, load, RESPONSE_VALUE);
             }
         }
         let wait = state.node.next_completion().map_or(MAX_COMPLETION_WAIT, |completion| {
             let tenths = u64::try_from((completion - shared.now()).0).unwrap_or(0);
-            Duration::from_micros(tenths * 100 + COMPLETION_MARGIN_US)
+            Duration::from_micros(tenths * US_PER_TENTH + COMPLETION_MARGIN_US)
         });
         let waited = shared.jobs_changed.wait_timeout(state, wait.min(MAX_COMPLETION_WAIT));
         state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
     }
 }
-
-fn write_frame(writer: &Writer, frame: &[u8]) {
-    let mut writer = writer.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    let length = (frame.len() as u32).to_le_bytes();
-    // A broker that has closed its connection needs no response.
-    let _ = writer.write_all(&[&length[..], frame].concat());
-}
-
-fn respond(writer: &Writer, id: &str, outcome: char, load: LoadReport, value: &[u8]) {
-    write_frame(writer, &[format!("5{id} {outcome} 1 {load}\n").as_bytes(), value].concat());
-}
-
-fn serve(shared: &Shared, connection: ConnectionId, stream: TcpStream) -> io::Result<()> {
-    stream.set_nodelay(true)?;
-    let writer: Writer = Arc::new(Mutex::new(stream.try_clone()?));
-    let mut reader = BufReader::new(stream);
-    loop {
-        let mut length = [0; 4];
-        reader.read_exact(&mut length)?;
-        let length = u32::from_le_bytes(length) as usize;
-        if !(1..=MAX_FRAME_BYTES).contains(&length) {
-            write_frame(&writer, b"Xa frame of a wrong length");
-            return Ok(());
-        }
-        let mut frame = vec![0; length];
-        reader.read_exact(&mut frame)?;
-        match frame[0] {
-            b'1' => accept_batch(shared, connection, &writer, &frame[1..])?,
-            b'2' => cancel(shared, connection, &String::from_utf8_lossy(&frame[1..])),
-            b'3' => write_frame(&writer, b"3S"),
-            b'4' => {
-                let now = shared.now();
-                let load = shared.lock().node.load(now);
-                write_frame(&writer, format!("4{load}").as_bytes());
-            }
-            _ => {
-                write_frame(&writer, b"Xan unknown letter");
-                return Ok(());
-            }
-        }
-    }
-}
-
-/// A batch's shard requests, each a line `ID SHARD LIST LENGTH` and so many bytes.
-fn accept_batch(
-    shared: &Shared,
-    connection: ConnectionId,
-    writer: &Writer,
-    mut rest: &[u8],
-) -> io::Result<()> {
-    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
-    while !rest.is_empty() {
-        let mut head = String::new();
-        rest.read_line(&mut head)?;
-        let mut fields = head.trim_end().split(' ');
-        let (id, shard) = fields.next().zip(fields.next()).ok_or_else(invalid)?;
-        let shard: u32 = shard.parse().map_err(|_| invalid())?;
-        let length: usize = fields.nth(1).and_then(|text| text.parse().ok()).ok_or_else(invalid)?;
-        let (text, after) = rest.split_at_checked(length).ok_or_else(invalid)?;
-        rest = after;
-        accept_shard_request(shared, connection, writer, id, shard, text);
-    }
-    shared.jobs_changed.notify_all();
-    Ok(())
-}
-
-fn accept_shard_request(
-    shared: &Shared,
-    connection: ConnectionId,
-    writer: &Writer,
-    id: &str,
-    shard: u32,
-    text: &[u8],
-) {
-    let now = shared.now();
-    let mut state = shared.lock();
-    // Guards against what was still to be read on a connection of a process that crashed: the next one never
-    // had it.
-    if !state.connections.contains_key(&connection) {
-        return;
-    }
-    if state.received.len() < MAX_RECORDED {
-        let node_state = state.node.state();
-        state.received.push(ReceivedShardRequest { id: id.to_owned(), shard, at: now, state: node_state });
-    }
-    let job = JobId(state.next_id());
-    match state.node.submit(now, job, (shared.work)(shard, text)) {
-        SubmitOutcome::Started | SubmitOutcome::Queued => {
-            let request = PendingRequest { connection, id: id.to_owned(), writer: writer.clone() };
-            state.pending.insert(job, request);
-            state.jobs.insert((connection, id.to_owned()), job);
-        }
-        SubmitOutcome::Refused => respond(writer, id, 'B', state.node.load(now), b""),
-        SubmitOutcome::Unreachable | SubmitOutcome::Collapsed => state.crash(),
-    }
-}
-
-fn cancel(shared: &Shared, connection: ConnectionId, id: &str) {
-    let now = shared.now();
-    let mut state = shared.lock();
-    if let Some(job) = state.jobs.remove(&(connection, id.to_owned())) {
-        state.pending.remove(&job);
-        state.node.cancel(now, job);
-    }
-    drop(state);
-    shared.jobs_changed.notify_all();
-}
--- a/crates/node-emulator/src/node_spec.rs
+++ b/crates/node-emulator/src/node_spec.rs
@@ -23,7 +23,8 @@
     pub cancel: Cancel,
 }
 
-/// What a job that is cancelled costs from then on.
+/// What a job that is cancelled costs from then on. `fault_scenarios::CancelBehavior` is the same in a scenario's
+/// text: neither package depends on the other, and the bench translates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Cancel {
     /// Nothing, wherever it was.
--- a/crates/node-emulator/src/scripted_node.rs
+++ b/crates/node-emulator/src/scripted_node.rs
@@ -1,6 +1,7 @@
 //! A node whose frames a test reads and writes one by one.
 
-use crate::node_event::{EventSender, PeerEvent, ReceivedEvent, encode_frame, read_event};
+use crate::frame::{LOAD_REPORT, RESPONSE, encode_frame};
+use crate::node_event::{EventSender, PeerEvent, ReceivedEvent, read_event};
 use std::cell::RefCell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,6 +13,8 @@
 
 const LISTEN_BACKLOG: u32 = 1024;
 
+/// The score in every response; brokers do not read it.
+const SCORE: u32 = 77;
 /// The load that a response reports where the test gives none.
 const DEFAULT_LOAD: &str = "queue=3,qps=1.5";
 
@@ -116,13 +119,13 @@
         load: &str,
         value: &str,
     ) {
-        let payload = format!("5{id} {outcome} 77 {load}\n{value}");
+        let payload = format!("{RESPONSE}{id} {outcome} {SCORE} {load}\n{value}");
         self.write(connection, &encode_frame(payload.as_bytes(), 0)).await;
     }
 
     /// Answers a probe for load: a report, `-` for none, `E` for an error.
     pub async fn send_load(&self, connection: usize, load: &str) {
-        self.write(connection, &encode_frame(format!("4{load}").as_bytes(), 0)).await;
+        self.write(connection, &encode_frame(format!("{LOAD_REPORT}{load}").as_bytes(), 0)).await;
     }
 
     /// Closes a connection.
