--- a/Makefile
+++ b/Makefile
@@ -6,11 +6,11 @@
 	@echo "test   formatting, lints and all tests, as CI does"
 	@echo "lint   formatting and clippy"
 	@echo "run    one broker, CONFIG=path of its config file"
-	@echo "measure-trace    how fast traces are read; SIZE=small for a short one"
-	@echo "measure-rehearsal  the simulation benchmark: every scripted fault scenario; SIZE=small for a short one"
-	@echo "measure-lean     what a query costs beside AGAINST=path of an earlier build"
-	@echo "measure-fleet-size  what a broker needs among 200 and 3,200 nodes; SIZE=small for a short one"
-	@echo "measure-control  many brokers' versions in virtual time; SIZE=small for a short one"
+	@echo "measure-rehearsal   every scenario of scripted faults, simulated; SIZE=small for a short run"
+	@echo "measure-trace       reading speed of cluster traces, and an overload day; SIZE=small for a short run"
+	@echo "measure-control     how fast brokers converge on a configuration; SIZE=small for a short run"
+	@echo "measure-lean        CPU and memory of a query, beside an earlier build: AGAINST=path of its program"
+	@echo "measure-fleet-size  what a broker needs among 200 and 3,200 nodes; SIZE=small for a short run"
 
 build:
 	cargo build --release --locked
@@ -27,14 +27,13 @@
 
 measure-control:
 	cargo build --release --locked --package broker-bench
-	target/release/broker-bench measure control --size $(or $(SIZE),full)
+	target/release/broker-bench measure rollout --size $(or $(SIZE),full)
 
-# AGAINST=path of an earlier build of the program.
+# AGAINST=path of an earlier build of the broker program.
 measure-lean:
 	cargo build --release --locked --package broker --package broker-bench
-	target/release/broker-bench measure lean --against $(AGAINST)
+	target/release/broker-bench measure footprint --against $(AGAINST)
 
-# One broker among 200 nodes and among 3,200; SIZE=small for a short one.
 measure-fleet-size:
 	cargo build --release --locked --package broker --package broker-bench
 	target/release/broker-bench measure fleet-size --size $(or $(SIZE),full)
@@ -45,4 +44,4 @@
 
 measure-rehearsal:
 	cargo build --release --locked --package broker-bench
-	target/release/broker-bench measure rehearsal --size $(or $(SIZE),full)
+	target/release/broker-bench measure simulation --size $(or $(SIZE),full)
