--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -62,6 +62,11 @@
         class.map_or(Tenths::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
     }
 
+    /// The longest deadline of a request class; zero where there is none.
+    pub fn longest_deadline(&self) -> Tenths {
+        self.classes.values().map(|class| class.deadline).max().unwrap_or_default()
+    }
+
     /// Changes the counts.
     pub fn count(&self, change: impl FnOnce(&mut EpochCounts)) {
         let mut counts = self.counts.get();
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -14,15 +14,15 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper_util::client::legacy;
 use hyper_util::rt::TokioExecutor;
-use list_requests::{ListRequests, RequestOutcome};
+use list_requests::ListRequests;
 use routing::EndpointListKind;
+use routing::discovery_backoff::{self, RetrySchedule};
 use std::convert::Infallible;
 use std::net::SocketAddr;
-use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep_until, timeout};
 use tracing::warn;
 
 /// Keeps its connections; reads a response without a length up to its end, and takes no reset for one.
@@ -55,20 +55,20 @@
 }
 
 impl EndpointWatcher {
-    /// Watches until a request fails; where discovery is an agent, for ever.
+    /// Watches until a request fails; where discovery is a local agent, for ever.
     async fn watch_until_failure(&self, discovery: &mut watch::Receiver<SocketAddr>) {
         loop {
             let address = *discovery.borrow_and_update();
             // Guards against an agent that lists and breaks off at once, again and again.
-            let retry_at = Instant::now() + self.limits.agent_retry_interval;
+            let retry_at = Instant::now() + self.limits.list_retry_interval;
             tokio::select! {
                 Err(error) = self.watch(address) => {
                     warn!(%error, "endpoint list is not watched, the last one stays in use");
                     self.report_failure();
-                    if !self.limits.has_discovery_agent {
-                        return;
+                    match self.retry_schedule() {
+                        RetrySchedule::RoutingBackoff { .. } => return,
+                        RetrySchedule::FixedInterval(_) => sleep_until(retry_at).await,
                     }
-                    sleep_until(retry_at).await;
                 }
                 // Guards against configurations in quick succession, of which each would ask for the list.
                 Ok(()) = discovery.changed() => sleep_until(retry_at).await,
@@ -76,6 +76,11 @@
         }
     }
 
+    fn retry_schedule(&self) -> RetrySchedule {
+        let Limits { discovery_kind, list_retry_interval, list_timeout, .. } = *self.limits;
+        discovery_backoff::retry_schedule(discovery_kind, list_retry_interval, list_timeout)
+    }
+
     fn report_failure(&self) {
         // What was asked for before this failure was this watch; from now on the engine says when.
         let _ = self.engine.watch_requested.notified().now_or_never();
@@ -99,9 +104,7 @@
         }
     }
 
-    /// Asks for all nodes until one of the requests that still wait is answered. Guards against discovery that
-    /// answers later than the next request is due: one request is waited for much longer than the others. Where
-    /// discovery is shared, each failure is reported, and the engine says when the next request is due.
+    /// Requests the complete list until one of the requests that still wait is answered.
     async fn request_list(&self, url: &str) -> Result<NodeList, DiscoveryError> {
         let mut requests = ListRequests::default();
         loop {
@@ -109,37 +112,32 @@
             let time_limit =
                 if is_patient { self.limits.patient_list_timeout } else { self.limits.list_timeout };
             requests.push(self.request(url, time_limit), is_patient);
-            if let Some(list) = self.await_list(&mut requests).await {
-                return Ok(list);
-            }
-            if !self.limits.has_discovery_agent {
-                self.report_failure();
-                tokio::select! {
-                    list = requests.answered() => return Ok(list),
-                    () = self.engine.watch_requested.notified() => {}
+            let answered = match self.retry_schedule() {
+                RetrySchedule::FixedInterval(interval) => timeout(interval, requests.answered()).await.ok(),
+                RetrySchedule::RoutingBackoff { silence_timeout } => {
+                    self.list_before_backoff(&mut requests, silence_timeout).await
                 }
+            };
+            if let Some(list) = answered {
+                return Ok(list);
             }
         }
     }
 
-    /// Waits for a list until the next request is due; where discovery is shared, no longer than until the newest
-    /// request has failed.
-    async fn await_list(&self, requests: &mut ListRequests<'_>) -> Option<NodeList> {
-        let next_due = sleep(match self.limits.has_discovery_agent {
-            true => self.limits.agent_retry_interval,
-            false => self.limits.list_timeout,
-        });
-        let mut next_due = pin!(next_due);
-        loop {
-            tokio::select! {
-                biased;
-                outcome = requests.next(), if !requests.is_empty() => match outcome {
-                    RequestOutcome::Answered(list) => return Some(list),
-                    RequestOutcome::NewestFailed if !self.limits.has_discovery_agent => return None,
-                    RequestOutcome::NewestFailed | RequestOutcome::OlderFailed => {}
-                },
-                () = &mut next_due => return None,
-            }
+    /// Waits for a list until the routing decisions ask for the next request. They are told of the failure as soon as
+    /// the newest request fails, or has been silent for `silence_timeout`.
+    async fn list_before_backoff(
+        &self,
+        requests: &mut ListRequests<'_>,
+        silence_timeout: Duration,
+    ) -> Option<NodeList> {
+        if let Ok(Some(list)) = timeout(silence_timeout, requests.answered_unless_newest_fails()).await {
+            return Some(list);
+        }
+        self.report_failure();
+        tokio::select! {
+            list = requests.answered() => Some(list),
+            () = self.engine.watch_requested.notified() => None,
         }
     }
 
--- a/crates/broker/src/discovery/list_requests.rs
+++ b/crates/broker/src/discovery/list_requests.rs
@@ -9,7 +9,7 @@
 use tracing::warn;
 
 /// What became of one of the requests.
-pub(super) enum RequestOutcome {
+enum RequestOutcome {
     /// It was answered.
     Answered(NodeList),
     /// The newest one failed.
@@ -39,11 +39,6 @@
         self.has_patient
     }
 
-    /// Whether none waits.
-    pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
-    }
-
     /// Adds a request, which is the newest from now on.
     pub(super) fn push(
         &mut self,
@@ -58,7 +53,7 @@
     }
 
     /// Waits for the next one to finish; for ever where none waits.
-    pub(super) async fn next(&mut self) -> RequestOutcome {
+    async fn next(&mut self) -> RequestOutcome {
         let Some(finished) = self.waiting.next().await else { return pending().await };
         self.has_patient &= !finished.is_patient;
         match finished.result {
@@ -76,6 +71,17 @@
         }
     }
 
+    /// Waits for a list, for as long as the newest request has not failed.
+    pub(super) async fn answered_unless_newest_fails(&mut self) -> Option<NodeList> {
+        loop {
+            match self.next().await {
+                RequestOutcome::Answered(list) => return Some(list),
+                RequestOutcome::NewestFailed => return None,
+                RequestOutcome::OlderFailed => {}
+            }
+        }
+    }
+
     /// Waits for a list, however many requests fail.
     pub(super) async fn answered(&mut self) -> NodeList {
         loop {
--- a/crates/broker/src/limits.rs
+++ b/crates/broker/src/limits.rs
@@ -1,8 +1,8 @@
 //! All sizes, counts and times of the broker on sockets, worked out at the start and handed down.
 
-use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
+use routing::discovery_backoff::{self, DiscoveryKind};
+use routing::{BrokerConfig, Tenths};
 use settings::BrokerSettings;
-use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What the machine gives the broker.
@@ -108,19 +108,14 @@
     pub list_timeout: Duration,
     /// One such request is waited for so long, while others are made.
     pub patient_list_timeout: Duration,
-    /// Where the settings call the endpoint list automatic, discovery is an agent on the broker's own
-    /// machine.
-    pub has_discovery_agent: bool,
+    /// An agent on the broker's own machine where the settings call the endpoint list automatic; else shared.
+    pub discovery_kind: DiscoveryKind,
     /// The wait that discovery is asked for in a watch.
     pub watch_wait: Duration,
     /// What the answer to a watch may take beyond that wait.
     pub watch_slack: Duration,
-    /// A silent agent is asked again after this, while the earlier requests still wait.
-    pub agent_retry_interval: Duration,
-    /// New connections keep coming for so long after the signal to shut down.
-    pub shutdown_accept_period: Duration,
-    /// Responses to those that had to be failed then are written within this.
-    pub final_response_timeout: Duration,
+    /// The shortest time from the start of one list request to that of the next.
+    pub list_retry_interval: Duration,
     /// How often a close is looked for that a client hides behind bytes it sent ahead.
     pub close_poll_interval: Duration,
     /// The least time between two turns.
@@ -188,29 +183,6 @@
 /// A client that left while its request waited: an attempt that begins later than this is a break.
 const CANCELLED_WITHIN: Duration = Duration::from_millis(100);
 
-/// The protocol's clock: the broker counts as notified of what a watch that fell silent misses so long after
-/// it fell silent, or so long after the wait that it was asked for ([`NOTIFIED_AFTER_WAIT`]), if that is
-/// later.
-const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// See [`NOTIFIED_AFTER_SILENCE`].
-const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// Discovery may be slow; a broker that is not ready within 30 s counts as failed.
-const PATIENT_LIST_TIMEOUT: Duration = Duration::from_secs(24);
-/// What a watch costs grows with the number of requests.
-const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// The number of watches within the age that an endpoint list may have.
-const WATCHES_PER_LIST_AGE: u32 = 10;
-/// Each of the protocol's time limits is so much longer on sockets.
-const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
-
-/// Connections that were made before the signal was known of may still arrive.
-const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The kill comes no sooner than the longest deadline, of which no more than this counts, and
-/// [`KILL_MARGIN`].
-const LONGEST_COUNTED_DEADLINE: Tenths = Tenths(30_000);
-/// See [`LONGEST_COUNTED_DEADLINE`].
-const KILL_MARGIN: Duration = Duration::from_millis(700);
-
 /// Connections, and the memory for what they carry.
 struct Capacity {
     client_connections: usize,
@@ -270,49 +242,31 @@
     }
 }
 
-/// When the endpoint list is asked for.
-struct Watch {
-    wait: Duration,
-    slack: Duration,
-    agent_retry_interval: Duration,
+/// How discovery is asked for the endpoint list.
+struct DiscoveryTimes {
+    kind: DiscoveryKind,
+    watch_wait: Duration,
+    list_retry_interval: Duration,
     list_timeout: Duration,
-    has_agent: bool,
 }
 
-impl Watch {
-    fn new(config: &BrokerConfig) -> Watch {
-        // No longer than that both of the protocol's clocks count from the request: what it costs grows with
-        // the requests.
-        let longest_wait = NOTIFIED_AFTER_SILENCE - NOTIFIED_AFTER_WAIT;
-        let list_age = to_duration(config.rules.endpoint_list_max_age);
-        // Half is for noticing that it fell silent, half for the request that takes its place.
-        let slack = NOTIFIED_AFTER_WAIT / 2;
-        // In a third of the grace it is asked, in one it answers, in the last the shard requests that wait
-        // are taken back.
-        let agent_retry_interval = (to_duration(config.rules.drain_grace) + SOCKET_ALLOWANCE) / 3;
-        // They share the few descriptors that are set aside.
-        let max_agent_requests = RESERVED_DESCRIPTORS as u32 / 3;
-        let has_agent = !config.watch_on_request;
-        Watch {
-            wait: (list_age / WATCHES_PER_LIST_AGE).clamp(MIN_WATCH_WAIT, longest_wait),
-            slack,
-            agent_retry_interval,
-            list_timeout: match has_agent {
-                true => slack.min(agent_retry_interval * max_agent_requests),
-                false => NOTIFIED_AFTER_SILENCE / 2,
-            },
-            has_agent,
+impl DiscoveryTimes {
+    fn new(config: &BrokerConfig) -> DiscoveryTimes {
+        let kind = match config.watch_on_request {
+            true => DiscoveryKind::Shared,
+            false => DiscoveryKind::LocalAgent,
+        };
+        let list_retry_interval =
+            discovery_backoff::list_retry_interval(to_duration(config.rules.drain_grace));
+        DiscoveryTimes {
+            kind,
+            watch_wait: discovery_backoff::watch_wait(to_duration(config.rules.endpoint_list_max_age)),
+            list_retry_interval,
+            list_timeout: discovery_backoff::list_timeout(kind, list_retry_interval),
         }
     }
 }
 
-/// How long after the signal to shut down the last responses must be on their way, with these classes.
-pub fn shutdown_timeout(classes: &BTreeMap<ClassId, RequestClass>) -> Duration {
-    let deadlines = classes.values().map(|class| class.deadline);
-    let longest_deadline = deadlines.max().unwrap_or_default();
-    to_duration(longest_deadline.min(LONGEST_COUNTED_DEADLINE)) + KILL_MARGIN - 2 * SOCKET_ALLOWANCE
-}
-
 impl Limits {
     /// Works out the limits of a broker on this machine with these settings.
     ///
@@ -323,7 +277,7 @@
         let capacity = Capacity::new(machine)?;
         let config = &broker_settings.broker_config;
         let node_connections = NodeConnections::new(broker_settings);
-        let watch = Watch::new(config);
+        let discovery = DiscoveryTimes::new(config);
         let max_connection_shard_requests = node_connections.max_shard_requests;
         let configured_batch_size = config.layout.max_batch_size.max(1) as usize;
         let connect_timeout = to_duration(node_connections.connect_timeout);
@@ -359,15 +313,15 @@
             keep_alive_timeout: KEEP_ALIVE_TIMEOUT,
             sweep_interval: SWEEP_INTERVAL,
             max_client_wait: MAX_CLIENT_WAIT,
-            assumed_notified_after: Tenths::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
-            list_timeout: watch.list_timeout,
-            patient_list_timeout: PATIENT_LIST_TIMEOUT,
-            has_discovery_agent: watch.has_agent,
-            watch_wait: watch.wait,
-            watch_slack: watch.slack,
-            agent_retry_interval: watch.agent_retry_interval,
-            shutdown_accept_period: SHUTDOWN_ACCEPT_PERIOD,
-            final_response_timeout: SOCKET_ALLOWANCE,
+            assumed_notified_after: Tenths::from_ms(
+                discovery_backoff::NOTIFIED_AFTER_SILENCE.as_millis() as f64
+            ),
+            list_timeout: discovery.list_timeout,
+            patient_list_timeout: discovery_backoff::PATIENT_LIST_TIMEOUT,
+            discovery_kind: discovery.kind,
+            watch_wait: discovery.watch_wait,
+            watch_slack: discovery_backoff::WATCH_SLACK,
+            list_retry_interval: discovery.list_retry_interval,
             close_poll_interval: CANCELLED_WITHIN / 3,
             turn_period: config.period,
         })
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -2,12 +2,12 @@
 
 use crate::engine::Engine;
 use crate::http_server::HttpServer;
-use crate::limits::Limits;
 use crate::query_handler::{QueryHandler, RejectedRequests};
 use crate::startup::StartupConfig;
 use crate::{config_rollout, discovery};
 use operator_config::OperatorConfig;
 use routing::EndpointListKind;
+use routing::discovery_backoff::DiscoveryKind;
 use settings::BrokerSettings;
 use std::io;
 use std::net::SocketAddr;
@@ -27,7 +27,6 @@
     /// Where its status is served, if it is.
     pub status: Option<SocketAddr>,
     pub(crate) http_server: Rc<HttpServer>,
-    pub(crate) limits: Rc<Limits>,
 }
 
 /// Starts a broker on the current thread, within an `actix_rt` runtime, with nothing switched on.
@@ -58,7 +57,7 @@
         Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, operator.admission);
     // Guards against drains that an agent has and of which the broker counts as notified from the first
     // moment: the agent is asked before anything is sent, and what was known before is not used.
-    if let Some(known) = config.known.filter(|_| !limits.has_discovery_agent) {
+    if let Some(known) = config.known.filter(|_| limits.discovery_kind == DiscoveryKind::Shared) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
     let query_handler = QueryHandler {
@@ -73,7 +72,7 @@
     let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
     info!(broker = %config.name, listen_address = %listens, "serving");
-    Ok(Running { listens, engine, discovery, status, http_server, limits })
+    Ok(Running { listens, engine, discovery, status, http_server })
 }
 
 fn warn_of_second_phases(broker_settings: &BrokerSettings) {
--- a/crates/broker/src/shutdown.rs
+++ b/crates/broker/src/shutdown.rs
@@ -1,7 +1,8 @@
 //! Shutting down on SIGTERM: everything that was accepted is answered first.
 
-use crate::limits::shutdown_timeout;
+use crate::limits::to_duration;
 use crate::running::Running;
+use routing::shutdown_deadline::ShutdownSchedule;
 use std::io;
 use std::pin::pin;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -18,19 +19,21 @@
 }
 
 impl Running {
-    /// Serves as before while new connections keep coming, then answers what it has and ends. Guards against
-    /// the kill: what no node has answered by the last moment before it is answered as failed.
+    /// Accepts connections for a while longer, answers what is open, and ends. Queries that are still open at
+    /// the shutdown deadline are failed, so that each has its one answer before a SIGKILL may follow.
     pub async fn shut_down(self) {
         info!(open_queries = self.engine.open_queries(), "shutting down");
-        // By the classes as they are now: a rollout may have changed the deadlines that the kill waits for.
-        let deadline = Instant::now() + shutdown_timeout(&self.engine.epoch().classes);
-        sleep(self.limits.shutdown_accept_period).await;
+        // By the present classes: a rollout may have changed the deadlines since the start.
+        let longest_deadline = to_duration(self.engine.epoch().longest_deadline());
+        let schedule = ShutdownSchedule::new(longest_deadline);
+        let fail_open_at = Instant::now() + schedule.fail_open_after;
+        sleep(schedule.accept_period).await;
         let mut closed = pin!(self.http_server.close());
-        if timeout_at(deadline, &mut closed).await.is_err() {
+        if timeout_at(fail_open_at, &mut closed).await.is_err() {
             let failed_queries = self.engine.fail_open_queries();
             warn!(failed_queries, "queries without a response at the shutdown deadline, answered as failed");
             // A client that does not take its response, or still sends, is not waited for.
-            let _ = timeout(self.limits.final_response_timeout, closed).await;
+            let _ = timeout(schedule.final_response_timeout, closed).await;
         }
         info!("shut down");
     }
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -1,6 +1,9 @@
 //! Times that follow from the protocol's clock and the settings.
 
+use broker::config_epoch::ConfigEpoch;
 use broker::limits::{self, Limits, Machine};
+use routing::discovery_backoff::DiscoveryKind;
+use routing::shutdown_deadline::ShutdownSchedule;
 use routing::{ClassId, RequestClass, Tenths};
 use rstest::rstest;
 use settings::BrokerSettings;
@@ -20,12 +23,12 @@
     broker_settings.broker_config.rules.endpoint_list_max_age = Tenths::from_ms(endpoint_list_max_age);
     broker_settings.broker_config.rules.drain_grace = Tenths::from_ms(grace);
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
-    assert!(limits.has_discovery_agent);
+    assert_eq!(limits.discovery_kind, DiscoveryKind::LocalAgent);
     let notified = Duration::from_secs(6).max(limits.watch_wait + Duration::from_secs(2));
     let noticed = limits.watch_wait + limits.watch_slack;
     assert!(noticed < notified);
-    let answered = noticed + 2 * limits.agent_retry_interval;
-    assert!(answered + limits.agent_retry_interval <= notified + Duration::from_millis(grace as u64 + 50));
+    let answered = noticed + 2 * limits.list_retry_interval;
+    assert!(answered + limits.list_retry_interval <= notified + Duration::from_millis(grace as u64 + 50));
 }
 
 /// Responses to what had to be failed are on the way before the earliest kill: the longest deadline, 3 s at
@@ -38,9 +41,9 @@
     let mut broker_settings = BrokerSettings::default();
     let class = RequestClass { deadline: Tenths::from_ms(deadline_ms), ..Default::default() };
     broker_settings.broker_config.classes.insert(ClassId(0), class);
-    let limits = Limits::new(MACHINE, &broker_settings).unwrap();
-    let answered =
-        limits::shutdown_timeout(&broker_settings.broker_config.classes) + limits.final_response_timeout;
+    let longest_deadline = ConfigEpoch::new(&broker_settings).longest_deadline();
+    let schedule = ShutdownSchedule::new(limits::to_duration(longest_deadline));
+    let answered = schedule.fail_open_after + schedule.final_response_timeout;
     assert!(answered < Duration::from_millis(kill_ms));
     assert!(answered + Duration::from_millis(100) >= Duration::from_millis(kill_ms));
 }
--- a/crates/broker/tests/sockets/discovery_races.rs
+++ b/crates/broker/tests/sockets/discovery_races.rs
@@ -57,7 +57,7 @@
         let address = agent.local_addr().unwrap();
         let interval = Duration::from_secs(3);
         let waits = move |startup: &mut StartupConfig| {
-            (startup.discovery, startup.limits.agent_retry_interval, startup.limits.list_timeout) =
+            (startup.discovery, startup.limits.list_retry_interval, startup.limits.list_timeout) =
                 (address, interval, 3 * interval);
         };
         let cluster = TestCluster::start_with(1, pushed, waits).await;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -34,5 +34,6 @@
 pub use effects::Effect;
 pub use ids::*;
 pub use inputs::*;
+pub use policy::{discovery_backoff, shutdown_deadline};
 pub use statistics::{SlidingWindow, WindowCounts};
 pub use time::Tenths;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -4,11 +4,13 @@
 
 mod configuration;
 mod cutoff;
+pub mod discovery_backoff;
 mod endpoints;
 mod feedback;
 mod query_life;
 mod replica_choice;
 mod retries;
+pub mod shutdown_deadline;
 mod slow_start;
 
 pub(crate) use configuration::derive_config;
