--- a/crates/broker/src/codec/from_node.rs
+++ b/crates/broker/src/codec/from_node.rs
@@ -6,6 +6,7 @@
 use std::io;
 use tokio_util::codec::Decoder;
 
+/// Letters of the frames that a node writes.
 const PONG: u8 = b'3';
 const LOAD_REPORT: u8 = b'4';
 const RESPONSE: u8 = b'5';
--- a/crates/broker/src/codec/mod.rs
+++ b/crates/broker/src/codec/mod.rs
@@ -1,4 +1,5 @@
-//! The frames between the broker and a node: a length in four bytes, a letter for the kind, the body.
+//! The frames between the broker and a node: a length in four bytes, a letter for the kind, the body. The protocol's
+//! letters and headers become the code's terms here, and nowhere else.
 //!
 //! [`ToNode`] is encoded, [`FromNode`] decoded by a [`FrameDecoder`].
 
@@ -13,7 +14,7 @@
 /// Bytes of the length that precedes each frame: little endian, not counting itself.
 const LENGTH_BYTES: usize = 4;
 
-/// Whether these bytes might be the end of a response's value: UTF-8 without control characters.
+/// Whether these bytes might be the rest of a response's value: UTF-8 without control characters.
 pub fn is_text(bytes: &[u8]) -> bool {
     std::str::from_utf8(bytes).is_ok_and(|text| !text.contains(char::is_control))
 }
--- a/crates/broker/src/codec/tests.rs
+++ b/crates/broker/src/codec/tests.rs
@@ -1,6 +1,6 @@
 //! Frames that come in pieces, and bytes that are no frame.
 
-use super::*;
+use super::{FrameDecoder, FromNode};
 use bytes::{BufMut, Bytes, BytesMut};
 use routing::AttemptOutcome;
 use rstest::rstest;
--- a/crates/broker/src/codec/to_node.rs
+++ b/crates/broker/src/codec/to_node.rs
@@ -4,6 +4,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::time::Instant;
 
+/// Letters of the frames that the broker writes.
 const BATCH: u8 = b'1';
 const CANCEL: u8 = b'2';
 const PROBE: u8 = b'4';
@@ -33,8 +34,23 @@
 }
 
 impl ToNode {
-    /// Appends the whole frame, its length first. `now`: the moment at which its first byte leaves, from which on
-    /// the time counts that it says is left.
+    /// Whether this is a batch without shard requests, which is not written.
+    pub fn is_empty_batch(&self) -> bool {
+        matches!(self, ToNode::Batch(shard_requests) if shard_requests.is_empty())
+    }
+
+    /// The ids of the shard requests that this frame asks a node to execute.
+    pub fn shard_request_ids(&self) -> Vec<Bytes> {
+        match self {
+            ToNode::Batch(shard_requests) => {
+                shard_requests.iter().map(|shard_request| shard_request.id.clone()).collect()
+            }
+            ToNode::Cancel(_) | ToNode::Probe => Vec::new(),
+        }
+    }
+
+    /// Appends the whole frame, its length first. `now`: when its first byte is written; the time left that a batch
+    /// states counts from then.
     pub fn encode(&self, now: Instant, buffer: &mut BytesMut) {
         let start = buffer.len();
         buffer.put_u32_le(0);
@@ -55,7 +71,7 @@
 }
 
 impl ShardRequestMessage {
-    /// The time that is left, in whole milliseconds.
+    /// The time left until `expires_at`, in whole milliseconds.
     pub fn time_left_ms(&self, now: Instant) -> u64 {
         self.expires_at.saturating_duration_since(now).as_millis() as u64
     }
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,12 +1,12 @@
-//! One configuration as request handlers read it. It never changes: the engine puts a newer one in its place,
-//! and a query keeps the one under which it was accepted.
+//! One configuration as request handlers read it. It never changes: the engine replaces it by a newer one, and a query
+//! keeps the one under which it was accepted.
 
 use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
 use settings::{BrokerSettings, NameRegistry};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// A configuration, and how the queries that were accepted under it have ended.
+/// A configuration, and how the queries accepted under it have ended.
 pub struct ConfigEpoch {
     /// The names of classes and tenants.
     pub names: NameRegistry,
@@ -16,7 +16,7 @@
     pub shards: u32,
     /// The bound on open queries and shard requests together.
     pub max_open: usize,
-    /// When a client that is rejected at a bound may come back; zero: clients are not given a time.
+    /// The `Retry-After` of queries that are rejected at a bound; zero: none is given.
     pub retry_after: Tenths,
     /// How queries have ended. Shared by the epoch's queries, which end independently of each other.
     pub counts: Cell<EpochCounts>,
--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -1,6 +1,9 @@
-//! Versions from a configuration service, brought to the engine. The streams, the checks and the state file
-//! live on a thread beside the broker's; here, on the broker's own, a version is taken over in one step
-//! between two turns.
+//! Configuration versions from a configuration service, brought to the engine.
+//!
+//! The streams, the checks and the state file are on a thread of their own (`config_rollout_client::run`). It sends
+//! [`EngineRequest`]s over a channel; a task on the broker's thread carries them out one at a time, so a version is
+//! applied in one step between two turns. When either side is gone, the other's requests or replies are dropped: the
+//! broker serves on under its last configuration.
 
 mod status_command;
 
@@ -26,7 +29,7 @@
 /// The name of the thread that carries the rollout out.
 const THREAD_NAME: &str = "control";
 
-/// A broker's rollout, prepared before it serves.
+/// What a broker's rollout starts from, prepared before the broker serves.
 pub struct PreparedRollout {
     client_config: ClientConfig,
     restored: RestoredState,
@@ -49,8 +52,11 @@
     }
 }
 
-/// Takes the stored version over, if there is one, so that the broker serves under that from its first query
-/// on.
+/// Restores the stored version, if there is one, so that the broker serves under it from its first query on.
+///
+/// # Errors
+///
+/// The broker's own settings have a mistake, or the status service's address can't be listened on.
 pub fn prepare(startup: &mut StartupConfig, control: RolloutConfig) -> io::Result<PreparedRollout> {
     let own_document = read_own_settings(startup.settings.as_bytes(), control.max_document_bytes)?;
     let RolloutConfig { installation, max_document_bytes, state_file, .. } = &control;
@@ -96,8 +102,11 @@
 }
 
 impl PreparedRollout {
-    /// Starts to follow the configuration services, on a thread of its own; returns the address of the status
-    /// service.
+    /// Starts the rollout's thread; returns the address of the status service, if it is switched on.
+    ///
+    /// # Errors
+    ///
+    /// The system refuses the thread or its runtime.
     pub fn begin(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         let PreparedRollout { client_config, restored, start_config, status_listener } = self;
         let status_address = status_listener.as_ref().map(TcpListener::local_addr).transpose()?;
@@ -127,8 +136,11 @@
 
 /// What the rollout's thread asks of the broker's.
 enum EngineRequest {
+    /// Accept queries under this version from now on.
     Apply { version: VersionId, broker_settings: Box<BrokerSettings>, done: oneshot::Sender<()> },
+    /// The contents in force have another version number.
     Renumber { version: VersionId, done: oneshot::Sender<()> },
+    /// Say how queries have ended under the present configuration.
     CountOutcomes { reply: oneshot::Sender<Sample> },
 }
 
@@ -161,16 +173,15 @@
     }
 }
 
-/// What the start worked out for sockets holds in every version: a document has only the settings' own
-/// values.
+/// Keeps the values that were adapted to sockets at the start: a version's document has only those of the settings.
 fn keep_socket_waits(config: &mut BrokerConfig, start_config: &BrokerConfig) {
     config.send_lag = start_config.send_lag;
     config.watch_on_request = start_config.watch_on_request;
     config.rules.endpoint_list_max_age = start_config.rules.endpoint_list_max_age;
 }
 
-/// Carries out at the engine what the rollout's thread asks. The published version changes in the same step
-/// as the engine's configuration: nobody can see one without the other.
+/// The task that carries out the rollout's requests. The published version changes in the same step as the engine's
+/// configuration, so the status never shows one without the other.
 async fn serve_requests(
     engine: Rc<Engine>,
     start_config: BrokerConfig,
@@ -178,7 +189,7 @@
     status: Arc<PublishedStatus>,
 ) {
     while let Some(request) = requests.recv().await {
-        // Whoever asked may be gone: then there is nobody to reply to.
+        // A reply can't be sent where the rollout's thread is gone.
         match request {
             EngineRequest::Apply { version, mut broker_settings, done } => {
                 let config = &mut broker_settings.broker_config;
--- a/crates/broker/src/config_rollout/tests.rs
+++ b/crates/broker/src/config_rollout/tests.rs
@@ -1,7 +1,7 @@
 //! What a new version leaves as the start worked it out.
 
-use super::*;
-use routing::Tenths;
+use super::keep_socket_waits;
+use routing::{BrokerConfig, Tenths};
 use rstest::rstest;
 
 /// A document has the settings' own waits; on sockets lists are asked for sooner, also after a version was
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,4 +1,21 @@
-//! Asks discovery for the endpoint list and watches its changes.
+//! Requests the endpoint list from discovery and watches its changes.
+//!
+//! # How the list is kept
+//!
+//! 1. The routing decisions ask for the list (`Effect::WatchEndpoints`), which notifies `Engine::watch_requested`;
+//!    or a reload sets another address of discovery.
+//! 2. [`watch_endpoints`] requests the complete list. More requests follow while earlier ones still wait
+//!    (`ListRequests`); the first that is answered is used.
+//! 3. With the list's revision it watches: each request waits at discovery for the next change.
+//! 4. When a watch or a list request fails, [`RetrySchedule`] says what follows: a local agent is asked again at an
+//!    interval, shared discovery when the routing decisions ask for it. The rules are in
+//!    [`routing::discovery_backoff`].
+//!
+//! # Tasks and cancellation
+//!
+//! One task does all of this, for as long as the broker runs. Requests are futures within it: dropping one closes its
+//! connection or returns it to the HTTP client, and changes nothing else. That happens at a time limit, when another
+//! list request is answered first, and when discovery moves.
 
 mod connector;
 mod error;
@@ -6,7 +23,7 @@
 
 use crate::endpoint_list::NodeList;
 use crate::engine::Engine;
-use crate::limits::Limits;
+use crate::limits::DiscoveryLimits;
 use bytes::Bytes;
 use connector::DiscoveryConnector;
 use error::DiscoveryError;
@@ -16,7 +33,7 @@
 use hyper_util::rt::TokioExecutor;
 use list_requests::ListRequests;
 use routing::EndpointListKind;
-use routing::discovery_backoff::{self, RetrySchedule};
+use routing::discovery_backoff::RetrySchedule;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,16 +42,15 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::warn;
 
-/// Keeps its connections; reads a response without a length up to its end, and takes no reset for one.
+/// Keeps its connections. A response without a length ends with its connection, but not with a reset.
 type HttpClient = legacy::Client<DiscoveryConnector, Empty<Bytes>>;
 
-/// Each time that the engine asks for it, watches the endpoint list until a request fails, and says so. Where
-/// discovery has moved, the old watch is dropped and the new address is asked for all nodes at once. An agent
-/// on this machine is asked until it answers: guards against drains that it has, and that count as notified,
-/// while the broker waits longer after each failure, as it must where discovery is shared.
+/// Watches the endpoint list whenever the engine asks for it, until a request fails, and reports each failure to the
+/// engine. When the address of discovery changes, the old watch is dropped and the complete list is requested at the new
+/// address at once.
 pub async fn watch_endpoints(
     engine: Rc<Engine>,
-    limits: Rc<Limits>,
+    limits: DiscoveryLimits,
     mut discovery: watch::Receiver<SocketAddr>,
 ) {
     let client = legacy::Client::builder(TokioExecutor::new()).build(DiscoveryConnector);
@@ -48,9 +64,10 @@
     }
 }
 
+/// What one watch needs.
 struct EndpointWatcher {
     engine: Rc<Engine>,
-    limits: Rc<Limits>,
+    limits: DiscoveryLimits,
     client: HttpClient,
 }
 
@@ -59,30 +76,26 @@
     async fn watch_until_failure(&self, discovery: &mut watch::Receiver<SocketAddr>) {
         loop {
             let address = *discovery.borrow_and_update();
-            // Guards against an agent that lists and breaks off at once, again and again.
+            // The interval also holds where a watch fails right after its list came, and where reloads follow each
+            // other quickly: else each of them would cost discovery a complete list.
             let retry_at = Instant::now() + self.limits.list_retry_interval;
             tokio::select! {
                 Err(error) = self.watch(address) => {
-                    warn!(%error, "endpoint list is not watched, the last one stays in use");
+                    warn!(%error, "endpoint list watch failed, the last list stays in use");
                     self.report_failure();
-                    match self.retry_schedule() {
+                    match self.limits.retry_schedule() {
                         RetrySchedule::RoutingBackoff { .. } => return,
                         RetrySchedule::FixedInterval(_) => sleep_until(retry_at).await,
                     }
                 }
-                // Guards against configurations in quick succession, of which each would ask for the list.
                 Ok(()) = discovery.changed() => sleep_until(retry_at).await,
             }
         }
     }
 
-    fn retry_schedule(&self) -> RetrySchedule {
-        let Limits { discovery_kind, list_retry_interval, list_timeout, .. } = *self.limits;
-        discovery_backoff::retry_schedule(discovery_kind, list_retry_interval, list_timeout)
-    }
-
+    /// Reports a failure to the routing decisions, which ask for the list again after their backoff.
     fn report_failure(&self) {
-        // What was asked for before this failure was this watch; from now on the engine says when.
+        // A request that was notified before this failure asked for this watch, and must not start the next one.
         let _ = self.engine.watch_requested.notified().now_or_never();
         self.engine.endpoint_list_failed();
     }
@@ -112,7 +125,7 @@
             let time_limit =
                 if is_patient { self.limits.patient_list_timeout } else { self.limits.list_timeout };
             requests.push(self.request(url, time_limit), is_patient);
-            let answered = match self.retry_schedule() {
+            let answered = match self.limits.retry_schedule() {
                 RetrySchedule::FixedInterval(interval) => timeout(interval, requests.answered()).await.ok(),
                 RetrySchedule::RoutingBackoff { silence_timeout } => {
                     self.list_before_backoff(&mut requests, silence_timeout).await
@@ -124,7 +137,7 @@
         }
     }
 
-    /// Waits for a list until the routing decisions ask for the next request. They are told of the failure as soon as
+    /// Waits for a list until the routing decisions ask for the next request. The failure is reported to them as soon as
     /// the newest request fails, or has been silent for `silence_timeout`.
     async fn list_before_backoff(
         &self,
@@ -146,6 +159,7 @@
         timeout(time_limit, self.fetch(url)).await.map_err(|_| DiscoveryError::TimedOut)?
     }
 
+    /// Sends one request and reads the list in its response.
     async fn fetch(&self, url: &str) -> Result<NodeList, DiscoveryError> {
         let uri = url.parse().map_err(|source| DiscoveryError::InvalidUrl { url: url.to_owned(), source })?;
         let response = self.client.get(uri).await.map_err(DiscoveryError::Request)?;
--- a/crates/broker/src/discovery/error.rs
+++ b/crates/broker/src/discovery/error.rs
@@ -9,7 +9,9 @@
     /// The address of discovery makes no URL.
     #[error("{url}: {source}")]
     InvalidUrl {
+        /// What was made of the address.
         url: String,
+        /// Why it is no URL.
         #[source]
         source: http::uri::InvalidUri,
     },
@@ -17,19 +19,19 @@
     #[error("{}", with_causes(.0))]
     Request(#[source] legacy::Error),
     /// The response's status is no success.
-    #[error("discovery answers {0}")]
+    #[error("discovery responded with status {0}")]
     Status(http::StatusCode),
     /// The body broke off, or is longer than is accepted.
     #[error("{}", with_causes(&**.0))]
     Body(#[source] Box<dyn Error + Send + Sync>),
     /// The body is no endpoint list.
-    #[error("a roll that can't be read: {0}")]
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[source] serde_json::Error),
-    /// All nodes were asked for, and some came.
-    #[error("asked for all nodes, discovery sent changes")]
+    /// All nodes were requested, and only changes came.
+    #[error("discovery sent changes where all nodes were requested")]
     UnexpectedDelta,
     /// No response within the time limit.
-    #[error("discovery is silent")]
+    #[error("no response in time")]
     TimedOut,
 }
 
--- a/crates/broker/src/discovery/list_requests.rs
+++ b/crates/broker/src/discovery/list_requests.rs
@@ -1,4 +1,7 @@
 //! Requests for the complete endpoint list that wait side by side.
+//!
+//! The requests are futures owned by [`ListRequests`], polled by whoever waits for one to finish. Waiting can be
+//! dropped at any time: the requests go on when it is taken up again. Dropping [`ListRequests`] drops the requests.
 
 use super::error::DiscoveryError;
 use crate::endpoint_list::NodeList;
@@ -18,13 +21,14 @@
     OlderFailed,
 }
 
+/// A request that has finished, with its place among the requests.
 struct FinishedRequest {
     number: usize,
     is_patient: bool,
     result: Result<NodeList, DiscoveryError>,
 }
 
-/// The requests that still wait. One of them is patient: it is waited for much longer than the others.
+/// The requests that still wait. One of them is patient: its time limit is much longer than that of the others.
 #[derive(Default)]
 pub(super) struct ListRequests<'a> {
     waiting: FuturesUnordered<LocalBoxFuture<'a, FinishedRequest>>,
@@ -34,7 +38,7 @@
 }
 
 impl<'a> ListRequests<'a> {
-    /// Whether a patient one waits.
+    /// Whether the patient request still waits.
     pub(super) fn has_patient(&self) -> bool {
         self.has_patient
     }
@@ -57,17 +61,19 @@
         let Some(finished) = self.waiting.next().await else { return pending().await };
         self.has_patient &= !finished.is_patient;
         match finished.result {
-            Ok(list) => RequestOutcome::Answered(list),
-            Err(error) => {
-                // One line for all of its silence.
-                if !std::mem::replace(&mut self.has_failed, true) {
-                    warn!(%error, "discovery does not list the nodes, calls go on");
-                }
-                match finished.number == self.newest {
-                    true => RequestOutcome::NewestFailed,
-                    false => RequestOutcome::OlderFailed,
-                }
-            }
+            Ok(list) => return RequestOutcome::Answered(list),
+            Err(error) => self.log_first_failure(&error),
+        }
+        match finished.number == self.newest {
+            true => RequestOutcome::NewestFailed,
+            false => RequestOutcome::OlderFailed,
+        }
+    }
+
+    /// One line for a series of failures.
+    fn log_first_failure(&mut self, error: &DiscoveryError) {
+        if !std::mem::replace(&mut self.has_failed, true) {
+            warn!(%error, "endpoint list request failed, retrying until one is answered");
         }
     }
 
--- a/crates/broker/src/endpoint_list.rs
+++ b/crates/broker/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Discovery's format: nodes in its own field names.
+//! The format of discovery's endpoint lists: the only place where its field names (`members`, `locality`, `cell` and
+//! the like) and the code's terms meet.
 
 use routing::EndpointState;
 use serde::Deserialize;
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -1,15 +1,16 @@
-//! Carries out what the routing decisions say at the end of a turn. Attempts leave at its very end, when
-//! those to one node have met in batches.
+//! Carries out the effects of a turn.
+//!
+//! Attempts are collected while the effects are carried out in order, and leave last: those to one node are sent
+//! together, and one whose query ended or that was cancelled in the same turn is not sent at all.
 
 use super::attempt_table::InFlightAttempt;
+use super::batches::split_into_batches;
 use super::query_table::NextAttempt;
-use super::{Engine, QueryOutcome};
+use super::{Engine, QueryOutcome, ShardResponse};
 use crate::codec::ShardRequestMessage;
 use crate::node_pool::{AttemptId, AttemptToSend};
-use bytes::Bytes;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
-    Tenths,
+    AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, NodeId, QueryId, ShardRequestId, Tenths,
 };
 use std::collections::BTreeMap;
 use tracing::info;
@@ -31,6 +32,7 @@
         self.send_attempts(attempts);
     }
 
+    /// Carries out one effect; an attempt is only added to `attempts`.
     fn carry_out_effect(&self, now: Tenths, effect: Effect, attempts: &mut TurnAttempts) {
         match effect {
             Effect::Send { shard_request, node, timeout } => {
@@ -58,19 +60,21 @@
         }
     }
 
+    /// Sets the wake-up of the decisions, unless an earlier one is set.
     fn wake_by(&self, at: Tenths) {
         let wake_at = self.wake_at.get().map_or(at, |earlier| earlier.min(at));
         self.wake_at.set(Some(wake_at));
     }
 
     /// Ends a query that is still open.
-    pub(super) fn finish(&self, id: QueryId, outcome: impl FnOnce(Vec<(ShardId, Bytes)>) -> QueryOutcome) {
+    pub(super) fn finish(&self, id: QueryId, outcome: impl FnOnce(Vec<ShardResponse>) -> QueryOutcome) {
         if let Some(closed) = self.close(id) {
             closed.query.finish(outcome(closed.responses), self.clock.now());
         }
     }
 
-    /// Notes an attempt as in flight and returns what is sent of it.
+    /// Enters an attempt as in flight and returns what is sent of it. `None`: its query has ended, and that it was
+    /// not sent is reported.
     fn start_attempt(
         &self,
         now: Tenths,
@@ -86,7 +90,7 @@
         let attempt = InFlightAttempt {
             node,
             sent_at: now,
-            write_deadline: now + self.limits.attempt_write_timeout,
+            write_deadline: now + self.limits.nodes.attempt_write_timeout,
             times_out_at: now + timeout,
         };
         let expires_at = self.clock.to_instant(attempt.times_out_at);
@@ -95,23 +99,30 @@
         Some(AttemptToSend { attempt: id, shard_request })
     }
 
+    /// Sends the turn's attempts, a node at a time.
+    ///
+    /// An effect later in the turn may have ended the query of an attempt, or cancelled it. Sent all the same, it
+    /// would make a node work for nobody, and start after its query's final answer; it is reported as not sent.
     fn send_attempts(&self, attempts: TurnAttempts) {
-        for (node, mut sendings) in attempts.by_node {
-            // Guards against a shard request that is sent after its query's end, which the same turn brought.
-            sendings.retain(|sending| {
-                let is_wanted = self.queries.borrow().is_open(sending.attempt.shard_request)
-                    && !attempts.cancelled.contains(&sending.attempt);
-                if !is_wanted {
-                    self.report_not_sent(node, sending.attempt);
-                }
-                is_wanted
-            });
-            for batch in self.split_into_batches(sendings) {
+        let TurnAttempts { by_node, cancelled } = attempts;
+        for (node, to_send) in by_node {
+            let (wanted, unwanted): (Vec<_>, Vec<_>) = to_send
+                .into_iter()
+                .partition(|sending| !cancelled.contains(&sending.attempt) && self.is_wanted(sending));
+            for sending in unwanted {
+                self.report_not_sent(node, sending.attempt);
+            }
+            for batch in split_into_batches(wanted, &self.limits.nodes) {
                 self.nodes.send(node, batch);
             }
         }
     }
 
+    /// Whether an attempt's query is still open.
+    fn is_wanted(&self, sending: &AttemptToSend) -> bool {
+        self.queries.borrow().is_open(sending.attempt.shard_request)
+    }
+
     /// Ends an attempt of which nothing was handed to its node.
     fn report_not_sent(&self, node: NodeId, id: AttemptId) {
         self.attempts.borrow_mut().remove(id);
@@ -124,27 +135,4 @@
             duration: Tenths::ZERO,
         }));
     }
-
-    /// Splits a turn's attempts to one node into batches within the bounds on shard requests and bytes.
-    fn split_into_batches(&self, sendings: Vec<AttemptToSend>) -> Vec<Vec<AttemptToSend>> {
-        let mut batches: Vec<Vec<AttemptToSend>> = Vec::new();
-        let mut batch_bytes = 0;
-        for sending in sendings {
-            let bytes = sending.shard_request.text.len() + 2 * sending.shard_request.id.len();
-            match batches.last_mut() {
-                Some(batch)
-                    if batch.len() < self.limits.max_batch_size
-                        && batch_bytes + bytes <= self.limits.max_frame_bytes =>
-                {
-                    batch_bytes += bytes;
-                    batch.push(sending);
-                }
-                _ => {
-                    batch_bytes = bytes;
-                    batches.push(vec![sending]);
-                }
-            }
-        }
-        batches
-    }
 }
--- a/crates/broker/src/engine/endpoints.rs
+++ b/crates/broker/src/engine/endpoints.rs
@@ -1,4 +1,5 @@
-//! The side of the engine that discovery calls: lists of nodes are put into the ids of the routing decisions.
+//! The engine's interface for discovery. It gives names ids, tells the node pool the addresses, and queues the list
+//! as an input of the decisions.
 
 use super::Engine;
 use super::id_registry::IdRegistry;
@@ -6,12 +7,13 @@
 use routing::{Endpoint, EndpointList, EndpointListKind, EndpointState, Input, PlacementGroupId, Tenths};
 
 impl Engine {
-    /// Notes that the endpoint list could not be read or is no longer watched; the last one holds.
+    /// Queues that the endpoint list could not be read or is no longer watched; the last one stays in use.
     pub fn endpoint_list_failed(&self) {
         self.push_input(Input::EndpointListFailed);
     }
 
-    /// Takes over an endpoint list: all nodes, or those that changed.
+    /// Queues an endpoint list: all nodes, or those that changed. Of a node that is not ready any more, or gone, the
+    /// attempts of which nothing was written end at once.
     pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
         let mut ids = self.ids.borrow_mut();
         if kind != EndpointListKind::Delta {
@@ -25,6 +27,7 @@
         self.push_input(Input::EndpointList(EndpointList { kind, wall_clock, entries: entries.into() }));
     }
 
+    /// Registers one listed node, and sets its address.
     fn update_endpoint(&self, ids: &mut IdRegistry, listed: ListedNode) -> Endpoint {
         let state = EndpointState::from(listed.state);
         let is_ready = state == EndpointState::Ready;
--- a/crates/broker/src/engine/handles.rs
+++ b/crates/broker/src/engine/handles.rs
@@ -1,5 +1,5 @@
-//! What a front end holds on to: a query that was accepted, and memory that was reserved. Dropping either
-//! gives up what it stands for.
+//! What a front end holds: a query that was accepted, and memory that was reserved. Dropping the one cancels the
+//! query, dropping the other releases the memory.
 
 use super::{Engine, QueryOutcome};
 use routing::QueryId;
@@ -26,15 +26,15 @@
 }
 
 impl AcceptedQuery {
-    /// Waits for the query's end.
+    /// Waits for the query's end. [`QueryOutcome::Failed`] where the engine is gone.
     pub async fn outcome(mut self) -> QueryOutcome {
         (&mut self.outcome).await.unwrap_or(QueryOutcome::Failed)
     }
 }
 
 impl Drop for AcceptedQuery {
-    /// Guards against work for clients that have left: the routing decisions are notified of a drop before
-    /// the outcome.
+    /// Closes the query if it is still open. Its client has left: without this nodes would go on working for it,
+    /// seen as attempts that begin after the client's connection was closed.
     fn drop(&mut self) {
         self.engine.abandon(self.id);
     }
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -1,53 +1,80 @@
 //! The engine: owns the routing decisions with their clock and timers, feeds them what happens, and carries
-//! out what they say.
+//! out what they decide.
 //!
-//! A front end hands a [`QueryRequest`] to [`Engine::submit`] and waits for its [`QueryOutcome`]; discovery
-//! calls [`Engine::update_endpoints`]. Both only add inputs; [`Engine::run`] gives the decisions their turns.
+//! # The phases of a query
+//!
+//! 1. **Submit** (`submission`). A front end hands a [`QueryRequest`] to [`Engine::submit`]. Within the bounds of the
+//!    `query_table` the query is opened and its [`Input`]s are queued; the front end holds an [`AcceptedQuery`] and
+//!    waits for its [`QueryOutcome`].
+//! 2. **Turn** (`event_loop`). [`Engine::run`] hands all queued inputs to the `decider`, at least the turn period
+//!    after the turn before, and gets [`Effect`](routing::Effect)s back.
+//! 3. **Dispatch** (`dispatch`). The effects are carried out in order. Attempts leave last, in a batch for each node,
+//!    through [`NodePool::send`]; each is entered in the `attempt_table` with a write deadline and a timeout.
+//! 4. **Results** (`results`). The node pool ends each attempt exactly once. The engine keeps the first response of a
+//!    shard request and queues the result for the next turn.
+//! 5. **Finish** (`dispatch`). `Respond`, `Reject` or `Fail` removes the query from the table and sends its outcome.
+//!
+//! # Concurrency
+//!
+//! Everything runs on one thread. The front end, discovery and the node connections only add inputs or results;
+//! one task, [`Engine::run`], takes the turns. No borrow of a cell is held across an `await`, and a turn does not
+//! await, so every task sees the state between two turns.
+//!
+//! | event | who notifies | who wakes |
+//! | --- | --- | --- |
+//! | an input was queued | `Engine::push_input` (`work_ready`) | `Engine::run` |
+//! | an attempt or a probe ended | `NodePool` (`results_ready`) | `Engine::run` |
+//! | a timer of an attempt or of the decisions is due | the clock | `Engine::run` |
+//! | the decisions want the endpoint list | `dispatch` (`watch_requested`) | `discovery::watch_endpoints` |
+//! | a query ended | `dispatch`, by the query's `oneshot` channel | the front end's task |
+//!
+//! # Cancellation
+//!
+//! - An [`AcceptedQuery`] that is dropped before its outcome (its client has left) closes the query: attempts of which
+//!   nothing was written are not sent, and the decisions learn of it as [`Input::ClientLeft`] and cancel the others.
+//! - Dropping a [`ReservedMemory`] releases its bytes.
+//! - A query that ends leaves its attempts in flight in the `attempt_table`, until each has its one end; the
+//!   results are still reported, as the decisions learn from them.
+//! - [`Engine::run`] is not meant to be dropped while queries are open: nothing would end them.
 
 mod attempt_table;
+mod batches;
 mod clock;
 mod decider;
 mod dispatch;
 mod endpoints;
+mod event_loop;
 mod handles;
 mod id_registry;
 mod query;
 mod query_table;
+mod results;
 mod submission;
 
 #[cfg(test)]
 mod tests;
 
 pub use handles::{AcceptedQuery, ReservedMemory};
-pub use query::{AdmissionError, QueryOutcome, QueryRequest, RequestedShard};
+pub use query::{AdmissionError, QueryOutcome, QueryRequest, RequestedShard, ShardResponse};
 
-use crate::codec::read_load_report;
 use crate::config_epoch::ConfigEpoch;
-use crate::limits::{Limits, to_duration};
-use crate::node_pool::{AttemptEnd, AttemptId, NodePool, ProbeReply};
+use crate::limits::Limits;
+use crate::node_pool::NodePool;
 use admission_control::AdmissionConfig;
-use attempt_table::{AttemptTable, TimerKind};
+use attempt_table::AttemptTable;
 use bytes::Bytes;
 use clock::BrokerClock;
 use decider::Decider;
 use id_registry::IdRegistry;
 use query_table::QueryTable;
-use routing::{AttemptOutcome, AttemptResult, BrokerConfig, Input, ProbeResult, Tenths};
+use routing::{BrokerConfig, Input, Tenths};
 use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Notify;
-use tokio::time::{Instant, sleep_until};
-
-/// How long the event loop sleeps at most while no timer is set.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3600);
 
-/// One broker's decisions, and what they are taken from and carried out on.
-///
-/// It lives on one thread, shared by the front end, discovery and the event loop; no borrow of a cell is held
-/// across an `await`.
+/// The routing decisions of one broker, what they are taken from and what they are carried out on.
 pub struct Engine {
     limits: Rc<Limits>,
     clock: BrokerClock,
@@ -68,8 +95,11 @@
 }
 
 impl Engine {
-    /// `started_unix`: the Unix time of this moment; `None`: the system's. `admission`: the configuration of
-    /// admission control, where it is switched on.
+    /// An engine that knows no node and has no query. Its decisions are taken by [`Engine::run`], which has to be
+    /// spawned.
+    ///
+    /// `seed` seeds the decisions' random numbers. `started_unix`: the Unix time of this moment, where a simulation
+    /// sets it; else the system's. `admission`: the configuration of admission control, where it is switched on.
     pub fn new(
         broker_settings: BrokerSettings,
         seed: u64,
@@ -97,6 +127,7 @@
         })
     }
 
+    /// Queues an input for the next turn, and wakes the event loop.
     fn push_input(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.work_ready.notify_one();
@@ -140,118 +171,4 @@
         self.epoch.replace(Rc::new(epoch));
         self.push_input(Input::Config(Box::new(broker_config)));
     }
-
-    /// Gives the decisions their turns, at least the configured period apart, for as long as the broker runs.
-    pub async fn run(self: Rc<Self>) {
-        let period = to_duration(self.limits.turn_period);
-        let mut last_turn: Option<Instant> = None;
-        loop {
-            let due = self.next_due();
-            if self.inputs.borrow().is_empty() && due.is_none_or(|due| due > Instant::now()) {
-                self.wait_for_work(due).await;
-                continue;
-            }
-            if let Some(last_turn) = last_turn {
-                sleep_until(last_turn + period).await;
-            }
-            last_turn = Some(Instant::now());
-            self.turn();
-        }
-    }
-
-    async fn wait_for_work(&self, due: Option<Instant>) {
-        let longest = Instant::now() + LONGEST_SLEEP;
-        tokio::select! {
-            () = self.work_ready.notified() => {}
-            () = self.nodes.results_ready.notified() => {
-                self.collect_ended_attempts();
-                self.collect_probe_results();
-            }
-            () = sleep_until(due.unwrap_or(longest)) => {}
-        }
-    }
-
-    /// When the next turn, or the next timer of an attempt, is due.
-    fn next_due(&self) -> Option<Instant> {
-        let timer = self.attempts.borrow().next_due();
-        self.wake_at.get().into_iter().chain(timer).min().map(|at| self.clock.to_instant(at))
-    }
-
-    /// One turn: what has happened goes in, what the decisions say is carried out.
-    fn turn(&self) {
-        let now = self.clock.now();
-        self.end_overdue_attempts(now);
-        self.collect_ended_attempts();
-        self.collect_probe_results();
-        let mut inputs = self.inputs.take();
-        if self.wake_at.get().is_some_and(|at| at <= now) {
-            self.wake_at.set(None);
-            inputs.push(Input::Woken);
-        }
-        if inputs.is_empty() {
-            return;
-        }
-        self.set_time_left(&mut inputs, now);
-        let effects = self.decider.borrow_mut().turn(now, &inputs);
-        self.carry_out(now, effects);
-    }
-
-    fn end_overdue_attempts(&self, now: Tenths) {
-        while let Some(timer) = self.next_due_timer(now) {
-            match timer.kind {
-                TimerKind::WriteDeadline => self.nodes.abort_incomplete(timer.attempt),
-                TimerKind::Timeout => self.nodes.cancel(timer.attempt, AttemptOutcome::TimedOut),
-            }
-        }
-    }
-
-    /// A function of its own: the table is not borrowed while its timer is acted on.
-    fn next_due_timer(&self, now: Tenths) -> Option<attempt_table::AttemptTimer> {
-        self.attempts.borrow_mut().pop_due(now)
-    }
-
-    /// A query's time runs from when its client sent it, not from the turn that takes it in.
-    fn set_time_left(&self, inputs: &mut [Input], now: Tenths) {
-        let queries = self.queries.borrow();
-        for input in inputs {
-            if let Input::Query(query) = input {
-                let deadline = queries.deadline(query.id).unwrap_or(now);
-                query.time_left = (deadline - now).max(Tenths::ZERO);
-            }
-        }
-    }
-
-    /// Takes over the ends of attempts, with the responses that came.
-    fn collect_ended_attempts(&self) {
-        for ended in self.nodes.fetch_attempt_ends() {
-            if let Some(result) = self.attempt_result(ended) {
-                self.inputs.borrow_mut().push(Input::AttemptEnded(result));
-            }
-        }
-    }
-
-    /// The result of an attempt, unless its end was known before. A response that there is no room for is an
-    /// error.
-    fn attempt_result(&self, ended: AttemptEnd) -> Option<AttemptResult> {
-        let AttemptEnd { attempt: id, outcome: end, value: response, at } = ended;
-        let in_flight = self.attempts.borrow_mut().remove(id)?;
-        let AttemptId { shard_request, number: attempt } = id;
-        let mut queries = self.queries.borrow_mut();
-        let is_kept = response.is_none_or(|response| queries.keep_response(shard_request, &response));
-        let outcome = if is_kept { end } else { AttemptOutcome::Errored };
-        if matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost) {
-            queries.note_lost_node(shard_request);
-        }
-        let duration = self.clock.to_tenths(at) - in_flight.sent_at;
-        Some(AttemptResult { shard_request, attempt, node: in_flight.node, outcome, duration })
-    }
-
-    /// Takes over what load probes brought. `is_valid`: the node answered.
-    fn collect_probe_results(&self) {
-        for ProbeReply { node, report } in self.nodes.fetch_probe_replies() {
-            let is_valid = report.is_some();
-            let report = report.map(|report| read_load_report(&report)).unwrap_or_default();
-            self.push_input(Input::ProbeEnded(ProbeResult { node, is_valid, report }));
-        }
-    }
 }
--- a/crates/broker/src/engine/query.rs
+++ b/crates/broker/src/engine/query.rs
@@ -14,7 +14,7 @@
     pub tenant: TenantId,
     /// When its client stops waiting.
     pub deadline: Instant,
-    /// The work that it announces, in tenths of a millisecond.
+    /// The work that its client expects.
     pub work: Tenths,
     /// The shards that it reads.
     pub shard_requests: Vec<RequestedShard>,
@@ -33,6 +33,15 @@
     pub weight: f64,
 }
 
+/// What a node answered for one shard of a query.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardResponse {
+    /// The shard.
+    pub shard: ShardId,
+    /// What was read of it; UTF-8.
+    pub value: Bytes,
+}
+
 /// How an accepted query ended.
 #[derive(Debug)]
 pub enum QueryOutcome {
@@ -41,14 +50,14 @@
         /// Whether the coverage is what the class calls complete.
         complete: bool,
         /// What the nodes answered, for the shards that were read.
-        responses: Vec<(ShardId, Bytes)>,
+        responses: Vec<ShardResponse>,
     },
-    /// It is not served now and may be sent again.
+    /// It is not served now, and sending it again is harmless.
     Rejected {
-        /// When the client may come back; zero: clients are not given a time.
+        /// The span after which the client may send it again; zero: none is given.
         retry_after: Tenths,
     },
-    /// It could not be served.
+    /// It could not be served, and sending it again might execute it twice.
     Failed,
 }
 
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -1,6 +1,6 @@
 //! Open queries and their shard requests, and the memory that they hold.
 
-use super::{AdmissionError, QueryOutcome, QueryRequest};
+use super::{AdmissionError, QueryOutcome, QueryRequest, ShardResponse};
 use crate::config_epoch::ConfigEpoch;
 use crate::node_pool::AttemptId;
 use bytes::Bytes;
@@ -26,10 +26,10 @@
 }
 
 impl OpenQuery {
-    /// Counts the outcome in the query's own configuration epoch, and hands it over.
+    /// Counts the outcome in the query's own configuration epoch, and sends it to the front end.
     pub(super) fn finish(self, outcome: QueryOutcome, now: Tenths) {
         self.count_outcome(&outcome, now);
-        // A client that has just left gets nothing.
+        // The front end may have dropped the receiver: the client has just left.
         let _ = self.outcome.send(outcome);
     }
 
@@ -77,7 +77,7 @@
     pub(super) query: OpenQuery,
     /// All attempts of its shard requests, also those that have ended.
     pub(super) attempts: Vec<AttemptId>,
-    pub(super) responses: Vec<(ShardId, Bytes)>,
+    pub(super) responses: Vec<ShardResponse>,
 }
 
 /// A further attempt of a shard request, as a node is to see it.
@@ -129,8 +129,8 @@
 
     /// Whether a query may be opened. `max_open`: the bound on queries and shard requests together.
     pub(super) fn has_capacity_for(&self, request: &QueryRequest, max_open: usize) -> bool {
-        // Guards against wide queries that are all but answered and keep others out: a shard request that has
-        // its response is no longer open, though its query is.
+        // A shard request that has its response does not count, though its query is open: else wide queries that are
+        // all but answered would keep others out, seen as 503 with few shard requests in flight.
         let open = self.queries.len() + self.unanswered_shard_requests;
         self.accepts_queries
             && open + request.shard_requests.len() < max_open
@@ -199,7 +199,7 @@
             match shard_request.response {
                 Some(response) => {
                     self.held_bytes -= response.len();
-                    responses.push((shard_request.shard, response));
+                    responses.push(ShardResponse { shard: shard_request.shard, value: response });
                 }
                 None => self.unanswered_shard_requests -= 1,
             }
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Keeps the first response of a shard request, if its query is still open. False: there is no room for
-    /// it.
+    /// Keeps the first response of a shard request, if its query is still open. `false`: the memory bound is
+    /// reached.
     pub(super) fn keep_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
         let fits = self.held_bytes + response.len() <= self.max_held_bytes;
         let Some(shard_request) = self.shard_requests.get_mut(&id) else { return true };
@@ -260,7 +260,7 @@
         true
     }
 
-    /// Counts bytes as held, until they are released. False: there is no room for them.
+    /// Counts bytes as held, until they are released. `false`: the memory bound is reached.
     pub(super) fn reserve_bytes(&mut self, bytes: usize) -> bool {
         let fits = self.held_bytes + bytes <= self.max_held_bytes;
         if fits {
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! The side of the engine that front ends call: queries are accepted, abandoned and failed here.
+//! The engine's interface for front ends: queries are accepted, abandoned and failed here.
 
 use super::query_table::{OpenedQuery, QueryTimes, RemovedQuery};
 use super::{
@@ -8,7 +8,12 @@
 use std::rc::Rc;
 
 impl Engine {
-    /// Accepts a query, unless a bound is reached. Dropping the handle says that the client has left.
+    /// Accepts a query. Dropping the handle before the outcome closes the query: its client has left.
+    ///
+    /// # Errors
+    ///
+    /// [`AdmissionError::Overloaded`] at a bound on open queries, shard requests or memory, or once the broker shuts
+    /// down; [`AdmissionError::DuplicateId`] while a query of the same id is open.
     pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
         let epoch = self.epoch();
         let mut queries = self.queries.borrow_mut();
@@ -26,7 +31,7 @@
         Ok(AcceptedQuery { engine: self.clone(), id: opened.id, outcome: opened.outcome })
     }
 
-    /// The query first, then its shard requests: they must come in one turn.
+    /// Queues the query and then its shard requests. Nothing is awaited in between, so they are in one turn.
     fn push_query_inputs(&self, request: &QueryRequest, opened: &OpenedQuery) {
         let group = GroupId(opened.id.0 as u32);
         let mut inputs = self.inputs.borrow_mut();
@@ -35,7 +40,7 @@
             group,
             class: request.class,
             tenant: request.tenant,
-            time_left: Tenths::ZERO, // set at the turn, see `set_time_left`
+            time_left: Tenths::ZERO, // filled in at the turn by `set_time_left`
             work: request.work,
             client_attempt: 0,
             min_coverage_only: false,
@@ -57,14 +62,14 @@
         Some(removed)
     }
 
-    /// The client of a query has left; nothing is to be done if the query has ended.
+    /// Closes a query whose client has left, if it is still open.
     pub(super) fn abandon(&self, id: QueryId) {
         if self.close(id).is_some() {
             self.push_input(Input::ClientLeft(id));
         }
     }
 
-    /// Fails every open query and accepts no other: the process ends. Returns how many there were.
+    /// Fails every open query and accepts no other, since the process ends. Returns how many were open.
     pub fn fail_open_queries(&self) -> usize {
         let open = self.queries.borrow_mut().stop_accepting();
         for id in &open {
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -1,9 +1,16 @@
 //! An attempt and the end of its query in one turn; what a broker that shuts down accepts.
 
-use super::*;
-use crate::limits::Machine;
-use routing::{AttemptNumber, ClassId, Effect, NodeId, QueryId, ShardId, ShardRequestId, TenantId};
+use super::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
+use crate::limits::{Limits, Machine};
+use bytes::Bytes;
+use routing::{
+    AttemptNumber, AttemptOutcome, ClassId, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
+    TenantId, Tenths,
+};
 use rstest::rstest;
+use settings::BrokerSettings;
+use std::rc::Rc;
+use tokio::time::Instant;
 
 /// An engine that may hold a few queries, and knows no node.
 fn engine() -> Rc<Engine> {
--- /dev/null
+++ b/crates/broker/src/http_server/accepting.rs
@@ -0,0 +1,102 @@
+//! Accepting connections: within the bound, with a pause after a shortage, and once more as the server closes.
+
+use super::{ConnectionService, HttpServer};
+use crate::io_errors::is_accepted_connection_gone;
+use crate::query_handler::RejectedRequestCount;
+use std::io::{self, ErrorKind};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{Instant, interval, sleep, sleep_until};
+use tracing::{debug, warn};
+
+impl HttpServer {
+    /// The number of connections beyond which none is accepted.
+    pub(super) fn max_connections(&self) -> usize {
+        self.query_handler.limits.clients.max_connections
+            + self.query_handler.limits.clients.max_surplus_connections
+    }
+
+    /// Accepts connections until the server is closed.
+    pub(super) async fn accept_until_close(
+        self: &Rc<Self>,
+        listener: &TcpListener,
+        service: &Rc<impl ConnectionService>,
+    ) {
+        let limits = &self.query_handler.limits;
+        let mut sweep = interval(limits.clients.sweep_interval);
+        let mut accept_pause: Option<Instant> = None;
+        loop {
+            let has_room = self.connections.borrow().len() < self.max_connections();
+            // At the bound an idle connection makes room; else idle clients would keep all others waiting.
+            if !has_room {
+                self.close_one_idle();
+            }
+            tokio::select! {
+                biased;
+                accepted = listener.accept(), if has_room && accept_pause.is_none() => match accepted {
+                    Ok((stream, _)) => self.open_connection(stream, service.clone()),
+                    Err(error) => accept_pause = Some(Instant::now() + self.pause_after(&error)),
+                },
+                () = self.close_requested.notified() => return,
+                () = self.connection_closed.notified() => {}
+                () = sleep(limits.clients.new_connection_grace), if !has_room => {}
+                _ = sweep.tick() => {
+                    self.close_slow();
+                    self.report_rejected_requests();
+                }
+                () = sleep_until(accept_pause.unwrap_or_else(Instant::now)), if accept_pause.is_some() => {
+                    accept_pause = None;
+                }
+            }
+        }
+    }
+
+    /// Logs the requests that were rejected since the last time, a line for each kind of error.
+    fn report_rejected_requests(&self) {
+        for RejectedRequestCount { error, times } in self.query_handler.rejected_requests.take() {
+            warn!(status = error.status().as_u16(), reason = %error, times, "requests rejected");
+        }
+    }
+
+    /// Logs an error of `accept`; how long nothing is accepted after it. Where only that connection is gone, the next one
+    /// is accepted at once.
+    fn pause_after(&self, error: &io::Error) -> Duration {
+        if is_accepted_connection_gone(error) {
+            debug!(%error, "connection closed before it was accepted");
+            return Duration::ZERO;
+        }
+        warn!(%error, "accept failed");
+        self.query_handler.limits.clients.accept_retry_interval
+    }
+
+    /// Accepts the connections that wait in the listener's queue. Clients have established them before the listener is
+    /// closed, and closing it would reset them. At the bound they wait for room.
+    pub(super) async fn accept_queued(
+        self: &Rc<Self>,
+        listener: &std::net::TcpListener,
+        service: &Rc<impl ConnectionService>,
+    ) {
+        loop {
+            while self.connections.borrow().len() >= self.max_connections() {
+                self.close_slow();
+                self.close_one_idle();
+                tokio::select! {
+                    () = self.connection_closed.notified() => {}
+                    () = sleep(self.query_handler.limits.clients.new_connection_grace) => {}
+                }
+            }
+            match listener.accept().and_then(|(stream, _)| into_async(stream)) {
+                Ok(stream) => self.open_connection(stream, service.clone()),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                // The others are still in the queue.
+                Err(error) => sleep(self.pause_after(&error)).await,
+            }
+        }
+    }
+}
+
+fn into_async(stream: std::net::TcpStream) -> io::Result<TcpStream> {
+    stream.set_nonblocking(true)?;
+    TcpStream::from_std(stream)
+}
--- a/crates/broker/src/http_server/closing.rs
+++ b/crates/broker/src/http_server/closing.rs
@@ -1,5 +1,4 @@
-//! How client connections are closed: which one makes room, which is too slow, and how the last response
-//! survives.
+//! Closing client connections: which one makes room, which is too slow, and how the last response arrives.
 
 use super::HttpServer;
 use super::connection::Connection;
@@ -13,9 +12,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 impl HttpServer {
-    /// Closes an idle connection, if there is one; whether there was. Those whose client never had a query
-    /// accepted go first, so that clients that stay silent, or repeat what was refused, take no room from
-    /// others.
+    /// Closes an idle connection, to make room; `false`: there is none. Connections that never had a query accepted go
+    /// first: clients that stay silent, or repeat a bad request, must not displace others.
     pub(super) fn close_one_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.iter().filter(|connection| connection.is_idle());
@@ -24,14 +22,14 @@
         first.inspect(|connection| connection.request_close(None)).is_some()
     }
 
-    /// Guards against tenants that ask once and keep their connection: beyond the number of idle connections
-    /// that may be kept, the one that was idle longest is closed.
+    /// Closes the connection that was idle longest, where more are idle than may be kept. Without this the idle
+    /// connections of clients that sent one query each would use up the descriptors.
     pub(super) fn close_surplus_idle(&self) {
         let connections = self.connections.borrow();
         let is_kept =
             |connection: &&Rc<Connection>| connection.has_served_request.get() && connection.is_idle();
         let kept = || connections.iter().filter(is_kept);
-        if kept().count() <= self.query_handler.limits.max_idle_client_connections {
+        if kept().count() <= self.query_handler.limits.clients.max_idle_connections {
             return;
         }
         if let Some(longest_idle) = kept().min_by_key(|connection| connection.last_used_at()) {
@@ -39,14 +37,16 @@
         }
     }
 
-    /// Guards against clients that hold their connections: that send or take a byte now and then, that send
-    /// nothing at all from the start, or that never send the rest of a body whose response they have.
+    /// Closes the connections of slow clients: that send or read a byte now and then, that send nothing at all from the
+    /// start, or that never send the rest of a body after its response. Each would hold a place for as long as it
+    /// liked; the log shows them as `requests rejected` with 408.
     pub(super) fn close_slow(&self) {
         let limits = &self.query_handler.limits;
-        let (now, slow_after) = (Instant::now(), limits.client_io_timeout);
+        let (now, slow_after) = (Instant::now(), limits.clients.io_timeout);
         let is_late = |since: Option<Instant>| since.is_some_and(|since| now - since > slow_after);
-        let is_body_late =
-            |since: Option<Instant>| since.is_some_and(|since| now - since > limits.unread_body_timeout);
+        let is_body_late = |since: Option<Instant>| {
+            since.is_some_and(|since| now - since > limits.clients.unread_body_timeout)
+        };
         for connection in self.connections.borrow().iter() {
             let is_silent = !connection.has_served_request.get() && connection.is_idle();
             if is_late(connection.reading_since()) {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Accepts no more connections; idle ones close now, the others with their responses. Completes when all
-    /// are closed.
+    /// Closes the server: it accepts no more connections, idle ones close at once, the others with their responses.
+    /// Completes when all are closed. Dropping the future leaves the server closing.
     pub async fn close(&self) {
         self.is_closing.set(true);
         self.close_requested.notify_one();
@@ -76,13 +76,13 @@
             idle.for_each(|connection| connection.request_close(None));
             tokio::select! {
                 () = connection_closed => {}
-                () = sleep(self.query_handler.limits.sweep_interval / 10) => self.close_slow(),
+                () = sleep(self.query_handler.limits.clients.closing_sweep_interval) => self.close_slow(),
             }
         }
     }
 
-    /// Writes a last response if there is one, and takes in what still comes, within bounds: closing before
-    /// that would reset the connection, and might destroy what was written.
+    /// Writes a last response if there is one, and reads and drops what still comes, within bounds: closing over unread
+    /// bytes would reset the connection, and might destroy the response.
     pub(super) async fn linger(&self, stream: TcpStream, closing_status: Option<StatusCode>) {
         let mut stream = InterruptSafe(stream);
         let limits = &self.query_handler.limits;
@@ -92,14 +92,15 @@
                 write_empty_response(&mut stream, status).await?;
             }
             stream.shutdown().await?;
-            let mut rest = stream.take(limits.max_linger_bytes as u64);
+            let mut rest = stream.take(limits.clients.max_linger_bytes as u64);
             tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
         };
-        // Whatever becomes of it, the connection is over.
-        let _ = timeout(limits.linger_timeout, lingering).await;
+        // Whether that succeeds or not, the connection is over.
+        let _ = timeout(limits.clients.linger_timeout, lingering).await;
     }
 }
 
+/// Writes a response without a body, which closes its connection.
 async fn write_empty_response(stream: &mut InterruptSafe<TcpStream>, status: StatusCode) -> io::Result<()> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     stream.write_all(head.as_bytes()).await
--- a/crates/broker/src/http_server/connection/tests.rs
+++ b/crates/broker/src/http_server/connection/tests.rs
@@ -1,10 +1,12 @@
 //! The states of a connection, and what it may read in them.
 
-use super::*;
-use crate::limits::Machine;
+use super::Connection;
+use crate::limits::{Limits, Machine};
 use futures_util::FutureExt;
 use rstest::rstest;
 use settings::BrokerSettings;
+use std::rc::Rc;
+use std::task::{Context, Waker};
 
 fn connection() -> Connection {
     let machine = Machine { memory_mb: 192, sockets: 1024 };
@@ -21,8 +23,8 @@
     connection.note_read(5);
     let since = connection.reading_since().expect("the beginning of a request was read");
     assert!(!connection.is_at_rest());
-    let (arrived, guard) = connection.begin_request();
-    assert_eq!(arrived, since);
+    let guard = connection.begin_request();
+    assert_eq!(guard.arrived, since);
     assert!(connection.is_handling_request() && !connection.is_body_complete());
     connection.note_read(5);
     assert_eq!(connection.reading_since(), None);
@@ -37,7 +39,7 @@
 #[case(false)]
 fn nothing_leads_out_of_closing(#[case] must_drain_input: bool) {
     let connection = connection();
-    let (_, guard) = connection.begin_request();
+    let guard = connection.begin_request();
     guard.finish_and_close(must_drain_input);
     assert!(connection.is_closing() && connection.is_at_rest());
     connection.note_read(5);
@@ -54,8 +56,8 @@
 fn closes_on_a_request_that_is_too_long(#[case] is_handling: bool, #[case] status: u16) {
     let (connection, context) = (connection(), Context::from_waker(Waker::noop()));
     let _guard = is_handling.then(|| connection.begin_request());
-    let most =
-        if is_handling { connection.limits.max_chunked_body_bytes } else { connection.limits.max_head_bytes };
+    let limits = &connection.limits.requests;
+    let most = if is_handling { limits.max_chunked_body_bytes } else { limits.max_head_bytes };
     connection.note_read(most - 1);
     assert!(connection.may_read_more(&context));
     connection.note_read(1);
--- a/crates/broker/src/http_server/routes.rs
+++ b/crates/broker/src/http_server/routes.rs
@@ -10,26 +10,28 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
+/// Where queries are sent.
 const QUERY_PATH: &str = "/api";
+/// Where readiness is asked for.
 const HEALTH_PATH: &str = "/_health";
 
 impl HttpServer {
+    /// Responds to one request, and decides whether its connection closes with the response.
     pub(super) async fn respond(&self, mut request: Request) -> Response<Bytes> {
         let Some(connection) = request.conn_data::<Rc<Connection>>().cloned() else {
             return plain(StatusCode::INTERNAL_SERVER_ERROR, "a connection that is not known\n");
         };
         if connection.is_closing() {
-            // It was sent ahead, behind the last one that this connection answers: no response could follow.
+            // It was pipelined behind the last request that this connection answers: no response could follow.
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "the connection ends\n");
             response.head_mut().set_connection_type(ConnectionType::Close);
             return response;
         }
-        let (arrived, guard) = connection.begin_request();
+        let guard = connection.begin_request();
         let has_body = !matches!(request.payload(), Payload::None);
         let client_closes = request.head().connection_type() == ConnectionType::Close;
-        let mut response = self.route(request, &connection, arrived).await;
-        // Guards against tenants that repeat the same error again and again: another connection costs them
-        // more.
+        let mut response = self.route(request, &connection, guard.arrived).await;
+        // A client that repeats its error again and again is disconnected: a new connection slows it down.
         let has_too_many_errors = connection.count_client_error(response.status().is_client_error());
         let has_unread_body = has_body && !connection.is_body_complete();
         let server_closes = connection.is_surplus
@@ -46,6 +48,7 @@
         response
     }
 
+    /// Calls the handler of the request's path.
     async fn route(&self, request: Request, connection: &Connection, arrived: Instant) -> Response<Bytes> {
         let allowed = match request.path() {
             QUERY_PATH => Method::POST,
--- /dev/null
+++ b/crates/broker/src/http_server/serving.rs
@@ -0,0 +1,80 @@
+//! The task of one client connection.
+
+use super::connection::Connection;
+use super::watched_stream::WatchedStream;
+use super::{ConnectionService, HttpServer};
+use crate::query_handler::RequestError;
+use crate::socket_peek::has_unread_bytes;
+use actix_http::error::DispatchError;
+use std::cell::RefCell;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use tracing::debug;
+
+impl HttpServer {
+    /// Enters a connection, and spawns the task that serves it.
+    pub(super) fn open_connection(self: &Rc<Self>, stream: TcpStream, service: Rc<impl ConnectionService>) {
+        if let Err(error) = stream.set_nodelay(true) {
+            debug!(%error, "TCP_NODELAY could not be set");
+        }
+        let limits = self.query_handler.limits.clone();
+        self.close_surplus_idle();
+        let is_full = self.connections.borrow().len() >= limits.clients.max_connections;
+        // At the bound the connection that was idle longest makes room; else requests on the new one are rejected.
+        let has_made_room = is_full && self.close_one_idle();
+        let connection = Rc::new(Connection::new(limits, is_full && !has_made_room));
+        self.connections.borrow_mut().push(connection.clone());
+        actix_rt::spawn(self.clone().serve_connection(stream, connection, service));
+    }
+
+    /// The task of one connection: serves its requests, and closes its socket so that the last response arrives.
+    async fn serve_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        connection: Rc<Connection>,
+        service: Rc<impl ConnectionService>,
+    ) {
+        let stream = Rc::new(RefCell::new(stream));
+        let must_linger = self.serve_until_end(&stream, &connection, &*service).await;
+        if let Some(stream) = Rc::into_inner(stream).filter(|_| must_linger) {
+            self.linger(stream.into_inner(), connection.closing_status()).await;
+        }
+        self.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, &connection));
+        self.connection_closed.notify_waiters();
+    }
+
+    /// Serves a connection's requests up to its end; whether input has to be read before the socket is closed.
+    async fn serve_until_end(
+        &self,
+        stream: &Rc<RefCell<TcpStream>>,
+        connection: &Rc<Connection>,
+        service: &impl ConnectionService,
+    ) -> bool {
+        let watched_stream = WatchedStream::new(stream.clone(), connection.clone());
+        let mut served = pin!(service.call((watched_stream, None)));
+        loop {
+            tokio::select! {
+                // Polled first, so that a request that arrives as its idle connection is closed is not read in part.
+                biased;
+                () = connection.close_requested() => {
+                    let has_closing_status = connection.closing_status().is_some();
+                    // A request may have arrived just now: closing over its bytes would reset the connection, and the
+                    // client would see an error in place of its response. It is served first.
+                    if !has_closing_status && connection.is_at_rest() && has_unread_bytes(&stream.borrow()) {
+                        connection.close_after_response.set(true);
+                        continue;
+                    }
+                    return has_closing_status;
+                }
+                end = &mut served => match end {
+                    Err(DispatchError::Parse(_)) => {
+                        self.query_handler.rejected_requests.count(RequestError::Unreadable);
+                        return true;
+                    }
+                    _ => return connection.must_drain_input(),
+                },
+            }
+        }
+    }
+}
--- a/crates/broker/src/http_server/tests.rs
+++ b/crates/broker/src/http_server/tests.rs
@@ -1,14 +1,21 @@
 //! What closing a connection does to what arrives in that moment.
 
-use super::*;
+use super::HttpServer;
+use super::connection::Connection;
 use crate::engine::Engine;
 use crate::limits::{Limits, Machine};
+use crate::query_handler::QueryHandler;
 use futures_util::FutureExt;
 use rstest::rstest;
 use settings::BrokerSettings;
 use std::io::{Read, Write};
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::AsyncReadExt;
-use tokio::time::timeout;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
 
 const HEALTH_REQUEST: &[u8] = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -24,7 +31,7 @@
 
 /// A server that keeps so many idle connections.
 fn start_server_keeping(kept_connections: usize) -> Rc<HttpServer> {
-    start_server(1024, |limits| limits.max_idle_client_connections = kept_connections)
+    start_server(1024, |limits| limits.clients.max_idle_connections = kept_connections)
 }
 
 /// Lets the server accept connections; where it listens.
--- a/crates/broker/src/http_server/watched_stream.rs
+++ b/crates/broker/src/http_server/watched_stream.rs
@@ -22,16 +22,17 @@
 }
 
 impl WatchedStream {
+    /// Watches a socket for its connection.
     pub fn new(stream: Rc<RefCell<TcpStream>>, connection: Rc<Connection>) -> WatchedStream {
         WatchedStream { stream, connection, next_close_check: None }
     }
 
+    /// The connection that is kept up to date.
     pub fn connection(&self) -> &Rc<Connection> {
         &self.connection
     }
 
-    /// Reads nothing of what the client sends ahead: but for its close, nothing is wanted while a request is
-    /// handled.
+    /// Waits for the client's close, and reads nothing of what it sends ahead while a request is handled.
     fn poll_close(&mut self, context: &mut Context) -> Poll<io::Result<()>> {
         let mut byte = [0];
         let peek = || self.stream.borrow_mut().poll_peek(context, &mut ReadBuf::new(&mut byte));
@@ -42,10 +43,10 @@
         self.poll_hidden_close(context)
     }
 
-    /// Unread bytes hide the close: no event tells of it, so it is looked for at intervals.
+    /// Looks for the close at intervals: with bytes unread before it, no readiness event tells of it.
     fn poll_hidden_close(&mut self, context: &mut Context) -> Poll<io::Result<()>> {
         while !is_read_closed(&self.stream.borrow()) {
-            let interval = self.connection.limits.close_poll_interval;
+            let interval = self.connection.limits.clients.close_poll_interval;
             let check = self.next_close_check.get_or_insert_with(|| Box::pin(sleep(interval)));
             ready!(check.as_mut().poll(context));
             self.next_close_check = None;
@@ -54,13 +55,14 @@
         Poll::Ready(Ok(()))
     }
 
-    /// With more unread than a request may have, the close behind it would not even arrive. So it is read and
-    /// dropped, a bounded part at each check, and the connection closes with the response that is under way.
+    /// Reads and drops input, a bounded part at each check, where more is unread than a request may have: else the
+    /// system's buffer would fill, and the close behind it would not arrive. The connection closes with the response
+    /// to the current request.
     fn drop_flood(&self) {
         let (stream, limits) = (self.stream.borrow(), &self.connection.limits);
-        if has_unread_bytes_of(&stream, limits.max_body_bytes) {
+        if has_unread_bytes_of(&stream, limits.requests.max_body_bytes) {
             self.connection.close_after_response.set(true);
-            let mut dropped = vec![0; limits.max_linger_bytes];
+            let mut dropped = vec![0; limits.clients.max_linger_bytes];
             let _ = stream.try_read(&mut dropped);
         }
     }
@@ -72,7 +74,7 @@
         context: &mut Context,
         into: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        // Guards against floods on one connection.
+        // While a request is handled nothing more is read: a client that sends ahead would fill the memory.
         if self.connection.is_body_complete() {
             return self.poll_close(context);
         }
--- a/crates/broker/src/interrupt_safe.rs
+++ b/crates/broker/src/interrupt_safe.rs
@@ -1,4 +1,4 @@
-//! A stream that goes on where a signal interrupted a read or a write.
+//! A stream whose reads and writes are repeated where a signal interrupted them.
 
 use crate::io_errors::poll_uninterrupted;
 use hyper_util::client::legacy::connect::{Connected, Connection};
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Passes reads and writes on, and repeats those that were interrupted: that says nothing of the connection.
+/// Repeats reads and writes of the inner stream that were interrupted by a signal: that says nothing of the connection.
 pub struct InterruptSafe<S>(pub S);
 
 impl<S: AsyncRead + Unpin> AsyncRead for InterruptSafe<S> {
--- a/crates/broker/src/io_errors.rs
+++ b/crates/broker/src/io_errors.rs
@@ -1,10 +1,10 @@
-//! What an error of a system call says of whom. One table for the whole program: an interrupted call is repeated,
-//! and a shortage of this machine says nothing of a peer.
+//! Classifies errors of system calls, in one place for the whole program: an interrupted call is repeated, and a
+//! shortage of this machine says nothing of a peer.
 
 use std::io::{self, ErrorKind};
 use std::task::Poll;
 
-/// Errnos by which `socket` and `connect` say that this machine lacks something, or has no way out at all.
+/// Errnos of `socket` and `connect` which say that this machine is short of something, or has no route.
 const LOCAL_SHORTAGES: &[i32] = &[
     libc::EMFILE,
     libc::ENFILE,
@@ -18,7 +18,7 @@
     libc::ENETDOWN,
 ];
 
-/// Errnos by which `accept` tells of one connection that is gone; the next one may be well.
+/// Errnos of `accept` which say that one connection is gone; the next one may be accepted.
 const ACCEPTED_CONNECTION_GONE: &[i32] = &[
     libc::ECONNABORTED,
     libc::EINTR,
@@ -38,7 +38,7 @@
     error.raw_os_error().is_some_and(|errno| errnos.contains(&errno))
 }
 
-/// Whether a connection could not be begun for want of something on this machine.
+/// Whether a connection could not be made because this machine is short of something.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     is_one_of(error, LOCAL_SHORTAGES)
 }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,5 +1,18 @@
 //! A broker on real sockets: clients and discovery by HTTP, nodes by frames.
 //!
+//! | module | what it does |
+//! | --- | --- |
+//! | [`http_server`], [`query_handler`] | client connections; one query from its request to its response |
+//! | [`engine`] | owns the routing decisions, and carries out their effects |
+//! | [`node_pool`], [`codec`] | connections to nodes, and their frames |
+//! | [`discovery`], [`endpoint_list`] | requests the list of nodes; its format |
+//! | [`limits`] | sizes, counts and times, derived from the machine and the settings |
+//! | `startup`, `running`, `reload`, `shutdown` | the life of a process |
+//! | `command`, `program` | the command line |
+//! | `config_rollout` | configuration versions, brought to the engine |
+//!
+//! [`engine`] and [`node_pool`] say which task owns what, who wakes whom, and what happens when a future is dropped.
+//!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 //! let config = broker::StartupConfig::from_env()?;
@@ -13,6 +26,8 @@
 //! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the
 //! [`engine::QueryOutcome`].
 
+#![warn(missing_docs)]
+
 pub mod codec;
 mod command;
 pub mod config_epoch;
--- a/crates/broker/src/node_pool/connection.rs
+++ b/crates/broker/src/node_pool/connection.rs
@@ -2,6 +2,7 @@
 
 use super::attempt::AttemptId;
 use super::cancelled_requests::CancelledRequests;
+use super::connection_state::ConnectionState;
 use crate::codec::ToNode;
 use bytes::Bytes;
 use routing::{AttemptOutcome, NodeId};
@@ -12,65 +13,44 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Whether a connection accepts work, and whether it ever carried any.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionState {
-    /// Not connected yet, or connected and nothing written. Accepts work.
-    Unused,
-    /// Something was written on it. Accepts work.
-    Used,
-    /// Accepts no more work, and closes once nothing is in flight on it.
-    Closing { was_used: bool },
-}
-
-impl ConnectionState {
-    fn was_used(self) -> bool {
-        matches!(self, ConnectionState::Used | ConnectionState::Closing { was_used: true })
-    }
-
-    fn is_closing(self) -> bool {
-        matches!(self, ConnectionState::Closing { .. })
-    }
-
-    fn after_write(self) -> ConnectionState {
-        match self {
-            ConnectionState::Unused | ConnectionState::Used => ConnectionState::Used,
-            ConnectionState::Closing { .. } => ConnectionState::Closing { was_used: true },
-        }
-    }
-
-    fn after_close(self) -> ConnectionState {
-        ConnectionState::Closing { was_used: self.was_used() }
-    }
-}
-
 /// How much of an attempt's frame is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
+    /// Nothing: it can be cancelled without a trace, and is known not to be executed.
     Unwritten,
+    /// Some bytes: the node can't execute it as long as the rest is not written.
     Partial,
+    /// All bytes: the node may execute it.
     Complete,
 }
 
 /// A shard request that is queued or written on a connection, and not answered.
 pub(super) struct InFlightRequest {
+    /// The attempt that it belongs to.
     pub attempt: AttemptId,
+    /// How much of it is written.
     pub progress: WriteProgress,
 }
 
 /// A response behind which more bytes have come that are not known to be a frame yet.
 pub(super) struct UnconfirmedResponse {
+    /// The attempt that it answers.
     pub attempt: AttemptId,
+    /// How the attempt ended, by the node's word.
     pub outcome: AttemptOutcome,
+    /// What the node read.
     pub value: Bytes,
 }
 
-/// One connection to a node, from the first try to connect on.
+/// The state of one connection to a node, from the first attempt to connect on. The pool and the connection's task
+/// share it; neither holds a borrow of it across an `await`.
 pub(super) struct NodeConnection {
+    /// The node.
     pub node: NodeId,
+    /// Where the node listens.
     pub address: SocketAddr,
     state: Cell<ConnectionState>,
-    /// By the id that the wire knows the shard request by.
+    /// By the shard request's id on the wire.
     in_flight: RefCell<HashMap<Bytes, InFlightRequest>>,
     /// Frames of which nothing is written yet.
     write_queue: RefCell<VecDeque<ToNode>>,
@@ -79,7 +59,7 @@
     /// Load probes without a reply.
     pending_probes: Cell<usize>,
     last_used_at: Cell<Instant>,
-    /// It does not come up for want of something on this machine.
+    /// It can't be established because this machine is short of something.
     lacks_local_resources: Cell<bool>,
     /// Since when the node owes the first byte in reply to what was written.
     awaiting_reply_since: Cell<Option<Instant>>,
@@ -90,6 +70,7 @@
 }
 
 impl NodeConnection {
+    /// A connection that is not established, with nothing on it.
     pub fn new(node: NodeId, address: SocketAddr) -> NodeConnection {
         NodeConnection {
             node,
@@ -110,22 +91,23 @@
 
     // ---- state
 
-    /// It came up, and something was written on it.
+    /// Whether it was established, and something was written on it.
     pub fn was_used(&self) -> bool {
         self.state.get().was_used()
     }
 
+    /// Whether it accepts no more work.
     pub fn is_closing(&self) -> bool {
         self.state.get().is_closing()
     }
 
-    /// Notes whether the last try to connect failed for want of something on this machine.
+    /// Notes whether the last attempt to connect failed because this machine is short of something.
     pub fn set_lacks_local_resources(&self, lacks: bool) {
         self.lacks_local_resources.set(lacks);
     }
 
-    /// What an attempt of which nothing was written comes to here: it was not executed, and its node is to blame
-    /// only where this machine could have connected.
+    /// How an attempt ends here of which nothing was written: it was not executed, and counts against the node only
+    /// where this machine could have connected.
     pub fn unwritten_outcome(&self) -> AttemptOutcome {
         match self.lacks_local_resources.get() {
             true => AttemptOutcome::LocalShortage,
@@ -143,10 +125,12 @@
         self.awaiting_reply_since.get().is_some_and(|since| since.elapsed() > limit)
     }
 
+    /// When bytes last came or a frame was last written completely.
     pub fn last_used_at(&self) -> Instant {
         self.last_used_at.get()
     }
 
+    /// Restarts the idle time.
     pub fn mark_used_now(&self) {
         self.last_used_at.set(Instant::now());
     }
@@ -162,7 +146,7 @@
         self.write_ready.notify_one();
     }
 
-    /// Notes that bytes came: the node owes no first byte any more.
+    /// Notes that a frame came: the node does not owe its first reply any more.
     pub fn note_received(&self) {
         self.mark_used_now();
         self.awaiting_reply_since.take();
@@ -170,15 +154,17 @@
 
     // ---- what is in flight
 
+    /// Whether a shard request is queued, or written and not answered.
     pub fn has_in_flight(&self) -> bool {
         !self.in_flight.borrow().is_empty()
     }
 
+    /// The number of shard requests that are queued, or written and not answered.
     pub fn count_in_flight(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Whether it has room for so many shard requests more; alone on it, a batch of any size has.
+    /// Whether this many more shard requests fit; a batch of any size fits on a connection with nothing in flight.
     pub fn has_room(&self, shard_requests: usize, limit: usize) -> bool {
         let in_flight = self.count_in_flight();
         in_flight == 0 || in_flight + shard_requests <= limit
@@ -189,16 +175,18 @@
         self.in_flight.borrow().get(wire_id).map(|request| request.attempt)
     }
 
+    /// How much of the shard request with this id is written; `None`: it is not in flight.
     pub fn progress_of(&self, wire_id: &Bytes) -> Option<WriteProgress> {
         self.in_flight.borrow().get(wire_id).map(|request| request.progress)
     }
 
-    /// Enters an attempt of which nothing is written; gives what was in flight under its id.
+    /// Enters an attempt of which nothing is written. Returns what was in flight under its id.
     pub fn enter(&self, wire_id: Bytes, attempt: AttemptId) -> Option<InFlightRequest> {
         let request = InFlightRequest { attempt, progress: WriteProgress::Unwritten };
         self.in_flight.borrow_mut().insert(wire_id, request)
     }
 
+    /// Removes a shard request from those in flight, and returns it.
     pub fn remove(&self, wire_id: &Bytes) -> Option<InFlightRequest> {
         self.in_flight.borrow_mut().remove(wire_id)
     }
@@ -210,7 +198,7 @@
         requests
     }
 
-    /// Whether nothing that is in flight was begun to be written.
+    /// Whether nothing of what is in flight is written, not even in part.
     pub fn is_all_unwritten(&self) -> bool {
         self.in_flight.borrow().values().all(|request| request.progress == WriteProgress::Unwritten)
     }
@@ -221,7 +209,7 @@
         self.set_progress(wire_ids, WriteProgress::Partial);
     }
 
-    /// Notes that a frame with these shard requests is written whole.
+    /// Notes that a frame with these shard requests is written completely.
     pub fn note_complete_write(&self, wire_ids: &[Bytes]) {
         self.set_progress(wire_ids, WriteProgress::Complete);
         if !wire_ids.is_empty() {
@@ -241,24 +229,28 @@
 
     // ---- frames to write
 
+    /// Whether a frame waits to be written.
     pub fn has_queued_frames(&self) -> bool {
         !self.write_queue.borrow().is_empty()
     }
 
+    /// Queues a frame, and wakes the writer.
     pub fn enqueue(&self, frame: ToNode) {
         self.write_queue.borrow_mut().push_back(frame);
         self.write_ready.notify_one();
     }
 
+    /// Takes the next frame to write.
     pub fn dequeue(&self) -> Option<ToNode> {
         self.write_queue.borrow_mut().pop_front()
     }
 
-    /// Puts a frame back of which nothing could be written.
+    /// Puts a frame back at the head of the queue: nothing of it could be written.
     pub fn requeue(&self, frame: ToNode) {
         self.write_queue.borrow_mut().push_front(frame);
     }
 
+    /// Takes all frames of which nothing is written.
     pub fn take_queue(&self) -> VecDeque<ToNode> {
         self.write_queue.take()
     }
@@ -275,15 +267,17 @@
 
     // ---- responses, cancelled shard requests, probes
 
+    /// Keeps a response until what follows it shows that its length was right.
     pub fn hold_response(&self, response: UnconfirmedResponse) {
         self.unconfirmed_response.replace(Some(response));
     }
 
+    /// Takes the response that is not confirmed yet.
     pub fn take_unconfirmed_response(&self) -> Option<UnconfirmedResponse> {
         self.unconfirmed_response.take()
     }
 
-    /// Remembers up to `limit` shard requests that may still be answered.
+    /// Remembers a cancelled shard request, to which a response may still come; at most `limit` of them.
     pub fn note_cancelled(&self, wire_id: Bytes, limit: usize) {
         self.cancelled_requests.borrow_mut().add(wire_id, limit);
     }
@@ -297,17 +291,19 @@
         self.pending_probes.get() > 0
     }
 
+    /// Notes that a load probe was sent.
     pub fn add_pending_probe(&self) {
         self.pending_probes.set(self.pending_probes.get() + 1);
     }
 
-    /// Whether a probe waits for a reply; then it waits no more.
+    /// Whether a probe waits for its reply; if so, this is its reply.
     pub fn take_pending_probe(&self) -> bool {
         let is_pending = self.has_pending_probes();
         self.pending_probes.set(self.pending_probes.get().saturating_sub(1));
         is_pending
     }
 
+    /// The number of probes that wait for a reply; none waits after this.
     pub fn take_all_pending_probes(&self) -> usize {
         self.pending_probes.take()
     }
--- /dev/null
+++ b/crates/broker/src/node_pool/connection_choice.rs
@@ -0,0 +1,90 @@
+//! Chooses the connection for a batch, opens new ones, and closes those that are not needed.
+
+use super::NodePool;
+use super::connection::NodeConnection;
+use super::connection_task::ConnectionTask;
+use routing::NodeId;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+impl NodePool {
+    /// Closes the idle connections to a node.
+    pub fn close_idle(&self, node: NodeId) {
+        if let Some(connections) = self.connections.borrow().get(&node) {
+            let idle = connections.iter().filter(|connection| connection.is_idle());
+            idle.for_each(|connection| connection.close());
+        }
+    }
+
+    /// A connection with room for this many shard requests, or a new one while the bound on connections allows.
+    pub(super) fn connection_for(
+        self: &Rc<Self>,
+        node: NodeId,
+        shard_requests: usize,
+    ) -> Option<Rc<NodeConnection>> {
+        let address = *self.addresses.borrow().get(&node)?;
+        self.close_unresponsive(node);
+        let open = self.open_connections(node, address);
+        let limit = self.limits.nodes.max_connection_shard_requests;
+        // The oldest first, so that those which are not needed become idle.
+        if let Some(connection) = open.iter().find(|connection| connection.has_room(shard_requests, limit)) {
+            return Some(connection.clone());
+        }
+        if self.count_connections() >= self.limits.nodes.max_connections && !self.close_longest_idle() {
+            // At the bound on connections the batch joins the others on an open one, and waits there.
+            return open.into_iter().min_by_key(|connection| connection.count_in_flight());
+        }
+        Some(self.open_connection(node, address))
+    }
+
+    /// Closes the connections on which the node owes a reply for too long. A connection that was dropped on the way
+    /// without a close stays silent, while the node may serve others: attempts on it would time out one after the
+    /// other. Where the node itself is silent, the cost is a handshake.
+    fn close_unresponsive(&self, node: NodeId) {
+        if let Some(connections) = self.connections.borrow().get(&node) {
+            let limit = self.limits.nodes.unresponsive_after;
+            let unresponsive = connections.iter().filter(|connection| connection.is_unresponsive(limit));
+            unresponsive.for_each(|connection| connection.close());
+        }
+    }
+
+    /// The connections to a node at its address that accept work, the oldest first.
+    fn open_connections(&self, node: NodeId, address: SocketAddr) -> Vec<Rc<NodeConnection>> {
+        let connections = self.connections.borrow();
+        let to_node = connections.get(&node).into_iter().flatten();
+        to_node
+            .filter(|connection| !connection.is_closing() && connection.address == address)
+            .cloned()
+            .collect()
+    }
+
+    fn count_connections(&self) -> usize {
+        self.connections.borrow().values().map(Vec::len).sum()
+    }
+
+    /// Closes the connection to any node that was idle the longest; `false`: none is idle.
+    fn close_longest_idle(&self) -> bool {
+        let connections = self.connections.borrow();
+        let all = connections.values().flatten();
+        let idle = all.filter(|connection| connection.is_idle() && !connection.is_closing());
+        let longest_idle = idle.min_by_key(|connection| connection.last_used_at());
+        longest_idle.inspect(|connection| connection.close()).is_some()
+    }
+
+    /// Adds a connection, and spawns the task that connects and serves it.
+    fn open_connection(self: &Rc<Self>, node: NodeId, address: SocketAddr) -> Rc<NodeConnection> {
+        let connection = Rc::new(NodeConnection::new(node, address));
+        self.connections.borrow_mut().entry(node).or_default().push(connection.clone());
+        let task = ConnectionTask { pool: self.clone(), connection: connection.clone() };
+        actix_rt::spawn(task.run());
+        connection
+    }
+
+    /// Removes a connection that has ended.
+    pub(super) fn forget_connection(&self, ended: &Rc<NodeConnection>) {
+        self.connections.borrow_mut().retain(|_, connections| {
+            connections.retain(|connection| !Rc::ptr_eq(connection, ended));
+            !connections.is_empty()
+        });
+    }
+}
--- a/crates/broker/src/node_pool/reader.rs
+++ b/crates/broker/src/node_pool/reader.rs
@@ -13,13 +13,13 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, warn};
 
-/// Why a connection ended.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
     /// It could not be made, was closed by either side, or broke.
     Closed,
-    /// The node wrote what can't be used: nothing more that comes can be interpreted, and what is in flight
-    /// may have been executed.
+    /// The node wrote invalid data. What follows it can't be interpreted, and what is in flight may have been
+    /// executed.
     InvalidData,
 }
 
@@ -29,7 +29,7 @@
 /// A frame was begun and not completed in time.
 struct StalledFrame;
 
-/// The read loop of one connection.
+/// The read loop of one connection. Dropping it loses the bytes of a frame that has not come completely.
 pub(super) struct ConnectionReader<'a> {
     pool: &'a NodePool,
     connection: &'a NodeConnection,
@@ -38,11 +38,11 @@
 
 impl<'a> ConnectionReader<'a> {
     pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: ReadHalf<'a>) -> Self {
-        let decoder = FrameDecoder { max_frame_bytes: pool.limits.max_frame_bytes };
+        let decoder = FrameDecoder { max_frame_bytes: pool.limits.nodes.max_frame_bytes };
         ConnectionReader { pool, connection, frames: FramedRead::new(InterruptSafe(stream), decoder) }
     }
 
-    /// Reads until the node ends the connection, or sends what can't be used.
+    /// Reads until the node closes the connection, or sends invalid data.
     pub async fn run(mut self) -> ConnectionEnd {
         loop {
             let Ok(frame) = self.next_frame().await else { return self.end_on_stalled_frame() };
@@ -54,12 +54,13 @@
         }
     }
 
-    /// The next frame. Guards against a length that promises more than comes: the shard requests in flight
-    /// would wait for it.
+    /// The next frame, or an error when a frame stays incomplete for two time limits. A frame with a length that is
+    /// too large never becomes complete: the shard requests in flight would wait for it until they time out.
     async fn next_frame(&mut self) -> Result<NextFrame, StalledFrame> {
         let mut was_partial = false;
         loop {
-            if let Ok(frame) = timeout(self.pool.limits.partial_frame_timeout, self.frames.next()).await {
+            if let Ok(frame) = timeout(self.pool.limits.nodes.partial_frame_timeout, self.frames.next()).await
+            {
                 return Ok(frame);
             }
             let is_partial = !self.frames.read_buffer().is_empty();
@@ -71,7 +72,7 @@
     }
 
     fn end_on_stalled_frame(&self) -> ConnectionEnd {
-        warn!(node = %self.connection.address, "connection closed on a frame that does not end");
+        warn!(node = %self.connection.address, "connection closed: incomplete frame timed out");
         self.pool.settle_response(self.connection, is_text(self.frames.read_buffer()));
         ConnectionEnd::InvalidData
     }
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Handles one frame; `Break`: the connection ends.
     fn handle(&self, frame: NextFrame) -> ControlFlow<ConnectionEnd> {
         let node = self.connection.address;
         match frame {
@@ -94,21 +96,22 @@
             Some(Ok(FromNode::LoadReport(report))) => self.on_load_report(report),
             Some(Ok(FromNode::Pong)) => Continue(()),
             Some(Ok(FromNode::ProtocolError(reason))) => {
-                warn!(%node, reason, "the node closes the connection");
+                warn!(%node, reason, "connection closed by the node: protocol error");
                 Break(ConnectionEnd::InvalidData)
             }
             Some(Err(FrameError::Io(error))) => {
-                debug!(%node, %error, "connection broke");
+                debug!(%node, %error, "connection failed");
                 Break(ConnectionEnd::Closed)
             }
             Some(Err(error)) => {
-                warn!(%node, %error, "connection closed on a bad frame");
+                warn!(%node, %error, "connection closed: invalid frame");
                 Break(ConnectionEnd::InvalidData)
             }
             None => Break(ConnectionEnd::Closed),
         }
     }
 
+    /// Takes a response. It is used at once where nothing follows it, else once that has been looked at.
     fn on_response(&self, id: Bytes, outcome: AttemptOutcome, value: Bytes) -> ControlFlow<ConnectionEnd> {
         let Some(request) = self.connection.remove(&id) else { return self.on_unknown_response(&id) };
         self.connection.write_ready.notify_one();
@@ -120,12 +123,13 @@
     }
 
     fn on_unknown_response(&self, id: &Bytes) -> ControlFlow<ConnectionEnd> {
-        // A cancelled shard request may still be answered; then nobody waits for it.
+        // A response to a cancelled shard request may still come.
         if self.connection.take_cancelled(id) {
             return Continue(());
         }
-        // Guards against responses under a wrong id: the shard request that was meant would wait.
-        warn!(node = %self.connection.address, "connection closed on an answer that none waits for");
+        // A response with a wrong id leaves the shard request that was meant waiting until it times out. Closing the
+        // connection ends that one now; the cost is what else is in flight on the connection.
+        warn!(node = %self.connection.address, "connection closed: response to an unknown shard request");
         Break(ConnectionEnd::InvalidData)
     }
 
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -14,8 +14,11 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::{debug, warn};
 
-/// The write loop of one connection. Nothing is taken from the queue before the peer accepts bytes: until
-/// then it can be cancelled without a trace.
+/// The write loop of one connection.
+///
+/// A frame is taken from the queue only when the peer accepts bytes, and between that and its first byte nothing is
+/// awaited. So as long as nothing of it is written, a frame is in the queue, where it can be cancelled, and dropping
+/// the writer loses none.
 pub(super) struct ConnectionWriter<'a> {
     pool: &'a NodePool,
     connection: &'a NodeConnection,
@@ -29,7 +32,7 @@
         ConnectionWriter { pool, connection, stream, buffer: BytesMut::new() }
     }
 
-    /// Writes until the peer accepts no more, or the connection was idle for too long.
+    /// Writes until the connection fails, was idle for too long, or was closed.
     pub async fn run(mut self) {
         while self.step().await.is_continue() {}
     }
@@ -40,35 +43,39 @@
             return self.wait_for_work().await;
         }
         self.wait_until_writable().await?;
-        if self.was_closed_at_rest() {
-            debug!(node = %self.connection.address, "closed at rest");
+        if self.was_closed_while_idle() {
+            debug!(node = %self.connection.address, "idle connection closed by the node");
             return Break(());
         }
-        let Some(mut frame) = self.connection.dequeue() else { return Continue(()) };
+        match self.connection.dequeue() {
+            Some(frame) => self.write_frame(frame).await,
+            None => Continue(()),
+        }
+    }
+
+    /// Writes one frame, without the shard requests that have no time left.
+    async fn write_frame(&mut self, mut frame: ToNode) -> ControlFlow<()> {
         let now = Instant::now();
         self.end_expired(&mut frame, now);
-        let wire_ids = match &frame {
-            // All its shard requests were cancelled, or have no time left.
-            ToNode::Batch(shard_requests) if shard_requests.is_empty() => return Continue(()),
-            ToNode::Batch(shard_requests) => {
-                shard_requests.iter().map(|shard_request| shard_request.id.clone()).collect()
-            }
-            ToNode::Cancel(_) | ToNode::Probe => Vec::new(),
-        };
+        if frame.is_empty_batch() {
+            return Continue(());
+        }
+        let wire_ids = frame.shard_request_ids();
         if self.begin_frame(frame, now)? {
             self.finish_frame(&wire_ids).await?;
         }
         Continue(())
     }
 
-    /// Waits until something may be queued.
+    /// Waits until something may be queued; `Break`: the connection is closing or idle for too long, and nothing is in
+    /// flight on it.
     async fn wait_for_work(&self) -> ControlFlow<()> {
         let connection = self.connection;
         if connection.has_in_flight() {
             connection.write_ready.notified().await;
             return Continue(());
         }
-        let idle_until = connection.last_used_at() + self.pool.limits.node_idle_timeout;
+        let idle_until = connection.last_used_at() + self.pool.limits.nodes.idle_timeout;
         if connection.is_closing() || Instant::now() >= idle_until {
             connection.begin_closing();
             return Break(());
@@ -81,29 +88,30 @@
     }
 
     async fn wait_until_writable(&self) -> ControlFlow<()> {
-        let result = timeout(self.pool.limits.node_write_timeout, self.stream.writable()).await;
+        let result = timeout(self.pool.limits.nodes.write_timeout, self.stream.writable()).await;
         self.check_progress(result)
     }
 
-    /// Ends the connection where the peer accepted nothing in time, or is gone.
+    /// `Break` where the peer accepted nothing in time, or the connection failed.
     fn check_progress(&self, result: Result<io::Result<()>, Elapsed>) -> ControlFlow<()> {
         match result {
             Ok(Ok(())) => return Continue(()),
-            Ok(Err(error)) => debug!(node = %self.connection.address, %error, "connection broke"),
-            Err(_) => warn!(node = %self.connection.address, "the node takes nothing"),
+            Ok(Err(error)) => debug!(node = %self.connection.address, %error, "connection failed"),
+            Err(_) => warn!(node = %self.connection.address, "write to the node timed out"),
         }
         Break(())
     }
 
-    /// Whether the peer closed the connection while nothing was under way on it.
-    fn was_closed_at_rest(&self) -> bool {
+    /// Whether the peer closed the connection while nothing was in flight on it. A frame written now would be lost, and
+    /// its attempts would count against the node; unwritten, they go on another connection.
+    fn was_closed_while_idle(&self) -> bool {
         self.connection.was_used()
             && self.connection.is_all_unwritten()
             && has_peer_closed(self.stream.as_ref())
     }
 
-    /// Takes out of a batch what has no time left: its node would work for nobody. It says nothing of the node,
-    /// whose connection is up.
+    /// Removes the shard requests that have no time left from a batch: nobody would wait for their responses. They end
+    /// as not sent, which says nothing of the node.
     fn end_expired(&self, frame: &mut ToNode, now: Instant) {
         let ToNode::Batch(shard_requests) = frame else { return };
         shard_requests.retain(|shard_request| {
@@ -115,8 +123,8 @@
         });
     }
 
-    /// Writes the first bytes of a frame. One of which nothing could be written goes back into the queue;
-    /// `false`: the peer accepts nothing just now.
+    /// Writes the first bytes of a frame, which says how much time is left from `now` on. `false`: the peer accepts
+    /// nothing at the moment, and the frame is back in the queue.
     fn begin_frame(&mut self, frame: ToNode, now: Instant) -> ControlFlow<(), bool> {
         self.buffer.clear();
         frame.encode(now, &mut self.buffer);
@@ -131,23 +139,24 @@
             }
             Err(error) => {
                 self.connection.requeue(frame);
-                debug!(node = %self.connection.address, %error, "connection broke");
+                debug!(node = %self.connection.address, %error, "connection failed");
                 Break(())
             }
         }
     }
 
-    /// Writes what is left of a frame with these shard requests.
+    /// Writes the rest of a frame with these shard requests.
     async fn finish_frame(&mut self, wire_ids: &[Bytes]) -> ControlFlow<()> {
         self.connection.note_partial_write(wire_ids);
-        let result =
-            timeout(self.pool.limits.node_write_timeout, write_all(&self.stream, &mut self.buffer)).await;
+        let writing = write_all(&self.stream, &mut self.buffer);
+        let result = timeout(self.pool.limits.nodes.write_timeout, writing).await;
         self.check_progress(result)?;
         self.connection.note_complete_write(wire_ids);
         Continue(())
     }
 }
 
+/// Writes the whole buffer.
 async fn write_all(stream: &WriteHalf<'_>, buffer: &mut BytesMut) -> io::Result<()> {
     while !buffer.is_empty() {
         stream.writable().await?;
--- a/crates/broker/src/query_handler/rejected_requests.rs
+++ b/crates/broker/src/query_handler/rejected_requests.rs
@@ -1,11 +1,11 @@
-//! Counters of rejected requests, from which the log gets a line for each kind of error.
+//! Counts of rejected requests, from which the log gets one line for each kind of error.
 
 use super::RequestError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Requests rejected since the last report. Summed up, since a log line for each would be a load under a
-/// flood.
+/// Requests rejected since the last report. They are counted, since a log line for each would itself be a load under a
+/// flood of bad requests.
 #[derive(Default)]
 pub struct RejectedRequests {
     counts: RefCell<BTreeMap<RequestError, usize>>,
@@ -26,7 +26,7 @@
         *self.counts.borrow_mut().entry(error).or_default() += 1;
     }
 
-    /// The counts since the last time, ordered by status and text.
+    /// The counts since the last call, ordered by status and text.
     pub fn take(&self) -> Vec<RejectedRequestCount> {
         let counts = self.counts.take().into_iter();
         let mut counts: Vec<_> = counts.map(|(error, times)| RejectedRequestCount { error, times }).collect();
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -1,10 +1,11 @@
-//! Reads a query from its HTTP request, by one configuration epoch.
+//! Reads a query from its HTTP request, by one configuration epoch. Here the protocol's headers become the fields
+//! of a [`QueryRequest`]; those of the body do in `body`.
 
 use super::RequestError;
 use super::body::{RequestBody, RequestedShardBody};
 use crate::config_epoch::ConfigEpoch;
 use crate::engine::{QueryRequest, RequestedShard};
-use crate::limits::Limits;
+use crate::limits::RequestLimits;
 use actix_http::header::{CONTENT_LENGTH, HeaderMap, UPGRADE};
 use actix_http::{HttpMessage, Request};
 use bytes::{Bytes, BytesMut};
@@ -15,14 +16,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// The query's id.
 const ID_HEADER: &str = "X-Correlation-Id";
+/// The name of its request class.
 const CLASS_HEADER: &str = "X-Service-Class";
+/// The name of its tenant.
 const TENANT_HEADER: &str = "X-Account";
+/// How long its client will wait, in milliseconds.
 const TIME_LEFT_HEADER: &str = "X-Time-Left-Ms";
 
-/// The length that a request announces for its body, if it does. Guards against bodies that are read for
-/// nothing, and against what the HTTP library takes for the end of requests: after a protocol switch it reads
-/// on for ever.
+/// The length in bytes that a request announces for its body, if it does. A request for a protocol switch is an error:
+/// the HTTP library would take the rest of the connection for its body, and read without end.
 pub(super) fn announced_length(request: &Request) -> Result<Option<usize>, RequestError> {
     let headers = request.headers();
     if headers.contains_key(UPGRADE) {
@@ -48,7 +52,7 @@
 
 /// Reads what decisions need of a query; the text that its shard requests carry stays the bytes that came.
 pub(super) fn read_query(
-    limits: &Limits,
+    limits: &RequestLimits,
     epoch: &ConfigEpoch,
     request: &Request,
     body: &Bytes,
@@ -118,7 +122,7 @@
 
 fn read_time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = header(headers, TIME_LEFT_HEADER);
-    // The parser would take a sign, too.
+    // The parser would accept a sign, too.
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let milliseconds = digits.and_then(|text| text.parse().ok()).ok_or(RequestError::InvalidTimeLeft)?;
     Ok(Duration::from_millis(milliseconds))
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -2,33 +2,36 @@
 
 use super::RequestError;
 use super::body::{ResponseBody, ShardResponseBody};
+use crate::engine::ShardResponse;
 use actix_http::header::{CONTENT_TYPE, RETRY_AFTER};
 use actix_http::{Response, ResponseBuilder, StatusCode};
 use bytes::Bytes;
-use routing::{ShardId, Tenths};
+use routing::Tenths;
 use tracing::warn;
 
-/// The response of a query whose shards gave these values, unless it is longer than `max_length`.
-pub(super) fn values(is_complete: bool, values: &[(ShardId, Bytes)], max_length: usize) -> Response<Bytes> {
-    let mut shard_responses = Vec::with_capacity(values.len());
-    for (shard, value) in values {
-        // The codec takes a frame with another value than text for a bad one, so all of them are text.
-        let text = std::str::from_utf8(value);
-        shard_responses.extend(text.map(|value| ShardResponseBody { shard: shard.0, value }));
-    }
+/// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent: the
+/// query is failed.
+pub(super) fn shard_responses(
+    is_complete: bool,
+    responses: &[ShardResponse],
+    max_length: usize,
+) -> Response<Bytes> {
+    // The codec rejects frames whose value is no text, so all of them are text.
+    let shard_responses = responses.iter().filter_map(shard_response_body).collect();
     let body = serde_json::to_vec(&ResponseBody { is_complete, shard_responses }).ok();
-    match body.filter(|body| body.len() <= max_length) {
-        Some(body) => {
-            build(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
-        }
-        None => {
-            warn!("a response longer than a body may be is given up");
-            plain(StatusCode::BAD_GATEWAY, "the answer is too long\n")
-        }
-    }
+    let Some(body) = body.filter(|body| body.len() <= max_length) else {
+        warn!(max_length, "response too long, query failed");
+        return plain(StatusCode::BAD_GATEWAY, "the answer is too long\n");
+    };
+    build(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
+}
+
+fn shard_response_body(response: &ShardResponse) -> Option<ShardResponseBody<'_>> {
+    let value = std::str::from_utf8(&response.value).ok()?;
+    Some(ShardResponseBody { shard: response.shard.0, value })
 }
 
-/// A query was rejected: sending it again is harmless. Without a `retry_after` there is no such header.
+/// The response to a rejected query, which may be sent again. `retry_after` zero: the response has no `Retry-After`.
 pub fn rejected(retry_after: Tenths) -> Response<Bytes> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > Tenths::ZERO {
@@ -37,12 +40,12 @@
     build(&mut response, "declined\n")
 }
 
-/// The request is wrong.
+/// The response to a request with a client error.
 pub(super) fn request_error(error: RequestError) -> Response<Bytes> {
     let status = error.status();
     let mut response = Response::build(status);
     if status == StatusCode::PAYLOAD_TOO_LARGE || status == StatusCode::REQUEST_TIMEOUT {
-        // The rest of the body is not waited for.
+        // The rest of the body is not read.
         response.force_close();
     }
     build(&mut response, format!("{error}\n"))
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -26,10 +26,10 @@
         match StartupConfig::reread_discovery(&source) {
             Ok(address) => {
                 info!(discovery = %address, "config reloaded");
-                // Also where it names the same address: the endpoint list is asked for anew.
+                // Sent even if the address is the same, so that the endpoint list is requested again.
                 discovery.send_replace(address);
             }
-            Err(reason) => warn!(%reason, "config not reloaded, the old one holds"),
+            Err(reason) => warn!(%reason, "config reload failed, the old config stays in use"),
         }
     }
 }
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -55,9 +55,10 @@
     warn_of_second_phases(&config.broker_settings);
     let engine =
         Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, operator.admission);
-    // Guards against drains that an agent has and of which the broker counts as notified from the first
-    // moment: the agent is asked before anything is sent, and what was known before is not used.
-    if let Some(known) = config.known.filter(|_| limits.discovery_kind == DiscoveryKind::Shared) {
+    // Where discovery is a local agent, the broker counts as notified of every drain that the agent knows, from its
+    // start on. The cached list may miss one, so nothing is sent by it: the broker waits for the agent's list. The cost
+    // is that `/_health` is 503 until then.
+    if let Some(known) = config.known.filter(|_| limits.discovery.kind == DiscoveryKind::Shared) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
     let query_handler = QueryHandler {
@@ -68,7 +69,7 @@
     let http_server = HttpServer::new(query_handler);
     actix_rt::spawn(engine.clone().run());
     let (discovery, discovery_changes) = watch::channel(config.discovery);
-    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.clone(), discovery_changes));
+    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.discovery.clone(), discovery_changes));
     let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
     info!(broker = %config.name, listen_address = %listens, "serving");
@@ -77,6 +78,8 @@
 
 fn warn_of_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
-        warn!("a request class has a second phase, which this protocol lacks: its queries are rejected");
+        warn!(
+            "a request class has a second phase, which the protocol does not support: its queries are rejected"
+        );
     }
 }
--- a/crates/broker/src/shutdown.rs
+++ b/crates/broker/src/shutdown.rs
@@ -1,4 +1,8 @@
-//! Shutting down on SIGTERM: everything that was accepted is answered first.
+//! Graceful shutdown on SIGTERM: everything that was accepted is answered first.
+//!
+//! The steps and their times are [`ShutdownSchedule`]'s. Guarantee: each accepted query has exactly one response before a
+//! SIGKILL may follow, be it 502. It holds since queries that are open at the deadline are failed by the engine in one
+//! step, after which it accepts none, and each waiting request handler then has its outcome.
 
 use crate::limits::to_duration;
 use crate::running::Running;
@@ -31,7 +35,7 @@
         let mut closed = pin!(self.http_server.close());
         if timeout_at(fail_open_at, &mut closed).await.is_err() {
             let failed_queries = self.engine.fail_open_queries();
-            warn!(failed_queries, "queries without a response at the shutdown deadline, answered as failed");
+            warn!(failed_queries, "queries failed at the shutdown deadline");
             // A client that does not take its response, or still sends, is not waited for.
             let _ = timeout(schedule.final_response_timeout, closed).await;
         }
--- a/crates/broker/src/socket_peek.rs
+++ b/crates/broker/src/socket_peek.rs
@@ -1,7 +1,7 @@
-//! What can be told of a TCP stream without taking bytes from it.
+//! Looks at a TCP stream without reading from it.
 //!
-//! The system may know of bytes or of a close before the runtime's readiness events tell of them. The
-//! functions here say which of the two they ask.
+//! The system may know of bytes or of a close before the runtime has a readiness event for them. Each function says
+//! which of the two it asks.
 
 use crate::io_errors::retry_interrupted;
 use futures_util::FutureExt;
@@ -11,13 +11,13 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Whether bytes lie unread, asked of the system: no event for them may have come yet.
+/// Whether bytes are unread, asked of the system: there may be no event for them yet.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     peek_byte(stream).is_ok_and(|count| count > 0)
 }
 
-/// Whether the peer has ended the connection and nothing lies unread before its end, asked of the system. A
-/// connection that was reset counts as ended.
+/// Whether the peer has closed the connection and no byte is unread before the close, asked of the system. A reset counts
+/// as a close.
 pub fn has_peer_closed(stream: &TcpStream) -> bool {
     match peek_byte(stream) {
         Ok(count) => count == 0,
@@ -25,13 +25,13 @@
     }
 }
 
-/// Whether an event has told that the peer closed its side, also behind bytes that lie unread.
+/// Whether there was an event for the peer's close, even with bytes unread before it.
 pub fn is_read_closed(stream: &TcpStream) -> bool {
     let ready = stream.ready(Interest::READABLE).now_or_never();
     ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
 }
 
-/// Whether at least `count` bytes lie unread, asked of the system.
+/// Whether at least `count` bytes are unread, asked of the system.
 pub fn has_unread_bytes_of(stream: &TcpStream, count: usize) -> bool {
     let mut buffer = vec![MaybeUninit::uninit(); count];
     retry_interrupted(|| SockRef::from(stream).peek(&mut buffer)).is_ok_and(|unread| unread == count)
--- a/crates/broker/src/socket_peek/tests.rs
+++ b/crates/broker/src/socket_peek/tests.rs
@@ -1,9 +1,10 @@
 //! What a stream tells of unread bytes and of its peer's close.
 
-use super::*;
+use super::{has_peer_closed, has_unread_bytes, has_unread_bytes_of};
 use rstest::rstest;
+use socket2::SockRef;
 use std::io::Write;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 
 async fn connect() -> (TcpStream, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -1,11 +1,14 @@
 //! What a broker starts from: the environment and the config file.
+//!
+//! The keys of the config file (`known`, `limits` and the like) become the code's terms here. Endpoint lists in it have
+//! the format of `endpoint_list`.
 
 use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, LimitsError, Machine};
 use routing::Tenths;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use settings::BrokerSettings;
+use settings::{BrokerSettings, SettingsError};
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseIntError;
@@ -15,7 +18,7 @@
 /// Says where discovery is, and comes before the config file.
 const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
 
-/// Why a broker could not start.
+/// Why a broker could not start. The texts are for whoever started it.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// Neither the command line nor the environment names a config file.
@@ -37,12 +40,12 @@
         /// What is wrong with it.
         source: Box<StartupError>,
     },
-    /// The config file is no JSON of the expected form.
+    /// The config file is not JSON of the expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The settings within the config file can't be used.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     /// The machine has too little of something.
     #[error(transparent)]
     Limits(#[from] LimitsError),
@@ -62,7 +65,7 @@
         /// Why that is no address.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("`seed`: {0}")]
     Seed(#[source] ParseIntError),
     /// The system refused a socket, a signal handler, a thread or the like.
@@ -70,7 +73,7 @@
     Io(#[from] io::Error),
 }
 
-/// All that one broker starts from.
+/// Everything that one broker starts from.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
     /// The broker's name.
@@ -81,11 +84,11 @@
     pub discovery: SocketAddr,
     /// Seeds the routing decisions' random numbers.
     pub seed: u64,
-    /// What was read of the settings, adapted to sockets.
+    /// What the settings say, adapted to sockets.
     pub broker_settings: BrokerSettings,
     /// The text of the settings that `broker_settings` was read from.
     pub settings: String,
-    /// The nodes as this broker last had them.
+    /// The endpoint list that this broker had last.
     pub known: Option<NodeList>,
     /// The sizes, counts and times that follow from the machine and the settings.
     pub limits: Limits,
@@ -132,11 +135,11 @@
 }
 
 impl StartupConfig {
-    /// Reads the EDGE_* variables and the file that they name.
+    /// Reads the `EDGE_*` variables and the file that they name.
     ///
     /// # Errors
     ///
-    /// The text is for whoever started the broker.
+    /// The file is not named, can't be read, or has a mistake.
     pub fn from_env() -> Result<StartupConfig, StartupError> {
         StartupConfig::from(&ConfigSource::default())
     }
@@ -150,8 +153,8 @@
         StartupConfig::read_file(|name| source.variable(name))
     }
 
-    /// Reads the file again, for what a running broker takes over from it: where discovery is now. What the
-    /// environment says of that holds for the start only.
+    /// Reads the file again for what a running broker takes over from it: the address of discovery. The environment's
+    /// address holds at the start only.
     ///
     /// # Errors
     ///
@@ -170,16 +173,15 @@
         }
     }
 
-    /// Reads a config file's text. What the environment says of name and addresses comes first.
+    /// Reads a config file's text. Name and addresses in the environment (`env`) take precedence.
     ///
     /// # Errors
     ///
-    /// Says which key is wrong, and how.
+    /// A key is missing or has an invalid value, or the machine has too little of something.
     pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let settings = file.settings.get();
-        let mut broker_settings =
-            settings::read(settings.as_bytes()).map_err(|e| StartupError::Settings(e.to_string()))?;
+        let mut broker_settings = settings::read(settings.as_bytes())?;
         let limits = Limits::new(file.limits.into(), &broker_settings)?;
         adapt_to_sockets(&mut broker_settings, &limits);
         Ok(StartupConfig {
@@ -201,15 +203,14 @@
     text.parse().map_err(|source| StartupError::Address { key, text, source })
 }
 
-/// Sets what the settings can't know: how this broker reaches nodes and discovery.
+/// Sets what follows from this broker's connections to nodes and discovery, which the settings can't know.
 fn adapt_to_sockets(broker_settings: &mut BrokerSettings, limits: &Limits) {
     let config = &mut broker_settings.broker_config;
-    // From its turn to its last byte an attempt may have to wait for a connection.
-    config.send_lag = limits.attempt_write_timeout + limits.turn_period;
-    // Discovery is asked here; what the settings call automatic, the watch of an agent brings about.
+    // Between its turn and its last byte an attempt may have to wait for a connection.
+    config.send_lag = limits.nodes.attempt_write_timeout + limits.turn_period;
+    // Discovery speaks HTTP and has to be asked, also where the settings call the endpoint list automatic.
     config.watch_on_request = true;
-    // After a call that failed the decisions may wait no longer than until they count as notified of what
-    // they miss.
+    // After a failed request the decisions may wait no longer than until they count as notified of what they miss.
     let max_age = &mut config.rules.endpoint_list_max_age;
-    *max_age = (*max_age).min(limits.assumed_notified_after);
+    *max_age = (*max_age).min(limits.discovery.assumed_notified_after);
 }
--- a/crates/broker/tests/command.rs
+++ b/crates/broker/tests/command.rs
@@ -99,7 +99,8 @@
     assert!(stdout.contains("shard-broker check config.json") && stdout.contains("Exit codes"), "{stdout}");
 }
 
-/// An operator's file with a mistake starts nothing.
+/// An operator's file has a misspelt key. Served as if it were not there, what it switches on would stay off unnoticed.
+/// The program must not start, and must name the line and the nearest key.
 #[rstest]
 fn does_not_start_with_a_wrong_operator_file() {
     let (_folder, path) = write_file("operator.ini", "[control]\nservise = 127.0.0.1:1\n");
@@ -112,7 +113,8 @@
     );
 }
 
-/// A program that can't follow versions of the configuration says so, and does not start as if it could.
+/// The operator switches configuration versions on, and the program is built without them. Started all the same, it
+/// would never get a version. It must say so, and exit with code 1.
 #[cfg(not(feature = "config-rollout"))]
 #[rstest]
 fn says_that_it_is_built_without_config_rollout() {
@@ -126,7 +128,8 @@
     assert_eq!(shard_broker(&["control", "status", "--at", "127.0.0.1:1"]).status.code(), Some(2));
 }
 
-/// A broker that can't be asked and wrong arguments have different exit codes.
+/// The broker whose status is asked for is not there. A script must be able to tell that from wrong arguments: the exit
+/// code must be 3.
 #[cfg(feature = "config-rollout")]
 #[rstest]
 fn has_an_exit_code_for_no_answer() {
@@ -178,7 +181,8 @@
     );
 }
 
-/// Nothing is written over, nothing is made of what can't be read or would not be served from.
+/// The new file exists already, or the old file or the layout can't be used. No file may be overwritten, and none written
+/// that a broker would not start from; the message must say what is wrong.
 #[rstest]
 #[case("old", "exists")]
 #[case("there", "exists")]
@@ -219,7 +223,8 @@
     }
 }
 
-/// A setting that is unknown, missing or out of range is refused at the start, with its key and what is allowed.
+/// A setting is unknown, missing or out of range. Served with a default in its place, the mistake would go unnoticed.
+/// The program must not start, and must name the key and what is allowed.
 #[rstest]
 #[case("/Stats", json!({"Via": "push"}), "`Stats.Via` is \"push\": `piggyback` or `pull` or `silent` is allowed")]
 #[case("/Limits/Probes", json!("yes"), "`Limits.Probes` is \"yes\": true or false is allowed")]
@@ -239,7 +244,8 @@
     assert!(output.status.code() == Some(2) && stderr.contains(message), "{stderr}");
 }
 
-/// The platform's form, without a command: a file that can't be used ends it as it ends `serve`, with every mistake.
+/// The program is started without a command, as the platform does, with a file that can't be used. It must end as
+/// `serve` does, and list every mistake.
 #[rstest]
 fn the_bare_form_lists_every_mistake() {
     let mut broken = settings();
--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -1,5 +1,5 @@
-//! Versions from a configuration service, from outside: the program as processes, a test server that has
-//! every fault, clients that check that the brokers do what they report.
+//! Configuration versions from a service, seen from outside: the program as processes, a test server with every
+//! fault, clients that check that the brokers do what they report.
 
 mod fixture;
 
@@ -35,9 +35,10 @@
     looks: AtomicU64,
 }
 
-/// Three brokers, a service that drops, delays, repeats, reorders and garbles by seed, queries all the
-/// while: at each look from outside the reported version is the one in force, all come to the newest, and
-/// each query has one response.
+/// The configuration service drops, delays, repeats, reorders and garbles what it sends, by seed, to three
+/// brokers that serve queries. A fault shows as a broker that reports another version than it runs, that stays
+/// behind, or that loses a query. At each look the reported version must be the one in force, all brokers must
+/// reach the newest, and each query must have one response.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -135,9 +136,9 @@
     assert_eq!(nonces.len(), all);
 }
 
-/// A version that passes its checks and makes queries fail: the last confirmed one is rolled back to within
-/// seconds, which the service and the status report; the failed one is not applied again. Every query has its
-/// response all the while.
+/// A version passes its checks and makes queries fail: each lookup is rejected. The broker must roll back to
+/// the last confirmed version within seconds, report that to the service and in its status, and not apply the
+/// failed one again. Every query must have its response all the while.
 #[rstest]
 fn withdraws_a_version_that_makes_queries_fail() {
     let service = XdsTestServer::start(ANY_PORT, FaultPlan::default()).unwrap();
@@ -192,8 +193,8 @@
     failed
 }
 
-/// Killed and restarted with no service reachable, a broker goes on with what it stored; a corrupt file is
-/// named and not used.
+/// A broker is killed and restarted while no service is reachable, and later with a state file that is cut. It
+/// must go on with the version that it stored; a corrupt file must be named in the log and not used.
 #[rstest]
 fn goes_on_with_the_stored_version() {
     let mut service = XdsTestServer::start(ANY_PORT, FaultPlan::default()).unwrap();
@@ -234,7 +235,8 @@
     assert!(broker.log.iter().any(|line| line.contains("it is torn")), "{:#?}", broker.log);
 }
 
-/// Killed while a version is on probation, it is applied again; what was withdrawn stays so after a restart.
+/// A broker is killed while a version is on probation, and later after it withdrew one. After the restart the
+/// probation must begin again, and what was withdrawn must be rejected.
 #[rstest]
 fn goes_on_with_a_probation_and_remembers_what_it_withdrew() {
     let service = XdsTestServer::start(ANY_PORT, FaultPlan::default()).unwrap();
@@ -275,7 +277,8 @@
     assert_eq!(broker.status().number, 1);
 }
 
-/// Documents that must not end a broker: each is rejected with its reason, and the broker serves on.
+/// The service sends documents that are too long, too deep, cut, or without their keys. Each must be rejected
+/// with its reason; the broker must serve on, and apply the next valid version.
 #[rstest]
 #[case(vec![b' '; 10 << 20], "10485760 bytes, at most 1048576 are allowed")]
 #[case(vec![b'['; 5000], "recursion limit exceeded")]
@@ -297,8 +300,8 @@
     wait_until("the next is applied", || broker.status().number == 2);
 }
 
-/// A version that removes a class and a placement group with queries of them open: those go on under the
-/// version that they were accepted under, and new ones are answered that there is no such class.
+/// A version removes a class and a placement group while queries of them are open. Those must go on under the
+/// version under which they were accepted; new ones of that class must get 400.
 #[rstest]
 fn removes_a_class_with_queries_open() {
     let service = XdsTestServer::start(ANY_PORT, FaultPlan::default()).unwrap();
@@ -328,8 +331,8 @@
     });
 }
 
-/// The folder of the state file can't be written for a while: what was confirmed meanwhile is stored once it can, though
-/// no other version comes.
+/// The folder of the state file can't be written for a while. What was confirmed meanwhile must be stored once
+/// it can be, though no other version comes.
 #[rstest]
 fn stores_what_it_owes_once_it_can() {
     let service = XdsTestServer::start(ANY_PORT, FaultPlan::default()).unwrap();
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -23,12 +23,15 @@
     broker_settings.broker_config.rules.endpoint_list_max_age = Tenths::from_ms(endpoint_list_max_age);
     broker_settings.broker_config.rules.drain_grace = Tenths::from_ms(grace);
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
-    assert_eq!(limits.discovery_kind, DiscoveryKind::LocalAgent);
-    let notified = Duration::from_secs(6).max(limits.watch_wait + Duration::from_secs(2));
-    let noticed = limits.watch_wait + limits.watch_slack;
+    assert_eq!(limits.discovery.kind, DiscoveryKind::LocalAgent);
+    let notified = Duration::from_secs(6).max(limits.discovery.watch_wait + Duration::from_secs(2));
+    let noticed = limits.discovery.watch_wait + limits.discovery.watch_slack;
     assert!(noticed < notified);
-    let answered = noticed + 2 * limits.list_retry_interval;
-    assert!(answered + limits.list_retry_interval <= notified + Duration::from_millis(grace as u64 + 50));
+    let answered = noticed + 2 * limits.discovery.list_retry_interval;
+    assert!(
+        answered + limits.discovery.list_retry_interval
+            <= notified + Duration::from_millis(grace as u64 + 50)
+    );
 }
 
 /// Responses to what had to be failed are on the way before the earliest kill: the longest deadline, 3 s at
@@ -53,7 +56,8 @@
 #[rstest]
 fn bad_clients_are_gone_within_three_seconds() {
     let limits = Limits::new(MACHINE, &BrokerSettings::default()).unwrap();
-    let closed = limits.client_io_timeout + limits.unread_body_timeout + limits.sweep_interval;
+    let closed =
+        limits.clients.io_timeout + limits.clients.unread_body_timeout + limits.clients.sweep_interval;
     assert!(closed < Duration::from_secs(3));
 }
 
@@ -64,5 +68,5 @@
     let broker_settings = BrokerSettings::default();
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
     let turns = 2 * limits::to_duration(broker_settings.broker_config.period);
-    assert!(limits.close_poll_interval + turns <= Duration::from_millis(50));
+    assert!(limits.clients.close_poll_interval + turns <= Duration::from_millis(50));
 }
--- a/crates/broker/tests/sockets/bad_requests.rs
+++ b/crates/broker/tests/sockets/bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected as the client's error, or since the protocol can't carry them.
+//! Requests that are rejected as the client's error, or because the protocol can't carry them.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -11,6 +11,8 @@
     query_request("a", "lookup", 900, &body(ONE_SHARD))
 }
 
+/// Clients send what is no valid query: wrong paths, headers, lengths and bodies. Each must get its status,
+/// nothing of it may be sent to a node, and the next client must be served.
 #[rstest]
 #[case("POST /other HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404)]
 #[case("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 405)]
@@ -52,13 +54,17 @@
     });
 }
 
-/// A client that repeats the same bad request loses its connection.
+/// A client repeats the same bad request without end, which costs the broker a parse each time. After the bound
+/// its connection must be closed.
 #[rstest]
 fn closes_a_connection_after_repeated_bad_requests() {
     run_test(async {
-        let cluster =
-            TestCluster::start_with(1, |_| (), |startup| startup.limits.max_consecutive_bad_requests = 3)
-                .await;
+        let cluster = TestCluster::start_with(
+            1,
+            |_| (),
+            |startup| startup.limits.clients.max_consecutive_bad_requests = 3,
+        )
+        .await;
         let mut client = cluster.client().await;
         for _ in 0..3 {
             client.write(&query_request("a", "unheard-of", 900, &body(ONE_SHARD))).await;
@@ -68,7 +74,8 @@
     });
 }
 
-/// The id of an open query is refused to others, and the open query goes on untouched.
+/// Two clients use the same query id. Their shard requests would have the same ids at the nodes, and a response
+/// could reach the wrong client. The second must be rejected, and the first answered as if nothing had been.
 #[rstest]
 fn rejects_the_id_of_an_open_query() {
     run_test(async {
@@ -82,8 +89,9 @@
     });
 }
 
-/// What this protocol can't carry is rejected, and nothing of it is sent: a second phase, without which
-/// a response would hold nothing, and the key by which repeats of a query are known.
+/// A query needs what frames have no field for: a second phase, without which its response would hold nothing,
+/// or an idempotency key, without which it could be executed twice. It must be rejected (503), and nothing of
+/// it sent.
 #[rstest]
 #[case("lookup", "", 503)]
 #[case("once", "Idempotency-Key: 710d\r\n", 503)]
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: their number, slow ones, idle ones.
+//! Client connections: their number, slow ones, idle ones.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -8,7 +8,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Queries and shard requests up to `MaxOpen`, connections up to the descriptors: beyond, it rejects.
+/// Clients send more queries, and hold more connections, than the limits allow. Beyond `MaxOpen` a query must
+/// be rejected (503) and nothing of it sent; at the bound on connections idle ones must make room, and requests
+/// on surplus ones must be rejected.
 #[rstest]
 fn rejects_beyond_its_limits() {
     run_test(async {
@@ -48,13 +50,14 @@
     });
 }
 
-/// With every place taken a new connection waits, and is served as soon as one of the others is idle.
+/// Every place is taken by a connection with an incomplete request. A new connection must wait, and be served
+/// as soon as one of the others is idle.
 #[rstest]
 fn idle_connections_make_room_at_the_limit() {
     run_test(async {
         let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
         let cluster = TestCluster::start_with(1, few, |startup| {
-            startup.limits.client_io_timeout = Duration::from_secs(90);
+            startup.limits.clients.io_timeout = Duration::from_secs(90);
         })
         .await;
         let mut held = Vec::new();
@@ -108,14 +111,15 @@
     });
 }
 
-/// A connection whose client sends nothing, or is slow with its head or its body, is closed in time; one that
-/// is idle after a response is not.
+/// Clients connect and send nothing, or stop within a head or a body. Each holds a place that others may need.
+/// It must be closed in time, with 408 where a request was begun; a connection that is idle after a response
+/// must stay open.
 #[rstest]
 fn closes_slow_clients() {
     run_test(async {
         let quick = |startup: &mut StartupConfig| {
-            startup.limits.client_io_timeout = Duration::from_millis(200);
-            startup.limits.sweep_interval = Duration::from_millis(50);
+            startup.limits.clients.io_timeout = Duration::from_millis(200);
+            startup.limits.clients.sweep_interval = Duration::from_millis(50);
         };
         let cluster = TestCluster::start_with(1, |_| (), quick).await;
         let (mut idle, mut silent, mut head, mut body) =
@@ -133,12 +137,13 @@
     });
 }
 
-/// Of connections that are kept idle only a few stay open: the one that was idle longest is closed.
+/// Many clients send one request and keep their connection, which would use up the descriptors. Beyond the
+/// bound the connection that was idle longest must be closed, and the others stay usable.
 #[rstest]
 fn keeps_few_idle_connections() {
     run_test(async {
         let cluster =
-            TestCluster::start_with(1, |_| (), |startup| startup.limits.max_idle_client_connections = 2)
+            TestCluster::start_with(1, |_| (), |startup| startup.limits.clients.max_idle_connections = 2)
                 .await;
         let mut kept = Vec::new();
         for _ in 0..4 {
@@ -153,13 +158,14 @@
     });
 }
 
-/// Hundreds of connections that send nothing keep nobody out: at the limit they make room at once.
+/// A hundred clients connect and send nothing, with time limits that do not help. A client that does send a
+/// request must be served at once.
 #[rstest]
 fn silent_connections_make_room() {
     run_test(async {
         let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
         let patient = |startup: &mut StartupConfig| {
-            (startup.limits.client_io_timeout, startup.limits.sweep_interval) =
+            (startup.limits.clients.io_timeout, startup.limits.clients.sweep_interval) =
                 (Duration::from_secs(90), Duration::from_secs(90));
         };
         let cluster = TestCluster::start_with(1, few, patient).await;
@@ -173,8 +179,8 @@
     });
 }
 
-/// Of the requests on one connection one is handled at a time; the rest stays unread until that is answered,
-/// and does it no harm.
+/// A client sends an invalid request behind one that is still handled. It must stay unread until the first is
+/// answered, and must not harm it.
 #[rstest]
 fn reads_one_request_of_a_connection_at_a_time() {
     run_test(async {
@@ -190,8 +196,8 @@
     });
 }
 
-/// A body in chunks that stops half-way: its client gets its error, and the connection is closed, though the client
-/// stays and sends nothing more.
+/// A client stops in the middle of a chunked body and keeps its connection open. It must get 408 and the end of
+/// its connection, without a reset, though it sends nothing more.
 #[rstest]
 fn closes_the_connection_of_half_a_chunked_body() {
     run_test(async {
@@ -199,7 +205,7 @@
             1,
             |_| (),
             |startup| {
-                startup.limits.client_io_timeout = Duration::from_millis(200);
+                startup.limits.clients.io_timeout = Duration::from_millis(200);
             },
         )
         .await;
--- a/crates/broker/tests/sockets/configuration.rs
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -5,8 +5,9 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// SIGHUP ends no broker: where the file names another discovery, that is asked at once, whatever the start
-/// was given, and its list is used though its revision is lower. A file that can't be used changes nothing.
+/// Discovery moves, and SIGHUP tells the broker to read its config file again; some of the files can't be used.
+/// A broker that ended, or stayed at the old address, would serve by an old list. It must ask at the new
+/// address at once and use that list though its revision is lower; an unusable file must change nothing.
 #[rstest]
 fn follows_discovery_to_the_address_of_a_reloaded_config() {
     run_test(async {
@@ -26,7 +27,7 @@
         for unusable in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
             write(unusable.to_owned());
             process.signal("HUP");
-            process.wait_for_log("config not reloaded");
+            process.wait_for_log("config reload failed");
         }
         write(config(&old.nodes, &new.address().to_string()).to_string());
         process.signal("HUP");
@@ -43,6 +44,7 @@
     });
 }
 
+/// A config file has one wrong value. The error must name the key and what is wrong.
 #[rstest]
 #[case("/seed", json!("no number"), "`seed`")]
 #[case("/listen", json!("everywhere"), "`listen` is `everywhere`")]
--- a/crates/broker/tests/sockets/corrupt_frames.rs
+++ b/crates/broker/tests/sockets/corrupt_frames.rs
@@ -1,12 +1,13 @@
-//! Frames from nodes that can't be read, and what may be kept of them.
+//! Invalid frames from nodes, and which responses may still be used.
 
 use super::test_peers::*;
 use broker::StartupConfig;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// A connection whose frames can't be told apart any more fails all its attempts, which are retried
-/// elsewhere: no value that may be cut or corrupted is passed on, and nothing waits for its time-out.
+/// A node writes frames with a wrong length, an unknown id, or noise behind them. What follows can't be
+/// interpreted, and a value may be cut or extended. No such value may reach the client, and no shard request
+/// may wait for its timeout: all that are in flight on the connection must be retried on another node at once.
 #[rstest]
 #[case::not_a_length(encode_frame(b"", 0))]
 #[case::a_length_that_promises_more(encode_frame(b"5a.3 S 7 -\nbad", 40))]
@@ -17,8 +18,9 @@
 #[case::noise_behind_while_more_is_out([encode_frame(b"5a.3 S 7 -\nbad", 0), vec![0xff; 5]].concat())]
 fn retries_elsewhere_after_corrupt_frames(#[case] bytes: Vec<u8>) {
     run_test(async {
-        let shorten =
-            |startup: &mut StartupConfig| startup.limits.partial_frame_timeout = Duration::from_millis(50);
+        let shorten = |startup: &mut StartupConfig| {
+            startup.limits.nodes.partial_frame_timeout = Duration::from_millis(50);
+        };
         let mut cluster = TestCluster::start_with(2, |_| (), shorten).await;
         let mut client = cluster.send_query("a", "lookup", TWO_SHARDS).await;
         let (first, connection, shard_requests) = cluster.next_batch().await;
@@ -40,7 +42,9 @@
     });
 }
 
-/// A valid response stays valid, whatever report it brings and whatever follows it when no other is due.
+/// A node writes a valid response with an unreadable load report, or with more bytes behind it while nothing
+/// else is in flight. That says nothing of the value: the response must be used. What follows it closes the
+/// connection.
 #[rstest]
 #[case("%%% 7", vec![])]
 #[case("-", encode_frame(b"5a.3 S 7 -\nv", 0))]
--- a/crates/broker/tests/sockets/deadlines.rs
+++ b/crates/broker/tests/sockets/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time that an attempt tells its node.
+//! The time left that a frame states to its node.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -10,8 +10,9 @@
 /// What the standing page allows.
 const SLACK: Duration = Duration::from_millis(150);
 
-/// A connection that comes up late: what its first frame says of the time left is what is left then, not what
-/// was left at the turn.
+/// A connection comes up seconds after the turn that decided on the attempt. If its frame stated the time that
+/// was left at the turn, the node would work on after the client's deadline. The frame must state what is left
+/// when its first byte is written.
 #[rstest]
 fn a_late_connection_carries_the_time_that_is_left() {
     run_test(async {
--- a/crates/broker/tests/sockets/discovery.rs
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: snapshots, deltas, watches, and an agent that stays silent.
+//! Discovery: snapshots, deltas, watches, and an agent that does not answer.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -8,6 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// Discovery sends a snapshot, a delta, and then a list that can't be read. The last one must change nothing,
+/// and the complete list must be requested again; draining nodes must get no queries.
 #[rstest]
 fn watches_the_endpoint_list() {
     run_test(async {
@@ -37,12 +39,14 @@
     });
 }
 
-/// An agent that fell silent is called on and on, however often that failed, so that its list is known as
-/// soon as it answers: by waits that double the broker would miss a drain for seconds.
+/// A local agent does not answer for a long time. With a backoff the broker would miss a drain for seconds
+/// after the agent answers again. It must be asked at the same interval however often that failed, and its list
+/// must be used as soon as it answers.
 #[rstest]
 fn calls_a_silent_agent_until_it_answers() {
     run_test(async {
-        let waits = |startup: &mut StartupConfig| startup.limits.list_timeout = Duration::from_millis(300);
+        let waits =
+            |startup: &mut StartupConfig| startup.limits.discovery.list_timeout = Duration::from_millis(300);
         let mut cluster = TestCluster::start_with(1, pushed, waits).await;
         // Doubling from two and a half seconds, twenty calls take minutes.
         let twenty = async {
@@ -58,8 +62,8 @@
     });
 }
 
-/// Calls to a silent agent are given up in time: those that wait stay within the few descriptors set aside
-/// for it.
+/// A local agent accepts requests and never answers. If all of them waited, they would use up the descriptors
+/// set aside for discovery. They must be given up in time: no more than 20 may be open.
 #[rstest]
 fn few_calls_wait_at_a_silent_agent() {
     run_test(async {
@@ -83,14 +87,15 @@
     });
 }
 
-/// A silent discovery is asked anew; one that only keeps a watch waiting, as it was asked to, is waited for.
+/// A list request is never answered, and must be followed by another. A watch without a change is silent, too,
+/// as it was asked to be: it must be waited for.
 #[rstest]
 fn distinguishes_a_long_watch_from_silence() {
     run_test(async {
         let waits = |startup: &mut StartupConfig| {
-            startup.limits.watch_wait = Duration::from_secs(8);
-            startup.limits.watch_slack = Duration::from_millis(300);
-            startup.limits.list_timeout = Duration::from_millis(300);
+            startup.limits.discovery.watch_wait = Duration::from_secs(8);
+            startup.limits.discovery.watch_slack = Duration::from_millis(300);
+            startup.limits.discovery.list_timeout = Duration::from_millis(300);
         };
         let mut cluster = TestCluster::start_with(1, pushed, waits).await;
         assert_eq!(cluster.discovery.called().await, "/catalog/members");
@@ -125,13 +130,16 @@
     });
 }
 
-/// Discovery that answers later than the next call is due: its answer to the first call is used, though others have
-/// been made since and none of them is answered.
+/// Discovery answers later than the next list request is due. If each request were given up for the next one,
+/// the broker would never have a list. The answer to the first request must be used, though others were sent
+/// since and none of them is answered.
 #[rstest]
 fn uses_a_list_that_comes_late() {
     for is_agent in [true, false] {
         run_test(async move {
-            let slow = |startup: &mut StartupConfig| startup.limits.list_timeout = Duration::from_millis(300);
+            let slow = |startup: &mut StartupConfig| {
+                startup.limits.discovery.list_timeout = Duration::from_millis(300);
+            };
             let unknown = move |config: &mut Value| {
                 config["known"]["members"] = json!([]);
                 config["settings"]["RegistryMode"] = json!(if is_agent { "automatic" } else { "subscribe" });
@@ -149,7 +157,8 @@
     }
 }
 
-/// Configurations in quick succession: discovery is asked where the last one says, and is not asked once for each.
+/// Reloads follow each other within milliseconds. If each asked for the complete list, they would load
+/// discovery. It must be asked where the last one says, and far less often than there are reloads.
 #[rstest]
 fn asks_seldom_after_many_reloads() {
     run_test(async {
--- a/crates/broker/tests/sockets/discovery_races.rs
+++ b/crates/broker/tests/sockets/discovery_races.rs
@@ -1,6 +1,6 @@
-//! Races between calls to discovery: failures beside responses, resets, and silence. Each order is forced:
-//! what the agent does stands in the system's buffers before the broker is polled again. `docs/acceptance.md`
-//! lists them.
+//! Races between requests to discovery: failures beside responses, resets, and silence. Each order is forced:
+//! what the agent does is in the system's buffers before the broker is polled again. `docs/acceptance.md` lists
+//! them.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -11,8 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the agent has counts as notified from the first moment of a process: nothing is sent by the cached
-/// list, though the agent's first response never comes and a client sends a query.
+/// A process starts with a cached list, and its local agent does not answer at first. What the agent knows
+/// counts as known to the broker from the start, so a node in the cached list may be draining. No shard request
+/// may be sent before the agent's list has come.
 #[rstest]
 fn sends_nothing_before_the_agent_answers() {
     run_test(async {
@@ -46,8 +47,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Several calls wait at a silent agent. One of them fails in the moment in which another is answered: the
-/// response is used at once, not with the next call, by which the drain's grace may be over.
+/// Several requests wait at an agent. One fails in the moment in which another is answered. If the answer were
+/// only seen with the next request, the drain grace might be over. It must be used at once.
 #[rstest]
 #[case::fails_first(true)]
 #[case::answered_first(false)]
@@ -57,8 +58,11 @@
         let address = agent.local_addr().unwrap();
         let interval = Duration::from_secs(3);
         let waits = move |startup: &mut StartupConfig| {
-            (startup.discovery, startup.limits.list_retry_interval, startup.limits.list_timeout) =
-                (address, interval, 3 * interval);
+            (
+                startup.discovery,
+                startup.limits.discovery.list_retry_interval,
+                startup.limits.discovery.list_timeout,
+            ) = (address, interval, 3 * interval);
         };
         let cluster = TestCluster::start_with(1, pushed, waits).await;
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
@@ -85,8 +89,9 @@
     });
 }
 
-/// Responses that break off, that never end or that are too long are not used: the old list holds, and all is
-/// asked for again. Without a length the end of the connection ends a response, and a reset does not.
+/// Responses break off, are reset, or are too long. Taken as complete, a cut list would remove nodes that are
+/// there. None of it may be used, and the list must be requested again; only without a length does the end of
+/// the connection end a response, and a reset never does.
 #[rstest]
 #[case::no_length_and_a_reset("HTTP/1.1 200 OK\r\n\r\n", "", true, false)]
 #[case::no_length_and_an_end("HTTP/1.1 200 OK\r\n\r\n", "", false, true)]
@@ -127,8 +132,8 @@
     });
 }
 
-/// A watch that was reset is opened anew within the time after which what it misses counts as notified, also
-/// where the list is asked for and the settings would allow a longer silence.
+/// A watch is reset again and again. What a silent watch misses counts as notified after some seconds, so it
+/// must be reopened sooner than that, also where the settings would allow an older list.
 #[rstest]
 #[case("subscribe")]
 #[case("automatic")]
--- a/crates/broker/tests/sockets/fleet_sizes.rs
+++ b/crates/broker/tests/sockets/fleet_sizes.rs
@@ -4,7 +4,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A list of 3,200 nodes, also an indented one, is far longer than a request may be, and is used all the same.
+/// A fleet has 3,200 nodes, and discovery sends an indented list, far longer than a request may be. With a
+/// bound meant for requests the list would be dropped, and no query served. The list must be used.
 #[rstest]
 fn uses_a_list_of_3200_nodes() {
     run_test(async {
--- a/crates/broker/tests/sockets/interrupted_calls.rs
+++ b/crates/broker/tests/sockets/interrupted_calls.rs
@@ -1,4 +1,5 @@
-//! System calls that are interrupted, or that move few bytes: no connection breaks by that.
+//! System calls that are interrupted by a signal, or that move only a few bytes. Neither says anything of the
+//! connection, so none may break and no query may be lost.
 
 use super::system_faults::Setting;
 use super::test_cluster_process::{ClusterProcess, Outcomes};
@@ -7,7 +8,8 @@
 
 const QUERIES: usize = 200;
 
-/// One read, write and wait in eight ends with EINTR, from the process's first call on.
+/// One read, write and wait in eight fails with EINTR, from the process's first call on. Taken for errors they
+/// would show as closed connections and lost responses. Each call must be repeated, and every query served.
 #[rstest]
 fn interrupted_calls_are_made_again() {
     run_test(async {
@@ -27,7 +29,9 @@
     });
 }
 
-/// Each read and write moves three bytes at the most; the poll goes on telling of the rest.
+/// Each read and write moves at most three bytes. Code that takes a short transfer for the end would show
+/// truncated frames and hung queries. The rest must be read and written as the poll reports it, and every query
+/// served.
 #[rstest]
 fn short_transfers_are_gone_on_with() {
     run_test(async {
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports that are asked for by probes.
+//! Load reports that nodes send in reply to probes.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -40,7 +40,9 @@
     });
 }
 
-/// A replica that does not answer a probe, or whose connection ends, delays nothing for long.
+/// One of two replicas does not answer its load probe, or closes the connection. A broker that waited for it
+/// would miss the query's objective. After a fiftieth of the latency objective the shard request must go to the
+/// replica that reported.
 #[rstest]
 #[case(false)]
 #[case(true)]
--- a/crates/broker/tests/sockets/local_shortage.rs
+++ b/crates/broker/tests/sockets/local_shortage.rs
@@ -1,4 +1,5 @@
-//! This machine lacks something for a while: that says nothing of nodes, and what was taken on is still answered.
+//! This machine runs short of descriptors, ports or routes for a while. That says nothing of the nodes, and
+//! what was accepted must still be answered.
 
 use super::system_faults::Setting;
 use super::test_cluster_process::{ClusterProcess, Outcomes};
@@ -13,8 +14,9 @@
     config["settings"]["Limits"]["ConnIdleMs"] = json!(10.0);
 }
 
-/// No descriptor is free for 0.8 s. What came meanwhile is served later, and once it is over everything is served
-/// at once: no node is blamed.
+/// No descriptor is free for 0.8 s, so no connection to a node can be made. Counted against the nodes it would
+/// show as rejections after the shortage is over. Queries that came meanwhile must be served late, and those
+/// after it at once.
 #[rstest]
 fn a_shortage_of_descriptors_blames_no_node() {
     run_test(async {
@@ -33,7 +35,8 @@
     });
 }
 
-/// One connect in three fails for want of a local port, or of a way out.
+/// One connect in three fails because this machine has no local port, no route or no buffer. Each must be tried
+/// again; every query must be served.
 #[rstest]
 fn failing_connects_of_our_own_cost_no_query() {
     run_test(async {
@@ -47,7 +50,8 @@
     });
 }
 
-/// One accept in three fails for a connection that is gone, or for want of descriptors, also around a shutdown.
+/// One accept in three fails, since the connection is gone already or no descriptor is free. The others in the
+/// queue must still be accepted, and every query served.
 #[rstest]
 fn failing_accepts_cost_no_query() {
     run_test(async {
--- a/crates/broker/tests/sockets/node_connections.rs
+++ b/crates/broker/tests/sockets/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: refused, idle, unresponsive, full.
+//! Connections to nodes that are refused, idle, unresponsive, or at their limit.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -6,13 +6,15 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// A connection on which nothing came for long enough after a batch gets no more: the next batch goes on
-/// another, and what comes on the first all the same still counts.
+/// A connection is dropped on the way without a close, while its node serves others. It shows as silence after
+/// a batch. The next batch must go on a new connection; a response that comes on the first one all the same
+/// must still count.
 #[rstest]
 fn sends_nothing_more_on_an_unresponsive_connection() {
     run_test(async {
-        let shorten =
-            |startup: &mut StartupConfig| startup.limits.unresponsive_after = Duration::from_millis(100);
+        let shorten = |startup: &mut StartupConfig| {
+            startup.limits.nodes.unresponsive_after = Duration::from_millis(100);
+        };
         let mut cluster = TestCluster::start_with(1, |_| (), shorten).await;
         let mut first = cluster.send_query("a", "lookup", ONE_SHARD).await;
         let (_, silent, _) = cluster.next_batch().await;
@@ -27,7 +29,8 @@
     });
 }
 
-/// A refused connection proves that nothing ran: even what may run at most once goes elsewhere.
+/// A node refuses connections because its process is down. That proves that nothing was executed there, so even
+/// a query that may run at most once must be retried on the other replica and answered.
 #[rstest]
 fn retries_elsewhere_when_a_node_refuses_the_connection() {
     run_test(async {
@@ -48,7 +51,9 @@
     });
 }
 
-/// An idle connection goes before the node reaps it, so no shard request is written to one that is gone.
+/// Nodes close connections that were idle for their idle timeout. A batch written in that moment is lost and
+/// shows as a reset. The broker must close an idle connection before its node would, and must not count a
+/// connection as idle while a shard request is in flight on it.
 #[rstest]
 fn closes_idle_connections_to_nodes() {
     run_test(async {
@@ -65,8 +70,8 @@
     });
 }
 
-/// More shard requests than a connection carries go on another; where descriptors end, they wait on one that
-/// is open.
+/// A query has more shard requests than one connection may carry. The others must go on further connections;
+/// where no descriptor is left for one, they must wait on an open connection, and all must be answered.
 #[rstest]
 #[case(1024, 3)]
 #[case(66, 3)]
@@ -95,7 +100,9 @@
     });
 }
 
-/// A shard request that is unsent when its query ends is never sent, though its connection comes up at last.
+/// A connection to a node does not come up, and the query that waits for it reaches its deadline. The client is
+/// told that it may send it again (503). When the connection is established at last, nothing of the query may
+/// be written to it, or it could be executed twice.
 #[rstest]
 fn sends_nothing_after_the_query_ended() {
     run_test(async {
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -54,7 +54,9 @@
     });
 }
 
-/// A client that closes its connection has gone: its query ends, and its attempts are cancelled at the nodes.
+/// A client disconnects while its query is open. Without a cancel its node would work for nobody until the
+/// timeout. The attempt must be cancelled at the node, a late response must be dropped, and the connection must
+/// stay usable.
 #[rstest]
 fn cancels_attempts_when_the_client_disconnects() {
     run_test(async {
@@ -75,8 +77,9 @@
     });
 }
 
-/// An attempt that broke off after its frame may have run; one that was refused, or whose connection was, has
-/// not.
+/// An attempt fails: its connection is dropped, the node answers with an error, a bad frame, or that it is
+/// overloaded. After the frame was written it may have been executed, unless the node rejected it. A query that
+/// may run at most once must then be failed (502), any other retried on the other replica.
 #[rstest]
 #[case("report", "dropped", true, 200)]
 #[case("report", "error", true, 200)]
@@ -119,7 +122,8 @@
     });
 }
 
-/// Time runs from when the request began to come, and an attempt that times out is cancelled at its node.
+/// A node does not answer within the client's time, which runs from the first byte of the request. The client
+/// must get its rejection in time, with a `Retry-After`, and the attempt must be cancelled at the node.
 #[rstest]
 fn rejects_at_the_clients_deadline_and_cancels_attempts() {
     run_test(async {
@@ -162,9 +166,9 @@
     });
 }
 
-/// A shard request that may have run is retried only where its class may, and then only while its window is
-/// open when the last byte of the retry has been sent, for which a connection may have to come up first (2 s
-/// here). The window is the settings' own.
+/// A connection is dropped with a shard request on it that may have been executed. A retry is harmless only if
+/// its class is idempotent, or if its idempotency key is still known when the last byte of the retry is sent,
+/// for which a connection may have to be made first (2 s here). Else nothing may be sent again.
 #[rstest]
 #[case::safe("idempotent", 0.0, true)]
 #[case::known_by_its_id("deduplicated", 5000.0, true)]
--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -1,6 +1,6 @@
 //! Races on connections: a close, a request or a response in the same moment as another event. Each order is
-//! forced: what the peers do stands in the system's buffers before the broker is polled again.
-//! `docs/acceptance.md` lists them.
+//! forced: what the peers do is in the system's buffers before the broker is polled again. `docs/acceptance.md`
+//! lists them.
 
 use super::test_peers::*;
 use broker::engine::QueryOutcome;
@@ -12,8 +12,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A client that disconnected before its query's first attempt: nothing of it is sent when a node comes,
-/// whatever state its connection was in, and whatever it had sent behind its request.
+/// A client disconnects before the first attempt of its query, with its request complete or not, and with bytes
+/// sent behind it that hide the close. An attempt after that would be work for nobody. When a node becomes
+/// known, nothing of the query may be sent.
 #[rstest]
 #[case::body_still_coming(false, "")]
 #[case::complete(true, "")]
@@ -48,7 +49,8 @@
     });
 }
 
-/// The same where the shard request waits for a connection that comes up late.
+/// A client disconnects while its shard request waits for a connection to a node. When that connection is
+/// established, nothing may be written to it.
 #[rstest]
 fn sends_nothing_on_a_late_connection_for_a_client_that_disconnected() {
     run_test(async {
@@ -68,8 +70,9 @@
     });
 }
 
-/// A request sent ahead, behind the last one that its connection answers, is not forwarded: no response could
-/// follow.
+/// A client pipelines a second request behind one with `Connection: close`. No response to the second could
+/// follow, so forwarding it would execute a query whose client never learns of it. Nothing of it may be sent to
+/// a node.
 #[rstest]
 fn forwards_nothing_after_the_last_response() {
     run_test(async {
@@ -89,8 +92,9 @@
     });
 }
 
-/// A node closes an idle connection in the moment in which a batch is put on it: nothing was written, so the
-/// batch goes on another, also where it may run at most once and only one attempt is allowed.
+/// A node closes an idle connection in the moment in which a batch is queued on it. Written there the batch
+/// would be lost, and count as an attempt. Nothing was written, so it must go on another connection, even where
+/// the query may run at most once and only one attempt is allowed.
 #[rstest]
 fn a_batch_that_meets_the_close_of_an_idle_connection_uses_another() {
     run_test(async {
@@ -145,8 +149,9 @@
     (ids, rest)
 }
 
-/// A peer that reads nothing leaves a frame partly written. Past the deadline by which its attempt had to be
-/// sent it is never completed, though the peer reads on later: the connection is closed.
+/// A node stops reading in the middle of a frame, and reads on after the attempt's write deadline. Completed
+/// then, the frame would be executed although its query was rejected and may have been sent again. The
+/// connection must be closed with the frame incomplete.
 #[rstest]
 fn a_partly_written_frame_is_never_completed_after_its_deadline() {
     run_test(async {
--- a/crates/broker/tests/sockets/shutdown.rs
+++ b/crates/broker/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutting down: accepted queries are answered, and the exit is in time.
+//! Graceful shutdown: every accepted query has one response, and the process exits before SIGKILL may follow.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -6,7 +6,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// After the shutdown signal new connections are served for a moment, and all accepted queries are answered.
+/// SIGTERM comes while a query is open, and clients that do not know of it still connect. Closing at once would
+/// show as resets. New connections must be served for the accept period, idle ones closed, and all accepted
+/// queries answered on connections that then close.
 #[rstest]
 fn answers_accepted_queries_before_it_shuts_down() {
     run_test(async {
@@ -37,8 +39,9 @@
     });
 }
 
-/// Bytes behind the request that is answered as the process ends: the connection is not closed over them,
-/// which would reset it and might destroy the response.
+/// A client has sent bytes behind its last request when the process ends. Closing over unread bytes resets the
+/// connection, and the reset may destroy the response. The client must read its whole response, and then the
+/// end of the connection.
 #[rstest]
 fn does_not_reset_a_connection_after_its_last_response() {
     run_test(async {
@@ -58,8 +61,9 @@
     });
 }
 
-/// A second SIGTERM and a SIGHUP during the shutdown, discovery down, and a node that hangs: open queries get
-/// their final responses before the kill, and the exit code is 0.
+/// A node hangs and discovery is down when SIGTERM comes, followed by SIGHUP and a second SIGTERM. Waiting for
+/// the node would end in a SIGKILL with a query unanswered. The open query must get its one response (502)
+/// before the kill, the log must say so, and the exit code must be 0.
 #[rstest]
 fn shuts_down_before_the_kill_though_a_node_hangs() {
     run_test(async {
@@ -77,15 +81,15 @@
         process.wait_for_log("shutting down open_queries=1");
         let reply = client.reply().await.unwrap();
         assert_eq!(reply.status, 502);
-        process.wait_for_log("answered as failed failed_queries=1");
+        process.wait_for_log("queries failed at the shutdown deadline failed_queries=1");
         process.wait_for_log("shut down");
         assert_eq!(process.exit(), Some(0));
         std::fs::remove_file(&file).unwrap();
     });
 }
 
-/// SIGKILL can't be answered, SIGTERM can: bytes of a request that stand on an idle connection when the
-/// signal comes are answered, and the connection closes with that.
+/// A request arrives on an idle connection in the moment of SIGTERM. Closing that connection as idle would show
+/// as a reset. The request must be answered, and the connection closed after that.
 #[rstest]
 fn answers_a_request_that_arrives_with_the_shutdown_signal() {
     run_test(async {
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -1,6 +1,8 @@
-//! A soak, by seed: processes of the program are restarted with kills at the earliest that the pages allow, signals come
-//! in series, processes are held up, nodes drain, crash and return, watches fall silent, some runs have a crowd of idle clients; clients keep
-//! using their open connections to the last. Each request is counted to its final answer.
+//! A soak test, by seed. Brokers are restarted, with SIGTERM in series and SIGKILL as early as the pages allow;
+//! processes are paused; nodes drain, crash and return; watches fall silent; some runs have a crowd of idle
+//! clients. Clients use their open connections until they are closed. A fault shows as a request without a
+//! final response, as a query that ran twice though it may run at most once, or as a shard request sent to a
+//! draining node. None of these may happen, whatever the order of events.
 //!
 //! `SOAK_SEEDS=1..51` plays other seeds than the two of CI.
 
@@ -17,20 +19,24 @@
 use std::time::{Duration, Instant};
 use tempfile::NamedTempFile;
 
+/// The seeds that CI plays.
 const CI_SEEDS: Range<u64> = 1..3;
+/// How long one seed is played.
 const DURATION: Duration = Duration::from_secs(10);
 const BROKERS: usize = 2;
 const NODES: usize = 4;
 const CLIENTS: usize = 8;
+/// Idle connections in the runs with a crowd.
 const CROWD: usize = 150;
+/// The work of a shard request at the nodes, in microseconds.
 const WORK_US: u64 = 5000;
 /// The ids of queries that may run at most once begin with this.
 const ONCE: char = 'o';
-/// A process may be held up for so long at any point.
+/// How long a process is paused, in milliseconds.
 const HOLD_UP_MS: u64 = 150;
-/// SIGKILL comes so long after SIGTERM, and the longest deadline.
+/// SIGKILL comes this long after SIGTERM and the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A final answer may be so late, and as much again on a busy machine.
+/// How late a final response may be; half of it is for a busy machine.
 const ANSWER_SLACK: Duration = Duration::from_millis(1000);
 /// The grace of a drain on sockets, and what a busy machine may add.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 400);
@@ -41,6 +47,7 @@
     config: NamedTempFile,
 }
 
+/// One run: the brokers, nodes and discovery, and what became of the requests.
 struct Soak {
     seed: u64,
     deadline: Duration,
@@ -307,6 +314,7 @@
     from.parse().unwrap()..to.parse().unwrap()
 }
 
+/// Everything at once breaks: see the top of the file. Each request must have its one final response.
 #[rstest]
 fn every_request_is_answered() {
     for seed in seeds() {
--- a/crates/broker/tests/sockets/wall_clock.rs
+++ b/crates/broker/tests/sockets/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock is stepped while the program runs.
+//! The wall clock is stepped while the program runs. Nodes' start times are given by wall clocks, so a step
+//! must not change how warm a node is taken to be.
 
 use super::system_faults::{Setting, SystemFaults};
 use super::test_peers::*;
@@ -85,8 +86,9 @@
     SteppedBroker { process, nodes, _discovery: discovery, _faults: faults, _config: file }
 }
 
-/// Stepped back: the stamp of a node that starts then lies an hour in the past by the broker's own count, and
-/// the node is as cold as ever. What the settings allow it in the window: 3 times a fifth of it, in shard
+/// The wall clock is stepped back by an hour, and a node starts: its start time lies an hour in the past by the
+/// broker's own count. Taken as warm, the cold node would be given a full share and collapse. It must get no
+/// more in its first window than the settings allow a warming node, 3 times a fifth of the window in shard
 /// requests of mean work.
 #[rstest]
 fn a_clock_stepped_back_makes_no_cold_node_warm() {
@@ -101,7 +103,9 @@
     });
 }
 
-/// Stepped forward: the stamp lies an hour ahead, and the node is warm all the same once its warm-up is over.
+/// The wall clock is stepped forward by an hour, and a node starts: its start time lies an hour ahead. Taken as
+/// not yet started, it would stay unused for an hour. It must get its share of the traffic once its warm-up is
+/// over.
 #[rstest]
 fn a_clock_stepped_forward_keeps_no_node_cold() {
     run_test(async {
--- a/crates/routing/src/policy/discovery_backoff.rs
+++ b/crates/routing/src/policy/discovery_backoff.rs
@@ -25,8 +25,8 @@
 //! **Cost.** Up to [`MAX_PENDING_AGENT_REQUESTS`] connections to a silent agent; a change that shared discovery
 //! announces while it fails is known later, by the length of the backoff.
 //!
-//! **How it shows.** The log lines `endpoint list is not watched, the last one stays in use` and `discovery does
-//! not list the nodes, calls go on`.
+//! **How it shows.** The log lines `endpoint list watch failed, the last list stays in use` and `endpoint list
+//! request failed, retrying until one is answered`.
 //!
 //! [`Effect::WatchEndpoints`]: crate::Effect::WatchEndpoints
 
--- a/crates/routing/src/policy/shutdown_deadline.rs
+++ b/crates/routing/src/policy/shutdown_deadline.rs
@@ -15,8 +15,8 @@
 //!
 //! **Cost.** A query whose response would have come in the last tenth of a second is failed.
 //!
-//! **How it shows.** The log lines `shutting down`, `queries without a response at the shutdown deadline, answered as
-//! failed` with their number, and `shut down`.
+//! **How it shows.** The log lines `shutting down`, `queries failed at the shutdown deadline` with their number, and
+//! `shut down`.
 
 use std::time::Duration;
 
