--- a/crates/broker/src/command/check.rs
+++ b/crates/broker/src/command/check.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The longest document that is checked.
+/// The longest document that is checked, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// Checks a file, and prints what was found.
@@ -40,7 +40,7 @@
     }
 }
 
-/// What stands around the settings is only looked at where they are free of mistakes.
+/// Checks the settings, and the rest of the file only if they have no mistake.
 fn check_config_file(text: &[u8], file: &Value, settings: &Value) -> Result<(), Mistakes> {
     let settings = Document::parse(settings.to_string().as_bytes(), MAX_DOCUMENT_BYTES)
         .map_err(|e| Mistakes::one(e).within("settings"))?;
--- a/crates/broker/src/command/mod.rs
+++ b/crates/broker/src/command/mod.rs
@@ -1,7 +1,7 @@
 //! The command line of the program `shard-broker`.
 //!
-//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments, or in a file that was checked;
-//! 3 a broker could not be asked.
+//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments or in a checked file; 3 the broker whose
+//! status was asked for does not answer.
 
 mod check;
 mod mistakes;
@@ -19,7 +19,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How long a broker that is asked for its status may take.
+/// How long a broker may take to answer with its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A broker that reads many shards for one query.
@@ -37,7 +37,7 @@
         shard-broker reshape config.json --shape shape.ini --dry-run\n  \
         shard-broker reshape config.json --shape shape.ini --zone cremona --to new.json\n  \
         shard-broker control status --at 127.0.0.1:18001\n\n\
-        Exit codes: 0 done, 1 can't serve, 2 a mistake in the words or in a checked file, \
+        Exit codes: 0 done, 1 can't serve, 2 a mistake in the arguments or in a checked file, \
         3 no broker answers."
 )]
 struct CommandLine {
@@ -47,46 +47,46 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until told to leave (SIGTERM).
+    /// Serve until SIGTERM.
     Serve {
-        /// The broker's own file, JSON; EDGE_CONFIG where it is not told.
+        /// The broker's config file, JSON; the default is EDGE_CONFIG.
         #[arg(long, value_name = "FILE")]
         config: Option<String>,
-        /// The operator's file, INI: what is switched on, and how.
+        /// The operator's file, INI: optional features and their settings.
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// List every mistake in a file, and start nothing: a broker's file, a version's document, or an
-    /// operator's file.
+    /// List every mistake in a config file, a configuration version's document, or an operator's file. Starts
+    /// nothing.
     Check {
-        /// The file; one that ends in .ini is an operator's.
+        /// The file; one that ends in .ini is an operator's file.
         file: PathBuf,
-        /// One JSON object for scripts.
+        /// Print one JSON object for scripts.
         #[arg(long)]
         json: bool,
     },
-    /// Make the counterpart of a broker's file for a deployment of another shape; list what could not be
-    /// carried over. Nothing that is there already is written over.
+    /// Convert a config file to a deployment with another layout, and list what can't be carried over. An existing file
+    /// is never overwritten.
     Reshape {
-        /// The broker's file as it is, JSON; it stays as it is.
+        /// The present config file, JSON; it is not changed.
         old: PathBuf,
-        /// What the new deployment looks like, INI; `deploy/shape.ini` has every key.
+        /// The layout of the new deployment, INI; `deploy/shape.ini` has every key.
         #[arg(long, value_name = "FILE")]
         shape: PathBuf,
-        /// The new file. There must be none of that name.
+        /// The new file, which must not exist.
         #[arg(long, value_name = "FILE", required_unless_present = "dry_run")]
         to: Option<PathBuf>,
-        /// This broker's zone, by name, where the shape file does not say it.
+        /// This broker's zone, by name, where the layout file does not name it.
         #[arg(long, value_name = "NAME")]
         zone: Option<String>,
-        /// Write nothing: only tell what would be.
+        /// Write nothing, only print what would be written.
         #[arg(long)]
         dry_run: bool,
-        /// One JSON object for scripts.
+        /// Print one JSON object for scripts.
         #[arg(long)]
         json: bool,
     },
-    /// Versions from a control service.
+    /// Configuration versions from a control service.
     Control {
         #[command(subcommand)]
         command: ControlCommand,
@@ -95,18 +95,18 @@
 
 #[derive(Subcommand)]
 enum ControlCommand {
-    /// What a running broker truly runs.
+    /// Print which configuration version a running broker runs.
     Status {
-        /// The broker's `status_listen`.
+        /// The address of its status service, the `status_listen` of its operator's file.
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// One JSON object for scripts.
+        /// Print one JSON object for scripts.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Does what the command line says.
+/// Runs the command that the command line names.
 pub(crate) fn run() -> ExitCode {
     match CommandLine::try_parse() {
         Ok(command_line) => run_command(command_line.command),
@@ -143,8 +143,8 @@
         Some((_, Ok(operator))) => operator,
         None => Default::default(),
     };
-    // Guards against a setting that is misspelt or out of range and would be served as if it were not there.
-    // The platform's form, without a command, may hold keys that are not known yet.
+    // A setting that is misspelt or out of range would otherwise be served with its default, and nobody would notice.
+    // Started without a command, as the platform does, the file may have keys that are not known yet.
     let path = config.clone().or_else(|| std::env::var("EDGE_CONFIG").ok()).map(PathBuf::from);
     if let Some(path) = path.filter(|path| path.exists())
         && let Err(mistakes) = check_json_file(&path)
@@ -160,7 +160,7 @@
     check_json_file(path).err().unwrap_or_else(|| Mistakes::one(reason)).report(path, false)
 }
 
-/// Stands in for an address of a config file that is checked and not started from.
+/// A placeholder for an address of a config file that is only checked.
 fn placeholder_address(variable: &str) -> Option<String> {
     matches!(variable, "EDGE_LISTEN" | "EDGE_DISCOVERY").then(|| "127.0.0.1:0".to_owned())
 }
--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -1,4 +1,4 @@
-//! The `reshape` command: makes the counterpart of a broker's file for a deployment of another layout.
+//! The `reshape` command: converts a config file to a deployment with another layout.
 
 use super::mistakes::Mistakes;
 use super::placeholder_address;
@@ -10,11 +10,11 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// What the command is asked to do.
+/// The arguments of the command.
 pub(super) struct ReshapeRequest<'a> {
-    /// The broker's file as it is.
+    /// The present config file.
     pub(super) old: &'a Path,
-    /// The description of the new deployment.
+    /// The layout of the new deployment.
     pub(super) shape: &'a Path,
     /// This broker's zone, where `shape` does not say it.
     pub(super) zone: Option<&'a str>,
@@ -28,10 +28,11 @@
 struct ReshapeError<'a> {
     /// The file that the mistakes are in.
     file: &'a Path,
+    /// What they are.
     mistakes: Mistakes,
 }
 
-/// Makes the new file, checks that a broker would start from it, and writes it where there is none.
+/// Makes the new file, checks that a broker would start from it, and writes it, unless a file of that name exists.
 pub(super) fn reshape(request: &ReshapeRequest) -> ExitCode {
     match make_and_write(request) {
         Ok(reshaped) => {
@@ -58,6 +59,7 @@
     DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
+/// The converted file, from which a broker would start.
 fn make(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
     let reshaped = settings_migration::migrate(&old, shape, request.zone)
--- a/crates/broker/src/engine/attempt_table.rs
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, and the times by which something must have become of them.
+//! Attempts in flight, and their timers.
 
 use crate::node_pool::AttemptId;
 use routing::{NodeId, Tenths};
@@ -7,7 +7,7 @@
 /// What a timer of an attempt means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// By then the attempt's last byte is written, or it never will be.
+    /// An attempt that is not completely written by then is cancelled, or its connection closed.
     WriteDeadline,
     /// The attempt times out.
     Timeout,
@@ -16,20 +16,28 @@
 /// A time at which something is to happen to an attempt. Timers are ordered by their time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptTimer {
+    /// When it is due.
     at: Tenths,
+    /// What is to happen.
     pub(super) kind: TimerKind,
+    /// To which attempt.
     pub(super) attempt: AttemptId,
 }
 
 /// An attempt whose end is not known yet.
 pub(super) struct InFlightAttempt {
+    /// The node that it was sent to.
     pub(super) node: NodeId,
+    /// The turn in which it was sent.
     pub(super) sent_at: Tenths,
+    /// When it must be written completely.
     pub(super) write_deadline: Tenths,
+    /// When it times out.
     pub(super) times_out_at: Tenths,
 }
 
 impl InFlightAttempt {
+    /// The timers of this attempt, whose id is given.
     fn timers(&self, attempt: AttemptId) -> [AttemptTimer; 2] {
         [
             AttemptTimer { at: self.write_deadline, kind: TimerKind::WriteDeadline, attempt },
@@ -42,6 +50,7 @@
 #[derive(Default)]
 pub(super) struct AttemptTable {
     attempts: HashMap<AttemptId, InFlightAttempt>,
+    /// Both timers of each attempt, the earliest first.
     timers: BTreeSet<AttemptTimer>,
 }
 
--- a/crates/broker/src/engine/clock.rs
+++ b/crates/broker/src/engine/clock.rs
@@ -8,13 +8,15 @@
 /// The length of one tenth of a millisecond, the unit of [`Tenths`].
 const MICROS_PER_TENTH: u128 = 100;
 
-/// Counts from one reading of the system's wall clock, and only ever forward: spans of time are monotonic, however
+/// Counts from one reading of the system's wall clock by the monotonic clock: the time never goes back or jumps, however
 /// the wall clock is stepped.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BrokerClock {
+    /// When it was started, by the runtime's clock.
     started: Instant,
+    /// The same moment in Unix time.
     started_unix: Tenths,
-    /// A simulation has set the start, and no other clock counts.
+    /// A simulation has set the start; the system's wall clock is not read.
     is_simulated: bool,
 }
 
@@ -28,7 +30,7 @@
         }
     }
 
-    /// What the system's wall clock shows now. Nodes' start times are given by it; no span is measured by it.
+    /// What the system's wall clock shows now. Nodes' start times are given by wall clocks; no span is measured by one.
     pub(super) fn wall_clock(self) -> Tenths {
         match self.is_simulated {
             true => self.now(),
@@ -58,6 +60,7 @@
     }
 }
 
+/// The system's wall clock, in Unix time; a time before 1970 counts as 1970.
 fn system_time() -> Tenths {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Tenths((since_epoch.as_micros() / MICROS_PER_TENTH) as i64)
--- a/crates/broker/src/engine/decider.rs
+++ b/crates/broker/src/engine/decider.rs
@@ -1,11 +1,10 @@
-//! What takes the routing decisions: the routing crate alone, or behind admission control.
+//! Takes the decisions: routing alone, or routing behind admission control.
 
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use routing::{Broker, BrokerConfig, Effect, Input, Tenths};
 
 /// Takes the decisions of one broker.
-// There is one in a process: the common variant, routing alone, is not given an indirection for the sake of
-// size.
+// There is one in a process, so the difference in size costs nothing.
 #[allow(clippy::large_enum_variant)]
 pub(super) enum Decider {
     /// Routing decisions only.
@@ -15,8 +14,8 @@
 }
 
 impl Decider {
-    /// `admission`: the configuration of admission control, where it is switched on. The operator's file has
-    /// been checked before; a configuration that does not fit leaves admission control off.
+    /// `admission`: the configuration of admission control, where it is switched on. The operator's file was checked
+    /// before; a configuration that does not fit `broker_config` leaves admission control off.
     pub(super) fn new(
         broker_config: BrokerConfig,
         seed: u64,
@@ -32,7 +31,7 @@
         }
     }
 
-    /// Takes in the inputs, in order, and returns what is to be done at this same moment.
+    /// Takes in the inputs, in order, and returns what is to be done now.
     pub(super) fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
         match self {
             Decider::Routing(broker) => broker.turn(now, inputs),
--- a/crates/broker/src/engine/id_registry.rs
+++ b/crates/broker/src/engine/id_registry.rs
@@ -7,11 +7,15 @@
 /// Gives ids to the names that discovery uses. A node that was removed and comes back gets a new id.
 #[derive(Default)]
 pub(super) struct IdRegistry {
+    /// By the name that discovery uses.
     nodes: HashMap<String, NodeId>,
+    /// Those that are listed as ready.
     ready_nodes: HashSet<NodeId>,
+    /// Whether a node was ever ready.
     has_seen_ready_node: bool,
     /// A zone's id is its place here.
     zones: Vec<String>,
+    /// The id that was given last.
     last_node_id: u64,
 }
 
@@ -31,8 +35,8 @@
         self.has_seen_ready_node
     }
 
-    /// Drops the nodes that a complete list does not name, and returns their ids. None of the others counts
-    /// as ready until its own entry is registered.
+    /// Removes the nodes that a complete list does not name, and returns their ids. The others count as ready only once
+    /// their own entries are registered.
     pub(super) fn remove_unlisted(&mut self, listed: &[ListedNode]) -> Vec<NodeId> {
         self.ready_nodes.clear();
         let listed: HashSet<&str> = listed.iter().map(|node| &node.name[..]).collect();
@@ -47,7 +51,7 @@
         removed
     }
 
-    /// Notes a node's state and returns its id. The id of a removed node is returned a last time.
+    /// Notes a node's state and returns its id, also if it is removed by that.
     pub(super) fn register_node(&mut self, name: &str, state: EndpointState) -> NodeId {
         let next = NodeId(self.last_node_id + 1);
         let node = *self.nodes.entry(name.to_owned()).or_insert(next);
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -46,6 +46,8 @@
 mod event_loop;
 mod handles;
 mod id_registry;
+mod memory_budget;
+mod open_query;
 mod query;
 mod query_table;
 mod results;
@@ -78,13 +80,19 @@
 pub struct Engine {
     limits: Rc<Limits>,
     clock: BrokerClock,
+    /// Where attempts and probes are sent.
     nodes: Rc<NodePool>,
+    /// Takes the decisions.
     decider: RefCell<Decider>,
     /// What has happened since the last turn.
     inputs: RefCell<Vec<Input>>,
+    /// The open queries.
     queries: RefCell<QueryTable>,
+    /// The attempts in flight.
     attempts: RefCell<AttemptTable>,
+    /// The ids of nodes and zones.
     ids: RefCell<IdRegistry>,
+    /// The configuration under which queries are accepted now.
     epoch: RefCell<Rc<ConfigEpoch>>,
     /// When the decisions want their next turn.
     wake_at: Cell<Option<Tenths>>,
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -1,5 +1,7 @@
-//! Open queries and their shard requests, and the memory that they hold.
+//! The open queries and their shard requests, within bounds on their number and on the memory that they hold.
 
+use super::memory_budget::MemoryBudget;
+use super::open_query::{OpenQuery, OpenShardRequest};
 use super::{AdmissionError, QueryOutcome, QueryRequest, ShardResponse};
 use crate::config_epoch::ConfigEpoch;
 use crate::node_pool::AttemptId;
@@ -9,82 +11,43 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A query that has no outcome yet.
-pub(super) struct OpenQuery {
-    wire_id: Bytes,
-    /// The configuration under which it was accepted; it holds to the query's end.
-    epoch: Rc<ConfigEpoch>,
-    /// When its latency objective is over.
-    objective_at: Tenths,
-    /// An attempt of it found its node down, or lost its connection.
-    has_lost_node: bool,
-    deadline: Tenths,
-    shard_requests: Vec<ShardRequestId>,
-    text: Bytes,
-    held_bytes: usize,
-    outcome: oneshot::Sender<QueryOutcome>,
-}
-
-impl OpenQuery {
-    /// Counts the outcome in the query's own configuration epoch, and sends it to the front end.
-    pub(super) fn finish(self, outcome: QueryOutcome, now: Tenths) {
-        self.count_outcome(&outcome, now);
-        // The front end may have dropped the receiver: the client has just left.
-        let _ = self.outcome.send(outcome);
-    }
-
-    fn count_outcome(&self, outcome: &QueryOutcome, now: Tenths) {
-        let is_late = now > self.objective_at;
-        self.epoch.count(|counts| {
-            counts.ended += 1;
-            let bad_end = match outcome {
-                QueryOutcome::Response { .. } if is_late => &mut counts.late,
-                QueryOutcome::Response { .. } => return,
-                QueryOutcome::Rejected { .. } => &mut counts.rejected,
-                QueryOutcome::Failed => &mut counts.failed,
-            };
-            *bad_end += 1;
-            counts.with_lost_node += u64::from(self.has_lost_node);
-        });
-    }
-}
-
-/// A shard request of an open query.
-struct OpenShardRequest {
-    query: QueryId,
-    shard: ShardId,
-    wire_id: Bytes,
-    attempts: u16,
-    response: Option<Bytes>,
-}
-
 /// The times of a query that is about to be opened.
 pub(super) struct QueryTimes {
+    /// When its latency objective is over.
     pub(super) objective_at: Tenths,
+    /// When its client stops waiting.
     pub(super) deadline: Tenths,
 }
 
-/// The ids of a query that was opened.
+/// A query that was opened, as its front end knows it.
 pub(super) struct OpenedQuery {
+    /// Its id.
     pub(super) id: QueryId,
-    /// In the order of the request.
+    /// The ids of its shard requests, in the order of the request.
     pub(super) shard_requests: Vec<ShardRequestId>,
+    /// Where its outcome comes.
     pub(super) outcome: oneshot::Receiver<QueryOutcome>,
 }
 
-/// A query that was removed, with what came for it.
+/// A query that was removed, with the responses that came.
 pub(super) struct RemovedQuery {
+    /// The query.
     pub(super) query: OpenQuery,
     /// All attempts of its shard requests, also those that have ended.
     pub(super) attempts: Vec<AttemptId>,
+    /// The responses, in the order of the shard requests.
     pub(super) responses: Vec<ShardResponse>,
 }
 
-/// A further attempt of a shard request, as a node is to see it.
+/// A further attempt of a shard request, with what its frame carries.
 pub(super) struct NextAttempt {
+    /// The attempt.
     pub(super) id: AttemptId,
+    /// The shard that it reads.
     pub(super) shard: ShardId,
+    /// The shard request's id on the wire.
     pub(super) wire_id: Bytes,
+    /// What is asked of the shard.
     pub(super) text: Bytes,
 }
 
@@ -92,12 +55,15 @@
 pub(super) struct QueryTable {
     queries: HashMap<QueryId, OpenQuery>,
     shard_requests: HashMap<ShardRequestId, OpenShardRequest>,
+    /// The ids of the open queries on the wire.
     wire_ids: HashSet<Bytes>,
+    /// The id of a query or shard request that was given last.
     last_id: u64,
+    /// Open shard requests without a response.
     unanswered_shard_requests: usize,
-    held_bytes: usize,
-    max_held_bytes: usize,
-    /// False once the broker shuts down.
+    /// The memory that queries, responses and reservations hold.
+    memory: MemoryBudget,
+    /// `false` once the broker shuts down.
     accepts_queries: bool,
 }
 
@@ -110,8 +76,7 @@
             wire_ids: HashSet::new(),
             last_id: 0,
             unanswered_shard_requests: 0,
-            held_bytes: 0,
-            max_held_bytes,
+            memory: MemoryBudget::new(max_held_bytes),
             accepts_queries: true,
         }
     }
@@ -134,10 +99,14 @@
         let open = self.queries.len() + self.unanswered_shard_requests;
         self.accepts_queries
             && open + request.shard_requests.len() < max_open
-            && self.held_bytes + held_bytes(request) <= self.max_held_bytes
+            && self.memory.has_room_for(held_bytes(request))
     }
 
-    /// Opens a query, unless one of its wire id is open.
+    /// Opens a query, for which there must be capacity.
+    ///
+    /// # Errors
+    ///
+    /// A query of the same wire id is open.
     pub(super) fn open(
         &mut self,
         request: &QueryRequest,
@@ -148,7 +117,7 @@
             return Err(AdmissionError::DuplicateId);
         }
         let held_bytes = held_bytes(request);
-        self.held_bytes += held_bytes;
+        self.memory.reserve(held_bytes);
         let id = QueryId(self.next_id());
         let shard_requests = self.open_shard_requests(id, request);
         let (sender, outcome) = oneshot::channel();
@@ -167,6 +136,7 @@
         Ok(OpenedQuery { id, shard_requests, outcome })
     }
 
+    /// Opens the shard requests of a query; their wire ids are the query's with the shard's number.
     fn open_shard_requests(&mut self, query: QueryId, request: &QueryRequest) -> Vec<ShardRequestId> {
         let mut ids = Vec::with_capacity(request.shard_requests.len());
         for requested in &request.shard_requests {
@@ -198,13 +168,13 @@
             attempts.extend(numbers.map(|number| AttemptId { shard_request: *shard_request_id, number }));
             match shard_request.response {
                 Some(response) => {
-                    self.held_bytes -= response.len();
+                    self.memory.release(response.len());
                     responses.push(ShardResponse { shard: shard_request.shard, value: response });
                 }
                 None => self.unanswered_shard_requests -= 1,
             }
         }
-        self.held_bytes -= query.held_bytes;
+        self.memory.release(query.held_bytes);
         self.wire_ids.remove(&query.wire_id);
         Some(RemovedQuery { query, attempts, responses })
     }
@@ -245,33 +215,27 @@
     /// Keeps the first response of a shard request, if its query is still open. `false`: the memory bound is
     /// reached.
     pub(super) fn keep_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
-        let fits = self.held_bytes + response.len() <= self.max_held_bytes;
         let Some(shard_request) = self.shard_requests.get_mut(&id) else { return true };
         if shard_request.response.is_some() {
             return true;
         }
-        if !fits {
+        if !self.memory.try_reserve(response.len()) {
             return false;
         }
-        // A copy of its own: the connection's buffer is not retained for a few bytes of it.
+        // Copied, so that the connection's whole buffer is not retained for a few bytes of it.
         shard_request.response = Some(Bytes::copy_from_slice(response));
-        self.held_bytes += response.len();
         self.unanswered_shard_requests -= 1;
         true
     }
 
     /// Counts bytes as held, until they are released. `false`: the memory bound is reached.
     pub(super) fn reserve_bytes(&mut self, bytes: usize) -> bool {
-        let fits = self.held_bytes + bytes <= self.max_held_bytes;
-        if fits {
-            self.held_bytes += bytes;
-        }
-        fits
+        self.memory.try_reserve(bytes)
     }
 
     /// Releases bytes that were reserved.
     pub(super) fn release_bytes(&mut self, bytes: usize) {
-        self.held_bytes -= bytes;
+        self.memory.release(bytes);
     }
 
     /// The ids of all open shard requests, in no order.
--- a/crates/syscall-faults/src/control.rs
+++ b/crates/syscall-faults/src/control.rs
@@ -1,6 +1,5 @@
-//! The control file: numbers that a test writes while the process runs. The library maps it, so that a change
-//! holds from the next call on. A test writes it by [`Setting::offset`]; this file is shared with the tests by
-//! its path.
+//! The control file: numbers that a test writes while the process runs. The library maps it, so a change takes effect
+//! with the next call. This source file is shared with the tests by its path; they write at [`Setting::offset`].
 
 /// The environment variable that names the control file.
 pub const CONTROL_VARIABLE: &str = "SYSCALL_FAULTS_CONTROL";
@@ -15,7 +14,7 @@
     Seed,
     /// Added to the wall clock, in milliseconds.
     ClockStepMs,
-    /// One `accept` in so many fails; 0: none. The same holds for all settings of this form.
+    /// One `accept` in this number fails; 0: none. All settings `...OneIn` are of this form.
     AcceptOneIn,
     /// With this errno.
     AcceptErrno,
@@ -33,8 +32,8 @@
     WriteInterruptedOneIn,
     /// Waits for events that are interrupted.
     WaitInterruptedOneIn,
-    /// The most bytes that one read or write moves on a TCP socket; 0: as many as it can. The socket's events are
-    /// armed anew, so that an edge-triggered poll tells of the rest.
+    /// The most bytes that one read or write moves on a TCP socket; 0: no bound. The socket's events are armed again, so
+    /// that an edge-triggered poll reports the rest.
     MaxTransferBytes,
     /// `fsync` and `fdatasync`.
     SyncOneIn,
@@ -48,7 +47,7 @@
     FileWriteOneIn,
     /// With this errno.
     FileWriteErrno,
-    /// Counted by the library: the calls that it made fail, cut short or interrupted.
+    /// Written by the library: the number of calls that it made fail, cut short or interrupted.
     InjectedFaults,
 }
 
--- a/crates/syscall-faults/src/decide.rs
+++ b/crates/syscall-faults/src/decide.rs
@@ -1,4 +1,4 @@
-//! Whether a call fails: by the control file, and by chance from its seed.
+//! Decides whether a call fails: by the control file, and by chance from its seed.
 
 use crate::control::{CONTROL_BYTES, CONTROL_VARIABLE, Setting};
 use std::ffi::CString;
@@ -7,8 +7,10 @@
 
 /// The mapped control file, as an address; 0: there is none.
 static CONTROL: OnceLock<usize> = OnceLock::new();
+/// The number of calls that were decided on.
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
+/// Maps the control file; 0: there is none.
 fn map_control_file() -> usize {
     let Ok(name) = CString::new(CONTROL_VARIABLE) else { return 0 };
     // SAFETY: `name` and the path are strings that end in zero, and the mapping is checked. It is never unmapped.
@@ -29,6 +31,7 @@
     }
 }
 
+/// The number of the mapped control file for this setting.
 fn slot(setting: Setting) -> Option<&'static AtomicI64> {
     let base = *CONTROL.get_or_init(map_control_file);
     // SAFETY: the mapping holds `CONTROL_BYTES`, is aligned to a page and lives as long as the process.
@@ -45,7 +48,7 @@
     slot(Setting::InjectedFaults).into_iter().for_each(|slot| _ = slot.fetch_add(1, Relaxed));
 }
 
-/// Whether this call is one of those that fail; counts it then.
+/// Whether this call is one of those that fail; it is counted then.
 pub(crate) fn is_chosen(one_in: Setting) -> bool {
     let one_in = read(one_in);
     if one_in <= 0 {
--- a/crates/syscall-faults/src/files.rs
+++ b/crates/syscall-faults/src/files.rs
@@ -5,6 +5,7 @@
 use crate::fail_with;
 use libc::{c_char, c_int, c_void, size_t, ssize_t};
 
+/// Whether a descriptor is a regular file.
 fn is_regular_file(fd: c_int) -> bool {
     let mut status = std::mem::MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: `status` has room for what the call writes, and zeroes are a valid value of it.
--- a/crates/syscall-faults/src/sockets.rs
+++ b/crates/syscall-faults/src/sockets.rs
@@ -1,25 +1,12 @@
-//! Sockets and waits.
+//! Calls on TCP sockets: accept, connect, reads and writes.
 
 use crate::control::Setting;
 use crate::decide::{count_fault, is_chosen, read};
 use crate::fail_with;
-use libc::{c_int, c_void, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t};
-use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, Ordering::Relaxed};
-
-/// Descriptors whose registration with a poll is remembered.
-const MAX_DESCRIPTORS: usize = 1 << 16;
-
-/// By which poll a descriptor is watched, for what, and under which token.
-struct Registration {
-    poll: AtomicI32,
-    events: AtomicU32,
-    token: AtomicU64,
-}
-
-static REGISTRATIONS: [Registration; MAX_DESCRIPTORS] = [const {
-    Registration { poll: AtomicI32::new(-1), events: AtomicU32::new(0), token: AtomicU64::new(0) }
-}; MAX_DESCRIPTORS];
+use crate::polling::rearm;
+use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
 
+/// Whether a descriptor is an internet socket.
 fn is_tcp(socket: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
@@ -30,8 +17,7 @@
     result == 0 && (domain == libc::AF_INET || domain == libc::AF_INET6)
 }
 
-/// How much of a transfer of `length` bytes is made. Keeps readiness true: what an edge-triggered poll was told of
-/// is armed again, as the kernel would tell of it again only with new bytes.
+/// How many bytes of a transfer of `length` bytes are moved, by [`Setting::MaxTransferBytes`].
 fn bounded(socket: c_int, length: size_t) -> size_t {
     let most = read(Setting::MaxTransferBytes);
     if most <= 0 || length <= most as size_t || !is_tcp(socket) {
@@ -41,84 +27,26 @@
     most as size_t
 }
 
-fn arm_again(socket: c_int) {
-    let Some(registration) = usize::try_from(socket).ok().and_then(|at| REGISTRATIONS.get(at)) else {
-        return;
-    };
-    let poll = registration.poll.load(Relaxed);
-    if poll < 0 {
-        return;
-    }
-    let (events, token) = (registration.events.load(Relaxed), registration.token.load(Relaxed));
-    let mut event = epoll_event { events, u64: token };
-    let event = &raw mut event;
-    // SAFETY: `event` lives on this stack; a descriptor that is not registered any more only gives an error.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, poll, libc::EPOLL_CTL_MOD, socket, event) };
-}
-
-/// Makes a transfer, cut where it is to be, and arms the socket's events again where it was.
+/// Makes a transfer of at most the allowed length. Where that cut it short, the socket's events are armed again: an
+/// edge-triggered poll would report the rest only with new bytes.
 fn transfer(socket: c_int, length: size_t, make: impl FnOnce(size_t) -> i64) -> ssize_t {
     let bounded = bounded(socket, length);
     let result = make(bounded);
     if bounded < length && result >= 0 {
-        arm_again(socket);
+        rearm(socket);
     }
     result as ssize_t
 }
 
+/// Whether this call on a TCP socket is to be interrupted.
 fn is_interrupted(socket: c_int, one_in: Setting) -> bool {
     read(one_in) > 0 && is_tcp(socket) && is_chosen(one_in)
 }
 
-/// As `epoll_ctl`; remembers what was registered.
-///
-/// # Safety
-/// As of the function of the C library, which holds for all that follow.
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_ctl(
-    poll: c_int,
-    operation: c_int,
-    fd: c_int,
-    event: *mut epoll_event,
-) -> c_int {
-    if let Some(registration) = usize::try_from(fd).ok().and_then(|at| REGISTRATIONS.get(at)) {
-        if operation == libc::EPOLL_CTL_DEL || event.is_null() {
-            registration.poll.store(-1, Relaxed);
-        } else {
-            // SAFETY: the caller gives an event; it may stand unaligned.
-            let event = unsafe { event.read_unaligned() };
-            registration.events.store(event.events, Relaxed);
-            registration.token.store(event.u64, Relaxed);
-            registration.poll.store(poll, Relaxed);
-        }
-    }
-    // SAFETY: the caller's arguments, as they are.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, poll, operation, fd, event) as c_int }
-}
-
-/// As `epoll_wait`.
-///
-/// # Safety
-/// As of the function of the C library.
-#[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(
-    poll: c_int,
-    events: *mut epoll_event,
-    most: c_int,
-    timeout: c_int,
-) -> c_int {
-    if is_chosen(Setting::WaitInterruptedOneIn) {
-        return fail_with(libc::EINTR) as c_int;
-    }
-    let no_mask = std::ptr::null::<c_void>();
-    // SAFETY: the caller's arguments, as they are, and no signal mask.
-    unsafe { libc::syscall(libc::SYS_epoll_pwait, poll, events, most, timeout, no_mask, 8) as c_int }
-}
-
 /// As `accept4`.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// As of the function of the C library, which holds for all that follow.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -222,7 +150,7 @@
     unsafe { transfer_pieces(libc::SYS_writev, fd, pieces, count) }
 }
 
-/// A transfer by pieces; one that is cut moves bytes of the first piece that has any.
+/// A vectored transfer. One that is cut short moves bytes of the first piece that is not empty.
 unsafe fn transfer_pieces(call: libc::c_long, fd: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
     // SAFETY: the caller gives `count` pieces.
     let slice = unsafe { std::slice::from_raw_parts(pieces, count.max(0) as usize) };
--- a/crates/syscall-faults/src/wall_clock.rs
+++ b/crates/syscall-faults/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, stepped.
+//! The wall clock, stepped by [`Setting::ClockStepMs`].
 
 use crate::control::Setting;
 use crate::decide::read;
