--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -33,6 +33,7 @@
 pub struct PreparedRollout {
     client_config: ClientConfig,
     restored: RestoredState,
+    /// The configuration that the broker starts with, adapted to sockets.
     start_config: BrokerConfig,
     status_listener: Option<TcpListener>,
 }
@@ -40,8 +41,10 @@
 /// The broker's own settings can't be what versions are compared with.
 #[derive(Debug, Error)]
 enum OwnSettingsError {
+    /// They are not JSON, or too long.
     #[error("settings: {0}")]
     Unreadable(#[source] settings::DocumentError),
+    /// A check finds a mistake; the first one.
     #[error("settings: {0}")]
     Invalid(ValidationError),
 }
@@ -93,6 +96,7 @@
     Ok(PreparedRollout { client_config, restored, start_config, status_listener })
 }
 
+/// Reads the broker's own settings, which must be free of mistakes: versions are compared with them.
 fn read_own_settings(text: &[u8], max_bytes: usize) -> Result<Document, OwnSettingsError> {
     let document = Document::parse(text, max_bytes).map_err(OwnSettingsError::Unreadable)?;
     match check(&document).into_iter().next() {
@@ -129,6 +133,7 @@
     }
 }
 
+/// The status service's listener for the rollout's runtime; without it there is no status service.
 fn into_async(listener: TcpListener) -> Option<tokio::net::TcpListener> {
     let ready = listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener));
     ready.inspect_err(|error| warn!(reason = %error, "no status service")).ok()
@@ -209,6 +214,8 @@
     }
 }
 
+/// How queries have ended under the present configuration. Only its own counts are in a sample, so a version is not
+/// judged by queries that its predecessor accepted.
 fn count_outcomes(engine: &Engine) -> Sample {
     let EpochCounts { ended, late, rejected, failed, not_accepted, with_lost_node } =
         engine.epoch().counts.get();
--- a/crates/broker/src/discovery/list_requests.rs
+++ b/crates/broker/src/discovery/list_requests.rs
@@ -23,7 +23,9 @@
 
 /// A request that has finished, with its place among the requests.
 struct FinishedRequest {
+    /// Counted from the first request on.
     number: usize,
+    /// Whether it was the patient one.
     is_patient: bool,
     result: Result<NodeList, DiscoveryError>,
 }
@@ -32,8 +34,11 @@
 #[derive(Default)]
 pub(super) struct ListRequests<'a> {
     waiting: FuturesUnordered<LocalBoxFuture<'a, FinishedRequest>>,
+    /// The number of the newest request.
     newest: usize,
+    /// Whether the patient one waits.
     has_patient: bool,
+    /// Whether a request has failed; that was logged then.
     has_failed: bool,
 }
 
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -19,6 +19,7 @@
 #[derive(Default)]
 struct TurnAttempts {
     by_node: BTreeMap<NodeId, Vec<AttemptToSend>>,
+    /// Those that the turn itself cancels.
     cancelled: Vec<AttemptId>,
 }
 
--- a/crates/broker/src/engine/handles.rs
+++ b/crates/broker/src/engine/handles.rs
@@ -22,6 +22,7 @@
 pub struct AcceptedQuery {
     pub(super) engine: Rc<Engine>,
     pub(super) id: QueryId,
+    /// Receives the one outcome.
     pub(super) outcome: oneshot::Receiver<QueryOutcome>,
 }
 
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -85,6 +85,7 @@
         is_reserved.then(|| ReservedMemory { engine: self.clone(), bytes })
     }
 
+    /// Releases bytes that were reserved.
     pub(super) fn release_memory(&self, bytes: usize) {
         self.queries.borrow_mut().release_bytes(bytes);
     }
--- a/crates/broker/src/http_server/accepting.rs
+++ b/crates/broker/src/http_server/accepting.rs
@@ -96,6 +96,7 @@
     }
 }
 
+/// A stream of the system as one of the runtime.
 fn into_async(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
--- a/crates/broker/src/http_server/connection.rs
+++ b/crates/broker/src/http_server/connection.rs
@@ -70,11 +70,13 @@
     pub has_served_request: Cell<bool>,
     /// A query of its client was accepted.
     pub has_accepted_query: Cell<bool>,
+    /// How far the current request is.
     state: Cell<ConnectionState>,
     /// Bytes that have been read for the current request; `usize::MAX` once its bound was met.
     bytes_read: Cell<usize>,
     /// Since when the client has not read all that was written.
     write_blocked_since: Cell<Option<Instant>>,
+    /// When the last request ended, or the connection was accepted.
     last_used_at: Cell<Instant>,
     /// Requests in a row that were answered with a client error.
     consecutive_client_errors: Cell<usize>,
@@ -88,6 +90,7 @@
 
 /// How much may be read in one state.
 struct ReadLimit {
+    /// Bytes of the current request or, after the last response, of what follows it.
     max_bytes: usize,
     /// With which status a connection ends that goes beyond; `None`: nothing more is read.
     status_beyond: Option<StatusCode>,
--- a/crates/broker/src/http_server/mod.rs
+++ b/crates/broker/src/http_server/mod.rs
@@ -51,6 +51,7 @@
 /// The HTTP server: its listener and all client connections, on one thread.
 pub struct HttpServer {
     query_handler: QueryHandler,
+    /// All connections that are accepted and not closed.
     connections: RefCell<Vec<Rc<Connection>>>,
     /// Notified when a connection has closed: there may be room for another.
     connection_closed: Notify,
--- a/crates/broker/src/http_server/routes.rs
+++ b/crates/broker/src/http_server/routes.rs
@@ -67,6 +67,7 @@
         }
     }
 
+    /// Rejects a method that the path's handler does not serve (405).
     fn reject_method(&self, allowed: &Method) -> Response<Bytes> {
         let mut response = self.query_handler.reject(RequestError::MethodNotAllowed);
         if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
@@ -75,6 +76,7 @@
         response
     }
 
+    /// Handles a query; on a surplus connection it is rejected (503) unread.
     async fn respond_to_query(
         &self,
         request: Request,
--- a/crates/broker/src/io_errors.rs
+++ b/crates/broker/src/io_errors.rs
@@ -34,6 +34,7 @@
     libc::ETIMEDOUT,
 ];
 
+/// Whether an error has one of these errnos.
 fn is_one_of(error: &io::Error, errnos: &[i32]) -> bool {
     error.raw_os_error().is_some_and(|errno| errnos.contains(&errno))
 }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -52,6 +52,6 @@
 
 pub use operator_config::{LogFormat, OperatorConfig, RolloutConfig};
 pub use program::run;
-pub use running::{Running, start, start_fitted};
+pub use running::{Running, start, start_with_operator_config};
 pub use shutdown::termination_signal;
 pub use startup::{ConfigSource, StartupConfig, StartupError};
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -81,10 +81,12 @@
     }
 }
 
+/// The settings' bound on shard requests in flight on one connection; at least one.
 fn max_connection_shard_requests(connections: &ConnectionSettings) -> usize {
     connections.max_shard_requests.unwrap_or(DEFAULT_CONNECTION_SHARD_REQUESTS).max(1) as usize
 }
 
+/// When the broker closes an idle connection: before its node does.
 fn idle_timeout(connections: &ConnectionSettings) -> Duration {
     let kept_by_node = connections.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, to_duration);
     kept_by_node.mul_f64(IDLE_FRACTION)
--- a/crates/broker/src/node_pool/connection.rs
+++ b/crates/broker/src/node_pool/connection.rs
@@ -54,10 +54,13 @@
     in_flight: RefCell<HashMap<Bytes, InFlightRequest>>,
     /// Frames of which nothing is written yet.
     write_queue: RefCell<VecDeque<ToNode>>,
+    /// The response that waits for what follows it.
     unconfirmed_response: RefCell<Option<UnconfirmedResponse>>,
+    /// Cancelled shard requests to which a response may still come.
     cancelled_requests: RefCell<CancelledRequests>,
     /// Load probes without a reply.
     pending_probes: Cell<usize>,
+    /// When bytes last came or a frame was last written completely.
     last_used_at: Cell<Instant>,
     /// It can't be established because this machine is short of something.
     lacks_local_resources: Cell<bool>,
--- a/crates/broker/src/node_pool/mod.rs
+++ b/crates/broker/src/node_pool/mod.rs
@@ -73,11 +73,15 @@
 /// All connections to nodes, and the attempts that are in flight on them.
 pub struct NodePool {
     limits: Rc<Limits>,
+    /// Where nodes listen. A node that is not here gets nothing.
     addresses: RefCell<HashMap<NodeId, SocketAddr>>,
+    /// The connections to each node, the oldest first.
     connections: RefCell<HashMap<NodeId, Vec<Rc<NodeConnection>>>>,
+    /// The attempts in flight. One that is not here has its end.
     attempts: RefCell<HashMap<AttemptId, AttemptRoute>>,
     /// Ends that were not fetched yet.
     attempt_ends: RefCell<Vec<AttemptEnd>>,
+    /// Ends of probes that were not fetched yet.
     probe_replies: RefCell<Vec<ProbeReply>>,
     /// Notified when there are ends of attempts or probes to fetch.
     pub results_ready: Notify,
@@ -145,6 +149,7 @@
         }
     }
 
+    /// Ends a probe.
     fn end_probe(&self, node: NodeId, report: Option<Bytes>) {
         self.probe_replies.borrow_mut().push(ProbeReply { node, report });
         self.results_ready.notify_one();
--- a/crates/broker/src/node_pool/reader.rs
+++ b/crates/broker/src/node_pool/reader.rs
@@ -37,6 +37,7 @@
 }
 
 impl<'a> ConnectionReader<'a> {
+    /// A reader of the read half of a connection's socket.
     pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: ReadHalf<'a>) -> Self {
         let decoder = FrameDecoder { max_frame_bytes: pool.limits.nodes.max_frame_bytes };
         ConnectionReader { pool, connection, frames: FramedRead::new(InterruptSafe(stream), decoder) }
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Ends the connection on a frame that stays incomplete.
     fn end_on_stalled_frame(&self) -> ConnectionEnd {
         warn!(node = %self.connection.address, "connection closed: incomplete frame timed out");
         self.pool.settle_response(self.connection, is_text(self.frames.read_buffer()));
@@ -122,6 +124,7 @@
         Continue(())
     }
 
+    /// Takes a response to a shard request that is not in flight.
     fn on_unknown_response(&self, id: &Bytes) -> ControlFlow<ConnectionEnd> {
         // A response to a cancelled shard request may still come.
         if self.connection.take_cancelled(id) {
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -28,6 +28,7 @@
 }
 
 impl<'a> ConnectionWriter<'a> {
+    /// A writer of the write half of a connection's socket.
     pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: WriteHalf<'a>) -> Self {
         ConnectionWriter { pool, connection, stream, buffer: BytesMut::new() }
     }
@@ -87,6 +88,7 @@
         Continue(())
     }
 
+    /// Waits until the peer accepts bytes; `Break`: it does not in time, or the connection failed.
     async fn wait_until_writable(&self) -> ControlFlow<()> {
         let result = timeout(self.pool.limits.nodes.write_timeout, self.stream.writable()).await;
         self.check_progress(result)
--- a/crates/broker/src/program.rs
+++ b/crates/broker/src/program.rs
@@ -3,7 +3,7 @@
 use crate::command::report_invalid_file;
 use crate::logging::log_to_standard_error;
 use crate::reload::{reload_on_signal, reload_signal};
-use crate::running::start_fitted;
+use crate::running::start_with_operator_config;
 use crate::shutdown::termination_signal;
 use crate::startup::{ConfigSource, StartupConfig, StartupError};
 use operator_config::OperatorConfig;
@@ -33,13 +33,14 @@
     }
 }
 
+/// Starts the broker and shuts it down on SIGTERM.
 fn serve_until_terminated(source: &ConfigSource, operator: OperatorConfig) -> Result<(), StartupError> {
     actix_rt::Runtime::new()?.block_on(async {
         // Listened for before anything else: without that, either signal ends the process.
         let mut terminate = termination_signal()?;
         let reload = reload_signal()?;
         let config = StartupConfig::from(source)?;
-        let running = start_fitted(config, operator).await?;
+        let running = start_with_operator_config(config, operator).await?;
         actix_rt::spawn(reload_on_signal(reload, source.clone(), running.discovery.clone()));
         terminate.recv().await;
         running.shut_down().await;
--- a/crates/broker/src/query_handler.rs
+++ b/crates/broker/src/query_handler.rs
@@ -71,6 +71,7 @@
         responses::request_error(error)
     }
 
+    /// Handles one query. An error is the client's.
     async fn try_handle(
         &self,
         mut request: Request,
@@ -109,6 +110,7 @@
         }
     }
 
+    /// Reads the body within the time limit from the request's first bytes on.
     async fn read_body_in_time(
         &self,
         request: &mut Request,
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -88,10 +88,12 @@
     RequestedShard { shard: ShardId(shard_request.shard), weight: shard_request.weight }
 }
 
+/// A header's value; `None`: it is missing, or no text.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
+/// Rejects a request in which a header that decides is given twice: two readers might take different ones.
 fn reject_duplicate_headers(headers: &HeaderMap) -> Result<(), RequestError> {
     let names = [ID_HEADER, CLASS_HEADER, TENANT_HEADER, TIME_LEFT_HEADER];
     match names.iter().any(|name| headers.get_all(*name).count() > 1) {
@@ -100,6 +102,7 @@
     }
 }
 
+/// The query's id, which is sent to nodes: visible ASCII, at most `max_length` bytes.
 fn read_id(headers: &HeaderMap, max_length: usize) -> Result<Bytes, RequestError> {
     let id = header(headers, ID_HEADER).ok_or(RequestError::MissingId)?;
     if id.is_empty() || id.len() > max_length || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -108,6 +111,7 @@
     Ok(Bytes::copy_from_slice(id.as_bytes()))
 }
 
+/// The request class, which the epoch must have.
 fn read_class(headers: &HeaderMap, epoch: &ConfigEpoch) -> Result<ClassId, RequestError> {
     let name = header(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
     let class = epoch.names.class(name).filter(|class| epoch.classes.contains_key(class));
@@ -120,6 +124,7 @@
     tenant.unwrap_or(TenantId(u32::MAX))
 }
 
+/// How long the client will wait: a whole number of milliseconds.
 fn read_time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = header(headers, TIME_LEFT_HEADER);
     // The parser would accept a sign, too.
@@ -128,6 +133,7 @@
     Ok(Duration::from_millis(milliseconds))
 }
 
+/// Checks that at least one shard is read, none twice, and all are within the epoch's number of shards.
 fn check_shards(shard_requests: &[RequestedShardBody], epoch: &ConfigEpoch) -> Result<(), RequestError> {
     let shards: BTreeSet<u32> = shard_requests.iter().map(|shard_request| shard_request.shard).collect();
     if shards.is_empty() || shards.len() < shard_requests.len() {
@@ -139,6 +145,7 @@
     Ok(())
 }
 
+/// Checks that each weight is from 0 to 1 and that they come to 1, with this much slack.
 fn check_weights(shard_requests: &[RequestedShardBody], slack: f64) -> Result<(), RequestError> {
     let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.weight).sum();
     let are_shares = shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -26,6 +26,7 @@
     build(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
 }
 
+/// One shard's response as the body has it; `None`: its value is no text.
 fn shard_response_body(response: &ShardResponse) -> Option<ShardResponseBody<'_>> {
     let value = std::str::from_utf8(&response.value).ok()?;
     Some(ShardResponseBody { shard: response.shard.0, value })
@@ -56,6 +57,7 @@
     build(&mut Response::build(status), text)
 }
 
+/// Completes a response with its body.
 fn build(response: &mut ResponseBuilder, body: impl Into<Bytes>) -> Response<Bytes> {
     let body = body.into();
     response
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -1,4 +1,8 @@
-//! A broker that serves, and how it is started.
+//! Starting a broker, and what is known of one that serves.
+//!
+//! Everything runs on the thread that starts it. Spawned tasks: the engine's event loop, discovery, the HTTP server's
+//! listener, one for each connection, and the rollout's requests where versions are switched on. None of them ends before the
+//! process does, apart from connections, and the listener at the shutdown.
 
 use crate::engine::Engine;
 use crate::http_server::HttpServer;
@@ -20,31 +24,34 @@
 pub struct Running {
     /// Where clients reach it.
     pub listens: SocketAddr,
-    /// Its routing decisions and what they are carried out on.
+    /// Its engine, with the routing decisions.
     pub engine: Rc<Engine>,
     /// Where discovery is; it may move while the broker runs.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Where its status is served, if it is.
+    /// Where its status is served, if that is switched on.
     pub status: Option<SocketAddr>,
     pub(crate) http_server: Rc<HttpServer>,
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with nothing switched on.
+/// Starts a broker on the current thread, within an `actix_rt` runtime, without optional features.
 ///
 /// # Errors
 ///
-/// As [`start_fitted`].
+/// As [`start_with_operator_config`].
 pub async fn start(config: StartupConfig) -> io::Result<Running> {
-    start_fitted(config, OperatorConfig::default()).await
+    start_with_operator_config(config, OperatorConfig::default()).await
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with what the operator has switched
-/// on.
+/// Starts a broker on the current thread, within an `actix_rt` runtime, with the features that the operator's file
+/// switches on.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or what is switched on can't be started.
-pub async fn start_fitted(mut config: StartupConfig, operator: OperatorConfig) -> io::Result<Running> {
+/// An address can't be listened on, or a feature can't be started.
+pub async fn start_with_operator_config(
+    mut config: StartupConfig,
+    operator: OperatorConfig,
+) -> io::Result<Running> {
     let follower = match operator.rollout {
         Some(control) => Some(config_rollout::prepare(&mut config, control)?),
         None => None,
@@ -76,6 +83,7 @@
     Ok(Running { listens, engine, discovery, status, http_server })
 }
 
+/// Warns of request classes whose queries the protocol can't carry.
 fn warn_of_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
         warn!(
--- a/crates/broker/src/socket_peek.rs
+++ b/crates/broker/src/socket_peek.rs
@@ -37,6 +37,7 @@
     retry_interrupted(|| SockRef::from(stream).peek(&mut buffer)).is_ok_and(|unread| unread == count)
 }
 
+/// Peeks at the next byte: 1, or 0 where the peer has closed; an error where there is none yet.
 fn peek_byte(stream: &TcpStream) -> io::Result<usize> {
     retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
 }
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -104,12 +104,14 @@
 }
 
 impl ConfigSource {
+    /// An environment variable, or what the command line says in its place.
     fn variable(&self, name: &str) -> Option<String> {
         let on_command_line = self.config.clone().filter(|_| name == CONFIG_VARIABLE);
         on_command_line.or_else(|| std::env::var(name).ok())
     }
 }
 
+/// The config file, by its own keys.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     name: Option<String>,
@@ -117,11 +119,13 @@
     discovery: Option<String>,
     seed: String,
     limits: MachineLimits,
+    /// The endpoint list that this broker had last.
     known: Option<NodeList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
+/// What the file says of the machine: memory in MiB, file descriptors.
 #[derive(Deserialize)]
 struct MachineLimits {
     memory_mb: f64,
@@ -164,6 +168,7 @@
         Ok(StartupConfig::read_file(env)?.discovery)
     }
 
+    /// Reads the file that `EDGE_CONFIG` names in this environment.
     fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
         let path = env(CONFIG_VARIABLE).ok_or(StartupError::NoConfig)?;
         match std::fs::read(&path) {
@@ -198,6 +203,7 @@
     }
 }
 
+/// Reads the address under a key.
 fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, StartupError> {
     let text = text.ok_or(StartupError::Missing { key })?;
     text.parse().map_err(|source| StartupError::Address { key, text, source })
--- a/crates/broker/tests/config_rollout/fixture.rs
+++ b/crates/broker/tests/config_rollout/fixture.rs
@@ -1,5 +1,5 @@
-//! What the tests share: the program as processes, nodes that answer at once, clients, and documents that can
-//! be distinguished from outside.
+//! What the tests share: processes of the program, nodes that answer at once, clients, and documents that a client can
+//! tell apart.
 
 use config_rollout_client::status_query::{BrokerStatus, fetch_status};
 use node_emulator::{NodeServer, NodeSpec};
@@ -28,8 +28,8 @@
     NodeServer::start(NodeSpec::default(), |_, _| 100).unwrap()
 }
 
-/// Version `number`: its shards and its retry time distinguish it from every other. Even shards lie in
-/// placement group 0, odd ones in group 1, which no node is in.
+/// Version `number`: its number of shards and its `Retry-After` distinguish it from every other. Even shards are in
+/// placement group 0, odd ones in group 1, which has no node.
 pub fn document(number: u64) -> Value {
     let class = |name: &str, objective: f64| {
         json!({"Name": name, "OnTimeMs": objective, "DeadlineMs": 5000.0, "Worth": 1.0,
@@ -72,7 +72,7 @@
         (settings["Zone"], settings["Me"]) = (json!(0), json!(1));
         let member = json!({"id": "s-0", "host_port": start.node.to_string(), "locality": "hall",
             "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0});
-        // Discovery is down for as long as this lasts: the list is asked for, so the known list holds.
+        // Discovery is down and shared, so the cached list stays in use.
         let config = json!({"name": start.name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"revision": 1, "complete": true, "members": [member]}, "settings": settings});
@@ -142,7 +142,7 @@
     runtime.block_on(fetch_status(address, Duration::from_secs(20))).unwrap()
 }
 
-/// A client on one connection; it checks that each response is what a response must be.
+/// A client on one connection, which checks that there is one response to each query.
 pub struct Client {
     stream: BufReader<TcpStream>,
     name: String,
@@ -163,7 +163,7 @@
         Client { stream: BufReader::new(stream), name: name.to_owned(), queries: 0 }
     }
 
-    /// Sends a query of one shard, and waits for the one response.
+    /// Sends a query of one shard, and waits for its response.
     pub fn send_query(&mut self, class: &str, shard: u64) -> Reply {
         self.queries += 1;
         let body = json!({"slices": [{"slice": shard, "mass": 1.0}], "filter": "x"}).to_string();
@@ -192,9 +192,8 @@
         Reply { status, retry_after }
     }
 
-    /// The version by which a query is rejected that no node can serve, from the time after which to retry.
-    /// The shard is the last that version `least` has, so that an older one would not accept it. None: the
-    /// broker does not know the shard, so it runs an older version.
+    /// The version in force, from the `Retry-After` of a query that no node can serve. Its shard is the last one of version
+    /// `least`. `None`: the broker does not know the shard, so it runs an older version.
     pub fn probe(&mut self, least: u64) -> Option<u64> {
         let Reply { status, retry_after } = self.send_query("probe", 31 + 2 * least);
         if status == 400 {
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Times that follow from the protocol's clock and the settings.
+//! Times derived from the protocol's time limits and the settings.
 
 use broker::config_epoch::ConfigEpoch;
 use broker::limits::{self, Limits, Machine};
@@ -11,9 +11,9 @@
 
 const MACHINE: Machine = Machine { memory_mb: 192, sockets: 1024 };
 
-/// The broker counts as notified of what a silent watch misses 6 s after it fell silent, or 2 s after its
-/// wait if that is later. By then the silence has been noticed, and an agent was asked again and has answered
-/// with a third of the drain's grace to spare.
+/// A watch falls silent, and the broker misses a drain. It counts as notified 6 s after the silence began, or 2 s after the
+/// watch's wait if that is later. By then the silence must be noticed, the agent asked again, and its answer there
+/// with a third of the drain grace to spare.
 #[rstest]
 fn a_silent_watch_is_noticed_in_time(
     #[values(500.0, 10_000.0, 50_000.0, 600_000.0)] endpoint_list_max_age: f64,
@@ -34,8 +34,8 @@
     );
 }
 
-/// Responses to what had to be failed are on the way before the earliest kill: the longest deadline, 3 s at
-/// the most, and 0.7 s after the signal to shut down.
+/// Queries are open when the process must end. Their responses must be written before the earliest SIGKILL: the longest
+/// deadline, at most 3 s, and 0.7 s after SIGTERM.
 #[rstest]
 #[case(700.0, 1400)]
 #[case(3000.0, 3700)]
@@ -51,8 +51,8 @@
     assert!(answered + Duration::from_millis(100) >= Duration::from_millis(kill_ms));
 }
 
-/// A client that stops in the middle of a request has its error, and its connection is closed, within the 3 s that
-/// the pages grant, also where each of the checks comes as late as it may.
+/// A client stops in the middle of a request. It must have its error, and its connection must be closed, within the 3 s
+/// that the pages allow, even where each check comes as late as it may.
 #[rstest]
 fn bad_clients_are_gone_within_three_seconds() {
     let limits = Limits::new(MACHINE, &BrokerSettings::default()).unwrap();
@@ -61,8 +61,8 @@
     assert!(closed < Duration::from_secs(3));
 }
 
-/// An attempt that begins more than 0.1 s after its client has left is a break: the look for a close that is hidden
-/// behind unread bytes and the turns that act on it leave half of that for a busy machine.
+/// A client leaves, and unread bytes hide its close. No attempt may begin more than 0.1 s later: the check for a hidden
+/// close and the turns that act on it must leave half of that for a busy machine.
 #[rstest]
 fn a_hidden_close_is_seen_in_time() {
     let broker_settings = BrokerSettings::default();
--- a/crates/broker/tests/sockets/configuration.rs
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -17,12 +17,12 @@
         let write = |text: String| std::fs::write(&file, text).unwrap();
         let old_config = config(&old.nodes, &old.discovery.address().to_string());
         write(old_config.to_string());
-        old.discovery.called().await;
+        old.discovery.next_request().await;
         let process = Process::start(&file, &old.discovery.address().to_string());
-        assert_eq!(old.discovery.called().await, "/catalog/members");
+        assert_eq!(old.discovery.next_request().await, "/catalog/members");
         for _ in 0..2 {
             old.discovery.reply(snapshot(41, &[]));
-            assert_eq!(old.discovery.called().await, "/catalog/members?after=41&wait_ms=4000");
+            assert_eq!(old.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
         }
         for unusable in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
             write(unusable.to_owned());
@@ -31,9 +31,9 @@
         }
         write(config(&old.nodes, &new.address().to_string()).to_string());
         process.signal("HUP");
-        assert_eq!(new.called().await, "/catalog/members");
+        assert_eq!(new.next_request().await, "/catalog/members");
         new.reply(snapshot(3, &[member(&old.nodes, 1, "ready")]));
-        assert_eq!(new.called().await, "/catalog/members?after=3&wait_ms=4000");
+        assert_eq!(new.next_request().await, "/catalog/members?after=3&wait_ms=4000");
         let mut client = Client::connect(process.listens).await;
         client.write(&query_request("a", "lookup", 9000, &body(ONE_SHARD))).await;
         assert_eq!(old.answer_next_batch("a.3").await, 1);
--- a/crates/broker/tests/sockets/deadlines.rs
+++ b/crates/broker/tests/sockets/deadlines.rs
@@ -7,7 +7,7 @@
 use tokio::io::AsyncReadExt;
 
 const TIME_LEFT: Duration = Duration::from_secs(8);
-/// What the standing page allows.
+/// How much more than what is left a frame may state.
 const SLACK: Duration = Duration::from_millis(150);
 
 /// A connection comes up seconds after the turn that decided on the attempt. If its frame stated the time that
@@ -35,8 +35,8 @@
         let left = TIME_LEFT.saturating_sub(sent.elapsed());
         assert!(sent.elapsed() > 3 * SLACK, "the connection did not come up late");
         let text = String::from_utf8_lossy(&frame[5..count]).into_owned();
-        let told_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
-        let told = Duration::from_millis(told_ms.parse().unwrap());
-        assert!(told <= left + SLACK, "{told:?} are told, {left:?} are left");
+        let stated_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
+        let stated = Duration::from_millis(stated_ms.parse().unwrap());
+        assert!(stated <= left + SLACK, "{stated:?} stated, {left:?} left");
     });
 }
--- a/crates/broker/tests/sockets/discovery.rs
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -19,16 +19,16 @@
                 members.iter().map(|(at, phase)| member(&cluster.nodes, *at, phase)).collect();
             json!({"revision": revision, "complete": complete, "members": members})
         };
-        assert_eq!(cluster.discovery.called().await, "/catalog/members");
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
         cluster.discovery.reply(list_of(&cluster, 41, true, &[(0, "ready"), (1, "ready")]));
-        assert_eq!(cluster.discovery.called().await, "/catalog/members?after=41&wait_ms=4000");
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
         let answered = Instant::now();
         cluster.discovery.reply(list_of(&cluster, 43, false, &[(0, "draining")]));
-        assert_eq!(cluster.discovery.called().await, "/catalog/members?after=43&wait_ms=4000");
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members?after=43&wait_ms=4000");
         assert!(answered.elapsed() < Duration::from_millis(200));
-        // What can't be read leaves the old list as it is, and a snapshot is asked for again.
+        // An invalid list changes nothing, and a snapshot is requested again.
         cluster.discovery.reply("{\"revision\":44,\"complete\":true,\"members\":[{\"id\":7}]}");
-        assert_eq!(cluster.discovery.called().await, "/catalog/members");
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
         for id in ["a", "b", "c", "d"] {
             let mut client = cluster.send_query(id, "lookup", ONE_SHARD).await;
             let (node, connection, shard_requests) = cluster.next_batch().await;
@@ -47,18 +47,18 @@
     run_test(async {
         let waits =
             |startup: &mut StartupConfig| startup.limits.discovery.list_timeout = Duration::from_millis(300);
-        let mut cluster = TestCluster::start_with(1, pushed, waits).await;
+        let mut cluster = TestCluster::start_with(1, use_local_agent, waits).await;
         // Doubling from two and a half seconds, twenty calls take minutes.
         let twenty = async {
             for _ in 0..20 {
-                assert_eq!(cluster.discovery.called().await, "/catalog/members");
+                assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
             }
         };
         tokio::time::timeout(Duration::from_secs(30), twenty).await.expect("twenty calls");
         let list = snapshot(2, &[member(&cluster.nodes, 0, "ready")]);
-        // Most of those calls were given up; each of them takes a reply all the same.
+        // Most of those requests were given up, but each of them uses up a reply.
         (0..60).for_each(|_| cluster.discovery.reply(&list));
-        while cluster.discovery.called().await != "/catalog/members?after=2&wait_ms=4000" {}
+        while cluster.discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
     });
 }
 
@@ -69,7 +69,8 @@
     run_test(async {
         let agent = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = agent.local_addr().unwrap();
-        let _cluster = TestCluster::start_with(1, pushed, move |startup| startup.discovery = address).await;
+        let _cluster =
+            TestCluster::start_with(1, use_local_agent, move |startup| startup.discovery = address).await;
         let (open, most) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         // By the watch alone, five seconds, fifty would wait.
         for _ in 0..40 {
@@ -97,19 +98,23 @@
             startup.limits.discovery.watch_slack = Duration::from_millis(300);
             startup.limits.discovery.list_timeout = Duration::from_millis(300);
         };
-        let mut cluster = TestCluster::start_with(1, pushed, waits).await;
-        assert_eq!(cluster.discovery.called().await, "/catalog/members");
-        assert_eq!(cluster.discovery.called().await, "/catalog/members", "the first was never answered");
+        let mut cluster = TestCluster::start_with(1, use_local_agent, waits).await;
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
+        assert_eq!(
+            cluster.discovery.next_request().await,
+            "/catalog/members",
+            "the first was never answered"
+        );
         let members = [member(&cluster.nodes, 0, "ready")];
         let list = snapshot(2, &members);
-        // One for the call that was given up, one for the next.
+        // One for the request that was given up, one for the next.
         cluster.discovery.reply(&list);
         cluster.discovery.reply(&list);
         let watch = "/catalog/members?after=2&wait_ms=8000";
-        assert_eq!(cluster.discovery.called().await, watch);
+        assert_eq!(cluster.discovery.next_request().await, watch);
         sleep_ms(5500).await; // longer than the HTTP client waits by default
         cluster.discovery.reply(json!({"revision": 2, "complete": false, "members": []}));
-        assert_eq!(cluster.discovery.called().await, watch);
+        assert_eq!(cluster.discovery.next_request().await, watch);
     });
 }
 
@@ -121,10 +126,10 @@
         let mut client = cluster.client().await;
         client.write(HEALTH_REQUEST).await;
         assert_eq!(client.reply_status().await, 503);
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         let members = [member(&cluster.nodes, 0, "ready")];
         cluster.discovery.reply(snapshot(2, &members));
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         client.write(HEALTH_REQUEST).await;
         assert_eq!(client.reply_status().await, 200);
     });
@@ -145,14 +150,14 @@
                 config["settings"]["RegistryMode"] = json!(if is_agent { "automatic" } else { "subscribe" });
             };
             let mut cluster = TestCluster::start_with(1, unknown, slow).await;
-            // With an agent the seventh call comes 0.6 s after the first, which was to be given up after 0.3 s.
+            // At an agent the seventh request comes 0.6 s after the first; others are given up after 0.3 s.
             for _ in 0..if is_agent { 7 } else { 2 } {
-                assert_eq!(cluster.discovery.called().await, "/catalog/members");
+                assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
             }
-            // It goes to the first call: whichever waits longest takes the next response.
+            // This answers the first request, the one that has waited longest.
             cluster.discovery.reply(snapshot(2, &[member(&cluster.nodes, 0, "ready")]));
             wait_until(|| cluster.broker.engine.can_serve()).await;
-            while cluster.discovery.called().await != "/catalog/members?after=2&wait_ms=4000" {}
+            while cluster.discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
         });
     }
 }
@@ -162,7 +167,7 @@
 #[rstest]
 fn asks_seldom_after_many_reloads() {
     run_test(async {
-        let mut cluster = TestCluster::start_with(1, pushed, |_| ()).await;
+        let mut cluster = TestCluster::start_with(1, use_local_agent, |_| ()).await;
         let list = snapshot(2, &[member(&cluster.nodes, 0, "ready")]);
         let (address, reloads) = (cluster.discovery.address(), 100);
         for _ in 0..reloads {
@@ -172,7 +177,8 @@
         }
         let mut calls = 0;
         // Nothing is answered any more, so that this ends.
-        while let Ok(path) = tokio::time::timeout(Duration::from_millis(30), cluster.discovery.called()).await
+        while let Ok(path) =
+            tokio::time::timeout(Duration::from_millis(30), cluster.discovery.next_request()).await
         {
             calls += usize::from(path == "/catalog/members");
         }
--- a/crates/broker/tests/sockets/discovery_races.rs
+++ b/crates/broker/tests/sockets/discovery_races.rs
@@ -19,7 +19,8 @@
     run_test(async {
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = agent.local_addr().unwrap();
-        let mut cluster = TestCluster::start_with(2, pushed, |startup| startup.discovery = address).await;
+        let mut cluster =
+            TestCluster::start_with(2, use_local_agent, |startup| startup.discovery = address).await;
         let mut client = cluster.client().await;
         client.write(HEALTH_REQUEST).await;
         assert_eq!(client.reply_status().await, 503);
@@ -64,7 +65,7 @@
                 startup.limits.discovery.list_timeout,
             ) = (address, interval, 3 * interval);
         };
-        let cluster = TestCluster::start_with(1, pushed, waits).await;
+        let cluster = TestCluster::start_with(1, use_local_agent, waits).await;
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
         let (mut first, _) = within_timeout(agent.accept()).await.unwrap();
         within_timeout(first.read(&mut [0; 4096])).await.unwrap();
@@ -108,7 +109,8 @@
     run_test(async {
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = agent.local_addr().unwrap();
-        let cluster = TestCluster::start_with(1, pushed, |startup| startup.discovery = address).await;
+        let cluster =
+            TestCluster::start_with(1, use_local_agent, |startup| startup.discovery = address).await;
         let (mut first, _) = within_timeout(agent.accept()).await.unwrap();
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
         within_timeout(first.read(&mut [0; 4096])).await.unwrap();
--- a/crates/broker/tests/sockets/fleet_sizes.rs
+++ b/crates/broker/tests/sockets/fleet_sizes.rs
@@ -17,11 +17,11 @@
             entry
         };
         let members: Vec<Value> = (0..3200).map(entry).collect();
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         let list = serde_json::to_string_pretty(&snapshot(7, &members)).unwrap();
         assert!(list.len() > 483_000, "{}", list.len());
         cluster.discovery.reply(list);
-        assert_eq!(cluster.discovery.called().await, "/catalog/members?after=7&wait_ms=4000");
+        assert_eq!(cluster.discovery.next_request().await, "/catalog/members?after=7&wait_ms=4000");
         let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         cluster.answer_next_batch("a.3").await;
         assert_eq!(client.reply_status().await, 200);
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -109,7 +109,7 @@
         };
         let mut cluster = TestCluster::start_with(2, migrate, |_| ()).await;
         let members: Vec<Value> = (0..2).map(|at| member(&cluster.nodes, at, "ready")).collect();
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         cluster.discovery.reply(snapshot(7, &members));
         wait_until(|| cluster.broker.engine.can_serve()).await;
         // Shard 3 is held by replica group 3 mod 2 alone.
--- a/crates/broker/tests/sockets/local_shortage.rs
+++ b/crates/broker/tests/sockets/local_shortage.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Each query needs connections of its own: none is kept.
+/// Makes each query need connections of its own: idle ones are closed at once.
 fn keep_no_connections(config: &mut Value) {
     config["settings"]["Limits"]["StreamsPerConn"] = json!(1);
     config["settings"]["Limits"]["ConnIdleMs"] = json!(10.0);
@@ -22,7 +22,7 @@
     run_test(async {
         let cluster = ClusterProcess::start(2, keep_no_connections).await;
         assert_eq!(cluster.query_together("before", 8).await, Outcomes::all_served(8));
-        sleep_ms(100).await; // no connection is kept for so long
+        sleep_ms(100).await; // idle connections are closed by then
         cluster.faults.fail(Setting::SocketOneIn, Setting::SocketErrno, 1, libc::EMFILE);
         let shortage = async {
             sleep_ms(800).await;
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -149,11 +149,11 @@
 #[rstest]
 fn serves_behind_admission_control() {
     run_test(async {
-        let fitting = broker::OperatorConfig {
+        let operator = broker::OperatorConfig {
             admission: Some(admission_control::AdmissionConfig::default()),
             ..Default::default()
         };
-        let mut cluster = TestCluster::start_fitted(1, |_| (), |_| (), fitting).await;
+        let mut cluster = TestCluster::start_with_operator_config(1, |_| (), |_| (), operator).await;
         for id in ["a", "b"] {
             let mut client = cluster.send_query(id, "lookup", TWO_SHARDS).await;
             let (_, connection, shard_requests) = cluster.next_batch().await;
--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -24,7 +24,7 @@
     run_test(async {
         let mut cluster =
             TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         let text = query_request("gone", "lookup", 100_000, &body(ONE_SHARD));
         let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
         let (first, last) = text.split_at(text.len() - 1);
@@ -32,10 +32,10 @@
         if is_complete {
             client.write_all(last.as_bytes()).await.unwrap();
             wait_until(|| cluster.broker.engine.open_queries() == 1).await;
-            // Once its request is handled, what comes behind it lies unread.
+            // Once its request is handled, what comes behind it stays unread.
             client.set_nodelay(true).unwrap();
             let _ = client.try_write(behind.as_bytes());
-            sleep_ms(20).await; // so that it lies there before the close
+            sleep_ms(20).await; // so that it arrives before the close
         }
         let disconnected = Instant::now();
         drop(client);
@@ -123,7 +123,7 @@
     });
 }
 
-/// A listener whose connections take few bytes before they are read.
+/// A listener whose connections buffer few bytes.
 fn listen_with_small_buffer() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -30,7 +30,7 @@
 const CROWD: usize = 150;
 /// The work of a shard request at the nodes, in microseconds.
 const WORK_US: u64 = 5000;
-/// The ids of queries that may run at most once begin with this.
+/// The first letter of ids of queries that may run at most once.
 const ONCE: char = 'o';
 /// How long a process is paused, in milliseconds.
 const HOLD_UP_MS: u64 = 150;
@@ -38,7 +38,7 @@
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// How late a final response may be; half of it is for a busy machine.
 const ANSWER_SLACK: Duration = Duration::from_millis(1000);
-/// The grace of a drain on sockets, and what a busy machine may add.
+/// The drain grace on sockets, and what a busy machine may add.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 400);
 
 /// One broker: the process that takes new connections, and what it is started from.
@@ -56,10 +56,10 @@
     nodes: Vec<NodeServer>,
     discovery: DiscoveryCatalog,
     discovery_address: String,
-    /// Requests that ended without a whole answer, and how.
+    /// Requests that ended without a complete response, and how.
     lost: RefCell<Vec<String>>,
-    /// Requests whose kept connection closed without an answer, and that were sent once more under another id: no node
-    /// may have had the first.
+    /// Requests whose open connection was closed without a response, and that were sent again under another id. No node
+    /// may have received the first.
     sent_again: RefCell<BTreeSet<String>>,
     answered: RefCell<BTreeMap<u16, usize>>,
 }
@@ -104,7 +104,7 @@
         Instant::now() >= self.until
     }
 
-    /// Starts a process for a broker, which takes its new connections once it is ready.
+    /// Starts a process for a broker; new connections go to it once it is ready.
     async fn start_process(&self, broker: usize) -> Process {
         let process = Process::start(self.brokers[broker].config.path(), &self.discovery_address);
         process.discard_log();
@@ -118,7 +118,7 @@
         process
     }
 
-    /// Restarts a broker again and again: its successor is there before the signal, and the kill comes at the earliest.
+    /// Restarts a broker again and again: its successor is ready before SIGTERM, and SIGKILL comes as early as allowed.
     async fn restart_broker(&self, broker: usize, mut process: Process, mut rng: Rng) {
         while !self.is_over() {
             sleep_ms(rng.u64(200..1500)).await;
@@ -126,19 +126,19 @@
             sleep_ms(HOLD_UP_MS).await;
             process.signal("CONT");
             let successor = self.start_process(broker).await;
-            let told = Instant::now();
+            let signalled_at = Instant::now();
             for signal in ["TERM", "HUP", "TERM", "HUP"].iter().take(rng.usize(1..5)) {
                 process.signal(signal);
                 sleep_ms(rng.u64(0..60)).await;
             }
-            tokio::time::sleep_until((told + self.deadline + KILL_MARGIN).into()).await;
+            tokio::time::sleep_until((signalled_at + self.deadline + KILL_MARGIN).into()).await;
             let code = process.kill();
             assert!(matches!(code, None | Some(0)), "seed {}: exit code {code:?}", self.seed);
             process = successor;
         }
     }
 
-    /// Nodes drain, crash and come back; watches fall silent.
+    /// Nodes drain, crash and restart; watches fall silent.
     async fn disturb_nodes(&self, mut rng: Rng) {
         while !self.is_over() {
             sleep_ms(rng.u64(100..700)).await;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Nothing new comes to a node past the grace of its drain.
+    /// A node drains: past the drain grace it receives nothing new.
     async fn drain_node(&self, node: usize) {
         self.list_node(node, "draining");
         tokio::time::sleep(DRAIN_GRACE).await;
@@ -170,7 +170,7 @@
         self.list_node(node, "ready");
     }
 
-    /// Sends requests one after another, on a connection that is kept until the broker ends it.
+    /// Sends requests one after another, on a connection that is used until the broker closes it.
     async fn run_client(&self, client: usize, mut rng: Rng) {
         let (mut number, mut kept) = (0, None);
         while !self.is_over() {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// One request to its final answer; the connection, if it stays open.
+    /// One request to its final response; returns the connection, if it stays open.
     async fn exchange(
         &self,
         id: &str,
@@ -197,7 +197,7 @@
             match self.try_exchange(&mut connection, id, class).await {
                 Ok(true) => return Some(connection),
                 Ok(false) => return None,
-                // The broker ended it, and the close crossed the request.
+                // The broker closed it while the request was on its way.
                 Err(()) => _ = self.sent_again.borrow_mut().insert(id.to_owned()),
             }
         }
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Whether the connection stays open; `Err`: it ended without a whole answer.
+    /// Whether the connection stays open; `Err`: it ended without a complete response.
     async fn try_exchange(&self, connection: &mut HttpClient, id: &str, class: &str) -> Result<bool, ()> {
         let time_left_ms = self.deadline.as_millis() as u64;
         connection.write(&query_request(id, class, time_left_ms, &body(TWO_SHARDS))).await.map_err(|_| ())?;
@@ -227,7 +227,7 @@
         Ok(!response.head.contains("connection: close"))
     }
 
-    /// Holds idle connections, and opens those anew that are closed.
+    /// Holds idle connections, and replaces those that are closed.
     async fn run_crowd(&self) {
         let mut idle = Vec::new();
         while !self.is_over() {
@@ -273,7 +273,7 @@
 
 fn config_file(discovery: &str, deadline: Duration) -> NamedTempFile {
     let mut text = config(&[], discovery);
-    pushed(&mut text);
+    use_local_agent(&mut text);
     let deadline_ms = deadline.as_millis() as f64;
     for class in text["settings"]["Services"].as_array_mut().unwrap() {
         class["OnTimeMs"] = json!(deadline_ms / 2.0);
--- a/crates/broker/tests/sockets/system_faults.rs
+++ b/crates/broker/tests/sockets/system_faults.rs
@@ -32,13 +32,13 @@
         self.control.as_file().write_all_at(&value.to_le_bytes(), setting.offset() as u64).unwrap();
     }
 
-    /// One call in so many fails with this errno.
+    /// One call in `chance` fails with this errno.
     pub fn fail(&self, one_in: Setting, errno: Setting, chance: i64, error: i32) {
         self.set(errno, i64::from(error));
         self.set(one_in, chance);
     }
 
-    /// How many calls were made fail, be interrupted or be short.
+    /// The number of calls that failed, were interrupted or cut short.
     pub fn injected(&self) -> i64 {
         let mut bytes = [0; 8];
         let file = File::open(self.control.path()).unwrap();
--- a/crates/broker/tests/sockets/test_cluster_process.rs
+++ b/crates/broker/tests/sockets/test_cluster_process.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tempfile::NamedTempFile;
 
-/// The work of a shard request at the nodes.
+/// The work of a shard request at the nodes, in microseconds.
 const WORK_US: u64 = 2000;
 const TIME_LEFT_MS: u64 = 10_000;
 
@@ -26,7 +26,7 @@
     pub served: usize,
     pub rejected: usize,
     pub failed: usize,
-    /// The connection was closed or reset without a whole answer.
+    /// The connection was closed or reset without a complete response.
     pub lost: usize,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl ClusterProcess {
-    /// Starts the process among so many nodes, without faults as yet.
+    /// Starts the process among this number of nodes, without faults at first.
     pub async fn start(node_count: usize, change_config: impl FnOnce(&mut Value)) -> ClusterProcess {
         ClusterProcess::start_with_faults(node_count, change_config, |_| ()).await
     }
@@ -92,7 +92,7 @@
         .await;
     }
 
-    /// One request on a connection of its own; none: the connection ended without a whole answer.
+    /// One request on a connection of its own; `None`: the connection ended without a complete response.
     pub async fn request(&self, text: &str) -> Option<HttpResponse> {
         let mut client = node_emulator::HttpClient::connect(self.process.listens).await.ok()?;
         client.write(text).await.ok()?;
@@ -122,7 +122,7 @@
         outcomes
     }
 
-    /// Sends queries one after another for so long.
+    /// Sends queries one after another for this time.
     pub async fn query_for(&self, name: &str, duration: Duration) -> Outcomes {
         let (until, mut outcomes, mut number) = (Instant::now() + duration, Outcomes::default(), 0);
         while Instant::now() < until {
--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -29,7 +29,7 @@
     actix_rt::Runtime::new().unwrap().block_on(test);
 }
 
-/// What must come, with time enough for a busy machine.
+/// Waits for what must come, long enough for a busy machine; panics if it does not.
 pub async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(30), future).await.expect("it never came")
 }
@@ -38,7 +38,7 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Waits until this holds.
+/// Waits until a condition holds.
 pub async fn wait_until(condition: impl Fn() -> bool) {
     within_timeout(async {
         while !condition() {
@@ -69,8 +69,7 @@
     }
 }
 
-/// A listener whose queue is full: what connects comes up when one of the connections in it has been
-/// accepted.
+/// A listener whose queue is full: a further connection is established when one in the queue was accepted.
 pub struct FullListener {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -96,7 +95,7 @@
         within_timeout(self.listener.accept()).await.unwrap().0
     }
 
-    /// What comes on that up to its end.
+    /// All bytes that come on that connection.
     pub async fn read_after_fillers(self) -> Vec<u8> {
         let mut connection = self.accept_after_fillers().await;
         let mut received = Vec::new();
@@ -125,8 +124,8 @@
     json!({"revision": revision, "complete": true, "members": members})
 }
 
-/// A config as a broker finds it; of its classes `report` may be partial, and `once` runs at most once. Its
-/// list is asked for, so that it serves by the cached list until discovery answers.
+/// A config file. Of its classes `report` allows partial responses, and `once` runs at most once. Discovery is shared, so
+/// the broker serves by the cached list until discovery answers.
 pub fn config(nodes: &[ScriptedNode], discovery: &str) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "OnTimeMs": 8000.0, "DeadlineMs": 16000.0, "Worth": 1.0, "LateShare": 0.1,
@@ -148,8 +147,8 @@
                 "WarmUpMs": 17000.0, "OverloadFactor": 3.0, "OverloadForMs": 1000.0}}})
 }
 
-/// The list is pushed: an agent of the broker's own has it.
-pub fn pushed(config: &mut Value) {
+/// Makes discovery a local agent.
+pub fn use_local_agent(config: &mut Value) {
     config["settings"]["RegistryMode"] = json!("automatic");
 }
 
@@ -158,18 +157,23 @@
         TestCluster::start_with(nodes, |_| (), |_| ()).await
     }
 
-    /// With changes to the config, and to what was read of it.
+    /// With changes to the config file, and to what was read of it.
     pub async fn start_with(
         nodes: usize,
         change_config: impl FnOnce(&mut Value),
         change_startup: impl FnOnce(&mut StartupConfig),
     ) -> TestCluster {
-        TestCluster::start_fitted(nodes, change_config, change_startup, broker::OperatorConfig::default())
-            .await
+        TestCluster::start_with_operator_config(
+            nodes,
+            change_config,
+            change_startup,
+            broker::OperatorConfig::default(),
+        )
+        .await
     }
 
-    /// The same, fitted as the operator's file says.
-    pub async fn start_fitted(
+    /// The same, with an operator's file.
+    pub async fn start_with_operator_config(
         node_count: usize,
         change_config: impl FnOnce(&mut Value),
         change_startup: impl FnOnce(&mut StartupConfig),
@@ -185,17 +189,17 @@
         change_config(&mut text);
         let mut startup = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap();
         change_startup(&mut startup);
-        let broker = broker::start_fitted(startup, operator).await.unwrap();
+        let broker = broker::start_with_operator_config(startup, operator).await.unwrap();
         TestCluster { broker, nodes, discovery, events }
     }
 
-    /// What any node receives next: which node, on which connection, what.
+    /// The next event at any node: the node, the connection, and what was received.
     pub async fn next_event(&mut self) -> (usize, usize, PeerEvent) {
         let received = within_timeout(self.events.recv()).await.unwrap();
         (received.node, received.connection, received.event)
     }
 
-    /// The next batch at any node. Nothing else may come before it.
+    /// The next batch at any node: the node, the connection, and the shard requests. Nothing else may come before it.
     pub async fn next_batch(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         match self.next_event().await {
             (node, connection, PeerEvent::Batch(shard_requests)) => (node, connection, shard_requests),
@@ -203,7 +207,7 @@
         }
     }
 
-    /// The next batch at any node, whatever else comes before it.
+    /// The next batch at any node; events before it are dropped.
     pub async fn next_batch_of_any(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         loop {
             if let (node, connection, PeerEvent::Batch(shard_requests)) = self.next_event().await {
@@ -212,14 +216,14 @@
         }
     }
 
-    /// Answers a shard request of the next batch with a value; the node that had it.
+    /// Answers a shard request of the next batch with a value; returns the node.
     pub async fn answer_next_batch(&mut self, id: &str) -> usize {
         let (node, connection, _) = self.next_batch().await;
         self.nodes[node].respond(connection, id, 'S', "v").await;
         node
     }
 
-    /// Nothing more has been received by now.
+    /// Whether no node has received anything more.
     pub fn has_no_event(&mut self) -> bool {
         self.events.try_recv().is_err()
     }
@@ -236,7 +240,7 @@
     }
 }
 
-/// The program in a process of its own, which ends with this value.
+/// The program in a process of its own, which is killed when this is dropped.
 pub struct Process {
     pub listens: SocketAddr,
     child: std::process::Child,
@@ -275,20 +279,20 @@
         assert!(std::process::Command::new("kill").args([signal, id]).status().unwrap().success());
     }
 
-    /// Reads its log to the end on a thread: a pipe that nobody reads would hold the process up.
+    /// Reads its log to the end on a thread: a pipe that nobody reads would block the process.
     pub fn discard_log(&self) {
         if let Some(mut log) = self.log.borrow_mut().take() {
             std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         }
     }
 
-    /// Ends it by SIGKILL, if it has not ended; its exit code, if it had.
+    /// Kills it, if it still runs; its exit code, if it had ended.
     pub fn kill(&mut self) -> Option<i32> {
         let _ = self.child.kill();
         self.exit()
     }
 
-    /// Waits for its end; its exit code, if no signal ended it.
+    /// Waits for its end; its exit code, if it was not killed.
     pub fn exit(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
@@ -333,7 +337,7 @@
         self.client.write(text).await.unwrap();
     }
 
-    /// The next reply; none: the broker closed the connection.
+    /// The next reply; `None`: the broker closed the connection.
     pub async fn reply(&mut self) -> Option<HttpResponse> {
         within_timeout(self.client.read_response()).await
     }
@@ -344,7 +348,7 @@
     }
 }
 
-/// Discovery whose calls the test answers.
+/// Discovery whose requests the test answers.
 pub struct Discovery {
     discovery: ScriptedDiscovery,
 }
@@ -362,8 +366,8 @@
         self.discovery.respond(body);
     }
 
-    /// The path of the next call.
-    pub async fn called(&mut self) -> String {
+    /// The path of the next request.
+    pub async fn next_request(&mut self) -> String {
         within_timeout(self.discovery.next_request()).await.unwrap()
     }
 }
--- a/crates/broker/tests/sockets/wall_clock.rs
+++ b/crates/broker/tests/sockets/wall_clock.rs
@@ -41,7 +41,7 @@
     futures_util::future::join_all(clients).await;
 }
 
-/// Received within a window that begins when the first is.
+/// The number of shard requests received within a window from the first one on.
 fn received_in_first_window(node: &NodeServer) -> usize {
     let received = node.received();
     let until = received.first().map(|first| first.at.0 + WINDOW.as_micros() as i64 / 100);
@@ -72,17 +72,19 @@
     std::fs::write(file.path(), text.to_string()).unwrap();
     let faults = SystemFaults::new(1);
     let process = Process::start_with_faults(file.path(), &discovery.address().to_string(), &faults);
-    assert_eq!(discovery.called().await, "/catalog/members");
+    assert_eq!(discovery.next_request().await, "/catalog/members");
     discovery.reply(snapshot(1, &[entry(0, 0)]));
-    assert_eq!(discovery.called().await, "/catalog/members?after=1&wait_ms=4000");
-    // Latencies are known before the cold node comes.
+    assert_eq!(discovery.next_request().await, "/catalog/members?after=1&wait_ms=4000");
+    // Latencies are measured before the cold node starts.
     send_traffic(process.listens, 0, WINDOW).await;
     faults.set(Setting::ClockStepMs, step_ms);
     let started = entry(1, wall_clock_ms() + step_ms);
     discovery.reply(json!({"revision": 2, "complete": false, "members": [started]}));
-    // The next call tells that the list was taken in; whichever comes first, a time-out's or this.
-    within_timeout(async { while discovery.called().await != "/catalog/members?after=2&wait_ms=4000" {} })
-        .await;
+    // The next watch shows that the list was used; a watch that timed out may come before it.
+    within_timeout(async {
+        while discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
+    })
+    .await;
     SteppedBroker { process, nodes, _discovery: discovery, _faults: faults, _config: file }
 }
 
