--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Times derived from the protocol's time limits and the settings.
 
 use broker::config_epoch::ConfigEpoch;
-use broker::limits::{self, Limits, Machine};
+use broker::limits::{self, Limits, LimitsError, Machine};
 use routing::discovery_backoff::DiscoveryKind;
 use routing::shutdown_deadline::ShutdownSchedule;
 use routing::{ClassId, RequestClass, Tenths};
@@ -11,6 +11,38 @@
 
 const MACHINE: Machine = Machine { memory_mb: 192, sockets: 1024 };
 
+/// The descriptors and the memory of a machine are divided among clients, nodes, queries and lists; where either is
+/// scarce, it alone decides. In the small machine descriptors are, in the second one memory.
+#[rstest]
+#[case::few_descriptors(Machine { memory_mb: 192, sockets: 64 }, [19, 2, 10, 10], 48 << 20, 2_048_000)]
+#[case::usual(Machine { memory_mb: 192, sockets: 1024 }, [579, 82, 204, 330], 48 << 20, 2_048_000)]
+#[case::little_memory(Machine { memory_mb: 32, sockets: 65_536 }, [149, 21, 85, 170], 8 << 20, 2_048_000)]
+fn divides_what_the_machine_gives(
+    #[case] machine: Machine,
+    #[case] connections: [usize; 4],
+    #[case] held_bytes: usize,
+    #[case] list_bytes: usize,
+) {
+    let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
+    let clients = &limits.clients;
+    let found = [
+        clients.max_connections,
+        clients.max_surplus_connections,
+        clients.max_idle_connections,
+        limits.nodes.max_connections,
+    ];
+    assert_eq!(found, connections);
+    assert_eq!((limits.max_held_bytes, limits.discovery.max_list_bytes), (held_bytes, list_bytes));
+}
+
+/// A machine has too little of something. The error must say of what, how much there is, and how much is needed.
+#[rstest]
+#[case(Machine { memory_mb: 192, sockets: 63 }, LimitsError::TooFewSockets { sockets: 63, needed: 64 })]
+#[case(Machine { memory_mb: 31, sockets: 64 }, LimitsError::TooLittleMemory { memory_mb: 31, needed_mb: 32 })]
+fn rejects_a_machine_that_is_too_small(#[case] machine: Machine, #[case] expected: LimitsError) {
+    assert_eq!(Limits::new(machine, &BrokerSettings::default()).unwrap_err(), expected);
+}
+
 /// A watch falls silent, and the broker misses a drain. It counts as notified 6 s after the silence began, or 2 s after the
 /// watch's wait if that is later. By then the silence must be noticed, the agent asked again, and its answer there
 /// with a third of the drain grace to spare.
