--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -1,6 +1,9 @@
-//! Versions from a configuration service, brought to the engine. The streams, the checks and the state file
-//! live on a thread beside the broker's; here, on the broker's own, a version is taken over in one step
-//! between two turns.
+//! Configuration versions from a configuration service, brought to the engine.
+//!
+//! The streams, the checks and the state file are on a thread of their own (`config_rollout_client::run`). It sends
+//! [`EngineRequest`]s over a channel; a task on the broker's thread carries them out one at a time, so a version is
+//! applied in one step between two turns. When either side is gone, the other's requests or replies are dropped: the
+//! broker serves on under its last configuration.
 
 mod status_command;
 
@@ -26,10 +29,11 @@
 /// The name of the thread that carries the rollout out.
 const THREAD_NAME: &str = "control";
 
-/// A broker's rollout, prepared before it serves.
+/// What a broker's rollout starts from, prepared before the broker serves.
 pub struct PreparedRollout {
     client_config: ClientConfig,
     restored: RestoredState,
+    /// The configuration that the broker starts with, adapted to sockets.
     start_config: BrokerConfig,
     status_listener: Option<TcpListener>,
 }
@@ -37,8 +41,10 @@
 /// The broker's own settings can't be what versions are compared with.
 #[derive(Debug, Error)]
 enum OwnSettingsError {
+    /// They are not JSON, or too long.
     #[error("settings: {0}")]
     Unreadable(#[source] settings::DocumentError),
+    /// A check finds a mistake; the first one.
     #[error("settings: {0}")]
     Invalid(ValidationError),
 }
@@ -49,8 +55,11 @@
     }
 }
 
-/// Takes the stored version over, if there is one, so that the broker serves under that from its first query
-/// on.
+/// Restores the stored version, if there is one, so that the broker serves under it from its first query on.
+///
+/// # Errors
+///
+/// The broker's own settings have a mistake, or the status service's address can't be listened on.
 pub fn prepare(startup: &mut StartupConfig, control: RolloutConfig) -> io::Result<PreparedRollout> {
     let own_document = read_own_settings(startup.settings.as_bytes(), control.max_document_bytes)?;
     let RolloutConfig { installation, max_document_bytes, state_file, .. } = &control;
@@ -87,6 +96,7 @@
     Ok(PreparedRollout { client_config, restored, start_config, status_listener })
 }
 
+/// Reads the broker's own settings, which must be free of mistakes: versions are compared with them.
 fn read_own_settings(text: &[u8], max_bytes: usize) -> Result<Document, OwnSettingsError> {
     let document = Document::parse(text, max_bytes).map_err(OwnSettingsError::Unreadable)?;
     match check(&document).into_iter().next() {
@@ -96,8 +106,11 @@
 }
 
 impl PreparedRollout {
-    /// Starts to follow the configuration services, on a thread of its own; returns the address of the status
-    /// service.
+    /// Starts the rollout's thread; returns the address of the status service, if it is switched on.
+    ///
+    /// # Errors
+    ///
+    /// The system refuses the thread or its runtime.
     pub fn begin(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         let PreparedRollout { client_config, restored, start_config, status_listener } = self;
         let status_address = status_listener.as_ref().map(TcpListener::local_addr).transpose()?;
@@ -120,6 +133,7 @@
     }
 }
 
+/// The status service's listener for the rollout's runtime; without it there is no status service.
 fn into_async(listener: TcpListener) -> Option<tokio::net::TcpListener> {
     let ready = listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener));
     ready.inspect_err(|error| warn!(reason = %error, "no status service")).ok()
@@ -127,8 +141,11 @@
 
 /// What the rollout's thread asks of the broker's.
 enum EngineRequest {
+    /// Accept queries under this version from now on.
     Apply { version: VersionId, broker_settings: Box<BrokerSettings>, done: oneshot::Sender<()> },
+    /// The contents in force have another version number.
     Renumber { version: VersionId, done: oneshot::Sender<()> },
+    /// Say how queries have ended under the present configuration.
     CountOutcomes { reply: oneshot::Sender<Sample> },
 }
 
@@ -161,16 +178,15 @@
     }
 }
 
-/// What the start worked out for sockets holds in every version: a document has only the settings' own
-/// values.
+/// Keeps the values that were adapted to sockets at the start: a version's document has only those of the settings.
 fn keep_socket_waits(config: &mut BrokerConfig, start_config: &BrokerConfig) {
     config.send_lag = start_config.send_lag;
     config.watch_on_request = start_config.watch_on_request;
     config.rules.endpoint_list_max_age = start_config.rules.endpoint_list_max_age;
 }
 
-/// Carries out at the engine what the rollout's thread asks. The published version changes in the same step
-/// as the engine's configuration: nobody can see one without the other.
+/// The task that carries out the rollout's requests. The published version changes in the same step as the engine's
+/// configuration, so the status never shows one without the other.
 async fn serve_requests(
     engine: Rc<Engine>,
     start_config: BrokerConfig,
@@ -178,7 +194,7 @@
     status: Arc<PublishedStatus>,
 ) {
     while let Some(request) = requests.recv().await {
-        // Whoever asked may be gone: then there is nobody to reply to.
+        // A reply can't be sent where the rollout's thread is gone.
         match request {
             EngineRequest::Apply { version, mut broker_settings, done } => {
                 let config = &mut broker_settings.broker_config;
@@ -198,6 +214,8 @@
     }
 }
 
+/// How queries have ended under the present configuration. Only its own counts are in a sample, so a version is not
+/// judged by queries that its predecessor accepted.
 fn count_outcomes(engine: &Engine) -> Sample {
     let EpochCounts { ended, late, rejected, failed, not_accepted, with_lost_node } =
         engine.epoch().counts.get();
--- a/crates/broker/src/discovery/list_requests.rs
+++ b/crates/broker/src/discovery/list_requests.rs
@@ -1,4 +1,7 @@
 //! Requests for the complete endpoint list that wait side by side.
+//!
+//! The requests are futures owned by [`ListRequests`], polled by whoever waits for one to finish. Waiting can be
+//! dropped at any time: the requests go on when it is taken up again. Dropping [`ListRequests`] drops the requests.
 
 use super::error::DiscoveryError;
 use crate::endpoint_list::NodeList;
@@ -9,7 +12,7 @@
 use tracing::warn;
 
 /// What became of one of the requests.
-pub(super) enum RequestOutcome {
+enum RequestOutcome {
     /// It was answered.
     Answered(NodeList),
     /// The newest one failed.
@@ -18,32 +21,33 @@
     OlderFailed,
 }
 
+/// A request that has finished, with its place among the requests.
 struct FinishedRequest {
+    /// Counted from the first request on.
     number: usize,
+    /// Whether it was the patient one.
     is_patient: bool,
     result: Result<NodeList, DiscoveryError>,
 }
 
-/// The requests that still wait. One of them is patient: it is waited for much longer than the others.
+/// The requests that still wait. One of them is patient: its time limit is much longer than that of the others.
 #[derive(Default)]
 pub(super) struct ListRequests<'a> {
     waiting: FuturesUnordered<LocalBoxFuture<'a, FinishedRequest>>,
+    /// The number of the newest request.
     newest: usize,
+    /// Whether the patient one waits.
     has_patient: bool,
+    /// Whether a request has failed; that was logged then.
     has_failed: bool,
 }
 
 impl<'a> ListRequests<'a> {
-    /// Whether a patient one waits.
+    /// Whether the patient request still waits.
     pub(super) fn has_patient(&self) -> bool {
         self.has_patient
     }
 
-    /// Whether none waits.
-    pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
-    }
-
     /// Adds a request, which is the newest from now on.
     pub(super) fn push(
         &mut self,
@@ -58,20 +62,33 @@
     }
 
     /// Waits for the next one to finish; for ever where none waits.
-    pub(super) async fn next(&mut self) -> RequestOutcome {
+    async fn next(&mut self) -> RequestOutcome {
         let Some(finished) = self.waiting.next().await else { return pending().await };
         self.has_patient &= !finished.is_patient;
         match finished.result {
-            Ok(list) => RequestOutcome::Answered(list),
-            Err(error) => {
-                // One line for all of its silence.
-                if !std::mem::replace(&mut self.has_failed, true) {
-                    warn!(%error, "discovery does not list the nodes, calls go on");
-                }
-                match finished.number == self.newest {
-                    true => RequestOutcome::NewestFailed,
-                    false => RequestOutcome::OlderFailed,
-                }
+            Ok(list) => return RequestOutcome::Answered(list),
+            Err(error) => self.log_first_failure(&error),
+        }
+        match finished.number == self.newest {
+            true => RequestOutcome::NewestFailed,
+            false => RequestOutcome::OlderFailed,
+        }
+    }
+
+    /// One line for a series of failures.
+    fn log_first_failure(&mut self, error: &DiscoveryError) {
+        if !std::mem::replace(&mut self.has_failed, true) {
+            warn!(%error, "endpoint list request failed, retrying until one is answered");
+        }
+    }
+
+    /// Waits for a list, for as long as the newest request has not failed.
+    pub(super) async fn answered_unless_newest_fails(&mut self) -> Option<NodeList> {
+        loop {
+            match self.next().await {
+                RequestOutcome::Answered(list) => return Some(list),
+                RequestOutcome::NewestFailed => return None,
+                RequestOutcome::OlderFailed => {}
             }
         }
     }
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -1,13 +1,17 @@
-//! A broker that serves, and how it is started.
+//! Starting a broker, and what is known of one that serves.
+//!
+//! Everything runs on the thread that starts it. Spawned tasks: the engine's event loop, discovery, the HTTP server's
+//! listener, one for each connection, and the rollout's requests where versions are switched on. None of them ends before the
+//! process does, apart from connections, and the listener at the shutdown.
 
 use crate::engine::Engine;
 use crate::http_server::HttpServer;
-use crate::limits::Limits;
 use crate::query_handler::{QueryHandler, RejectedRequests};
 use crate::startup::StartupConfig;
 use crate::{config_rollout, discovery};
 use operator_config::OperatorConfig;
 use routing::EndpointListKind;
+use routing::discovery_backoff::DiscoveryKind;
 use settings::BrokerSettings;
 use std::io;
 use std::net::SocketAddr;
@@ -20,32 +24,34 @@
 pub struct Running {
     /// Where clients reach it.
     pub listens: SocketAddr,
-    /// Its routing decisions and what they are carried out on.
+    /// Its engine, with the routing decisions.
     pub engine: Rc<Engine>,
     /// Where discovery is; it may move while the broker runs.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Where its status is served, if it is.
+    /// Where its status is served, if that is switched on.
     pub status: Option<SocketAddr>,
     pub(crate) http_server: Rc<HttpServer>,
-    pub(crate) limits: Rc<Limits>,
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with nothing switched on.
+/// Starts a broker on the current thread, within an `actix_rt` runtime, without optional features.
 ///
 /// # Errors
 ///
-/// As [`start_fitted`].
+/// As [`start_with_operator_config`].
 pub async fn start(config: StartupConfig) -> io::Result<Running> {
-    start_fitted(config, OperatorConfig::default()).await
+    start_with_operator_config(config, OperatorConfig::default()).await
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with what the operator has switched
-/// on.
+/// Starts a broker on the current thread, within an `actix_rt` runtime, with the features that the operator's file
+/// switches on.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or what is switched on can't be started.
-pub async fn start_fitted(mut config: StartupConfig, operator: OperatorConfig) -> io::Result<Running> {
+/// An address can't be listened on, or a feature can't be started.
+pub async fn start_with_operator_config(
+    mut config: StartupConfig,
+    operator: OperatorConfig,
+) -> io::Result<Running> {
     let follower = match operator.rollout {
         Some(control) => Some(config_rollout::prepare(&mut config, control)?),
         None => None,
@@ -56,9 +62,10 @@
     warn_of_second_phases(&config.broker_settings);
     let engine =
         Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, operator.admission);
-    // Guards against drains that an agent has and of which the broker counts as notified from the first
-    // moment: the agent is asked before anything is sent, and what was known before is not used.
-    if let Some(known) = config.known.filter(|_| !limits.has_discovery_agent) {
+    // Where discovery is a local agent, the broker counts as notified of every drain that the agent knows, from its
+    // start on. The cached list may miss one, so nothing is sent by it: the broker waits for the agent's list. The cost
+    // is that `/_health` is 503 until then.
+    if let Some(known) = config.known.filter(|_| limits.discovery.kind == DiscoveryKind::Shared) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
     let query_handler = QueryHandler {
@@ -69,15 +76,18 @@
     let http_server = HttpServer::new(query_handler);
     actix_rt::spawn(engine.clone().run());
     let (discovery, discovery_changes) = watch::channel(config.discovery);
-    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.clone(), discovery_changes));
+    actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.discovery.clone(), discovery_changes));
     let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
     info!(broker = %config.name, listen_address = %listens, "serving");
-    Ok(Running { listens, engine, discovery, status, http_server, limits })
+    Ok(Running { listens, engine, discovery, status, http_server })
 }
 
+/// Warns of request classes whose queries the protocol can't carry.
 fn warn_of_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
-        warn!("a request class has a second phase, which this protocol lacks: its queries are rejected");
+        warn!(
+            "a request class has a second phase, which the protocol does not support: its queries are rejected"
+        );
     }
 }
--- a/crates/broker/tests/sockets/configuration.rs
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -5,8 +5,9 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// SIGHUP ends no broker: where the file names another discovery, that is asked at once, whatever the start
-/// was given, and its list is used though its revision is lower. A file that can't be used changes nothing.
+/// Discovery moves, and SIGHUP tells the broker to read its config file again; some of the files can't be used.
+/// A broker that ended, or stayed at the old address, would serve by an old list. It must ask at the new
+/// address at once and use that list though its revision is lower; an unusable file must change nothing.
 #[rstest]
 fn follows_discovery_to_the_address_of_a_reloaded_config() {
     run_test(async {
@@ -16,23 +17,23 @@
         let write = |text: String| std::fs::write(&file, text).unwrap();
         let old_config = config(&old.nodes, &old.discovery.address().to_string());
         write(old_config.to_string());
-        old.discovery.called().await;
+        old.discovery.next_request().await;
         let process = Process::start(&file, &old.discovery.address().to_string());
-        assert_eq!(old.discovery.called().await, "/catalog/members");
+        assert_eq!(old.discovery.next_request().await, "/catalog/members");
         for _ in 0..2 {
             old.discovery.reply(snapshot(41, &[]));
-            assert_eq!(old.discovery.called().await, "/catalog/members?after=41&wait_ms=4000");
+            assert_eq!(old.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
         }
         for unusable in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
             write(unusable.to_owned());
             process.signal("HUP");
-            process.wait_for_log("config not reloaded");
+            process.wait_for_log("config reload failed");
         }
         write(config(&old.nodes, &new.address().to_string()).to_string());
         process.signal("HUP");
-        assert_eq!(new.called().await, "/catalog/members");
+        assert_eq!(new.next_request().await, "/catalog/members");
         new.reply(snapshot(3, &[member(&old.nodes, 1, "ready")]));
-        assert_eq!(new.called().await, "/catalog/members?after=3&wait_ms=4000");
+        assert_eq!(new.next_request().await, "/catalog/members?after=3&wait_ms=4000");
         let mut client = Client::connect(process.listens).await;
         client.write(&query_request("a", "lookup", 9000, &body(ONE_SHARD))).await;
         assert_eq!(old.answer_next_batch("a.3").await, 1);
@@ -43,6 +44,7 @@
     });
 }
 
+/// A config file has one wrong value. The error must name the key and what is wrong.
 #[rstest]
 #[case("/seed", json!("no number"), "`seed`")]
 #[case("/listen", json!("everywhere"), "`listen` is `everywhere`")]
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports that are asked for by probes.
+//! Load reports that nodes send in reply to probes.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -40,7 +40,9 @@
     });
 }
 
-/// A replica that does not answer a probe, or whose connection ends, delays nothing for long.
+/// One of two replicas does not answer its load probe, or closes the connection. A broker that waited for it
+/// would miss the query's objective. After a fiftieth of the latency objective the shard request must go to the
+/// replica that reported.
 #[rstest]
 #[case(false)]
 #[case(true)]
@@ -107,7 +109,7 @@
         };
         let mut cluster = TestCluster::start_with(2, migrate, |_| ()).await;
         let members: Vec<Value> = (0..2).map(|at| member(&cluster.nodes, at, "ready")).collect();
-        cluster.discovery.called().await;
+        cluster.discovery.next_request().await;
         cluster.discovery.reply(snapshot(7, &members));
         wait_until(|| cluster.broker.engine.can_serve()).await;
         // Shard 3 is held by replica group 3 mod 2 alone.
--- a/crates/broker/tests/sockets/wall_clock.rs
+++ b/crates/broker/tests/sockets/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock is stepped while the program runs.
+//! The wall clock is stepped while the program runs. Nodes' start times are given by wall clocks, so a step
+//! must not change how warm a node is taken to be.
 
 use super::system_faults::{Setting, SystemFaults};
 use super::test_peers::*;
@@ -40,7 +41,7 @@
     futures_util::future::join_all(clients).await;
 }
 
-/// Received within a window that begins when the first is.
+/// The number of shard requests received within a window from the first one on.
 fn received_in_first_window(node: &NodeServer) -> usize {
     let received = node.received();
     let until = received.first().map(|first| first.at.0 + WINDOW.as_micros() as i64 / 100);
@@ -71,22 +72,25 @@
     std::fs::write(file.path(), text.to_string()).unwrap();
     let faults = SystemFaults::new(1);
     let process = Process::start_with_faults(file.path(), &discovery.address().to_string(), &faults);
-    assert_eq!(discovery.called().await, "/catalog/members");
+    assert_eq!(discovery.next_request().await, "/catalog/members");
     discovery.reply(snapshot(1, &[entry(0, 0)]));
-    assert_eq!(discovery.called().await, "/catalog/members?after=1&wait_ms=4000");
-    // Latencies are known before the cold node comes.
+    assert_eq!(discovery.next_request().await, "/catalog/members?after=1&wait_ms=4000");
+    // Latencies are measured before the cold node starts.
     send_traffic(process.listens, 0, WINDOW).await;
     faults.set(Setting::ClockStepMs, step_ms);
     let started = entry(1, wall_clock_ms() + step_ms);
     discovery.reply(json!({"revision": 2, "complete": false, "members": [started]}));
-    // The next call tells that the list was taken in; whichever comes first, a time-out's or this.
-    within_timeout(async { while discovery.called().await != "/catalog/members?after=2&wait_ms=4000" {} })
-        .await;
+    // The next watch shows that the list was used; a watch that timed out may come before it.
+    within_timeout(async {
+        while discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
+    })
+    .await;
     SteppedBroker { process, nodes, _discovery: discovery, _faults: faults, _config: file }
 }
 
-/// Stepped back: the stamp of a node that starts then lies an hour in the past by the broker's own count, and
-/// the node is as cold as ever. What the settings allow it in the window: 3 times a fifth of it, in shard
+/// The wall clock is stepped back by an hour, and a node starts: its start time lies an hour in the past by the
+/// broker's own count. Taken as warm, the cold node would be given a full share and collapse. It must get no
+/// more in its first window than the settings allow a warming node, 3 times a fifth of the window in shard
 /// requests of mean work.
 #[rstest]
 fn a_clock_stepped_back_makes_no_cold_node_warm() {
@@ -101,7 +105,9 @@
     });
 }
 
-/// Stepped forward: the stamp lies an hour ahead, and the node is warm all the same once its warm-up is over.
+/// The wall clock is stepped forward by an hour, and a node starts: its start time lies an hour ahead. Taken as
+/// not yet started, it would stay unused for an hour. It must get its share of the traffic once its warm-up is
+/// over.
 #[rstest]
 fn a_clock_stepped_forward_keeps_no_node_cold() {
     run_test(async {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -38,5 +38,6 @@
 pub use ids::*;
 pub use inputs::*;
 pub use log_event::LogEvent;
+pub use policy::{discovery_backoff, shutdown_deadline};
 pub use statistics::{SlidingWindow, WindowCounts};
 pub use time::Tenths;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -14,7 +14,8 @@
 //! - **When an attempt ends or stays silent**: [`outcome`], [`node_health`], [`shard_request_state`],
 //!   [`idempotency`], [`attempt_limit`], [`retry_budget`], [`hedging`], [`send_delay`], [`polling`].
 //! - **Responding or giving up**: [`coverage`], [`give_up`].
-//! - **Beside queries**: [`endpoint_watch`], [`reconfiguration`].
+//! - **Beside queries**: [`endpoint_watch`], [`reconfiguration`]; for the front end [`discovery_backoff`] and
+//!   [`shutdown_deadline`].
 
 pub(crate) mod admission;
 pub(crate) mod admission_queue;
@@ -25,6 +26,7 @@
 pub(crate) mod concurrency_limit;
 pub(crate) mod coverage;
 pub(crate) mod cutoff;
+pub mod discovery_backoff;
 pub(crate) mod endpoint_watch;
 pub(crate) mod give_up;
 pub(crate) mod hedging;
@@ -47,6 +49,7 @@
 pub(crate) mod retry_budget;
 pub(crate) mod send_delay;
 pub(crate) mod shard_request_state;
+pub mod shutdown_deadline;
 pub(crate) mod slow_start;
 #[cfg(test)]
 pub(crate) mod test_queries;
