--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -183,11 +183,9 @@
     fn follow_version_change(&mut self, now: Tenths, event: VersionEvent) {
         match event {
             VersionEvent::Newer => {
-                let probation = match self.probation.take() {
-                    Some(replaced) => replaced.successor(now),
-                    None => Probation::new(self.policy.clone(), &self.settled_outcomes, now),
-                };
-                self.probation = Some(probation);
+                // Outcomes under a version on probation are not settled: one that replaces another on probation
+                // is compared with what was before both.
+                self.probation = Some(Probation::new(self.policy.clone(), &self.settled_outcomes, now));
                 self.reset_counts();
             }
             VersionEvent::Reverted => {
--- a/crates/config-rollout/src/offer_comparison/tests.rs
+++ b/crates/config-rollout/src/offer_comparison/tests.rs
@@ -57,6 +57,23 @@
     assert_eq!(compare(number, contents), expected);
 }
 
+/// After a restart the highest accepted number is known without its contents. A service that offers other contents
+/// under just this number must not be followed.
+#[rstest]
+fn the_highest_number_itself_is_older() {
+    let (own, accepted) = (version(4, "own"), AcceptedNumbers::new(version(4, "own"), 9));
+    let withdrawn = WithdrawnContents::new(Vec::new());
+    let inputs = ComparisonInputs {
+        running: own,
+        confirmed: own,
+        on_probation: None,
+        accepted: &accepted,
+        withdrawn: &withdrawn,
+    };
+    let compare = |number| compare_offer(&Offer::Valid(version(number, "new")), &inputs).event;
+    assert_eq!((compare(9), compare(10)), (VersionEvent::Older, VersionEvent::Newer));
+}
+
 /// The process ended while a version was on probation. The service offers it again, under a number that was
 /// accepted before: it is not older, but goes on where it was.
 #[rstest]
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -61,3 +61,6 @@
         if largest.is_nan() { unknown } else { largest }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/config-rollout/src/outcome_window/tests.rs
@@ -0,0 +1,23 @@
+//! What is compared with, and how far back.
+
+use super::OutcomeWindow;
+use crate::sample::Sample;
+use routing::Tenths;
+use rstest::rstest;
+
+const SPAN: Tenths = Tenths(100_000);
+
+fn sample(ended: u64) -> Sample {
+    Sample { ended, failed: 0, failed_on_nodes: 0, ready_nodes: 10 }
+}
+
+/// A fault that is over must not count as usual for ever: what is as old as the span is dropped.
+#[rstest]
+#[case(99_999, 11)]
+#[case(100_000, 1)]
+fn samples_are_dropped_after_the_span(#[case] now: i64, #[case] expected: u64) {
+    let mut outcomes = OutcomeWindow::default();
+    outcomes.record(Tenths(0), sample(10), SPAN);
+    outcomes.record(Tenths(now), sample(1), SPAN);
+    assert_eq!(outcomes.baseline().total.ended, expected);
+}
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -90,18 +90,8 @@
 impl Probation {
     /// The probation of a version that is applied now, compared with these outcomes before it.
     pub fn new(policy: RolloutPolicy, outcomes: &OutcomeWindow, now: Tenths) -> Probation {
-        Probation::from_baseline(policy, outcomes.baseline(), now)
-    }
-
-    /// The probation of a version that replaces another on probation: it is compared with what was before
-    /// both.
-    pub fn successor(&self, now: Tenths) -> Probation {
-        Probation::from_baseline(self.policy.clone(), self.baseline.clone(), now)
-    }
-
-    fn from_baseline(policy: RolloutPolicy, baseline: Baseline, now: Tenths) -> Probation {
         let count_start = CountStart { at: now, sample: Sample::default() };
-        Probation { policy, baseline, started: now, count_start, condition: Stable }
+        Probation { policy, baseline: outcomes.baseline(), started: now, count_start, condition: Stable }
     }
 
     /// Whether nodes are failing.
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -3,7 +3,7 @@
 use super::{OutcomeWindow, Probation};
 use crate::policy::RolloutPolicy;
 use crate::sample::Sample;
-use crate::verdict::Verdict;
+use crate::verdict::{UnprovenReason, Verdict};
 use routing::Tenths;
 use rstest::rstest;
 
@@ -157,3 +157,25 @@
     });
     assert_eq!(is_failed(&verdict), blamed, "{verdict:?}");
 }
+
+/// All of the first queries fail, but they are too few to judge a version by: a broker with little traffic would
+/// withdraw a version for the queries of one client.
+#[rstest]
+fn too_few_queries_withdraw_nothing() {
+    let (second, verdict) = play(&outcomes_before([0; 4]), |_, counts| {
+        counts.ended += 1;
+        counts.failed += 1;
+    });
+    assert!(is_failed(&verdict) && second == 30, "{second}: {verdict:?}");
+}
+
+/// Just enough queries ended, and more of them failed than usual, though not beyond noise: the reason is not that
+/// there were too few.
+#[rstest]
+fn enough_queries_that_point_neither_way_are_inconclusive() {
+    let (second, verdict) = play(&outcomes_before([0; 4]), |second, counts| {
+        counts.ended += u64::from(second <= 30);
+        counts.failed += u64::from(second <= 4);
+    });
+    assert_eq!((second, verdict), (900, Verdict::Unproven(UnprovenReason::Inconclusive)));
+}
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -249,12 +249,13 @@
         Some(*oldest + self.policy.connect_window + Tenths(1))
     }
 
-    /// The next service in order that is not avoided; where all are, the next.
+    /// The next service in order that is not avoided. There always is one: a service is left only while there is
+    /// another that is not avoided, and the current one is among those that follow, as the last.
     fn choose_service(&mut self, now: Tenths) {
         let count = self.suspect_until.len();
-        let following = (1..=count).map(|step| (self.service.0 + step) % count);
-        let trusted = following.clone().find(|index| self.suspect_until[*index] <= now);
-        self.service = ServiceIndex(trusted.or(following.clone().next()).unwrap_or(0));
+        let mut following = (1..=count).map(|step| (self.service.0 + step) % count);
+        let trusted = following.find(|index| self.suspect_until[*index] <= now);
+        self.service = ServiceIndex(trusted.unwrap_or(self.service.0));
     }
 }
 
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -139,3 +139,37 @@
     handle(&mut subscription, due, TimerExpired);
     assert!(!subscription.is_current(old) && subscription.is_current(StreamId(2)));
 }
+
+/// A service is down after a stream was open for long. The attempts that follow are failures, though the last stream
+/// was stable: the backoff must grow, or the service would be called each second for as long as it is down.
+#[rstest]
+fn the_backoff_grows_after_a_stable_stream() {
+    let third_wait = |seed| {
+        let mut subscription = Subscription::new(RolloutPolicy::default(), 1, fastrand::Rng::with_seed(seed));
+        handle(&mut subscription, 0, Started);
+        handle(&mut subscription, 1, StreamOpened);
+        handle(&mut subscription, 2, ResponseReceived);
+        handle(&mut subscription, 900_000, StreamEnded);
+        let mut refused_at = 0;
+        for _ in 0..3 {
+            refused_at = subscription.next_due().unwrap().0;
+            handle(&mut subscription, refused_at, TimerExpired);
+            handle(&mut subscription, refused_at, StreamEnded);
+        }
+        subscription.next_due().unwrap().0 - refused_at
+    };
+    let longest = (0..200).map(third_wait).max().unwrap();
+    assert!((36_000..=40_000).contains(&longest), "{longest} of 40,000");
+}
+
+/// A service has answered, and then has nothing new for hours. The time-out of the connection attempt must not end
+/// the open stream.
+#[rstest]
+fn an_answered_stream_stays_open() {
+    let mut subscription = new_subscription(1);
+    handle(&mut subscription, 0, Started);
+    handle(&mut subscription, 10, StreamOpened);
+    handle(&mut subscription, 20, ResponseReceived);
+    assert!(handle(&mut subscription, 900_000, TimerExpired).is_empty());
+    assert_eq!(subscription.state(), Open);
+}
--- a/crates/config-rollout/src/version_history.rs
+++ b/crates/config-rollout/src/version_history.rs
@@ -307,3 +307,6 @@
         (self.running, self.since, self.unproven) = (version, now, None);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -373,6 +373,76 @@
     assert_eq!(simulation.applied, version(3, "mended"));
 }
 
+/// A service numbers the responses of each stream from the start. The same nonce on a new stream is another response,
+/// and must be answered, or the service would wait for ever.
+#[rstest]
+fn answers_a_nonce_again_on_another_stream() {
+    let mut simulation = Simulation::connected(1);
+    for number in [1, 2] {
+        let (stream, nonce) = (simulation.stream, Nonce("1".to_owned()));
+        let offer = Offer::Valid(version(number, "contents of each"));
+        simulation.handle(Input::ResponseReceived { stream, nonce, offer });
+        assert_eq!(simulation.answers.len() as u64, number);
+        simulation.drop_stream();
+    }
+}
+
+/// A service that lost its state offers an older number. The broker connects to another service, as that one may not
+/// have lost it.
+#[rstest]
+fn leaves_a_service_that_offers_an_older_number() {
+    let mut simulation = Simulation::connected(2);
+    let first = simulation.controller.report().service;
+    simulation.offer_version(5, "five");
+    simulation.offer_version(4, "four");
+    assert!(!simulation.is_open);
+    simulation.open();
+    assert_ne!(simulation.controller.report().service, first);
+}
+
+/// An operator goes back in the middle of a probation, and queries fail for another reason afterwards. No version is
+/// on probation then, so none is withdrawn, and nothing is reported to the service.
+#[rstest]
+fn going_back_ends_the_probation() {
+    let mut simulation = Simulation::connected(1);
+    simulation.offer_version(1, "good");
+    simulation.serve_queries(121, 0);
+    simulation.offer_version(2, "doubtful");
+    simulation.serve_queries(5, 0);
+    simulation.offer_version(3, "good");
+    simulation.serve_queries(60, 20);
+    assert_eq!(simulation.applied, version(3, "good"));
+    assert!(simulation.rejections.is_empty(), "{:?}", simulation.rejections);
+}
+
+/// A version is confirmed, and the next one comes at once. The outcomes under the first are what the second is
+/// compared with: without them two fifths of failed queries would pass as usual.
+#[rstest]
+fn a_confirmed_version_is_what_the_next_is_compared_with() {
+    let mut simulation = Simulation::connected(1);
+    simulation.offer_version(1, "good");
+    simulation.serve_queries(61, 0);
+    assert_eq!(simulation.stored_contents, version(1, "good"));
+    simulation.offer_version(2, "bad");
+    simulation.serve_queries(20, 8);
+    assert_eq!(simulation.applied, version(1, "good"));
+}
+
+/// Queries fail under two versions that come one right after the other. The second is compared with what was before
+/// both, not with the first, under which it would pass as usual.
+#[rstest]
+fn a_version_that_replaces_another_is_compared_with_what_was_before_both() {
+    let mut simulation = Simulation::connected(1);
+    simulation.offer_version(1, "good");
+    simulation.serve_queries(121, 0);
+    simulation.offer_version(2, "bad");
+    simulation.serve_queries(1, 20);
+    assert_eq!(simulation.applied, version(2, "bad"));
+    simulation.offer_version(3, "as bad");
+    simulation.serve_queries(5, 20);
+    assert_eq!(simulation.applied, version(1, "good"));
+}
+
 #[derive(Clone, Debug)]
 enum Step {
     Offer { number: u64, contents: u8, late: bool, repeat: bool },
