--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -54,3 +54,6 @@
 pub(crate) fn log_not_persisted(error: &dyn Display) {
     warn!(reason = %error, "state not persisted");
 }
+
+#[cfg(test)]
+mod tests;
