--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -1,5 +1,5 @@
 //! The controller: follows the load in steps, and decides on each offered query. It gathers the inputs of the
-//! rules, calls them in order, and records what they decide; each rule stands in a file of its own.
+//! rules, calls them in order, and records what they decide; each rule is in a file of its own.
 //!
 //! Each step (a tenth of the window):
 //! 1. [`overload_detection`](crate::overload_detection): is there overload?
--- a/crates/admission-control/src/filtered_turn.rs
+++ b/crates/admission-control/src/filtered_turn.rs
@@ -32,7 +32,7 @@
         self.at_min_coverage.insert(query);
     }
 
-    /// The input as the broker gets it; none where it belongs to a rejected query.
+    /// The input as the broker gets it; `None` where it belongs to a rejected query.
     pub fn filter_input(&self, input: &Input) -> Option<Input> {
         match input {
             Input::Query(query) if self.rejected.contains(&query.id) => None,
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -12,7 +12,7 @@
 //! tenants by max-min fairness, each with a token bucket, and retries have a budget by tenant.
 //! `docs/admission.md` gives the reasons.
 //!
-//! Each rule stands in a file of its name, as a function or a plain type whose arguments are all that it
+//! Each rule is in a file of its name, as a function or a plain type whose arguments are all that it
 //! reads: `overload_detection`, `mode` (the table of modes), `adaptive_rate`, `fair_share`, `retry_budget`,
 //! `quota`, `retry_after`. The state that they read is counted in `load_statistics`, `tenants` and
 //! `token_bucket`. `controller` gathers their inputs and calls them; it is the place to start reading.
--- a/crates/admission-control/src/mode_change.rs
+++ b/crates/admission-control/src/mode_change.rs
@@ -16,7 +16,7 @@
 }
 
 impl ModeChange {
-    /// The event of a change between two modes; none where the mode is the same.
+    /// The event of a change between two modes; `None` where the mode is the same.
     pub fn between(previous: Mode, current: Mode, admitted_per_second: f64) -> Option<ModeChange> {
         match (previous, current) {
             (Mode::Normal, Mode::Overloaded) => Some(ModeChange::Overloaded { admitted_per_second }),
--- a/crates/admission-control/src/retry_after.rs
+++ b/crates/admission-control/src/retry_after.rs
@@ -6,13 +6,13 @@
 /// retries that were counted against the budget have left the window.
 const RETRY_AFTER_WINDOW_RATIO: f64 = 0.5;
 
-/// When a rejected query may be sent again: after half the window, up to the configured maximum; zero (none
-/// is sent) where the configuration does not allow one.
+/// When a rejected query may be sent again: after half the window, up to the configured maximum; zero (no
+/// time is sent) where the configuration does not allow one.
 pub(crate) fn retry_after(window: Tenths, limits: &RequestLimits) -> Tenths {
     if !limits.retry_after {
         return Tenths::ZERO;
     }
-    // Zero would mean that there is none.
+    // Zero would mean that no time is sent.
     window.times(RETRY_AFTER_WINDOW_RATIO).min(limits.max_retry_after).max(Tenths(1))
 }
 
--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -1,8 +1,8 @@
 //! The retry budget of a tenant.
 //!
 //! Decided on each retry while overloaded: whether it is admitted. A client that is rejected and sends its
-//! query again at once adds load exactly when there is none to spare, and keeps an overload going after its
-//! cause is over (Huang et al., 'Metastable Failures in the Wild', OSDI 2022). A budget that follows the
+//! query again at once adds load exactly when there is no capacity to spare, and prolongs an overload after
+//! its cause is over (Huang et al., 'Metastable Failures in the Wild', OSDI 2022). A budget that follows the
 //! first attempts stops that, whatever the clients do; it is that of tower's `retry::budget` and of other
 //! proxies, counted by tenant. The cost is that some retries are rejected that could have been served.
 //!
--- a/crates/admission-control/src/tenants.rs
+++ b/crates/admission-control/src/tenants.rs
@@ -1,5 +1,5 @@
 //! The tenants that requested something within the window: what each requested and retried, its share and its
-//! token bucket. State only; what is decided by it stands in `retry_budget`, `quota` and `fair_share`.
+//! token bucket. State only; the decisions by it are in `retry_budget`, `quota` and `fair_share`.
 
 use crate::fair_share::{Demand, Share};
 use crate::retry_budget::AdmittedAttempts;
--- a/crates/admission-control/tests/controller.rs
+++ b/crates/admission-control/tests/controller.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-/// One broker, two nodes, quotas as given, tenants may be told when to come back.
+/// One broker, two nodes, quotas as given; clients may be sent a time to retry after.
 fn broker_config(quotas: &[f64]) -> BrokerConfig {
     let mut config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
     config.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
@@ -39,7 +39,7 @@
 }
 
 impl QueryMaker {
-    /// A query of a tenant with so many shard requests, asked for the `client_attempt`th time.
+    /// A query of a tenant, sent by its client `client_attempt` times before.
     fn query(&mut self, tenant: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
         self.query_of_class(ClassId(0), tenant, shard_requests, client_attempt)
     }
@@ -130,7 +130,7 @@
     inputs.iter().filter_map(id_and_tenant).collect()
 }
 
-/// Nodes that finish so many shard requests a step, of those admitted the step before, and refuse the rest as
+/// Nodes that finish a number of shard requests a step, of those admitted the step before, and refuse the rest as
 /// overloaded.
 struct Nodes {
     served_per_step: usize,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Overloads the controller by refusals: the tenants ask twice what the nodes serve, for ten seconds.
+/// Overloads the controller by refusals: the tenants request twice what the nodes serve, for ten seconds.
 fn overload(
     admission: &mut AdmissionController,
     nodes: &mut Nodes,
@@ -266,12 +266,12 @@
     let admitted_ids: Vec<QueryId> = query_ids(&turn.inputs);
     assert!(rejected.iter().all(|(id, _)| !admitted_ids.contains(id)));
     let shard_requests = turn.inputs.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
-    assert_eq!(shard_requests, admitted_ids.len(), "a rejected query's shard requests are kept back too");
+    assert_eq!(shard_requests, admitted_ids.len(), "a rejected query's shard requests are rejected too");
     let turn = admission.filter_inputs(now, &queries.query(0, 1, 0));
     assert!(rejections(&turn.effects).is_empty() && query_ids(&turn.inputs).len() == 1);
 }
 
-/// Nodes that serve 40 shard requests a second; one tenant asks for 80, another for 8. The second is admitted
+/// Nodes that serve 40 shard requests a second; one tenant requests 80, another 8. The second is admitted
 /// whole; the first is rejected for what is beyond its share, at once.
 #[rstest]
 fn the_largest_tenant_is_held_to_its_share() {
@@ -286,7 +286,7 @@
         inputs.extend(queries.query(1, 4, 0));
         let turn = nodes.step(&mut admission, now, inputs);
         if step < 20 {
-            // What each asked before is still in the window.
+            // What each requested before is still in the window.
             continue;
         }
         let admitted = ids_and_tenants(&turn.inputs);
@@ -347,7 +347,7 @@
     assert_eq!(admission.mode(), Mode::Overloaded);
 }
 
-/// Once less is asked than the nodes serve, the rate is raised, and the mode is normal again.
+/// Once less is requested than the nodes serve, the rate is raised, and the mode is normal again.
 #[rstest]
 fn mode_is_normal_again_once_load_falls() {
     let mut admission = controller(AdmissionConfig::default());
@@ -382,7 +382,7 @@
     assert_eq!(rejections(&effects).first().map(|(_, retry_after)| *retry_after), Some(Tenths::ZERO));
 }
 
-/// Stated quotas weigh: of two tenants that both ask for more than there is, the one with four times the
+/// Configured quotas weigh: of two tenants that both request more than their share, the one with four times the
 /// quota gets about four times the shard requests.
 #[rstest]
 fn quotas_weigh_the_shares() {
@@ -634,7 +634,7 @@
     }
 }
 
-/// Retries of two tenants past the most that are told apart: they share one budget.
+/// Retries of two tenants that the table has no room for: they share one budget.
 #[rstest]
 #[case(1, false)]
 #[case(3, true)]
@@ -649,8 +649,8 @@
     assert_eq!(rejections(&turn.effects).is_empty(), is_admitted);
 }
 
-/// Tenants that requested nothing for a window make room in the table: those that come after them are told
-/// apart again, each with a budget of its own.
+/// Tenants that requested nothing for a window make room in the table: those that come after them have
+/// a budget of their own each.
 #[rstest]
 fn idle_tenants_make_room_for_others() {
     let config = AdmissionConfig {
--- a/crates/config-rollout-client/src/client_config.rs
+++ b/crates/config-rollout-client/src/client_config.rs
@@ -10,7 +10,7 @@
 pub struct ClientConfig {
     /// The broker's name, its xDS node id.
     pub name: String,
-    /// The installation whose versions it asks for.
+    /// The installation whose versions it subscribes to.
     pub installation: String,
     /// The addresses of the services.
     pub services: Vec<SocketAddr>,
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -16,7 +16,7 @@
     pub version: VersionId,
     /// As it was offered, so that its digest is the version's.
     pub document: Document,
-    /// The settings that the document stands for.
+    /// The settings that were read from the document.
     pub broker_settings: BrokerSettings,
 }
 
--- a/crates/config-rollout-client/src/state_file.rs
+++ b/crates/config-rollout-client/src/state_file.rs
@@ -29,7 +29,7 @@
 /// The contents of the file.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredState {
-    /// The last confirmed version; none: the broker's own file.
+    /// The last confirmed version; `None`: the broker's own file.
     #[prost(message, optional, tag = "1")]
     pub version: Option<Version>,
     /// The highest number accepted.
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,5 +1,5 @@
 //! The project's own resource in xDS, and how a response is read: the edge at which the wire's names become the
-//! code's terms. A version's number stands in the response's `version_info` too, so that operators of other
+//! code's terms. A version's number is in the response's `version_info` too, so that operators of other
 //! proxies see it where they look for it.
 //!
 //! | wire | code |
@@ -191,7 +191,7 @@
 ) -> DiscoveryRequest {
     let to_status = |message| Status { code: INVALID_ARGUMENT, message, ..Status::default() };
     DiscoveryRequest {
-        // A broker on its own file has accepted none.
+        // A broker on its own file has accepted no version.
         version_info: if running.number > 0 { running.number.to_string() } else { String::new() },
         resource_names: vec![installation.to_owned()],
         type_url: TYPE_URL.to_owned(),
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the [`RolloutController`](crate::RolloutController) asks the program around it to do.
+//! What the [`RolloutController`](crate::RolloutController) requests of the program around it.
 
 use crate::inputs::{Nonce, ServiceIndex, StreamId};
 use crate::rejection::RejectionReason;
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -5,7 +5,7 @@
 //! out the [`Effect`]s that are returned, in their order, before the next input. What a broker reports is
 //! [`RolloutController::report`], which always agrees with the effects carried out last.
 //!
-//! Three state machines stand behind it, each a table of state, event, next state and action, and a short
+//! It consists of three state machines, each a table of state, event, next state and action, and a short
 //! loop:
 //! - [`subscription`]: the connection to a configuration service: `Idle`, `BackingOff`, `Connecting`,
 //!   `Open`;
--- a/crates/config-rollout/src/offer_comparison/tests.rs
+++ b/crates/config-rollout/src/offer_comparison/tests.rs
@@ -75,7 +75,7 @@
 }
 
 /// The process ended while a version was on probation. The service offers it again, under a number that was
-/// accepted before: it is not older, but goes on where it was.
+/// accepted before: it is not older, but is applied again.
 #[rstest]
 fn a_version_whose_probation_was_interrupted_is_applied_again() {
     assert_eq!(compare(3, "interrupted"), VersionEvent::Newer);
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -1,4 +1,4 @@
-//! Single probations: what is blamed, what is not, and what pauses.
+//! Single probations: which versions fail, which do not, and what pauses a probation.
 
 use super::{OutcomeWindow, Probation};
 use crate::policy::RolloutPolicy;
@@ -44,9 +44,10 @@
     assert_eq!((second, verdict), (60, Verdict::Proven));
 }
 
-/// A version that makes all queries fail from its third second on is blamed within seconds.
+/// A version makes all queries fail from its third second on. It must fail its probation within seconds, not after
+/// the minute that a probation lasts.
 #[rstest]
-fn blames_a_version_that_fails_seconds_later() {
+fn a_version_that_fails_seconds_later_is_found() {
     let (at, verdict) = play(&outcomes_before([0; 4]), |second, counts| {
         counts.ended += 20;
         counts.failed += if second > 3 { 20 } else { 0 };
@@ -54,11 +55,12 @@
     assert!(is_failed(&verdict) && at <= 7, "{at}: {verdict:?}");
 }
 
-/// Noise about the same share is not blamed, with any seed.
+/// The share of failed queries varies by chance, with each of 300 seeds. No version may fail for it: brokers would
+/// withdraw harmless versions every few minutes.
 #[rstest]
 #[case(0.02)]
 #[case(0.2)]
-fn does_not_blame_noise(#[case] share: f64) {
+fn noise_fails_no_version(#[case] share: f64) {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut draw = |counts: &mut Sample| {
@@ -77,7 +79,7 @@
     }
 }
 
-/// Few queries, all failed, and nothing to compare with: they prove nothing, and the version is blamed once
+/// Few queries, all failed, and nothing to compare with: they prove nothing, and the version fails once
 /// there are more.
 #[rstest]
 fn a_version_that_looks_worse_is_not_proven() {
@@ -96,9 +98,9 @@
     assert!(first.0 == 3 && is_failed(&first.1), "{first:?}");
 }
 
-/// A fault that began a quarter of a minute before the version is not blamed on it.
+/// A fault began a quarter of a minute before the version and goes on. The version must not fail for it.
 #[rstest]
-fn does_not_blame_a_fault_that_began_earlier() {
+fn a_fault_that_began_earlier_fails_no_version() {
     let (second, verdict) = play(&outcomes_before([0, 0, 0, 40]), |_, counts| {
         counts.ended += 20;
         counts.failed += 8;
@@ -122,9 +124,9 @@
     assert!(second >= 160, "{second}");
 }
 
-/// A version that is to blame beside that is found once the zone is back.
+/// A version makes queries fail while a zone is lost, too. It fails once the zone is back.
 #[rstest]
-fn blames_once_the_zone_is_back() {
+fn a_bad_version_fails_once_the_zone_is_back() {
     let (at, verdict) = play(&outcomes_before([0; 4]), |second, counts| {
         counts.ended += 20;
         counts.failed += 15;
@@ -145,17 +147,18 @@
     assert_eq!((second, reason.to_string().as_str()), (900, reason_text));
 }
 
-/// Without earlier outcomes to compare with, only what fails beyond doubt is blamed.
+/// A broker has just started and has no earlier outcomes to compare with. Only a version under which most queries
+/// fail may fail then.
 #[rstest]
 #[case(8, false)]
 #[case(18, true)]
-fn assumes_a_usual_share_at_first(#[case] failed: u64, #[case] blamed: bool) {
+fn assumes_a_usual_share_at_first(#[case] failed: u64, #[case] fails: bool) {
     let (_, verdict) = play(&OutcomeWindow::default(), |_, counts| {
         counts.ended += 20;
         counts.failed += failed;
         counts.ready_nodes = 100;
     });
-    assert_eq!(is_failed(&verdict), blamed, "{verdict:?}");
+    assert_eq!(is_failed(&verdict), fails, "{verdict:?}");
 }
 
 /// All of the first queries fail, but they are too few to judge a version by: a broker with little traffic would
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -57,8 +57,8 @@
     );
     let connects = refused(&mut subscription, 100);
     for (at, connect) in connects.iter().enumerate() {
-        let lately = connects[..=at].iter().filter(|other| *connect - **other <= 600_000).count();
-        assert!(lately <= 10, "{lately} attempts in the minute before {connect}");
+        let recent = connects[..=at].iter().filter(|other| *connect - **other <= 600_000).count();
+        assert!(recent <= 10, "{recent} attempts in the minute before {connect}");
     }
 }
 
@@ -114,7 +114,7 @@
     let first = two.service();
     assert!(matches!(handle(&mut two, 2, HistoryConflict)[..], [Effect::Disconnect { .. }]));
     assert_ne!(two.service(), first);
-    // The other fails; the suspect is passed over, and so the other is asked again.
+    // The other fails; the suspect is avoided, and so the other is connected to again.
     let due = two.next_due().unwrap().0;
     handle(&mut two, due, TimerExpired);
     handle(&mut two, due, StreamEnded);
--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -12,7 +12,7 @@
         Digest(*blake3::hash(canonical).as_bytes())
     }
 
-    /// From 64 hex digits; none where it is anything else.
+    /// From 64 hex digits; `None` where it is anything else.
     pub fn parse(hex: &str) -> Option<Digest> {
         blake3::Hash::from_hex(hex).ok().map(|hash| Digest(*hash.as_bytes()))
     }
--- a/crates/ini-lines/src/lib.rs
+++ b/crates/ini-lines/src/lib.rs
@@ -10,14 +10,14 @@
 
 #![warn(missing_docs)]
 
-/// The line of a section's first header, counted from 1; none where there is no such section.
+/// The line of a section's first header, counted from 1; `None` where there is no such section.
 pub fn section_line(text: &str, section: &str) -> Option<usize> {
     let mut numbered = numbered_lines(text);
     numbered.find(|(_, line)| section_name(line) == Some(section)).map(|(number, _)| number)
 }
 
-/// The line of the first occurrence of a key in a section, counted from 1; none where the section does not have
-/// it. A key before the first section is not found.
+/// The line of the first occurrence of a key in a section, counted from 1; `None` where the section does not
+/// have it. A key before the first section is not found.
 pub fn key_line(text: &str, section: &str, key: &str) -> Option<usize> {
     let mut is_within = false;
     for (number, line) in numbered_lines(text) {
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -18,7 +18,7 @@
 pub struct RolloutConfig {
     /// The services' addresses; one at least.
     pub services: Vec<SocketAddr>,
-    /// Which installation's versions to ask for.
+    /// The installation whose versions to subscribe to.
     pub installation: String,
     /// Waits, budgets and bounds of subscription and probation.
     pub policy: RolloutPolicy,
@@ -26,9 +26,9 @@
     pub max_document_bytes: usize,
     /// How often the outcomes of queries are counted for the probation.
     pub sample_interval: Duration,
-    /// Where the client status service listens; none: it does not.
+    /// Where the client status service listens; `None`: it does not.
     pub status_address: Option<SocketAddr>,
-    /// The file that the last confirmed version is stored in; none: it is not stored.
+    /// The file that the last confirmed version is stored in; `None`: it is not stored.
     pub state_file: Option<PathBuf>,
 }
 
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,4 +1,4 @@
-//! The table of all keys of the operator's file: where each stands, its default, and what it may hold. The
+//! The table of all keys of the operator's file: its section, its default, and what it may hold. The
 //! shipped file and the operators' page have the same defaults and bounds.
 
 use crate::value_type::ValueType::{self, Address, Addresses, OneOf, Text};
@@ -13,7 +13,7 @@
 /// One row of the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Key {
-    /// The section that the key stands in.
+    /// The section of the key.
     pub section: &'static str,
     /// The key.
     pub name: &'static str,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -34,7 +34,7 @@
 pub struct OperatorConfig {
     /// How log lines are written.
     pub log_format: LogFormat,
-    /// Configuration versions from a configuration service; none: the broker runs its own file.
+    /// Configuration versions from a configuration service; `None`: the broker runs its own file.
     pub rollout: Option<RolloutConfig>,
     /// Admission control in front of the routing decisions, where it is switched on.
     pub admission: Option<AdmissionConfig>,
--- a/crates/operator-config/src/operator_config_error.rs
+++ b/crates/operator-config/src/operator_config_error.rs
@@ -1,16 +1,16 @@
-//! One thing wrong in the operator's file.
+//! One error in the operator's file.
 
 use thiserror::Error;
 
-/// One thing wrong in the operator's file. Lines and columns are counted from 1.
+/// One error in the operator's file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OperatorConfigError {
     /// The text is no INI.
     #[error("line {line}, column {column}: {reason}")]
     Syntax {
-        /// Where it stands.
+        /// The line, from 1.
         line: usize,
-        /// Where in the line.
+        /// The column, from 1.
         column: usize,
         /// The parser's words.
         reason: String,
@@ -18,7 +18,7 @@
     /// There is no such section.
     #[error("line {line}: [{section}] is no section: [{nearest}] is the nearest")]
     UnknownSection {
-        /// Where it stands.
+        /// The line, from 1.
         line: usize,
         /// The section.
         section: String,
@@ -28,7 +28,7 @@
     /// There is no such key in its section.
     #[error("line {line}: `{key}` is no key of [{section}]: `{nearest}` is the nearest")]
     UnknownKey {
-        /// Where it stands.
+        /// The line, from 1.
         line: usize,
         /// The section.
         section: String,
@@ -37,10 +37,10 @@
         /// The most similar name that there is.
         nearest: &'static str,
     },
-    /// A key stands more than once.
+    /// A key is stated more than once.
     #[error("line {line}: `{key}` stands twice in [{section}]")]
     DuplicateKey {
-        /// Where it stands.
+        /// The line, from 1.
         line: usize,
         /// The section.
         section: String,
@@ -50,7 +50,7 @@
     /// A value is not allowed.
     #[error("line {line}: `{key}` of [{section}] is `{found}`: {allowed} is allowed")]
     InvalidValue {
-        /// Where it stands.
+        /// The line, from 1.
         line: usize,
         /// The section.
         section: String,
@@ -61,7 +61,7 @@
         /// What would be allowed.
         allowed: String,
     },
-    /// A key is needed where others of its section stand.
+    /// A key is required by others of its section.
     #[error("[{section}] needs `{key}`")]
     MissingKey {
         /// The section.
--- a/crates/operator-config/src/value_type.rs
+++ b/crates/operator-config/src/value_type.rs
@@ -21,7 +21,7 @@
         /// The largest.
         most: u64,
     },
-    /// Any text, also none.
+    /// Any text, also an empty one.
     Text {
         /// The longest, in bytes.
         max_bytes: usize,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Addresses with commas between them; none where one can't be read.
+/// Addresses with commas between them; `None` where one can't be read.
 pub(crate) fn parse_addresses(value: &str) -> Option<Vec<SocketAddr>> {
     let items = value.split(',').map(str::trim).filter(|item| !item.is_empty());
     items.map(|item| item.parse().ok()).collect()
--- a/crates/settings-migration/src/keys.rs
+++ b/crates/settings-migration/src/keys.rs
@@ -6,7 +6,7 @@
 /// One row of the table.
 #[derive(Debug, PartialEq)]
 pub struct Key {
-    /// The section that the key stands in.
+    /// The section of the key.
     pub section: &'static str,
     /// The key.
     pub name: &'static str,
@@ -91,7 +91,7 @@
         Field::find(self.settings_key).map_or(ValueType::Text, |field| field.value_type)
     }
 
-    /// A value as the settings write it; none where it is not allowed. A zone stays a name.
+    /// A value as the settings write it; `None` where it is not allowed. A zone stays a name.
     pub(crate) fn parse(&self, text: &str) -> Option<Value> {
         let text = text.trim();
         if self.settings_key == ZONE {
--- a/crates/settings-migration/src/layout_error.rs
+++ b/crates/settings-migration/src/layout_error.rs
@@ -1,14 +1,14 @@
-//! One thing wrong in a shape file.
+//! One error in a shape file.
 
 use thiserror::Error;
 
-/// One thing wrong in a shape file.
+/// One error in a shape file.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum LayoutError {
     /// The text is no INI.
     #[error("line {line}: {reason}")]
     Syntax {
-        /// Where it stands, from 1.
+        /// The line, from 1.
         line: usize,
         /// The parser's words.
         reason: String,
@@ -16,7 +16,7 @@
     /// There is no such key.
     #[error("`{key}` is no key of [{section}]: `{nearest}` is the nearest")]
     UnknownKey {
-        /// The section that it stands in.
+        /// The section of the key.
         section: String,
         /// The key.
         key: String,
@@ -26,7 +26,7 @@
     /// A value is not allowed.
     #[error("`{key}` of [{section}] is `{found}`: {allowed} is allowed")]
     InvalidValue {
-        /// The section that the key stands in.
+        /// The section of the key.
         section: &'static str,
         /// The key.
         key: &'static str,
--- a/crates/settings-migration/src/migrate.rs
+++ b/crates/settings-migration/src/migrate.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The new deployment's zones; one without a name where the layout names none.
+    /// The names of the new deployment's zones; one empty name where the layout has no zones.
     fn zones(&self) -> Vec<&str> {
         self.layout.text(ZONES).unwrap_or("").split(',').map(str::trim).collect()
     }
--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -12,7 +12,7 @@
     /// The old file has no settings.
     #[error("the old file can't be read: `settings` is no object")]
     NoSettings,
-    /// The broker's zone is none of the new deployment's.
+    /// The new deployment has no zone of the broker's name.
     #[error("zone `{zone}` is none of {zones}")]
     UnknownZone {
         /// The broker's zone.
--- a/crates/settings-migration/src/settings_object.rs
+++ b/crates/settings-migration/src/settings_object.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value, json};
 
-/// Puts a value where a key stands.
+/// Sets the value of a key.
 pub(crate) fn set(settings: &mut Map<String, Value>, key: &str, value: Value) {
     let key = key.trim_end_matches("[]");
     let Some((outer, inner)) = key.split_once('.') else {
@@ -14,7 +14,7 @@
     }
 }
 
-/// Removes the value of a key; none where it is not there.
+/// Removes the value of a key; `None` where it has none.
 pub(crate) fn remove(settings: &mut Map<String, Value>, key: &str) -> Option<Value> {
     let key = key.trim_end_matches("[]");
     match key.split_once('.') {
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -39,7 +39,7 @@
     pub load_report: Vec<LoadMetric>,
 }
 
-/// Limits of a connection to a node; none where the text does not state them.
+/// Limits of a connection to a node; `None` where the text does not state them.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionSettings {
     /// A node closes a connection that was idle for this long.
--- a/crates/settings/src/compare.rs
+++ b/crates/settings/src/compare.rs
@@ -9,11 +9,11 @@
 /// one, so that a list in another order is the same.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Where the key stands, such as `Tenants[school].QuotaRps`.
+    /// The path of the key, such as `Tenants[school].QuotaRps`.
     pub field: String,
-    /// The old value as JSON; none where it was not there.
+    /// The old value as JSON; `None` where there was none.
     pub was: Option<String>,
-    /// The new value as JSON; none where it is not there.
+    /// The new value as JSON; `None` where there is none.
     pub is: Option<String>,
     /// When the new value takes effect.
     pub applies: Applies,
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -23,7 +23,7 @@
 /// One row of the table: a key, or all keys below it where its value is [`ValueType::Unchecked`].
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// The key with the objects it stands in, such as `Domain.Cells`; a key in a list has `[]` behind the
+    /// The path of the key, such as `Domain.Cells`; a key in a list has `[]` behind the
     /// list's name, such as `Tenants[].Name`.
     pub key: &'static str,
     /// What it may hold.
--- a/crates/settings/src/name_registry.rs
+++ b/crates/settings/src/name_registry.rs
@@ -51,7 +51,7 @@
         NameRegistry { classes: NumberedNames::in_order(classes), tenants: NumberedNames::in_order(tenants) }
     }
 
-    /// The same, with an id for each name that has none.
+    /// The same, with new ids for the names that have no id yet.
     pub(crate) fn with<'a>(
         &self,
         classes: impl Iterator<Item = &'a str>,
--- a/crates/settings/src/settings_error.rs
+++ b/crates/settings/src/settings_error.rs
@@ -11,10 +11,10 @@
     /// A list that needs one item for each request class has fewer.
     #[error("settings: `{key}` is too short")]
     ListTooShort {
-        /// The list's key, without the object it stands in.
+        /// The list's key, without the object that it is in.
         key: &'static str,
     },
-    /// A request class has an `Effect` that there is none of.
+    /// A request class has an unknown `Effect`.
     #[error("settings: `Effect` is `{effect}`")]
     UnknownEffect {
         /// The value in the text.
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -214,7 +214,7 @@
     revise(&running, &names, &document(new))
 }
 
-/// Ids stay with names: a removed name keeps its id, a new name gets the next.
+/// Ids stay with names: a removed name still has its id, a new name gets the next.
 #[rstest]
 fn keeps_ids_with_names() {
     let mut new = valid();
--- a/crates/settings/src/validation_error.rs
+++ b/crates/settings/src/validation_error.rs
@@ -1,14 +1,14 @@
-//! One thing wrong in a settings document, with the key that it stands at.
+//! One error in a settings document, with the path of its key.
 
 use thiserror::Error;
 
-/// One thing wrong in a settings document.
+/// One error in a settings document.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValidationError {
     /// There is no such key.
     #[error("`{field}` is unknown: `{nearest}` is the nearest key")]
     UnknownKey {
-        /// Where the key stands, such as `Tenants[1].QuotaRPS`.
+        /// The path of the key, such as `Tenants[1].QuotaRPS`.
         field: String,
         /// The most similar key that there is.
         nearest: &'static str,
@@ -16,7 +16,7 @@
     /// A key that is needed is not there.
     #[error("`{field}` is missing: {allowed} is needed")]
     MissingKey {
-        /// Where the key should stand.
+        /// The path at which the key is missing.
         field: String,
         /// What it should hold.
         allowed: String,
@@ -24,7 +24,7 @@
     /// A value is not allowed, by itself or with the others.
     #[error("`{field}` is {found}: {allowed} is allowed")]
     InvalidValue {
-        /// Where the value stands.
+        /// The path of the value.
         field: String,
         /// The value, shortened.
         found: String,
@@ -34,7 +34,7 @@
     /// The value is allowed, but a running broker can't take it over.
     #[error("`{field}` is {found}, the broker runs with {running}: that needs a restart")]
     NeedsRestart {
-        /// Where the value stands.
+        /// The path of the value.
         field: String,
         /// The new value.
         found: String,
