--- a/crates/admission-control/src/mode_change.rs
+++ b/crates/admission-control/src/mode_change.rs
@@ -4,7 +4,7 @@
 use routing::LogEvent;
 
 /// The event of a change between two modes, with the rate that is admitted from now on in shard requests a
-/// second; none where the mode is the same.
+/// second; `None` where the mode is the same.
 pub(crate) fn mode_change(previous: Mode, current: Mode, admitted_per_s: f64) -> Option<LogEvent> {
     match (previous, current) {
         (Mode::Normal, Mode::Overloaded) => Some(LogEvent::AdmissionOverloaded { admitted_per_s }),
