--- /dev/null
+++ b/crates/simulator-adapter/tests/random_replies/main.rs
@@ -0,0 +1,110 @@
+//! Decisions change by accident: a rule is rewritten, and a clause or the order of two random draws is lost. No
+//! single case shows it, and the service gets worse by a little. So the adapter, as a process, is driven by random
+//! clients, nodes and faults, and the bytes of all its replies have to be the same as before.
+//!
+//! The digest is of the decisions as they were when it was stored. A change that means to change decisions stores a
+//! new one, and says so; a change of names or structure must not.
+
+mod cluster;
+mod wire;
+
+use cluster::Cluster;
+use rstest::rstest;
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
+use wire::{Effect, read_reply};
+
+const SEEDS: u64 = 40;
+const BATCHES: usize = 600;
+const MIN_OF_EACH_KIND: usize = 20;
+/// BLAKE3 of all replies, their length fields included, one seed after the other.
+const REPLIES_DIGEST: &str = "dc3eca24f76a482e5bb7cb703d6e8eb63ce7ef6812152f0ab20f8b3ebf3f784a";
+
+/// The adapter as the simulator runs it.
+struct Adapter {
+    process: Child,
+    input: ChildStdin,
+    output: ChildStdout,
+}
+
+impl Adapter {
+    fn start() -> Adapter {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"));
+        let mut process = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
+        let (input, output) = (process.stdin.take().unwrap(), process.stdout.take().unwrap());
+        Adapter { process, input, output }
+    }
+
+    /// The reply to a batch, with its length field.
+    fn exchange(&mut self, batch: &[u8]) -> Vec<u8> {
+        self.input.write_all(batch).unwrap();
+        self.input.flush().unwrap();
+        let mut length = [0; 4];
+        self.output.read_exact(&mut length).unwrap();
+        let mut reply = length.to_vec();
+        reply.resize(length.len() + u32::from_le_bytes(length) as usize, 0);
+        self.output.read_exact(&mut reply[length.len()..]).unwrap();
+        reply
+    }
+
+    fn end(mut self) {
+        drop(self.input);
+        assert!(self.process.wait().unwrap().success());
+    }
+}
+
+#[rstest]
+fn replies_are_the_same_as_before() {
+    let mut hasher = blake3::Hasher::new();
+    let mut counts = BTreeMap::<&str, usize>::new();
+    for seed in 1..=SEEDS {
+        let (mut adapter, mut cluster) = (Adapter::start(), Cluster::new(seed));
+        for _ in 0..BATCHES {
+            let reply = adapter.exchange(&cluster.next_batch());
+            hasher.update(&reply);
+            for effect in read_reply(&reply[4..]) {
+                *counts.entry(kind(effect)).or_default() += 1;
+                cluster.apply(effect);
+            }
+        }
+        *counts.entry("retry").or_default() += cluster.retries;
+        *counts.entry("hedge").or_default() += cluster.hedges;
+        adapter.end();
+    }
+    // A digest of replies in which little happens would hold nothing.
+    let is_rare = |kind: &&&str| counts.get(**kind).is_none_or(|count| *count < MIN_OF_EACH_KIND);
+    let rare: Vec<&&str> = KINDS.iter().filter(is_rare).collect();
+    assert!(rare.is_empty(), "hardly any {rare:?}: {counts:?}");
+    assert_eq!(hasher.finalize().to_hex().as_str(), REPLIES_DIGEST, "{counts:?}");
+}
+
+const KINDS: [&str; 12] = [
+    "send",
+    "retry",
+    "hedge",
+    "reject",
+    "fail",
+    "cancel",
+    "wake",
+    "probe",
+    "close idle",
+    "log",
+    "watch",
+    "respond",
+];
+
+fn kind(effect: Effect) -> &'static str {
+    match effect {
+        Effect::Send { .. } => "send",
+        Effect::Reject { .. } => "reject",
+        Effect::Fail { .. } => "fail",
+        Effect::Cancel { .. } => "cancel",
+        Effect::Wake { .. } => "wake",
+        Effect::Probe { .. } => "probe",
+        Effect::CloseIdle { .. } => "close idle",
+        Effect::Log => "log",
+        Effect::WatchEndpoints => "watch",
+        Effect::Respond { .. } => "respond",
+    }
+}
