--- a/crates/broker-bench/src/overload_benchmark.rs
+++ b/crates/broker-bench/src/overload_benchmark.rs
@@ -266,7 +266,7 @@
             "declined": self.results.rejected,
             "scrapped": self.results.failed,
             "broken": self.results.violations.keys().collect::<Vec<_>>(),
-            "digest": &self.results.digest[..16],
+            "digest": self.results.short_digest(),
         })
     }
 }
--- a/crates/broker-bench/src/results.rs
+++ b/crates/broker-bench/src/results.rs
@@ -109,7 +109,10 @@
     pub stopped_at: Option<Tenths>,
 }
 
-const SECOND_TENTHS: i64 = 10_000;
+/// Tenths of a millisecond in a second.
+pub const TENTHS_PER_S: i64 = 10_000;
+/// Characters of a digest that are printed beside other figures.
+const SHORT_DIGEST_CHARS: usize = 16;
 /// The length of the worst window, in seconds.
 const WINDOW_S: usize = 10;
 
@@ -140,7 +143,7 @@
 
     /// The results of the second of this time.
     pub fn second(&mut self, at: Tenths) -> &mut SecondResults {
-        let no = (at.0.max(0) / SECOND_TENTHS) as usize;
+        let no = (at.0.max(0) / TENTHS_PER_S) as usize;
         if self.seconds.len() <= no {
             self.seconds.resize(no + 1, SecondResults::default());
         }
@@ -216,6 +219,11 @@
         self.latency.value_at_quantile(quantile) as f64 / 10.0
     }
 
+    /// The beginning of the digest: enough to tell days from each other.
+    pub fn short_digest(&self) -> &str {
+        &self.digest[..SHORT_DIGEST_CHARS]
+    }
+
     /// How queries ended.
     pub fn query_counts(&self) -> QueryCounts {
         QueryCounts {
--- a/crates/broker-bench/src/rollout_benchmark.rs
+++ b/crates/broker-bench/src/rollout_benchmark.rs
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// Connects a second that the service can take, for each broker of the fleet. The rollout's policy is told.
+/// Connects a second that the service can take, for each broker of the fleet: an input of the rollout policy.
 const CONNECTS_PER_S_PER_BROKER: f64 = 0.1;
 /// Standard deviations by which the worst second may exceed that rate: the times of connects are random.
 const MAX_DEVIATIONS: f64 = 5.0;
--- a/crates/broker-bench/src/scenario_day/tests.rs
+++ b/crates/broker-bench/src/scenario_day/tests.rs
@@ -1,6 +1,6 @@
 use super::{ScenarioDay, SocketDay};
 use crate::results::DayResults;
-use crate::scenario_figures::{MeanWithInterval, recovery_seconds, scenario_json};
+use crate::scenario_figures::{MeanWithInterval, ScenarioFigures, recovery_seconds};
 use crate::simulation::{RoutingPolicy, Simulation};
 use crate::socket_comparison::MAX_SERVICE_DIFFERENCE;
 use cluster_trace::plan::{PlanEvent, PlannedNodeEvent};
@@ -92,11 +92,8 @@
     let quiet_tenants = |policy| {
         let days: Vec<DayResults> =
             (1..=3).map(|seed| medium_day(&scenario, seed, policy).simulate()).collect();
-        let figures = scenario_json(&days, 35);
-        let tenants: Vec<f64> =
-            figures["callers"].as_array().unwrap().iter().map(|c| c.as_f64().unwrap()).collect();
         assert!(days.iter().all(|day| day.violations.is_empty()), "{policy:?}");
-        tenants[1..].to_vec()
+        ScenarioFigures::of(&days, 35).by_tenant[1..].to_vec()
     };
     let admitted = quiet_tenants(RoutingPolicy::AdmissionController);
     let alone = quiet_tenants(RoutingPolicy::Module);
--- a/crates/broker-bench/src/scenario_figures.rs
+++ b/crates/broker-bench/src/scenario_figures.rs
@@ -4,6 +4,8 @@
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
+/// Width of the column with the scenarios' names, in all tables.
+pub const SCENARIO_WIDTH: usize = 34;
 /// Service at which a second counts as recovered.
 const RECOVERED_SERVICE: f64 = 0.95;
 /// Recovered seconds in succession that make a recovery.
@@ -42,28 +44,87 @@
     windows.position(|window| window.iter().all(has_recovered))
 }
 
-/// The figures of a scenario's days, as scripts read them. The keys are older than the terms of the code, and
-/// stay.
-pub fn scenario_json(days: &[DayResults], faults_end: usize) -> Value {
-    let per_query =
-        |count: fn(&DayResults) -> u64| mean(days, |day| count(day) as f64 / day.queries.max(1) as f64);
-    let mut broken: Vec<&str> = days.iter().flat_map(|day| day.violations.keys().copied()).collect();
-    broken.sort_unstable();
-    broken.dedup();
-    let recovered: Vec<Option<usize>> = days.iter().map(|day| recovery_seconds(day, faults_end)).collect();
-    json!({
-        "service": mean(days, |day| day.service.share()),
-        "worst_10_s": mean(days, DayResults::worst_window),
-        "worst_caller": mean(days, worst_tenant_service),
-        "callers": mean_service_by_tenant(days),
-        "declined": per_query(|day| day.rejected),
-        "pushes_a_retrieval": per_query(|day| day.attempts),
-        "tries_a_retrieval": per_query(|day| day.client_attempts),
-        "recovers_s": recovered,
-        "broken": broken,
-        "nearest": closest_rule(days),
-        "digests": days.iter().map(|day| day.digest[..16].to_owned()).collect::<Vec<_>>(),
-    })
+/// The figures of a scenario's days by one policy. Ratios and shares are means over the days.
+#[derive(Clone, Debug)]
+pub struct ScenarioFigures {
+    pub service: f64,
+    /// Service of the worst ten seconds.
+    pub worst_window: f64,
+    /// Service of the tenant that was served worst.
+    pub worst_tenant: f64,
+    pub by_tenant: Vec<f64>,
+    pub rejected_per_query: f64,
+    pub attempts_per_query: f64,
+    /// How often clients sent a query, with their retries.
+    pub client_attempts_per_query: f64,
+    /// Each day's recovery, as of [`recovery_seconds`].
+    pub recovery: Vec<Option<usize>>,
+    /// The rules that were broken on any day, in their order.
+    pub broken_rules: Vec<&'static str>,
+    /// The rule that came closest to its limit.
+    pub closest: Option<ClosestRule>,
+    /// The beginning of each day's digest.
+    pub digests: Vec<String>,
+}
+
+/// A rule, and how close it came to its limit.
+#[derive(Clone, Debug)]
+pub struct ClosestRule {
+    pub rule: &'static str,
+    /// 1 is the limit.
+    pub ratio: f64,
+    /// Seconds of the day.
+    pub at_s: f64,
+}
+
+impl ScenarioFigures {
+    /// Of days whose last fault ends at this second.
+    pub fn of(days: &[DayResults], faults_end: usize) -> ScenarioFigures {
+        let per_query =
+            |count: fn(&DayResults) -> u64| mean(days, |day| count(day) as f64 / day.queries.max(1) as f64);
+        ScenarioFigures {
+            service: mean(days, |day| day.service.share()),
+            worst_window: mean(days, DayResults::worst_window),
+            worst_tenant: mean(days, worst_tenant_service),
+            by_tenant: mean_service_by_tenant(days),
+            rejected_per_query: per_query(|day| day.rejected),
+            attempts_per_query: per_query(|day| day.attempts),
+            client_attempts_per_query: per_query(|day| day.client_attempts),
+            recovery: days.iter().map(|day| recovery_seconds(day, faults_end)).collect(),
+            broken_rules: broken_rules(days),
+            closest: closest_rule(days),
+            digests: days.iter().map(|day| day.short_digest().to_owned()).collect(),
+        }
+    }
+
+    /// The figures as scripts read them. The keys are older than the terms of the code, and stay.
+    pub fn json(&self) -> Value {
+        json!({
+            "service": self.service,
+            "worst_10_s": self.worst_window,
+            "worst_caller": self.worst_tenant,
+            "callers": self.by_tenant,
+            "declined": self.rejected_per_query,
+            "pushes_a_retrieval": self.attempts_per_query,
+            "tries_a_retrieval": self.client_attempts_per_query,
+            "recovers_s": self.recovery,
+            "broken": self.broken_rules,
+            "nearest": self.closest.as_ref().map(ClosestRule::json),
+            "digests": self.digests,
+        })
+    }
+
+    /// Each day's recovery in seconds, as it is printed; `-`: not on that day.
+    pub fn recovery_text(&self) -> String {
+        let text = |seconds: &Option<usize>| seconds.map_or("-".to_owned(), |seconds| seconds.to_string());
+        self.recovery.iter().map(text).collect::<Vec<_>>().join(" ")
+    }
+}
+
+impl ClosestRule {
+    fn json(&self) -> Value {
+        json!({"rule": self.rule, "ratio": self.ratio, "at_s": self.at_s})
+    }
 }
 
 fn mean(days: &[DayResults], figure: impl Fn(&DayResults) -> f64) -> f64 {
@@ -74,7 +135,6 @@
     day.by_tenant.iter().filter_map(|service| service.share_if_asked()).fold(1.0, f64::min)
 }
 
-/// Each tenant's service, the mean over days.
 fn mean_service_by_tenant(days: &[DayResults]) -> Vec<f64> {
     let tenants = days.iter().map(|day| day.by_tenant.len()).max().unwrap_or(0);
     let mean = |tenant: usize| {
@@ -85,11 +145,18 @@
     (0..tenants).map(mean).collect()
 }
 
+fn broken_rules(days: &[DayResults]) -> Vec<&'static str> {
+    let mut broken: Vec<&str> = days.iter().flat_map(|day| day.violations.keys().copied()).collect();
+    broken.sort_unstable();
+    broken.dedup();
+    broken
+}
+
 /// The rule that came closest to its limit. Rules 1 and 5 are left out: rule 1 is at its limit whenever a
 /// client waits until its deadline.
-fn closest_rule(days: &[DayResults]) -> Option<Value> {
+fn closest_rule(days: &[DayResults]) -> Option<ClosestRule> {
     let rules = days.iter().flat_map(|day| &day.closest);
     let compared = rules.filter(|(rule, _)| !rule.starts_with('1') && !rule.starts_with('5'));
     let (rule, closest) = compared.max_by(|a, b| a.1.ratio.total_cmp(&b.1.ratio))?;
-    Some(json!({"rule": rule, "ratio": closest.ratio, "at_s": closest.at.as_ms() / 1000.0}))
+    Some(ClosestRule { rule, ratio: closest.ratio, at_s: closest.at.as_ms() / 1000.0 })
 }
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -7,7 +7,7 @@
 use crate::report::{self, ReportError};
 use crate::results::DayResults;
 use crate::scenario_day::ScenarioDay;
-use crate::scenario_figures::{MeanWithInterval, scenario_json};
+use crate::scenario_figures::{ClosestRule, MeanWithInterval, SCENARIO_WIDTH, ScenarioFigures};
 use crate::scenario_files::read_scenarios;
 use crate::simulation::RoutingPolicy;
 use crate::socket_comparison::{ComparisonError, DayComparison, MAX_SERVICE_DIFFERENCE};
@@ -22,9 +22,6 @@
 const EXIT_WRONG_ARGUMENTS: u8 = 2;
 const EXIT_NO_FIGURE: u8 = 3;
 
-/// Width of the column with the scenarios' names.
-const SCENARIO_WIDTH: usize = 34;
-
 /// Which days are played, by which policy.
 #[derive(Args, Clone)]
 pub struct SimulateArgs {
@@ -99,14 +96,14 @@
     }
     let days = simulate_all(&scenarios, args);
     let mut rows = scenario_rows(&scenarios, &days, args);
-    rows.sort_by(|a, b| service_of(a).total_cmp(&service_of(b)));
+    rows.sort_by(|a, b| a.figures.service.total_cmp(&b.figures.service));
     print_results(&rows, args);
     if let (Some(path), Some(day)) = (&args.report, days.first())
         && let Err(error) = write_report(path, day, &scenarios[0].name, args)
     {
         return fail(&format!("{}: {error}", path.display()), EXIT_WRONG_ARGUMENTS);
     }
-    let keeps_rules = rows.iter().all(|row| row["broken"].as_array().is_some_and(Vec::is_empty));
+    let keeps_rules = rows.iter().all(|row| row.figures.broken_rules.is_empty());
     // Only the product has to keep the rules; a baseline shows what happens without it.
     let passes = keeps_rules || args.policy != RoutingPolicy::Module;
     if passes { ExitCode::SUCCESS } else { ExitCode::from(EXIT_RULE_BROKEN) }
@@ -130,37 +127,84 @@
     days.into_par_iter().map(|day| day.simulate()).collect()
 }
 
-fn scenario_rows(scenarios: &[Scenario], days: &[DayResults], args: &SimulateArgs) -> Vec<Value> {
+/// The results of a scenario.
+struct ScenarioRow<'a> {
+    scenario: &'a Scenario,
+    figures: ScenarioFigures,
+    /// None if the policy is compared with no other.
+    comparison: Option<PolicyComparison>,
+}
+
+/// The same days by another policy.
+struct PolicyComparison {
+    against: RoutingPolicy,
+    figures: ScenarioFigures,
+    /// How much more service the first policy had.
+    difference: MeanWithInterval,
+}
+
+impl ScenarioRow<'_> {
+    /// The row as scripts read it. The keys are older than the terms of the code, and stay.
+    fn json(&self) -> Value {
+        let mut row = self.figures.json();
+        row["scenario"] = json!(self.scenario.name);
+        row["about"] = json!(self.scenario.about);
+        if let Some(PolicyComparison { figures, difference, .. }) = &self.comparison {
+            row["against"] = figures.json();
+            row["better_by"] = json!({"mean": difference.mean, "half_span_95": difference.half_interval});
+        }
+        row
+    }
+
+    fn print(&self) {
+        print!(
+            "{:<SCENARIO_WIDTH$} {:>7.4} {:>11.4} {:>13.4} {:>9.3} {:>19.2}  {:<12}",
+            self.scenario.name,
+            self.figures.service,
+            self.figures.worst_window,
+            self.figures.worst_tenant,
+            self.figures.rejected_per_query,
+            self.figures.attempts_per_query,
+            self.figures.recovery_text()
+        );
+        if let Some(PolicyComparison { against, difference, .. }) = &self.comparison {
+            let interval = difference.half_interval.map_or(String::new(), |half| format!(" +- {half:.4}"));
+            print!("  {:+.4}{interval} compared with {against}", difference.mean);
+        } else if let Some(ClosestRule { rule, ratio, at_s }) = &self.figures.closest {
+            print!("  closest to a limit: {rule}: {ratio:.2} at {at_s:.1} s");
+        }
+        println!();
+        self.figures.broken_rules.iter().for_each(|rule| println!("    RULE BROKEN  {rule}"));
+    }
+}
+
+fn scenario_rows<'a>(
+    scenarios: &'a [Scenario],
+    days: &[DayResults],
+    args: &SimulateArgs,
+) -> Vec<ScenarioRow<'a>> {
     let policies = if args.against.is_some() { 2 } else { 1 };
     let seeds = args.seeds().len();
-    let by_scenario = scenarios.iter().zip(days.chunks(seeds * policies));
-    by_scenario
-        .map(|(scenario, days)| {
-            let (own, compared) = days.split_at(seeds);
-            let faults_end = args.day(scenario, 0, args.policy).faults_end();
-            let mut row = scenario_json(own, faults_end);
-            (row["scenario"], row["about"]) = (json!(scenario.name), json!(scenario.about));
-            if !compared.is_empty() {
-                row["against"] = scenario_json(compared, faults_end);
-                row["better_by"] = service_difference(own, compared);
-            }
-            row
-        })
-        .collect()
+    let row = |(scenario, days): (&'a Scenario, &[DayResults])| {
+        let (own, compared) = days.split_at(seeds);
+        let faults_end = args.day(scenario, 0, args.policy).faults_end();
+        let comparison = args.against.map(|against| PolicyComparison {
+            against,
+            figures: ScenarioFigures::of(compared, faults_end),
+            difference: service_difference(own, compared),
+        });
+        ScenarioRow { scenario, figures: ScenarioFigures::of(own, faults_end), comparison }
+    };
+    scenarios.iter().zip(days.chunks(seeds * policies)).map(row).collect()
 }
 
-fn service_difference(own: &[DayResults], compared: &[DayResults]) -> Value {
+fn service_difference(own: &[DayResults], compared: &[DayResults]) -> MeanWithInterval {
     let pairs = own.iter().zip(compared);
     let differences: Vec<f64> = pairs.map(|(a, b)| a.service.share() - b.service.share()).collect();
-    let MeanWithInterval { mean, half_interval } = MeanWithInterval::of(&differences);
-    json!({"mean": mean, "half_span_95": half_interval})
-}
-
-fn service_of(row: &Value) -> f64 {
-    row["service"].as_f64().unwrap_or(0.0)
+    MeanWithInterval::of(&differences)
 }
 
-fn print_results(rows: &[Value], args: &SimulateArgs) {
+fn print_results(rows: &[ScenarioRow], args: &SimulateArgs) {
     if args.json {
         println!("{}", results_json(rows, args));
         return;
@@ -178,11 +222,12 @@
         "{:<SCENARIO_WIDTH$} service  worst 10 s  worst tenant  rejected  attempts per query  recovery, s",
         "scenario"
     );
-    rows.iter().for_each(|row| print_row(row, args));
+    rows.iter().for_each(ScenarioRow::print);
 }
 
 /// The results for scripts. Their keys are older than the terms of the code, and stay.
-fn results_json(rows: &[Value], args: &SimulateArgs) -> Value {
+fn results_json(rows: &[ScenarioRow], args: &SimulateArgs) -> Value {
+    let rows: Vec<Value> = rows.iter().map(ScenarioRow::json).collect();
     let size = json!({
         "hosts": args.nodes.max(1),
         "brokers": args.brokers.max(1),
@@ -192,43 +237,6 @@
     json!({"simulated": true, "size": size, "mind": args.policy.key(), "scenarios": rows})
 }
 
-fn print_row(row: &Value, args: &SimulateArgs) {
-    let figure = |key: &str| row[key].as_f64().unwrap_or(f64::NAN);
-    let recovery = row["recovers_s"].as_array().into_iter().flatten();
-    let recovery = recovery.map(|seconds| seconds.as_u64().map_or("-".to_owned(), |s| s.to_string()));
-    print!(
-        "{:<SCENARIO_WIDTH$} {:>7.4} {:>11.4} {:>13.4} {:>9.3} {:>19.2}  {:<12}",
-        row["scenario"].as_str().unwrap_or(""),
-        figure("service"),
-        figure("worst_10_s"),
-        figure("worst_caller"),
-        figure("declined"),
-        figure("pushes_a_retrieval"),
-        recovery.collect::<Vec<String>>().join(" ")
-    );
-    match args.against {
-        Some(against) => print_difference(row, against),
-        None => print_closest(row),
-    }
-    println!();
-    for rule in row["broken"].as_array().into_iter().flatten() {
-        println!("    RULE BROKEN  {}", rule.as_str().unwrap_or(""));
-    }
-}
-
-fn print_difference(row: &Value, against: RoutingPolicy) {
-    let Some(mean) = row["better_by"]["mean"].as_f64() else { return };
-    let half = row["better_by"]["half_span_95"].as_f64();
-    let interval = half.map_or(String::new(), |half| format!(" +- {half:.4}"));
-    print!("  {mean:+.4}{interval} compared with {against}");
-}
-
-fn print_closest(row: &Value) {
-    let Some(rule) = row["nearest"]["rule"].as_str() else { return };
-    let closest = |key: &str| row["nearest"][key].as_f64().unwrap_or(f64::NAN);
-    print!("  closest to a limit: {rule}: {:.2} at {:.1} s", closest("ratio"), closest("at_s"));
-}
-
 fn write_report(
     path: &Path,
     day: &DayResults,
--- a/crates/broker-bench/src/simulation_benchmark.rs
+++ b/crates/broker-bench/src/simulation_benchmark.rs
@@ -6,7 +6,7 @@
 use crate::process_memory::peak_memory_kb;
 use crate::results::DayResults;
 use crate::scenario_day::ScenarioDay;
-use crate::scenario_figures::recovery_seconds;
+use crate::scenario_figures::{SCENARIO_WIDTH, ScenarioFigures};
 use crate::scenario_files::read_library_scenario;
 use crate::simulation::RoutingPolicy;
 use crate::socket_comparison::DayComparison;
@@ -35,8 +35,6 @@
 /// The scenario of the large day.
 const LARGE_SCENARIO: &str = "zone-outage-at-peak-load";
 const ZONES: u32 = 3;
-/// Width of the column with the scenarios' names.
-const SCENARIO_WIDTH: usize = 34;
 /// Seeds from here on are for measuring; constants are tuned on the seeds below.
 const FIRST_SEED: u64 = 101;
 /// The product's service in the worst scenario, on average over seeds, must not be less.
@@ -124,53 +122,13 @@
     })
 }
 
-/// The days of one scenario by one policy.
-struct PolicyDays {
-    days: Vec<DayResults>,
-    faults_end: usize,
-}
-
-impl PolicyDays {
-    fn simulate(
-        scenario: &Scenario,
-        size: ClusterDimensions,
-        seeds: &[u64],
-        policy: RoutingPolicy,
-    ) -> PolicyDays {
-        let days = seeds.par_iter().map(|seed| day(scenario, size, *seed, policy).simulate()).collect();
-        PolicyDays { days, faults_end: day(scenario, size, 0, policy).faults_end() }
-    }
-
-    fn service(&self) -> f64 {
-        let sum = self.days.iter().map(|day| day.service.share()).sum::<f64>();
-        sum / self.days.len().max(1) as f64
-    }
-
-    fn recovery(&self) -> Vec<Option<usize>> {
-        self.days.iter().map(|day| recovery_seconds(day, self.faults_end)).collect()
-    }
-
-    fn service_by_tenant(&self) -> Vec<f64> {
-        let tenants = self.days.first().map_or(0, |day| day.by_tenant.len());
-        let share = |day: &DayResults, tenant: usize| day.by_tenant[tenant].share_if_asked();
-        let sum = |tenant| self.days.iter().filter_map(|day| share(day, tenant)).sum::<f64>();
-        (0..tenants).map(|tenant| sum(tenant) / self.days.len().max(1) as f64).collect()
-    }
-}
-
-/// The figures of one scenario.
+/// The figures of one scenario by each policy.
 struct ScenarioRow {
     name: &'static str,
-    /// Service by the product, by the design alone, and by the product behind admission control.
-    product: f64,
-    design: f64,
-    admitted: f64,
-    product_recovery: Vec<Option<usize>>,
-    admitted_recovery: Vec<Option<usize>>,
-    /// Rules that the product broke, alone or behind admission control.
-    broken: Vec<&'static str>,
-    product_by_tenant: Vec<f64>,
-    admitted_by_tenant: Vec<f64>,
+    product: ScenarioFigures,
+    design: ScenarioFigures,
+    /// By the product behind admission control.
+    admitted: ScenarioFigures,
 }
 
 impl ScenarioRow {
@@ -180,37 +138,38 @@
         seeds: &[u64],
     ) -> Result<ScenarioRow, BenchmarkError> {
         let scenario = read_library_scenario(name)?;
-        let simulate = |policy| PolicyDays::simulate(&scenario, size, seeds, policy);
-        let product = simulate(RoutingPolicy::Module);
-        let design = simulate(RoutingPolicy::Design);
-        let admitted = simulate(RoutingPolicy::AdmissionController);
-        let days = product.days.iter().chain(&admitted.days);
-        let mut broken: Vec<&'static str> = days.flat_map(|day| day.violations.keys().copied()).collect();
-        broken.sort_unstable();
-        broken.dedup();
+        let simulate = |policy| {
+            let days = seeds.par_iter().map(|seed| day(&scenario, size, *seed, policy).simulate());
+            let days: Vec<DayResults> = days.collect();
+            ScenarioFigures::of(&days, day(&scenario, size, 0, policy).faults_end())
+        };
         Ok(ScenarioRow {
             name,
-            product: product.service(),
-            design: design.service(),
-            admitted: admitted.service(),
-            product_recovery: product.recovery(),
-            admitted_recovery: admitted.recovery(),
-            broken,
-            product_by_tenant: product.service_by_tenant(),
-            admitted_by_tenant: admitted.service_by_tenant(),
+            product: simulate(RoutingPolicy::Module),
+            design: simulate(RoutingPolicy::Design),
+            admitted: simulate(RoutingPolicy::AdmissionController),
         })
     }
 
+    /// The rules that the product broke, alone or behind admission control.
+    fn broken_rules(&self) -> Vec<&'static str> {
+        let rules = self.product.broken_rules.iter().chain(&self.admitted.broken_rules);
+        let mut broken: Vec<&'static str> = rules.copied().collect();
+        broken.sort_unstable();
+        broken.dedup();
+        broken
+    }
+
     fn print(&self) {
         println!(
-            "{:<SCENARIO_WIDTH$} {:.4}   {:.4}       {:.4}             {}; {} {}",
+            "{:<SCENARIO_WIDTH$} {:.4}   {:.4}        {:.4}             {}; {} {}",
             self.name,
-            self.product,
-            self.design,
-            self.admitted,
-            list_seconds(&self.product_recovery),
-            list_seconds(&self.admitted_recovery),
-            self.broken.join("; ")
+            self.product.service,
+            self.design.service,
+            self.admitted.service,
+            self.product.recovery_text(),
+            self.admitted.recovery_text(),
+            self.broken_rules().join("; ")
         );
     }
 
@@ -218,28 +177,23 @@
         println!(
             "{}: service by tenant, product {}; admission control {}",
             self.name,
-            list_shares(&self.product_by_tenant),
-            list_shares(&self.admitted_by_tenant)
+            list_shares(&self.product.by_tenant),
+            list_shares(&self.admitted.by_tenant)
         );
     }
 
     fn json(&self) -> Value {
         json!({
-            "module": self.product,
-            "design": self.design,
-            "door": self.admitted,
-            "recovers_s": self.product_recovery,
-            "door_recovers_s": self.admitted_recovery,
-            "callers": {"module": self.product_by_tenant, "door": self.admitted_by_tenant},
+            "module": self.product.service,
+            "design": self.design.service,
+            "door": self.admitted.service,
+            "recovers_s": self.product.recovery,
+            "door_recovers_s": self.admitted.recovery,
+            "callers": {"module": self.product.by_tenant, "door": self.admitted.by_tenant},
         })
     }
 }
 
-fn list_seconds(recovery: &[Option<usize>]) -> String {
-    let text = |seconds: &Option<usize>| seconds.map_or("-".to_owned(), |seconds| seconds.to_string());
-    recovery.iter().map(text).collect::<Vec<_>>().join(" ")
-}
-
 fn list_shares(shares: &[f64]) -> String {
     shares.iter().map(|share| format!("{share:.3}")).collect::<Vec<_>>().join(" ")
 }
@@ -249,7 +203,7 @@
     let library = LIBRARY.par_iter();
     let rows = library.map(|LibraryScenario { name, .. }| ScenarioRow::measure(name, size, seeds));
     let mut rows = rows.collect::<Result<Vec<ScenarioRow>, BenchmarkError>>()?;
-    rows.sort_by(|a, b| a.product.total_cmp(&b.product));
+    rows.sort_by(|a, b| a.product.service.total_cmp(&b.product.service));
     Ok(rows)
 }
 
@@ -266,9 +220,9 @@
             rows.iter().map(service).sum::<f64>() / rows.len().max(1) as f64
         };
         MeanServices {
-            product: mean(|row| row.product),
-            design: mean(|row| row.design),
-            admitted: mean(|row| row.admitted),
+            product: mean(|row| row.product.service),
+            design: mean(|row| row.design.service),
+            admitted: mean(|row| row.admitted.service),
         }
     }
 }
@@ -279,7 +233,7 @@
         "scenario, worst first"
     );
     rows.iter().for_each(ScenarioRow::print);
-    rows.iter().filter(|row| row.product_by_tenant.len() > 1).for_each(ScenarioRow::print_tenants);
+    rows.iter().filter(|row| row.product.by_tenant.len() > 1).for_each(ScenarioRow::print_tenants);
     println!(
         "mean over scenarios: product {:.4}, design alone {:.4}, admission control {:.4}",
         means.product, means.design, means.admitted
@@ -295,8 +249,9 @@
     let rows = measure_scenarios(sizes.small, &seeds)?;
     let means = MeanServices::of(&rows);
     print_scenarios(&rows, &means);
-    let keeps_rules = rows.iter().all(|row| row.broken.is_empty()) && small.keeps_rules && large.keeps_rules;
-    let worst = rows.first().map_or(0.0, |row| row.product);
+    let keeps_rules =
+        rows.iter().all(|row| row.broken_rules().is_empty()) && small.keeps_rules && large.keeps_rules;
+    let worst = rows.first().map_or(0.0, |row| row.product.service);
     let cost_ratio = small.events_per_s / large.events_per_s;
     let passes = keeps_rules
         && comparison.broken_rules().is_empty()
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -3,7 +3,7 @@
 //! Exit codes: 0 no rule broken; 1 a rule was broken, or there is no plan; 2 a wrong argument, or a file that
 //! can't be opened; 3 no figure, as the machine was too busy; 4 interrupted.
 
-use crate::results::DayResults;
+use crate::results::{DayResults, TENTHS_PER_S};
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use crate::trace_plan::{PlanArgs, ReadPlan, read_plan};
 use crate::{loopback, report};
@@ -23,8 +23,6 @@
 const EXIT_NO_FIGURE: u8 = 3;
 const EXIT_INTERRUPTED: u8 = 4;
 
-const TENTHS_PER_S: i64 = 10_000;
-
 /// A figure that is printed, and its key in the JSON object.
 struct PrintedFigure {
     label: &'static str,
--- a/crates/cluster-trace/src/plan/planner.rs
+++ b/crates/cluster-trace/src/plan/planner.rs
@@ -129,7 +129,7 @@
         match row.detail {
             RowDetail::Machine { event } => self.add_machine_event(row, event),
             RowDetail::Work { job, .. } => {
-                // A job is replayed whole or not at all, by its name alone.
+                // A job is replayed completely or not at all, by its name alone.
                 let job_hash = job.map_or(0, |job| job.0);
                 if draw(self.config.seed, DrawPurpose::Sample, job_hash) >= self.config.sample_share {
                     self.unsampled_rows += 1;
--- a/crates/cluster-trace/src/plan/replay_config.rs
+++ b/crates/cluster-trace/src/plan/replay_config.rs
@@ -14,7 +14,7 @@
     pub to: u64,
     /// How many seconds of the replay one second of the trace takes.
     pub time_scale: f64,
-    /// The share of the jobs that are replayed; a job is replayed whole or not at all.
+    /// The share of the jobs that are replayed; a job is replayed completely or not at all.
     pub sample_share: f64,
     /// Work offered on average, as a share of what the nodes can do.
     pub load: f64,
--- a/crates/fault-scenarios/src/active_faults.rs
+++ b/crates/fault-scenarios/src/active_faults.rs
@@ -1,5 +1,5 @@
-//! The faults that are active on one node at a time, and what they add up to. Faults overlap: a node that two
-//! faults hold down is down until both have ended, two slowdowns multiply, and a crash ends a drain.
+//! The faults that are active on one node at a time, and their combined effect. Faults overlap: a node with two
+//! outages is down until both have ended, two slowdowns multiply, and a crash ends a drain.
 
 use FaultEvent::{DrainBegan, DrainFinished, OutageBegan, OutagesEnded};
 use NodeCondition::{Down, Draining, Ready};
@@ -62,7 +62,7 @@
     Transition { condition: Down,     event: DrainFinished, next: Down,     transition: Unchanged },
 ];
 
-/// A process that stands still again and again.
+/// Repeated pauses of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PauseCycle {
     /// How long each pause lasts.
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -8,12 +8,12 @@
 pub enum FaultKind {
     /// Node processes stop, and start without warm state at the end.
     Crash,
-    /// Nodes accept everything and answer nothing; what they had is lost, and they start without warm state
-    /// at the end.
+    /// Nodes accept everything and answer nothing. Their work is lost, and they start without warm state at
+    /// the end.
     Unresponsive,
     /// Nodes work at the share `size` of their speed.
     Slowdown,
-    /// Nodes stand still for `size` ms in each `pause_interval_ms`.
+    /// Nodes pause for `size` ms in each `pause_interval_ms`.
     Pause,
     /// Nodes reject all new work.
     Rejection,
--- a/crates/fault-scenarios/src/schedule.rs
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -45,7 +45,7 @@
     Unresponsive { node: u32, begins: bool },
     /// A node works at a share of its speed.
     Slowdown { node: u32, speed_factor: f64, begins: bool },
-    /// A node stands still again and again.
+    /// A node pauses repeatedly.
     Pause { node: u32, cycle: PauseCycle, begins: bool },
     /// A node rejects all new work.
     Rejection { node: u32, begins: bool },
@@ -89,8 +89,7 @@
     pub fn schedule(&self, cluster: &ClusterSize, seed: u64) -> Vec<ScheduledAction> {
         let mut schedule = Vec::new();
         for (index, fault) in self.faults.iter().enumerate() {
-            // Each fault has random numbers of its own, so that a change to one leaves the others as they
-            // are.
+            // Each fault has its own random numbers, so that a change to one does not change the others.
             let mut rng = fastrand::Rng::with_seed(seed ^ (index as u64 + 1).rotate_left(40));
             schedule.extend(fault.actions(cluster, &mut rng));
         }
