--- a/crates/broker/src/config_rollout/status_command.rs
+++ b/crates/broker/src/config_rollout/status_command.rs
@@ -13,13 +13,13 @@
 /// Prints the status of the broker whose status service is at this address, as lines or as one JSON object.
 pub fn status(address: SocketAddr, timeout: Duration, as_json: bool) -> ExitCode {
     match fetch(address, timeout) {
-        Ok(Ok(status)) if as_json => print_json(&status),
-        Ok(Ok(status)) => print_lines(&status),
-        Ok(Err(error)) => {
+        Ok(status) if as_json => print_json(&status),
+        Ok(status) => print_lines(&status),
+        Err(FetchError::Query(error)) => {
             eprintln!("shard-broker: no status from {address}: {error}");
             return ExitCode::from(EXIT_NO_ANSWER);
         }
-        Err(error) => {
+        Err(FetchError::Runtime(error)) => {
             eprintln!("shard-broker: {error}");
             return ExitCode::FAILURE;
         }
@@ -27,12 +27,23 @@
     ExitCode::SUCCESS
 }
 
-/// The outer error: no runtime.
-fn fetch(address: SocketAddr, timeout: Duration) -> io::Result<Result<BrokerStatus, StatusQueryError>> {
+/// Why there is no status to print.
+#[derive(Debug, thiserror::Error)]
+enum FetchError {
+    /// The system refuses a runtime.
+    #[error(transparent)]
+    Runtime(#[from] io::Error),
+    /// The broker does not answer with its status.
+    #[error(transparent)]
+    Query(#[from] StatusQueryError),
+}
+
+fn fetch(address: SocketAddr, timeout: Duration) -> Result<BrokerStatus, FetchError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    Ok(runtime.block_on(fetch_status(address, timeout)))
+    Ok(runtime.block_on(fetch_status(address, timeout))?)
 }
 
+/// Prints one JSON object, whose keys scripts read.
 fn print_json(status: &BrokerStatus) {
     let rejection = status.last_rejection.as_ref().map(|RejectionStatus { number, reason, at }| {
         json!({"number": number.parse::<u64>().ok(), "reason": reason, "at": at})
@@ -43,6 +54,7 @@
     println!("{line}");
 }
 
+/// Prints a line for each field.
 fn print_lines(status: &BrokerStatus) {
     println!("broker         {} of {}", status.name, status.installation);
     println!("runs           version {}, {}", status.number, status.standing);
--- a/crates/broker/src/http_server/closing.rs
+++ b/crates/broker/src/http_server/closing.rs
@@ -7,10 +7,28 @@
 use actix_http::StatusCode;
 use std::io;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+/// In what a client is slower than is allowed.
+enum SlowClient {
+    /// It has begun a request and does not complete it.
+    Request,
+    /// It does not read its response.
+    Response,
+    /// It has sent nothing since it connected.
+    Silent,
+    /// It does not send the rest of a body whose response it has.
+    UnreadBody,
+}
+
+/// Whether more than `limit` has passed since a moment; `false` where there was none.
+fn is_over(since: Option<Instant>, limit: Duration) -> bool {
+    since.is_some_and(|since| since.elapsed() > limit)
+}
+
 impl HttpServer {
     /// Closes an idle connection, to make room; `false`: there is none. Connections that never had a query accepted go
     /// first: clients that stay silent, or repeat a bad request, must not displace others.
@@ -41,25 +59,34 @@
     /// start, or that never send the rest of a body after its response. Each would hold a place for as long as it
     /// liked; the log shows them as `requests rejected` with 408.
     pub(super) fn close_slow(&self) {
-        let limits = &self.query_handler.limits;
-        let (now, slow_after) = (Instant::now(), limits.clients.io_timeout);
-        let is_late = |since: Option<Instant>| since.is_some_and(|since| now - since > slow_after);
-        let is_body_late = |since: Option<Instant>| {
-            since.is_some_and(|since| now - since > limits.clients.unread_body_timeout)
-        };
         for connection in self.connections.borrow().iter() {
-            let is_silent = !connection.has_served_request.get() && connection.is_idle();
-            if is_late(connection.reading_since()) {
-                connection.request_close(Some(StatusCode::REQUEST_TIMEOUT));
-            } else if is_late(connection.write_blocked_since())
-                || is_silent && is_late(Some(connection.last_used_at()))
-                || is_body_late(connection.awaiting_unread_body_since())
-            {
-                connection.request_close(None);
+            match self.slow_client(connection) {
+                Some(SlowClient::Request) => connection.request_close(Some(StatusCode::REQUEST_TIMEOUT)),
+                Some(SlowClient::Silent | SlowClient::Response | SlowClient::UnreadBody) => {
+                    connection.request_close(None);
+                }
+                None => {}
             }
         }
     }
 
+    /// In what the client of a connection is slower than is allowed, if in anything.
+    fn slow_client(&self, connection: &Connection) -> Option<SlowClient> {
+        let limits = &self.query_handler.limits.clients;
+        let is_silent = !connection.has_served_request.get() && connection.is_idle();
+        if is_over(connection.reading_since(), limits.io_timeout) {
+            Some(SlowClient::Request)
+        } else if is_over(connection.write_blocked_since(), limits.io_timeout) {
+            Some(SlowClient::Response)
+        } else if is_silent && is_over(Some(connection.last_used_at()), limits.io_timeout) {
+            Some(SlowClient::Silent)
+        } else if is_over(connection.awaiting_unread_body_since(), limits.unread_body_timeout) {
+            Some(SlowClient::UnreadBody)
+        } else {
+            None
+        }
+    }
+
     /// Closes the server: it accepts no more connections, idle ones close at once, the others with their responses.
     /// Completes when all are closed. Dropping the future leaves the server closing.
     pub async fn close(&self) {
--- a/crates/broker/src/logging.rs
+++ b/crates/broker/src/logging.rs
@@ -6,16 +6,16 @@
 use tracing_subscriber::fmt;
 use tracing_subscriber::prelude::*;
 
-/// Writes the log to standard error from now on.
+/// Writes the log to standard error from now on: events of level info and above, with their fields.
 ///
 /// # Panics
 ///
-/// Where the process has set up a log before.
-pub fn log_to_standard_error(form: LogFormat) {
-    // The HTTP library would write a line for each bad request; the HTTP server sums them up.
+/// The process has set up a log before.
+pub fn log_to_standard_error(format: LogFormat) {
+    // The HTTP library would write a line for each bad request; the HTTP server counts them instead.
     let targets = Targets::new().with_default(LevelFilter::INFO).with_target("actix_http", LevelFilter::OFF);
     let lines = fmt::layer().with_ansi(false).with_writer(io::stderr).with_target(false);
-    match form {
+    match format {
         LogFormat::Text => tracing_subscriber::registry().with(lines.with_filter(targets)).init(),
         LogFormat::Json => {
             let lines = lines.json().flatten_event(true).with_current_span(false).with_span_list(false);
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -19,4 +19,5 @@
 mod system_faults;
 mod test_cluster_process;
 mod test_peers;
+mod test_process;
 mod wall_clock;
