--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -11,6 +11,7 @@
 };
 use crate::policy::idempotency::{self, is_repeat_harmless};
 use crate::policy::query_of_death::{RetryHold, is_query_of_death, retry_hold};
+use crate::policy::query_times::attempt_timeout;
 use crate::state::{AttemptId, BatchedAttempt, InFlightAttempt, Query, QueryState};
 use crate::state::{ShardRequestState, Timer};
 use crate::time::Tenths;
@@ -50,8 +51,7 @@
     fn send_to(&mut self, query: &mut Query, index: usize, node: NodeId) {
         let now = self.state.now;
         let attempt = self.record_attempt(query, index, node);
-        let useful_until = query.times.objective_at + query.policy.useful_after_objective;
-        let timeout = (useful_until.min(query.times.deadline_at) - now).max(Tenths(1));
+        let timeout = attempt_timeout(&query.times, query.policy.useful_after_objective, now);
         self.state.effects.push(Effect::Send { shard_request: attempt.shard_request, node, timeout });
         let check_at = now + self.hedge_delay(query.times.latency_objective);
         self.state.timers.schedule(check_at, Timer::AttemptCheck(attempt));
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -103,3 +103,14 @@
     assert!(was_reset_at_once(Tenths(100), Tenths(50)));
     assert!(!was_reset_at_once(Tenths(101), Tenths(50)));
 }
+
+/// What was lost long ago must not keep connections from being used again.
+#[rstest]
+fn losses_fade() {
+    let mut history = history((4, 20), (0, 0));
+    assert!(history.reused_connections_fail(NOW));
+    let later = NOW + Tenths(300_000);
+    assert!(!history.reused_connections_fail(later));
+    history.record_reset(later, Tenths(3_000));
+    assert_eq!(history.choose(AttemptAfterIdle { now: later, ..ATTEMPT }), New);
+}
--- a/crates/routing/src/policy/load_probe.rs
+++ b/crates/routing/src/policy/load_probe.rs
@@ -17,6 +17,12 @@
 /// Reports are waited for this share of the latency objective at the most.
 const MAX_WAIT_SHARE: f64 = 0.02;
 
+/// A lower reported rate counts as this many shard requests a second.
+const MIN_SERVICE_RATE_PER_S: f64 = 1.0;
+
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
+
 /// Whether a replica is to be probed for a query with this latency objective: its last report is not recent,
 /// and none is on the way. A probe that is not answered within the objective counts as lost.
 pub(crate) fn needs_probe(node: &Node, now: Tenths, latency_objective: Tenths) -> bool {
@@ -35,6 +41,16 @@
     probed_at.is_some_and(|at| now - at < max_wait(latency_objective))
 }
 
+/// How long the queue of a node will take by its load report; zero where it reports no queue or no rate.
+pub(crate) fn reported_wait(load: Option<LoadReport>) -> Tenths {
+    let load = load.filter(|load| load.is_valid);
+    let wait_s = load.and_then(|load| {
+        let rate_per_s = load.service_rate?.max(MIN_SERVICE_RATE_PER_S);
+        Some(load.queue_length? / rate_per_s)
+    });
+    Tenths::from_ms(wait_s.unwrap_or(0.0) * MS_PER_S)
+}
+
 /// Reads a probe's result; of each metric the first usable value counts.
 pub(crate) fn read_report(now: Tenths, result: &ProbeResult) -> LoadReport {
     let first = |metric: LoadMetric| {
--- a/crates/routing/src/policy/load_probe/tests.rs
+++ b/crates/routing/src/policy/load_probe/tests.rs
@@ -1,6 +1,6 @@
 //! When nodes are probed, and what their reports are worth.
 
-use super::{max_wait, may_wait, needs_probe, read_report};
+use super::{max_wait, may_wait, needs_probe, read_report, reported_wait};
 use crate::ids::NodeId;
 use crate::inputs::{LoadMetric, ProbeResult};
 use crate::state::{LoadReport, Node};
@@ -46,3 +46,20 @@
     assert_eq!((load.received_at, load.is_valid), (Tenths(7), true));
     assert_eq!((load.queue_length, load.service_rate), (Some(3.0), None));
 }
+
+#[rstest]
+#[case::queue_over_rate(true, Some(3.0), Some(10.0), 3_000)]
+#[case::at_least_one_a_second(true, Some(3.0), Some(0.1), 30_000)]
+#[case::no_rate(true, Some(3.0), None, 0)]
+#[case::no_queue(true, None, Some(10.0), 0)]
+#[case::failed_probe(false, Some(3.0), Some(10.0), 0)]
+fn a_reported_queue_takes_its_time(
+    #[case] is_valid: bool,
+    #[case] queue_length: Option<f64>,
+    #[case] service_rate: Option<f64>,
+    #[case] expected: i64,
+) {
+    let load = LoadReport { is_valid, queue_length, service_rate, ..LoadReport::default() };
+    assert_eq!(reported_wait(Some(load)), Tenths(expected));
+    assert_eq!(reported_wait(None), Tenths::ZERO);
+}
--- a/crates/routing/src/policy/query_times.rs
+++ b/crates/routing/src/policy/query_times.rs
@@ -49,6 +49,13 @@
     }
 }
 
+/// How long an attempt may take that is sent now: until the latency objective, and beyond it for as long as a
+/// late response is worth something (`useful_after_objective`), but never past the deadline. Never zero.
+pub(crate) fn attempt_timeout(times: &QueryTimes, useful_after_objective: Tenths, now: Tenths) -> Tenths {
+    let useful_until = times.objective_at + useful_after_objective;
+    (useful_until.min(times.deadline_at) - now).max(Tenths(1))
+}
+
 /// When the first phase of a query with two must give its response.
 pub(crate) fn first_phase_ends_at(objective_at: Tenths, latency_objective: Tenths) -> Tenths {
     objective_at - latency_objective.times(SECOND_PHASE_SHARE)
--- a/crates/routing/src/policy/query_times/tests.rs
+++ b/crates/routing/src/policy/query_times/tests.rs
@@ -1,8 +1,9 @@
 //! The times of a query.
 
-use super::{Arrival, first_phase_ends_at};
+use super::{Arrival, attempt_timeout, first_phase_ends_at};
 use crate::config::RequestClass;
 use crate::policy::test_queries::{class, query};
+use crate::state::QueryTimes;
 use crate::time::Tenths;
 use rstest::rstest;
 
@@ -35,3 +36,19 @@
 fn a_second_phase_keeps_half_of_the_objective() {
     assert_eq!(first_phase_ends_at(Tenths(109_700), Tenths(10_000)), Tenths(104_700));
 }
+
+// Objective at 10,000, deadline at 20,000.
+#[rstest]
+#[case::until_the_objective(4_000, 0, 6_000)]
+#[case::while_late_is_useful(4_000, 3_000, 9_000)]
+#[case::not_past_the_deadline(4_000, 30_000, 16_000)]
+#[case::never_zero(11_000, 0, 1)]
+fn attempts_time_out(#[case] now: i64, #[case] useful_after_objective: i64, #[case] expected: i64) {
+    let times = QueryTimes {
+        latency_objective: Tenths(10_000),
+        objective_at: Tenths(10_000),
+        deadline_at: Tenths(20_000),
+    };
+    let timeout = attempt_timeout(&times, Tenths(useful_after_objective), Tenths(now));
+    assert_eq!(timeout, Tenths(expected));
+}
--- a/crates/routing/src/policy/reach.rs
+++ b/crates/routing/src/policy/reach.rs
@@ -4,6 +4,7 @@
 //! (`admission`). It is out of reach where no replica may receive it, or where even the best one is expected
 //! to answer after the objective.
 
+use super::load_probe::reported_wait;
 use crate::state::Node;
 use crate::time::Tenths;
 
@@ -18,10 +19,11 @@
 /// node unhealthy, see [`ignores_failures`].
 pub(crate) fn expected_wait(node: &Node, latency: impl FnOnce() -> Tenths, ignores_failures: bool) -> Tenths {
     let is_healthy = node.consecutive_failures == 0 || ignores_failures;
-    if node.batches.is_empty() && is_healthy && node.reported_wait() == Tenths::ZERO {
+    let reported_wait = reported_wait(node.load);
+    if node.batches.is_empty() && is_healthy && reported_wait == Tenths::ZERO {
         return Tenths::ZERO;
     }
-    latency() + node.reported_wait()
+    latency() + reported_wait
 }
 
 /// Whether past failures alone keep no node from being asked. After an outage of all nodes nothing is in
--- a/crates/routing/src/state/node.rs
+++ b/crates/routing/src/state/node.rs
@@ -72,13 +72,6 @@
 }
 
 impl Node {
-    /// How long what waits there will take, by the queue and rate of its load report.
-    pub(crate) fn reported_wait(&self) -> Tenths {
-        let load = self.load.filter(|load| load.is_valid);
-        let seconds = load.and_then(|load| Some(load.queue_length? / load.service_rate?.max(1.0)));
-        Tenths::from_ms(seconds.unwrap_or(0.0) * 1000.0)
-    }
-
     /// Classes of the attempts that went to it while it was warming up, from then on.
     pub(crate) fn slow_start_sent_since(&self, from: Tenths) -> impl Iterator<Item = ClassId> + '_ {
         let recent = self.slow_start_attempts.iter().rev().take_while(move |sent| sent.sent_at >= from);
