--- /dev/null
+++ b/crates/admission-control/tests/controller/retries.rs
@@ -0,0 +1,120 @@
+//! Retry budgets, and the time to retry after.
+
+use crate::fixture::*;
+use admission_control::{AdmissionConfig, AdmissionController, Mode};
+use routing::*;
+use rstest::rstest;
+
+/// While overloaded, retries past a share of first attempts and a few are rejected at once, with a time to
+/// retry after, and never reach the broker; first attempts are still admitted.
+#[rstest]
+fn retries_past_their_budget_are_rejected_at_once() {
+    let mut admission = controller(AdmissionConfig { min_retries: 2.0, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let inputs: Vec<Input> = (0..40).flat_map(|_| queries.query(0, 1, 1)).collect();
+    let turn = nodes.step(&mut admission, now, inputs);
+    let rejected = rejections(&turn.effects);
+    assert!(!rejected.is_empty(), "{:?}", turn.effects);
+    assert!(
+        rejected
+            .iter()
+            .all(|(_, retry_after)| { *retry_after > Tenths::ZERO && *retry_after <= Tenths(20_000) })
+    );
+    let admitted_ids: Vec<QueryId> = query_ids(&turn.inputs);
+    assert!(rejected.iter().all(|(id, _)| !admitted_ids.contains(id)));
+    let shard_requests = turn.inputs.iter().filter(|input| matches!(input, Input::ShardRequest(_))).count();
+    assert_eq!(shard_requests, admitted_ids.len(), "a rejected query's shard requests are rejected too");
+    let turn = admission.filter_inputs(now, &queries.query(0, 1, 0));
+    assert!(rejections(&turn.effects).is_empty() && query_ids(&turn.inputs).len() == 1);
+}
+
+/// Where the configuration does not let clients be sent a time to retry after, a rejection has none.
+#[rstest]
+fn no_retry_after_where_the_configuration_forbids_it() {
+    let mut config = broker_config(&[]);
+    config.limits.retry_after = false;
+    let mut admission = AdmissionController::new(
+        AdmissionConfig { min_retries: 0.0, retry_ratio: 0.0, ..AdmissionConfig::default() },
+        &config,
+    )
+    .unwrap();
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
+    assert_eq!(rejections(&effects).first().map(|(_, retry_after)| *retry_after), Some(Tenths::ZERO));
+}
+
+/// Rejected queries have cost the nodes nothing, and are not first attempts to retry after: if they counted,
+/// a client that is rejected over and over would earn itself a budget.
+#[rstest]
+fn rejected_queries_earn_no_budget_for_retries() {
+    let mut admission = controller(AdmissionConfig { min_retries: 0.0, ..AdmissionConfig::default() });
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    let storm: Vec<Input> = (0..1000).flat_map(|_| queries.query(0, 1, 0)).collect();
+    nodes.step(&mut admission, now, storm);
+    let retries: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 0, 1)).collect();
+    let admitted = query_ids(&nodes.step(&mut admission, now, retries).inputs).len();
+    assert!(admitted < 20, "{admitted} of 100 retries, for some 30 admitted first attempts");
+}
+
+/// A new configuration comes while overloaded: it holds from its own turn on.
+#[rstest]
+fn a_new_configuration_holds_at_once() {
+    let mut config = broker_config(&[]);
+    let admission_config =
+        AdmissionConfig { min_retries: 0.0, retry_ratio: 0.0, ..AdmissionConfig::default() };
+    let mut admission = AdmissionController::new(admission_config, &config).unwrap();
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
+    assert_eq!(rejections(&effects)[0].1, Tenths(20_000), "half a window, up to the configured maximum");
+    config.limits.retry_after = false;
+    let mut inputs = vec![Input::Config(config.into())];
+    inputs.extend(queries.query(0, 1, 3));
+    let effects = admission.filter_inputs(now, &inputs).effects;
+    assert_eq!(rejections(&effects)[0].1, Tenths::ZERO);
+}
+
+/// Retries of two tenants that the table has no room for: they share one budget.
+#[rstest]
+#[case(1, false)]
+#[case(3, true)]
+fn tenants_past_the_most_share_a_retry_budget(#[case] max_tenants: u32, #[case] is_admitted: bool) {
+    let config = AdmissionConfig { max_tenants, min_retries: 2.0, retry_ratio: 0.0, ..Default::default() };
+    let mut admission = controller(config);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
+    let spent: Vec<Input> = (0..3).flat_map(|_| queries.query(5, 0, 1)).collect();
+    assert_eq!(rejections(&admission.filter_inputs(now, &spent).effects).len(), 1);
+    let turn = admission.filter_inputs(now, &queries.query(6, 0, 1));
+    assert_eq!(rejections(&turn.effects).is_empty(), is_admitted);
+}
+
+/// Tenants that requested nothing for a window make room in the table: those that come after them have
+/// a budget of their own each.
+#[rstest]
+fn idle_tenants_make_room_for_others() {
+    let config = AdmissionConfig {
+        max_tenants: 2,
+        min_retries: 2.0,
+        retry_ratio: 0.0,
+        enforce_quotas: false,
+        ..AdmissionConfig::default()
+    };
+    let mut admission = controller(config);
+    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
+    for _ in 0..12 {
+        now += Tenths(5000);
+        let mut inputs = queries.query(5, 30, 0);
+        inputs.extend(queries.query(6, 30, 0));
+        nodes.step(&mut admission, now, inputs);
+    }
+    assert_eq!(admission.mode(), Mode::Overloaded);
+    let spent: Vec<Input> = (0..3).flat_map(|_| queries.query(5, 0, 1)).collect();
+    assert_eq!(rejections(&admission.filter_inputs(now, &spent).effects).len(), 1);
+    let turn = admission.filter_inputs(now, &queries.query(6, 0, 1));
+    assert!(rejections(&turn.effects).is_empty(), "it has a budget of its own");
+}
