--- a/crates/broker/src/config_rollout_disabled.rs
+++ b/crates/broker/src/config_rollout_disabled.rs
@@ -10,27 +10,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Never exists: no rollout can be prepared.
+/// Has no value: no rollout can be prepared.
 pub struct PreparedRollout {
     never: Infallible,
 }
 
-const DISABLED: &str =
-    "[control] is switched on, but this program is built without it (cargo build --features config-rollout)";
+/// The operator's file switches on what this program is built without.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "[control] is switched on, but this program is built without it (cargo build --features config-rollout)"
+)]
+struct RolloutDisabled;
 
-/// Fails: `[control]` needs the feature.
+/// Never succeeds: `[control]` needs the feature.
+///
+/// # Errors
+///
+/// Always.
 pub fn prepare(_: &mut StartupConfig, _: RolloutConfig) -> io::Result<PreparedRollout> {
-    Err(io::Error::other(DISABLED))
+    Err(io::Error::other(RolloutDisabled))
 }
 
 impl PreparedRollout {
-    /// Can't be reached.
+    /// Can't be called, as there is no value to call it on.
     pub fn begin(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         match self.never {}
     }
 }
 
-/// Fails: the command needs the feature.
+/// Prints that the command needs the feature; exit code 2.
 pub fn status(_: SocketAddr, _: Duration, _: bool) -> ExitCode {
     eprintln!(
         "shard-broker: this program is built without `control` (cargo build --features config-rollout)"
--- a/crates/broker/src/engine/batches.rs
+++ b/crates/broker/src/engine/batches.rs
@@ -36,3 +36,6 @@
 fn encoded_bytes(attempt: &AttemptToSend) -> usize {
     attempt.shard_request.text.len() + ID_BYTES_FACTOR * attempt.shard_request.id.len()
 }
+
+#[cfg(test)]
+mod tests;
