--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -300,3 +300,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker-bench/src/baseline/tests.rs
@@ -0,0 +1,131 @@
+//! What the baselines choose, and what the cutoff leaves out.
+
+use crate::baseline::{Baseline, BaselinePolicy};
+use routing::{
+    AttemptNumber, AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, Endpoint, EndpointList,
+    EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId, PlacementGroupId,
+    QueryId, RequestClass, ShardId, ShardLayout, ShardRequestId, TenantId, Tenths, ZoneId,
+};
+use rstest::rstest;
+
+/// One placement group that holds all shards, and one class that takes partial responses.
+fn broker_config() -> BrokerConfig {
+    let class = RequestClass {
+        latency_objective: Tenths(10_000),
+        deadline: Tenths(20_000),
+        min_coverage: 0.5,
+        complete_coverage: 1.0,
+        ..RequestClass::default()
+    };
+    BrokerConfig {
+        period: Tenths(50),
+        classes: [(ClassId(0), class)].into(),
+        layout: ShardLayout { placement_groups: 1, replica_groups: 1, shards: 16, max_batch_size: 1 },
+        ..BrokerConfig::default()
+    }
+}
+
+fn baseline(policy: BaselinePolicy, nodes: u64) -> Baseline {
+    let mut baseline = Baseline::new(policy, &broker_config(), 1);
+    let endpoint = |node| Endpoint {
+        node: NodeId(node),
+        zone: ZoneId(0),
+        placement_group: PlacementGroupId(0),
+        state: EndpointState::Ready,
+        started_at: None,
+    };
+    let entries = (0..nodes).map(endpoint).collect();
+    let list = EndpointList { kind: EndpointListKind::Snapshot, wall_clock: Tenths(0), entries };
+    baseline.turn(Tenths(0), &[Input::EndpointList(list)]);
+    baseline
+}
+
+/// A query with a shard request of each of these weights; the shard requests' ids are ten times the query's, and
+/// on.
+fn query(number: u64, weights: &[f64]) -> Vec<Input> {
+    let group = GroupId(number as u32);
+    let query = Input::Query(NewQuery {
+        id: QueryId(number),
+        group,
+        class: ClassId(0),
+        tenant: TenantId(0),
+        time_left: Tenths(20_000),
+        work: Tenths::ZERO,
+        client_attempt: 0,
+        min_coverage_only: false,
+    });
+    let shard_request = |(index, weight): (u64, &f64)| {
+        let (id, shard) = (ShardRequestId(number * 10 + index), ShardId(index as u32));
+        Input::ShardRequest(NewShardRequest { id, group, shard, weight: *weight })
+    };
+    std::iter::once(query).chain((0..).zip(weights).map(shard_request)).collect()
+}
+
+fn result(shard_request: u64, node: u64, outcome: AttemptOutcome, duration: Tenths) -> Input {
+    Input::AttemptEnded(AttemptResult {
+        shard_request: ShardRequestId(shard_request),
+        attempt: AttemptNumber(0),
+        node: NodeId(node),
+        outcome,
+        duration,
+    })
+}
+
+fn sent(effects: &[Effect]) -> Vec<(u64, u64)> {
+    let send = |effect: &Effect| match effect {
+        Effect::Send { shard_request, node, .. } => Some((shard_request.0, node.0)),
+        _ => None,
+    };
+    effects.iter().filter_map(send).collect()
+}
+
+/// The design sends to the node with the shortest expected wait: latency times the shard requests there.
+#[rstest]
+fn the_design_chooses_the_shortest_wait() {
+    let mut baseline = baseline(BaselinePolicy::Design, 2);
+    let first = sent(&baseline.turn(Tenths(50), &query(1, &[0.5, 0.5])));
+    assert_eq!(first.len(), 2);
+    assert_ne!(first[0].1, first[1].1, "both nodes are alike, and one has a shard request already");
+    let latency_of = |node| if node == 0 { Tenths(1000) } else { Tenths(100) };
+    let results: Vec<Input> = first
+        .iter()
+        .map(|(id, node)| result(*id, *node, AttemptOutcome::Succeeded, latency_of(*node)))
+        .collect();
+    baseline.turn(Tenths(1100), &results);
+    let second = sent(&baseline.turn(Tenths(1150), &query(2, &[0.25; 4])));
+    assert!(second.iter().all(|(_, node)| *node == 1), "node 0 takes ten times as long: {second:?}");
+}
+
+/// Under overload the design leaves out shard requests of little weight; at random all are sent.
+#[rstest]
+#[case(BaselinePolicy::Design, 1)]
+#[case(BaselinePolicy::Random, 2)]
+fn the_cutoff_is_the_designs(#[case] policy: BaselinePolicy, #[case] expected: usize) {
+    let mut baseline = baseline(policy, 2);
+    let weights = [0.9995, 0.0005];
+    let before = sent(&baseline.turn(Tenths(50), &query(1, &weights)));
+    assert_eq!(before.len(), 2, "without overload all are sent");
+    let overloaded: Vec<Input> =
+        before.iter().map(|(id, node)| result(*id, *node, AttemptOutcome::Overloaded, Tenths(10))).collect();
+    let effects = baseline.turn(Tenths(100), &overloaded);
+    assert!(
+        effects.contains(&Effect::Reject { query: QueryId(1), retry_after: Tenths::ZERO }),
+        "{effects:?}"
+    );
+    // With a base of 10 the light one scores 0.00005, under the design's least.
+    assert_eq!(sent(&baseline.turn(Tenths(150), &query(2, &weights))).len(), expected);
+}
+
+/// It responds when all has ended or the objective is near, with what has been received; at the deadline a query
+/// without its minimum coverage is rejected.
+#[rstest]
+fn responds_by_the_objective_and_rejects_by_the_deadline() {
+    let mut baseline = baseline(BaselinePolicy::Random, 1);
+    baseline.turn(Tenths(0), &[query(1, &[0.6, 0.4]), query(2, &[0.6, 0.4])].concat());
+    let received = [10, 21].map(|id| result(id, 0, AttemptOutcome::Succeeded, Tenths(10)));
+    assert!(baseline.turn(Tenths(50), &received).is_empty());
+    let near_objective = baseline.turn(Tenths(9_800), &[]);
+    assert_eq!(near_objective, [Effect::Respond { query: QueryId(1), complete: false }]);
+    let near_deadline = baseline.turn(Tenths(19_800), &[]);
+    assert_eq!(near_deadline, [Effect::Reject { query: QueryId(2), retry_after: Tenths::ZERO }]);
+}
