--- a/crates/broker-bench/src/fault_injector.rs
+++ b/crates/broker-bench/src/fault_injector.rs
@@ -30,13 +30,36 @@
     FromNode,
 }
 
-/// A network between the brokers and one node, in one direction.
+/// Faults of the network between the brokers and one node, in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct NetworkFaults {
     partitions: u32,
     added_delay: Tenths,
 }
 
+/// Faults of the network between the brokers and one node.
+#[derive(Clone, Copy, Debug, Default)]
+struct NodeNetworkFaults {
+    to_node: NetworkFaults,
+    from_node: NetworkFaults,
+}
+
+impl NodeNetworkFaults {
+    fn in_direction(&self, direction: MessageDirection) -> NetworkFaults {
+        match direction {
+            MessageDirection::ToNode => self.to_node,
+            MessageDirection::FromNode => self.from_node,
+        }
+    }
+
+    /// Those of the directions that a fault affects.
+    fn affected_by(&mut self, direction: Direction) -> impl Iterator<Item = &mut NetworkFaults> {
+        let to_node = direction.includes_to_node().then_some(&mut self.to_node);
+        let from_node = direction.includes_from_node().then_some(&mut self.from_node);
+        to_node.into_iter().chain(from_node)
+    }
+}
+
 /// Applies the scheduled faults of a day.
 pub struct FaultInjector {
     cluster: ClusterSize,
@@ -44,8 +67,8 @@
     far_latency: Tenths,
     /// The active faults of each node.
     pub active_faults: Vec<ActiveFaults>,
-    /// By node: to it, and from it.
-    network_faults: Vec<[NetworkFaults; 2]>,
+    /// By node.
+    network_faults: Vec<NodeNetworkFaults>,
     endpoint_list_delay: Tenths,
     endpoint_list_outages: u32,
     query_of_death_share: f64,
@@ -68,7 +91,7 @@
             near_latency,
             far_latency,
             active_faults: vec![ActiveFaults::default(); nodes],
-            network_faults: vec![<[NetworkFaults; 2]>::default(); nodes],
+            network_faults: vec![NodeNetworkFaults::default(); nodes],
             endpoint_list_delay: Tenths::ZERO,
             endpoint_list_outages: 0,
             query_of_death_share: 0.0,
@@ -79,7 +102,7 @@
 
     /// How long a message takes; none: it is lost.
     pub fn latency(&self, broker: usize, node: usize, direction: MessageDirection) -> Option<Tenths> {
-        let faults = self.network_faults[node][direction as usize];
+        let faults = self.network_faults[node].in_direction(direction);
         if faults.partitions > 0 || self.active_faults[node].is_unresponsive() {
             return None;
         }
@@ -88,6 +111,7 @@
         Some(if is_near { self.near_latency } else { self.far_latency } + faults.added_delay)
     }
 
+    /// The zone of a node.
     pub fn zone_of(&self, node: usize) -> u32 {
         self.cluster.zone_of(node as u32)
     }
@@ -141,12 +165,12 @@
             // Queries are planned before the day begins.
             FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => {}
             FaultAction::Partition { node, direction, begins } => {
-                for faults in self.affected_networks(node, direction) {
+                for faults in self.network_faults[node as usize].affected_by(direction) {
                     faults.partitions = count(faults.partitions, begins);
                 }
             }
             FaultAction::NetworkDelay { node, added, direction, begins } => {
-                for faults in self.affected_networks(node, direction) {
+                for faults in self.network_faults[node as usize].affected_by(direction) {
                     faults.added_delay += signed(added, begins);
                 }
             }
@@ -199,16 +223,6 @@
             _ => None,
         }
     }
-
-    fn affected_networks(
-        &mut self,
-        node: u32,
-        direction: Direction,
-    ) -> impl Iterator<Item = &mut NetworkFaults> {
-        let is_affected = [direction.includes_to_node(), direction.includes_from_node()];
-        let networks = self.network_faults[node as usize].iter_mut().zip(is_affected);
-        networks.filter_map(|(faults, is_affected)| is_affected.then_some(faults))
-    }
 }
 
 fn count(active: u32, begins: bool) -> u32 {
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -10,19 +10,25 @@
 //! | 5 | responses compared with what nodes answered for them |
 //! | 6 | shard requests that reach nodes again, in any window, compared with what was sent in it |
 
+mod retry_window;
 mod rules;
 
+use retry_window::RetryWindow;
 use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
 use rules::{approach, violation};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::ops::Range;
 
 /// What the rules allow for one class.
 #[derive(Clone, Debug)]
 pub struct ClassLimits {
+    /// The longest time from a query to its final response.
     pub deadline: Tenths,
+    /// The least share of a query's weight that a response may cover.
     pub min_coverage: f64,
+    /// What a second execution of a shard request would do.
     pub idempotency: Idempotency,
+    /// How long nodes drop a repeat under one idempotency key.
     pub dedup_window: Tenths,
 }
 
@@ -46,7 +52,9 @@
 /// What discovery published last of a node, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedState {
+    /// The published state.
     pub state: EndpointState,
+    /// When it was published.
     pub at: Tenths,
 }
 
@@ -55,19 +63,27 @@
 pub enum QueryEnd {
     /// With a response that counts these shard requests.
     Responded {
+        /// The response says that it is complete.
         complete: bool,
+        /// The shard requests whose answers are in it.
         counted: Vec<ShardRequestIndex>,
     },
+    /// Without a response; the client may send it again.
     Rejected,
+    /// Without a response; it may have been executed.
     Failed,
 }
 
 /// How many queries ended in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueryCounts {
+    /// All queries.
     pub sent: u64,
+    /// Those that ended with a response.
     pub responded: u64,
+    /// Those that were rejected.
     pub rejected: u64,
+    /// Those that failed.
     pub failed: u64,
     /// Clients that left before the end.
     pub abandoned: u64,
@@ -76,14 +92,18 @@
 /// How often a rule was broken in one way, and when first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violations {
+    /// How often.
     pub count: u64,
+    /// The time of the first.
     pub first_at: Tenths,
 }
 
 /// How near a rule came to its limit: 1 is the limit; and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClosestApproach {
+    /// What was measured, divided by the limit.
     pub ratio: f64,
+    /// When that was.
     pub at: Tenths,
 }
 
@@ -111,13 +131,6 @@
     ended_at: Option<Tenths>,
 }
 
-/// What one broker was sent and what it retried, for as long as a budget's window.
-#[derive(Clone, Debug, Default)]
-struct RetryWindow {
-    accepted: VecDeque<Tenths>,
-    retries: VecDeque<Tenths>,
-}
-
 /// Checks the rules.
 pub struct InvariantChecker {
     closest: BTreeMap<&'static str, ClosestApproach>,
@@ -199,7 +212,7 @@
         let until = now + time_left.min(self.limits.classes[class].deadline);
         let (ended_at, is_released) = (None, false);
         self.queries.push(Query { broker, class, until, shard_requests, ended_at, is_released });
-        self.retry_windows[broker].accepted.extend(std::iter::repeat_n(now, accepted));
+        self.retry_windows[broker].record_accepted(now, accepted);
         ShardRequestIndex(first)
     }
 
@@ -256,16 +269,10 @@
     /// Each retry ends a window. A check only at the ends of fixed windows would miss those that lie across
     /// two.
     fn check_retry_budget(&mut self, now: Tenths, broker: usize) {
-        let Some(RetryBudget { floor, share, window }) = self.limits.retry_budget.clone() else { return };
-        let slack = self.limits.slack;
-        let RetryWindow { accepted, retries } = &mut self.retry_windows[broker];
-        retries.push_back(now);
-        while retries.pop_front_if(|at| *at < now - window).is_some() {}
-        while accepted.pop_front_if(|at| *at < now - window - slack).is_some() {}
-        let allowed = floor + share * accepted.len() as f64;
-        let retries = retries.len() as f64;
-        self.record_approach(now, approach::RETRIES_IN_WINDOW, retries / allowed.max(1.0));
-        if retries > allowed {
+        let Some(budget) = &self.limits.retry_budget else { return };
+        let retry_use = self.retry_windows[broker].record_retry(now, budget, self.limits.slack);
+        self.record_approach(now, approach::RETRIES_IN_WINDOW, retry_use.ratio());
+        if retry_use.is_exceeded() {
             self.record_violation(now, violation::RETRY_BUDGET_EXCEEDED);
         }
     }
--- a/crates/broker-bench/src/simulation/config.rs
+++ b/crates/broker-bench/src/simulation/config.rs
@@ -35,9 +35,13 @@
 /// What a simulation is made of, beside its plan.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
+    /// How many brokers there are.
     pub brokers: u32,
+    /// What they decide by.
     pub policy: RoutingPolicy,
+    /// Where all random numbers of the day come from.
     pub seed: u64,
+    /// How many placement groups the nodes are in, by turns.
     pub placement_groups: u32,
     /// Cores of a node.
     pub cores: usize,
@@ -49,8 +53,10 @@
 
 /// The faults of a day, and what its clients do.
 pub struct FaultSchedule {
+    /// Applies them.
     pub injector: FaultInjector,
     /// In the order of their times.
     pub actions: Vec<ScheduledAction>,
+    /// What clients do with the responses they get.
     pub clients: ClientBehavior,
 }
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -60,14 +60,14 @@
         self.last_job += 1;
         let job = JobId(self.last_job);
         let warm_up_us = self.warm_up_work_us(index);
-        let taken = match self.injector.active_faults[node].is_rejecting() {
+        let submitted = match self.injector.active_faults[node].is_rejecting() {
             true => SubmitOutcome::Refused,
             false => self.nodes[node].submit_counted_as(self.now, job, work_us, warm_up_us),
         };
         if self.nodes[node].is_warming_up(self.now) {
             self.invariants.node_strained(self.now, self.nodes[node].overload_ratio());
         }
-        let outcome = match taken {
+        let outcome = match submitted {
             SubmitOutcome::Started | SubmitOutcome::Queued => return self.accept_attempt(key, node, job),
             SubmitOutcome::Refused => AttemptOutcome::Overloaded,
             SubmitOutcome::Unreachable => AttemptOutcome::ConnectFailed,
@@ -198,6 +198,7 @@
 }
 
 impl NodeCounts {
+    /// Counts nodes by their states at this time.
     pub fn of(nodes: &[EmulatedNode], now: Tenths) -> NodeCounts {
         let mut counts = NodeCounts::default();
         for node in nodes {
--- a/crates/node-emulator/src/job.rs
+++ b/crates/node-emulator/src/job.rs
@@ -22,6 +22,7 @@
 /// A job that runs or waits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
+    /// Its name.
     pub id: JobId,
     /// Microseconds of work at full speed.
     pub work_us: u64,
