--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -6,7 +6,7 @@
 //! [`AdmissionController::rate`](crate::AdmissionController::rate).
 
 use crate::window::{STEPS_PER_WINDOW, seconds};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 
 /// After a decrease, losses count as those of the rate before it for this share of the window: an attempt
 /// that finds a long queue times out late.
@@ -18,7 +18,7 @@
 /// Without a lowest rate, a rate that is decreased in every step falls to nothing. Nothing is admitted then,
 /// so nothing can succeed, and no step finds losses below the level again. The cost is that overloaded nodes
 /// get this rate however long the overload lasts.
-pub(crate) fn min_rate(level: f64, window: Tenths) -> f64 {
+pub(crate) fn min_rate(level: f64, window: TimeSpan) -> f64 {
     1.0 / level / seconds(window)
 }
 
@@ -37,7 +37,7 @@
     per_second: f64,
     /// The rate before it was last decreased, or the initial one.
     before_decrease: f64,
-    decreased_at: Tenths,
+    decreased_at: Timestamp,
 }
 
 impl AdaptiveRate {
@@ -47,7 +47,7 @@
     }
 
     /// Begins to limit, at this rate.
-    pub fn start(&mut self, now: Tenths, per_second: f64) {
+    pub fn start(&mut self, now: Timestamp, per_second: f64) {
         self.per_second = per_second;
         self.before_decrease = per_second;
         self.decreased_at = now;
@@ -61,12 +61,12 @@
     /// Whether the rate may be decreased: the effect of the last decrease, or of the start, has had time to
     /// show. Otherwise losses of what was admitted before a decrease would be answered by decrease after
     /// decrease, down to the lowest rate.
-    pub fn may_decrease(&self, now: Tenths, window: Tenths) -> bool {
+    pub fn may_decrease(&self, now: Timestamp, window: TimeSpan) -> bool {
         now - self.decreased_at >= window.times(DECREASE_HOLD_RATIO)
     }
 
     /// Multiplies the rate by `factor` (0 to 1), but not below `min_per_second`.
-    pub fn decrease(&mut self, now: Tenths, factor: f64, min_per_second: f64) {
+    pub fn decrease(&mut self, now: Timestamp, factor: f64, min_per_second: f64) {
         self.before_decrease = self.per_second;
         self.per_second = min_per_second.max(self.per_second * factor);
         self.decreased_at = now;
--- a/crates/admission-control/src/adaptive_rate/tests.rs
+++ b/crates/admission-control/src/adaptive_rate/tests.rs
@@ -1,14 +1,14 @@
 //! How the admitted rate starts, falls and rises.
 
 use super::{AdaptiveRate, initial_rate, min_rate};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const WINDOW: Tenths = Tenths(50_000);
+const WINDOW: TimeSpan = TimeSpan(50_000);
 
 fn started(per_second: f64) -> AdaptiveRate {
     let mut rate = AdaptiveRate::default();
-    rate.start(Tenths(0), per_second);
+    rate.start(Timestamp(0), per_second);
     rate
 }
 
@@ -28,10 +28,10 @@
 #[rstest]
 fn a_decrease_multiplies_down_to_the_lowest_rate() {
     let mut rate = started(100.0);
-    rate.decrease(Tenths(0), 0.75, 2.0);
+    rate.decrease(Timestamp(0), 0.75, 2.0);
     assert_eq!(rate.per_second(), 75.0);
     for _ in 0..100 {
-        rate.decrease(Tenths(0), 0.75, 2.0);
+        rate.decrease(Timestamp(0), 0.75, 2.0);
     }
     assert_eq!(rate.per_second(), 2.0);
 }
@@ -43,10 +43,10 @@
 #[case(25_000, true)]
 fn half_a_window_passes_between_decreases(#[case] after: i64, #[case] expected: bool) {
     let mut rate = AdaptiveRate::default();
-    rate.start(Tenths(70_000), 100.0);
-    assert_eq!(rate.may_decrease(Tenths(70_000 + after), WINDOW), expected, "after the start");
-    rate.decrease(Tenths(100_000), 0.75, 2.0);
-    assert_eq!(rate.may_decrease(Tenths(100_000 + after), WINDOW), expected, "after a decrease");
+    rate.start(Timestamp(70_000), 100.0);
+    assert_eq!(rate.may_decrease(Timestamp(70_000 + after), WINDOW), expected, "after the start");
+    rate.decrease(Timestamp(100_000), 0.75, 2.0);
+    assert_eq!(rate.may_decrease(Timestamp(100_000 + after), WINDOW), expected, "after a decrease");
 }
 
 /// Up to the rate before the last decrease the rate grows each step; past it, by a tenth of that, as there it
@@ -54,7 +54,7 @@
 #[rstest]
 fn the_increase_slows_down_at_the_last_peak() {
     let mut rate = started(100.0);
-    rate.decrease(Tenths(0), 0.5, 2.0);
+    rate.decrease(Timestamp(0), 0.5, 2.0);
     rate.increase(0.5);
     assert_eq!(rate.per_second(), 75.0);
     rate.increase(0.5);
@@ -69,8 +69,8 @@
 #[rstest]
 fn the_last_peak_is_that_of_the_last_decrease() {
     let mut rate = started(100.0);
-    rate.decrease(Tenths(0), 0.5, 2.0);
-    rate.decrease(Tenths(50_000), 0.5, 2.0);
+    rate.decrease(Timestamp(0), 0.5, 2.0);
+    rate.decrease(Timestamp(50_000), 0.5, 2.0);
     rate.increase(1.0);
     assert_eq!(rate.per_second(), 50.0);
     rate.increase(0.5);
--- a/crates/admission-control/src/admitted_broker.rs
+++ b/crates/admission-control/src/admitted_broker.rs
@@ -1,7 +1,7 @@
 //! A broker behind its admission controller, driven as the broker alone is.
 
 use crate::controller::AdmissionController;
-use routing::{Broker, Effect, Input, Tenths};
+use routing::{Broker, Effect, Input, Timestamp};
 
 /// A broker behind its admission controller.
 pub struct AdmittedBroker {
@@ -18,7 +18,7 @@
     }
 
     /// As [`Broker::turn`]: the controller's rejections come first, then what the broker did with the rest.
-    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+    pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         let filtered = self.admission.filter_inputs(now, inputs);
         let broker_effects = self.broker.turn(now, &filtered.inputs);
         self.admission.record_effects(&broker_effects);
--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -1,6 +1,6 @@
 //! The operator's settings of admission control, their defaults and their bounds.
 
-use routing::Tenths;
+use routing::TimeSpan;
 use thiserror::Error;
 
 /// The settings of admission control. The operator's keys have other names; [`AdmissionConfig::check`] and the
@@ -13,7 +13,7 @@
     pub overload_level: f64,
     /// The span over which losses, requested shard requests and retries are counted; a step is a tenth of it.
     /// 100 ms at least.
-    pub window: Tenths,
+    pub window: TimeSpan,
     /// While overloaded, the admitted rate is multiplied by this in a step above the level. Over 0, under 1.
     pub decrease_factor: f64,
     /// While overloaded, the admitted rate grows by this ratio in a step below the level. Over 0, 1 at most.
@@ -21,7 +21,7 @@
     /// The mode is normal again once the admitted rate is this many times the requested rate. 1 at least.
     pub recovery_headroom: f64,
     /// A tenant's token bucket holds what its share gives in this span. 0 and up.
-    pub burst: Tenths,
+    pub burst: TimeSpan,
     /// While overloaded, the retries of a tenant that are admitted in a window for each of its admitted first
     /// attempts. 0 and up.
     pub retry_ratio: f64,
@@ -40,11 +40,11 @@
     fn default() -> AdmissionConfig {
         AdmissionConfig {
             overload_level: 0.1,
-            window: Tenths(50_000),
+            window: TimeSpan(50_000),
             decrease_factor: 0.8,
             increase_ratio: 0.1,
             recovery_headroom: 2.0,
-            burst: Tenths(10_000),
+            burst: TimeSpan(10_000),
             retry_ratio: 0.2,
             min_retries: 3.0,
             max_tenants: 10_000,
@@ -99,11 +99,11 @@
         let is_increase = self.increase_ratio > 0.0 && self.increase_ratio <= 1.0;
         [
             check("level", self.overload_level, is_open_ratio(self.overload_level), "over 0 and under 1"),
-            check("window_ms", self.window.as_ms(), self.window >= Tenths(1000), "100 at least"),
+            check("window_ms", self.window.as_ms(), self.window >= TimeSpan(1000), "100 at least"),
             check("decrease", self.decrease_factor, is_open_ratio(self.decrease_factor), "over 0 and under 1"),
             check("increase", self.increase_ratio, is_increase, "over 0, 1 at most"),
             check("open_above", self.recovery_headroom, self.recovery_headroom >= 1.0, "1 at least"),
-            check("burst_ms", self.burst.as_ms(), self.burst >= Tenths::ZERO, "0 and up"),
+            check("burst_ms", self.burst.as_ms(), self.burst >= TimeSpan::ZERO, "0 and up"),
             check("retry_share", self.retry_ratio, self.retry_ratio >= 0.0, "0 and up"),
             check("retry_floor", self.min_retries, self.min_retries >= 0.0, "0 and up"),
             check("most_callers", f64::from(self.max_tenants), self.max_tenants >= 1, "1 at least"),
--- a/crates/admission-control/src/config/tests.rs
+++ b/crates/admission-control/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! The bounds of each setting, inclusive or not as the operators' page states them.
 
 use super::AdmissionConfig;
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 
 #[rstest]
@@ -13,14 +13,14 @@
 #[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = 0.0)]
 #[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = 1.0)]
 #[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = f64::NAN)]
-#[case("window_ms", "100 at least", |config: &mut AdmissionConfig| config.window = Tenths(999))]
+#[case("window_ms", "100 at least", |config: &mut AdmissionConfig| config.window = TimeSpan(999))]
 #[case("decrease", "over 0 and under 1", |config: &mut AdmissionConfig| config.decrease_factor = 0.0)]
 #[case("decrease", "over 0 and under 1", |config: &mut AdmissionConfig| config.decrease_factor = 1.0)]
 #[case("increase", "over 0, 1 at most", |config: &mut AdmissionConfig| config.increase_ratio = 0.0)]
 #[case("increase", "over 0, 1 at most", |config: &mut AdmissionConfig| config.increase_ratio = 1.1)]
 #[case("open_above", "1 at least", |config: &mut AdmissionConfig| config.recovery_headroom = 0.9)]
 #[case("open_above", "1 at least", |config: &mut AdmissionConfig| config.recovery_headroom = f64::INFINITY)]
-#[case("burst_ms", "0 and up", |config: &mut AdmissionConfig| config.burst = Tenths(-1))]
+#[case("burst_ms", "0 and up", |config: &mut AdmissionConfig| config.burst = TimeSpan(-1))]
 #[case("retry_share", "0 and up", |config: &mut AdmissionConfig| config.retry_ratio = -0.1)]
 #[case("retry_floor", "0 and up", |config: &mut AdmissionConfig| config.min_retries = -0.1)]
 #[case("most_callers", "1 at least", |config: &mut AdmissionConfig| config.max_tenants = 0)]
@@ -39,10 +39,10 @@
 #[rstest]
 fn the_bounds_themselves_are_allowed() {
     let config = AdmissionConfig {
-        window: Tenths(1000),
+        window: TimeSpan(1000),
         increase_ratio: 1.0,
         recovery_headroom: 1.0,
-        burst: Tenths::ZERO,
+        burst: TimeSpan::ZERO,
         retry_ratio: 0.0,
         min_retries: 0.0,
         max_tenants: 1,
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -27,21 +27,21 @@
 use crate::retry_budget::RetryBudget;
 use crate::tenants::{TenantTable, TenantUsage};
 use crate::window::{STEPS_PER_WINDOW, observed_seconds, step_length};
-use routing::{BrokerConfig, ClassId, Effect, Input, LogEvent, TenantId, Tenths};
+use routing::{BrokerConfig, ClassId, Effect, Input, LogEvent, TenantId, TimeSpan, Timestamp};
 
 /// Admission control in front of one broker.
 pub struct AdmissionController {
     config: AdmissionConfig,
     broker_config: BrokerConfig,
-    now: Tenths,
+    now: Timestamp,
     mode: Mode,
     rate: AdaptiveRate,
     load: LoadStatistics,
     tenants: TenantTable,
     decision_counts: DecisionCounts,
     /// When the first inputs came.
-    started_at: Option<Tenths>,
-    last_step_at: Tenths,
+    started_at: Option<Timestamp>,
+    last_step_at: Timestamp,
 }
 
 /// What all steps of a turn are judged by.
@@ -63,14 +63,14 @@
         config.check()?;
         Ok(AdmissionController {
             broker_config: broker_config.clone(),
-            now: Tenths::ZERO,
+            now: Timestamp::ZERO,
             mode: Mode::Normal,
             rate: AdaptiveRate::default(),
             load: LoadStatistics::new(config.window),
             tenants: TenantTable::new(config.window, config.max_tenants as usize),
             decision_counts: DecisionCounts::default(),
             started_at: None,
-            last_step_at: Tenths::ZERO,
+            last_step_at: Timestamp::ZERO,
             config,
         })
     }
@@ -92,7 +92,7 @@
 
     /// Handles a turn's inputs before the broker does: counts what ended, takes the steps that are due, and
     /// decides on the queries.
-    pub fn filter_inputs(&mut self, now: Tenths, inputs: &[Input]) -> FilteredTurn {
+    pub fn filter_inputs(&mut self, now: Timestamp, inputs: &[Input]) -> FilteredTurn {
         self.set_time(now);
         self.read_inputs(inputs);
         let mode_change = self.advance_steps();
@@ -108,7 +108,7 @@
     }
 
     /// A clock that was set back starts the observation anew, from the time that it tells.
-    fn set_time(&mut self, now: Tenths) {
+    fn set_time(&mut self, now: Timestamp) {
         self.now = now;
         if self.started_at.is_none_or(|started_at| started_at > now) {
             self.started_at = Some(now);
@@ -197,7 +197,7 @@
     }
 
     fn observed_s(&self) -> f64 {
-        let since_start = self.started_at.map_or(Tenths::ZERO, |started_at| self.now - started_at);
+        let since_start = self.started_at.map_or(TimeSpan::ZERO, |started_at| self.now - started_at);
         observed_seconds(since_start, self.config.window)
     }
 
--- a/crates/admission-control/src/filtered_turn/tests.rs
+++ b/crates/admission-control/src/filtered_turn/tests.rs
@@ -2,7 +2,7 @@
 
 use super::TurnDecisions;
 use routing::{
-    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, Tenths,
+    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, TimeSpan,
 };
 use rstest::rstest;
 
@@ -12,8 +12,8 @@
         group: GroupId(id as u32),
         class: ClassId(0),
         tenant: TenantId(0),
-        time_left: Tenths(20_000),
-        work: Tenths::ZERO,
+        time_left: TimeSpan(20_000),
+        work: TimeSpan::ZERO,
         client_attempt: 0,
         min_coverage_only,
     })
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -19,13 +19,13 @@
 //!
 //! ```
 //! use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
-//! use routing::{Broker, Input, BrokerConfig, Tenths};
+//! use routing::{Broker, BrokerConfig, Input, Timestamp};
 //!
 //! let configuration = BrokerConfig::default();
 //! let admission = AdmissionController::new(AdmissionConfig::default(), &configuration)
 //!     .expect("the defaults are valid");
-//! let mut admitted = AdmittedBroker::new(admission, Broker::start(configuration, 7, Tenths(0)));
-//! assert!(admitted.turn(Tenths(50), &[Input::Woken]).is_empty());
+//! let mut admitted = AdmittedBroker::new(admission, Broker::start(configuration, 7, Timestamp(0)));
+//! assert!(admitted.turn(Timestamp(50), &[Input::Woken]).is_empty());
 //! ```
 //!
 //! [`Broker`]: routing::Broker
--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -3,7 +3,7 @@
 
 use crate::overload_detection::OverloadInputs;
 use crate::window::Window;
-use routing::{AttemptOutcome, AttemptResult, Effect, Tenths};
+use routing::{AttemptOutcome, AttemptResult, Effect, TimeSpan, Timestamp};
 
 /// Losses are counted over this share of the window, so that a step is judged by what has just happened and
 /// not by what an earlier decrease has already answered.
@@ -11,7 +11,7 @@
 
 /// Counters of load over a sliding window.
 pub(crate) struct LoadStatistics {
-    window: Tenths,
+    window: TimeSpan,
     /// Attempts lost to overload (`marked`), of all attempts that ended and tell of load (`total`).
     losses: Window,
     /// Queries that the broker rejected (`marked`).
@@ -26,7 +26,7 @@
 
 impl LoadStatistics {
     /// Counters that have counted nothing.
-    pub fn new(window: Tenths) -> LoadStatistics {
+    pub fn new(window: TimeSpan) -> LoadStatistics {
         LoadStatistics {
             window,
             losses: Window::default(),
@@ -38,7 +38,7 @@
     }
 
     /// Counts an attempt that ended.
-    pub fn record_result(&mut self, now: Tenths, result: &AttemptResult) {
+    pub fn record_result(&mut self, now: Timestamp, result: &AttemptResult) {
         if result.outcome.tells_of_load() {
             let lost = if result.outcome.is_overload() { 1.0 } else { 0.0 };
             self.losses.count(now, self.loss_window(), lost, 1.0);
@@ -49,7 +49,7 @@
     }
 
     /// Counts what the broker did in a turn: the queries that it rejected and the attempts that it sent.
-    pub fn record_effects(&mut self, now: Tenths, effects: &[Effect]) {
+    pub fn record_effects(&mut self, now: Timestamp, effects: &[Effect]) {
         let rejected = effects.iter().filter(|effect| matches!(effect, Effect::Reject { .. })).count();
         let sent = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
         self.broker_rejections.count(now, self.window, rejected as f64, 0.0);
@@ -57,12 +57,12 @@
     }
 
     /// Counts the shard requests of an admitted query.
-    pub fn record_admitted(&mut self, now: Tenths, shard_requests: f64) {
+    pub fn record_admitted(&mut self, now: Timestamp, shard_requests: f64) {
         self.admitted.count(now, self.window, 0.0, shard_requests);
     }
 
     /// The counts by which overload is judged.
-    pub fn overload_inputs(&self, now: Tenths) -> OverloadInputs {
+    pub fn overload_inputs(&self, now: Timestamp) -> OverloadInputs {
         let losses = self.losses.sums(now, self.loss_window());
         OverloadInputs {
             lost_attempts: losses.marked,
@@ -75,14 +75,14 @@
     /// Admitted shard requests that the nodes served within the window: the attempts that succeeded, times
     /// the shard requests admitted for each attempt sent. Under the broker's cutoff fewer attempts are sent
     /// than shard requests are admitted.
-    pub fn served(&self, now: Tenths) -> f64 {
+    pub fn served(&self, now: Timestamp) -> f64 {
         let succeeded = self.succeeded.sums(now, self.window).total;
         let sent = self.sent.sums(now, self.window).total;
         let admitted = self.admitted.sums(now, self.window).total;
         succeeded * admitted / sent.max(1.0)
     }
 
-    fn loss_window(&self) -> Tenths {
+    fn loss_window(&self) -> TimeSpan {
         self.window.times(LOSS_WINDOW_RATIO)
     }
 }
--- a/crates/admission-control/src/load_statistics/tests.rs
+++ b/crates/admission-control/src/load_statistics/tests.rs
@@ -2,11 +2,12 @@
 
 use super::LoadStatistics;
 use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, Effect, NodeId, QueryId, ShardRequestId, Tenths,
+    AttemptNumber, AttemptOutcome, AttemptResult, Effect, NodeId, QueryId, ShardRequestId, TimeSpan,
+    Timestamp,
 };
 use rstest::rstest;
 
-const WINDOW: Tenths = Tenths(50_000);
+const WINDOW: TimeSpan = TimeSpan(50_000);
 
 fn result(outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult {
@@ -14,16 +15,16 @@
         attempt: AttemptNumber(0),
         node: NodeId(1),
         outcome,
-        duration: Tenths(100),
+        duration: TimeSpan(100),
     }
 }
 
 fn send() -> Effect {
-    Effect::Send { shard_request: ShardRequestId(1), node: NodeId(1), timeout: Tenths(10_000) }
+    Effect::Send { shard_request: ShardRequestId(1), node: NodeId(1), timeout: TimeSpan(10_000) }
 }
 
 fn reject() -> Effect {
-    Effect::Reject { query: QueryId(1), retry_after: Tenths::ZERO }
+    Effect::Reject { query: QueryId(1), retry_after: TimeSpan::ZERO }
 }
 
 /// Attempts that were cancelled or never sent say nothing of how nodes bear the load; an error of a node is
@@ -41,8 +42,8 @@
     #[case] ended_attempts: f64,
 ) {
     let mut load = LoadStatistics::new(WINDOW);
-    load.record_result(Tenths(0), &result(outcome));
-    let inputs = load.overload_inputs(Tenths(0));
+    load.record_result(Timestamp(0), &result(outcome));
+    let inputs = load.overload_inputs(Timestamp(0));
     assert_eq!((inputs.lost_attempts, inputs.ended_attempts), (lost_attempts, ended_attempts));
 }
 
@@ -51,11 +52,11 @@
 #[rstest]
 fn losses_are_counted_over_a_fifth_of_the_window_and_rejections_over_all_of_it() {
     let mut load = LoadStatistics::new(WINDOW);
-    load.record_result(Tenths(0), &result(AttemptOutcome::TimedOut));
-    load.record_effects(Tenths(0), &[reject()]);
-    load.record_admitted(Tenths(0), 3.0);
+    load.record_result(Timestamp(0), &result(AttemptOutcome::TimedOut));
+    load.record_effects(Timestamp(0), &[reject()]);
+    load.record_admitted(Timestamp(0), 3.0);
     let counts = |at: i64| {
-        let inputs = load.overload_inputs(Tenths(at));
+        let inputs = load.overload_inputs(Timestamp(at));
         (inputs.lost_attempts, inputs.rejected_queries, inputs.admitted_shard_requests)
     };
     assert_eq!(counts(9_000), (1.0, 1.0, 3.0));
@@ -69,17 +70,17 @@
 #[rstest]
 fn served_shard_requests_are_those_that_attempts_stand_for() {
     let mut load = LoadStatistics::new(WINDOW);
-    load.record_admitted(Tenths(0), 40.0);
-    load.record_effects(Tenths(0), &vec![send(); 20]);
+    load.record_admitted(Timestamp(0), 40.0);
+    load.record_effects(Timestamp(0), &vec![send(); 20]);
     for _ in 0..15 {
-        load.record_result(Tenths(0), &result(AttemptOutcome::Succeeded));
+        load.record_result(Timestamp(0), &result(AttemptOutcome::Succeeded));
     }
-    load.record_result(Tenths(0), &result(AttemptOutcome::Overloaded));
-    assert_eq!(load.served(Tenths(0)), 30.0);
+    load.record_result(Timestamp(0), &result(AttemptOutcome::Overloaded));
+    assert_eq!(load.served(Timestamp(0)), 30.0);
 }
 
 #[rstest]
 fn nothing_is_served_where_nothing_was_sent() {
     let load = LoadStatistics::new(WINDOW);
-    assert_eq!(load.served(Tenths(0)), 0.0);
+    assert_eq!(load.served(Timestamp(0)), 0.0);
 }
--- a/crates/admission-control/src/offered_query/tests.rs
+++ b/crates/admission-control/src/offered_query/tests.rs
@@ -2,7 +2,7 @@
 
 use super::offered_queries;
 use routing::{
-    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, Tenths,
+    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, TimeSpan,
 };
 use rstest::rstest;
 
@@ -12,8 +12,8 @@
         group: GroupId(group),
         class: ClassId(3),
         tenant: TenantId(4),
-        time_left: Tenths(20_000),
-        work: Tenths::ZERO,
+        time_left: TimeSpan(20_000),
+        work: TimeSpan::ZERO,
         client_attempt,
         min_coverage_only: false,
     })
--- a/crates/admission-control/src/retry_after/tests.rs
+++ b/crates/admission-control/src/retry_after/tests.rs
@@ -1,7 +1,7 @@
 //! When a rejected query may be sent again.
 
 use super::retry_after;
-use routing::{RequestLimits, Tenths};
+use routing::{RequestLimits, TimeSpan};
 use rstest::rstest;
 
 #[rstest]
@@ -17,8 +17,8 @@
 ) {
     let limits = RequestLimits {
         retry_after: retry_after_allowed,
-        max_retry_after: Tenths(max_retry_after),
+        max_retry_after: TimeSpan(max_retry_after),
         ..RequestLimits::default()
     };
-    assert_eq!(retry_after(Tenths(window), &limits), Tenths(expected));
+    assert_eq!(retry_after(TimeSpan(window), &limits), TimeSpan(expected));
 }
--- a/crates/admission-control/src/tenants.rs
+++ b/crates/admission-control/src/tenants.rs
@@ -5,7 +5,7 @@
 use crate::retry_budget::AdmittedAttempts;
 use crate::token_bucket::TokenBucket;
 use crate::window::Window;
-use routing::{TenantId, Tenths};
+use routing::{TenantId, TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
 /// The tenant under which all are counted that come when the table is full.
@@ -27,34 +27,34 @@
 
 impl TenantUsage {
     /// Counts the shard requests of a query that it sent.
-    pub fn record_requested(&mut self, now: Tenths, window: Tenths, shard_requests: f64) {
+    pub fn record_requested(&mut self, now: Timestamp, window: TimeSpan, shard_requests: f64) {
         self.requested.count(now, window, 0.0, shard_requests);
     }
 
     /// Counts an admitted query, as a retry or as a first attempt.
-    pub fn record_admitted(&mut self, now: Tenths, window: Tenths, is_retry: bool) {
+    pub fn record_admitted(&mut self, now: Timestamp, window: TimeSpan, is_retry: bool) {
         let (retries, first_attempts) = if is_retry { (1.0, 0.0) } else { (0.0, 1.0) };
         self.attempts.count(now, window, retries, first_attempts);
     }
 
     /// Shard requests that it requested within the window.
-    pub fn requested(&self, now: Tenths, window: Tenths) -> f64 {
+    pub fn requested(&self, now: Timestamp, window: TimeSpan) -> f64 {
         self.requested.sums(now, window).total
     }
 
     /// Its queries that were admitted within the window.
-    pub fn admitted_attempts(&self, now: Tenths, window: Tenths) -> AdmittedAttempts {
+    pub fn admitted_attempts(&self, now: Timestamp, window: TimeSpan) -> AdmittedAttempts {
         let sums = self.attempts.sums(now, window);
         AdmittedAttempts { first_attempts: sums.total, retries: sums.marked }
     }
 
     /// Adds to its bucket what its share gave since it was last filled.
-    pub fn fill_bucket(&mut self, now: Tenths, burst: Tenths) {
+    pub fn fill_bucket(&mut self, now: Timestamp, burst: TimeSpan) {
         self.bucket.fill(now, self.share_per_second, burst);
     }
 
     /// Whether its bucket, as last filled, holds this many tokens, or all that it can hold.
-    pub fn bucket_covers(&self, tokens: f64, burst: Tenths) -> bool {
+    pub fn bucket_covers(&self, tokens: f64, burst: TimeSpan) -> bool {
         self.bucket.covers(tokens, self.share_per_second, burst)
     }
 
@@ -66,14 +66,14 @@
 
 /// All tenants that requested something within the window.
 pub(crate) struct TenantTable {
-    window: Tenths,
+    window: TimeSpan,
     max_tenants: usize,
     tenants: BTreeMap<TenantId, TenantUsage>,
 }
 
 impl TenantTable {
     /// An empty table for `max_tenants` tenants, and one more under which all others are counted.
-    pub fn new(window: Tenths, max_tenants: usize) -> TenantTable {
+    pub fn new(window: TimeSpan, max_tenants: usize) -> TenantTable {
         TenantTable { window, max_tenants, tenants: BTreeMap::new() }
     }
 
@@ -87,7 +87,7 @@
 
     /// A tenant; a new one starts with a full bucket and an even share of the rate, which is in shard
     /// requests a second.
-    pub fn get_or_insert(&mut self, tenant: TenantId, now: Tenths, per_second: f64) -> &mut TenantUsage {
+    pub fn get_or_insert(&mut self, tenant: TenantId, now: Timestamp, per_second: f64) -> &mut TenantUsage {
         let even_share = per_second / (self.tenants.len() + 1) as f64;
         self.tenants.entry(tenant).or_insert_with(|| TenantUsage {
             requested: Window::default(),
@@ -99,18 +99,18 @@
     }
 
     /// Shard requests that all tenants requested within the window.
-    pub fn requested(&self, now: Tenths) -> f64 {
+    pub fn requested(&self, now: Timestamp) -> f64 {
         self.tenants.values().map(|usage| usage.requested(now, self.window)).sum()
     }
 
     /// Whether any other tenant requested something within the window.
-    pub fn has_others(&self, tenant: TenantId, now: Tenths) -> bool {
+    pub fn has_others(&self, tenant: TenantId, now: Timestamp) -> bool {
         let mut others = self.tenants.iter().filter(|(id, _)| **id != tenant);
         others.any(|(_, usage)| usage.requested(now, self.window) > 0.0)
     }
 
     /// What each tenant requests, in shard requests a second, counted over `elapsed_s` seconds.
-    pub fn demands(&self, now: Tenths, elapsed_s: f64, weight: impl Fn(TenantId) -> f64) -> Vec<Demand> {
+    pub fn demands(&self, now: Timestamp, elapsed_s: f64, weight: impl Fn(TenantId) -> f64) -> Vec<Demand> {
         let demand = |(tenant, usage): (&TenantId, &TenantUsage)| Demand {
             tenant: *tenant,
             per_second: usage.requested(now, self.window) / elapsed_s,
@@ -137,7 +137,7 @@
     /// Forgets the tenants that requested nothing within the window, so that memory does not grow with every
     /// tenant ever seen. Nothing is lost: their retries have left the window too, and their buckets would be
     /// full again.
-    pub fn forget_idle(&mut self, now: Tenths) {
+    pub fn forget_idle(&mut self, now: Timestamp) {
         let window = self.window;
         self.tenants.retain(|_, usage| usage.requested(now, window) > 0.0);
     }
--- a/crates/admission-control/src/tenants/tests.rs
+++ b/crates/admission-control/src/tenants/tests.rs
@@ -2,18 +2,18 @@
 
 use super::{OVERFLOW_TENANT, TenantTable};
 use crate::fair_share::Share;
-use routing::{TenantId, Tenths};
+use routing::{TenantId, TimeSpan, Timestamp};
 use rstest::rstest;
 
-const WINDOW: Tenths = Tenths(50_000);
-const BURST: Tenths = Tenths(10_000);
+const WINDOW: TimeSpan = TimeSpan(50_000);
+const BURST: TimeSpan = TimeSpan(10_000);
 const RATE: f64 = 100.0;
 
 fn table(max_tenants: usize, tenants: &[u32]) -> TenantTable {
     let mut table = TenantTable::new(WINDOW, max_tenants);
     for tenant in tenants {
-        let usage = table.get_or_insert(TenantId(*tenant), Tenths(0), RATE);
-        usage.record_requested(Tenths(0), WINDOW, 10.0);
+        let usage = table.get_or_insert(TenantId(*tenant), Timestamp(0), RATE);
+        usage.record_requested(Timestamp(0), WINDOW, 10.0);
     }
     table
 }
@@ -35,8 +35,8 @@
 #[rstest]
 fn a_new_tenant_starts_with_an_even_share() {
     let mut table = table(10, &[0]);
-    let usage = table.get_or_insert(TenantId(1), Tenths(0), RATE);
-    usage.fill_bucket(Tenths(0), BURST);
+    let usage = table.get_or_insert(TenantId(1), Timestamp(0), RATE);
+    usage.fill_bucket(Timestamp(0), BURST);
     assert!(!usage.is_limited);
     assert!(usage.bucket_covers(50.0, BURST));
     usage.take_tokens(0.5);
@@ -46,27 +46,27 @@
 #[rstest]
 fn only_other_tenants_that_request_something_count_as_others() {
     let mut table = table(10, &[0]);
-    assert!(!table.has_others(TenantId(0), Tenths(0)));
-    assert!(table.has_others(TenantId(1), Tenths(0)));
-    assert!(!table.has_others(TenantId(1), WINDOW), "the window has passed it");
-    table.get_or_insert(TenantId(2), Tenths(0), RATE);
-    assert!(!table.has_others(TenantId(0), Tenths(0)), "a tenant that requested nothing");
+    assert!(!table.has_others(TenantId(0), Timestamp(0)));
+    assert!(table.has_others(TenantId(1), Timestamp(0)));
+    assert!(!table.has_others(TenantId(1), Timestamp(0) + WINDOW), "the window has passed it");
+    table.get_or_insert(TenantId(2), Timestamp(0), RATE);
+    assert!(!table.has_others(TenantId(0), Timestamp(0)), "a tenant that requested nothing");
 }
 
 #[rstest]
 fn a_tenant_is_forgotten_once_the_window_has_passed_it() {
     let mut table = table(1, &[0]);
-    table.forget_idle(Tenths(49_999));
+    table.forget_idle(Timestamp(49_999));
     assert_eq!(table.counted_as(TenantId(1)), OVERFLOW_TENANT);
-    table.forget_idle(WINDOW);
+    table.forget_idle(Timestamp(0) + WINDOW);
     assert_eq!(table.counted_as(TenantId(1)), TenantId(1));
 }
 
 #[rstest]
 fn demands_are_rates_over_the_observed_time() {
     let table = table(10, &[0, 1]);
-    assert_eq!(table.requested(Tenths(0)), 20.0);
-    let demands = table.demands(Tenths(0), 5.0, |tenant| f64::from(tenant.0) + 1.0);
+    assert_eq!(table.requested(Timestamp(0)), 20.0);
+    let demands = table.demands(Timestamp(0), 5.0, |tenant| f64::from(tenant.0) + 1.0);
     let demands: Vec<(u32, f64, f64)> =
         demands.iter().map(|demand| (demand.tenant.0, demand.per_second, demand.weight)).collect();
     assert_eq!(demands, [(0, 2.0, 1.0), (1, 2.0, 2.0)]);
@@ -76,25 +76,25 @@
 fn shares_are_given_to_their_tenants() {
     let mut table = table(10, &[0, 1]);
     table.set_shares(vec![Share { tenant: TenantId(1), per_second: 8.0, is_limited: true }]);
-    assert!(!table.get_or_insert(TenantId(0), Tenths(0), RATE).is_limited);
-    let usage = table.get_or_insert(TenantId(1), Tenths(0), RATE);
-    usage.fill_bucket(Tenths(0), BURST);
+    assert!(!table.get_or_insert(TenantId(0), Timestamp(0), RATE).is_limited);
+    let usage = table.get_or_insert(TenantId(1), Timestamp(0), RATE);
+    usage.fill_bucket(Timestamp(0), BURST);
     assert!(usage.is_limited && usage.bucket_covers(8.0, BURST));
     usage.take_tokens(8.0);
     assert!(!usage.bucket_covers(8.0, BURST));
     table.refill_buckets();
-    assert!(table.get_or_insert(TenantId(1), Tenths(0), RATE).bucket_covers(8.0, BURST));
+    assert!(table.get_or_insert(TenantId(1), Timestamp(0), RATE).bucket_covers(8.0, BURST));
 }
 
 #[rstest]
 fn retries_and_first_attempts_are_counted_apart() {
     let mut table = table(10, &[0]);
-    let usage = table.get_or_insert(TenantId(0), Tenths(0), RATE);
-    usage.record_admitted(Tenths(0), WINDOW, false);
-    usage.record_admitted(Tenths(0), WINDOW, false);
-    usage.record_admitted(Tenths(0), WINDOW, true);
-    let admitted = usage.admitted_attempts(Tenths(0), WINDOW);
+    let usage = table.get_or_insert(TenantId(0), Timestamp(0), RATE);
+    usage.record_admitted(Timestamp(0), WINDOW, false);
+    usage.record_admitted(Timestamp(0), WINDOW, false);
+    usage.record_admitted(Timestamp(0), WINDOW, true);
+    let admitted = usage.admitted_attempts(Timestamp(0), WINDOW);
     assert_eq!((admitted.first_attempts, admitted.retries), (2.0, 1.0));
-    let later = usage.admitted_attempts(WINDOW, WINDOW);
+    let later = usage.admitted_attempts(Timestamp(0) + WINDOW, WINDOW);
     assert_eq!((later.first_attempts, later.retries), (0.0, 0.0));
 }
--- a/crates/admission-control/src/token_bucket.rs
+++ b/crates/admission-control/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket (as in RFC 2697) whose rate may change while it fills.
 
 use crate::window::seconds;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 
 /// The smallest depth of a bucket, in tokens: a tenant whose share in a burst is less than one shard request
 /// still gets one now and then.
@@ -12,12 +12,12 @@
 pub(crate) struct TokenBucket {
     /// Negative while tokens are owed.
     tokens: f64,
-    filled_at: Tenths,
+    filled_at: Timestamp,
 }
 
 impl TokenBucket {
     /// A full bucket, whatever its depth.
-    pub fn full(now: Tenths) -> TokenBucket {
+    pub fn full(now: Timestamp) -> TokenBucket {
         TokenBucket { tokens: f64::INFINITY, filled_at: now }
     }
 
@@ -27,7 +27,7 @@
     }
 
     /// Adds what the rate gave since it was last filled, up to its depth.
-    pub fn fill(&mut self, now: Tenths, per_second: f64, burst: Tenths) {
+    pub fn fill(&mut self, now: Timestamp, per_second: f64, burst: TimeSpan) {
         let elapsed_s = seconds(now - self.filled_at);
         self.tokens = (self.tokens + per_second * elapsed_s).min(depth(per_second, burst));
         self.filled_at = now;
@@ -35,7 +35,7 @@
 
     /// Whether it holds this many tokens, or all that it can hold: a query with more shard requests than the
     /// bucket is deep would never be admitted otherwise.
-    pub fn covers(&self, tokens: f64, per_second: f64, burst: Tenths) -> bool {
+    pub fn covers(&self, tokens: f64, per_second: f64, burst: TimeSpan) -> bool {
         self.tokens >= tokens || self.tokens >= depth(per_second, burst)
     }
 
@@ -46,7 +46,7 @@
 }
 
 /// Tokens that a full bucket holds.
-fn depth(per_second: f64, burst: Tenths) -> f64 {
+fn depth(per_second: f64, burst: TimeSpan) -> f64 {
     (per_second * seconds(burst)).max(MIN_DEPTH)
 }
 
--- a/crates/admission-control/src/token_bucket/tests.rs
+++ b/crates/admission-control/src/token_bucket/tests.rs
@@ -1,23 +1,23 @@
 //! What a bucket holds.
 
 use super::TokenBucket;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const BURST: Tenths = Tenths(10_000);
+const BURST: TimeSpan = TimeSpan(10_000);
 
 /// A bucket of ten tokens a second, emptied at zero.
 fn emptied() -> TokenBucket {
-    let mut bucket = TokenBucket::full(Tenths(0));
-    bucket.fill(Tenths(0), 10.0, BURST);
+    let mut bucket = TokenBucket::full(Timestamp(0));
+    bucket.fill(Timestamp(0), 10.0, BURST);
     bucket.remove(10.0);
     bucket
 }
 
 #[rstest]
 fn a_full_bucket_holds_a_burst_of_its_rate() {
-    let mut bucket = TokenBucket::full(Tenths(0));
-    bucket.fill(Tenths(0), 10.0, BURST);
+    let mut bucket = TokenBucket::full(Timestamp(0));
+    bucket.fill(Timestamp(0), 10.0, BURST);
     assert!(bucket.covers(10.0, 10.0, BURST));
     bucket.remove(0.5);
     assert!(!bucket.covers(10.0, 10.0, BURST));
@@ -27,11 +27,11 @@
 #[rstest]
 fn it_fills_at_its_rate_up_to_its_depth() {
     let mut bucket = emptied();
-    bucket.fill(Tenths(5_000), 10.0, BURST);
+    bucket.fill(Timestamp(5_000), 10.0, BURST);
     assert!(bucket.covers(5.0, 10.0, BURST) && !bucket.covers(5.1, 10.0, BURST));
-    bucket.fill(Tenths(5_000), 10.0, BURST);
+    bucket.fill(Timestamp(5_000), 10.0, BURST);
     assert!(!bucket.covers(5.1, 10.0, BURST), "the same time does not count twice");
-    bucket.fill(Tenths(900_000), 10.0, BURST);
+    bucket.fill(Timestamp(900_000), 10.0, BURST);
     bucket.remove(5.0);
     assert!(!bucket.covers(5.1, 10.0, BURST), "it holds no more than a burst");
 }
@@ -41,10 +41,10 @@
 #[rstest]
 fn a_full_bucket_covers_any_query_and_owes_the_rest() {
     let mut bucket = emptied();
-    bucket.fill(Tenths(10_000), 10.0, BURST);
+    bucket.fill(Timestamp(10_000), 10.0, BURST);
     assert!(bucket.covers(30.0, 10.0, BURST));
     bucket.remove(30.0);
-    bucket.fill(Tenths(20_000), 10.0, BURST);
+    bucket.fill(Timestamp(20_000), 10.0, BURST);
     assert!(!bucket.covers(1.0, 10.0, BURST), "twenty were owed, ten came");
 }
 
@@ -52,8 +52,8 @@
 /// part can be taken and the rest is there.
 #[rstest]
 fn a_bucket_is_one_token_deep_at_least() {
-    let mut bucket = TokenBucket::full(Tenths(0));
-    bucket.fill(Tenths(0), 0.1, BURST);
+    let mut bucket = TokenBucket::full(Timestamp(0));
+    bucket.fill(Timestamp(0), 0.1, BURST);
     bucket.remove(0.25);
     assert!(bucket.covers(0.75, 0.1, BURST));
     assert!(!bucket.covers(1.0, 0.1, BURST));
--- a/crates/admission-control/tests/controller/fixture.rs
+++ b/crates/admission-control/tests/controller/fixture.rs
@@ -6,18 +6,18 @@
 
 /// One broker, two nodes, quotas as given; clients may be sent a time to retry after.
 pub fn broker_config(quotas: &[f64]) -> BrokerConfig {
-    let mut config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
+    let mut config = BrokerConfig { brokers: 1, period: TimeSpan(50), ..BrokerConfig::default() };
     config.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
     config.limits = RequestLimits {
         max_open: 1000,
         max_attempts: 3,
         retry_after: true,
-        max_retry_after: Tenths(20_000),
+        max_retry_after: TimeSpan(20_000),
         ..RequestLimits::default()
     };
     let class = RequestClass {
-        latency_objective: Tenths(10_000),
-        deadline: Tenths(20_000),
+        latency_objective: TimeSpan(10_000),
+        deadline: TimeSpan(20_000),
         priority_weight: 1.0,
         min_coverage: 1.0,
         complete_coverage: 1.0,
@@ -53,14 +53,14 @@
     ) -> Vec<Input> {
         self.last_id += 1;
         let (id, group) = (QueryId(self.last_id), GroupId(self.last_id as u32));
-        let time_left = Tenths(20_000);
+        let time_left = TimeSpan(20_000);
         let query = NewQuery {
             id,
             group,
             class,
             tenant: TenantId(tenant),
             time_left,
-            work: Tenths::ZERO,
+            work: TimeSpan::ZERO,
             client_attempt,
             min_coverage_only: false,
         };
@@ -84,7 +84,7 @@
         attempt: AttemptNumber(0),
         node: NodeId(1),
         outcome,
-        duration: Tenths(100),
+        duration: TimeSpan(100),
     };
     (0..count).map(|index| Input::AttemptEnded(result(index))).collect()
 }
@@ -102,14 +102,14 @@
             if !at_min_coverage.contains(&shard_request.group)
                 || already_sent.insert(shard_request.group) =>
         {
-            Some(Effect::Send { shard_request: shard_request.id, node: NodeId(1), timeout: Tenths(10_000) })
+            Some(Effect::Send { shard_request: shard_request.id, node: NodeId(1), timeout: TimeSpan(10_000) })
         }
         _ => None,
     };
     admitted.iter().filter_map(&mut send).collect()
 }
 
-pub fn rejections(effects: &[Effect]) -> Vec<(QueryId, Tenths)> {
+pub fn rejections(effects: &[Effect]) -> Vec<(QueryId, TimeSpan)> {
     let rejection = |effect: &Effect| match effect {
         Effect::Reject { query, retry_after } => Some((*query, *retry_after)),
         _ => None,
@@ -145,7 +145,7 @@
     pub fn step(
         &mut self,
         admission: &mut AdmissionController,
-        now: Tenths,
+        now: Timestamp,
         mut inputs: Vec<Input>,
     ) -> FilteredTurn {
         let in_flight = std::mem::take(&mut self.in_flight).len();
@@ -166,15 +166,15 @@
     nodes: &mut Nodes,
     queries: &mut QueryMaker,
     tenants: &[u32],
-) -> Tenths {
+) -> Timestamp {
     for step in 0..20 {
         let shard_requests = (nodes.served_per_step * 2 / tenants.len()) as u32;
         let inputs: Vec<Input> =
             tenants.iter().flat_map(|tenant| queries.query(*tenant, shard_requests, 0)).collect();
-        nodes.step(admission, Tenths(step * 5000), inputs);
+        nodes.step(admission, Timestamp(step * 5000), inputs);
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
-    Tenths(100_000)
+    Timestamp(100_000)
 }
 
 pub fn controller(config: AdmissionConfig) -> AdmissionController {
--- a/crates/admission-control/tests/controller/quotas.rs
+++ b/crates/admission-control/tests/controller/quotas.rs
@@ -15,7 +15,7 @@
     let (mut large_rejected, mut large_admitted) = (0, 0);
     let (mut small_admitted, mut small_offered) = (0, 0);
     for step in 0..40 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let mut inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
         inputs.extend(queries.query(1, 4, 0));
         let turn = nodes.step(&mut admission, now, inputs);
@@ -47,7 +47,7 @@
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let (mut rejected, mut at_min_coverage) = (0, 0);
     for step in 0..40 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let mut inputs: Vec<Input> =
             (0..10).flat_map(|_| queries.query_of_class(ClassId(1), 0, 4, 0)).collect();
         inputs.extend(queries.query(1, 4, 0));
@@ -72,7 +72,7 @@
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     for _ in 0..20 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
         let turn = nodes.step(&mut admission, now, inputs);
         assert!(rejections(&turn.effects).is_empty(), "{:?}", turn.effects);
@@ -91,7 +91,7 @@
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let mut admitted = [0_usize; 2];
     for _ in 0..40 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let inputs: Vec<Input> =
             (0..10).flat_map(|_| [queries.query(0, 2, 0), queries.query(1, 2, 0)]).flatten().collect();
         for (_, tenant) in ids_and_tenants(&nodes.step(&mut admission, now, inputs).inputs) {
@@ -122,7 +122,7 @@
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     for _ in 0..10 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let mut inputs: Vec<Input> = (0..10).flat_map(|_| queries.query(0, 4, 0)).collect();
         inputs.extend(queries.query(1, 4, 0));
         let turn = nodes.step(&mut admission, now, inputs);
--- a/crates/admission-control/tests/controller/retries.rs
+++ b/crates/admission-control/tests/controller/retries.rs
@@ -19,7 +19,7 @@
     assert!(
         rejected
             .iter()
-            .all(|(_, retry_after)| { *retry_after > Tenths::ZERO && *retry_after <= Tenths(20_000) })
+            .all(|(_, retry_after)| { *retry_after > TimeSpan::ZERO && *retry_after <= TimeSpan(20_000) })
     );
     let admitted_ids: Vec<QueryId> = query_ids(&turn.inputs);
     assert!(rejected.iter().all(|(id, _)| !admitted_ids.contains(id)));
@@ -42,7 +42,7 @@
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
-    assert_eq!(rejections(&effects).first().map(|(_, retry_after)| *retry_after), Some(Tenths::ZERO));
+    assert_eq!(rejections(&effects).first().map(|(_, retry_after)| *retry_after), Some(TimeSpan::ZERO));
 }
 
 /// Rejected queries have cost the nodes nothing, and are not first attempts to retry after: if they counted,
@@ -69,12 +69,12 @@
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
-    assert_eq!(rejections(&effects)[0].1, Tenths(20_000), "half a window, up to the configured maximum");
+    assert_eq!(rejections(&effects)[0].1, TimeSpan(20_000), "half a window, up to the configured maximum");
     config.limits.retry_after = false;
     let mut inputs = vec![Input::Config(config.into())];
     inputs.extend(queries.query(0, 1, 3));
     let effects = admission.filter_inputs(now, &inputs).effects;
-    assert_eq!(rejections(&effects)[0].1, Tenths::ZERO);
+    assert_eq!(rejections(&effects)[0].1, TimeSpan::ZERO);
 }
 
 /// Retries of two tenants that the table has no room for: they share one budget.
@@ -107,7 +107,7 @@
     let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     for _ in 0..12 {
-        now += Tenths(5000);
+        now += TimeSpan(5000);
         let mut inputs = queries.query(5, 30, 0);
         inputs.extend(queries.query(6, 30, 0));
         nodes.step(&mut admission, now, inputs);
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -6,7 +6,7 @@
 use routing::{
     AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointList, EndpointState, GroupId,
     Input, NewQuery, NewShardRequest, NodeId, PlacementGroupId, QueryId, RequestClass, ShardLayout,
-    ShardRequestId, Tenths,
+    ShardRequestId, TimeSpan, Timestamp,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -62,9 +62,9 @@
 struct OpenQuery {
     class: ClassId,
     /// When a response has to leave to be on time.
-    objective_at: Tenths,
+    objective_at: Timestamp,
     /// When a response has to leave to be of any use.
-    deadline_at: Tenths,
+    deadline_at: Timestamp,
     shard_requests: Vec<ShardRequest>,
 }
 
@@ -84,24 +84,24 @@
 struct OverloadRatio {
     overloaded: f64,
     total: f64,
-    updated_at: Tenths,
+    updated_at: Timestamp,
 }
 
 impl OverloadRatio {
-    fn decay(&mut self, now: Tenths) {
+    fn decay(&mut self, now: Timestamp) {
         let kept = (-((now - self.updated_at).0 as f64) / OVERLOAD_TIME_CONSTANT).exp();
         self.overloaded *= kept;
         self.total *= kept;
         self.updated_at = now;
     }
 
-    fn record(&mut self, now: Tenths, is_overloaded: bool) {
+    fn record(&mut self, now: Timestamp, is_overloaded: bool) {
         self.decay(now);
         self.total += 1.0;
         self.overloaded += f64::from(u8::from(is_overloaded));
     }
 
-    fn ratio(&mut self, now: Tenths) -> f64 {
+    fn ratio(&mut self, now: Timestamp) -> f64 {
         self.decay(now);
         if self.total > 0.0 { self.overloaded / self.total.max(1.0) } else { 0.0 }
     }
@@ -112,7 +112,7 @@
     policy: BaselinePolicy,
     rng: fastrand::Rng,
     layout: ShardLayout,
-    period: Tenths,
+    period: TimeSpan,
     classes: BTreeMap<ClassId, RequestClass>,
     nodes: BTreeMap<NodeId, Node>,
     groups: BTreeMap<GroupId, QueryId>,
@@ -139,7 +139,7 @@
     }
 
     /// As [`routing::Broker::turn`].
-    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+    pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut new_queries = Vec::new();
         for input in inputs {
@@ -173,11 +173,11 @@
         }
     }
 
-    fn accept(&mut self, new: &NewQuery, now: Tenths, effects: &mut Vec<Effect>) {
+    fn accept(&mut self, new: &NewQuery, now: Timestamp, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
         let margin = self.period.times(MARGIN_TURNS);
         let class = self.classes.get(&new.class);
-        let latency_objective = class.map_or(Tenths::ZERO, |class| class.latency_objective);
+        let latency_objective = class.map_or(TimeSpan::ZERO, |class| class.latency_objective);
         let objective_at = now + latency_objective - margin;
         let deadline_at = now + new.time_left - margin;
         let shard_requests = Vec::new();
@@ -197,14 +197,14 @@
     }
 
     /// The design's base B: a shard request's score is its weight x B^-rank.
-    fn base(&mut self, now: Tenths) -> f64 {
+    fn base(&mut self, now: Timestamp) -> f64 {
         let overload = self.overload_ratio.ratio(now);
         let excess = (overload - CUTOFF_OVERLOAD_RATIO) / (1.0 - CUTOFF_OVERLOAD_RATIO);
         MIN_BASE + (MAX_BASE - MIN_BASE) * excess.max(0.0)
     }
 
     /// Sends a query's shard requests, but for those that the design's cutoff leaves out.
-    fn send(&mut self, id: QueryId, now: Tenths, effects: &mut Vec<Effect>) {
+    fn send(&mut self, id: QueryId, now: Timestamp, effects: &mut Vec<Effect>) {
         let base = self.base(now);
         let Some(mut query) = self.open_queries.remove(&id) else { return };
         let is_design = self.policy == BaselinePolicy::Design;
@@ -213,7 +213,7 @@
         }
         let class = self.classes.get(&query.class);
         let has_cutoff = is_design && class.is_some_and(|class| class.min_coverage < class.complete_coverage);
-        let timeout = (query.deadline_at - now).max(Tenths(1));
+        let timeout = (query.deadline_at - now).max(TimeSpan(1));
         for (rank, shard_request) in query.shard_requests.iter_mut().enumerate() {
             let score = shard_request.new.weight * base.powi(-(rank as i32));
             let is_cut = has_cutoff && score < MIN_SCORE;
@@ -257,7 +257,7 @@
         if known.is_empty() { UNKNOWN_LATENCY } else { known.iter().sum::<f64>() / known.len() as f64 }
     }
 
-    fn record_result(&mut self, result: &AttemptResult, now: Tenths) {
+    fn record_result(&mut self, result: &AttemptResult, now: Timestamp) {
         let AttemptResult { shard_request: id, outcome, .. } = *result;
         let is_overloaded = matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::TimedOut);
         self.overload_ratio.record(now, is_overloaded);
@@ -279,7 +279,7 @@
     }
 
     /// Ends the queries whose shard requests have all ended, or whose time is over.
-    fn respond_or_reject(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+    fn respond_or_reject(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         let mut ended = Vec::new();
         for (id, query) in &self.open_queries {
             let coverage = query.received_weight() + WEIGHT_ROUNDING;
@@ -291,7 +291,7 @@
             }
             effects.push(match is_enough {
                 true => Effect::Respond { query: *id, complete: coverage >= 1.0 },
-                false => Effect::Reject { query: *id, retry_after: Tenths::ZERO },
+                false => Effect::Reject { query: *id, retry_after: TimeSpan::ZERO },
             });
             ended.push(*id);
         }
--- a/crates/broker-bench/src/baseline/tests.rs
+++ b/crates/broker-bench/src/baseline/tests.rs
@@ -4,21 +4,22 @@
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, Endpoint, EndpointList,
     EndpointListKind, EndpointState, GroupId, Input, NewQuery, NewShardRequest, NodeId, PlacementGroupId,
-    QueryId, RequestClass, ShardId, ShardLayout, ShardRequestId, TenantId, Tenths, ZoneId,
+    QueryId, RequestClass, ShardId, ShardLayout, ShardRequestId, TenantId, TimeSpan, Timestamp,
+    WallClockTime, ZoneId,
 };
 use rstest::rstest;
 
 /// One placement group that holds all shards, and one class that takes partial responses.
 fn broker_config() -> BrokerConfig {
     let class = RequestClass {
-        latency_objective: Tenths(10_000),
-        deadline: Tenths(20_000),
+        latency_objective: TimeSpan(10_000),
+        deadline: TimeSpan(20_000),
         min_coverage: 0.5,
         complete_coverage: 1.0,
         ..RequestClass::default()
     };
     BrokerConfig {
-        period: Tenths(50),
+        period: TimeSpan(50),
         classes: [(ClassId(0), class)].into(),
         layout: ShardLayout { placement_groups: 1, replica_groups: 1, shards: 16, max_batch_size: 1 },
         ..BrokerConfig::default()
@@ -35,8 +36,8 @@
         started_at: None,
     };
     let entries = (0..nodes).map(endpoint).collect();
-    let list = EndpointList { kind: EndpointListKind::Snapshot, wall_clock: Tenths(0), entries };
-    baseline.turn(Tenths(0), &[Input::EndpointList(list)]);
+    let list = EndpointList { kind: EndpointListKind::Snapshot, wall_clock: WallClockTime(0), entries };
+    baseline.turn(Timestamp(0), &[Input::EndpointList(list)]);
     baseline
 }
 
@@ -49,8 +50,8 @@
         group,
         class: ClassId(0),
         tenant: TenantId(0),
-        time_left: Tenths(20_000),
-        work: Tenths::ZERO,
+        time_left: TimeSpan(20_000),
+        work: TimeSpan::ZERO,
         client_attempt: 0,
         min_coverage_only: false,
     });
@@ -61,7 +62,7 @@
     std::iter::once(query).chain((0..).zip(weights).map(shard_request)).collect()
 }
 
-fn result(shard_request: u64, node: u64, outcome: AttemptOutcome, duration: Tenths) -> Input {
+fn result(shard_request: u64, node: u64, outcome: AttemptOutcome, duration: TimeSpan) -> Input {
     Input::AttemptEnded(AttemptResult {
         shard_request: ShardRequestId(shard_request),
         attempt: AttemptNumber(0),
@@ -83,16 +84,16 @@
 #[rstest]
 fn the_design_chooses_the_shortest_wait() {
     let mut baseline = baseline(BaselinePolicy::Design, 2);
-    let first = sent(&baseline.turn(Tenths(50), &query(1, &[0.5, 0.5])));
+    let first = sent(&baseline.turn(Timestamp(50), &query(1, &[0.5, 0.5])));
     assert_eq!(first.len(), 2);
     assert_ne!(first[0].1, first[1].1, "both nodes are alike, and one has a shard request already");
-    let latency_of = |node| if node == 0 { Tenths(1000) } else { Tenths(100) };
+    let latency_of = |node| if node == 0 { TimeSpan(1000) } else { TimeSpan(100) };
     let results: Vec<Input> = first
         .iter()
         .map(|(id, node)| result(*id, *node, AttemptOutcome::Succeeded, latency_of(*node)))
         .collect();
-    baseline.turn(Tenths(1100), &results);
-    let second = sent(&baseline.turn(Tenths(1150), &query(2, &[0.25; 4])));
+    baseline.turn(Timestamp(1100), &results);
+    let second = sent(&baseline.turn(Timestamp(1150), &query(2, &[0.25; 4])));
     assert!(second.iter().all(|(_, node)| *node == 1), "node 0 takes ten times as long: {second:?}");
 }
 
@@ -103,17 +104,19 @@
 fn the_cutoff_is_the_designs(#[case] policy: BaselinePolicy, #[case] expected: usize) {
     let mut baseline = baseline(policy, 2);
     let weights = [0.9995, 0.0005];
-    let before = sent(&baseline.turn(Tenths(50), &query(1, &weights)));
+    let before = sent(&baseline.turn(Timestamp(50), &query(1, &weights)));
     assert_eq!(before.len(), 2, "without overload all are sent");
-    let overloaded: Vec<Input> =
-        before.iter().map(|(id, node)| result(*id, *node, AttemptOutcome::Overloaded, Tenths(10))).collect();
-    let effects = baseline.turn(Tenths(100), &overloaded);
+    let overloaded: Vec<Input> = before
+        .iter()
+        .map(|(id, node)| result(*id, *node, AttemptOutcome::Overloaded, TimeSpan(10)))
+        .collect();
+    let effects = baseline.turn(Timestamp(100), &overloaded);
     assert!(
-        effects.contains(&Effect::Reject { query: QueryId(1), retry_after: Tenths::ZERO }),
+        effects.contains(&Effect::Reject { query: QueryId(1), retry_after: TimeSpan::ZERO }),
         "{effects:?}"
     );
     // With a base of 10 the light one scores 0.00005, under the design's least.
-    assert_eq!(sent(&baseline.turn(Tenths(150), &query(2, &weights))).len(), expected);
+    assert_eq!(sent(&baseline.turn(Timestamp(150), &query(2, &weights))).len(), expected);
 }
 
 /// It responds when all has ended or the objective is near, with what has been received; at the deadline a query
@@ -121,11 +124,11 @@
 #[rstest]
 fn responds_by_the_objective_and_rejects_by_the_deadline() {
     let mut baseline = baseline(BaselinePolicy::Random, 1);
-    baseline.turn(Tenths(0), &[query(1, &[0.6, 0.4]), query(2, &[0.6, 0.4])].concat());
-    let received = [10, 21].map(|id| result(id, 0, AttemptOutcome::Succeeded, Tenths(10)));
-    assert!(baseline.turn(Tenths(50), &received).is_empty());
-    let near_objective = baseline.turn(Tenths(9_800), &[]);
+    baseline.turn(Timestamp(0), &[query(1, &[0.6, 0.4]), query(2, &[0.6, 0.4])].concat());
+    let received = [10, 21].map(|id| result(id, 0, AttemptOutcome::Succeeded, TimeSpan(10)));
+    assert!(baseline.turn(Timestamp(50), &received).is_empty());
+    let near_objective = baseline.turn(Timestamp(9_800), &[]);
     assert_eq!(near_objective, [Effect::Respond { query: QueryId(1), complete: false }]);
-    let near_deadline = baseline.turn(Tenths(19_800), &[]);
-    assert_eq!(near_deadline, [Effect::Reject { query: QueryId(2), retry_after: Tenths::ZERO }]);
+    let near_deadline = baseline.turn(Timestamp(19_800), &[]);
+    assert_eq!(near_deadline, [Effect::Reject { query: QueryId(2), retry_after: TimeSpan::ZERO }]);
 }
--- a/crates/broker-bench/src/fault_injector.rs
+++ b/crates/broker-bench/src/fault_injector.rs
@@ -2,7 +2,7 @@
 //! send. Decisions and state only; [`crate::simulation`] carries them out.
 
 use fault_scenarios::{ActiveFaults, ClusterSize, Direction, FaultAction, NodeTransition};
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// What is to be done as a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct NetworkFaults {
     partitions: u32,
-    added_delay: Tenths,
+    added_delay: TimeSpan,
 }
 
 /// Faults of the network between the brokers and one node.
@@ -63,13 +63,13 @@
 /// Applies the scheduled faults of a day.
 pub struct FaultInjector {
     cluster: ClusterSize,
-    near_latency: Tenths,
-    far_latency: Tenths,
+    near_latency: TimeSpan,
+    far_latency: TimeSpan,
     /// The active faults of each node.
     pub active_faults: Vec<ActiveFaults>,
     /// By node.
     network_faults: Vec<NodeNetworkFaults>,
-    endpoint_list_delay: Tenths,
+    endpoint_list_delay: TimeSpan,
     endpoint_list_outages: u32,
     query_of_death_share: f64,
     /// The share of the queries that goes to one broker.
@@ -84,7 +84,12 @@
 
 impl FaultInjector {
     /// An injector without active faults; one-way latencies within a zone and between zones.
-    pub fn new(cluster: ClusterSize, near_latency: Tenths, far_latency: Tenths, seed: u64) -> FaultInjector {
+    pub fn new(
+        cluster: ClusterSize,
+        near_latency: TimeSpan,
+        far_latency: TimeSpan,
+        seed: u64,
+    ) -> FaultInjector {
         let nodes = cluster.nodes as usize;
         FaultInjector {
             cluster,
@@ -92,7 +97,7 @@
             far_latency,
             active_faults: vec![ActiveFaults::default(); nodes],
             network_faults: vec![NodeNetworkFaults::default(); nodes],
-            endpoint_list_delay: Tenths::ZERO,
+            endpoint_list_delay: TimeSpan::ZERO,
             endpoint_list_outages: 0,
             query_of_death_share: 0.0,
             skewed_share: 0.0,
@@ -101,7 +106,7 @@
     }
 
     /// How long a message takes; none: it is lost.
-    pub fn latency(&self, broker: usize, node: usize, direction: MessageDirection) -> Option<Tenths> {
+    pub fn latency(&self, broker: usize, node: usize, direction: MessageDirection) -> Option<TimeSpan> {
         let faults = self.network_faults[node].in_direction(direction);
         if faults.partitions > 0 || self.active_faults[node].is_unresponsive() {
             return None;
@@ -117,7 +122,7 @@
     }
 
     /// How much later than usual discovery publishes; none: it publishes nothing.
-    pub fn endpoint_list_delay(&self) -> Option<Tenths> {
+    pub fn endpoint_list_delay(&self) -> Option<TimeSpan> {
         (self.endpoint_list_outages == 0).then_some(self.endpoint_list_delay)
     }
 
@@ -229,7 +234,7 @@
     if begins { active.saturating_add(1) } else { active.saturating_sub(1) }
 }
 
-fn signed(added: Tenths, begins: bool) -> Tenths {
+fn signed(added: TimeSpan, begins: bool) -> TimeSpan {
     added.times(if begins { 1.0 } else { -1.0 })
 }
 
--- a/crates/broker-bench/src/fault_injector/tests.rs
+++ b/crates/broker-bench/src/fault_injector/tests.rs
@@ -3,11 +3,11 @@
 use crate::fault_injector::MessageDirection::{FromNode, ToNode};
 use crate::fault_injector::{FaultEffect, FaultInjector};
 use fault_scenarios::{ClusterSize, Direction, FaultAction};
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 
-const NEAR: Tenths = Tenths(5);
-const FAR: Tenths = Tenths(20);
+const NEAR: TimeSpan = TimeSpan(5);
+const FAR: TimeSpan = TimeSpan(20);
 
 fn injector() -> FaultInjector {
     FaultInjector::new(ClusterSize { nodes: 4, zones: 2, placement_groups: 4, brokers: 2 }, NEAR, FAR, 1)
@@ -20,8 +20,8 @@
 #[case(Direction::Both, None, None)]
 fn partitions_hold_in_their_direction(
     #[case] direction: Direction,
-    #[case] there: Option<Tenths>,
-    #[case] back: Option<Tenths>,
+    #[case] there: Option<TimeSpan>,
+    #[case] back: Option<TimeSpan>,
 ) {
     let mut injector = injector();
     assert_eq!((injector.latency(0, 0, ToNode), injector.latency(0, 1, ToNode)), (Some(NEAR), Some(FAR)));
@@ -38,7 +38,7 @@
 fn delays_add_up_and_end() {
     let mut injector = injector();
     let mut delay = |more, begins| {
-        let (added, direction) = (Tenths(more), Direction::ToNode);
+        let (added, direction) = (TimeSpan(more), Direction::ToNode);
         injector.apply(FaultAction::NetworkDelay { node: 0, added, direction, begins });
         (injector.latency(0, 0, ToNode).unwrap().0, injector.latency(0, 0, FromNode).unwrap().0)
     };
@@ -66,16 +66,16 @@
 #[rstest]
 fn the_endpoint_list_is_late_or_not_published() {
     let mut injector = injector();
-    injector.apply(FaultAction::EndpointListDelay { added: Tenths(100), begins: true });
-    assert_eq!(injector.endpoint_list_delay(), Some(Tenths(100)));
+    injector.apply(FaultAction::EndpointListDelay { added: TimeSpan(100), begins: true });
+    assert_eq!(injector.endpoint_list_delay(), Some(TimeSpan(100)));
     assert_eq!(injector.apply(FaultAction::EndpointListOutage { begins: true }), None);
     assert_eq!(injector.endpoint_list_delay(), None);
     assert_eq!(
         injector.apply(FaultAction::EndpointListOutage { begins: false }),
         Some(FaultEffect::RepublishEndpoints)
     );
-    injector.apply(FaultAction::EndpointListDelay { added: Tenths(100), begins: false });
-    assert_eq!(injector.endpoint_list_delay(), Some(Tenths::ZERO));
+    injector.apply(FaultAction::EndpointListDelay { added: TimeSpan(100), begins: false });
+    assert_eq!(injector.endpoint_list_delay(), Some(TimeSpan::ZERO));
 }
 
 #[rstest]
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -14,7 +14,7 @@
 mod rules;
 
 use retry_window::RetryWindow;
-use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
+use routing::{EndpointState, Idempotency, RetryBudget, TimeSpan, Timestamp};
 use rules::{approach, violation};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 pub struct ClassLimits {
     /// The longest time from a query to its final response.
-    pub deadline: Tenths,
+    pub deadline: TimeSpan,
     /// The least share of a query's weight that a response may cover.
     pub min_coverage: f64,
     /// What a second execution of a shard request would do.
     pub idempotency: Idempotency,
     /// How long nodes drop a repeat under one idempotency key.
-    pub dedup_window: Tenths,
+    pub dedup_window: TimeSpan,
 }
 
 /// What the rules allow.
@@ -40,9 +40,9 @@
     /// None: any number of retries is allowed.
     pub retry_budget: Option<RetryBudget>,
     /// How long a shard request may still be sent to a node whose end was published.
-    pub grace: Tenths,
+    pub grace: TimeSpan,
     /// How much later than it was done something may be observed.
-    pub slack: Tenths,
+    pub slack: TimeSpan,
 }
 
 /// A shard request, counted up over all queries of the day.
@@ -55,7 +55,7 @@
     /// The published state.
     pub state: EndpointState,
     /// When it was published.
-    pub at: Tenths,
+    pub at: Timestamp,
 }
 
 /// How a query ended for its client.
@@ -95,7 +95,7 @@
     /// How often.
     pub count: u64,
     /// The time of the first.
-    pub first_at: Tenths,
+    pub first_at: Timestamp,
 }
 
 /// How near a rule came to its limit: 1 is the limit; and when.
@@ -104,7 +104,7 @@
     /// What was measured, divided by the limit.
     pub ratio: f64,
     /// When that was.
-    pub at: Tenths,
+    pub at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -114,9 +114,9 @@
     /// How often it reached a node.
     arrivals: u32,
     /// When a node first accepted it, so that it may have been executed.
-    accepted_at: Option<Tenths>,
+    accepted_at: Option<Timestamp>,
     /// When a node first answered it.
-    answered_at: Option<Tenths>,
+    answered_at: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
@@ -126,9 +126,9 @@
     /// No broker owes it a response any more: its client has left, or its broker was restarted.
     is_released: bool,
     /// When its client's time is over.
-    until: Tenths,
+    until: Timestamp,
     shard_requests: Range<usize>,
-    ended_at: Option<Tenths>,
+    ended_at: Option<Timestamp>,
 }
 
 /// Checks the rules.
@@ -167,24 +167,24 @@
         &self.closest
     }
 
-    fn record_approach(&mut self, now: Tenths, rule: &'static str, ratio: f64) {
+    fn record_approach(&mut self, now: Timestamp, rule: &'static str, ratio: f64) {
         let closest = self.closest.entry(rule).or_insert(ClosestApproach { ratio, at: now });
         if ratio > closest.ratio {
             *closest = ClosestApproach { ratio, at: now };
         }
     }
 
-    fn record_violation(&mut self, now: Tenths, rule: &'static str) {
+    fn record_violation(&mut self, now: Timestamp, rule: &'static str) {
         self.violations.entry(rule).or_insert(Violations { count: 0, first_at: now }).count += 1;
     }
 
     /// A warming node has this share of the work that makes it collapse.
-    pub fn node_strained(&mut self, now: Tenths, ratio: f64) {
+    pub fn node_strained(&mut self, now: Timestamp, ratio: f64) {
         self.record_approach(now, approach::LOAD_ON_WARMING_NODE, ratio);
     }
 
     /// A warming node collapsed.
-    pub fn node_collapsed(&mut self, now: Tenths) {
+    pub fn node_collapsed(&mut self, now: Timestamp) {
         self.record_violation(now, violation::WARMING_NODE_COLLAPSED);
     }
 
@@ -192,10 +192,10 @@
     /// client's.
     pub fn query_sent(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         broker: usize,
         class: usize,
-        time_left: Tenths,
+        time_left: TimeSpan,
         weights: &[f64],
     ) -> ShardRequestIndex {
         let (first, query) = (self.shard_requests.len(), self.queries.len());
@@ -219,8 +219,8 @@
     /// A shard request reaches a node. `sent_at`: when it left its broker, where that is known.
     pub fn shard_request_arrived(
         &mut self,
-        now: Tenths,
-        sent_at: Tenths,
+        now: Timestamp,
+        sent_at: Timestamp,
         index: ShardRequestIndex,
         published: PublishedState,
     ) {
@@ -245,7 +245,7 @@
         }
     }
 
-    fn check_repeat(&mut self, now: Tenths, class: usize, accepted_at: Tenths) {
+    fn check_repeat(&mut self, now: Timestamp, class: usize, accepted_at: Timestamp) {
         let ClassLimits { idempotency, dedup_window, .. } = self.limits.classes[class];
         match idempotency {
             Idempotency::AtMostOnce => {
@@ -258,7 +258,7 @@
         }
     }
 
-    fn check_grace(&mut self, now: Tenths, sent_after: Tenths) {
+    fn check_grace(&mut self, now: Timestamp, sent_after: TimeSpan) {
         let grace = self.limits.grace;
         self.record_approach(now, approach::TIME_SINCE_PUBLISHED, sent_after.over(grace));
         if sent_after > grace + self.limits.slack {
@@ -268,7 +268,7 @@
 
     /// Each retry ends a window. A check only at the ends of fixed windows would miss those that lie across
     /// two.
-    fn check_retry_budget(&mut self, now: Tenths, broker: usize) {
+    fn check_retry_budget(&mut self, now: Timestamp, broker: usize) {
         let Some(budget) = &self.limits.retry_budget else { return };
         let retry_use = self.retry_windows[broker].record_retry(now, budget, self.limits.slack);
         self.record_approach(now, approach::RETRIES_IN_WINDOW, retry_use.ratio());
@@ -278,21 +278,21 @@
     }
 
     /// A node accepted a shard request: from now on it may have been executed.
-    pub fn shard_request_accepted(&mut self, now: Tenths, index: ShardRequestIndex) {
+    pub fn shard_request_accepted(&mut self, now: Timestamp, index: ShardRequestIndex) {
         if let Some(shard_request) = self.shard_requests.get_mut(index.0) {
             shard_request.accepted_at.get_or_insert(now);
         }
     }
 
     /// A node answered a shard request.
-    pub fn shard_request_answered(&mut self, now: Tenths, index: ShardRequestIndex) {
+    pub fn shard_request_answered(&mut self, now: Timestamp, index: ShardRequestIndex) {
         if let Some(shard_request) = self.shard_requests.get_mut(index.0) {
             shard_request.answered_at.get_or_insert(now);
         }
     }
 
     /// A query's end reaches its client; returns the weight that its response has. None: it had ended before.
-    pub fn query_ended(&mut self, now: Tenths, query: usize, end: &QueryEnd) -> Option<f64> {
+    pub fn query_ended(&mut self, now: Timestamp, query: usize, end: &QueryEnd) -> Option<f64> {
         let Some(Query { class, until, ended_at, shard_requests, .. }) = self.queries.get_mut(query) else {
             self.record_violation(now, violation::UNKNOWN_QUERY);
             return None;
@@ -322,7 +322,7 @@
     }
 
     /// The share of the query's weight that a response has.
-    fn check_counted(&mut self, now: Tenths, own: &Range<usize>, counted: &[ShardRequestIndex]) -> f64 {
+    fn check_counted(&mut self, now: Timestamp, own: &Range<usize>, counted: &[ShardRequestIndex]) -> f64 {
         let mut distinct: Vec<ShardRequestIndex> = counted.to_vec();
         distinct.sort();
         distinct.dedup();
@@ -341,7 +341,7 @@
         if total > 0.0 { weight / total } else { 1.0 }
     }
 
-    fn check_coverage(&mut self, now: Tenths, coverage: f64, min_coverage: f64, is_complete: bool) {
+    fn check_coverage(&mut self, now: Timestamp, coverage: f64, min_coverage: f64, is_complete: bool) {
         let ratio = min_coverage / coverage.max(WEIGHT_ROUNDING);
         self.record_approach(now, approach::MIN_COVERAGE, ratio);
         if coverage + WEIGHT_ROUNDING < min_coverage {
@@ -354,7 +354,7 @@
 
     /// A query's client has left, or its broker was restarted: nobody owes it a response. A broker that lives
     /// on may send nothing more of it.
-    pub fn release_query(&mut self, now: Tenths, query: usize) {
+    pub fn release_query(&mut self, now: Timestamp, query: usize) {
         if let Some(query) = self.queries.get_mut(query) {
             query.ended_at.get_or_insert(now);
             query.is_released = true;
@@ -367,14 +367,14 @@
     }
 
     /// Sent = responded + rejected + failed + abandoned, in each day that was played to its end.
-    pub fn check_conservation(&mut self, now: Tenths, counts: &QueryCounts) {
+    pub fn check_conservation(&mut self, now: Timestamp, counts: &QueryCounts) {
         if counts.sent != counts.responded + counts.rejected + counts.failed + counts.abandoned {
             self.record_violation(now, violation::COUNTS_DIFFER);
         }
     }
 
     /// The day is over: a query without a final response by now has none.
-    pub fn finish(&mut self, now: Tenths) {
+    pub fn finish(&mut self, now: Timestamp) {
         let lost = self.queries.iter().filter(|query| query.ended_at.is_none()).count();
         for _ in 0..lost {
             self.record_violation(now, violation::NO_RESPONSE);
--- a/crates/broker-bench/src/invariants/retry_window.rs
+++ b/crates/broker-bench/src/invariants/retry_window.rs
@@ -1,13 +1,13 @@
 //! What one broker was sent and what it retried, over the window of a retry budget.
 
-use routing::{RetryBudget, Tenths};
+use routing::{RetryBudget, TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// What one broker was sent and what it retried, for as long as a budget's window.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryWindow {
-    accepted: VecDeque<Tenths>,
-    retries: VecDeque<Tenths>,
+    accepted: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
 }
 
 /// Retries in a window, and how many the budget allows.
@@ -30,13 +30,13 @@
 
 impl RetryWindow {
     /// A broker is sent queries and shard requests, this many together.
-    pub(super) fn record_accepted(&mut self, now: Tenths, count: usize) {
+    pub(super) fn record_accepted(&mut self, now: Timestamp, count: usize) {
         self.accepted.extend(std::iter::repeat_n(now, count));
     }
 
     /// An attempt beyond a shard request's first reaches a node. What was accepted counts for `slack` longer, as a
     /// retry may be observed so much later than it was sent.
-    pub(super) fn record_retry(&mut self, now: Tenths, budget: &RetryBudget, slack: Tenths) -> RetryUse {
+    pub(super) fn record_retry(&mut self, now: Timestamp, budget: &RetryBudget, slack: TimeSpan) -> RetryUse {
         self.retries.push_back(now);
         while self.retries.pop_front_if(|at| *at < now - budget.window).is_some() {}
         while self.accepted.pop_front_if(|at| *at < now - budget.window - slack).is_some() {}
--- a/crates/broker-bench/src/invariants/tests.rs
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -3,29 +3,29 @@
 use crate::invariants::{
     ClassLimits, InvariantChecker, InvariantLimits, PublishedState, QueryCounts, QueryEnd, ShardRequestIndex,
 };
-use routing::{EndpointState, Idempotency, RetryBudget, Tenths};
+use routing::{EndpointState, Idempotency, RetryBudget, TimeSpan, Timestamp};
 use rstest::rstest;
 
-const READY: PublishedState = PublishedState { state: EndpointState::Ready, at: Tenths(0) };
+const READY: PublishedState = PublishedState { state: EndpointState::Ready, at: Timestamp(0) };
 
 fn draining_since(at: i64) -> PublishedState {
-    PublishedState { state: EndpointState::Draining, at: Tenths(at) }
+    PublishedState { state: EndpointState::Draining, at: Timestamp(at) }
 }
 
 fn checker() -> InvariantChecker {
     let class = |idempotency, min_coverage| ClassLimits {
-        deadline: Tenths(1000),
+        deadline: TimeSpan(1000),
         min_coverage,
         idempotency,
-        dedup_window: Tenths(500),
+        dedup_window: TimeSpan(500),
     };
     let classes = vec![
         class(Idempotency::Idempotent, 0.4),
         class(Idempotency::IdempotencyKey, 1.0),
         class(Idempotency::AtMostOnce, 1.0),
     ];
-    let retry_budget = Some(RetryBudget { floor: 1.0, share: 0.5, window: Tenths(100) });
-    let limits = InvariantLimits { classes, retry_budget, grace: Tenths(50), slack: Tenths(5) };
+    let retry_budget = Some(RetryBudget { floor: 1.0, share: 0.5, window: TimeSpan(100) });
+    let limits = InvariantLimits { classes, retry_budget, grace: TimeSpan(50), slack: TimeSpan(5) };
     InvariantChecker::new(limits, 1)
 }
 
@@ -36,24 +36,24 @@
 fn detects_lost_queries(#[case] sent: u64, #[case] violations: usize) {
     let mut checker = checker();
     let counts = QueryCounts { sent, rejected: 1, abandoned: 1, ..QueryCounts::default() };
-    checker.check_conservation(Tenths(0), &counts);
+    checker.check_conservation(Timestamp(0), &counts);
     assert_eq!(checker.violations().len(), violations);
 }
 
 #[rstest]
 fn reports_how_near_a_rule_came() {
     let mut checker = checker();
-    checker.query_sent(Tenths(0), 0, 0, Tenths(1000), &[0.5, 0.5]);
-    checker.shard_request_arrived(Tenths(25), Tenths(25), ShardRequestIndex(0), draining_since(0));
-    checker.shard_request_arrived(Tenths(30), Tenths(30), ShardRequestIndex(0), draining_since(10));
-    checker.node_strained(Tenths(40), 0.75);
-    checker.node_strained(Tenths(50), 0.25);
-    let closest: Vec<(u8, f64, Tenths)> = checker
+    checker.query_sent(Timestamp(0), 0, 0, TimeSpan(1000), &[0.5, 0.5]);
+    checker.shard_request_arrived(Timestamp(25), Timestamp(25), ShardRequestIndex(0), draining_since(0));
+    checker.shard_request_arrived(Timestamp(30), Timestamp(30), ShardRequestIndex(0), draining_since(10));
+    checker.node_strained(Timestamp(40), 0.75);
+    checker.node_strained(Timestamp(50), 0.25);
+    let closest: Vec<(u8, f64, Timestamp)> = checker
         .closest()
         .iter()
         .map(|(rule, closest)| (rule.as_bytes()[0] - b'0', closest.ratio, closest.at))
         .collect();
-    assert_eq!(closest, [(3, 0.5, Tenths(25)), (4, 0.75, Tenths(40)), (6, 0.4, Tenths(30))]);
+    assert_eq!(closest, [(3, 0.5, Timestamp(25)), (4, 0.75, Timestamp(40)), (6, 0.4, Timestamp(30))]);
 }
 
 /// What happens to one query of two shard requests of equal weight, one step a word: `a0` shard request 0
@@ -88,8 +88,8 @@
 #[case(0, "a0 a0 101 a0 S", "")]
 fn detects_each_violation(#[case] class: usize, #[case] steps: &str, #[case] rule: &str) {
     let mut checker = checker();
-    checker.query_sent(Tenths(0), 0, class, Tenths(1000), &[0.5, 0.5]);
-    let mut now = Tenths(0);
+    checker.query_sent(Timestamp(0), 0, class, TimeSpan(1000), &[0.5, 0.5]);
+    let mut now = Timestamp(0);
     for step in steps.split(' ') {
         let (word, rest) = step.split_at(1);
         let shard_requests: Vec<ShardRequestIndex> =
@@ -107,7 +107,7 @@
             "S" => end(QueryEnd::Failed),
             "F" => checker.node_collapsed(now),
             "C" => checker.finish(now),
-            _ => now = Tenths(step.parse().unwrap()),
+            _ => now = Timestamp(step.parse().unwrap()),
         }
     }
     let broken: Vec<&str> = checker.violations().keys().copied().collect();
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -24,7 +24,7 @@
 use crate::simulation::SimulationConfig;
 use cluster_trace::plan::{Plan, ReplayConfig};
 use day::Day;
-use routing::Tenths;
+use routing::Timestamp;
 use std::time::Duration;
 
 /// How long the parties may take to become idle, by the machine's clock, before the day is given up.
@@ -39,7 +39,7 @@
     plan: Plan,
     replay: &ReplayConfig,
     config: SimulationConfig,
-    goes_on: impl FnMut(Tenths, Tenths) -> bool,
+    goes_on: impl FnMut(Timestamp, Timestamp) -> bool,
 ) -> Result<DayResults, NoFigure> {
     play_within(SETTLE_TIMEOUT, plan, replay, config, goes_on)
 }
@@ -49,7 +49,7 @@
     plan: Plan,
     replay: &ReplayConfig,
     config: SimulationConfig,
-    goes_on: impl FnMut(Tenths, Tenths) -> bool,
+    goes_on: impl FnMut(Timestamp, Timestamp) -> bool,
 ) -> Result<DayResults, NoFigure> {
     // Paused from its first moment: what is left of a millisecond would else differ from run to run.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -7,7 +7,7 @@
 use crate::simulation::deployment;
 use cluster_trace::plan::PlannedShardRequest;
 use node_emulator::{HttpClient, HttpResponse, query_body, tenant_query_request};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 
 /// A client's connection that was idle for this long is not used again: the broker might be closing it.
-const MAX_CONNECTION_IDLE: Tenths = Tenths(200_000);
+const MAX_CONNECTION_IDLE: TimeSpan = TimeSpan(200_000);
 /// The text of every query.
 const QUERY_TEXT: &str = "x";
 
@@ -88,7 +88,7 @@
 }
 
 struct IdleConnection {
-    since: Tenths,
+    since: Timestamp,
     client: HttpClient,
 }
 
@@ -125,7 +125,7 @@
 
     /// A connection to a broker that was used a short time ago. The newest one is tried: where even that has been
     /// idle for too long, all have.
-    fn take_idle(&mut self, broker: usize, now: Tenths) -> Option<HttpClient> {
+    fn take_idle(&mut self, broker: usize, now: Timestamp) -> Option<HttpClient> {
         let newest = self.idle[broker].pop().filter(|idle| now - idle.since < MAX_CONNECTION_IDLE);
         if newest.is_none() {
             self.idle[broker].clear();
@@ -133,7 +133,7 @@
         newest.map(|idle| idle.client)
     }
 
-    fn put_idle(&mut self, broker: usize, now: Tenths, client: HttpClient) {
+    fn put_idle(&mut self, broker: usize, now: Timestamp, client: HttpClient) {
         self.idle[broker].push(IdleConnection { since: now, client });
     }
 
--- a/crates/broker-bench/src/loopback/day.rs
+++ b/crates/broker-bench/src/loopback/day.rs
@@ -9,18 +9,18 @@
 use broker::Running;
 use cluster_trace::plan::{ClassSpec, PlanEntry, PlanEvent};
 use node_emulator::DiscoveryCatalog;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// The step of the clock: the least that tokio's timers know.
-const CLOCK_STEP: Tenths = Tenths(10);
+const CLOCK_STEP: TimeSpan = TimeSpan(10);
 const CLOCK_STEP_DURATION: Duration = Duration::from_millis(1);
 const STEPS_PER_S: u64 = 1000;
 /// How long a day goes on after its last entry at the most: longer than any deadline.
-const TIME_AFTER_LAST_ENTRY: Tenths = Tenths(200_000);
+const TIME_AFTER_LAST_ENTRY: TimeSpan = TimeSpan(200_000);
 /// The brokers' clock starts here, in Unix time: the same in each run.
-pub(super) const UNIX_START: Tenths = Tenths(17_000_000_000_000);
+pub(super) const UNIX_START: Timestamp = Timestamp(17_000_000_000_000);
 
 /// A request class as clients name it.
 pub(super) struct ClassOnWire {
@@ -33,8 +33,8 @@
         ClassOnWire { name: class.name.clone(), deadline_ms: class.deadline_ms }
     }
 
-    pub(super) fn deadline(&self) -> Tenths {
-        Tenths::from_ms(f64::from(self.deadline_ms))
+    pub(super) fn deadline(&self) -> TimeSpan {
+        TimeSpan::from_ms(f64::from(self.deadline_ms))
     }
 }
 
@@ -42,8 +42,8 @@
 pub(super) struct Day {
     /// How long the parties may take to become idle, by the machine's clock.
     pub(super) settle_timeout: Duration,
-    pub(super) now: Tenths,
-    pub(super) last_entry_at: Tenths,
+    pub(super) now: Timestamp,
+    pub(super) last_entry_at: Timestamp,
     /// The entries to come.
     pub(super) plan: VecDeque<PlanEntry>,
     pub(super) config: SimulationConfig,
@@ -66,7 +66,7 @@
     /// Plays to the end, or until `goes_on` says no.
     pub(super) async fn run(
         &mut self,
-        mut goes_on: impl FnMut(Tenths, Tenths) -> bool,
+        mut goes_on: impl FnMut(Timestamp, Timestamp) -> bool,
     ) -> Result<(), NoFigure> {
         let mut step = 0_u64;
         loop {
--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -8,7 +8,7 @@
 use crate::simulation::deployment::{self, ENDPOINT_LIST_DELAY, ZONE_NAME};
 use cluster_trace::plan::PlannedNodeEvent;
 use node_emulator::{EmulatedNode, JobId, NodeState, ReceivedEvent, ScriptedNode, SubmitOutcome};
-use routing::{EndpointState, Tenths};
+use routing::{EndpointState, Timestamp};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn respond(&self, key: &AttemptKey, outcome: char, now: Tenths, value: &str) {
+    async fn respond(&self, key: &AttemptKey, outcome: char, now: Timestamp, value: &str) {
         let ConnectionKey { node, connection } = key.connection;
         let load = self.models[node].load(now).to_string();
         self.servers[node].respond_with_load(connection, &key.id, outcome, &load, value).await;
@@ -147,23 +147,23 @@
 }
 
 struct ScheduledPublication {
-    at: Tenths,
+    at: Timestamp,
     node: usize,
 }
 
 impl Publications {
     /// Nothing has been published of so many nodes.
     pub(super) fn of_removed(nodes: usize) -> Publications {
-        let removed = PublishedState { state: EndpointState::Removed, at: Tenths(0) };
+        let removed = PublishedState { state: EndpointState::Removed, at: Timestamp(0) };
         Publications { scheduled: VecDeque::new(), published: vec![removed; nodes] }
     }
 
     /// All are scheduled with the same delay, so that the last is the latest.
-    fn schedule(&mut self, at: Tenths, node: usize) {
+    fn schedule(&mut self, at: Timestamp, node: usize) {
         self.scheduled.push_back(ScheduledPublication { at, node });
     }
 
-    pub(super) fn pop_due(&mut self, now: Tenths) -> Option<usize> {
+    pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<usize> {
         self.scheduled.pop_front_if(|publication| publication.at <= now).map(|publication| publication.node)
     }
 }
@@ -284,7 +284,7 @@
             NodeState::Draining => "draining",
             NodeState::Down => "gone",
         };
-        let up_since_ms = model.started_at().map_or(0.0, |at| (UNIX_START + at).as_ms());
+        let up_since_ms = model.started_at().map_or(0.0, |at| (UNIX_START + (at - Timestamp::ZERO)).as_ms());
         let state = deployment::endpoint_state(model.state());
         let id = format!("h-{node}");
         let entry = json!({
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -11,14 +11,14 @@
 use broker::{Running, StartupConfig};
 use cluster_trace::plan::{Plan, ReplayConfig};
 use node_emulator::DiscoveryCatalog;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::{spawn_local, yield_now};
 
 /// How much later than it was done something may be observed on sockets.
-const INVARIANT_SLACK: Tenths = Tenths(500);
+const INVARIANT_SLACK: TimeSpan = TimeSpan(500);
 /// Limits of each broker: as much as a day may need, so that no connection is closed for want of room.
 const BROKER_CORES: f64 = 1.0;
 const BROKER_MEMORY_MB: u32 = 2048;
@@ -35,11 +35,11 @@
         let catalog = DiscoveryCatalog::start().await?;
         let nodes = Nodes::reserve(replay.nodes, &config)?;
         let brokers = start_brokers(replay, &config, catalog.address).await?;
-        let last_entry_at = Tenths(plan.entries.last().map_or(0, |entry| entry.at) as i64);
+        let last_entry_at = Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64);
         let invariant_limits = deployment::invariant_limits(replay, INVARIANT_SLACK);
         let mut day = Day {
             settle_timeout,
-            now: Tenths(0),
+            now: Timestamp(0),
             last_entry_at,
             plan: plan.entries.into(),
             classes: replay.classes.iter().map(ClassOnWire::of).collect(),
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -10,7 +10,7 @@
 use crate::simulation::{RoutingPolicy, SimulationConfig};
 use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig, RetryBudget};
 use node_emulator::{Cancel, JobId, PeerEvent, ReceivedEvent, ShardRequest};
-use routing::Tenths;
+use routing::Timestamp;
 use rstest::rstest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -124,8 +124,8 @@
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
     let results =
-        play(plan_with_faults(), &replay_config(), config(), |now, _| now < Tenths(10_000)).unwrap();
-    assert_eq!(results.stopped_at, Some(Tenths(10_000)));
+        play(plan_with_faults(), &replay_config(), config(), |now, _| now < Timestamp(10_000)).unwrap();
+    assert_eq!(results.stopped_at, Some(Timestamp(10_000)));
     assert!(results.violations.is_empty() && results.queries < 120, "{}", results.json());
 }
 
--- a/crates/broker-bench/src/results.rs
+++ b/crates/broker-bench/src/results.rs
@@ -3,7 +3,7 @@
 
 use crate::invariants::{ClosestApproach, QueryCounts, Violations};
 use hdrhistogram::Histogram;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
 pub struct ClassValue {
     pub name: String,
     pub priority_weight: f64,
-    pub latency_objective: Tenths,
+    pub latency_objective: TimeSpan,
 }
 
 /// Where a query comes from, and when it was sent first.
@@ -73,7 +73,7 @@
 pub struct QueryOrigin {
     pub class: usize,
     pub tenant: usize,
-    pub sent_at: Tenths,
+    pub sent_at: Timestamp,
 }
 
 /// The results of a day.
@@ -98,7 +98,7 @@
     /// Events of the simulation, in virtual time.
     pub events: u64,
     /// The longest time from a query to its rejection.
-    pub slowest_rejection: Tenths,
+    pub slowest_rejection: TimeSpan,
     /// Rules that were broken, and how often.
     pub violations: BTreeMap<&'static str, Violations>,
     /// How close each rule came to its limit.
@@ -106,7 +106,7 @@
     /// BLAKE3 over all events in their order.
     pub digest: String,
     /// When the day was stopped; none if it was played to its end.
-    pub stopped_at: Option<Tenths>,
+    pub stopped_at: Option<Timestamp>,
 }
 
 /// Tenths of a millisecond in a second.
@@ -133,7 +133,7 @@
             abandoned: 0,
             client_attempts: 0,
             events: 0,
-            slowest_rejection: Tenths::ZERO,
+            slowest_rejection: TimeSpan::ZERO,
             violations: BTreeMap::new(),
             closest: BTreeMap::new(),
             digest: String::new(),
@@ -142,7 +142,7 @@
     }
 
     /// The results of the second of this time.
-    pub fn second(&mut self, at: Tenths) -> &mut SecondResults {
+    pub fn second(&mut self, at: Timestamp) -> &mut SecondResults {
         let no = (at.0.max(0) / TENTHS_PER_S) as usize;
         if self.seconds.len() <= no {
             self.seconds.resize(no + 1, SecondResults::default());
@@ -163,7 +163,7 @@
     }
 
     /// A response with this coverage reaches its client.
-    pub fn record_response(&mut self, now: Tenths, origin: QueryOrigin, coverage: f64) {
+    pub fn record_response(&mut self, now: Timestamp, origin: QueryOrigin, coverage: f64) {
         let latency = now - origin.sent_at;
         self.responded += 1;
         // A latency that the histogram can't hold is longer than any deadline.
@@ -183,20 +183,20 @@
     }
 
     /// A client gets a rejection, and does not retry.
-    pub fn record_rejection(&mut self, now: Tenths, origin: QueryOrigin) {
+    pub fn record_rejection(&mut self, now: Timestamp, origin: QueryOrigin) {
         self.rejected += 1;
         self.second(now).rejected += 1;
         self.slowest_rejection = self.slowest_rejection.max(now - origin.sent_at);
     }
 
     /// A client gets a failure, and does not retry.
-    pub fn record_failure(&mut self, now: Tenths) {
+    pub fn record_failure(&mut self, now: Timestamp) {
         self.failed += 1;
         self.second(now).failed += 1;
     }
 
     /// A broker sends an attempt.
-    pub fn record_attempt(&mut self, now: Tenths) {
+    pub fn record_attempt(&mut self, now: Timestamp) {
         self.attempts += 1;
         self.second(now).attempts += 1;
     }
--- a/crates/broker-bench/src/rollout_benchmark.rs
+++ b/crates/broker-bench/src/rollout_benchmark.rs
@@ -8,7 +8,7 @@
 use envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use hdrhistogram::Histogram;
 use prost::Message;
-use routing::Tenths;
+use routing::TimeSpan;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
@@ -23,9 +23,9 @@
 /// from 30 queries on; at 20 queries a second, counted once a second, that takes three counts.
 const MAX_WITHDRAWAL_S: f64 = 5.0;
 /// How long a stream lives on average in the run with dropped streams.
-const MEAN_STREAM_LIFETIME: Tenths = Tenths(20 * SECOND);
+const MEAN_STREAM_LIFETIME: TimeSpan = TimeSpan(20 * SECOND);
 /// The baseline's wait before it reconnects.
-const FIXED_WAIT: Tenths = Tenths(SECOND);
+const FIXED_WAIT: TimeSpan = TimeSpan(SECOND);
 /// Bytes of the document whose size on the wire is printed: as an installation with thirty tenants has.
 const DOCUMENT_BYTES: usize = 4096;
 
--- a/crates/broker-bench/src/rollout_simulation.rs
+++ b/crates/broker-bench/src/rollout_simulation.rs
@@ -6,7 +6,7 @@
     Digest, Effect, Input, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy, Sample, StreamId,
     VersionId,
 };
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::ops::Range;
@@ -29,7 +29,7 @@
     /// As the product does, with a backoff that grows.
     RolloutController(Box<RolloutPolicy>),
     /// After this wait, every time.
-    FixedWait(Tenths),
+    FixedWait(TimeSpan),
 }
 
 /// What happens to the configuration service.
@@ -101,7 +101,7 @@
 /// An event in the queue. Events of the same time happen in the order in which they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
-    at: Tenths,
+    at: Timestamp,
     sequence: u64,
     event: Event,
 }
@@ -109,7 +109,7 @@
 /// What a broker reconnects and applies versions by.
 enum BrokerPolicy {
     RolloutController(Box<RolloutController>),
-    FixedWait(Tenths),
+    FixedWait(TimeSpan),
 }
 
 impl BrokerPolicy {
@@ -118,7 +118,7 @@
             ReconnectPolicy::RolloutController(policy) => {
                 let state = PersistedState::of(version_id(INITIAL_VERSION));
                 let policy = (**policy).clone();
-                let controller = RolloutController::new(policy, 1, state, rng.u64(..), Tenths(0));
+                let controller = RolloutController::new(policy, 1, state, rng.u64(..), Timestamp(0));
                 BrokerPolicy::RolloutController(Box::new(controller))
             }
             ReconnectPolicy::FixedWait(wait) => BrokerPolicy::FixedWait(*wait),
@@ -155,7 +155,7 @@
 
 /// Brokers, their configuration service, and what is to happen.
 pub struct RolloutSimulation {
-    now: Tenths,
+    now: Timestamp,
     last_sequence: u64,
     event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
     brokers: Vec<SimulatedBroker>,
@@ -164,9 +164,9 @@
     newest_version: Option<u64>,
     failing_versions: Vec<u64>,
     /// From here on the arrival of the newest version is timed.
-    newest_available_at: Tenths,
+    newest_available_at: Timestamp,
     /// Where streams are dropped: the mean of how long one lasts.
-    mean_stream_lifetime: Option<Tenths>,
+    mean_stream_lifetime: Option<TimeSpan>,
     results: RolloutResults,
 }
 
@@ -181,13 +181,13 @@
         brokers: usize,
         policy: &ReconnectPolicy,
         seed: u64,
-        mean_stream_lifetime: Option<Tenths>,
+        mean_stream_lifetime: Option<TimeSpan>,
     ) -> RolloutSimulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let new_broker = |_| SimulatedBroker::new(BrokerPolicy::new(policy, &mut rng));
         let brokers = (0..brokers).map(new_broker).collect();
         let mut simulation = RolloutSimulation {
-            now: Tenths(0),
+            now: Timestamp(0),
             last_sequence: 0,
             event_queue: BinaryHeap::new(),
             brokers,
@@ -195,7 +195,7 @@
             service_is_up: true,
             newest_version: None,
             failing_versions: Vec::new(),
-            newest_available_at: Tenths(0),
+            newest_available_at: Timestamp(0),
             mean_stream_lifetime,
             results: RolloutResults::default(),
         };
@@ -205,12 +205,12 @@
 
     /// Schedules what happens to the service in this second.
     pub fn schedule_service(&mut self, second: i64, event: ServiceEvent) {
-        self.schedule(Tenths(second * SECOND), Event::Service(event));
+        self.schedule(Timestamp(second * SECOND), Event::Service(event));
     }
 
     /// Runs to the end of this second, and returns the results.
     pub fn run(mut self, last_second: i64) -> RolloutResults {
-        let end = Tenths(last_second * SECOND);
+        let end = Timestamp(last_second * SECOND);
         while let Some(Reverse(next)) = self.event_queue.pop().filter(|Reverse(next)| next.at <= end) {
             self.now = next.at;
             self.handle(next.event);
@@ -223,7 +223,7 @@
 
     fn start_broker(&mut self, broker: usize) {
         // Brokers count their outcomes at different moments of a second.
-        let first_count = Tenths(self.rng.i64(0..SECOND));
+        let first_count = Timestamp(self.rng.i64(0..SECOND));
         self.schedule(first_count, Event::OutcomesCounted { broker });
         match self.brokers[broker].policy {
             BrokerPolicy::RolloutController(_) => self.notify_controller(broker, Input::Start),
@@ -231,14 +231,14 @@
         }
     }
 
-    fn schedule(&mut self, at: Tenths, event: Event) {
+    fn schedule(&mut self, at: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.event_queue.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
     /// Schedules an event for when a message that is sent now arrives.
     fn schedule_arrival(&mut self, event: Event) {
-        let arrives_at = self.now + Tenths(self.rng.i64(ONE_WAY_LATENCY));
+        let arrives_at = self.now + TimeSpan(self.rng.i64(ONE_WAY_LATENCY));
         self.schedule(arrives_at, event);
     }
 
@@ -372,7 +372,7 @@
         state.outcome_counts.failed += if is_failing { QUERIES_PER_S } else { 0 };
         state.outcome_counts.ready_nodes = READY_NODES;
         let counts = state.outcome_counts;
-        self.schedule(self.now + Tenths(SECOND), Event::OutcomesCounted { broker });
+        self.schedule(self.now + TimeSpan(SECOND), Event::OutcomesCounted { broker });
         if self.brokers[broker].has_controller() {
             self.notify_controller(broker, Input::OutcomesCounted(counts));
         }
--- a/crates/broker-bench/src/scenario_day.rs
+++ b/crates/broker-bench/src/scenario_day.rs
@@ -8,7 +8,7 @@
 use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig};
 use fault_scenarios::{CancelBehavior, ClusterSize, FaultAction, NodeTransition, Scenario, ScheduledAction};
 use node_emulator::Cancel;
-use routing::Tenths;
+use routing::TimeSpan;
 use thiserror::Error;
 
 /// Nodes of a placement group.
@@ -56,7 +56,7 @@
         let actions = scenario.schedule(&cluster, seed);
         let replay = traffic::replay_config(nodes, scenario, seed);
         let plan = traffic::plan_day(&replay, &actions, scenario.seconds);
-        let (near, far) = (Tenths::from_ms(scenario.near_ms), Tenths::from_ms(scenario.far_ms));
+        let (near, far) = (TimeSpan::from_ms(scenario.near_ms), TimeSpan::from_ms(scenario.far_ms));
         let injector = FaultInjector::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
             CancelBehavior::DropsAll => Cancel::All,
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -11,7 +11,7 @@
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Broker, BrokerConfig, Effect, Input, NodeId, QueryId,
-    ShardRequestId, Tenths,
+    ShardRequestId, TimeSpan, Timestamp,
 };
 
 /// What decides for a broker.
@@ -22,7 +22,7 @@
 }
 
 impl Decider {
-    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Tenths) -> Decider {
+    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Timestamp) -> Decider {
         let baseline = |policy| Decider::Baseline(Box::new(Baseline::new(policy, config, seed)));
         let module = || Broker::start(config.clone(), seed, now);
         match policy {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+    fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         match self {
             Decider::Module(module) => module.turn(now, inputs),
             Decider::Admitted(admitted) => admitted.turn(now, inputs),
@@ -51,17 +51,17 @@
     decider: Decider,
     /// Inputs since its last turn.
     inputs: Vec<Input>,
-    last_turn: Tenths,
-    next_turn: Option<Tenths>,
+    last_turn: Timestamp,
+    next_turn: Option<Timestamp>,
     /// The earliest wake-up that was requested and has not come.
-    wake_at: Option<Tenths>,
+    wake_at: Option<Timestamp>,
 }
 
 impl SimulatedBroker {
     /// A broker as the day begins; it may take its first turn at once.
     pub(super) fn first(policy: RoutingPolicy, config: &BrokerConfig, seed: u64) -> SimulatedBroker {
-        let last_turn = Tenths(-TURN_PERIOD.0);
-        SimulatedBroker { last_turn, ..SimulatedBroker::restarted(policy, config, seed, Tenths(0)) }
+        let last_turn = Timestamp(-TURN_PERIOD.0);
+        SimulatedBroker { last_turn, ..SimulatedBroker::restarted(policy, config, seed, Timestamp(0)) }
     }
 
     /// A broker without any state.
@@ -69,7 +69,7 @@
         policy: RoutingPolicy,
         config: &BrokerConfig,
         seed: u64,
-        now: Tenths,
+        now: Timestamp,
     ) -> SimulatedBroker {
         let decider = Decider::new(policy, config, seed, now);
         SimulatedBroker { decider, inputs: Vec::new(), last_turn: now, next_turn: None, wake_at: None }
@@ -84,7 +84,7 @@
         self.schedule_turn(broker, due);
     }
 
-    fn schedule_turn(&mut self, broker: usize, at: Tenths) {
+    fn schedule_turn(&mut self, broker: usize, at: Timestamp) {
         if self.brokers[broker].next_turn.is_none_or(|turn| turn > at) {
             self.brokers[broker].next_turn = Some(at);
             self.schedule(at, Event::BrokerTurn(broker));
@@ -120,7 +120,7 @@
             if let Input::Query(new) = input {
                 let query = self.queries.get(new.id.0 as usize);
                 let until = query.map_or(self.now, |query| self.requests[query.request].until);
-                new.time_left = (until - self.now).max(Tenths::ZERO);
+                new.time_left = (until - self.now).max(TimeSpan::ZERO);
             }
         }
     }
@@ -136,12 +136,12 @@
             Effect::Respond { query, complete } => {
                 let counted = self.answered_shard_requests(query);
                 let end = QueryEnd::Responded { complete, counted };
-                self.end_query(broker, query, &end, Tenths::ZERO);
+                self.end_query(broker, query, &end, TimeSpan::ZERO);
             }
             Effect::Reject { query, retry_after } => {
                 self.end_query(broker, query, &QueryEnd::Rejected, retry_after);
             }
-            Effect::Fail { query } => self.end_query(broker, query, &QueryEnd::Failed, Tenths::ZERO),
+            Effect::Fail { query } => self.end_query(broker, query, &QueryEnd::Failed, TimeSpan::ZERO),
             Effect::Wake { after } => {
                 let at = (self.now + after).max(self.now + TURN_PERIOD);
                 let state = &mut self.brokers[broker];
@@ -152,7 +152,7 @@
         }
     }
 
-    fn send_attempt(&mut self, broker: usize, id: ShardRequestId, node: NodeId, timeout: Tenths) {
+    fn send_attempt(&mut self, broker: usize, id: ShardRequestId, node: NodeId, timeout: TimeSpan) {
         let sent_at = self.now;
         let Some(shard_request) = self.shard_requests.get_mut(id.0 as usize) else { return };
         let attempt = AttemptNumber(shard_request.attempts.len() as u16);
@@ -198,7 +198,7 @@
         self.notify_broker(broker, Input::AttemptEnded(result));
     }
 
-    fn end_query(&mut self, broker: usize, id: QueryId, end: &QueryEnd, retry_after: Tenths) {
+    fn end_query(&mut self, broker: usize, id: QueryId, end: &QueryEnd, retry_after: TimeSpan) {
         let own_query = self.queries.get_mut(id.0 as usize).filter(|query| query.broker == broker);
         let ended = own_query.map(|query| (query.request, std::mem::take(&mut query.is_open)));
         // An unknown query, or one of another broker, breaks a rule.
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -7,7 +7,7 @@
 use crate::simulation::runner::{ClientRequest, Query, ShardRequest};
 use cluster_trace::plan::PlannedShardRequest;
 use routing::{
-    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, Tenths,
+    ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, TimeSpan,
 };
 
 /// The share of its time after which an impatient client leaves.
@@ -57,7 +57,7 @@
                 class: ClassId(origin.class as u16),
                 tenant: TenantId(origin.tenant as u32),
                 time_left,
-                work: Tenths::ZERO,
+                work: TimeSpan::ZERO,
                 client_attempt,
                 min_coverage_only: false,
             }),
@@ -89,7 +89,7 @@
     }
 
     /// A query was rejected: its client retries it as long as it may, or gives up.
-    pub(super) fn handle_rejection(&mut self, request: usize, retry_after: Tenths) {
+    pub(super) fn handle_rejection(&mut self, request: usize, retry_after: TimeSpan) {
         if !self.schedule_retry(request, retry_after) {
             self.results.record_rejection(self.now, self.requests[request].origin);
         }
@@ -97,26 +97,26 @@
 
     /// A query failed, or its broker was restarted: its client retries it as long as it may, or gives up.
     pub(super) fn handle_failure(&mut self, request: usize) {
-        if !self.schedule_retry(request, Tenths::ZERO) {
+        if !self.schedule_retry(request, TimeSpan::ZERO) {
             self.results.record_failure(self.now);
         }
     }
 
     /// Whether the client retries.
-    fn schedule_retry(&mut self, request: usize, retry_after: Tenths) -> bool {
+    fn schedule_retry(&mut self, request: usize, retry_after: TimeSpan) -> bool {
         let ClientRequest { until, client_attempts, .. } = self.requests[request];
         if client_attempts > self.client_behavior.retries {
             return false;
         }
         let doublings = (client_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let backoff_ms = self.client_behavior.backoff_ms * f64::from(1_u32 << doublings);
-        let mut wait = Tenths::from_ms(backoff_ms * (1.0 + self.injector.random()));
+        let mut wait = TimeSpan::from_ms(backoff_ms * (1.0 + self.injector.random()));
         if self.injector.random() < self.client_behavior.retry_after_share {
             wait = wait.max(retry_after);
         }
         let has_time = self.now + wait + TURN_PERIOD < until;
         if has_time {
-            self.schedule(self.now + wait.max(Tenths(1)), Event::ClientRetries(request));
+            self.schedule(self.now + wait.max(TimeSpan(1)), Event::ClientRetries(request));
         }
         has_time
     }
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -8,57 +8,57 @@
 use node_emulator::{EmulatedNode, NodeSpec, NodeState};
 use routing::{
     BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
-    ShardLayout, Tenant, TenantId, Tenths,
+    ShardLayout, Tenant, TenantId, TimeSpan,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 /// How long a message takes through the network.
-pub const ONE_WAY_LATENCY: Tenths = Tenths(5);
+pub const ONE_WAY_LATENCY: TimeSpan = TimeSpan(5);
 /// The name of the only zone on sockets.
 pub const ZONE_NAME: &str = "zone-0";
 /// The least time between two turns of a broker.
-pub const TURN_PERIOD: Tenths = Tenths(50);
+pub const TURN_PERIOD: TimeSpan = TimeSpan(50);
 /// How late the endpoint list is with nodes that start or stop.
-pub const ENDPOINT_LIST_DELAY: Tenths = Tenths(10_000);
+pub const ENDPOINT_LIST_DELAY: TimeSpan = TimeSpan(10_000);
 /// The latency objective of all classes, and the longest time after which a rejected client may retry.
-pub const LATENCY_OBJECTIVE: Tenths = Tenths(20_000);
+pub const LATENCY_OBJECTIVE: TimeSpan = TimeSpan(20_000);
 /// How long an attempt may still go to a node that was published as draining or removed.
-const DRAIN_GRACE: Tenths = Tenths(2500);
-const ENDPOINT_LIST_MAX_AGE: Tenths = Tenths(100_000);
+const DRAIN_GRACE: TimeSpan = TimeSpan(2500);
+const ENDPOINT_LIST_MAX_AGE: TimeSpan = TimeSpan(100_000);
 const MAX_OPEN_QUERIES: u32 = 2000;
 const MAX_ATTEMPTS: u32 = 3;
 /// What a query beyond its tenant's quota is worth to brokers; the service figure counts all alike.
 const OVER_QUOTA_WEIGHT: f64 = 0.1;
 /// Limits of a connection to a node, on sockets.
-const CONNECTION_IDLE_TIMEOUT: Tenths = Tenths(6_000_000);
-const CONNECT_TIMEOUT: Tenths = Tenths(10_000);
+const CONNECTION_IDLE_TIMEOUT: TimeSpan = TimeSpan(6_000_000);
+const CONNECT_TIMEOUT: TimeSpan = TimeSpan(10_000);
 const STREAMS_PER_CONNECTION: u32 = 64;
 /// How many placement groups hold a shard.
 const REPLICA_GROUPS: u32 = 2;
 
 /// The idempotency of a class, and its deduplication window.
-fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, Tenths) {
+fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, TimeSpan) {
     match idempotency {
-        ClassIdempotency::Idempotent => (Idempotency::Idempotent, Tenths::ZERO),
+        ClassIdempotency::Idempotent => (Idempotency::Idempotent, TimeSpan::ZERO),
         ClassIdempotency::IdempotencyKey { dedup_window_ms } => {
-            (Idempotency::IdempotencyKey, Tenths::from_ms(f64::from(dedup_window_ms)))
+            (Idempotency::IdempotencyKey, TimeSpan::from_ms(f64::from(dedup_window_ms)))
         }
-        ClassIdempotency::AtMostOnce => (Idempotency::AtMostOnce, Tenths::ZERO),
+        ClassIdempotency::AtMostOnce => (Idempotency::AtMostOnce, TimeSpan::ZERO),
     }
 }
 
-fn deadline_of(class: &ClassSpec) -> Tenths {
-    Tenths::from_ms(f64::from(class.deadline_ms))
+fn deadline_of(class: &ClassSpec) -> TimeSpan {
+    TimeSpan::from_ms(f64::from(class.deadline_ms))
 }
 
-fn latency_objective_of(class: &ClassSpec) -> Tenths {
+fn latency_objective_of(class: &ClassSpec) -> TimeSpan {
     LATENCY_OBJECTIVE.min(deadline_of(class))
 }
 
 fn retry_budget(replay: &ReplayConfig) -> Option<RetryBudget> {
     let budget = replay.retry_budget?;
-    let window = Tenths::from_ms(f64::from(budget.window_ms));
+    let window = TimeSpan::from_ms(f64::from(budget.window_ms));
     Some(RetryBudget { floor: budget.floor, share: budget.ratio, window })
 }
 
@@ -260,7 +260,7 @@
 }
 
 /// What the checked rules allow; `slack` is how much later than it was done something may be observed.
-pub fn invariant_limits(replay: &ReplayConfig, slack: Tenths) -> InvariantLimits {
+pub fn invariant_limits(replay: &ReplayConfig, slack: TimeSpan) -> InvariantLimits {
     let limits = |class: &ClassSpec| {
         let (idempotency, dedup_window) = idempotency_of(class.idempotency);
         ClassLimits {
--- a/crates/broker-bench/src/simulation/event.rs
+++ b/crates/broker-bench/src/simulation/event.rs
@@ -1,6 +1,6 @@
 //! Events of a simulation, in the order of their times.
 
-use routing::{AttemptNumber, AttemptOutcome, ShardRequestId, Tenths};
+use routing::{AttemptNumber, AttemptOutcome, ShardRequestId, Timestamp};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -47,7 +47,7 @@
 
 /// An event in the queue. Events of the same time happen in the order in which they were scheduled.
 struct ScheduledEvent {
-    at: Tenths,
+    at: Timestamp,
     sequence: u64,
     event: Event,
 }
@@ -77,12 +77,12 @@
 }
 
 impl EventQueue {
-    pub(super) fn schedule(&mut self, at: Tenths, event: Event) {
+    pub(super) fn schedule(&mut self, at: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    pub(super) fn pop(&mut self) -> Option<(Tenths, Event)> {
+    pub(super) fn pop(&mut self) -> Option<(Timestamp, Event)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 }
--- a/crates/broker-bench/src/simulation/faults.rs
+++ b/crates/broker-bench/src/simulation/faults.rs
@@ -7,10 +7,10 @@
 use crate::simulation::event::Event;
 use cluster_trace::plan::PlannedNodeEvent;
 use fault_scenarios::{NodeCondition, NodeTransition};
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// How late the endpoint list is with a node that became unresponsive.
-const UNRESPONSIVE_LIST_DELAY: Tenths = Tenths(60_000);
+const UNRESPONSIVE_LIST_DELAY: TimeSpan = TimeSpan(60_000);
 
 impl Simulation {
     pub(super) fn handle_fault_action(&mut self, index: usize) {
@@ -36,7 +36,7 @@
             FaultEffect::SetSpeed { node, speed_factor } => self.nodes[node].slow_down(speed_factor),
             FaultEffect::BeginPauses { node } => {
                 let cycle = self.injector.active_faults[node].longest_pause();
-                let interval = cycle.map_or(Tenths::ZERO, |cycle| cycle.interval);
+                let interval = cycle.map_or(TimeSpan::ZERO, |cycle| cycle.interval);
                 let first = interval.times(self.injector.random());
                 self.schedule(self.now + first, Event::NodePauses(node));
             }
@@ -74,7 +74,7 @@
         let Some(cycle) = self.injector.active_faults[node].longest_pause() else { return };
         self.nodes[node].pause(self.now, self.now + cycle.pause);
         self.schedule_finish(node);
-        self.schedule(self.now + cycle.interval.max(Tenths(1)), Event::NodePauses(node));
+        self.schedule(self.now + cycle.interval.max(TimeSpan(1)), Event::NodePauses(node));
     }
 
     /// Restarts a broker without any state: its clients get no response from it, and it gets no result of its
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -11,11 +11,11 @@
 use node_emulator::{EmulatedNode, JobId, NodeState, SubmitOutcome};
 use routing::{
     AttemptOutcome, Endpoint, EndpointList, EndpointListKind, EndpointState, Input, NodeId, PlacementGroupId,
-    Tenths, ZoneId,
+    TimeSpan, Timestamp, WallClockTime, ZoneId,
 };
 
 /// How long a node is down that a query stopped.
-const QUERY_OF_DEATH_OUTAGE: Tenths = Tenths(30_000);
+const QUERY_OF_DEATH_OUTAGE: TimeSpan = TimeSpan(30_000);
 
 impl Simulation {
     pub(super) fn handle_node_event(&mut self, node: usize, event: PlannedNodeEvent) {
@@ -152,7 +152,7 @@
     // Discovery.
 
     /// Discovery will publish the node's state, unless it publishes nothing now.
-    pub(super) fn schedule_publication(&mut self, node: usize, delay: Tenths) {
+    pub(super) fn schedule_publication(&mut self, node: usize, delay: TimeSpan) {
         if let Some(added) = self.injector.endpoint_list_delay() {
             self.schedule(self.now + delay + added, Event::EndpointPublished { node });
         }
@@ -164,7 +164,7 @@
             zone: ZoneId(self.injector.zone_of(node) as u16),
             placement_group: PlacementGroupId(node as u32 % self.config.placement_groups),
             state: deployment::endpoint_state(self.nodes[node].state()),
-            started_at: self.nodes[node].started_at(),
+            started_at: self.nodes[node].started_at().map(wall_clock),
         }
     }
 
@@ -176,7 +176,8 @@
         self.published[node] = PublishedState { state: endpoint.state, at: self.now };
         for broker in 0..self.brokers.len() {
             let entries = [endpoint.clone()].into();
-            let delta = EndpointList { kind: EndpointListKind::Delta, wall_clock: self.now, entries };
+            let delta =
+                EndpointList { kind: EndpointListKind::Delta, wall_clock: wall_clock(self.now), entries };
             self.notify_broker(broker, Input::EndpointList(delta));
         }
     }
@@ -191,15 +192,18 @@
                 *published = PublishedState { state, at: self.now };
             }
         }
-        let (kind, wall_clock) = (EndpointListKind::Snapshot, self.now);
-        let snapshot = EndpointList { kind, wall_clock, entries: entries.into() };
+        let snapshot = EndpointList {
+            kind: EndpointListKind::Snapshot,
+            wall_clock: wall_clock(self.now),
+            entries: entries.into(),
+        };
         self.notify_broker(broker, Input::EndpointList(snapshot));
     }
 }
 
 impl NodeCounts {
     /// Counts nodes by their states at this time.
-    pub fn of(nodes: &[EmulatedNode], now: Tenths) -> NodeCounts {
+    pub fn of(nodes: &[EmulatedNode], now: Timestamp) -> NodeCounts {
         let mut counts = NodeCounts::default();
         for node in nodes {
             let count = match node.state() {
@@ -213,3 +217,8 @@
         counts
     }
 }
+
+/// What the wall clock of every machine shows: in a simulation they all go right.
+fn wall_clock(now: Timestamp) -> WallClockTime {
+    WallClockTime(now.0)
+}
--- a/crates/broker-bench/src/simulation/runner.rs
+++ b/crates/broker-bench/src/simulation/runner.rs
@@ -10,18 +10,18 @@
 use cluster_trace::plan::{Plan, PlanEvent, PlannedShardRequest, ReplayConfig};
 use fault_scenarios::{ClientBehavior, ClusterSize, ScheduledAction};
 use node_emulator::{EmulatedNode, JobId};
-use routing::{AttemptOutcome, BrokerConfig, EndpointState, Tenths};
+use routing::{AttemptOutcome, BrokerConfig, EndpointState, TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-const SECOND: Tenths = Tenths(10_000);
+const SECOND: TimeSpan = TimeSpan(10_000);
 /// How long a day goes on after its last entry: longer than any deadline.
-const TIME_AFTER_LAST_ENTRY: Tenths = Tenths(200_000);
+const TIME_AFTER_LAST_ENTRY: TimeSpan = TimeSpan(200_000);
 
 /// An attempt, as the network knows it.
 pub(super) struct Attempt {
     pub(super) node: usize,
-    pub(super) sent_at: Tenths,
+    pub(super) sent_at: Timestamp,
     /// Its broker has not got its result.
     pub(super) is_open: bool,
 }
@@ -43,7 +43,7 @@
 /// What a client wants: it may send a query for it more than once.
 pub(super) struct ClientRequest {
     pub(super) origin: QueryOrigin,
-    pub(super) until: Tenths,
+    pub(super) until: Timestamp,
     pub(super) shard_requests: Vec<PlannedShardRequest>,
     pub(super) client_attempts: u32,
     pub(super) is_query_of_death: bool,
@@ -57,14 +57,14 @@
 
 /// A day in virtual time.
 pub struct Simulation {
-    pub(super) now: Tenths,
+    pub(super) now: Timestamp,
     pub(super) queue: EventQueue,
     pub(super) plan: Plan,
     pub(super) config: SimulationConfig,
     pub(super) brokers: Vec<SimulatedBroker>,
     pub(super) nodes: Vec<EmulatedNode>,
     /// When each node finishes its next job, as far as that is scheduled.
-    pub(super) next_finish: Vec<Option<Tenths>>,
+    pub(super) next_finish: Vec<Option<Timestamp>>,
     pub(super) published: Vec<PublishedState>,
     pub(super) jobs: BTreeMap<JobId, RunningAttempt>,
     pub(super) job_of: BTreeMap<AttemptKey, JobId>,
@@ -78,7 +78,7 @@
     pub(super) client_behavior: ClientBehavior,
     pub(super) broker_config: BrokerConfig,
     /// By class.
-    pub(super) deadlines: Vec<Tenths>,
+    pub(super) deadlines: Vec<TimeSpan>,
     /// Mean work of a shard request, by class: what one counts for on a warming node.
     pub(super) mean_work_us: Vec<u64>,
     pub(super) hasher: blake3::Hasher,
@@ -121,9 +121,9 @@
         let broker_config = deployment::broker_config(replay, &config);
         let nodes: Vec<EmulatedNode> = (0..replay.nodes).map(|_| deployment::stopped_node(&config)).collect();
         let limits = deployment::invariant_limits(replay, ONE_WAY_LATENCY);
-        let removed = PublishedState { state: EndpointState::Removed, at: Tenths(0) };
+        let removed = PublishedState { state: EndpointState::Removed, at: Timestamp(0) };
         let mut simulation = Simulation {
-            now: Tenths(0),
+            now: Timestamp(0),
             queue: EventQueue::default(),
             brokers: first_brokers(&config, &broker_config),
             next_finish: vec![None; nodes.len()],
@@ -153,19 +153,19 @@
 
     fn schedule_day(&mut self) {
         for (index, entry) in self.plan.entries.iter().enumerate() {
-            self.queue.schedule(Tenths(entry.at as i64), Event::PlanEntry(index));
+            self.queue.schedule(Timestamp(entry.at as i64), Event::PlanEntry(index));
         }
         for (index, scheduled) in self.fault_actions.iter().enumerate() {
             self.queue.schedule(scheduled.at, Event::FaultAction(index));
         }
-        self.queue.schedule(Tenths(0), Event::SecondEnds);
+        self.queue.schedule(Timestamp(0), Event::SecondEnds);
     }
 
     /// Plays to the end, until nothing is to happen any more that can matter; or until `goes_on`, which gets
     /// the time and the day's end, says no. It is called once for each second of the day. The results of a
     /// day that is broken off are marked as partial, and queries open then break no rule.
-    pub fn run(mut self, mut goes_on: impl FnMut(Tenths, Tenths) -> bool) -> DayResults {
-        let last = Tenths(self.plan.entries.last().map_or(0, |entry| entry.at) as i64);
+    pub fn run(mut self, mut goes_on: impl FnMut(Timestamp, Timestamp) -> bool) -> DayResults {
+        let last = Timestamp(self.plan.entries.last().map_or(0, |entry| entry.at) as i64);
         while let Some((at, event)) = self.queue.pop() {
             if at > last + TIME_AFTER_LAST_ENTRY {
                 break;
@@ -196,12 +196,12 @@
         self.results
     }
 
-    pub(super) fn schedule(&mut self, at: Tenths, event: Event) {
+    pub(super) fn schedule(&mut self, at: Timestamp, event: Event) {
         self.queue.schedule(at, event);
     }
 
     /// Records the state of the nodes, once a second as long as anything is planned.
-    fn end_second(&mut self, last: Tenths) {
+    fn end_second(&mut self, last: Timestamp) {
         let counts = NodeCounts::of(&self.nodes, self.now);
         self.results.second(self.now).nodes = counts;
         if self.now < last {
--- a/crates/broker-bench/src/simulation/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -8,7 +8,7 @@
     PlannedShardRequest, ReplayConfig, RetryBudget,
 };
 use node_emulator::Cancel;
-use routing::Tenths;
+use routing::Timestamp;
 use rstest::rstest;
 
 /// Four kinds of classes, eight nodes, a small retry budget.
@@ -134,8 +134,8 @@
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
     let results = Simulation::new(plan(100, &[]), &replay_config(), config(RoutingPolicy::Module))
-        .run(|now, _| now < Tenths(50_000));
-    assert_eq!(results.stopped_at, Some(Tenths(50_000)));
+        .run(|now, _| now < Timestamp(50_000));
+    assert_eq!(results.stopped_at, Some(Timestamp(50_000)));
     assert!(results.violations.is_empty() && results.queries < 500, "{}", results.json());
     assert_eq!(results.json()["partial"], serde_json::json!(true));
 }
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -11,7 +11,7 @@
 use cluster_trace::plan::Plan;
 use indicatif::{ProgressBar, ProgressStyle};
 use node_emulator::Cancel;
-use routing::Tenths;
+use routing::Timestamp;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -157,8 +157,8 @@
 fn play(plan: Plan, args: &RunArgs) -> Result<DayResults, loopback::NoFigure> {
     let (config, replay) = (args.simulation_config(), args.plan.replay_config());
     let is_interrupted = interrupt_flag();
-    let bar = progress_bar(Tenths(plan.entries.last().map_or(0, |entry| entry.at) as i64));
-    let goes_on = |now: Tenths, _| {
+    let bar = progress_bar(Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64));
+    let goes_on = |now: Timestamp, _| {
         bar.set_position((now.0 / TENTHS_PER_S) as u64);
         !is_interrupted.load(Ordering::Relaxed)
     };
@@ -179,7 +179,7 @@
 }
 
 /// A progress bar on standard error, if that is a terminal; it moves once for each second of the day.
-fn progress_bar(last: Tenths) -> ProgressBar {
+fn progress_bar(last: Timestamp) -> ProgressBar {
     let bar = ProgressBar::new((last.0 / TENTHS_PER_S).max(1) as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} s of the day, {elapsed} {msg}");
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
--- a/crates/broker-bench/src/traffic.rs
+++ b/crates/broker-bench/src/traffic.rs
@@ -5,7 +5,7 @@
     ClassSpec, CountRange, Plan, PlanEntry, PlanEvent, PlannedNodeEvent, PlannedShardRequest, ReplayConfig,
 };
 use fault_scenarios::{FaultAction, Scenario, ScheduledAction};
-use routing::Tenths;
+use routing::Timestamp;
 
 /// Cores of a node.
 pub const NODE_CORES: usize = 4;
@@ -63,7 +63,7 @@
     let mut entries: Vec<PlanEntry> = (0..replay.nodes).map(start).collect();
     let mut at_s = FIRST_QUERY_S;
     loop {
-        let now = Tenths::from_ms(at_s * 1000.0);
+        let now = Timestamp::from_ms(at_s * 1000.0);
         let demand = Demand::at(now, &traffic_actions, replay.tenant_weights.len());
         at_s += draw_exponential(&mut rng) / (mean_queries_per_s(replay) * demand.mean_factor());
         if at_s >= seconds {
@@ -96,7 +96,7 @@
 }
 
 impl Demand {
-    fn at(now: Tenths, actions: &[ScheduledAction], tenants: usize) -> Demand {
+    fn at(now: Timestamp, actions: &[ScheduledAction], tenants: usize) -> Demand {
         let mut demand =
             Demand { tenant_factors: vec![1.0; tenants], heavy_share: 0.0, heavy_work_factor: 1.0 };
         for scheduled in actions.iter().take_while(|scheduled| scheduled.at <= now) {
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,7 +1,7 @@
 //! One configuration as request handlers read it. It never changes: the engine replaces it by a newer one, and a query
 //! keeps the one under which it was accepted.
 
-use routing::{BrokerConfig, ClassId, RequestClass, Tenths};
+use routing::{BrokerConfig, ClassId, RequestClass, TimeSpan};
 use settings::{BrokerSettings, NameRegistry};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     /// The bound on open queries and shard requests together.
     pub max_open: usize,
     /// The `Retry-After` of queries that are rejected at a bound; zero: none is given.
-    pub retry_after: Tenths,
+    pub retry_after: TimeSpan,
     /// How queries have ended. Shared by the epoch's queries, which end independently of each other.
     pub counts: Cell<EpochCounts>,
 }
@@ -51,19 +51,19 @@
             classes: config.classes.clone(),
             shards: config.layout.shards,
             max_open: config.limits.max_open as usize,
-            retry_after: if config.limits.retry_after { retry_after } else { Tenths::ZERO },
+            retry_after: if config.limits.retry_after { retry_after } else { TimeSpan::ZERO },
             counts: Cell::default(),
         }
     }
 
     /// When a query of this class and announced work is on time, counted from its acceptance.
-    pub fn latency_objective(&self, class: ClassId, work: Tenths) -> Tenths {
+    pub fn latency_objective(&self, class: ClassId, work: TimeSpan) -> TimeSpan {
         let class = self.classes.get(&class);
-        class.map_or(Tenths::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
+        class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
     }
 
     /// The longest deadline of a request class; zero where there is none.
-    pub fn longest_deadline(&self) -> Tenths {
+    pub fn longest_deadline(&self) -> TimeSpan {
         self.classes.values().map(|class| class.deadline).max().unwrap_or_default()
     }
 
--- a/crates/broker/src/config_rollout/tests.rs
+++ b/crates/broker/src/config_rollout/tests.rs
@@ -1,7 +1,7 @@
 //! What a new version leaves as the start worked it out.
 
 use super::keep_socket_waits;
-use routing::{BrokerConfig, Tenths};
+use routing::{BrokerConfig, TimeSpan};
 use rstest::rstest;
 
 /// A document has the settings' own waits; on sockets lists are asked for sooner, also after a version was
@@ -9,11 +9,11 @@
 #[rstest]
 fn a_version_keeps_the_waits_of_sockets() {
     let mut start =
-        BrokerConfig { send_lag: Tenths(20_100), watch_on_request: true, ..BrokerConfig::default() };
-    start.rules.endpoint_list_max_age = Tenths(60_000);
+        BrokerConfig { send_lag: TimeSpan(20_100), watch_on_request: true, ..BrokerConfig::default() };
+    start.rules.endpoint_list_max_age = TimeSpan(60_000);
     let mut version = BrokerConfig::default();
-    version.rules.endpoint_list_max_age = Tenths(500_000);
+    version.rules.endpoint_list_max_age = TimeSpan(500_000);
     keep_socket_waits(&mut version, &start);
     let kept = (version.send_lag, version.watch_on_request, version.rules.endpoint_list_max_age);
-    assert_eq!(kept, (Tenths(20_100), true, Tenths(60_000)));
+    assert_eq!(kept, (TimeSpan(20_100), true, TimeSpan(60_000)));
 }
--- a/crates/broker/src/engine/attempt_table.rs
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -1,7 +1,7 @@
 //! Attempts in flight, and their timers.
 
 use crate::node_pool::AttemptId;
-use routing::{NodeId, Tenths};
+use routing::{NodeId, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 
 /// What a timer of an attempt means.
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptTimer {
     /// When it is due.
-    at: Tenths,
+    at: Timestamp,
     /// What is to happen.
     pub(super) kind: TimerKind,
     /// To which attempt.
@@ -29,11 +29,11 @@
     /// The node that it was sent to.
     pub(super) node: NodeId,
     /// The turn in which it was sent.
-    pub(super) sent_at: Tenths,
+    pub(super) sent_at: Timestamp,
     /// When it must be written completely.
-    pub(super) write_deadline: Tenths,
+    pub(super) write_deadline: Timestamp,
     /// When it times out.
-    pub(super) times_out_at: Tenths,
+    pub(super) times_out_at: Timestamp,
 }
 
 impl InFlightAttempt {
@@ -71,12 +71,12 @@
     }
 
     /// When the next timer is due.
-    pub(super) fn next_due(&self) -> Option<Tenths> {
+    pub(super) fn next_due(&self) -> Option<Timestamp> {
         self.timers.first().map(|timer| timer.at)
     }
 
     /// Takes the next timer that is due by `now`.
-    pub(super) fn pop_due(&mut self, now: Tenths) -> Option<AttemptTimer> {
+    pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<AttemptTimer> {
         self.timers.first().filter(|timer| timer.at <= now)?;
         self.timers.pop_first()
     }
--- a/crates/broker/src/engine/decider.rs
+++ b/crates/broker/src/engine/decider.rs
@@ -1,7 +1,7 @@
 //! Takes the decisions: routing alone, or routing behind admission control.
 
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
-use routing::{Broker, BrokerConfig, Effect, Input, Tenths};
+use routing::{Broker, BrokerConfig, Effect, Input, Timestamp};
 
 /// Takes the decisions of one broker.
 // There is one in a process, so the difference in size costs nothing.
@@ -19,7 +19,7 @@
     pub(super) fn new(
         broker_config: BrokerConfig,
         seed: u64,
-        now: Tenths,
+        now: Timestamp,
         admission: Option<AdmissionConfig>,
     ) -> Decider {
         let controller =
@@ -32,7 +32,7 @@
     }
 
     /// Takes in the inputs, in order, and returns what is to be done now.
-    pub(super) fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+    pub(super) fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         match self {
             Decider::Routing(broker) => broker.turn(now, inputs),
             Decider::Admitted(broker) => broker.turn(now, inputs),
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::node_pool::{AttemptId, AttemptToSend};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, Effect, Input, LogEvent, NodeId, QueryId, ShardRequestId,
-    Tenths,
+    TimeSpan, Timestamp,
 };
 use std::collections::BTreeMap;
 use tracing::info;
@@ -26,7 +26,7 @@
 
 impl Engine {
     /// Carries out the effects of a turn, in order, and then sends its attempts.
-    pub(super) fn carry_out(&self, now: Tenths, effects: Vec<Effect>) {
+    pub(super) fn carry_out(&self, now: Timestamp, effects: Vec<Effect>) {
         let mut attempts = TurnAttempts::default();
         for effect in effects {
             self.carry_out_effect(now, effect, &mut attempts);
@@ -35,7 +35,7 @@
     }
 
     /// Carries out one effect; an attempt is only added to `attempts`.
-    fn carry_out_effect(&self, now: Tenths, effect: Effect, attempts: &mut TurnAttempts) {
+    fn carry_out_effect(&self, now: Timestamp, effect: Effect, attempts: &mut TurnAttempts) {
         match effect {
             Effect::Send { shard_request, node, timeout } => {
                 if let Some(sending) = self.start_attempt(now, shard_request, node, timeout) {
@@ -63,7 +63,7 @@
     }
 
     /// Sets the wake-up of the decisions, unless an earlier one is set.
-    fn wake_by(&self, at: Tenths) {
+    fn wake_by(&self, at: Timestamp) {
         let wake_at = self.wake_at.get().map_or(at, |earlier| earlier.min(at));
         self.wake_at.set(Some(wake_at));
     }
@@ -79,10 +79,10 @@
     /// not sent is reported.
     fn start_attempt(
         &self,
-        now: Tenths,
+        now: Timestamp,
         shard_request: ShardRequestId,
         node: NodeId,
-        timeout: Tenths,
+        timeout: TimeSpan,
     ) -> Option<AttemptToSend> {
         let next = self.queries.borrow_mut().next_attempt(shard_request);
         let Some(NextAttempt { id, shard, wire_id, text }) = next else {
@@ -134,7 +134,7 @@
             attempt,
             node,
             outcome: AttemptOutcome::NotSent,
-            duration: Tenths::ZERO,
+            duration: TimeSpan::ZERO,
         }));
     }
 }
--- a/crates/broker/src/engine/endpoints.rs
+++ b/crates/broker/src/engine/endpoints.rs
@@ -4,7 +4,9 @@
 use super::Engine;
 use super::id_registry::IdRegistry;
 use crate::endpoint_list::{ListedNode, NodeList};
-use routing::{Endpoint, EndpointList, EndpointListKind, EndpointState, Input, PlacementGroupId, Tenths};
+use routing::{
+    Endpoint, EndpointList, EndpointListKind, EndpointState, Input, PlacementGroupId, WallClockTime,
+};
 
 impl Engine {
     /// Queues that the endpoint list could not be read or is no longer watched; the last one stays in use.
@@ -39,7 +41,7 @@
             zone: ids.zone_id(listed.zone),
             placement_group: PlacementGroupId(listed.placement_group),
             state,
-            started_at: (listed.started_at_ms > 0.0).then(|| Tenths::from_ms(listed.started_at_ms)),
+            started_at: (listed.started_at_ms > 0.0).then(|| WallClockTime::from_ms(listed.started_at_ms)),
         }
     }
 }
--- a/crates/broker/src/engine/event_loop.rs
+++ b/crates/broker/src/engine/event_loop.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use super::attempt_table::{AttemptTimer, TimerKind};
 use crate::limits::to_duration;
-use routing::{AttemptOutcome, Input, Tenths};
+use routing::{AttemptOutcome, Input, TimeSpan, Timestamp};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
@@ -66,7 +66,7 @@
     }
 
     /// The queued inputs, with the wake-up of the decisions where that is due.
-    fn take_inputs(&self, now: Tenths) -> Vec<Input> {
+    fn take_inputs(&self, now: Timestamp) -> Vec<Input> {
         let mut inputs = self.inputs.take();
         if self.wake_at.get().is_some_and(|at| at <= now) {
             self.wake_at.set(None);
@@ -76,7 +76,7 @@
     }
 
     /// Ends the attempts whose write deadline or timeout is over.
-    fn end_overdue_attempts(&self, now: Tenths) {
+    fn end_overdue_attempts(&self, now: Timestamp) {
         while let Some(timer) = self.next_due_timer(now) {
             match timer.kind {
                 TimerKind::WriteDeadline => self.nodes.abort_incomplete(timer.attempt),
@@ -86,17 +86,17 @@
     }
 
     /// Takes the next due timer. The table must not be borrowed while the timer is acted on.
-    fn next_due_timer(&self, now: Tenths) -> Option<AttemptTimer> {
+    fn next_due_timer(&self, now: Timestamp) -> Option<AttemptTimer> {
         self.attempts.borrow_mut().pop_due(now)
     }
 
     /// A query's time runs from when its client sent it, not from the turn that takes it in.
-    fn set_time_left(&self, inputs: &mut [Input], now: Tenths) {
+    fn set_time_left(&self, inputs: &mut [Input], now: Timestamp) {
         let queries = self.queries.borrow();
         for input in inputs {
             if let Input::Query(query) = input {
                 let deadline = queries.deadline(query.id).unwrap_or(now);
-                query.time_left = (deadline - now).max(Tenths::ZERO);
+                query.time_left = (deadline - now).max(TimeSpan::ZERO);
             }
         }
     }
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -69,7 +69,7 @@
 use decider::Decider;
 use id_registry::IdRegistry;
 use query_table::QueryTable;
-use routing::{BrokerConfig, Input, Tenths};
+use routing::{BrokerConfig, Input, Timestamp};
 use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
     /// The configuration under which queries are accepted now.
     epoch: RefCell<Rc<ConfigEpoch>>,
     /// When the decisions want their next turn.
-    wake_at: Cell<Option<Tenths>>,
+    wake_at: Cell<Option<Timestamp>>,
     /// Notified when there is an input.
     work_ready: Notify,
     /// Notified when the routing decisions want the endpoint list watched.
@@ -106,18 +106,18 @@
     /// An engine that knows no node and has no query. Its decisions are taken by [`Engine::run`], which has to be
     /// spawned.
     ///
-    /// `seed` seeds the decisions' random numbers. `started_unix`: the Unix time of this moment, where a simulation
+    /// `seed` seeds the decisions' random numbers. `started_at`: the Unix time of this moment, where a simulation
     /// sets it; else the system's. `admission`: the configuration of admission control, where it is switched on.
     pub fn new(
         broker_settings: BrokerSettings,
         seed: u64,
         limits: Rc<Limits>,
-        started_unix: Option<Tenths>,
+        started_at: Option<Timestamp>,
         admission: Option<AdmissionConfig>,
     ) -> Rc<Engine> {
         let epoch = Rc::new(ConfigEpoch::new(&broker_settings));
         let BrokerSettings { broker_config, zones, .. } = broker_settings;
-        let clock = BrokerClock::start(started_unix);
+        let clock = BrokerClock::start(started_at);
         let decider = Decider::new(broker_config, seed, clock.start_time(), admission);
         Rc::new(Engine {
             clock,
--- a/crates/broker/src/engine/open_query.rs
+++ b/crates/broker/src/engine/open_query.rs
@@ -3,7 +3,7 @@
 use super::QueryOutcome;
 use crate::config_epoch::ConfigEpoch;
 use bytes::Bytes;
-use routing::{QueryId, ShardId, ShardRequestId, Tenths};
+use routing::{QueryId, ShardId, ShardRequestId, Timestamp};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -14,11 +14,11 @@
     /// The configuration under which it was accepted; it holds to the query's end.
     pub(super) epoch: Rc<ConfigEpoch>,
     /// When its latency objective is over.
-    pub(super) objective_at: Tenths,
+    pub(super) objective_at: Timestamp,
     /// An attempt of it found its node down, or lost its connection.
     pub(super) has_lost_node: bool,
     /// When its client stops waiting.
-    pub(super) deadline: Tenths,
+    pub(super) deadline: Timestamp,
     /// Its shard requests, in the order of the request.
     pub(super) shard_requests: Vec<ShardRequestId>,
     /// What every shard request carries.
@@ -31,14 +31,14 @@
 
 impl OpenQuery {
     /// Counts the outcome in the query's own configuration epoch, and sends it to the front end.
-    pub(super) fn finish(self, outcome: QueryOutcome, now: Tenths) {
+    pub(super) fn finish(self, outcome: QueryOutcome, now: Timestamp) {
         self.count_outcome(&outcome, now);
         // The front end may have dropped the receiver: the client has just left.
         let _ = self.outcome.send(outcome);
     }
 
     /// Counts how the query ended, and whether it did so after a lost node.
-    fn count_outcome(&self, outcome: &QueryOutcome, now: Tenths) {
+    fn count_outcome(&self, outcome: &QueryOutcome, now: Timestamp) {
         let is_late = now > self.objective_at;
         self.epoch.count(|counts| {
             counts.ended += 1;
--- a/crates/broker/src/engine/query.rs
+++ b/crates/broker/src/engine/query.rs
@@ -1,7 +1,7 @@
 //! What a front end and the engine exchange about one query.
 
 use bytes::Bytes;
-use routing::{ClassId, ShardId, TenantId, Tenths};
+use routing::{ClassId, ShardId, TenantId, TimeSpan};
 use tokio::time::Instant;
 
 /// A query as a front end hands it over.
@@ -15,7 +15,7 @@
     /// When its client stops waiting.
     pub deadline: Instant,
     /// The work that its client expects.
-    pub work: Tenths,
+    pub work: TimeSpan,
     /// The shards that it reads.
     pub shard_requests: Vec<RequestedShard>,
     /// What every shard request carries.
@@ -55,7 +55,7 @@
     /// It is not served now, and sending it again is harmless.
     Rejected {
         /// The span after which the client may send it again; zero: none is given.
-        retry_after: Tenths,
+        retry_after: TimeSpan,
     },
     /// It could not be served, and sending it again might execute it twice.
     Failed,
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -6,7 +6,7 @@
 use crate::config_epoch::ConfigEpoch;
 use crate::node_pool::AttemptId;
 use bytes::Bytes;
-use routing::{AttemptNumber, QueryId, ShardId, ShardRequestId, Tenths};
+use routing::{AttemptNumber, QueryId, ShardId, ShardRequestId, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -14,9 +14,9 @@
 /// The times of a query that is about to be opened.
 pub(super) struct QueryTimes {
     /// When its latency objective is over.
-    pub(super) objective_at: Tenths,
+    pub(super) objective_at: Timestamp,
     /// When its client stops waiting.
-    pub(super) deadline: Tenths,
+    pub(super) deadline: Timestamp,
 }
 
 /// A query that was opened, as its front end knows it.
@@ -185,7 +185,7 @@
     }
 
     /// When the client of an open query stops waiting.
-    pub(super) fn deadline(&self, id: QueryId) -> Option<Tenths> {
+    pub(super) fn deadline(&self, id: QueryId) -> Option<Timestamp> {
         self.queries.get(&id).map(|query| query.deadline)
     }
 
--- a/crates/broker/src/engine/results.rs
+++ b/crates/broker/src/engine/results.rs
@@ -26,7 +26,7 @@
         if is_lost_node(outcome) {
             queries.note_lost_node(shard_request);
         }
-        let duration = self.clock.to_tenths(ended.at) - in_flight.sent_at;
+        let duration = self.clock.to_timestamp(ended.at) - in_flight.sent_at;
         Some(AttemptResult { shard_request, attempt, node: in_flight.node, outcome, duration })
     }
 
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -4,7 +4,7 @@
 use super::{
     AcceptedQuery, AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard, ReservedMemory,
 };
-use routing::{AttemptOutcome, GroupId, Input, NewQuery, NewShardRequest, QueryId, Tenths};
+use routing::{AttemptOutcome, GroupId, Input, NewQuery, NewShardRequest, QueryId, TimeSpan};
 use std::rc::Rc;
 
 impl Engine {
@@ -25,7 +25,7 @@
             return Err(AdmissionError::Overloaded);
         }
         let objective_at = self.clock.now() + epoch.latency_objective(request.class, request.work);
-        let times = QueryTimes { objective_at, deadline: self.clock.to_tenths(request.deadline) };
+        let times = QueryTimes { objective_at, deadline: self.clock.to_timestamp(request.deadline) };
         let opened = queries.open(&request, epoch, times)?;
         self.push_query_inputs(&request, &opened);
         Ok(AcceptedQuery { engine: self.clone(), id: opened.id, outcome: opened.outcome })
@@ -40,7 +40,7 @@
             group,
             class: request.class,
             tenant: request.tenant,
-            time_left: Tenths::ZERO, // filled in at the turn by `set_time_left`
+            time_left: TimeSpan::ZERO, // filled in at the turn by `set_time_left`
             work: request.work,
             client_attempt: 0,
             min_coverage_only: false,
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use routing::{
     AttemptNumber, AttemptOutcome, ClassId, Effect, Input, NodeId, QueryId, ShardId, ShardRequestId,
-    TenantId, Tenths,
+    TenantId, TimeSpan, Timestamp,
 };
 use rstest::rstest;
 use settings::BrokerSettings;
@@ -27,7 +27,7 @@
         class: ClassId(0),
         tenant: TenantId(0),
         deadline: Instant::now(),
-        work: Tenths::ZERO,
+        work: TimeSpan::ZERO,
         shard_requests: vec![RequestedShard { shard: ShardId(0), weight: 1.0 }],
         text: Bytes::new(),
         retained_bytes: 0,
@@ -48,8 +48,8 @@
         let accepted = engine.submit(query_request("a")).unwrap();
         let shard_request = engine.queries.borrow().shard_request_ids()[0];
         engine.inputs.take();
-        let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: Tenths(1000) };
-        engine.carry_out(Tenths(0), vec![attempt, end(accepted.id, shard_request)]);
+        let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: TimeSpan(1000) };
+        engine.carry_out(Timestamp(0), vec![attempt, end(accepted.id, shard_request)]);
         let inputs = engine.inputs.take();
         assert!(
             matches!(&inputs[..], [Input::AttemptEnded(result)] if result.outcome == AttemptOutcome::NotSent),
--- a/crates/broker/src/limits/discovery_limits.rs
+++ b/crates/broker/src/limits/discovery_limits.rs
@@ -3,7 +3,7 @@
 use super::machine::Capacity;
 use super::to_duration;
 use routing::discovery_backoff::{self, DiscoveryKind, NOTIFIED_AFTER_SILENCE, RetrySchedule};
-use routing::{BrokerConfig, Tenths};
+use routing::{BrokerConfig, TimeSpan};
 use std::time::Duration;
 
 /// Limits of requests to discovery.
@@ -25,7 +25,7 @@
     pub patient_list_timeout: Duration,
     /// The broker counts as notified of a change of the endpoint list after this, whether discovery was reached or
     /// not.
-    pub assumed_notified_after: Tenths,
+    pub assumed_notified_after: TimeSpan,
 }
 
 impl DiscoveryLimits {
@@ -44,7 +44,7 @@
             list_retry_interval,
             list_timeout: discovery_backoff::list_timeout(kind, list_retry_interval),
             patient_list_timeout: discovery_backoff::PATIENT_LIST_TIMEOUT,
-            assumed_notified_after: Tenths::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
+            assumed_notified_after: TimeSpan::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
         }
     }
 
--- a/crates/broker/src/limits/mod.rs
+++ b/crates/broker/src/limits/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! One type for each concern has its fields, how they are derived, and the constants behind them:
 //! [`ClientLimits`], [`RequestLimits`], [`NodeLimits`] and [`DiscoveryLimits`]. What the machine gives, and how it is
-//! divided among them, is in `machine`. Counts of bytes end in `_bytes`; times are [`Duration`]s, or [`Tenths`] where
+//! divided among them, is in `machine`. Counts of bytes end in `_bytes`; times are [`Duration`]s, or [`TimeSpan`] where
 //! the routing decisions take them.
 
 mod client_limits;
@@ -19,7 +19,7 @@
 pub use request_limits::RequestLimits;
 
 use machine::Capacity;
-use routing::Tenths;
+use routing::TimeSpan;
 use settings::BrokerSettings;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     /// Bytes of queries and responses held at once.
     pub max_held_bytes: usize,
     /// The least time between two turns of the routing decisions.
-    pub turn_period: Tenths,
+    pub turn_period: TimeSpan,
 }
 
 impl Limits {
@@ -60,10 +60,10 @@
     }
 }
 
-/// The number of microseconds in one of [`Tenths`].
+/// Microseconds in a tenth of a millisecond, the unit of [`TimeSpan`].
 const MICROS_PER_TENTH: u64 = 100;
 
 /// A time of the routing decisions as one of the runtime; a negative one is zero.
-pub fn to_duration(tenths: Tenths) -> Duration {
+pub fn to_duration(tenths: TimeSpan) -> Duration {
     Duration::from_micros(u64::try_from(tenths.0).unwrap_or(0).saturating_mul(MICROS_PER_TENTH))
 }
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{Capacity, KIB};
 use super::to_duration;
-use routing::Tenths;
+use routing::TimeSpan;
 use settings::{BrokerSettings, ConnectionSettings};
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     /// unknown id.
     pub max_remembered_cancellations: usize,
     /// An attempt that is not written completely this long after its turn is cancelled, or its connection is closed.
-    pub attempt_write_timeout: Tenths,
+    pub attempt_write_timeout: TimeSpan,
     /// A connection is closed when it was idle for this long.
     pub idle_timeout: Duration,
     /// A node that accepts nothing of what is written for this long is disconnected.
@@ -59,7 +59,7 @@
 impl NodeLimits {
     pub(super) fn new(capacity: &Capacity, broker_settings: &BrokerSettings) -> NodeLimits {
         let BrokerSettings { broker_config, connections, .. } = broker_settings;
-        let default_connect_timeout = Tenths::from_ms(DEFAULT_CONNECT_TIMEOUT_MS);
+        let default_connect_timeout = TimeSpan::from_ms(DEFAULT_CONNECT_TIMEOUT_MS);
         let connect_timeout_tenths = connections.connect_timeout.unwrap_or(default_connect_timeout);
         let connect_timeout = to_duration(connect_timeout_tenths);
         let max_connection_shard_requests = max_connection_shard_requests(connections);
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -10,7 +10,7 @@
 use actix_http::{HttpMessage, Request};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use routing::{ClassId, ShardId, TenantId, Tenths};
+use routing::{ClassId, ShardId, TenantId, TimeSpan};
 use std::borrow::Cow;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -77,7 +77,7 @@
         class,
         tenant,
         deadline: arrived + time_left,
-        work: Tenths::from_ms(work_us.unwrap_or(0.0).max(0.0) / 1000.0),
+        work: TimeSpan::from_ms(work_us.unwrap_or(0.0).max(0.0) / 1000.0),
         shard_requests: query.shard_requests.iter().map(requested_shard).collect(),
         text,
         retained_bytes: body.len(),
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{CONTENT_TYPE, RETRY_AFTER};
 use actix_http::{Response, ResponseBuilder, StatusCode};
 use bytes::Bytes;
-use routing::Tenths;
+use routing::TimeSpan;
 use tracing::warn;
 
 /// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent: the
@@ -33,9 +33,9 @@
 }
 
 /// The response to a rejected query, which may be sent again. `retry_after` zero: the response has no `Retry-After`.
-pub fn rejected(retry_after: Tenths) -> Response<Bytes> {
+pub fn rejected(retry_after: TimeSpan) -> Response<Bytes> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
-    if retry_after > Tenths::ZERO {
+    if retry_after > TimeSpan::ZERO {
         response.insert_header((RETRY_AFTER, format!("{:.4}", retry_after.as_ms() / 1000.0)));
     }
     build(&mut response, "declined\n")
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -5,7 +5,7 @@
 
 use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, LimitsError, Machine};
-use routing::Tenths;
+use routing::Timestamp;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use settings::{BrokerSettings, SettingsError};
@@ -93,7 +93,7 @@
     /// The sizes, counts and times that follow from the machine and the settings.
     pub limits: Limits,
     /// The Unix time at which its clock starts; `None`: the system's. A simulation sets it.
-    pub since: Option<Tenths>,
+    pub since: Option<Timestamp>,
 }
 
 /// Where a broker's config file is: named on the command line, or by the environment.
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -4,7 +4,7 @@
 use broker::limits::{self, Limits, LimitsError, Machine};
 use routing::discovery_backoff::DiscoveryKind;
 use routing::shutdown_deadline::ShutdownSchedule;
-use routing::{ClassId, RequestClass, Tenths};
+use routing::{ClassId, RequestClass, TimeSpan};
 use rstest::rstest;
 use settings::BrokerSettings;
 use std::time::Duration;
@@ -52,8 +52,8 @@
     #[values(60.0, 250.0, 1000.0, 5000.0)] grace: f64,
 ) {
     let mut broker_settings = BrokerSettings::default();
-    broker_settings.broker_config.rules.endpoint_list_max_age = Tenths::from_ms(endpoint_list_max_age);
-    broker_settings.broker_config.rules.drain_grace = Tenths::from_ms(grace);
+    broker_settings.broker_config.rules.endpoint_list_max_age = TimeSpan::from_ms(endpoint_list_max_age);
+    broker_settings.broker_config.rules.drain_grace = TimeSpan::from_ms(grace);
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
     assert_eq!(limits.discovery.kind, DiscoveryKind::LocalAgent);
     let notified = Duration::from_secs(6).max(limits.discovery.watch_wait + Duration::from_secs(2));
@@ -74,7 +74,7 @@
 #[case(90_000.0, 3700)]
 fn shuts_down_before_the_kill(#[case] deadline_ms: f64, #[case] kill_ms: u64) {
     let mut broker_settings = BrokerSettings::default();
-    let class = RequestClass { deadline: Tenths::from_ms(deadline_ms), ..Default::default() };
+    let class = RequestClass { deadline: TimeSpan::from_ms(deadline_ms), ..Default::default() };
     broker_settings.broker_config.classes.insert(ClassId(0), class);
     let longest_deadline = ConfigEpoch::new(&broker_settings).longest_deadline();
     let schedule = ShutdownSchedule::new(limits::to_duration(longest_deadline));
--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -8,7 +8,7 @@
 pub use node_emulator::{
     HttpResponse, PeerEvent, ReceivedEvent, ScriptedNode, ShardRequest, encode_frame, query_request,
 };
-use routing::{ClassId, ShardId, TenantId, Tenths};
+use routing::{ClassId, ShardId, TenantId, TimeSpan};
 use serde_json::{Value, json};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
         class: ClassId(class),
         tenant: TenantId(0),
         deadline: tokio::time::Instant::now() + Duration::from_secs(60),
-        work: Tenths::ZERO,
+        work: TimeSpan::ZERO,
         shard_requests: vec![RequestedShard { shard: ShardId(3), weight: 1.0 }],
         retained_bytes: text.len(),
         text,
--- a/crates/config-rollout-client/src/client_status.rs
+++ b/crates/config-rollout-client/src/client_status.rs
@@ -79,8 +79,8 @@
     }
 }
 
-fn timestamp(tenths: routing::Tenths) -> Timestamp {
-    let (seconds, rest) = (tenths.0.div_euclid(10_000), tenths.0.rem_euclid(10_000));
+fn timestamp(at: routing::Timestamp) -> Timestamp {
+    let (seconds, rest) = (at.0.div_euclid(10_000), at.0.rem_euclid(10_000));
     Timestamp { seconds, nanos: (rest * 100_000) as i32 }
 }
 
--- a/crates/config-rollout-client/src/log/tests.rs
+++ b/crates/config-rollout-client/src/log/tests.rs
@@ -5,7 +5,7 @@
 use config_rollout::{
     Digest, LogEvent, NodeLoss, ProbationFailure, RejectionReason, ServiceIndex, UnprovenReason, VersionId,
 };
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{self, Write};
@@ -63,8 +63,13 @@
     VersionId { number: 6, digest: Digest([0xcd; 32]) }
 }
 
-const FAILURE: ProbationFailure =
-    ProbationFailure { failed: 9, ended: 10, observed: Tenths(15_000), failed_before: 1, ended_before: 100 };
+const FAILURE: ProbationFailure = ProbationFailure {
+    failed: 9,
+    ended: 10,
+    observed: TimeSpan(15_000),
+    failed_before: 1,
+    ended_before: 100,
+};
 const NODE_LOSS: NodeLoss = NodeLoss { ready: 5, ready_before: 10, failed_on_nodes: 3, ended: 20 };
 
 #[rstest]
--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -14,7 +14,7 @@
 use crate::verdict::{UnprovenReason, Verdict};
 use crate::version::VersionId;
 use crate::version_history::VersionHistory;
-use routing::Tenths;
+use routing::Timestamp;
 use std::collections::VecDeque;
 
 /// How many nonces of one stream are remembered as answered.
@@ -45,7 +45,7 @@
     /// The running version.
     pub running: VersionId,
     /// Since when it runs.
-    pub since: Tenths,
+    pub since: Timestamp,
     /// Whether it is on probation.
     pub state: RolloutState,
     /// The probation is paused because nodes are failing.
@@ -68,7 +68,7 @@
         services: usize,
         persisted: PersistedState,
         seed: u64,
-        now: Tenths,
+        now: Timestamp,
     ) -> RolloutController {
         let rng = fastrand::Rng::with_seed(seed);
         RolloutController {
@@ -120,7 +120,7 @@
     }
 
     /// Handles one input; the effects are to be carried out before the next.
-    pub fn handle(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         let due_before = self.subscription.next_due();
         self.dispatch(now, input, &mut effects);
@@ -130,7 +130,7 @@
         effects
     }
 
-    fn dispatch(&mut self, now: Tenths, input: Input, effects: &mut Vec<Effect>) {
+    fn dispatch(&mut self, now: Timestamp, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::Start => self.subscription.handle(now, SubscriptionEvent::Started, effects),
             Input::TimerExpired => self.subscription.handle(now, SubscriptionEvent::TimerExpired, effects),
@@ -155,7 +155,7 @@
     /// Each nonce of a stream gets one answer: a response repeated under an answered nonce is ignored.
     fn handle_response(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         stream: StreamId,
         nonce: Nonce,
         offer: &Offer,
@@ -180,7 +180,7 @@
     }
 
     /// Starts or ends the probation as the offer just handled requires.
-    fn follow_version_change(&mut self, now: Tenths, event: VersionEvent) {
+    fn follow_version_change(&mut self, now: Timestamp, event: VersionEvent) {
         match event {
             VersionEvent::Newer => {
                 // Outcomes under a version on probation are not settled: one that replaces another on probation
@@ -202,7 +202,7 @@
         self.probation_outcomes.clear();
     }
 
-    fn handle_outcomes(&mut self, now: Tenths, sample: Sample, effects: &mut Vec<Effect>) {
+    fn handle_outcomes(&mut self, now: Timestamp, sample: Sample, effects: &mut Vec<Effect>) {
         let since_last = sample.since(std::mem::replace(&mut self.last_sample, sample));
         let Some(probation) = &mut self.probation else {
             return self.settled_outcomes.record(now, since_last, self.policy.probation_duration);
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -4,7 +4,7 @@
 use crate::rejection::RejectionReason;
 use crate::verdict::{NodeLoss, ProbationFailure, UnprovenReason};
 use crate::version::VersionId;
-use routing::Tenths;
+use routing::Timestamp;
 
 /// One action. Effects are carried out in the order given, all of them before the next input is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     /// Store the [`PersistedState`](crate::PersistedState) before the next effect is carried out.
     StoreState,
     /// Handle [`Input::TimerExpired`](crate::Input::TimerExpired) at this time.
-    WakeAt(Tenths),
+    WakeAt(Timestamp),
     /// Write this event to the log.
     Log(LogEvent),
 }
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -14,14 +14,14 @@
 //! - [`probation`]: whether a version on probation makes queries fail: `Stable` or `NodesFailing`.
 //!
 //! ```
-//! use routing::Tenths;
+//! use routing::Timestamp;
 //! use config_rollout::{Digest, Effect, Input, RolloutController, PersistedState, RolloutPolicy,
 //! VersionId};
 //!
 //! let own = VersionId { number: 0, digest: Digest::of(b"the broker's own file") };
 //! let state = PersistedState::of(own);
-//! let mut controller = RolloutController::new(RolloutPolicy::default(), 1, state, 7, Tenths(0));
-//! let effects = controller.handle(Tenths(0), Input::Start);
+//! let mut controller = RolloutController::new(RolloutPolicy::default(), 1, state, 7, Timestamp(0));
+//! let effects = controller.handle(Timestamp(0), Input::Start);
 //! assert!(matches!(effects[..], [Effect::Connect { .. }, ..]));
 //! ```
 
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -2,7 +2,7 @@
 
 use crate::sample::Sample;
 use crate::wilson::score_interval;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// The window is compared in this many parts, of which the worst counts, so that a version does not fail for a
@@ -12,7 +12,7 @@
 /// What was counted up to a time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedSample {
-    pub(crate) at: Tenths,
+    pub(crate) at: Timestamp,
     pub(crate) sample: Sample,
 }
 
@@ -24,7 +24,7 @@
 
 impl OutcomeWindow {
     /// Adds what ended since the last count, and drops what is older than `span`.
-    pub fn record(&mut self, now: Tenths, since_last: Sample, span: Tenths) {
+    pub fn record(&mut self, now: Timestamp, since_last: Sample, span: TimeSpan) {
         self.samples.push_back(TimedSample { at: now, sample: since_last });
         while self.samples.front().is_some_and(|oldest| oldest.at <= now - span) {
             self.samples.pop_front();
--- a/crates/config-rollout/src/outcome_window/tests.rs
+++ b/crates/config-rollout/src/outcome_window/tests.rs
@@ -2,10 +2,10 @@
 
 use super::OutcomeWindow;
 use crate::sample::Sample;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const SPAN: Tenths = Tenths(100_000);
+const SPAN: TimeSpan = TimeSpan(100_000);
 
 fn sample(ended: u64) -> Sample {
     Sample { ended, failed: 0, failed_on_nodes: 0, ready_nodes: 10 }
@@ -17,7 +17,7 @@
 #[case(100_000, 1)]
 fn samples_are_dropped_after_the_span(#[case] now: i64, #[case] expected: u64) {
     let mut outcomes = OutcomeWindow::default();
-    outcomes.record(Tenths(0), sample(10), SPAN);
-    outcomes.record(Tenths(now), sample(1), SPAN);
+    outcomes.record(Timestamp(0), sample(10), SPAN);
+    outcomes.record(Timestamp(now), sample(1), SPAN);
     assert_eq!(outcomes.baseline().total.ended, expected);
 }
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -12,7 +12,7 @@
 use crate::verdict::{NodeLoss, ProbationFailure, UnprovenReason, Verdict};
 use crate::wilson::score_interval;
 use ProbationCondition::{NodesFailing, Stable};
-use routing::Tenths;
+use routing::Timestamp;
 
 /// Whether nodes are failing while a version is on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// What one look at the counts shows.
 struct Observation {
-    now: Tenths,
+    now: Timestamp,
     /// Since the condition was last stable.
     sample: Sample,
 }
@@ -72,7 +72,7 @@
 /// When counting began, and the counts at that time.
 #[derive(Clone, Copy, Debug)]
 struct CountStart {
-    at: Tenths,
+    at: Timestamp,
     sample: Sample,
 }
 
@@ -81,7 +81,7 @@
 pub struct Probation {
     policy: RolloutPolicy,
     baseline: Baseline,
-    started: Tenths,
+    started: Timestamp,
     /// When the condition was last stable.
     count_start: CountStart,
     condition: ProbationCondition,
@@ -89,7 +89,7 @@
 
 impl Probation {
     /// The probation of a version that is applied now, compared with these outcomes before it.
-    pub fn new(policy: RolloutPolicy, outcomes: &OutcomeWindow, now: Tenths) -> Probation {
+    pub fn new(policy: RolloutPolicy, outcomes: &OutcomeWindow, now: Timestamp) -> Probation {
         let count_start = CountStart { at: now, sample: Sample::default() };
         Probation { policy, baseline: outcomes.baseline(), started: now, count_start, condition: Stable }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Takes the first row of `TRANSITIONS` that fits; `sample` counts since the version was applied.
-    pub fn judge(&mut self, now: Tenths, sample: Sample) -> Verdict {
+    pub fn judge(&mut self, now: Timestamp, sample: Sample) -> Verdict {
         let observation = Observation { now, sample: sample.since(self.count_start.sample) };
         let transition =
             TRANSITIONS.iter().find(|row| row.condition == self.condition && (row.guard)(self, &observation));
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -4,7 +4,7 @@
 use crate::policy::RolloutPolicy;
 use crate::sample::Sample;
 use crate::verdict::{UnprovenReason, Verdict};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 const SECOND: i64 = 10_000;
@@ -15,18 +15,18 @@
     for second in 0..60 {
         let failed = 20 * failed_percent[(second / 15) as usize] / 100;
         let sample = Sample { ended: 20, failed, failed_on_nodes: 0, ready_nodes: 100 };
-        outcomes.record(Tenths(second * SECOND), sample, Tenths(60 * SECOND));
+        outcomes.record(Timestamp(second * SECOND), sample, TimeSpan(60 * SECOND));
     }
     outcomes
 }
 
 /// Plays a probation, a second at a time, to its first verdict; returns the second and the verdict.
 fn play(outcomes: &OutcomeWindow, each: impl Fn(i64, &mut Sample)) -> (i64, Verdict) {
-    let mut probation = Probation::new(RolloutPolicy::default(), outcomes, Tenths(61 * SECOND));
+    let mut probation = Probation::new(RolloutPolicy::default(), outcomes, Timestamp(61 * SECOND));
     let mut counts = Sample { ready_nodes: 100, ..Sample::default() };
     for second in 1..=1000 {
         each(second, &mut counts);
-        match probation.judge(Tenths((61 + second) * SECOND), counts) {
+        match probation.judge(Timestamp((61 + second) * SECOND), counts) {
             Verdict::Pending | Verdict::Paused(_) => {}
             verdict => return (second, verdict),
         }
@@ -71,7 +71,7 @@
         for second in 0..60 {
             let mut sample = Sample { ready_nodes: 100, ..Sample::default() };
             draw(&mut sample);
-            outcomes.record(Tenths(second * SECOND), sample, Tenths(60 * SECOND));
+            outcomes.record(Timestamp(second * SECOND), sample, TimeSpan(60 * SECOND));
         }
         let draw = std::cell::RefCell::new(draw);
         let (_, verdict) = play(&outcomes, |_, counts| (draw.borrow_mut())(counts));
@@ -84,15 +84,17 @@
 #[rstest]
 fn a_version_that_looks_worse_is_not_proven() {
     let policy = RolloutPolicy {
-        probation_duration: Tenths(3 * SECOND),
+        probation_duration: TimeSpan(3 * SECOND),
         failure_ratio_margin: 0.2,
         ..RolloutPolicy::default()
     };
-    let mut probation = Probation::new(policy, &OutcomeWindow::default(), Tenths(0));
+    let mut probation = Probation::new(policy, &OutcomeWindow::default(), Timestamp(0));
     let verdicts = (1..=60).map(|second: i64| {
         let (ended, ready_nodes) = (second as u64 * 10, 5);
-        probation
-            .judge(Tenths(second * SECOND), Sample { ended, failed: ended, failed_on_nodes: 0, ready_nodes })
+        probation.judge(
+            Timestamp(second * SECOND),
+            Sample { ended, failed: ended, failed_on_nodes: 0, ready_nodes },
+        )
     });
     let first = verdicts.into_iter().enumerate().find(|(_, verdict)| *verdict != Verdict::Pending).unwrap();
     assert!(first.0 == 3 && is_failed(&first.1), "{first:?}");
--- a/crates/config-rollout/src/rejection.rs
+++ b/crates/config-rollout/src/rejection.rs
@@ -3,7 +3,7 @@
 
 use crate::verdict::ProbationFailure;
 use crate::version::Digest;
-use routing::Tenths;
+use routing::Timestamp;
 use thiserror::Error;
 
 /// The last version that was rejected or withdrawn.
@@ -14,7 +14,7 @@
     /// Why.
     pub reason: RejectionReason,
     /// When.
-    pub at: Tenths,
+    pub at: Timestamp,
 }
 
 /// Why a version is rejected or withdrawn.
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -13,7 +13,7 @@
     HistoryConflict, ResponseReceived, Started, StreamEnded, StreamOpened, TimerExpired,
 };
 use SubscriptionState::{BackingOff, Connecting, Idle, Open};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// The state of the one connection.
@@ -46,8 +46,8 @@
     HistoryConflict,
 }
 
-type Guard = fn(&Subscription, Tenths) -> bool;
-type Action = fn(&mut Subscription, Tenths, &mut Vec<Effect>);
+type Guard = fn(&Subscription, Timestamp) -> bool;
+type Action = fn(&mut Subscription, Timestamp, &mut Vec<Effect>);
 
 /// In one of these states, on the event, if the guard holds: the next state, and what is done.
 struct Transition {
@@ -99,13 +99,13 @@
     stream: StreamId,
     service: ServiceIndex,
     /// For each service, until when it is avoided because its history conflicts with the broker's.
-    suspect_until: Vec<Tenths>,
+    suspect_until: Vec<Timestamp>,
     /// Failed connection attempts in a row, and streams that ended before they were stable.
     failures: u32,
     /// The end of the wait, or the time by which a response must have arrived.
-    due: Option<Tenths>,
-    opened_at: Tenths,
-    recent_connects: VecDeque<Tenths>,
+    due: Option<Timestamp>,
+    opened_at: Timestamp,
+    recent_connects: VecDeque<Timestamp>,
     /// What was logged last.
     logged: Option<Reachability>,
 }
@@ -120,10 +120,10 @@
             state: Idle,
             stream: StreamId(0),
             service,
-            suspect_until: vec![Tenths(i64::MIN); services.max(1)],
+            suspect_until: vec![Timestamp(i64::MIN); services.max(1)],
             failures: 0,
             due: None,
-            opened_at: Tenths::ZERO,
+            opened_at: Timestamp::ZERO,
             recent_connects: VecDeque::new(),
             logged: None,
         }
@@ -150,7 +150,7 @@
     }
 
     /// Takes the first row of `TRANSITIONS` that fits.
-    pub fn handle(&mut self, now: Tenths, event: SubscriptionEvent, effects: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Timestamp, event: SubscriptionEvent, effects: &mut Vec<Effect>) {
         let transition = TRANSITIONS
             .iter()
             .find(|row| row.states.contains(&self.state) && row.event == event && (row.guard)(self, now));
@@ -168,29 +168,29 @@
     }
 
     /// The next time at which something is due.
-    pub fn next_due(&self) -> Option<Tenths> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.due
     }
 
     // ---- guards
 
-    fn always(&self, _: Tenths) -> bool {
+    fn always(&self, _: Timestamp) -> bool {
         true
     }
 
-    fn is_due(&self, now: Tenths) -> bool {
+    fn is_due(&self, now: Timestamp) -> bool {
         self.due.is_some_and(|due| due <= now)
     }
 
     /// There is another service that is not avoided.
-    fn has_other(&self, now: Tenths) -> bool {
+    fn has_other(&self, now: Timestamp) -> bool {
         let mut others = self.suspect_until.iter().enumerate().filter(|(index, _)| *index != self.service.0);
         others.any(|(_, until)| *until <= now)
     }
 
     // ---- actions
 
-    fn connect(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+    fn connect(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         self.recent_connects.push_back(now);
         if self.recent_connects.len() > self.policy.max_connects {
             self.recent_connects.pop_front();
@@ -200,12 +200,12 @@
         effects.push(Effect::Connect { service: self.service, stream: self.stream });
     }
 
-    fn record_open(&mut self, now: Tenths, _: &mut Vec<Effect>) {
+    fn record_open(&mut self, now: Timestamp, _: &mut Vec<Effect>) {
         self.opened_at = now;
     }
 
     /// The service responds: there is no time-out until the next connection attempt.
-    fn record_response(&mut self, _: Tenths, effects: &mut Vec<Effect>) {
+    fn record_response(&mut self, _: Timestamp, effects: &mut Vec<Effect>) {
         self.due = None;
         if self.logged.replace(Reachability::Reached) != Some(Reachability::Reached) {
             effects.push(Effect::Log(LogEvent::ServiceReached(self.service)));
@@ -213,14 +213,14 @@
     }
 
     /// No response came in time.
-    fn give_up(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+    fn give_up(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
         self.log_unreachable("no response in time", effects);
         self.back_off(now, effects);
     }
 
     /// The service has another history than the broker: another service is tried.
-    fn change_service(&mut self, now: Tenths, effects: &mut Vec<Effect>) {
+    fn change_service(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
         self.suspect_until[self.service.0] = now + self.policy.suspect_duration;
         self.back_off(now, effects);
@@ -229,29 +229,29 @@
     /// Full jitter: the wait is drawn from zero to a bound that doubles with each failure in a row. A
     /// stream that was open for long ends the row, one that was dropped at once does not. The budget of
     /// connection attempts in any window comes on top.
-    fn back_off(&mut self, now: Tenths, _: &mut Vec<Effect>) {
+    fn back_off(&mut self, now: Timestamp, _: &mut Vec<Effect>) {
         let was_stable =
-            self.opened_at > Tenths::ZERO && now - self.opened_at >= self.policy.stable_stream_age;
+            self.opened_at > Timestamp::ZERO && now - self.opened_at >= self.policy.stable_stream_age;
         self.failures = if was_stable { 0 } else { self.failures.saturating_add(1) };
-        self.opened_at = Tenths::ZERO;
+        self.opened_at = Timestamp::ZERO;
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let bound = self.policy.initial_backoff.times(f64::from(1_u32 << doublings));
-        let bound = bound.min(self.policy.max_backoff).max(Tenths(1));
-        let drawn = now + Tenths(self.rng.i64(0..=bound.0));
+        let bound = bound.min(self.policy.max_backoff).max(TimeSpan(1));
+        let drawn = now + TimeSpan(self.rng.i64(0..=bound.0));
         self.due = Some(drawn.max(self.budget_free_at().unwrap_or(drawn)));
         self.choose_service(now);
     }
 
     /// When the budget of connection attempts allows the next; `None`: at once.
-    fn budget_free_at(&self) -> Option<Tenths> {
+    fn budget_free_at(&self) -> Option<Timestamp> {
         let is_spent = self.recent_connects.len() >= self.policy.max_connects;
         let oldest = self.recent_connects.front().filter(|_| is_spent)?;
-        Some(*oldest + self.policy.connect_window + Tenths(1))
+        Some(*oldest + self.policy.connect_window + TimeSpan(1))
     }
 
     /// The next service in order that is not avoided. There always is one: a service is left only while there is
     /// another that is not avoided, and the current one is among those that follow, as the last.
-    fn choose_service(&mut self, now: Tenths) {
+    fn choose_service(&mut self, now: Timestamp) {
         let count = self.suspect_until.len();
         let mut following = (1..=count).map(|step| (self.service.0 + step) % count);
         let trusted = following.find(|index| self.suspect_until[*index] <= now);
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -7,7 +7,7 @@
 use crate::effects::{Effect, LogEvent};
 use crate::inputs::StreamId;
 use crate::policy::RolloutPolicy;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 fn new_subscription(services: usize) -> Subscription {
@@ -16,7 +16,7 @@
 
 fn handle(subscription: &mut Subscription, now: i64, event: SubscriptionEvent) -> Vec<Effect> {
     let mut effects = Vec::new();
-    subscription.handle(Tenths(now), event, &mut effects);
+    subscription.handle(Timestamp(now), event, &mut effects);
     effects
 }
 
@@ -51,7 +51,11 @@
 #[rstest]
 fn keeps_the_budget_of_connects() {
     let mut subscription = Subscription::new(
-        RolloutPolicy { max_backoff: Tenths(10), initial_backoff: Tenths(10), ..RolloutPolicy::default() },
+        RolloutPolicy {
+            max_backoff: TimeSpan(10),
+            initial_backoff: TimeSpan(10),
+            ..RolloutPolicy::default()
+        },
         1,
         fastrand::Rng::with_seed(5),
     );
--- a/crates/config-rollout/src/verdict.rs
+++ b/crates/config-rollout/src/verdict.rs
@@ -1,7 +1,7 @@
 //! What a probation concludes, with the counts that it rests on. The texts are shown to operators and sent
 //! to the configuration service.
 
-use routing::Tenths;
+use routing::TimeSpan;
 use thiserror::Error;
 
 /// The conclusion of one look at the counts.
@@ -50,7 +50,7 @@
     /// Queries that ended under the version.
     pub ended: u64,
     /// How long these were counted.
-    pub observed: Tenths,
+    pub observed: TimeSpan,
     /// Queries that failed on healthy nodes in the span before the version.
     pub failed_before: u64,
     /// Queries that ended in the span before the version.
--- a/crates/config-rollout/src/version_history.rs
+++ b/crates/config-rollout/src/version_history.rs
@@ -16,11 +16,11 @@
 use crate::rollout_state::VersionEvent::{Proven, Renumbered, Reverted, Unchanged, Unproven, Withdrawn};
 use crate::verdict::{UnprovenReason, Verdict};
 use crate::version::VersionId;
-use routing::Tenths;
+use routing::Timestamp;
 
 /// What an action needs of the offer or the verdict that caused it.
 struct EventContext<'a> {
-    now: Tenths,
+    now: Timestamp,
     /// The offered number, or that of the running version.
     number: Option<u64>,
     /// The offered version, or the running one.
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct VersionHistory {
     running: VersionId,
-    since: Tenths,
+    since: Timestamp,
     state: RolloutState,
     /// The last one confirmed; what a roll-back goes to.
     confirmed: VersionId,
@@ -94,7 +94,7 @@
 
 impl VersionHistory {
     /// The history of a broker that runs what it confirmed last: its own file, or what it stored earlier.
-    pub fn new(persisted: PersistedState, now: Tenths) -> VersionHistory {
+    pub fn new(persisted: PersistedState, now: Timestamp) -> VersionHistory {
         let PersistedState { confirmed, highest_accepted, withdrawn, probation_attempt } = persisted;
         let mut history = VersionHistory {
             running: confirmed,
@@ -116,7 +116,7 @@
     /// restart would serve nobody. The attempts are counted in the stored state, which is written before the
     /// version is applied. It shows as the last rejection in the broker's status. The cost is that a harmless
     /// version is withdrawn where something else ended the process that often.
-    fn withdraw_after_repeated_ends(&mut self, now: Tenths) {
+    fn withdraw_after_repeated_ends(&mut self, now: Timestamp) {
         let attempt = self.probation_attempt.filter(|attempt| attempt.unfinished_runs >= MAX_UNFINISHED_RUNS);
         let Some(ProbationAttempt { version, unfinished_runs }) = attempt else { return };
         let reason = RejectionReason::ProcessEnded { ends: unfinished_runs };
@@ -142,7 +142,7 @@
     }
 
     /// Since when it runs.
-    pub fn since(&self) -> Tenths {
+    pub fn since(&self) -> Timestamp {
         self.since
     }
 
@@ -184,14 +184,14 @@
     }
 
     /// Handles an offer that was compared just now.
-    pub fn handle_offer(&mut self, now: Tenths, comparison: &Comparison, effects: &mut Vec<Effect>) {
+    pub fn handle_offer(&mut self, now: Timestamp, comparison: &Comparison, effects: &mut Vec<Effect>) {
         let Comparison { event, number, version, ref rejection } = *comparison;
         let context = EventContext { now, number, version, rejection: rejection.as_ref(), verdict: None };
         self.handle(event, &context, effects);
     }
 
     /// Handles the probation's verdict on the running version.
-    pub fn handle_verdict(&mut self, now: Tenths, verdict: &Verdict, effects: &mut Vec<Effect>) {
+    pub fn handle_verdict(&mut self, now: Timestamp, verdict: &Verdict, effects: &mut Vec<Effect>) {
         let event = match verdict {
             Verdict::Pending => return,
             Verdict::Proven => Proven,
@@ -303,7 +303,7 @@
     }
 
     /// The running version is this one from now on.
-    fn run(&mut self, version: VersionId, now: Tenths) {
+    fn run(&mut self, version: VersionId, now: Timestamp) {
         (self.running, self.since, self.unproven) = (version, now, None);
     }
 }
--- a/crates/config-rollout/src/version_history/tests.rs
+++ b/crates/config-rollout/src/version_history/tests.rs
@@ -8,12 +8,17 @@
 use crate::rollout_state::{RolloutState, VersionEvent};
 use crate::verdict::{ProbationFailure, UnprovenReason, Verdict};
 use crate::version::{Digest, VersionId};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(10_000);
-const FAILURE: ProbationFailure =
-    ProbationFailure { failed: 9, ended: 10, observed: Tenths(10_000), failed_before: 0, ended_before: 100 };
+const NOW: Timestamp = Timestamp(10_000);
+const FAILURE: ProbationFailure = ProbationFailure {
+    failed: 9,
+    ended: 10,
+    observed: TimeSpan(10_000),
+    failed_before: 0,
+    ended_before: 100,
+};
 
 fn version(number: u64, contents: &str) -> VersionId {
     VersionId { number, digest: Digest::of(contents.as_bytes()) }
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -5,7 +5,7 @@
     RolloutState, Sample, StreamId, VersionId,
 };
 use proptest::prelude::*;
-use routing::Tenths;
+use routing::Timestamp;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +41,13 @@
     fn with(services: usize, persisted: PersistedState) -> Simulation {
         let own = persisted.confirmed;
         let mut simulation = Simulation {
-            controller: RolloutController::new(RolloutPolicy::default(), services, persisted, 1, Tenths(0)),
+            controller: RolloutController::new(
+                RolloutPolicy::default(),
+                services,
+                persisted,
+                1,
+                Timestamp(0),
+            ),
             now: 0,
             stream: StreamId(0),
             is_connecting: false,
@@ -81,7 +87,7 @@
     }
 
     fn handle(&mut self, input: Input) {
-        for effect in self.controller.handle(Tenths(self.now), input) {
+        for effect in self.controller.handle(Timestamp(self.now), input) {
             self.carry_out(effect);
         }
         assert_eq!(self.controller.report().running, self.applied, "the report is not what is applied");
--- a/crates/fault-scenarios/src/active_faults.rs
+++ b/crates/fault-scenarios/src/active_faults.rs
@@ -4,7 +4,7 @@
 use FaultEvent::{DrainBegan, DrainFinished, OutageBegan, OutagesEnded};
 use NodeCondition::{Down, Draining, Ready};
 use NodeTransition::{Drains, Starts, Stops, Unchanged};
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// Whether a node can be used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -66,9 +66,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PauseCycle {
     /// How long each pause lasts.
-    pub pause: Tenths,
+    pub pause: TimeSpan,
     /// The time from the beginning of one pause to the beginning of the next.
-    pub interval: Tenths,
+    pub interval: TimeSpan,
 }
 
 /// All faults that are active on one node.
--- a/crates/fault-scenarios/src/schedule.rs
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -4,7 +4,7 @@
 use crate::active_faults::PauseCycle;
 use crate::fault::{Direction, Fault, FaultKind, FaultTarget};
 use crate::scenario::Scenario;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 
 /// How large a cluster is. A node's placement group and zone follow from its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,9 +54,9 @@
     /// Messages to or from a node are lost.
     Partition { node: u32, direction: Direction, begins: bool },
     /// Messages to or from a node take longer.
-    NetworkDelay { node: u32, added: Tenths, direction: Direction, begins: bool },
+    NetworkDelay { node: u32, added: TimeSpan, direction: Direction, begins: bool },
     /// Discovery publishes changes later.
-    EndpointListDelay { added: Tenths, begins: bool },
+    EndpointListDelay { added: TimeSpan, begins: bool },
     /// Discovery publishes nothing.
     EndpointListOutage { begins: bool },
     /// A tenant, or all of them, send `factor` times as many queries.
@@ -75,13 +75,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledAction {
     /// Time from the beginning of the day.
-    pub at: Tenths,
+    pub at: Timestamp,
     /// What is to be done.
     pub action: FaultAction,
 }
 
-fn from_seconds(seconds: f64) -> Tenths {
-    Tenths::from_ms(seconds * 1000.0)
+fn from_seconds(seconds: f64) -> TimeSpan {
+    TimeSpan::from_ms(seconds * 1000.0)
 }
 
 impl Scenario {
@@ -134,12 +134,12 @@
         }
     }
 
-    fn start(&self) -> Tenths {
-        from_seconds(self.start_s)
+    fn start(&self) -> Timestamp {
+        Timestamp::ZERO + from_seconds(self.start_s)
     }
 
-    fn end(&self) -> Tenths {
-        from_seconds(self.start_s + self.duration_s)
+    fn end(&self) -> Timestamp {
+        Timestamp::ZERO + from_seconds(self.start_s + self.duration_s)
     }
 
     fn at_start_and_end(
@@ -159,15 +159,15 @@
             FaultKind::Unresponsive => FaultAction::Unresponsive { node, begins },
             FaultKind::Slowdown => FaultAction::Slowdown { node, speed_factor: size, begins },
             FaultKind::Pause => {
-                let interval = Tenths::from_ms(self.pause_interval_ms);
-                let cycle = PauseCycle { pause: Tenths::from_ms(size), interval };
+                let interval = TimeSpan::from_ms(self.pause_interval_ms);
+                let cycle = PauseCycle { pause: TimeSpan::from_ms(size), interval };
                 FaultAction::Pause { node, cycle, begins }
             }
             FaultKind::Rejection => FaultAction::Rejection { node, begins },
             FaultKind::Errors => FaultAction::Errors { node, share: size, begins },
             FaultKind::Partition => FaultAction::Partition { node, direction, begins },
             FaultKind::NetworkDelay => {
-                FaultAction::NetworkDelay { node, added: Tenths::from_ms(size), direction, begins }
+                FaultAction::NetworkDelay { node, added: TimeSpan::from_ms(size), direction, begins }
             }
             _ => return None,
         };
@@ -179,7 +179,7 @@
         let size = self.size;
         let action = match self.kind {
             FaultKind::EndpointListDelay => {
-                FaultAction::EndpointListDelay { added: Tenths::from_ms(size), begins }
+                FaultAction::EndpointListDelay { added: TimeSpan::from_ms(size), begins }
             }
             FaultKind::EndpointListOutage => FaultAction::EndpointListOutage { begins },
             FaultKind::TrafficSurge => {
@@ -203,14 +203,15 @@
         let mut actions = Vec::new();
         for (index, group) in groups.enumerate() {
             let start_s = self.start_s + group_duration_s * index as f64;
-            let end = from_seconds(start_s + group_duration_s.max(self.drain_s));
-            actions.extend(self.restart_all(group, from_seconds(start_s), end));
+            let start = Timestamp::ZERO + from_seconds(start_s);
+            let end = Timestamp::ZERO + from_seconds(start_s + group_duration_s.max(self.drain_s));
+            actions.extend(self.restart_all(group, start, end));
         }
         actions
     }
 
     /// Each node drains, stops, and starts at `end`.
-    fn restart_all(&self, nodes: &[u32], start: Tenths, end: Tenths) -> Vec<ScheduledAction> {
+    fn restart_all(&self, nodes: &[u32], start: Timestamp, end: Timestamp) -> Vec<ScheduledAction> {
         let drain_end = (start + from_seconds(self.drain_s)).min(end);
         let restart = |node: &u32| {
             let node = *node;
--- a/crates/fault-scenarios/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -5,7 +5,7 @@
     PauseCycle, Scenario, find_in_library,
 };
 use proptest::prelude::*;
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 const CLUSTER: ClusterSize = ClusterSize { nodes: 60, zones: 3, placement_groups: 12, brokers: 9 };
@@ -143,7 +143,7 @@
         most_unavailable <= 30,
         "two groups at most, where one ends as the next begins: {most_unavailable}"
     );
-    assert!(schedule.iter().all(|scheduled| scheduled.at <= Tenths(500_000)));
+    assert!(schedule.iter().all(|scheduled| scheduled.at <= Timestamp(500_000)));
 }
 
 /// One step a word: `d` an outage begins, `u` it ends, `D` a drain begins, `X` its time is over. The
@@ -200,7 +200,7 @@
                 3 => faults.set_rejecting(begins),
                 4 => faults.set_unresponsive(begins),
                 _ => {
-                    let cycle = PauseCycle { pause: Tenths(index as i64), interval: Tenths(10) };
+                    let cycle = PauseCycle { pause: TimeSpan(index as i64), interval: TimeSpan(10) };
                     faults.set_pause(cycle, begins);
                 },
             }
