--- a/crates/node-emulator/src/emulated_node.rs
+++ b/crates/node-emulator/src/emulated_node.rs
@@ -4,10 +4,10 @@
 use crate::load_report::LoadReport;
 use crate::node_spec::{Cancel, NodeSpec};
 use crate::node_state::{LifecycleEvent, NodeState};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const SECOND: Tenths = Tenths(10_000);
+const SECOND: TimeSpan = TimeSpan(10_000);
 
 /// The least share of its speed to which a node can be slowed down.
 const MIN_SPEED: f64 = 0.01;
@@ -18,17 +18,17 @@
     spec: NodeSpec,
     state: NodeState,
     /// When its process started; none: long ago.
-    started_at: Option<Tenths>,
+    started_at: Option<Timestamp>,
     /// The share of its full speed.
     speed: f64,
-    running: BTreeSet<(Tenths, JobId)>,
-    completion_times: BTreeMap<JobId, Tenths>,
+    running: BTreeSet<(Timestamp, JobId)>,
+    completion_times: BTreeMap<JobId, Timestamp>,
     queue: VecDeque<Job>,
     /// Completions in the last second.
-    recent_completions: VecDeque<Tenths>,
+    recent_completions: VecDeque<Timestamp>,
     /// Work sent to it over the overload window while it warms up, in microseconds.
-    recent_work: VecDeque<(Tenths, u64)>,
-    paused_until: Option<Tenths>,
+    recent_work: VecDeque<(Timestamp, u64)>,
+    paused_until: Option<Timestamp>,
     /// Jobs that completed since it started.
     completed_jobs: u32,
     /// What was sent to it while warming up over the last window, of what makes it collapse.
@@ -37,7 +37,7 @@
 
 impl EmulatedNode {
     /// A node that runs. `started_at` none: since long ago, and warmed up.
-    pub fn new(spec: NodeSpec, started_at: Option<Tenths>) -> EmulatedNode {
+    pub fn new(spec: NodeSpec, started_at: Option<Timestamp>) -> EmulatedNode {
         EmulatedNode {
             spec,
             state: NodeState::Ready,
@@ -60,7 +60,7 @@
     }
 
     /// When its process started; none: long ago.
-    pub fn started_at(&self) -> Option<Tenths> {
+    pub fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
 
@@ -74,7 +74,7 @@
     // ---- lifecycle
 
     /// Starts a new process under the same name, which has to warm up.
-    pub fn start(&mut self, now: Tenths) {
+    pub fn start(&mut self, now: Timestamp) {
         if self.handle(LifecycleEvent::Start) {
             self.started_at = Some(now);
             self.speed = 1.0;
@@ -107,11 +107,11 @@
     }
 
     /// Pauses it until then: running jobs take so much longer, and no other starts.
-    pub fn pause(&mut self, now: Tenths, until: Tenths) {
+    pub fn pause(&mut self, now: Timestamp, until: Timestamp) {
         let paused_since = self.paused_until.filter(|paused_until| *paused_until > now).unwrap_or(now);
         if until > paused_since && self.state != NodeState::Down {
             self.paused_until = Some(until);
-            let postponed = |completion: Tenths| completion + (until - paused_since);
+            let postponed = |completion: Timestamp| completion + (until - paused_since);
             self.running =
                 self.running.iter().map(|(completion, job)| (postponed(*completion), *job)).collect();
             self.completion_times.values_mut().for_each(|completion| *completion = postponed(*completion));
@@ -121,18 +121,18 @@
     // ---- capacity
 
     /// The share of its full capacity that it has now.
-    pub fn capacity_ratio(&self, now: Tenths) -> f64 {
+    pub fn capacity_ratio(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else { return self.speed };
         let progress = match self.spec.warm_up_jobs {
             Some(jobs) => f64::from(self.completed_jobs) / f64::from(jobs.max(1)),
-            None => (now - started_at).max(Tenths::ZERO).over(self.spec.warm_up_period),
+            None => (now - started_at).max(TimeSpan::ZERO).over(self.spec.warm_up_period),
         };
         let initial = self.spec.initial_capacity_share;
         self.speed * (initial + (1.0 - initial) * progress.min(1.0))
     }
 
     /// Whether its process started less than the warm-up period ago.
-    pub fn is_warming_up(&self, now: Tenths) -> bool {
+    pub fn is_warming_up(&self, now: Timestamp) -> bool {
         self.started_at.is_some_and(|started_at| now - started_at < self.spec.warm_up_period)
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Counts work that was sent while it warms up; whether that is more over the window than it bears.
-    fn collapses_by(&mut self, now: Tenths, work_us: u64) -> bool {
+    fn collapses_by(&mut self, now: Timestamp, work_us: u64) -> bool {
         let window = self.spec.overload_window;
         while self.recent_work.pop_front_if(|(at, _)| *at < now - window).is_some() {}
         self.recent_work.push_back((now, work_us));
@@ -156,7 +156,7 @@
     // ---- jobs
 
     /// Submits a job of so many microseconds at full speed.
-    pub fn submit(&mut self, now: Tenths, job: JobId, work_us: u64) -> SubmitOutcome {
+    pub fn submit(&mut self, now: Timestamp, job: JobId, work_us: u64) -> SubmitOutcome {
         self.submit_counted_as(now, job, work_us, work_us)
     }
 
@@ -164,7 +164,7 @@
     /// rule counts a shard request by its class's mean work, as no broker can know more of it.
     pub fn submit_counted_as(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         job: JobId,
         work_us: u64,
         counted_us: u64,
@@ -191,27 +191,27 @@
         }
     }
 
-    fn start_job(&mut self, now: Tenths, job: Job) {
+    fn start_job(&mut self, now: Timestamp, job: Job) {
         let duration = (job.work_us as f64 / 100.0 / self.capacity_ratio(now)).ceil() as i64;
         let starts_at = self.paused_until.map_or(now, |paused_until| paused_until.max(now));
-        let completion = starts_at + Tenths(duration.max(1));
+        let completion = starts_at + TimeSpan(duration.max(1));
         self.running.insert((completion, job.id));
         self.completion_times.insert(job.id, completion);
     }
 
-    fn start_next_queued(&mut self, now: Tenths) {
+    fn start_next_queued(&mut self, now: Timestamp) {
         if let Some(job) = self.queue.pop_front() {
             self.start_job(now, job);
         }
     }
 
     /// When the next job completes.
-    pub fn next_completion(&self) -> Option<Tenths> {
+    pub fn next_completion(&self) -> Option<Timestamp> {
         self.running.first().map(|(completion, _)| *completion)
     }
 
     /// Completes a job that is due, and starts the next in the queue; none: no job is due.
-    pub fn complete(&mut self, now: Tenths) -> Option<JobId> {
+    pub fn complete(&mut self, now: Timestamp) -> Option<JobId> {
         self.running.first().filter(|(completion, _)| *completion <= now)?;
         let (_, job) = self.running.pop_first()?;
         self.completion_times.remove(&job);
@@ -224,7 +224,7 @@
 
     /// Cancels a job: a waiting one is dropped, a running one ended, as far as [`NodeSpec::cancel`] has it.
     /// Whether it is gone by that.
-    pub fn cancel(&mut self, now: Tenths, job: JobId) -> bool {
+    pub fn cancel(&mut self, now: Timestamp, job: JobId) -> bool {
         let is_running = self.completion_times.contains_key(&job);
         if self.spec.cancel == Cancel::Nothing || is_running && self.spec.cancel == Cancel::Waiting {
             return false;
@@ -240,7 +240,7 @@
     }
 
     /// Its load at this moment.
-    pub fn load(&self, now: Tenths) -> LoadReport {
+    pub fn load(&self, now: Timestamp) -> LoadReport {
         let completed_per_s = self.recent_completions.iter().filter(|at| **at >= now - SECOND).count();
         let queued = self.queue.len();
         LoadReport { queued, completed_per_s, in_flight: self.running.len() + queued }
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -5,13 +5,13 @@
 //! [`ScriptedDiscovery`], [`DiscoveryCatalog`], [`HttpClient`].
 //!
 //! ```
-//! use routing::Tenths;
+//! use routing::Timestamp;
 //! use node_emulator::{EmulatedNode, JobId, NodeSpec, SubmitOutcome};
 //!
 //! let mut node = EmulatedNode::new(NodeSpec { cores: 1, ..NodeSpec::default() }, None);
-//! assert_eq!(node.submit(Tenths(0), JobId(1), 2000), SubmitOutcome::Started);
-//! assert_eq!(node.next_completion(), Some(Tenths(20)));
-//! assert_eq!(node.complete(Tenths(20)), Some(JobId(1)));
+//! assert_eq!(node.submit(Timestamp(0), JobId(1), 2000), SubmitOutcome::Started);
+//! assert_eq!(node.next_completion(), Some(Timestamp(20)));
+//! assert_eq!(node.complete(Timestamp(20)), Some(JobId(1)));
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -13,7 +13,7 @@
 use crate::node_spec::NodeSpec;
 use crate::node_state::NodeState;
 use connection::{Writer, serve, write_response};
-use routing::Tenths;
+use routing::Timestamp;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -42,7 +42,7 @@
     /// Its shard.
     pub shard: u32,
     /// Since the server was started.
-    pub at: Tenths,
+    pub at: Timestamp,
     /// The node's state at that moment.
     pub state: NodeState,
 }
@@ -161,8 +161,8 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn now(&self) -> Tenths {
-        Tenths((self.started_at.elapsed().as_micros() / u128::from(US_PER_TENTH)) as i64)
+    fn now(&self) -> Timestamp {
+        Timestamp((self.started_at.elapsed().as_micros() / u128::from(US_PER_TENTH)) as i64)
     }
 }
 
--- a/crates/node-emulator/src/node_spec.rs
+++ b/crates/node-emulator/src/node_spec.rs
@@ -1,6 +1,6 @@
 //! What a node is made of.
 
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// The capacity of a node, how it warms up and what makes it collapse.
 #[derive(Clone, Debug, PartialEq)]
@@ -12,11 +12,11 @@
     /// Just started it has this share of its capacity...
     pub initial_capacity_share: f64,
     /// ...and all of it after this; between, its share grows linearly.
-    pub warm_up_period: Tenths,
+    pub warm_up_period: TimeSpan,
     /// Sent more than this multiple of its capacity while it warms up...
     pub overload_factor: f64,
     /// ...over this long, it collapses.
-    pub overload_window: Tenths,
+    pub overload_window: TimeSpan,
     /// So many completed jobs warm it up, however long that takes; none: time does.
     pub warm_up_jobs: Option<u32>,
     /// What a cancelled job costs.
@@ -42,9 +42,9 @@
             cores: 4,
             queue_capacity: 64,
             initial_capacity_share: 0.2,
-            warm_up_period: Tenths(170_000),
+            warm_up_period: TimeSpan(170_000),
             overload_factor: 3.0,
-            overload_window: Tenths(10_000),
+            overload_window: TimeSpan(10_000),
             warm_up_jobs: None,
             cancel: Cancel::All,
         }
--- a/crates/node-emulator/tests/model.rs
+++ b/crates/node-emulator/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model of a node, moment by moment.
 
 use node_emulator::{Cancel, EmulatedNode, JobId, LoadReport, NodeSpec, NodeState, SubmitOutcome};
-use routing::Tenths;
+use routing::Timestamp;
 use rstest::rstest;
 
 fn spec() -> NodeSpec {
@@ -17,7 +17,7 @@
 #[rstest]
 fn queues_and_refuses() {
     let mut node = EmulatedNode::new(spec(), None);
-    let outcomes: Vec<SubmitOutcome> = (0..5).map(|id| node.submit(Tenths(0), job(id), 10_000)).collect();
+    let outcomes: Vec<SubmitOutcome> = (0..5).map(|id| node.submit(Timestamp(0), job(id), 10_000)).collect();
     assert_eq!(
         outcomes,
         [
@@ -28,17 +28,17 @@
             SubmitOutcome::Refused
         ]
     );
-    assert_eq!(node.load(Tenths(0)), LoadReport { queued: 2, completed_per_s: 0, in_flight: 4 });
-    assert_eq!((node.complete(Tenths(99)), node.next_completion()), (None, Some(Tenths(100))));
+    assert_eq!(node.load(Timestamp(0)), LoadReport { queued: 2, completed_per_s: 0, in_flight: 4 });
+    assert_eq!((node.complete(Timestamp(99)), node.next_completion()), (None, Some(Timestamp(100))));
     assert_eq!(
-        (node.complete(Tenths(100)), node.complete(Tenths(100)), node.complete(Tenths(100))),
+        (node.complete(Timestamp(100)), node.complete(Timestamp(100)), node.complete(Timestamp(100))),
         (Some(job(0)), Some(job(1)), None)
     );
     assert_eq!(
-        (node.next_completion(), node.load(Tenths(100))),
-        (Some(Tenths(200)), LoadReport { queued: 0, completed_per_s: 2, in_flight: 2 })
+        (node.next_completion(), node.load(Timestamp(100))),
+        (Some(Timestamp(200)), LoadReport { queued: 0, completed_per_s: 2, in_flight: 2 })
     );
-    assert_eq!(node.load(Tenths(20_000)).completed_per_s, 0);
+    assert_eq!(node.load(Timestamp(20_000)).completed_per_s, 0);
 }
 
 /// Just started it has a fifth of its capacity, at half of the warm-up three fifths, then all.
@@ -47,9 +47,9 @@
 #[case(85_000, 167)]
 #[case(170_000, 100)]
 fn warms_up(#[case] age: i64, #[case] duration: i64) {
-    let mut node = EmulatedNode::new(spec(), Some(Tenths(0)));
-    node.submit(Tenths(age), job(1), 10_000);
-    assert_eq!(node.next_completion(), Some(Tenths(age + duration)));
+    let mut node = EmulatedNode::new(spec(), Some(Timestamp(0)));
+    node.submit(Timestamp(age), job(1), 10_000);
+    assert_eq!(node.next_completion(), Some(Timestamp(age + duration)));
 }
 
 #[rstest]
@@ -57,11 +57,11 @@
     let collapse = |started_at| {
         let mut node = EmulatedNode::new(NodeSpec { queue_capacity: 10_000, ..spec() }, started_at);
         (0..200)
-            .map(|id| node.submit(Tenths(id), job(id as u64), 10_000))
+            .map(|id| node.submit(Timestamp(id), job(id as u64), 10_000))
             .find(|outcome| *outcome == SubmitOutcome::Collapsed)
     };
     // Two cores at a fifth bear 400 ms in the window, three times that are 1,200: the 121st is too much.
-    assert_eq!((collapse(None), collapse(Some(Tenths(0)))), (None, Some(SubmitOutcome::Collapsed)));
+    assert_eq!((collapse(None), collapse(Some(Timestamp(0)))), (None, Some(SubmitOutcome::Collapsed)));
 }
 
 /// Draining it finishes what it has; a crash loses that, and it starts again under its name and has to warm
@@ -69,40 +69,40 @@
 #[rstest]
 fn drains_crashes_and_restarts() {
     let mut node = EmulatedNode::new(spec(), None);
-    (0..3).for_each(|id| _ = node.submit(Tenths(0), job(id), 10_000));
+    (0..3).for_each(|id| _ = node.submit(Timestamp(0), job(id), 10_000));
     node.drain();
     assert_eq!(
-        (node.submit(Tenths(1), job(9), 1), node.complete(Tenths(100))),
+        (node.submit(Timestamp(1), job(9), 1), node.complete(Timestamp(100))),
         (SubmitOutcome::Refused, Some(job(0)))
     );
     assert_eq!((node.crash(), node.state()), (vec![job(1), job(2)], NodeState::Down));
-    assert_eq!((node.crash(), node.submit(Tenths(101), job(9), 1)), (vec![], SubmitOutcome::Unreachable));
+    assert_eq!((node.crash(), node.submit(Timestamp(101), job(9), 1)), (vec![], SubmitOutcome::Unreachable));
     node.drain();
     assert_eq!(node.state(), NodeState::Down, "a node that is down does not drain");
-    node.start(Tenths(500));
+    node.start(Timestamp(500));
     assert_eq!(
-        (node.state(), node.is_warming_up(Tenths(500)), node.load(Tenths(500)).in_flight),
+        (node.state(), node.is_warming_up(Timestamp(500)), node.load(Timestamp(500)).in_flight),
         (NodeState::Ready, true, 0)
     );
-    node.start(Tenths(900));
-    assert_eq!(node.started_at(), Some(Tenths(500)), "a running node is not started again");
+    node.start(Timestamp(900));
+    assert_eq!(node.started_at(), Some(Timestamp(500)), "a running node is not started again");
 }
 
 #[rstest]
 fn a_cancelled_job_frees_its_place() {
     let mut node = EmulatedNode::new(spec(), None);
-    (0..4).for_each(|id| _ = node.submit(Tenths(0), job(id), 10_000));
+    (0..4).for_each(|id| _ = node.submit(Timestamp(0), job(id), 10_000));
     assert!(
-        node.cancel(Tenths(10), job(0))
-            && node.cancel(Tenths(10), job(3))
-            && !node.cancel(Tenths(10), job(3))
+        node.cancel(Timestamp(10), job(0))
+            && node.cancel(Timestamp(10), job(3))
+            && !node.cancel(Timestamp(10), job(3))
     );
-    assert_eq!(node.load(Tenths(10)), LoadReport { queued: 0, completed_per_s: 0, in_flight: 2 });
+    assert_eq!(node.load(Timestamp(10)), LoadReport { queued: 0, completed_per_s: 0, in_flight: 2 });
     node.slow_down(0.5);
-    node.cancel(Tenths(20), job(1));
-    node.submit(Tenths(20), job(7), 10_000);
+    node.cancel(Timestamp(20), job(1));
+    node.submit(Timestamp(20), job(7), 10_000);
     assert!(
-        node.complete(Tenths(110)).is_some() && node.next_completion() == Some(Tenths(220)),
+        node.complete(Timestamp(110)).is_some() && node.next_completion() == Some(Timestamp(220)),
         "half as fast"
     );
 }
@@ -113,8 +113,8 @@
     let spec = NodeSpec { cores: 1, warm_up_jobs: Some(4), ..NodeSpec::default() };
     let mut node = EmulatedNode::new(spec, None);
     node.crash();
-    node.start(Tenths(0));
-    let later = Tenths(36_000_000);
+    node.start(Timestamp(0));
+    let later = Timestamp(36_000_000);
     assert!((node.capacity_ratio(later) - 0.2).abs() < 1e-9);
     for id in 0..4 {
         node.submit(later, JobId(id), 100);
@@ -130,10 +130,10 @@
 #[case(Cancel::Nothing, 2)]
 fn cancelled_work_goes_on(#[case] cancel: Cancel, #[case] completed: usize) {
     let mut node = EmulatedNode::new(NodeSpec { cores: 1, cancel, ..NodeSpec::default() }, None);
-    node.submit(Tenths(0), JobId(1), 1000);
-    node.submit(Tenths(0), JobId(2), 1000);
-    node.cancel(Tenths(1), JobId(2));
-    node.cancel(Tenths(1), JobId(1));
+    node.submit(Timestamp(0), JobId(1), 1000);
+    node.submit(Timestamp(0), JobId(2), 1000);
+    node.cancel(Timestamp(1), JobId(2));
+    node.cancel(Timestamp(1), JobId(1));
     let mut count = 0;
     while let Some(completion) = node.next_completion() {
         node.complete(completion);
--- a/crates/node-emulator/tests/theory.rs
+++ b/crates/node-emulator/tests/theory.rs
@@ -1,7 +1,7 @@
 //! The model node against theory: waits in M/M/c by Erlang's formula, and Little's law.
 
 use node_emulator::{EmulatedNode, JobId, NodeSpec, SubmitOutcome};
-use routing::Tenths;
+use routing::Timestamp;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -26,11 +26,11 @@
     let mut exponential = |mean: f64| -(1.0 - rng.f64()).ln() * mean;
     let mut node =
         EmulatedNode::new(NodeSpec { cores, queue_capacity: usize::MAX, ..NodeSpec::default() }, None);
-    let mut arrival_times = BTreeMap::new();
+    let mut arrival_times: BTreeMap<JobId, Timestamp> = BTreeMap::new();
     let (mut at, mut time_in_system, mut job_time, mut last) = (0.0, 0.0, 0.0, 0.0);
     for id in 0..jobs {
         at += exponential(MEAN / cores as f64 / load);
-        let now = Tenths(at as i64);
+        let now = Timestamp(at as i64);
         while let Some(completion) = node.next_completion().filter(|completion| *completion <= now) {
             job_time += node.load(completion).in_flight as f64 * (completion.0 as f64 - last);
             last = completion.0 as f64;
--- a/crates/operator-config/src/admission_section.rs
+++ b/crates/operator-config/src/admission_section.rs
@@ -4,7 +4,7 @@
 use crate::key_values::KeyValues;
 use crate::keys::ADMISSION;
 use admission_control::AdmissionConfig;
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// Admission control's configuration, where it is on. Other keys of the section without it are an error: they
 /// would do nothing.
@@ -33,7 +33,7 @@
 /// The operator's keys and the fields that they set.
 fn admission_config(values: &KeyValues) -> AdmissionConfig {
     let number = |name: &str| values.number(ADMISSION, name);
-    let duration = |name: &str| Tenths::from_ms(number(name));
+    let duration = |name: &str| TimeSpan::from_ms(number(name));
     AdmissionConfig {
         overload_level: number("level"),
         window: duration("window_ms"),
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -5,7 +5,7 @@
 use crate::keys::CONTROL;
 use crate::value_type::parse_addresses;
 use config_rollout::RolloutPolicy;
-use routing::Tenths;
+use routing::TimeSpan;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -71,12 +71,12 @@
 /// "calls" connection attempts, "waits" the backoff.
 fn rollout_policy(values: &KeyValues) -> RolloutPolicy {
     let number = |name: &str| values.number(CONTROL, name);
-    let duration = |name: &str| Tenths::from_ms(number(name));
+    let duration = |name: &str| TimeSpan::from_ms(number(name));
     RolloutPolicy {
         initial_backoff: duration("first_wait_ms"),
         max_backoff: duration("longest_wait_ms"),
         max_connects: number("calls_per_minute") as usize,
-        connect_window: Tenths::from_ms(MINUTE_MS),
+        connect_window: TimeSpan::from_ms(MINUTE_MS),
         connect_timeout: duration("call_within_ms"),
         stable_stream_age: duration("steady_ms"),
         suspect_duration: duration("suspect_ms"),
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{KEYS, LogFormat, OperatorConfig, OperatorConfigError, read};
 use admission_control::AdmissionConfig;
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 use std::path::PathBuf;
 
@@ -35,7 +35,7 @@
     assert_eq!(config.admission, Some(AdmissionConfig::default()));
     let config = read("[admission]\ndoor = on\nshares = off\nwindow_ms = 2000\n").unwrap();
     let admission = config.admission.unwrap();
-    assert_eq!((admission.enforce_quotas, admission.window), (false, Tenths(20_000)));
+    assert_eq!((admission.enforce_quotas, admission.window), (false, TimeSpan(20_000)));
 }
 
 #[rstest]
@@ -56,8 +56,8 @@
     let config = read(text).unwrap();
     let rollout = config.rollout.unwrap();
     assert_eq!((config.log_format, rollout.services.len()), (LogFormat::Json, 2));
-    assert_eq!((rollout.policy.probation_duration, rollout.max_document_bytes), (Tenths(5000), 1 << 20));
-    assert_eq!(rollout.policy.initial_backoff, Tenths(500_000), "5,000 brokers at 100 a second");
+    assert_eq!((rollout.policy.probation_duration, rollout.max_document_bytes), (TimeSpan(5000), 1 << 20));
+    assert_eq!(rollout.policy.initial_backoff, TimeSpan(500_000), "5,000 brokers at 100 a second");
     assert_eq!(rollout.state_file, Some(PathBuf::from("C:\\kept")));
 }
 
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -4,15 +4,15 @@
 use admission_control::AdmissionConfig;
 use config_rollout::RolloutPolicy;
 use operator_config::{KEYS, LogFormat, RolloutConfig, read};
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 use std::path::PathBuf;
 use std::time::Duration;
 
 const SWITCHED_ON: &str = include_str!("data/operator-switched-on.ini");
 
-fn seconds(count: i64) -> Tenths {
-    Tenths(count * 10_000)
+fn seconds(count: i64) -> TimeSpan {
+    TimeSpan(count * 10_000)
 }
 
 #[rstest]
--- a/crates/quota-lease/src/lease_config.rs
+++ b/crates/quota-lease/src/lease_config.rs
@@ -1,6 +1,6 @@
 //! What the brokers of a fleet agree on about one budget.
 
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// A budget, and how it is lent. Times are of each process's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -10,9 +10,9 @@
     /// How many brokers share the budget.
     pub brokers: u32,
     /// Over which time spent units count.
-    pub window: Tenths,
+    pub window: TimeSpan,
     /// How long a lease may be spent, from when it was requested.
-    pub lease_duration: Tenths,
+    pub lease_duration: TimeSpan,
     /// Any two clocks differ by one part in so many at the most; 100 or more.
     pub drift_divisor: u32,
     /// The most leases lent, and the most requested or held; one more is not entered.
@@ -24,8 +24,8 @@
         LeaseConfig {
             total_units: 0,
             brokers: 1,
-            window: Tenths(10_000),
-            lease_duration: Tenths(100_000),
+            window: TimeSpan(10_000),
+            lease_duration: TimeSpan(100_000),
             drift_divisor: 100,
             max_leases: 64,
         }
--- a/crates/quota-lease/src/leased_budget.rs
+++ b/crates/quota-lease/src/leased_budget.rs
@@ -2,7 +2,7 @@
 
 use crate::lease_state::{LeaseEvent, LeaseState, next_state};
 use crate::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseMessage, LeaseNumber, Message};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Of its share a broker lends one part in so many at the most, and has the rest whatever happened to it.
@@ -13,7 +13,7 @@
 struct Lease {
     state: LeaseState,
     units: u32,
-    until: Tenths,
+    until: Timestamp,
 }
 
 /// What a lender knows a lease by.
@@ -35,7 +35,7 @@
 impl BorrowedLease {
     /// Whether its units may be spent. A lease counts by its end at the moment of spending: a process that
     /// was stopped for a while spends nothing of an old one.
-    fn is_held(&self, now: Tenths) -> bool {
+    fn is_held(&self, now: Timestamp) -> bool {
         self.lease.state == LeaseState::Held && self.lease.until > now
     }
 }
@@ -43,7 +43,7 @@
 /// Units that were spent at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Spending {
-    at: Tenths,
+    at: Timestamp,
     units: u32,
 }
 
@@ -52,7 +52,7 @@
 pub struct LeasedBudget {
     config: LeaseConfig,
     instance: InstanceId,
-    started_at: Tenths,
+    started_at: Timestamp,
     lent: BTreeMap<LentLeaseId, Lease>,
     borrowed: BTreeMap<LeaseNumber, BorrowedLease>,
     /// The number of the lease requested last.
@@ -63,7 +63,7 @@
 
 impl LeasedBudget {
     /// The budget of a process that starts now.
-    pub fn start(config: LeaseConfig, instance: InstanceId, now: Tenths) -> LeasedBudget {
+    pub fn start(config: LeaseConfig, instance: InstanceId, now: Timestamp) -> LeasedBudget {
         LeasedBudget {
             config,
             instance,
@@ -76,18 +76,18 @@
     }
 
     /// A duration by one clock, lengthened by what another clock may differ over it.
-    fn with_drift(&self, duration: Tenths) -> Tenths {
-        duration + Tenths(3 * duration.0 / i64::from(self.config.drift_divisor.max(3)) + 1)
+    fn with_drift(&self, duration: TimeSpan) -> TimeSpan {
+        duration + TimeSpan(3 * duration.0 / i64::from(self.config.drift_divisor.max(3)) + 1)
     }
 
     /// For so long what was spent by another process at some moment still counts.
-    fn cool_down(&self) -> Tenths {
+    fn cool_down(&self) -> TimeSpan {
         self.with_drift(self.config.window)
     }
 
     /// For how long a lender sets units aside: longer than its borrower may spend them, and for the window in
     /// which that still counts.
-    fn lending_duration(&self) -> Tenths {
+    fn lending_duration(&self) -> TimeSpan {
         self.with_drift(self.config.lease_duration) + self.cool_down()
     }
 
@@ -98,7 +98,7 @@
     /// How much of its share is its own now. Guards against a process that does not know what the one before
     /// it, as the same broker, has spent and lent: for a window it has nothing, and then the half that is
     /// never lent, until all that may have been lent is over.
-    fn own_units(&self, now: Tenths) -> u32 {
+    fn own_units(&self, now: Timestamp) -> u32 {
         let never_lent = self.share() - self.share() / LENDABLE_DIVISOR;
         match now - self.started_at {
             age if age <= self.cool_down() => 0,
@@ -107,28 +107,28 @@
         }
     }
 
-    fn lent_units(&self, now: Tenths) -> u32 {
+    fn lent_units(&self, now: Timestamp) -> u32 {
         self.lent.values().filter(|lease| lease.until > now).map(|lease| lease.units).sum()
     }
 
-    fn borrowed_units(&self, now: Tenths) -> u32 {
+    fn borrowed_units(&self, now: Timestamp) -> u32 {
         let held = self.borrowed.values().filter(|borrowed| borrowed.is_held(now));
         held.map(|borrowed| borrowed.lease.units).sum()
     }
 
-    fn recently_spent_units(&self, now: Tenths) -> u32 {
+    fn recently_spent_units(&self, now: Timestamp) -> u32 {
         let recent = self.spent.iter().rev().take_while(|spending| now - spending.at <= self.config.window);
         recent.map(|spending| spending.units).sum()
     }
 
     /// Units that may be spent now.
-    pub fn available_units(&self, now: Tenths) -> u32 {
+    pub fn available_units(&self, now: Timestamp) -> u32 {
         let budget = self.own_units(now).saturating_sub(self.lent_units(now)) + self.borrowed_units(now);
         budget.saturating_sub(self.recently_spent_units(now))
     }
 
     /// Spends so many units, if they are available; whether they were.
-    pub fn try_spend(&mut self, now: Tenths, units: u32) -> bool {
+    pub fn try_spend(&mut self, now: Timestamp, units: u32) -> bool {
         self.remove_expired(now);
         let is_available = units <= self.available_units(now);
         if is_available && units > 0 {
@@ -138,7 +138,7 @@
     }
 
     /// Requests units of another broker's share; none where as many leases are open as may be.
-    pub fn request_lease(&mut self, now: Tenths, lender: BrokerId, units: u32) -> Option<Message> {
+    pub fn request_lease(&mut self, now: Timestamp, lender: BrokerId, units: u32) -> Option<Message> {
         self.remove_expired(now);
         if units == 0 || lender == self.instance.broker || self.borrowed.len() >= self.config.max_leases {
             return None;
@@ -152,7 +152,7 @@
     }
 
     /// Leases that may be spent or given back now.
-    pub fn held_leases(&self, now: Tenths) -> impl Iterator<Item = LeaseNumber> + '_ {
+    pub fn held_leases(&self, now: Timestamp) -> impl Iterator<Item = LeaseNumber> + '_ {
         let held = self.borrowed.iter().filter(move |(_, borrowed)| borrowed.is_held(now));
         held.map(|(number, _)| *number)
     }
@@ -168,7 +168,7 @@
     }
 
     /// Handles a message, late or duplicated as it may be; the answer to it, if there is one.
-    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> Option<Message> {
+    pub fn handle_message(&mut self, now: Timestamp, message: &Message) -> Option<Message> {
         self.remove_expired(now);
         if !self.is_addressed_by(message) {
             return None;
@@ -185,7 +185,7 @@
         message.to == self.instance.broker && is_this_process && message.from != self.instance
     }
 
-    fn handle_request(&mut self, now: Tenths, message: &Message, units: u32) -> Option<Message> {
+    fn handle_request(&mut self, now: Timestamp, message: &Message, units: u32) -> Option<Message> {
         let id = LentLeaseId { borrower: message.from, number: message.lease };
         let known = self.lent.get(&id).copied();
         let state = next_state(known.map(|lease| lease.state), LeaseEvent::RequestReceived)??;
@@ -201,7 +201,7 @@
 
     /// Units that may be lent now: of the own share, not of a borrowed one; only what was not spent within a
     /// window, and never the half that is kept.
-    fn lendable_units(&self, now: Tenths) -> u32 {
+    fn lendable_units(&self, now: Timestamp) -> u32 {
         if self.own_units(now) != self.share() {
             return 0;
         }
@@ -220,7 +220,7 @@
         None
     }
 
-    fn handle_release(&mut self, now: Tenths, message: &Message) -> Option<Message> {
+    fn handle_release(&mut self, now: Timestamp, message: &Message) -> Option<Message> {
         let cool_down = self.cool_down();
         let lease = self.lent.get_mut(&LentLeaseId { borrower: message.from, number: message.lease })?;
         lease.state = next_state(Some(lease.state), LeaseEvent::ReleaseReceived)??;
@@ -239,7 +239,7 @@
     }
 
     /// Removes leases past their end, and what was spent longer than a window ago.
-    fn remove_expired(&mut self, now: Tenths) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.lent.retain(|_, lease| lease.until > now);
         self.borrowed.retain(|_, borrowed| borrowed.lease.until > now);
         let window = self.config.window;
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -20,22 +20,22 @@
 //!
 //! ```
 //! use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeasedBudget};
-//! use routing::Tenths;
+//! use routing::{TimeSpan, Timestamp};
 //!
 //! let config = LeaseConfig {
 //!     total_units: 12,
 //!     brokers: 3,
-//!     window: Tenths(100),
-//!     lease_duration: Tenths(1000),
+//!     window: TimeSpan(100),
+//!     lease_duration: TimeSpan(1000),
 //!     ..LeaseConfig::default()
 //! };
 //! let instance = |broker, incarnation| InstanceId {
 //!     broker: BrokerId(broker),
 //!     incarnation: Incarnation(incarnation),
 //! };
-//! let mut borrower = LeasedBudget::start(config.clone(), instance(0, 7), Tenths(0));
-//! let mut lender = LeasedBudget::start(config, instance(1, 8), Tenths(0));
-//! let later = Tenths(5000); // both have run for longer than a lease
+//! let mut borrower = LeasedBudget::start(config.clone(), instance(0, 7), Timestamp(0));
+//! let mut lender = LeasedBudget::start(config, instance(1, 8), Timestamp(0));
+//! let later = Timestamp(5000); // both have run for longer than a lease
 //! assert_eq!(borrower.available_units(later), 4);
 //! let request = borrower.request_lease(later, BrokerId(1), 2).unwrap();
 //! let grant = lender.handle_message(later, &request).unwrap();
--- a/crates/quota-lease/tests/bounds.rs
+++ b/crates/quota-lease/tests/bounds.rs
@@ -2,10 +2,10 @@
 //! leases than the bound.
 
 use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseMessage, LeasedBudget, Message};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const LATER: Tenths = Tenths(1_000_000);
+const LATER: Timestamp = Timestamp(1_000_000);
 
 fn instance(broker: u16, incarnation: u64) -> InstanceId {
     InstanceId { broker: BrokerId(broker), incarnation: Incarnation(incarnation) }
@@ -13,7 +13,7 @@
 
 fn leased_budget(broker: u16, max_leases: usize) -> LeasedBudget {
     let config = LeaseConfig { total_units: 300, brokers: 3, max_leases, ..LeaseConfig::default() };
-    LeasedBudget::start(config, instance(broker, u64::from(broker)), Tenths(0))
+    LeasedBudget::start(config, instance(broker, u64::from(broker)), Timestamp(0))
 }
 
 /// A grant to one process of broker 0.
@@ -38,7 +38,7 @@
     let mut borrower = leased_budget(0, 8);
     let request = borrower.request_lease(LATER, BrokerId(1), 10).unwrap();
     let grant = grant(instance(from, 7), 0, units, &request);
-    let now = LATER + Tenths(after);
+    let now = LATER + TimeSpan(after);
     (0..2).for_each(|_| _ = borrower.handle_message(now, &grant));
     assert_eq!(borrower.available_units(now), left);
 }
--- a/crates/quota-lease/tests/drift.rs
+++ b/crates/quota-lease/tests/drift.rs
@@ -3,7 +3,7 @@
 //! is of use.
 
 use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeasedBudget, Message};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 const BROKERS: usize = 5;
@@ -23,13 +23,13 @@
 impl Broker {
     fn start(broker: usize, rng: &mut fastrand::Rng, real_time: i64) -> Broker {
         let clock_rate = 1.0 + MAX_RATE_ERROR * (2.0 * rng.f64() - 1.0);
-        let now = Tenths((real_time as f64 * clock_rate) as i64);
+        let now = Timestamp((real_time as f64 * clock_rate) as i64);
         let leased_budget = LeasedBudget::start(config(), new_instance(broker, rng), now);
         Broker { leased_budget, clock_rate, stopped_until: 0 }
     }
 
-    fn now(&self, real_time: i64) -> Tenths {
-        Tenths((real_time as f64 * self.clock_rate) as i64)
+    fn now(&self, real_time: i64) -> Timestamp {
+        Timestamp((real_time as f64 * self.clock_rate) as i64)
     }
 }
 
@@ -37,8 +37,8 @@
     LeaseConfig {
         total_units: TOTAL_UNITS,
         brokers: BROKERS as u32,
-        window: Tenths(WINDOW),
-        lease_duration: Tenths(20_000),
+        window: TimeSpan(WINDOW),
+        lease_duration: TimeSpan(20_000),
         drift_divisor: 100,
         max_leases: 16,
     }
--- a/crates/quota-lease/tests/model.rs
+++ b/crates/quota-lease/tests/model.rs
@@ -3,7 +3,7 @@
 //! `LeasedBudget` itself. Stopped processes are covered, as no action of a broker has to happen.
 
 use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseNumber, LeasedBudget, Message};
-use routing::Tenths;
+use routing::{TimeSpan, Timestamp};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -50,13 +50,13 @@
         let config = LeaseConfig {
             total_units: SHARE * u32::from(BROKERS),
             brokers: BROKERS.into(),
-            window: Tenths(self.window),
-            lease_duration: Tenths(self.lease_durations[broker]),
+            window: TimeSpan(self.window),
+            lease_duration: TimeSpan(self.lease_durations[broker]),
             drift_divisor: 1_000_000,
             max_leases: 4,
         };
         let instance = InstanceId { broker: BrokerId(broker as u16), incarnation: Incarnation(incarnation) };
-        LeasedBudget::start(config, instance, Tenths(started_at))
+        LeasedBudget::start(config, instance, Timestamp(started_at))
     }
 
     fn tick(&self, state: &mut State) {
@@ -65,7 +65,7 @@
         let outside_window = state.spent.len().saturating_sub(self.window as usize + 1);
         state.spent.drain(..outside_window);
         // What is over is removed, so that states which differ by it alone are one.
-        let now = Tenths(state.now);
+        let now = Timestamp(state.now);
         state.budgets.iter_mut().for_each(|leased_budget| _ = leased_budget.try_spend(now, 0));
     }
 }
@@ -80,7 +80,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let now = Tenths(state.now);
+        let now = Timestamp(state.now);
         if state.now < self.last_tick {
             actions.push(Action::Tick);
         }
@@ -102,7 +102,7 @@
     }
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
-        let (mut next, now) = (state.clone(), Tenths(state.now));
+        let (mut next, now) = (state.clone(), Timestamp(state.now));
         match action {
             Action::Tick => self.tick(&mut next),
             Action::Spend { broker } => {
@@ -134,7 +134,7 @@
                 state.spent.iter().sum::<u32>() <= SHARE * u32::from(BROKERS)
             }),
             Property::sometimes(LEASE_SPENT, |_, state: &State| {
-                let now = Tenths(state.now);
+                let now = Timestamp(state.now);
                 let holds_lease = |budget: &LeasedBudget| budget.held_leases(now).next().is_some();
                 state.budgets.iter().any(|budget| holds_lease(budget) && budget.available_units(now) == 0)
             }),
--- a/crates/routing/src/broker/attempt_ended.rs
+++ b/crates/routing/src/broker/attempt_ended.rs
@@ -12,7 +12,7 @@
 use crate::state::{
     AttemptId, ConnectionUse, Execution, InFlightAttempt, Node, Query, QueryEvent, ShardRequestState,
 };
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 impl Broker {
     /// An attempt has ended: what it tells is learned, and its query moves on.
@@ -80,7 +80,7 @@
         self.learn_of_node(attempt, result, meaning);
     }
 
-    fn adapt_concurrency_limit(&mut self, attempt: &InFlightAttempt, duration: Tenths) {
+    fn adapt_concurrency_limit(&mut self, attempt: &InFlightAttempt, duration: TimeSpan) {
         let sample = LimitSample {
             latency_objective: attempt.latency_objective,
             duration,
@@ -151,9 +151,9 @@
 
 fn update_node(
     node: &mut Node,
-    now: Tenths,
-    average: Tenths,
-    latency_objective: Tenths,
+    now: Timestamp,
+    average: TimeSpan,
+    latency_objective: TimeSpan,
     result: &AttemptResult,
     meaning: OutcomeMeaning,
 ) {
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -31,7 +31,7 @@
 use crate::policy::reconfiguration::derive_config;
 use crate::policy::send_delay::max_send_delay;
 use crate::state::{BrokerState, QueryEvent, QueryState, ShardRequestState, Timer};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
 /// The routing decisions of one broker, made from nothing but what that broker was told.
@@ -48,7 +48,7 @@
 impl Broker {
     /// A broker that has just started and knows nothing but its configuration. `seed` is where its chance
     /// comes from, `now` the moment by the clock of all later turns.
-    pub fn start(config: BrokerConfig, seed: u64, now: Tenths) -> Broker {
+    pub fn start(config: BrokerConfig, seed: u64, now: Timestamp) -> Broker {
         let limit = ConcurrencyLimit::initial(config.limits.max_open);
         let mut state = BrokerState::new(now, seed, limit);
         if config.watch_on_request {
@@ -59,7 +59,7 @@
 
     /// Takes in all that has come since the last turn, in order, and tells what to do at this same moment, in
     /// order.
-    pub fn turn(&mut self, now: Tenths, inputs: &[Input]) -> Vec<Effect> {
+    pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         self.begin_turn(now);
         for input in inputs {
             self.handle(input);
@@ -78,7 +78,7 @@
         std::mem::take(&mut self.state.effects)
     }
 
-    fn begin_turn(&mut self, now: Tenths) {
+    fn begin_turn(&mut self, now: Timestamp) {
         self.state.now = now;
         self.state.average_latency = self.state.nodes.mean_latency();
         self.state.superseded_configs.retain(|superseded| superseded.binds_until > now);
@@ -170,12 +170,12 @@
     }
 
     /// The longest way of an attempt to its node.
-    fn max_send_delay(&self) -> Tenths {
+    fn max_send_delay(&self) -> TimeSpan {
         max_send_delay(&self.config.broker)
     }
 
     /// Schedules a timer for the next look at something that waits.
-    fn poll(&mut self, latency_objective: Tenths, timer: Timer) {
+    fn poll(&mut self, latency_objective: TimeSpan, timer: Timer) {
         let at = self.state.now + polling::interval(latency_objective);
         self.state.timers.schedule(at, timer);
     }
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -9,11 +9,11 @@
 use crate::policy::replica_choice::{self, Candidate};
 use crate::policy::slow_start::{self, SlowStartRequest};
 use crate::state::{ConnectionAfterIdle, ConnectionUse, Query, ShardRequest};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 impl Broker {
     /// The smoothed latency over all nodes, or a guess before any was measured.
-    pub(super) fn average_latency(&self) -> Tenths {
+    pub(super) fn average_latency(&self) -> TimeSpan {
         average_latency(self.state.average_latency, self.config.shortest_objective)
     }
 
@@ -101,7 +101,7 @@
         let node = &self.state.nodes[id];
         let (now, shortest_objective) = (self.state.now, self.config.shortest_objective);
         let idle_period = now - node.last_success_at;
-        let was_used = node.last_success_at > Tenths::ZERO;
+        let was_used = node.last_success_at > Timestamp::ZERO;
         let is_unused_now = node.batches.is_empty();
         if !was_used || !is_unused_now || !is_idle(idle_period, shortest_objective) {
             return node.open_batch.and(node.connection);
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -14,7 +14,7 @@
 use crate::policy::query_times::attempt_timeout;
 use crate::state::{AttemptId, BatchedAttempt, InFlightAttempt, Query, QueryState};
 use crate::state::{ShardRequestState, Timer};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 /// Sending.
 impl Broker {
@@ -89,7 +89,7 @@
 /// Another attempt.
 impl Broker {
     /// How long an attempt may be silent before another is considered.
-    fn hedge_delay(&self, latency_objective: Tenths) -> Tenths {
+    fn hedge_delay(&self, latency_objective: TimeSpan) -> TimeSpan {
         hedge_delay(self.average_latency(), latency_objective)
     }
 
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a broker: how the service is to be served.
 
 use crate::ids::{ClassId, PlacementGroupId, ShardId, TenantId, ZoneId};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use std::collections::BTreeMap;
 
 /// Everything that a broker is configured with, at its start and anew with
@@ -15,9 +15,9 @@
     /// The zone of this broker.
     pub zone: ZoneId,
     /// The least time between two turns.
-    pub period: Tenths,
+    pub period: TimeSpan,
     /// The longest that an attempt may take from its turn to its node.
-    pub send_lag: Tenths,
+    pub send_lag: TimeSpan,
     /// The request classes.
     pub classes: BTreeMap<ClassId, RequestClass>,
     /// The tenants that have a quota.
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
     /// A response within this time is on time.
-    pub latency_objective: Tenths,
+    pub latency_objective: TimeSpan,
     /// Extra time, as a multiple of the work that a query is expected to be.
     pub objective_stretch: f64,
     /// A response after this time is useless.
-    pub deadline: Tenths,
+    pub deadline: TimeSpan,
     /// What a query served on time is worth, beside those of other classes.
     pub priority_weight: f64,
     /// The share of the priority weight that a response after the latency objective is worth.
@@ -61,7 +61,7 @@
     pub idempotency: Idempotency,
     /// With an idempotency key: how long repeats are dropped, from the first attempt that may have been
     /// executed.
-    pub dedup_window: Tenths,
+    pub dedup_window: TimeSpan,
 }
 
 /// What a second execution of a shard request would do.
@@ -119,7 +119,7 @@
     /// Rejected clients are told when to come back, `max_retry_after` at the most.
     pub retry_after: bool,
     /// See `retry_after`.
-    pub max_retry_after: Tenths,
+    pub max_retry_after: TimeSpan,
 }
 
 /// Rules that must hold.
@@ -128,15 +128,15 @@
     /// A node starts with this share of its capacity, or more.
     pub initial_capacity_share: f64,
     /// It has warmed up no later than this after its start.
-    pub warm_up_period: Tenths,
+    pub warm_up_period: TimeSpan,
     /// Sent more than this multiple of what it can do...
     pub overload_factor: f64,
     /// ...for this long, a node that warms up collapses.
-    pub overload_window: Tenths,
+    pub overload_window: TimeSpan,
     /// Without a live endpoint list, what was listed this long ago counts as known.
-    pub endpoint_list_max_age: Tenths,
+    pub endpoint_list_max_age: TimeSpan,
     /// Nothing new goes to a node later than this after it was told to drain, or to be removed.
-    pub drain_grace: Tenths,
+    pub drain_grace: TimeSpan,
     /// The budget for attempts beyond a shard request's first; none is stated: the broker has one of its own.
     pub retry_budget: Option<RetryBudget>,
 }
@@ -149,5 +149,5 @@
     /// So many more for each query and shard request that was accepted in it.
     pub share: f64,
     /// The length of the window.
-    pub window: Tenths,
+    pub window: TimeSpan,
 }
--- a/crates/routing/src/effective_config.rs
+++ b/crates/routing/src/effective_config.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{BrokerConfig, Idempotency, RequestClass, RetryBudget};
 use crate::ids::ClassId;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -10,24 +10,24 @@
 #[derive(Debug)]
 pub(crate) struct ClassPolicy {
     /// The latency objective, or the deadline if that is sooner.
-    pub(crate) latency_objective: Tenths,
+    pub(crate) latency_objective: TimeSpan,
     pub(crate) objective_stretch: f64,
-    pub(crate) deadline: Tenths,
+    pub(crate) deadline: TimeSpan,
     /// How long after its objective an attempt may still be of use.
-    pub(crate) useful_after_objective: Tenths,
+    pub(crate) useful_after_objective: TimeSpan,
     /// The share of its weight that a response after the objective is worth.
     pub(crate) late_weight_share: f64,
     pub(crate) min_coverage: f64,
     pub(crate) complete_coverage: f64,
     pub(crate) has_second_phase: bool,
     pub(crate) idempotency: Idempotency,
-    pub(crate) dedup_window: Tenths,
+    pub(crate) dedup_window: TimeSpan,
     pub(crate) priority_weight: f64,
 }
 
 impl ClassPolicy {
     fn of(class: &RequestClass) -> ClassPolicy {
-        let after_objective = (class.deadline - class.latency_objective).max(Tenths::ZERO);
+        let after_objective = (class.deadline - class.latency_objective).max(TimeSpan::ZERO);
         ClassPolicy {
             latency_objective: class.latency_objective.min(class.deadline),
             objective_stretch: class.objective_stretch,
@@ -52,7 +52,7 @@
     /// The stated budget, or the broker's own where none is stated.
     pub(crate) retry_budget: RetryBudget,
     /// The shortest latency objective of all classes.
-    pub(crate) shortest_objective: Tenths,
+    pub(crate) shortest_objective: TimeSpan,
     /// How many replicas of one placement group a broker chooses among.
     pub(crate) max_group_replicas: usize,
 }
@@ -62,7 +62,7 @@
     pub(crate) fn derive(
         broker: BrokerConfig,
         default_budget: RetryBudget,
-        default_objective: Tenths,
+        default_objective: TimeSpan,
         max_group_replicas: usize,
     ) -> EffectiveConfig {
         let policies = broker.classes.iter().map(|(id, class)| (*id, Arc::new(ClassPolicy::of(class))));
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{AttemptNumber, NodeId, QueryId, ShardRequestId};
 use crate::log_event::LogEvent;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 /// One thing to do; the effects of a turn are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,7 +14,7 @@
         /// The node.
         node: NodeId,
         /// After this the attempt ends as timed out.
-        timeout: Tenths,
+        timeout: TimeSpan,
     },
     /// Cancel an attempt.
     Cancel {
@@ -35,7 +35,7 @@
         /// The query.
         query: QueryId,
         /// When its client may come back; zero: it is not told.
-        retry_after: Tenths,
+        retry_after: TimeSpan,
     },
     /// End a query without a response: it may have been executed.
     Fail {
@@ -55,7 +55,7 @@
     /// Give the broker a turn with [`Input::Woken`](crate::Input::Woken) after this time.
     Wake {
         /// From this turn on.
-        after: Tenths,
+        after: TimeSpan,
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -5,7 +5,7 @@
     AttemptNumber, ClassId, GroupId, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId,
     ZoneId,
 };
-use crate::time::Tenths;
+use crate::time::{TimeSpan, WallClockTime};
 use std::sync::Arc;
 
 /// One thing that a broker is told. A front end gives a turn all that has come in, in the order in which it
@@ -44,7 +44,7 @@
     pub kind: EndpointListKind,
     /// What the wall clock showed as the list came, by which the nodes' start times were taken. It may be
     /// stepped at any time.
-    pub wall_clock: Tenths,
+    pub wall_clock: WallClockTime,
     /// The nodes; shared, as many brokers of a simulation may hold one list.
     pub entries: Arc<[Endpoint]>,
 }
@@ -72,7 +72,7 @@
     /// Whether it may be sent to.
     pub state: EndpointState,
     /// When its process last started, by the wall clock of its machine; none: long ago.
-    pub started_at: Option<Tenths>,
+    pub started_at: Option<WallClockTime>,
 }
 
 /// What discovery says of a node.
@@ -99,9 +99,9 @@
     /// Who sent it.
     pub tenant: TenantId,
     /// How long its client will wait.
-    pub time_left: Tenths,
+    pub time_left: TimeSpan,
     /// The work of all its shard requests, roughly, where that is told; else zero.
-    pub work: Tenths,
+    pub work: TimeSpan,
     /// How often its client sent it before, where that is told; else 0.
     pub client_attempt: u32,
     /// Only what its minimum coverage needs is to be sent: admission control holds its tenant to a share.
@@ -133,7 +133,7 @@
     /// What came of it.
     pub outcome: AttemptOutcome,
     /// The time from its turn to its end.
-    pub duration: Tenths,
+    pub duration: TimeSpan,
 }
 
 /// What came of an attempt.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -8,10 +8,10 @@
 //! chance comes from the seed alone.
 //!
 //! ```
-//! use routing::{Broker, BrokerConfig, Input, Tenths};
+//! use routing::{Broker, BrokerConfig, Input, Timestamp};
 //!
-//! let mut broker = Broker::start(BrokerConfig::default(), 7, Tenths(0));
-//! assert!(broker.turn(Tenths(50), &[Input::Woken]).is_empty());
+//! let mut broker = Broker::start(BrokerConfig::default(), 7, Timestamp(0));
+//! assert!(broker.turn(Timestamp(50), &[Input::Woken]).is_empty());
 //! ```
 //!
 //! Where to read: `policy` has every decision, a file for each rule; `policy/query_life.rs` the states of a
@@ -40,4 +40,4 @@
 pub use log_event::LogEvent;
 pub use policy::{discovery_backoff, shutdown_deadline};
 pub use statistics::{SlidingWindow, WindowCounts};
-pub use time::Tenths;
+pub use time::{TimeSpan, Timestamp, WallClockTime};
--- a/crates/routing/src/policy/admission_queue.rs
+++ b/crates/routing/src/policy/admission_queue.rs
@@ -4,7 +4,7 @@
 //! queue only delays the rejection, so no more may wait than would fill the concurrency limit once more. The
 //! cost: a query that is rejected in the end has waited in vain.
 
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
@@ -22,9 +22,9 @@
     pub(crate) queue_length: usize,
     /// The concurrency limit, in shard requests.
     pub(crate) limit: f64,
-    pub(crate) latency_objective: Tenths,
+    pub(crate) latency_objective: TimeSpan,
     /// The time left until a response has to leave to be on time.
-    pub(crate) time_left: Tenths,
+    pub(crate) time_left: TimeSpan,
 }
 
 impl Applicant {
--- a/crates/routing/src/policy/admission_queue/tests.rs
+++ b/crates/routing/src/policy/admission_queue/tests.rs
@@ -1,7 +1,7 @@
 //! Which queries may wait.
 
 use super::Applicant;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use rstest::rstest;
 
 const FIRST: Applicant = Applicant {
@@ -9,17 +9,17 @@
     shard_requests: 5,
     queue_length: 1,
     limit: 10.0,
-    latency_objective: Tenths(1000),
-    time_left: Tenths(1000),
+    latency_objective: TimeSpan(1000),
+    time_left: TimeSpan(1000),
 };
 
 #[rstest]
 #[case::fills_the_limit_once_more(FIRST, true)]
 #[case::more_than_fills_the_limit(Applicant { queue_length: 2, ..FIRST }, false)]
 #[case::keeps_its_place(Applicant { is_queued: true, queue_length: 2, ..FIRST }, true)]
-#[case::within_a_fifth_of_the_objective(Applicant { time_left: Tenths(801), ..FIRST }, true)]
-#[case::after_a_fifth_of_the_objective(Applicant { time_left: Tenths(800), ..FIRST }, false)]
-#[case::no_time_though_queued(Applicant { is_queued: true, time_left: Tenths(800), ..FIRST }, false)]
+#[case::within_a_fifth_of_the_objective(Applicant { time_left: TimeSpan(801), ..FIRST }, true)]
+#[case::after_a_fifth_of_the_objective(Applicant { time_left: TimeSpan(800), ..FIRST }, false)]
+#[case::no_time_though_queued(Applicant { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
 fn may_wait(#[case] applicant: Applicant, #[case] expected: bool) {
     assert_eq!(applicant.may_wait(), expected);
 }
--- a/crates/routing/src/policy/canary.rs
+++ b/crates/routing/src/policy/canary.rs
@@ -7,7 +7,7 @@
 //! more.
 
 use crate::statistics::LossRatio;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
 const MAX_FAILURE_RATE: f64 = 0.1;
 
 /// The span over which failures are counted.
-const SPAN: Tenths = Tenths(50_000);
+const SPAN: TimeSpan = TimeSpan(50_000);
 
 /// Fewer attempts than this count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
@@ -27,12 +27,12 @@
 
 impl NodeFailureRate {
     /// An attempt has ended.
-    pub(crate) fn record(&mut self, now: Tenths, node_looks_down: bool) {
+    pub(crate) fn record(&mut self, now: Timestamp, node_looks_down: bool) {
         self.0.count(now, SPAN, f64::from(u8::from(node_looks_down)), 1.0);
     }
 
     /// Whether a query sends a canary request. `is_first_send`: none of its shard requests was sent yet.
-    pub(crate) fn wants_canary(&self, now: Tenths, is_first_send: bool, shard_requests: usize) -> bool {
+    pub(crate) fn wants_canary(&self, now: Timestamp, is_first_send: bool, shard_requests: usize) -> bool {
         let failure_rate = self.0.share(now, SPAN, MIN_ATTEMPTS);
         is_first_send && shard_requests > 1 && failure_rate > MAX_FAILURE_RATE
     }
--- a/crates/routing/src/policy/canary/tests.rs
+++ b/crates/routing/src/policy/canary/tests.rs
@@ -1,10 +1,10 @@
 //! When a canary request goes first.
 
 use super::NodeFailureRate;
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(1000);
+const NOW: Timestamp = Timestamp(1000);
 
 fn failure_rate(failures: usize, attempts: usize) -> NodeFailureRate {
     let mut rate = NodeFailureRate::default();
--- a/crates/routing/src/policy/completion_chance.rs
+++ b/crates/routing/src/policy/completion_chance.rs
@@ -8,7 +8,7 @@
 //! window, and a query is tried again. The cost: what chance would have served.
 
 use crate::statistics::SlidingWindow;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -17,7 +17,7 @@
 const MIN_CHANCE: f64 = 0.03;
 
 /// The span over which overload is counted.
-const WINDOW: Tenths = Tenths(50_000);
+const WINDOW: TimeSpan = TimeSpan(50_000);
 
 /// Slices of the window.
 const SLICES: usize = 10;
@@ -32,12 +32,12 @@
 
 impl OverloadRate {
     /// An attempt has ended.
-    pub(crate) fn record(&mut self, now: Tenths, is_overload: bool) {
+    pub(crate) fn record(&mut self, now: Timestamp, is_overload: bool) {
         self.0.count(now, WINDOW, f64::from(u8::from(is_overload)), 1.0);
     }
 
     /// The share now, from 0 to 1.
-    pub(crate) fn read(&self, now: Tenths) -> f64 {
+    pub(crate) fn read(&self, now: Timestamp) -> f64 {
         self.0.share(now, WINDOW, MIN_ATTEMPTS)
     }
 }
--- a/crates/routing/src/policy/completion_chance/tests.rs
+++ b/crates/routing/src/policy/completion_chance/tests.rs
@@ -1,7 +1,7 @@
 //! Which queries are too unlikely to become complete.
 
 use super::{OverloadRate, WINDOW, is_unlikely};
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use rstest::rstest;
 
 // With r = 0.5 and 3 attempts a shard request is lost with 0.125; 0.875^26 = 0.031, 0.875^27 = 0.027.
@@ -25,7 +25,7 @@
 #[rstest]
 fn the_rate_forgets_after_its_window() {
     let mut rate = OverloadRate::default();
-    (0..20).for_each(|attempt| rate.record(Tenths(0), attempt < 10));
-    assert_eq!(rate.read(Tenths(0)), 0.5);
-    assert_eq!(rate.read(WINDOW), 0.0);
+    (0..20).for_each(|attempt| rate.record(Timestamp(0), attempt < 10));
+    assert_eq!(rate.read(Timestamp(0)), 0.5);
+    assert_eq!(rate.read(Timestamp::ZERO + WINDOW), 0.0);
 }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -8,7 +8,7 @@
 //! Under overload capacity goes where it is worth most: every query may use a common share of the limit, and
 //! more in proportion to what its class yields for each shard request.
 
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
@@ -33,8 +33,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitSample {
     /// The latency objective of its class.
-    pub(crate) latency_objective: Tenths,
-    pub(crate) duration: Tenths,
+    pub(crate) latency_objective: TimeSpan,
+    pub(crate) duration: TimeSpan,
     /// Shard requests in flight after the turn in which it was sent.
     pub(crate) in_flight_at_send: f64,
     /// These used much of the limit of that moment, see [`ConcurrencyLimit::is_used_by`].
--- a/crates/routing/src/policy/concurrency_limit/tests.rs
+++ b/crates/routing/src/policy/concurrency_limit/tests.rs
@@ -1,15 +1,15 @@
 //! How the limit adapts.
 
 use super::{ConcurrencyLimit, LimitSample};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use rstest::rstest;
 
 const MAX_OPEN: u32 = 200;
 
 /// At the target latency, a quarter of the objective, with the limit of 100 fully used.
 const AT_TARGET: LimitSample = LimitSample {
-    latency_objective: Tenths(4000),
-    duration: Tenths(1000),
+    latency_objective: TimeSpan(4000),
+    duration: TimeSpan(1000),
     in_flight_at_send: 100.0,
     limit_was_used: true,
 };
@@ -17,16 +17,16 @@
 #[rstest]
 #[case::at_the_target(AT_TARGET, 100.0)]
 // Half as long: one and a half times as many at the most, a hundredth of the way.
-#[case::faster(LimitSample { duration: Tenths(500), ..AT_TARGET }, 100.5)]
-#[case::faster_but_unused(LimitSample { duration: Tenths(500), limit_was_used: false, ..AT_TARGET }, 100.0)]
-#[case::slower(LimitSample { duration: Tenths(2000), ..AT_TARGET }, 99.5)]
-#[case::slower_though_unused(LimitSample { duration: Tenths(2000), limit_was_used: false, ..AT_TARGET }, 99.5)]
+#[case::faster(LimitSample { duration: TimeSpan(500), ..AT_TARGET }, 100.5)]
+#[case::faster_but_unused(LimitSample { duration: TimeSpan(500), limit_was_used: false, ..AT_TARGET }, 100.0)]
+#[case::slower(LimitSample { duration: TimeSpan(2000), ..AT_TARGET }, 99.5)]
+#[case::slower_though_unused(LimitSample { duration: TimeSpan(2000), limit_was_used: false, ..AT_TARGET }, 99.5)]
 #[case::slower_with_few_in_flight(
-    LimitSample { duration: Tenths(2000), in_flight_at_send: 50.0, ..AT_TARGET },
+    LimitSample { duration: TimeSpan(2000), in_flight_at_send: 50.0, ..AT_TARGET },
     99.25
 )]
 #[case::slower_with_more_than_the_limit(
-    LimitSample { duration: Tenths(2000), in_flight_at_send: 500.0, ..AT_TARGET },
+    LimitSample { duration: TimeSpan(2000), in_flight_at_send: 500.0, ..AT_TARGET },
     99.5
 )]
 fn adapts(#[case] sample: LimitSample, #[case] expected: f64) {
@@ -39,13 +39,13 @@
 fn stays_within_its_bounds() {
     let mut limit = ConcurrencyLimit::initial(MAX_OPEN);
     for _ in 0..1000 {
-        limit.adapt(LimitSample { duration: Tenths(1), ..AT_TARGET }, MAX_OPEN);
+        limit.adapt(LimitSample { duration: TimeSpan(1), ..AT_TARGET }, MAX_OPEN);
     }
     assert_eq!(limit.shard_requests(), 200.0);
     limit.lower_to(50);
     assert_eq!(limit.shard_requests(), 50.0);
     for _ in 0..1000 {
-        limit.adapt(LimitSample { duration: Tenths(1_000_000), ..AT_TARGET }, MAX_OPEN);
+        limit.adapt(LimitSample { duration: TimeSpan(1_000_000), ..AT_TARGET }, MAX_OPEN);
     }
     assert_eq!(limit.shard_requests(), 1.0);
 }
@@ -53,7 +53,7 @@
 #[rstest]
 fn small_limits_move_in_small_steps() {
     let mut limit = ConcurrencyLimit::initial(4);
-    limit.adapt(LimitSample { duration: Tenths(500), ..AT_TARGET }, 4);
+    limit.adapt(LimitSample { duration: TimeSpan(500), ..AT_TARGET }, 4);
     assert_eq!(limit.shard_requests(), 2.1);
 }
 
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -6,7 +6,7 @@
 
 use super::query_times::first_phase_ends_at;
 use crate::state::{Query, ShardRequestState};
-use crate::time::Tenths;
+use crate::time::Timestamp;
 
 #[cfg(test)]
 mod tests;
@@ -44,7 +44,7 @@
 
 /// Whether a response is due now: the minimum coverage is in, and the rest has come, has failed, or must not
 /// be waited for any longer because a second phase is to follow.
-pub(crate) fn is_settled(query: &Query, now: Tenths) -> bool {
+pub(crate) fn is_settled(query: &Query, now: Timestamp) -> bool {
     let phase_ends_at = first_phase_ends_at(query.times.objective_at, query.policy.latency_objective);
     let is_phase_over = query.has_phase_to_come() && now >= phase_ends_at;
     let has_ended = query.weight_in(&[ShardRequestState::Queued, ShardRequestState::InFlight]) == 0.0;
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -7,7 +7,7 @@
 use crate::policy::test_queries::{class, query, with_states};
 use crate::state::Query;
 use crate::state::ShardRequestState::{self, Failed, InFlight, Queued, Received, Unsent};
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use rstest::rstest;
 
 fn halves(class: RequestClass, states: [ShardRequestState; 2]) -> Query {
@@ -71,7 +71,7 @@
 #[case::the_rest_is_queued([Received, Queued], false)]
 #[case::too_little([Failed, Failed], false)]
 fn a_response_is_due(#[case] states: [ShardRequestState; 2], #[case] expected: bool) {
-    assert_eq!(is_settled(&halves(class(0.5, 1.0), states), Tenths(9_000)), expected);
+    assert_eq!(is_settled(&halves(class(0.5, 1.0), states), Timestamp(9_000)), expected);
 }
 
 #[rstest]
@@ -80,8 +80,8 @@
 fn a_first_phase_waits_for_half_of_the_objective(#[case] now: i64, #[case] expected: bool) {
     let two_phases = RequestClass { second_phase_shard_requests: 1, ..class(0.5, 1.0) };
     let first_phase = halves(two_phases, [Received, InFlight]);
-    assert_eq!(is_settled(&first_phase, Tenths(now)), expected);
-    assert!(!is_settled(&in_second_phase(first_phase), Tenths(now)));
+    assert_eq!(is_settled(&first_phase, Timestamp(now)), expected);
+    assert!(!is_settled(&in_second_phase(first_phase), Timestamp(now)));
 }
 
 #[rstest]
--- a/crates/routing/src/policy/endpoint_watch.rs
+++ b/crates/routing/src/policy/endpoint_watch.rs
@@ -3,7 +3,7 @@
 //! Discovery is shared by all brokers and finite: while it fails, each broker waits exponentially longer,
 //! with jitter, so that they don't all call at once when it is back.
 
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
@@ -21,17 +21,17 @@
 const SILENCE_SHARE: f64 = 0.5;
 
 /// A greatest age that is configured shorter than this counts as this long.
-const MIN_LIST_AGE: Tenths = Tenths(50_000);
+const MIN_LIST_AGE: TimeSpan = TimeSpan(50_000);
 
 /// How long to wait after a failed call, `earlier_failures` in a row before it. `random` is a number from 0
 /// to 1.
-pub(crate) fn delay_after_failure(list_max_age: Tenths, earlier_failures: u32, random: f64) -> Tenths {
+pub(crate) fn delay_after_failure(list_max_age: TimeSpan, earlier_failures: u32, random: f64) -> TimeSpan {
     let base = list_max_age.max(MIN_LIST_AGE).times(FAILURE_DELAY_SHARE);
     let doublings = earlier_failures.min(MAX_DOUBLINGS);
     base.times(f64::from(1 << doublings) * (MIN_JITTER + random))
 }
 
 /// How long a watch may bring nothing before it is opened anew.
-pub(crate) fn max_silence(list_max_age: Tenths) -> Tenths {
+pub(crate) fn max_silence(list_max_age: TimeSpan) -> TimeSpan {
     list_max_age.max(MIN_LIST_AGE).times(SILENCE_SHARE)
 }
--- a/crates/routing/src/policy/endpoint_watch/tests.rs
+++ b/crates/routing/src/policy/endpoint_watch/tests.rs
@@ -1,7 +1,7 @@
 //! How long broker and discovery leave each other alone.
 
 use super::{delay_after_failure, max_silence};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use rstest::rstest;
 
 #[rstest]
@@ -11,12 +11,12 @@
 #[case::doubles_three_times(3, 0.5, 40_000)]
 #[case::and_no_more(9, 0.5, 40_000)]
 fn failures_double_the_wait(#[case] earlier_failures: u32, #[case] random: f64, #[case] expected: i64) {
-    assert_eq!(delay_after_failure(Tenths(100_000), earlier_failures, random), Tenths(expected));
+    assert_eq!(delay_after_failure(TimeSpan(100_000), earlier_failures, random), TimeSpan(expected));
 }
 
 #[rstest]
 fn a_silent_watch_is_opened_anew_after_half_the_age() {
-    assert_eq!(max_silence(Tenths(100_000)), Tenths(50_000));
-    assert_eq!(max_silence(Tenths(10)), Tenths(25_000));
-    assert_eq!(delay_after_failure(Tenths(10), 0, 0.5), Tenths(2_500));
+    assert_eq!(max_silence(TimeSpan(100_000)), TimeSpan(50_000));
+    assert_eq!(max_silence(TimeSpan(10)), TimeSpan(25_000));
+    assert_eq!(delay_after_failure(TimeSpan(10), 0, 0.5), TimeSpan(2_500));
 }
--- a/crates/routing/src/policy/give_up.rs
+++ b/crates/routing/src/policy/give_up.rs
@@ -1,7 +1,7 @@
 //! Giving up: how a query ends that gets no response.
 
 use crate::config::RequestLimits;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
@@ -26,6 +26,6 @@
 
 /// The time after which a rejected client may come back; zero where clients are not told one. By the latency
 /// objective of its class the queries that are in flight now have ended.
-pub(crate) fn retry_after(limits: &RequestLimits, latency_objective: Tenths) -> Tenths {
-    if limits.retry_after { latency_objective.min(limits.max_retry_after) } else { Tenths::ZERO }
+pub(crate) fn retry_after(limits: &RequestLimits, latency_objective: TimeSpan) -> TimeSpan {
+    if limits.retry_after { latency_objective.min(limits.max_retry_after) } else { TimeSpan::ZERO }
 }
--- a/crates/routing/src/policy/give_up/tests.rs
+++ b/crates/routing/src/policy/give_up/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Ending, ending, retry_after};
 use crate::config::RequestLimits;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use rstest::rstest;
 
 /// A client that is told to come back may send the query again, and its effect would happen twice. The first
@@ -32,8 +32,8 @@
 ) {
     let limits = RequestLimits {
         retry_after: is_told,
-        max_retry_after: Tenths(max_retry_after),
+        max_retry_after: TimeSpan(max_retry_after),
         ..RequestLimits::default()
     };
-    assert_eq!(retry_after(&limits, Tenths(2_000)), Tenths(expected));
+    assert_eq!(retry_after(&limits, TimeSpan(2_000)), TimeSpan(expected));
 }
--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -8,7 +8,7 @@
 //! that looks faster, as a hedge where the configuration allows two in flight, else after the first one was
 //! cancelled. The cost is work that may be done twice.
 
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -23,7 +23,7 @@
 const MAX_DELAY_SHARE: f64 = 0.5;
 
 /// How long an attempt may be silent before another is considered.
-pub(crate) fn hedge_delay(average_latency: Tenths, latency_objective: Tenths) -> Tenths {
+pub(crate) fn hedge_delay(average_latency: TimeSpan, latency_objective: TimeSpan) -> TimeSpan {
     let min = latency_objective.times(MIN_DELAY_SHARE);
     let max = latency_objective.times(MAX_DELAY_SHARE);
     average_latency.times(DELAY_LATENCIES).clamp(min, max)
@@ -33,22 +33,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NodeProgress {
     /// When the newest attempt that it answered was sent.
-    pub(crate) newest_answered_sent_at: Tenths,
-    pub(crate) last_success_at: Tenths,
+    pub(crate) newest_answered_sent_at: Timestamp,
+    pub(crate) last_success_at: Timestamp,
     /// Its latency as the replica choice reads it.
-    pub(crate) latency: Tenths,
+    pub(crate) latency: TimeSpan,
 }
 
 /// An attempt in flight that is looked at.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SilentAttempt {
-    pub(crate) now: Tenths,
-    pub(crate) sent_at: Tenths,
+    pub(crate) now: Timestamp,
+    pub(crate) sent_at: Timestamp,
     /// None where the node is no longer known.
     pub(crate) node: Option<NodeProgress>,
     /// Over all nodes.
-    pub(crate) average_latency: Tenths,
-    pub(crate) hedge_delay: Tenths,
+    pub(crate) average_latency: TimeSpan,
+    pub(crate) hedge_delay: TimeSpan,
 }
 
 impl SilentAttempt {
@@ -65,7 +65,7 @@
     }
 
     /// How long the response is expected to take, counted from the sending.
-    fn expected_latency(&self) -> Tenths {
+    fn expected_latency(&self) -> TimeSpan {
         let latency = self.node.map_or(self.average_latency, |node| node.latency);
         latency.max(self.now - self.sent_at)
     }
@@ -86,9 +86,9 @@
     pub(crate) may_retry: bool,
     pub(crate) has_retry_budget: bool,
     /// The latency of the replica that would be tried instead; none where there is none.
-    pub(crate) other_latency: Option<Tenths>,
+    pub(crate) other_latency: Option<TimeSpan>,
     /// When a response has to leave to be on time.
-    pub(crate) objective_at: Tenths,
+    pub(crate) objective_at: Timestamp,
 }
 
 /// Whether an attempt is replaced by one at another node now. Without hedging an attempt is cancelled first,
--- a/crates/routing/src/policy/hedging/tests.rs
+++ b/crates/routing/src/policy/hedging/tests.rs
@@ -1,7 +1,7 @@
 //! Which attempts are replaced.
 
 use super::{NodeProgress, ReplacementConditions, SilentAttempt, hedge_delay, should_replace};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 #[rstest]
@@ -9,33 +9,33 @@
 #[case::at_least_a_fifth_of_the_objective(10, 2_000)]
 #[case::at_most_half_of_the_objective(9_000, 5_000)]
 fn the_delay_follows_latency(#[case] average: i64, #[case] expected: i64) {
-    assert_eq!(hedge_delay(Tenths(average), Tenths(10_000)), Tenths(expected));
+    assert_eq!(hedge_delay(TimeSpan(average), TimeSpan(10_000)), TimeSpan(expected));
 }
 
 const NODE: NodeProgress = NodeProgress {
-    newest_answered_sent_at: Tenths::ZERO,
-    last_success_at: Tenths(500),
-    latency: Tenths(1_000),
+    newest_answered_sent_at: Timestamp::ZERO,
+    last_success_at: Timestamp(500),
+    latency: TimeSpan(1_000),
 };
 
 /// In flight for 3,000, and its node has answered nothing since before it was sent.
 const SILENT: SilentAttempt = SilentAttempt {
-    now: Tenths(4_000),
-    sent_at: Tenths(1_000),
+    now: Timestamp(4_000),
+    sent_at: Timestamp(1_000),
     node: Some(NODE),
-    average_latency: Tenths(1_000),
-    hedge_delay: Tenths(3_000),
+    average_latency: TimeSpan(1_000),
+    hedge_delay: TimeSpan(3_000),
 };
 
 /// Its node goes on answering what was sent before it.
 const SLOW: SilentAttempt =
-    SilentAttempt { node: Some(NodeProgress { last_success_at: Tenths(3_999), ..NODE }), ..SILENT };
+    SilentAttempt { node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }), ..SILENT };
 
 /// Its node has answered an attempt that was sent more than an average latency later.
 const OVERTAKEN: SilentAttempt = SilentAttempt {
     node: Some(NodeProgress {
-        last_success_at: Tenths(3_999),
-        newest_answered_sent_at: Tenths(2_001),
+        last_success_at: Timestamp(3_999),
+        newest_answered_sent_at: Timestamp(2_001),
         ..NODE
     }),
     ..SILENT
@@ -50,8 +50,8 @@
     is_only_attempt: true,
     may_retry: true,
     has_retry_budget: true,
-    other_latency: Some(Tenths(1_000)),
-    objective_at: Tenths(10_000),
+    other_latency: Some(TimeSpan(1_000)),
+    objective_at: Timestamp(10_000),
 };
 
 const CANCEL: ReplacementConditions =
@@ -62,13 +62,13 @@
 #[case::overtaken(OVERTAKEN, HEDGE, true)]
 #[case::merely_slow(SLOW, HEDGE, false)]
 #[case::node_is_gone(UNKNOWN_NODE, HEDGE, true)]
-#[case::not_yet(SilentAttempt { hedge_delay: Tenths(3_001), ..SILENT }, HEDGE, false)]
+#[case::not_yet(SilentAttempt { hedge_delay: TimeSpan(3_001), ..SILENT }, HEDGE, false)]
 #[case::has_a_hedge(SILENT, ReplacementConditions { is_only_attempt: false, ..HEDGE }, false)]
 #[case::not_harmless(SILENT, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
 #[case::no_budget(SILENT, ReplacementConditions { has_retry_budget: false, ..HEDGE }, false)]
 #[case::no_other_replica(SILENT, ReplacementConditions { other_latency: None, ..HEDGE }, false)]
-#[case::other_is_slower(SILENT, ReplacementConditions { other_latency: Some(Tenths(3_000)), ..HEDGE }, false)]
-#[case::other_is_too_late(SILENT, ReplacementConditions { objective_at: Tenths(5_000), ..HEDGE }, false)]
+#[case::other_is_slower(SILENT, ReplacementConditions { other_latency: Some(TimeSpan(3_000)), ..HEDGE }, false)]
+#[case::other_is_too_late(SILENT, ReplacementConditions { objective_at: Timestamp(5_000), ..HEDGE }, false)]
 #[case::neither_allowed(SILENT, ReplacementConditions { allow_hedging: false, ..HEDGE }, false)]
 fn hedged(#[case] attempt: SilentAttempt, #[case] conditions: ReplacementConditions, #[case] expected: bool) {
     assert_eq!(should_replace(&attempt, conditions), expected);
--- a/crates/routing/src/policy/idempotency.rs
+++ b/crates/routing/src/policy/idempotency.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Idempotency;
 use crate::effective_config::ClassPolicy;
-use crate::time::Tenths;
+use crate::time::Timestamp;
 
 #[cfg(test)]
 mod tests;
@@ -26,8 +26,8 @@
 /// what may have been executed: its shard request fails instead, and the query is answered as failed.
 pub(crate) fn is_repeat_harmless(
     policy: &ClassPolicy,
-    first_executed_at: Option<Tenths>,
-    arrives_at: Tenths,
+    first_executed_at: Option<Timestamp>,
+    arrives_at: Timestamp,
 ) -> bool {
     let Some(first_executed_at) = first_executed_at else { return true };
     match policy.idempotency {
--- a/crates/routing/src/policy/idempotency/tests.rs
+++ b/crates/routing/src/policy/idempotency/tests.rs
@@ -3,7 +3,7 @@
 use super::is_repeat_harmless;
 use crate::config::{Idempotency, RequestClass};
 use crate::policy::test_queries::{class, query};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 /// Two executions of one shard request are two effects. A node drops a repeat under its key only within the
@@ -21,8 +21,8 @@
     #[case] arrives_at: i64,
     #[case] expected: bool,
 ) {
-    let class = RequestClass { idempotency, dedup_window: Tenths(1_000), ..class(1.0, 1.0) };
+    let class = RequestClass { idempotency, dedup_window: TimeSpan(1_000), ..class(1.0, 1.0) };
     let policy = query(class, &[1.0]).policy;
-    let first_executed_at = first_executed_at.map(Tenths);
-    assert_eq!(is_repeat_harmless(&policy, first_executed_at, Tenths(arrives_at)), expected);
+    let first_executed_at = first_executed_at.map(Timestamp);
+    assert_eq!(is_repeat_harmless(&policy, first_executed_at, Timestamp(arrives_at)), expected);
 }
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -13,7 +13,7 @@
 use crate::inputs::AttemptOutcome;
 use crate::state::ConnectionUse;
 use crate::statistics::LossRatio;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -32,13 +32,13 @@
 const MIN_LOSSES_TO_NEW: f64 = 2.0;
 
 /// The span over which losses are counted.
-const LOSS_SPAN: Tenths = Tenths(300_000);
+const LOSS_SPAN: TimeSpan = TimeSpan(300_000);
 
 /// Fewer attempts than this count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
 
 /// How long the idle period of a connection that was reset is remembered.
-const RESET_MEMORY: Tenths = Tenths(300_000);
+const RESET_MEMORY: TimeSpan = TimeSpan(300_000);
 
 /// A connection that is lost within this many turns was closed before the attempt, not by it.
 const RESET_TURNS: f64 = 2.0;
@@ -47,8 +47,8 @@
 /// seen.
 #[derive(Clone, Copy, Debug)]
 struct ResetAfterIdle {
-    idle_period: Tenths,
-    seen_at: Tenths,
+    idle_period: TimeSpan,
+    seen_at: Timestamp,
 }
 
 /// What is known of connections after idle periods.
@@ -62,21 +62,21 @@
 /// The first attempt to a node after an idle period.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptAfterIdle {
-    pub(crate) now: Tenths,
-    pub(crate) idle_period: Tenths,
+    pub(crate) now: Timestamp,
+    pub(crate) idle_period: TimeSpan,
     /// Its query needs all of its shard requests.
     pub(crate) must_succeed: bool,
     /// Of all classes.
-    pub(crate) shortest_objective: Tenths,
+    pub(crate) shortest_objective: TimeSpan,
 }
 
 /// Whether a connection of this idle period counts as idle at all.
-pub(crate) fn is_idle(idle_period: Tenths, shortest_objective: Tenths) -> bool {
+pub(crate) fn is_idle(idle_period: TimeSpan, shortest_objective: TimeSpan) -> bool {
     idle_period >= shortest_objective.times(MIN_IDLE_SHARE)
 }
 
 /// Whether an attempt was reset at once, so that its connection must have been closed while it was idle.
-pub(crate) fn was_reset_at_once(duration: Tenths, turn_period: Tenths) -> bool {
+pub(crate) fn was_reset_at_once(duration: TimeSpan, turn_period: TimeSpan) -> bool {
     duration <= turn_period.times(RESET_TURNS)
 }
 
@@ -86,8 +86,8 @@
     blames_node: bool,
     outcome: AttemptOutcome,
     node_was_silent: bool,
-    duration: Tenths,
-    average_latency: Tenths,
+    duration: TimeSpan,
+    average_latency: TimeSpan,
 ) -> bool {
     let is_late = duration > average_latency;
     blames_node || outcome == AttemptOutcome::Cancelled && node_was_silent && is_late
@@ -98,7 +98,7 @@
     /// and is taken back where it was not lost after all.
     pub(crate) fn record_end(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         usage: ConnectionUse,
         was_lost: bool,
         was_counted_unresponsive: bool,
@@ -113,12 +113,12 @@
 
     /// An attempt in flight on a reused connection has been silent for the hedge delay: it counts as lost
     /// now, not only once it times out.
-    pub(crate) fn record_unresponsive(&mut self, now: Tenths) {
+    pub(crate) fn record_unresponsive(&mut self, now: Timestamp) {
         self.reused.count(now, LOSS_SPAN, 1.0, 1.0);
     }
 
     /// A reused connection was reset at once after such an idle period.
-    pub(crate) fn record_reset(&mut self, now: Tenths, idle_period: Tenths) {
+    pub(crate) fn record_reset(&mut self, now: Timestamp, idle_period: TimeSpan) {
         let known = self.reset.filter(|reset| now - reset.seen_at < RESET_MEMORY);
         let shortest = known.map_or(idle_period, |reset| reset.idle_period.min(idle_period));
         self.reset = Some(ResetAfterIdle { idle_period: shortest, seen_at: now });
@@ -134,12 +134,12 @@
     }
 
     /// Whether a connection was reset lately after no longer an idle period.
-    fn resets_after(&self, idle_period: Tenths, now: Tenths) -> bool {
+    fn resets_after(&self, idle_period: TimeSpan, now: Timestamp) -> bool {
         self.reset.is_some_and(|reset| idle_period >= reset.idle_period && now - reset.seen_at < RESET_MEMORY)
     }
 
     /// Whether so many attempts on reused connections are lost that it must be the connections.
-    pub(crate) fn reused_connections_fail(&self, now: Tenths) -> bool {
+    pub(crate) fn reused_connections_fail(&self, now: Timestamp) -> bool {
         let reused = self.reused.share(now, LOSS_SPAN, MIN_ATTEMPTS);
         let new = self.new.share(now, LOSS_SPAN, MIN_ATTEMPTS);
         reused >= MAX_LOSS_RATE && new <= reused / MIN_LOSSES_TO_NEW
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -3,30 +3,30 @@
 use super::{AttemptAfterIdle, IdleConnectionHistory, RESET_MEMORY, is_idle, was_lost, was_reset_at_once};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, Succeeded};
 use crate::state::ConnectionUse::{New, Reused};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(1_000_000);
+const NOW: Timestamp = Timestamp(1_000_000);
 const ATTEMPT: AttemptAfterIdle = AttemptAfterIdle {
     now: NOW,
-    idle_period: Tenths(3_000),
+    idle_period: TimeSpan(3_000),
     must_succeed: false,
-    shortest_objective: Tenths(10_000),
+    shortest_objective: TimeSpan(10_000),
 };
 
 #[rstest]
 fn a_connection_is_idle_after_a_fifth_of_the_objective() {
-    assert!(!is_idle(Tenths(1_999), Tenths(10_000)));
-    assert!(is_idle(Tenths(2_000), Tenths(10_000)));
+    assert!(!is_idle(TimeSpan(1_999), TimeSpan(10_000)));
+    assert!(is_idle(TimeSpan(2_000), TimeSpan(10_000)));
 }
 
 #[rstest]
 fn what_must_succeed_goes_out_on_a_new_connection_after_half_of_the_objective() {
     let history = IdleConnectionHistory::default();
-    let must_succeed = AttemptAfterIdle { must_succeed: true, idle_period: Tenths(5_000), ..ATTEMPT };
+    let must_succeed = AttemptAfterIdle { must_succeed: true, idle_period: TimeSpan(5_000), ..ATTEMPT };
     assert_eq!(history.choose(must_succeed), Reused);
-    assert_eq!(history.choose(AttemptAfterIdle { idle_period: Tenths(5_001), ..must_succeed }), New);
-    assert_eq!(history.choose(AttemptAfterIdle { idle_period: Tenths(5_001), ..ATTEMPT }), Reused);
+    assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(5_001), ..must_succeed }), New);
+    assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(5_001), ..ATTEMPT }), Reused);
 }
 
 /// Something between broker and node drops connections after an idle period, and the next attempt on one is
@@ -35,13 +35,13 @@
 #[rstest]
 fn idle_periods_after_which_connections_were_reset_are_remembered() {
     let mut history = IdleConnectionHistory::default();
-    history.record_reset(NOW, Tenths(2_500));
-    history.record_reset(NOW, Tenths(4_000));
+    history.record_reset(NOW, TimeSpan(2_500));
+    history.record_reset(NOW, TimeSpan(4_000));
     assert_eq!(history.choose(ATTEMPT), New);
-    assert_eq!(history.choose(AttemptAfterIdle { idle_period: Tenths(2_499), ..ATTEMPT }), Reused);
+    assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(2_499), ..ATTEMPT }), Reused);
     assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_MEMORY, ..ATTEMPT }), Reused);
     // What was seen long ago no longer counts, also beside what was seen now.
-    history.record_reset(NOW + RESET_MEMORY, Tenths(4_000));
+    history.record_reset(NOW + RESET_MEMORY, TimeSpan(4_000));
     assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_MEMORY, ..ATTEMPT }), Reused);
 }
 
@@ -94,14 +94,14 @@
     #[case] duration: i64,
     #[case] expected: bool,
 ) {
-    let average = Tenths(5);
-    assert_eq!(was_lost(blames_node, outcome, node_was_silent, Tenths(duration), average), expected);
+    let average = TimeSpan(5);
+    assert_eq!(was_lost(blames_node, outcome, node_was_silent, TimeSpan(duration), average), expected);
 }
 
 #[rstest]
 fn a_reset_within_two_turns_was_there_before_the_attempt() {
-    assert!(was_reset_at_once(Tenths(100), Tenths(50)));
-    assert!(!was_reset_at_once(Tenths(101), Tenths(50)));
+    assert!(was_reset_at_once(TimeSpan(100), TimeSpan(50)));
+    assert!(!was_reset_at_once(TimeSpan(101), TimeSpan(50)));
 }
 
 /// What was lost long ago must not keep connections from being used again.
@@ -109,8 +109,8 @@
 fn losses_fade() {
     let mut history = history((4, 20), (0, 0));
     assert!(history.reused_connections_fail(NOW));
-    let later = NOW + Tenths(300_000);
+    let later = NOW + TimeSpan(300_000);
     assert!(!history.reused_connections_fail(later));
-    history.record_reset(later, Tenths(3_000));
+    history.record_reset(later, TimeSpan(3_000));
     assert_eq!(history.choose(AttemptAfterIdle { now: later, ..ATTEMPT }), New);
 }
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -7,7 +7,7 @@
 use crate::ids::ClassId;
 use crate::state::{Node, NodeTable};
 use crate::statistics::BaselineLatency;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
 #[cfg(test)]
@@ -18,7 +18,7 @@
 
 /// What was measured this long ago has faded by a factor of e toward the average, so that a node that was
 /// slow once is tried again.
-const FADE_SPAN: Tenths = Tenths(50_000);
+const FADE_SPAN: TimeSpan = TimeSpan(50_000);
 
 /// Before anything was measured, a shard request takes this share of the shortest latency objective.
 const INITIAL_SHARE: f64 = 0.125;
@@ -34,18 +34,18 @@
 const BASELINE_SAMPLES: f64 = 32.0;
 
 /// The smoothed latency over all nodes, or a guess before any was measured; never zero.
-pub(crate) fn average_latency(measured: Option<Tenths>, shortest_objective: Tenths) -> Tenths {
+pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
     let initial = shortest_objective.times(INITIAL_SHARE);
-    measured.unwrap_or(initial).max(Tenths(1))
+    measured.unwrap_or(initial).max(TimeSpan(1))
 }
 
 /// Estimates latencies of nodes at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyEstimate<'a> {
     pub(crate) nodes: &'a NodeTable,
-    pub(crate) now: Tenths,
+    pub(crate) now: Timestamp,
     /// See [`average_latency`].
-    pub(crate) average: Tenths,
+    pub(crate) average: TimeSpan,
 }
 
 impl LatencyEstimate<'_> {
@@ -53,7 +53,7 @@
     /// or, in a slow zone, toward the zone's. A slow zone, or a slow way to it, thus shows at all of its
     /// nodes, also those that were not measured. The time since its oldest batch in flight was sent counts
     /// too, where nothing came in between.
-    pub(crate) fn of(&self, node: &Node) -> Tenths {
+    pub(crate) fn of(&self, node: &Node) -> TimeSpan {
         let zone = self.nodes.zone_mean_latency(node.zone, self.average, ZONE_PRIOR_NODES);
         let is_zone_slow = zone > self.average.times(SLOW_ZONE_RATIO);
         let usual = if is_zone_slow { zone } else { self.average };
@@ -66,12 +66,12 @@
 /// up to the latency objective. The cost: after an outage a node is tried again late, as its average has to
 /// fade first.
 pub(crate) fn observed_latency(
-    duration: Tenths,
+    duration: TimeSpan,
     is_failure: bool,
     consecutive_failures: u32,
-    average: Tenths,
-    latency_objective: Tenths,
-) -> Tenths {
+    average: TimeSpan,
+    latency_objective: TimeSpan,
+) -> TimeSpan {
     if !is_failure {
         return duration;
     }
@@ -86,14 +86,14 @@
 
 impl ClassBaselines {
     /// An attempt of this class has succeeded.
-    pub(crate) fn record(&mut self, class: ClassId, duration: Tenths) {
+    pub(crate) fn record(&mut self, class: ClassId, duration: TimeSpan) {
         self.0.entry(class).or_default().record(duration, BASELINE_SAMPLES);
     }
 
     /// A class's baseline in tenths of a millisecond, at least one; `unknown` where too few attempts were
     /// measured.
-    pub(crate) fn of(&self, class: ClassId, unknown: Tenths) -> f64 {
+    pub(crate) fn of(&self, class: ClassId, unknown: TimeSpan) -> f64 {
         let lowest = self.0.get(&class).and_then(|baseline| baseline.lowest_mean);
-        lowest.unwrap_or(unknown).max(Tenths(1)).0 as f64
+        lowest.unwrap_or(unknown).max(TimeSpan(1)).0 as f64
     }
 }
--- a/crates/routing/src/policy/latency/tests.rs
+++ b/crates/routing/src/policy/latency/tests.rs
@@ -4,14 +4,14 @@
 use crate::ids::{ClassId, NodeId, PlacementGroupId, ZoneId};
 use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
 use crate::state::{Node, NodeTable};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp, WallClockTime};
 use rstest::rstest;
 
 #[rstest]
 fn before_any_measurement_an_eighth_of_the_objective_is_expected() {
-    assert_eq!(average_latency(None, Tenths(8_000)), Tenths(1_000));
-    assert_eq!(average_latency(Some(Tenths(300)), Tenths(8_000)), Tenths(300));
-    assert_eq!(average_latency(Some(Tenths::ZERO), Tenths(8_000)), Tenths(1));
+    assert_eq!(average_latency(None, TimeSpan(8_000)), TimeSpan(1_000));
+    assert_eq!(average_latency(Some(TimeSpan(300)), TimeSpan(8_000)), TimeSpan(300));
+    assert_eq!(average_latency(Some(TimeSpan::ZERO), TimeSpan(8_000)), TimeSpan(1));
 }
 
 /// A dead node answers at once, with an error. By its durations alone it would be the fastest of all.
@@ -27,13 +27,18 @@
     #[case] duration: i64,
     #[case] expected: i64,
 ) {
-    let observed =
-        observed_latency(Tenths(duration), is_failure, consecutive_failures, Tenths(100), Tenths(1_000));
-    assert_eq!(observed, Tenths(expected));
+    let observed = observed_latency(
+        TimeSpan(duration),
+        is_failure,
+        consecutive_failures,
+        TimeSpan(100),
+        TimeSpan(1_000),
+    );
+    assert_eq!(observed, TimeSpan(expected));
 }
 
 /// Nodes of one zone, the first so many of them measured with this latency.
-fn zone_of_nodes(measured: u64, latency: Tenths) -> NodeTable {
+fn zone_of_nodes(measured: u64, latency: TimeSpan) -> NodeTable {
     let mut nodes = NodeTable::new(1);
     let entries = (0..10).map(|id| Endpoint {
         node: NodeId(id),
@@ -44,12 +49,12 @@
     });
     let list = EndpointList {
         kind: EndpointListKind::Snapshot,
-        wall_clock: Tenths::ZERO,
+        wall_clock: WallClockTime::ZERO,
         entries: entries.collect(),
     };
-    nodes.apply_endpoint_list(Tenths::ZERO, &list, |listed_start| listed_start);
+    nodes.apply_endpoint_list(Timestamp::ZERO, &list, |_| Timestamp::ZERO);
     for id in 0..measured {
-        nodes.update(NodeId(id), |node| node.record_latency(Tenths::ZERO, latency, 1.0));
+        nodes.update(NodeId(id), |node| node.record_latency(Timestamp::ZERO, latency, 1.0));
     }
     nodes
 }
@@ -60,30 +65,30 @@
 #[case::half_as_slow_again_is_not_enough(4, 100)]
 #[case::nothing_measured(0, 100)]
 fn an_unmeasured_node_is_expected_to_be_like_its_zone(#[case] measured: u64, #[case] expected: i64) {
-    let nodes = zone_of_nodes(measured, Tenths(200));
-    let estimate = LatencyEstimate { nodes: &nodes, now: Tenths::ZERO, average: Tenths(100) };
-    assert_eq!(estimate.of(&nodes[NodeId(9)]), Tenths(expected));
+    let nodes = zone_of_nodes(measured, TimeSpan(200));
+    let estimate = LatencyEstimate { nodes: &nodes, now: Timestamp::ZERO, average: TimeSpan(100) };
+    assert_eq!(estimate.of(&nodes[NodeId(9)]), TimeSpan(expected));
 }
 
 #[rstest]
 fn a_measured_latency_fades_to_the_average() {
     let nodes = NodeTable::new(1);
     let mut node = Node::default();
-    node.record_latency(Tenths::ZERO, Tenths(1_100), 1.0);
-    let at = |now| LatencyEstimate { nodes: &nodes, now: Tenths(now), average: Tenths(100) }.of(&node);
-    assert_eq!(at(0), Tenths(1_100));
-    assert_eq!(at(50_000), Tenths(100 + 367));
-    assert_eq!(at(5_000_000), Tenths(100));
+    node.record_latency(Timestamp::ZERO, TimeSpan(1_100), 1.0);
+    let at = |now| LatencyEstimate { nodes: &nodes, now: Timestamp(now), average: TimeSpan(100) }.of(&node);
+    assert_eq!(at(0), TimeSpan(1_100));
+    assert_eq!(at(50_000), TimeSpan(100 + 367));
+    assert_eq!(at(5_000_000), TimeSpan(100));
 }
 
 #[rstest]
 fn a_baseline_needs_32_samples_and_never_rises() {
     let mut baselines = ClassBaselines::default();
-    (0..31).for_each(|_| baselines.record(ClassId(0), Tenths(50)));
-    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 70.0);
-    baselines.record(ClassId(0), Tenths(50));
-    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 50.0);
-    (0..100).for_each(|_| baselines.record(ClassId(0), Tenths(500)));
-    assert_eq!(baselines.of(ClassId(0), Tenths(70)), 50.0);
-    assert_eq!(baselines.of(ClassId(1), Tenths::ZERO), 1.0);
+    (0..31).for_each(|_| baselines.record(ClassId(0), TimeSpan(50)));
+    assert_eq!(baselines.of(ClassId(0), TimeSpan(70)), 70.0);
+    baselines.record(ClassId(0), TimeSpan(50));
+    assert_eq!(baselines.of(ClassId(0), TimeSpan(70)), 50.0);
+    (0..100).for_each(|_| baselines.record(ClassId(0), TimeSpan(500)));
+    assert_eq!(baselines.of(ClassId(0), TimeSpan(70)), 50.0);
+    assert_eq!(baselines.of(ClassId(1), TimeSpan::ZERO), 1.0);
 }
--- a/crates/routing/src/policy/load_probe.rs
+++ b/crates/routing/src/policy/load_probe.rs
@@ -6,7 +6,7 @@
 
 use crate::inputs::{LoadMetric, ProbeResult};
 use crate::state::{LoadReport, Node};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -25,34 +25,34 @@
 
 /// Whether a replica is to be probed for a query with this latency objective: its last report is not recent,
 /// and none is on the way. A probe that is not answered within the objective counts as lost.
-pub(crate) fn needs_probe(node: &Node, now: Tenths, latency_objective: Tenths) -> bool {
+pub(crate) fn needs_probe(node: &Node, now: Timestamp, latency_objective: TimeSpan) -> bool {
     let is_probed = node.probe_sent_at.is_some_and(|at| now - at <= latency_objective);
     let max_age = latency_objective.times(MAX_AGE_SHARE);
     !is_probed && node.load.is_none_or(|load| now - load.received_at > max_age)
 }
 
 /// How long reports are waited for.
-pub(crate) fn max_wait(latency_objective: Tenths) -> Tenths {
+pub(crate) fn max_wait(latency_objective: TimeSpan) -> TimeSpan {
     latency_objective.times(MAX_WAIT_SHARE)
 }
 
 /// Whether a query that probed its replicas then may still wait for their reports.
-pub(crate) fn may_wait(probed_at: Option<Tenths>, now: Tenths, latency_objective: Tenths) -> bool {
+pub(crate) fn may_wait(probed_at: Option<Timestamp>, now: Timestamp, latency_objective: TimeSpan) -> bool {
     probed_at.is_some_and(|at| now - at < max_wait(latency_objective))
 }
 
 /// How long the queue of a node will take by its load report; zero where it reports no queue or no rate.
-pub(crate) fn reported_wait(load: Option<LoadReport>) -> Tenths {
+pub(crate) fn reported_wait(load: Option<LoadReport>) -> TimeSpan {
     let load = load.filter(|load| load.is_valid);
     let wait_s = load.and_then(|load| {
         let rate_per_s = load.service_rate?.max(MIN_SERVICE_RATE_PER_S);
         Some(load.queue_length? / rate_per_s)
     });
-    Tenths::from_ms(wait_s.unwrap_or(0.0) * MS_PER_S)
+    TimeSpan::from_ms(wait_s.unwrap_or(0.0) * MS_PER_S)
 }
 
 /// Reads a probe's result; of each metric the first usable value counts.
-pub(crate) fn read_report(now: Tenths, result: &ProbeResult) -> LoadReport {
+pub(crate) fn read_report(now: Timestamp, result: &ProbeResult) -> LoadReport {
     let first = |metric: LoadMetric| {
         let is_usable = |value: f64| value.is_finite() && value >= 0.0;
         let mut values = result.report.iter().filter(|(reported, _)| *reported == metric);
--- a/crates/routing/src/policy/load_probe/tests.rs
+++ b/crates/routing/src/policy/load_probe/tests.rs
@@ -4,14 +4,14 @@
 use crate::ids::NodeId;
 use crate::inputs::{LoadMetric, ProbeResult};
 use crate::state::{LoadReport, Node};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const OBJECTIVE: Tenths = Tenths(10_000);
+const OBJECTIVE: TimeSpan = TimeSpan(10_000);
 
 fn node(probe_sent_at: Option<i64>, received_at: Option<i64>) -> Node {
-    let load = received_at.map(|at| LoadReport { received_at: Tenths(at), ..LoadReport::default() });
-    Node { probe_sent_at: probe_sent_at.map(Tenths), load, ..Node::default() }
+    let load = received_at.map(|at| LoadReport { received_at: Timestamp(at), ..LoadReport::default() });
+    Node { probe_sent_at: probe_sent_at.map(Timestamp), load, ..Node::default() }
 }
 
 #[rstest]
@@ -21,15 +21,15 @@
 #[case::on_the_way(node(Some(90_000), None), false)]
 #[case::probe_was_lost(node(Some(89_999), None), true)]
 fn nodes_are_probed(#[case] node: Node, #[case] expected: bool) {
-    assert_eq!(needs_probe(&node, Tenths(100_000), OBJECTIVE), expected);
+    assert_eq!(needs_probe(&node, Timestamp(100_000), OBJECTIVE), expected);
 }
 
 #[rstest]
 fn reports_are_waited_for_a_fiftieth_of_the_objective() {
-    assert_eq!(max_wait(OBJECTIVE), Tenths(200));
-    assert!(may_wait(Some(Tenths(1_000)), Tenths(1_199), OBJECTIVE));
-    assert!(!may_wait(Some(Tenths(1_000)), Tenths(1_200), OBJECTIVE));
-    assert!(!may_wait(None, Tenths(1_000), OBJECTIVE));
+    assert_eq!(max_wait(OBJECTIVE), TimeSpan(200));
+    assert!(may_wait(Some(Timestamp(1_000)), Timestamp(1_199), OBJECTIVE));
+    assert!(!may_wait(Some(Timestamp(1_000)), Timestamp(1_200), OBJECTIVE));
+    assert!(!may_wait(None, Timestamp(1_000), OBJECTIVE));
 }
 
 #[rstest]
@@ -42,8 +42,8 @@
         (LoadMetric::QueueLength, 4.0),
         (LoadMetric::ServiceRate, f64::INFINITY),
     ];
-    let load = read_report(Tenths(7), &ProbeResult { node: NodeId(1), is_valid: true, report });
-    assert_eq!((load.received_at, load.is_valid), (Tenths(7), true));
+    let load = read_report(Timestamp(7), &ProbeResult { node: NodeId(1), is_valid: true, report });
+    assert_eq!((load.received_at, load.is_valid), (Timestamp(7), true));
     assert_eq!((load.queue_length, load.service_rate), (Some(3.0), None));
 }
 
@@ -60,6 +60,6 @@
     #[case] expected: i64,
 ) {
     let load = LoadReport { is_valid, queue_length, service_rate, ..LoadReport::default() };
-    assert_eq!(reported_wait(Some(load)), Tenths(expected));
-    assert_eq!(reported_wait(None), Tenths::ZERO);
+    assert_eq!(reported_wait(Some(load)), TimeSpan(expected));
+    assert_eq!(reported_wait(None), TimeSpan::ZERO);
 }
--- a/crates/routing/src/policy/node_health.rs
+++ b/crates/routing/src/policy/node_health.rs
@@ -5,7 +5,7 @@
 
 use crate::inputs::AttemptOutcome;
 use crate::state::Execution;
-use crate::time::Tenths;
+use crate::time::Timestamp;
 
 #[cfg(test)]
 mod tests;
@@ -28,6 +28,6 @@
 
 /// Whether a failure is one more in a row. Attempts that were in flight together fail together: they count as
 /// one. `last_failure_at` is when the last failure was counted.
-pub(crate) fn is_next_failure(blames_node: bool, sent_at: Tenths, last_failure_at: Tenths) -> bool {
+pub(crate) fn is_next_failure(blames_node: bool, sent_at: Timestamp, last_failure_at: Timestamp) -> bool {
     blames_node && sent_at >= last_failure_at
 }
--- a/crates/routing/src/policy/node_health/tests.rs
+++ b/crates/routing/src/policy/node_health/tests.rs
@@ -3,7 +3,7 @@
 use super::{is_next_failure, tells_nothing};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, NotSent, TimedOut};
 use crate::state::Execution::{self, MaybeExecuted, Unsent};
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use rstest::rstest;
 
 #[rstest]
@@ -35,5 +35,5 @@
     #[case] last_failure_at: i64,
     #[case] expected: bool,
 ) {
-    assert_eq!(is_next_failure(blames_node, Tenths(sent_at), Tenths(last_failure_at)), expected);
+    assert_eq!(is_next_failure(blames_node, Timestamp(sent_at), Timestamp(last_failure_at)), expected);
 }
--- a/crates/routing/src/policy/polling.rs
+++ b/crates/routing/src/policy/polling.rs
@@ -1,11 +1,11 @@
 //! How soon something that waits for nodes, capacity or budget is looked at again.
 
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 /// After this share of the latency objective.
 const INTERVAL_SHARE: f64 = 0.05;
 
 /// The time until the next look, never zero.
-pub(crate) fn interval(latency_objective: Tenths) -> Tenths {
-    latency_objective.times(INTERVAL_SHARE).max(Tenths(1))
+pub(crate) fn interval(latency_objective: TimeSpan) -> TimeSpan {
+    latency_objective.times(INTERVAL_SHARE).max(TimeSpan(1))
 }
--- a/crates/routing/src/policy/pressure.rs
+++ b/crates/routing/src/policy/pressure.rs
@@ -10,13 +10,13 @@
 //! a small array for each count.
 
 use crate::statistics::SlidingWindow;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
 
 /// The span over which pressure is measured.
-pub(crate) const WINDOW: Tenths = Tenths(50_000);
+pub(crate) const WINDOW: TimeSpan = TimeSpan(50_000);
 
 /// Slices of the window: what the oldest slice holds is forgotten at once.
 const SLICES: usize = 10;
@@ -34,7 +34,7 @@
 
 impl Pressure {
     /// Counts `total` shard requests, of which overload has cost `overloaded`.
-    pub(crate) fn record(&mut self, now: Tenths, within_quota: bool, overloaded: f64, total: f64) {
+    pub(crate) fn record(&mut self, now: Timestamp, within_quota: bool, overloaded: f64, total: f64) {
         self.all.count(now, WINDOW, overloaded, total);
         if within_quota {
             self.within_quota.count(now, WINDOW, overloaded, total);
@@ -43,7 +43,7 @@
 
     /// The pressure that a query is trimmed by, from 0 to 1. A tenant within its quota is not judged by the
     /// overload of those beyond theirs: one tenant's storm would else trim the responses of all.
-    pub(crate) fn for_query(&self, now: Tenths, within_quota: bool) -> f64 {
+    pub(crate) fn for_query(&self, now: Timestamp, within_quota: bool) -> f64 {
         let all = self.all.share(now, WINDOW, MIN_SHARD_REQUESTS);
         let within = self.within_quota.share(now, WINDOW, MIN_SHARD_REQUESTS);
         if within_quota { within } else { within.max(all) }
--- a/crates/routing/src/policy/pressure/tests.rs
+++ b/crates/routing/src/policy/pressure/tests.rs
@@ -1,10 +1,10 @@
 //! Pressure, over all and within quotas.
 
 use super::{Pressure, WINDOW};
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(1_000_000);
+const NOW: Timestamp = Timestamp(1_000_000);
 
 #[rstest]
 fn one_overloaded_shard_request_alone_is_a_tenth() {
--- a/crates/routing/src/policy/query_of_death.rs
+++ b/crates/routing/src/policy/query_of_death.rs
@@ -8,7 +8,7 @@
 
 use crate::inputs::AttemptOutcome;
 use crate::state::QuerySignature;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
 #[cfg(test)]
@@ -51,16 +51,16 @@
 
 /// Queries that are rejected for a while.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Quarantine(BTreeMap<QuerySignature, Tenths>);
+pub(crate) struct Quarantine(BTreeMap<QuerySignature, Timestamp>);
 
 impl Quarantine {
     /// Rejects queries like this one for as long as a client may repeat it, which is its class's deadline.
-    pub(crate) fn insert(&mut self, query: QuerySignature, now: Tenths, deadline: Tenths) {
+    pub(crate) fn insert(&mut self, query: QuerySignature, now: Timestamp, deadline: TimeSpan) {
         self.0.insert(query, now + deadline);
     }
 
     /// Whether a query is rejected now.
-    pub(crate) fn contains(&self, query: &QuerySignature, now: Tenths) -> bool {
+    pub(crate) fn contains(&self, query: &QuerySignature, now: Timestamp) -> bool {
         self.0.get(query).is_some_and(|until| *until > now)
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Drops those whose time is over.
-    pub(crate) fn forget(&mut self, now: Tenths) {
+    pub(crate) fn forget(&mut self, now: Timestamp) {
         self.0.retain(|_, until| *until > now);
     }
 }
--- a/crates/routing/src/policy/query_of_death/tests.rs
+++ b/crates/routing/src/policy/query_of_death/tests.rs
@@ -3,7 +3,7 @@
 use super::{Quarantine, RetryHold, counts_as_lost_node, is_query_of_death, retry_hold};
 use crate::inputs::AttemptOutcome::{self, ConnectFailed, ConnectionLost, TimedOut};
 use crate::policy::test_queries::{class, query};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 #[rstest]
@@ -42,12 +42,12 @@
     let signature = query(class(1.0, 1.0), &[0.5, 0.5]).signature();
     let other = query(class(1.0, 1.0), &[1.0]).signature();
     let mut quarantine = Quarantine::default();
-    quarantine.insert(signature.clone(), Tenths(1_000), Tenths(500));
-    assert!(quarantine.contains(&signature, Tenths(1_499)));
-    assert!(!quarantine.contains(&other, Tenths(1_499)));
-    assert!(!quarantine.contains(&signature, Tenths(1_500)));
-    quarantine.forget(Tenths(1_499));
+    quarantine.insert(signature.clone(), Timestamp(1_000), TimeSpan(500));
+    assert!(quarantine.contains(&signature, Timestamp(1_499)));
+    assert!(!quarantine.contains(&other, Timestamp(1_499)));
+    assert!(!quarantine.contains(&signature, Timestamp(1_500)));
+    quarantine.forget(Timestamp(1_499));
     assert!(!quarantine.is_empty());
-    quarantine.forget(Tenths(1_500));
+    quarantine.forget(Timestamp(1_500));
     assert!(quarantine.is_empty());
 }
--- a/crates/routing/src/policy/query_times.rs
+++ b/crates/routing/src/policy/query_times.rs
@@ -3,7 +3,7 @@
 
 use crate::effective_config::ClassPolicy;
 use crate::state::QueryTimes;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -24,13 +24,13 @@
 /// What a query's times follow from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
-    pub(crate) now: Tenths,
+    pub(crate) now: Timestamp,
     /// How long the client will wait.
-    pub(crate) time_left: Tenths,
+    pub(crate) time_left: TimeSpan,
     /// The work of all shard requests, where that is told; else zero.
-    pub(crate) work: Tenths,
+    pub(crate) work: TimeSpan,
     /// The least time between two turns of the broker.
-    pub(crate) turn_period: Tenths,
+    pub(crate) turn_period: TimeSpan,
 }
 
 impl Arrival {
@@ -51,12 +51,16 @@
 
 /// How long an attempt may take that is sent now: until the latency objective, and beyond it for as long as a
 /// late response is worth something (`useful_after_objective`), but never past the deadline. Never zero.
-pub(crate) fn attempt_timeout(times: &QueryTimes, useful_after_objective: Tenths, now: Tenths) -> Tenths {
+pub(crate) fn attempt_timeout(
+    times: &QueryTimes,
+    useful_after_objective: TimeSpan,
+    now: Timestamp,
+) -> TimeSpan {
     let useful_until = times.objective_at + useful_after_objective;
-    (useful_until.min(times.deadline_at) - now).max(Tenths(1))
+    (useful_until.min(times.deadline_at) - now).max(TimeSpan(1))
 }
 
 /// When the first phase of a query with two must give its response.
-pub(crate) fn first_phase_ends_at(objective_at: Tenths, latency_objective: Tenths) -> Tenths {
+pub(crate) fn first_phase_ends_at(objective_at: Timestamp, latency_objective: TimeSpan) -> Timestamp {
     objective_at - latency_objective.times(SECOND_PHASE_SHARE)
 }
--- a/crates/routing/src/policy/query_times/tests.rs
+++ b/crates/routing/src/policy/query_times/tests.rs
@@ -4,13 +4,13 @@
 use crate::config::RequestClass;
 use crate::policy::test_queries::{class, query};
 use crate::state::QueryTimes;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(100_000);
+const NOW: Timestamp = Timestamp(100_000);
 
 fn arrival(time_left: i64, work: i64) -> Arrival {
-    Arrival { now: NOW, time_left: Tenths(time_left), work: Tenths(work), turn_period: Tenths(50) }
+    Arrival { now: NOW, time_left: TimeSpan(time_left), work: TimeSpan(work), turn_period: TimeSpan(50) }
 }
 
 // Objective 10,000, deadline 30,000; margins: 2% of the objective and two turns, four turns.
@@ -27,14 +27,14 @@
 ) {
     let class = RequestClass { objective_stretch: 2.0, ..class(1.0, 1.0) };
     let times = arrival.times(&query(class, &[1.0]).policy);
-    assert_eq!(times.latency_objective, Tenths(latency_objective));
-    assert_eq!(times.objective_at, Tenths(objective_at));
-    assert_eq!(times.deadline_at, Tenths(deadline_at));
+    assert_eq!(times.latency_objective, TimeSpan(latency_objective));
+    assert_eq!(times.objective_at, Timestamp(objective_at));
+    assert_eq!(times.deadline_at, Timestamp(deadline_at));
 }
 
 #[rstest]
 fn a_second_phase_keeps_half_of_the_objective() {
-    assert_eq!(first_phase_ends_at(Tenths(109_700), Tenths(10_000)), Tenths(104_700));
+    assert_eq!(first_phase_ends_at(Timestamp(109_700), TimeSpan(10_000)), Timestamp(104_700));
 }
 
 // Objective at 10,000, deadline at 20,000.
@@ -45,10 +45,10 @@
 #[case::never_zero(11_000, 0, 1)]
 fn attempts_time_out(#[case] now: i64, #[case] useful_after_objective: i64, #[case] expected: i64) {
     let times = QueryTimes {
-        latency_objective: Tenths(10_000),
-        objective_at: Tenths(10_000),
-        deadline_at: Tenths(20_000),
+        latency_objective: TimeSpan(10_000),
+        objective_at: Timestamp(10_000),
+        deadline_at: Timestamp(20_000),
     };
-    let timeout = attempt_timeout(&times, Tenths(useful_after_objective), Tenths(now));
-    assert_eq!(timeout, Tenths(expected));
+    let timeout = attempt_timeout(&times, TimeSpan(useful_after_objective), Timestamp(now));
+    assert_eq!(timeout, TimeSpan(expected));
 }
--- a/crates/routing/src/policy/quota.rs
+++ b/crates/routing/src/policy/quota.rs
@@ -6,14 +6,14 @@
 
 use crate::ids::TenantId;
 use crate::statistics::DecayingCounter;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
 #[cfg(test)]
 mod tests;
 
 /// The span over which queries are counted, decaying by a factor of e.
-const SPAN: Tenths = Tenths(50_000);
+const SPAN: TimeSpan = TimeSpan(50_000);
 
 /// A tenant without a quota is forgotten at a change of the configuration once this many queries are left of
 /// its count.
@@ -31,7 +31,7 @@
 
 impl TenantRates {
     /// Counts a query of a tenant.
-    pub(crate) fn record(&mut self, tenant: TenantId, now: Tenths) {
+    pub(crate) fn record(&mut self, tenant: TenantId, now: Timestamp) {
         self.0.entry(tenant).or_default().add(now, SPAN, 1.0);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Forgets tenants that have been silent, but for those that `has_quota` says.
-    pub(crate) fn forget_idle(&mut self, now: Tenths, has_quota: impl Fn(TenantId) -> bool) {
+    pub(crate) fn forget_idle(&mut self, now: Timestamp, has_quota: impl Fn(TenantId) -> bool) {
         self.0.retain(|tenant, rate| has_quota(*tenant) || rate.read(now, SPAN) >= FORGOTTEN_BELOW);
     }
 }
--- a/crates/routing/src/policy/quota/tests.rs
+++ b/crates/routing/src/policy/quota/tests.rs
@@ -2,10 +2,10 @@
 
 use super::TenantRates;
 use crate::ids::TenantId;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(1_000_000);
+const NOW: Timestamp = Timestamp(1_000_000);
 const TENANT: TenantId = TenantId(1);
 
 // 10 queries a second over 5 brokers are 10 in 5 s at each.
@@ -25,10 +25,10 @@
 fn idle_tenants_without_a_quota_are_forgotten() {
     let mut rates = TenantRates::default();
     rates.record(TENANT, NOW);
-    let still_known = NOW + Tenths(100_000);
+    let still_known = NOW + TimeSpan(100_000);
     rates.forget_idle(still_known, |_| false);
     assert!(!rates.0.is_empty());
-    let forgotten = NOW + Tenths(120_000);
+    let forgotten = NOW + TimeSpan(120_000);
     rates.forget_idle(forgotten, |tenant| tenant == TENANT);
     assert!(!rates.0.is_empty());
     rates.forget_idle(forgotten, |_| false);
--- a/crates/routing/src/policy/reach.rs
+++ b/crates/routing/src/policy/reach.rs
@@ -6,7 +6,7 @@
 
 use super::load_probe::reported_wait;
 use crate::state::Node;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -17,11 +17,15 @@
 /// How long a replica is expected to take. An idle, healthy node counts as no wait at all, however slow it
 /// was: a slow pair of replicas is still used for what it can do. `ignores_failures`: failures do not make a
 /// node unhealthy, see [`ignores_failures`].
-pub(crate) fn expected_wait(node: &Node, latency: impl FnOnce() -> Tenths, ignores_failures: bool) -> Tenths {
+pub(crate) fn expected_wait(
+    node: &Node,
+    latency: impl FnOnce() -> TimeSpan,
+    ignores_failures: bool,
+) -> TimeSpan {
     let is_healthy = node.consecutive_failures == 0 || ignores_failures;
     let reported_wait = reported_wait(node.load);
-    if node.batches.is_empty() && is_healthy && reported_wait == Tenths::ZERO {
-        return Tenths::ZERO;
+    if node.batches.is_empty() && is_healthy && reported_wait == TimeSpan::ZERO {
+        return TimeSpan::ZERO;
     }
     latency() + reported_wait
 }
@@ -35,6 +39,10 @@
 
 /// Whether a shard request is out of reach. `shortest_wait` is the least of its replicas' expected waits;
 /// none: no replica may receive it.
-pub(crate) fn is_out_of_reach(shortest_wait: Option<Tenths>, now: Tenths, objective_at: Tenths) -> bool {
+pub(crate) fn is_out_of_reach(
+    shortest_wait: Option<TimeSpan>,
+    now: Timestamp,
+    objective_at: Timestamp,
+) -> bool {
     shortest_wait.is_none_or(|wait| now + wait.times(LATENESS_RATIO) > objective_at)
 }
--- a/crates/routing/src/policy/reach/tests.rs
+++ b/crates/routing/src/policy/reach/tests.rs
@@ -3,7 +3,7 @@
 use super::{expected_wait, ignores_failures, is_out_of_reach};
 use crate::ids::BatchId;
 use crate::state::{LoadReport, Node};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 fn idle() -> Node {
@@ -39,7 +39,7 @@
 #[case::failing(failing(), false, 700)]
 #[case::failing_but_asked_all_the_same(failing(), true, 0)]
 fn waits(#[case] node: Node, #[case] ignores_failures: bool, #[case] expected: i64) {
-    assert_eq!(expected_wait(&node, || Tenths(700), ignores_failures), Tenths(expected));
+    assert_eq!(expected_wait(&node, || TimeSpan(700), ignores_failures), TimeSpan(expected));
 }
 
 /// Every node has failed in an outage, and nothing is in flight that could tell that it is over.
@@ -60,5 +60,5 @@
 #[case::too_late(Some(601), true)]
 #[case::no_replica(None, true)]
 fn out_of_reach(#[case] shortest_wait: Option<i64>, #[case] expected: bool) {
-    assert_eq!(is_out_of_reach(shortest_wait.map(Tenths), Tenths(100), Tenths(1_000)), expected);
+    assert_eq!(is_out_of_reach(shortest_wait.map(TimeSpan), Timestamp(100), Timestamp(1_000)), expected);
 }
--- a/crates/routing/src/policy/reconfiguration.rs
+++ b/crates/routing/src/policy/reconfiguration.rs
@@ -7,13 +7,13 @@
 use super::retry_budget::default_budget;
 use crate::config::BrokerConfig;
 use crate::effective_config::{ClassPolicy, EffectiveConfig};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
 
 /// The shortest latency objective of a configuration without classes.
-const DEFAULT_OBJECTIVE: Tenths = Tenths(50_000);
+const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan(50_000);
 
 /// A configuration with what decisions read of it.
 pub(crate) fn derive_config(config: BrokerConfig) -> EffectiveConfig {
@@ -25,7 +25,7 @@
 /// How long a configuration binds beside the one that replaces it: as long as a window of its rules reaches
 /// back. Without that, a change would let twice the retry budget, or twice what a warming node bears, through
 /// in one window.
-pub(crate) fn binding_period(old: &EffectiveConfig, send_delay: Tenths) -> Tenths {
+pub(crate) fn binding_period(old: &EffectiveConfig, send_delay: TimeSpan) -> TimeSpan {
     let rules = &old.broker.rules;
     let retry_window = old.retry_budget.window + send_delay;
     retry_window.max(rules.warm_up_period).max(rules.overload_window)
--- a/crates/routing/src/policy/reconfiguration/tests.rs
+++ b/crates/routing/src/policy/reconfiguration/tests.rs
@@ -4,15 +4,15 @@
 use crate::config::{BrokerConfig, RequestClass, RetryBudget, SafetyRules};
 use crate::effective_config::ClassPolicy;
 use crate::policy::test_queries::{class, query};
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 use rstest::rstest;
 use std::sync::Arc;
 
 fn rules(warm_up: i64, overload_window: i64, budget_window: i64) -> BrokerConfig {
-    let retry_budget = RetryBudget { floor: 1.0, share: 0.1, window: Tenths(budget_window) };
+    let retry_budget = RetryBudget { floor: 1.0, share: 0.1, window: TimeSpan(budget_window) };
     let rules = SafetyRules {
-        warm_up_period: Tenths(warm_up),
-        overload_window: Tenths(overload_window),
+        warm_up_period: TimeSpan(warm_up),
+        overload_window: TimeSpan(overload_window),
         retry_budget: Some(retry_budget),
         ..SafetyRules::default()
     };
@@ -25,7 +25,7 @@
 #[case::warm_up(rules(2_000, 1, 1_000), 2_000)]
 #[case::overload_window(rules(1, 3_000, 1_000), 3_000)]
 fn a_configuration_binds_for_its_longest_window(#[case] old: BrokerConfig, #[case] expected: i64) {
-    assert_eq!(binding_period(&derive_config(old), Tenths(100)), Tenths(expected));
+    assert_eq!(binding_period(&derive_config(old), TimeSpan(100)), TimeSpan(expected));
 }
 
 fn policy(priority_weight: f64, min_coverage: f64) -> Arc<ClassPolicy> {
--- a/crates/routing/src/policy/replica_choice.rs
+++ b/crates/routing/src/policy/replica_choice.rs
@@ -8,7 +8,7 @@
 
 use crate::ids::NodeId;
 use crate::state::Node;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
@@ -34,7 +34,7 @@
 
 /// A replica's score, in tenths of a millisecond of expected work: the lower the better. `latency` is its
 /// smoothed latency.
-pub(crate) fn score(node: &Node, latency: Tenths, max_batch_size: u32) -> f64 {
+pub(crate) fn score(node: &Node, latency: TimeSpan, max_batch_size: u32) -> f64 {
     let joins_batch = node.open_batch.is_some_and(|batch| batch.shard_requests < max_batch_size);
     let batches = (node.batches.len() + usize::from(!joins_batch)) as f64;
     latency.0 as f64 * (batches + queue_length(node))
--- a/crates/routing/src/policy/replica_choice/tests.rs
+++ b/crates/routing/src/policy/replica_choice/tests.rs
@@ -3,7 +3,7 @@
 use super::{Candidate, choose, score};
 use crate::ids::{BatchId, NodeId};
 use crate::state::{LoadReport, Node, OpenBatch};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
 fn candidate(node: u64, score: f64) -> Candidate {
@@ -50,7 +50,7 @@
     node
 }
 
-fn reported(probe_sent_at: Option<Tenths>, is_valid: bool, queue_length: Option<f64>) -> Node {
+fn reported(probe_sent_at: Option<Timestamp>, is_valid: bool, queue_length: Option<f64>) -> Node {
     let load = LoadReport { is_valid, queue_length, ..LoadReport::default() };
     Node { probe_sent_at, load: probe_sent_at.is_none().then_some(load), ..Node::default() }
 }
@@ -64,7 +64,7 @@
 #[case::reported_queue(reported(None, true, Some(3.0)), 40.0)]
 #[case::no_queue_in_the_report(reported(None, true, None), 10.0)]
 #[case::failed_probe(reported(None, false, Some(3.0)), 330.0)]
-#[case::unanswered_probe(reported(Some(Tenths(1)), true, None), 330.0)]
+#[case::unanswered_probe(reported(Some(Timestamp(1)), true, None), 330.0)]
 fn scores(#[case] node: Node, #[case] expected: f64) {
-    assert_eq!(score(&node, Tenths(10), 4), expected);
+    assert_eq!(score(&node, TimeSpan(10), 4), expected);
 }
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -8,7 +8,7 @@
 
 use crate::config::{RequestLimits, RetryBudget};
 use crate::state::AttemptId;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 #[cfg(test)]
@@ -18,7 +18,7 @@
 const DEFAULT_SHARE: f64 = 0.25;
 
 /// Without a stated budget: the window over which retries are counted.
-const DEFAULT_WINDOW: Tenths = Tenths(50_000);
+const DEFAULT_WINDOW: TimeSpan = TimeSpan(50_000);
 
 /// The budget of a broker for which none is stated: as many retries as one shard request may have, and a
 /// share of what was accepted.
@@ -29,7 +29,7 @@
 /// An attempt beyond a shard request's first.
 #[derive(Clone, Copy, Debug)]
 struct Retry {
-    sent_at: Tenths,
+    sent_at: Timestamp,
     attempt: AttemptId,
 }
 
@@ -37,18 +37,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct RetryHistory {
     /// When queries and shard requests were accepted.
-    accepted_at: VecDeque<Tenths>,
+    accepted_at: VecDeque<Timestamp>,
     retries: VecDeque<Retry>,
 }
 
 impl RetryHistory {
     /// A query or a shard request was accepted.
-    pub(crate) fn record_accepted(&mut self, now: Tenths) {
+    pub(crate) fn record_accepted(&mut self, now: Timestamp) {
         self.accepted_at.push_back(now);
     }
 
     /// An attempt beyond a shard request's first is sent.
-    pub(crate) fn record_retry(&mut self, now: Tenths, attempt: AttemptId) {
+    pub(crate) fn record_retry(&mut self, now: Timestamp, attempt: AttemptId) {
         self.retries.push_back(Retry { sent_at: now, attempt });
     }
 
@@ -60,7 +60,7 @@
     /// Whether the budget covers one more retry now. `send_delay` is the longest way of an attempt to its
     /// node: what was accepted is counted over a window shorter by it and retries over a longer one, so that
     /// the budget also holds for the windows as nodes see them.
-    pub(crate) fn allows_retry(&self, budget: &RetryBudget, now: Tenths, send_delay: Tenths) -> bool {
+    pub(crate) fn allows_retry(&self, budget: &RetryBudget, now: Timestamp, send_delay: TimeSpan) -> bool {
         let window_start = now - budget.window;
         let accepted = self.accepted_since(window_start + send_delay) as f64;
         let retried = self.retried_since(window_start - send_delay);
@@ -68,18 +68,18 @@
     }
 
     /// Drops what no window reaches back to, the longest being `max_window`.
-    pub(crate) fn forget(&mut self, now: Tenths, max_window: Tenths, send_delay: Tenths) {
+    pub(crate) fn forget(&mut self, now: Timestamp, max_window: TimeSpan, send_delay: TimeSpan) {
         let accepted_from = now - max_window + send_delay;
         let retried_from = now - max_window - send_delay;
         while self.accepted_at.pop_front_if(|at| *at < accepted_from).is_some() {}
         while self.retries.pop_front_if(|retry| retry.sent_at < retried_from).is_some() {}
     }
 
-    fn accepted_since(&self, from: Tenths) -> usize {
+    fn accepted_since(&self, from: Timestamp) -> usize {
         self.accepted_at.len() - self.accepted_at.partition_point(|at| *at < from)
     }
 
-    fn retried_since(&self, from: Tenths) -> usize {
+    fn retried_since(&self, from: Timestamp) -> usize {
         self.retries.len() - self.retries.partition_point(|retry| retry.sent_at < from)
     }
 }
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -4,18 +4,18 @@
 use crate::config::{RequestLimits, RetryBudget};
 use crate::ids::{AttemptNumber, ShardRequestId};
 use crate::state::AttemptId;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(1_000_000);
-const BUDGET: RetryBudget = RetryBudget { floor: 2.0, share: 0.1, window: Tenths(10_000) };
+const NOW: Timestamp = Timestamp(1_000_000);
+const BUDGET: RetryBudget = RetryBudget { floor: 2.0, share: 0.1, window: TimeSpan(10_000) };
 
 fn attempt(number: u16) -> AttemptId {
     AttemptId { shard_request: ShardRequestId(1), number: AttemptNumber(number) }
 }
 
 /// So many were accepted and retried at a time.
-fn history(at: Tenths, accepted: usize, retries: u16) -> RetryHistory {
+fn history(at: Timestamp, accepted: usize, retries: u16) -> RetryHistory {
     let mut history = RetryHistory::default();
     (0..accepted).for_each(|_| history.record_accepted(at));
     (0..retries).for_each(|number| history.record_retry(at, attempt(number)));
@@ -29,38 +29,38 @@
 #[case::the_share_is_spent(30, 5, false)]
 #[case::no_part_of_a_retry(39, 5, false)]
 fn retries_are_a_few_and_a_share(#[case] accepted: usize, #[case] retries: u16, #[case] expected: bool) {
-    assert_eq!(history(NOW, accepted, retries).allows_retry(&BUDGET, NOW, Tenths::ZERO), expected);
+    assert_eq!(history(NOW, accepted, retries).allows_retry(&BUDGET, NOW, TimeSpan::ZERO), expected);
 }
 
 /// An attempt that takes its time to its node counts there in a later window than it was decided in.
 #[rstest]
-#[case::accepted_within(history(NOW - Tenths(9_900), 10, 2), true)]
-#[case::accepted_too_long_ago(history(NOW - Tenths(9_901), 10, 2), false)]
+#[case::accepted_within(history(NOW - TimeSpan(9_900), 10, 2), true)]
+#[case::accepted_too_long_ago(history(NOW - TimeSpan(9_901), 10, 2), false)]
 fn windows_are_kept_with_the_way_to_a_node(#[case] history: RetryHistory, #[case] expected: bool) {
-    assert_eq!(history.allows_retry(&BUDGET, NOW, Tenths(100)), expected);
+    assert_eq!(history.allows_retry(&BUDGET, NOW, TimeSpan(100)), expected);
 }
 
 #[rstest]
 #[case::still_counts(10_100, false)]
 #[case::no_longer_counts(10_101, true)]
 fn retries_count_for_a_longer_window(#[case] age: i64, #[case] expected: bool) {
-    let history = history(NOW - Tenths(age), 0, 2);
-    assert_eq!(history.allows_retry(&BUDGET, NOW, Tenths(100)), expected);
+    let history = history(NOW - TimeSpan(age), 0, 2);
+    assert_eq!(history.allows_retry(&BUDGET, NOW, TimeSpan(100)), expected);
 }
 
 #[rstest]
 fn what_never_left_the_broker_does_not_count() {
     let mut history = history(NOW, 0, 2);
     history.withdraw(attempt(1));
-    assert!(history.allows_retry(&BUDGET, NOW, Tenths::ZERO));
+    assert!(history.allows_retry(&BUDGET, NOW, TimeSpan::ZERO));
 }
 
 #[rstest]
 fn forgetting_changes_no_decision() {
-    let mut history = history(NOW - Tenths(10_000), 10, 2);
-    history.forget(NOW, BUDGET.window, Tenths::ZERO);
+    let mut history = history(NOW - TimeSpan(10_000), 10, 2);
+    history.forget(NOW, BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (10, 2));
-    history.forget(NOW + Tenths(1), BUDGET.window, Tenths::ZERO);
+    history.forget(NOW + TimeSpan(1), BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (0, 0));
 }
 
@@ -68,5 +68,5 @@
 fn without_a_stated_budget_retries_are_a_quarter() {
     let limits = RequestLimits { max_attempts: 3, ..RequestLimits::default() };
     let budget = default_budget(&limits);
-    assert_eq!((budget.floor, budget.share, budget.window), (3.0, 0.25, Tenths(50_000)));
+    assert_eq!((budget.floor, budget.share, budget.window), (3.0, 0.25, TimeSpan(50_000)));
 }
--- a/crates/routing/src/policy/send_delay.rs
+++ b/crates/routing/src/policy/send_delay.rs
@@ -1,7 +1,7 @@
 //! How long an attempt may take from its decision to its node.
 
 use crate::config::BrokerConfig;
-use crate::time::Tenths;
+use crate::time::TimeSpan;
 
 /// Turns that may pass until an attempt is written.
 const TURNS: f64 = 2.0;
@@ -13,6 +13,6 @@
 /// attempt decided on within a window can reach its node after it, where it would count against another
 /// window or run a second time. Windows are therefore kept with this much slack; the cost is a few retries
 /// less.
-pub(crate) fn max_send_delay(config: &BrokerConfig) -> Tenths {
+pub(crate) fn max_send_delay(config: &BrokerConfig) -> TimeSpan {
     config.period.times(TURNS) + config.send_lag
 }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -18,7 +18,7 @@
 use crate::config::SafetyRules;
 use crate::ids::ShardRequestId;
 use crate::state::Execution;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp, WallClockTime};
 use std::collections::VecDeque;
 
 #[cfg(test)]
@@ -31,7 +31,7 @@
 const MIN_FAILURES: u32 = 2;
 
 /// Whether a node is warming up; `started_at` is none where its process started long ago.
-pub(crate) fn is_warming_up(started_at: Option<Tenths>, now: Tenths, warm_up_period: Tenths) -> bool {
+pub(crate) fn is_warming_up(started_at: Option<Timestamp>, now: Timestamp, warm_up_period: TimeSpan) -> bool {
     started_at.is_some_and(|at| now - at < warm_up_period)
 }
 
@@ -43,15 +43,15 @@
 /// the first list after this broker's own start. From then on no process is older than the moment at which it
 /// was first heard of. The cost: a node warms up later by as much as the list was late.
 pub(crate) fn presumed_start(
-    now: Tenths,
+    now: Timestamp,
     has_earlier_list: bool,
-    wall_clock: Tenths,
-    listed_start: Tenths,
-) -> Tenths {
+    wall_clock: WallClockTime,
+    listed_start: WallClockTime,
+) -> Timestamp {
     if has_earlier_list {
         return now;
     }
-    now - (wall_clock - listed_start).max(Tenths::ZERO)
+    now - (wall_clock - listed_start).max(TimeSpan::ZERO)
 }
 
 /// Whether a node's process looks as if it had just been started again, before the endpoint list says so: it
@@ -64,7 +64,7 @@
 /// When shard requests were first queued, of late.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentDemand {
-    requested_at: VecDeque<Tenths>,
+    requested_at: VecDeque<Timestamp>,
 }
 
 /// How many shard requests were queued within a span.
@@ -72,23 +72,23 @@
 pub(crate) struct DemandRate {
     /// At least one.
     pub(crate) shard_requests: f64,
-    pub(crate) span: Tenths,
+    pub(crate) span: TimeSpan,
 }
 
 impl RecentDemand {
     /// A shard request is queued.
-    pub(crate) fn record(&mut self, now: Tenths) {
+    pub(crate) fn record(&mut self, now: Timestamp) {
         self.requested_at.push_back(now);
     }
 
     /// Drops what was queued before.
-    pub(crate) fn forget_before(&mut self, from: Tenths) {
+    pub(crate) fn forget_before(&mut self, from: Timestamp) {
         while self.requested_at.pop_front_if(|at| *at < from).is_some() {}
     }
 
     /// What was queued of late, over a span of `min_span` at the least.
-    pub(crate) fn rate(&self, now: Tenths, min_span: Tenths) -> DemandRate {
-        let span = self.requested_at.front().map_or(Tenths::ZERO, |at| now - *at);
+    pub(crate) fn rate(&self, now: Timestamp, min_span: TimeSpan) -> DemandRate {
+        let span = self.requested_at.front().map_or(TimeSpan::ZERO, |at| now - *at);
         DemandRate { shard_requests: self.requested_at.len().max(1) as f64, span: span.max(min_span) }
     }
 }
@@ -96,13 +96,13 @@
 /// A shard request that a node which warms up may get.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartRequest<'a> {
-    pub(crate) now: Tenths,
+    pub(crate) now: Timestamp,
     pub(crate) rules: &'a SafetyRules,
     /// How many brokers serve together.
     pub(crate) brokers: u32,
-    pub(crate) started_at: Tenths,
+    pub(crate) started_at: Timestamp,
     /// When this broker learned of the start.
-    pub(crate) start_known_at: Tenths,
+    pub(crate) start_known_at: Timestamp,
     pub(crate) consecutive_failures: u32,
     /// How long a shard request of its class keeps a node busy, in tenths of a millisecond: the class's
     /// lowest mean.
@@ -118,7 +118,7 @@
 impl SlowStartRequest<'_> {
     /// Whether the node may receive it. `cost_since` gives the cost of what this broker sent to the node from
     /// a moment on, in tenths of a millisecond.
-    pub(crate) fn may_receive(&self, cost_since: impl Fn(Tenths) -> f64) -> bool {
+    pub(crate) fn may_receive(&self, cost_since: impl Fn(Timestamp) -> f64) -> bool {
         let warmth = self.warmth();
         if warmth >= 1.0 {
             return true;
@@ -140,7 +140,7 @@
 
     /// How far the node has warmed up, from 0; 1 and above: it is warm.
     fn warmth(&self) -> f64 {
-        let age = (self.now - self.started_at).max(Tenths::ZERO);
+        let age = (self.now - self.started_at).max(TimeSpan::ZERO);
         age.over(self.rules.warm_up_period)
     }
 
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -4,17 +4,17 @@
 use crate::config::SafetyRules;
 use crate::ids::ShardRequestId;
 use crate::state::Execution::{MaybeExecuted, NotExecuted};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp, WallClockTime};
 use rstest::rstest;
 
-const NOW: Tenths = Tenths(100_000);
+const NOW: Timestamp = Timestamp(100_000);
 
 fn rules() -> SafetyRules {
     SafetyRules {
         initial_capacity_share: 0.2,
-        warm_up_period: Tenths(100_000),
+        warm_up_period: TimeSpan(100_000),
         overload_factor: 2.0,
-        overload_window: Tenths(10_000),
+        overload_window: TimeSpan(10_000),
         ..SafetyRules::default()
     }
 }
@@ -31,7 +31,7 @@
         consecutive_failures: 0,
         cost: 1_000.0,
         shard_request: ShardRequestId(1),
-        demand: DemandRate { shard_requests: 100.0, span: Tenths(10_000) },
+        demand: DemandRate { shard_requests: 100.0, span: TimeSpan(10_000) },
         ready_nodes: 10,
         draw_seed: 1,
     }
@@ -68,7 +68,7 @@
     let warm = SlowStartRequest { started_at: NOW - rules.warm_up_period, ..request(&rules, 2) };
     assert!(warm.may_receive(|_| 1_000_000.0));
     assert!(!is_warming_up(Some(warm.started_at), NOW, rules.warm_up_period));
-    assert!(is_warming_up(Some(warm.started_at + Tenths(1)), NOW, rules.warm_up_period));
+    assert!(is_warming_up(Some(warm.started_at + TimeSpan(1)), NOW, rules.warm_up_period));
     assert!(!is_warming_up(None, NOW, rules.warm_up_period));
 }
 
@@ -82,7 +82,7 @@
         let brokers = 0..300u64;
         let sends = brokers.filter(|broker| {
             let request = SlowStartRequest {
-                now: NOW + Tenths(age),
+                now: NOW + TimeSpan(age),
                 draw_seed: broker.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 ..request(&rules, 300)
             };
@@ -101,7 +101,7 @@
 #[rstest]
 fn a_broker_that_rarely_meets_the_node_draws_for_each_shard_request() {
     let rules = rules();
-    let rare = DemandRate { shard_requests: 50.0, span: Tenths(10_000) };
+    let rare = DemandRate { shard_requests: 50.0, span: TimeSpan(10_000) };
     let sends = (0..10_000).filter(|id| {
         let request = SlowStartRequest {
             shard_request: ShardRequestId(*id),
@@ -120,8 +120,8 @@
 fn what_was_sent_uses_up_what_has_accumulated() {
     let rules = rules();
     let late = SlowStartRequest {
-        now: NOW + Tenths(90_000),
-        start_known_at: NOW - Tenths(2_000_000),
+        now: NOW + TimeSpan(90_000),
+        start_known_at: NOW - TimeSpan(2_000_000),
         ..request(&rules, 30)
     };
     assert!(late.may_receive(|from| if from == late.start_known_at { 1_000.0 } else { 0.0 }));
@@ -140,8 +140,8 @@
     #[case] listed_start: i64,
     #[case] expected: i64,
 ) {
-    let start = presumed_start(NOW, has_earlier_list, Tenths(wall_clock), Tenths(listed_start));
-    assert_eq!(start, Tenths(expected));
+    let start = presumed_start(NOW, has_earlier_list, WallClockTime(wall_clock), WallClockTime(listed_start));
+    assert_eq!(start, Timestamp(expected));
 }
 
 /// One reset must not put a healthy node through slow start; a process that went down refuses the next
@@ -157,12 +157,12 @@
 #[rstest]
 fn demand_is_a_rate_over_what_is_remembered() {
     let mut demand = RecentDemand::default();
-    let empty = demand.rate(NOW, Tenths(10_000));
-    assert_eq!((empty.shard_requests, empty.span), (1.0, Tenths(10_000)));
-    demand.record(NOW - Tenths(30_000));
-    demand.record(NOW - Tenths(20_000));
-    let rate = demand.rate(NOW, Tenths(10_000));
-    assert_eq!((rate.shard_requests, rate.span), (2.0, Tenths(30_000)));
-    demand.forget_before(NOW - Tenths(20_000));
-    assert_eq!(demand.rate(NOW, Tenths(10_000)).shard_requests, 1.0);
+    let empty = demand.rate(NOW, TimeSpan(10_000));
+    assert_eq!((empty.shard_requests, empty.span), (1.0, TimeSpan(10_000)));
+    demand.record(NOW - TimeSpan(30_000));
+    demand.record(NOW - TimeSpan(20_000));
+    let rate = demand.rate(NOW, TimeSpan(10_000));
+    assert_eq!((rate.shard_requests, rate.span), (2.0, TimeSpan(30_000)));
+    demand.forget_before(NOW - TimeSpan(20_000));
+    assert_eq!(demand.rate(NOW, TimeSpan(10_000)).shard_requests, 1.0);
 }
--- a/crates/routing/src/policy/test_queries.rs
+++ b/crates/routing/src/policy/test_queries.rs
@@ -5,14 +5,14 @@
 use crate::inputs::{NewQuery, NewShardRequest};
 use crate::policy::reconfiguration::derive_config;
 use crate::state::{Query, QueryTimes, ShardRequest, ShardRequestState};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
 /// A class whose responses must cover this much, and are complete from that on.
 pub(crate) fn class(min_coverage: f64, complete_coverage: f64) -> RequestClass {
     RequestClass {
-        latency_objective: Tenths(10_000),
-        deadline: Tenths(30_000),
+        latency_objective: TimeSpan(10_000),
+        deadline: TimeSpan(30_000),
         min_coverage,
         complete_coverage,
         priority_weight: 1.0,
@@ -34,12 +34,15 @@
         class: ClassId(0),
         tenant: TenantId(0),
         time_left: policy.deadline,
-        work: Tenths::ZERO,
+        work: TimeSpan::ZERO,
         client_attempt: 0,
         min_coverage_only: false,
     };
-    let times =
-        QueryTimes { latency_objective, objective_at: latency_objective, deadline_at: policy.deadline };
+    let times = QueryTimes {
+        latency_objective,
+        objective_at: Timestamp::ZERO + latency_objective,
+        deadline_at: Timestamp::ZERO + policy.deadline,
+    };
     let mut query = Query::accept(&new, config, policy, true, times);
     for (index, weight) in weights.iter().enumerate() {
         let id = ShardRequestId(index as u64);
--- a/crates/routing/src/state/attempt.rs
+++ b/crates/routing/src/state/attempt.rs
@@ -1,7 +1,7 @@
 //! State of one attempt to have a shard request executed by a node.
 
 use crate::ids::{AttemptNumber, BatchId, ClassId, NodeId, ShardRequestId};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 
 /// What is known of an attempt's execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) node: NodeId,
-    pub(crate) sent_at: Tenths,
+    pub(crate) sent_at: Timestamp,
     pub(crate) execution: Execution,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionAfterIdle {
     pub(crate) usage: ConnectionUse,
-    pub(crate) idle_period: Tenths,
+    pub(crate) idle_period: TimeSpan,
 }
 
 /// What is kept of an attempt until its outcome is known, also past its query's end.
@@ -54,7 +54,7 @@
     pub(crate) within_quota: bool,
     pub(crate) class: ClassId,
     /// The latency objective of its class.
-    pub(crate) latency_objective: Tenths,
+    pub(crate) latency_objective: TimeSpan,
     /// Shard requests in flight after the turn in which it was sent.
     pub(crate) in_flight_at_send: f64,
     /// These used much of the concurrency limit of that moment.
--- a/crates/routing/src/state/broker_state.rs
+++ b/crates/routing/src/state/broker_state.rs
@@ -17,13 +17,13 @@
 use crate::policy::quota::TenantRates;
 use crate::policy::retry_budget::RetryHistory;
 use crate::policy::slow_start::RecentDemand;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
 /// A configuration that is no longer the newest, and until when it still binds.
 #[derive(Debug)]
 pub(crate) struct SupersededConfig {
-    pub(crate) binds_until: Tenths,
+    pub(crate) binds_until: Timestamp,
     pub(crate) config: Arc<EffectiveConfig>,
 }
 
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(crate) struct BrokerState {
     /// The time of this turn.
-    pub(crate) now: Tenths,
+    pub(crate) now: Timestamp,
     /// What this turn does.
     pub(crate) effects: Vec<Effect>,
     pub(crate) timers: Timers,
@@ -41,7 +41,7 @@
     pub(crate) superseded_configs: Vec<SupersededConfig>,
 
     /// Smoothed latency over all nodes, as of the beginning of this turn; none before any was measured.
-    pub(crate) average_latency: Option<Tenths>,
+    pub(crate) average_latency: Option<TimeSpan>,
     /// The cutoff leaves light shard requests unsent.
     pub(crate) is_cutoff_active: bool,
     /// Shard requests in flight or to be sent at the end of this turn.
@@ -63,7 +63,7 @@
 
 impl BrokerState {
     /// The state of a broker that has just started. `seed` draws the replicas that it chooses among.
-    pub(crate) fn new(now: Tenths, seed: u64, concurrency_limit: ConcurrencyLimit) -> BrokerState {
+    pub(crate) fn new(now: Timestamp, seed: u64, concurrency_limit: ConcurrencyLimit) -> BrokerState {
         BrokerState {
             now,
             effects: Vec::new(),
--- a/crates/routing/src/state/node_table.rs
+++ b/crates/routing/src/state/node_table.rs
@@ -5,7 +5,7 @@
 use crate::ids::{BatchId, ClassId, NodeId, PlacementGroupId, ZoneId};
 use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
 use crate::policy::replica_subset::ReplicaGroup;
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp, WallClockTime};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
@@ -55,7 +55,7 @@
     ready: usize,
     /// Ready nodes whose latency is known, and the sum of their latencies.
     measured: usize,
-    latency_sum: Tenths,
+    latency_sum: TimeSpan,
     zones: BTreeMap<ZoneId, ZoneLatency>,
     with_open_batch: Vec<NodeId>,
     last_batch: BatchId,
@@ -78,7 +78,7 @@
             subset_seed,
             ready: 0,
             measured: 0,
-            latency_sum: Tenths::ZERO,
+            latency_sum: TimeSpan::ZERO,
             zones: BTreeMap::new(),
             with_open_batch: Vec::new(),
             last_batch: BatchId::default(),
@@ -96,15 +96,20 @@
     }
 
     /// The mean of the smoothed latencies of the ready nodes; none before any was measured.
-    pub(crate) fn mean_latency(&self) -> Option<Tenths> {
-        (self.measured > 0).then(|| Tenths(self.latency_sum.0 / self.measured as i64))
+    pub(crate) fn mean_latency(&self) -> Option<TimeSpan> {
+        (self.measured > 0).then(|| TimeSpan(self.latency_sum.0 / self.measured as i64))
     }
 
     /// The mean latency over a zone's measured nodes together with `prior_nodes` at `prior_latency`.
-    pub(crate) fn zone_mean_latency(&self, zone: ZoneId, prior_latency: Tenths, prior_nodes: f64) -> Tenths {
+    pub(crate) fn zone_mean_latency(
+        &self,
+        zone: ZoneId,
+        prior_latency: TimeSpan,
+        prior_nodes: f64,
+    ) -> TimeSpan {
         let known = self.zones.get(&zone).copied().unwrap_or_default();
         let sum = known.sum as f64 + prior_nodes * prior_latency.0 as f64;
-        Tenths((sum / (known.nodes as f64 + prior_nodes)) as i64)
+        TimeSpan((sum / (known.nodes as f64 + prior_nodes)) as i64)
     }
 
     /// The ready nodes of some placement groups that are usable, at most so many of each group.
@@ -150,7 +155,7 @@
     ) {
         self.ready = self.ready + after.ready - before.ready;
         self.measured = self.measured + after.measured - before.measured;
-        self.latency_sum = Tenths(self.latency_sum.0 + after.latency - before.latency);
+        self.latency_sum = TimeSpan(self.latency_sum.0 + after.latency - before.latency);
         let left = self.zones.entry(zone_before).or_default();
         left.nodes -= before.measured;
         left.sum -= before.latency;
@@ -160,7 +165,7 @@
     }
 
     /// Puts an attempt into this turn's batch to its node, or into a new one where that is full.
-    pub(crate) fn join_batch(&mut self, now: Tenths, id: NodeId, attempt: BatchedAttempt) -> BatchId {
+    pub(crate) fn join_batch(&mut self, now: Timestamp, id: NodeId, attempt: BatchedAttempt) -> BatchId {
         let node = self.nodes.entry(id).or_default();
         let open = node.open_batch.filter(|batch| batch.shard_requests < attempt.max_batch_size);
         let batch = match open {
@@ -194,9 +199,9 @@
     /// holds.
     pub(crate) fn apply_endpoint_list(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         list: &EndpointList,
-        presumed_start: impl Fn(Tenths) -> Tenths,
+        presumed_start: impl Fn(WallClockTime) -> Timestamp,
     ) {
         if list.kind != EndpointListKind::Delta {
             self.remove_unlisted(list);
@@ -214,9 +219,9 @@
     /// sent full load while cold.
     fn apply_endpoint(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         endpoint: &Endpoint,
-        presumed_start: impl Fn(Tenths) -> Tenths,
+        presumed_start: impl Fn(WallClockTime) -> Timestamp,
     ) -> bool {
         self.nodes.entry(endpoint.node).or_default();
         let mut is_another = false;
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -4,7 +4,7 @@
 use crate::effective_config::{ClassPolicy, EffectiveConfig};
 use crate::ids::{AttemptNumber, ClassId, GroupId, NodeId, QueryId, ShardId, ShardRequestId};
 use crate::inputs::{NewQuery, NewShardRequest};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -77,7 +77,7 @@
     }
 
     /// When the first attempt was sent that was executed, or may be; with those in flight, or without.
-    pub(crate) fn earliest_execution(&self, with_in_flight: bool) -> Option<Tenths> {
+    pub(crate) fn earliest_execution(&self, with_in_flight: bool) -> Option<Timestamp> {
         let may_execute = self.attempts.iter().filter(|attempt| match attempt.execution {
             Execution::MaybeExecuted => true,
             Execution::InFlight => with_in_flight,
@@ -139,11 +139,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueryTimes {
     /// Its latency objective, or what its client will wait if that is less.
-    pub(crate) latency_objective: Tenths,
+    pub(crate) latency_objective: TimeSpan,
     /// When a response has to leave to be on time.
-    pub(crate) objective_at: Tenths,
+    pub(crate) objective_at: Timestamp,
     /// When a response has to leave to be of any use.
-    pub(crate) deadline_at: Tenths,
+    pub(crate) deadline_at: Timestamp,
 }
 
 /// A query and its shard requests, in the order of their ranks.
@@ -169,7 +169,7 @@
     /// Only what its minimum coverage needs is sent.
     pub(crate) min_coverage_only: bool,
     /// When its replicas were probed for their load.
-    pub(crate) probed_at: Option<Tenths>,
+    pub(crate) probed_at: Option<Timestamp>,
     pub(crate) shard_requests: Vec<ShardRequest>,
 }
 
--- a/crates/routing/src/state/query_table.rs
+++ b/crates/routing/src/state/query_table.rs
@@ -4,7 +4,7 @@
 use super::query::{Query, QueryState, ShardRequest, ShardRequestState};
 use crate::ids::{AttemptNumber, GroupId, QueryId, ShardRequestId};
 use crate::inputs::NewShardRequest;
-use crate::time::Tenths;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where a shard request is found.
@@ -110,7 +110,7 @@
     /// Enters an attempt that is sent this turn.
     pub(crate) fn record_attempt(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         shard_request: &mut ShardRequest,
         attempt: InFlightAttempt,
     ) -> AttemptId {
--- a/crates/routing/src/state/timers.rs
+++ b/crates/routing/src/state/timers.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::AttemptId;
 use crate::ids::{QueryId, ShardRequestId};
-use crate::time::Tenths;
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeSet;
 
 /// What happens at a time. Timers of one moment fire in the order of these variants.
@@ -27,7 +27,7 @@
 /// A timer and its time, ordered by time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
-    at: Tenths,
+    at: Timestamp,
     timer: Timer,
 }
 
@@ -36,17 +36,17 @@
 pub(crate) struct Timers {
     scheduled: BTreeSet<ScheduledTimer>,
     /// When the wake-up that was last asked for comes.
-    wake_at: Option<Tenths>,
+    wake_at: Option<Timestamp>,
 }
 
 impl Timers {
     /// Schedules a timer. The same timer may be scheduled for several times.
-    pub(crate) fn schedule(&mut self, at: Tenths, timer: Timer) {
+    pub(crate) fn schedule(&mut self, at: Timestamp, timer: Timer) {
         self.scheduled.insert(ScheduledTimer { at, timer });
     }
 
     /// Cancels a timer that was scheduled for this time.
-    pub(crate) fn cancel(&mut self, at: Tenths, timer: Timer) {
+    pub(crate) fn cancel(&mut self, at: Timestamp, timer: Timer) {
         self.scheduled.remove(&ScheduledTimer { at, timer });
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Takes the first timer that is due.
-    pub(crate) fn pop_due(&mut self, now: Tenths) -> Option<Timer> {
+    pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<Timer> {
         let first = *self.scheduled.first().filter(|scheduled| scheduled.at <= now)?;
         self.scheduled.remove(&first);
         Some(first.timer)
@@ -64,7 +64,7 @@
 
     /// After which time the broker has to be woken for its first timer; none where no timer is scheduled, or
     /// a wake-up that was asked for earlier comes in time.
-    pub(crate) fn next_wake_up(&mut self, now: Tenths) -> Option<Tenths> {
+    pub(crate) fn next_wake_up(&mut self, now: Timestamp) -> Option<TimeSpan> {
         let first = self.scheduled.first()?;
         let is_needed = self.wake_at.is_none_or(|wake_at| wake_at <= now || wake_at > first.at);
         if !is_needed {
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -10,13 +10,13 @@
 const SHARDS_PER_QUERY: u64 = 18;
 
 fn config() -> BrokerConfig {
-    let mut config = BrokerConfig { brokers: 300, period: Tenths(50), ..BrokerConfig::default() };
+    let mut config = BrokerConfig { brokers: 300, period: TimeSpan(50), ..BrokerConfig::default() };
     config.layout =
         ShardLayout { placement_groups: GROUPS, replica_groups: 4, shards: SHARDS, max_batch_size: 8 };
     (config.limits.max_open, config.limits.max_attempts) = (1000, 3);
     let class = RequestClass {
-        latency_objective: Tenths(10_000),
-        deadline: Tenths(20_000),
+        latency_objective: TimeSpan(10_000),
+        deadline: TimeSpan(20_000),
         min_coverage: 1.0,
         complete_coverage: 1.0,
         priority_weight: 1.0,
@@ -39,8 +39,8 @@
         group,
         class: ClassId(0),
         tenant: TenantId(0),
-        time_left: Tenths(20_000),
-        work: Tenths::ZERO,
+        time_left: TimeSpan(20_000),
+        work: TimeSpan::ZERO,
         client_attempt: 0,
         min_coverage_only: false,
     })];
@@ -53,16 +53,16 @@
 
 /// The nodes that are sent to.
 fn nodes_used(node_count: u64, seed: u64, queries: u64) -> BTreeSet<NodeId> {
-    let mut now = Tenths(1_000_000);
+    let mut now = Timestamp(1_000_000);
     let mut broker = Broker::start(config(), seed, now);
     let entries = (0..node_count).map(endpoint).collect();
-    let list = EndpointList { kind: EndpointListKind::Snapshot, wall_clock: now, entries };
+    let list = EndpointList { kind: EndpointListKind::Snapshot, wall_clock: WallClockTime(now.0), entries };
     broker.turn(now, &[Input::EndpointList(list)]);
     let mut used = BTreeSet::new();
     for number in 1..=queries {
-        now += Tenths(250);
+        now += TimeSpan(250);
         let sent = broker.turn(now, &query(number));
-        now += Tenths(200);
+        now += TimeSpan(200);
         let ends = sent.into_iter().filter_map(|effect| match effect {
             Effect::Send { shard_request, node, .. } => Some((shard_request, node)),
             _ => None,
@@ -75,7 +75,7 @@
                 attempt,
                 node,
                 outcome,
-                duration: Tenths(200),
+                duration: TimeSpan(200),
             })
         };
         let ends: Vec<Input> = ends.map(end).collect();
--- a/crates/routing/tests/random_inputs.rs
+++ b/crates/routing/tests/random_inputs.rs
@@ -12,14 +12,14 @@
 const NODES: u64 = 4;
 
 fn config(rng: &mut Rng) -> BrokerConfig {
-    let mut config = BrokerConfig { brokers: 1, period: Tenths(50), ..BrokerConfig::default() };
+    let mut config = BrokerConfig { brokers: 1, period: TimeSpan(50), ..BrokerConfig::default() };
     config.layout = ShardLayout { placement_groups: 2, replica_groups: 2, shards: 4, max_batch_size: 2 };
     (config.limits.max_open, config.limits.max_attempts) = (40, 3);
     (config.limits.allow_hedging, config.limits.allow_cancel) = (rng.bool(), rng.bool());
     for class in 0..3 {
         let class_config = RequestClass {
-            latency_objective: Tenths(2000),
-            deadline: Tenths(5000),
+            latency_objective: TimeSpan(2000),
+            deadline: TimeSpan(5000),
             min_coverage: 0.4,
             complete_coverage: 1.0,
             priority_weight: 1.0,
@@ -47,8 +47,8 @@
         group,
         class: ClassId(rng.u16(0..4)),
         tenant: TenantId(0),
-        time_left: Tenths(rng.i64(0..6000)),
-        work: Tenths::ZERO,
+        time_left: TimeSpan(rng.i64(0..6000)),
+        work: TimeSpan::ZERO,
         client_attempt: 0,
         min_coverage_only: rng.bool(),
     })];
@@ -63,7 +63,7 @@
     inputs
 }
 
-fn endpoint_list(rng: &mut Rng, now: Tenths) -> Input {
+fn endpoint_list(rng: &mut Rng, now: Timestamp) -> Input {
     let kinds = [EndpointListKind::Delta, EndpointListKind::Snapshot, EndpointListKind::Cached];
     let states =
         [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
@@ -73,11 +73,11 @@
         zone: ZoneId(rng.u16(0..2)),
         placement_group: PlacementGroupId(node as u32 % 2),
         state: states[rng.usize(0..states.len())],
-        started_at: rng.bool().then(|| Tenths(rng.i64(0..100_000))),
+        started_at: rng.bool().then(|| WallClockTime(rng.i64(0..100_000))),
     });
     let entries = entries.collect();
     let kind = kinds[rng.usize(0..kinds.len())];
-    Input::EndpointList(EndpointList { kind, wall_clock: now, entries })
+    Input::EndpointList(EndpointList { kind, wall_clock: WallClockTime(now.0), entries })
 }
 
 const OUTCOMES: &[AttemptOutcome] = &[
@@ -99,17 +99,17 @@
         attempt: AttemptNumber(rng.u16(0..3)),
         node,
         outcome: OUTCOMES[rng.usize(0..OUTCOMES.len())],
-        duration: Tenths(rng.i64(0..3000)),
+        duration: TimeSpan(rng.i64(0..3000)),
     }))
 }
 
 fn play(seed: u64, is_reused: bool) {
     let mut rng = Rng::with_seed(seed);
-    let mut now = Tenths(1_000_000);
+    let mut now = Timestamp(1_000_000);
     let mut broker = Broker::start(config(&mut rng), seed, now);
     let (mut next, mut sent) = (0, Vec::new());
     for _ in 0..TURNS {
-        now += Tenths(rng.i64(50..900));
+        now += TimeSpan(rng.i64(50..900));
         let mut inputs = vec![Input::Woken];
         for _ in 0..rng.usize(0..5) {
             match rng.u32(0..10) {
--- a/crates/routing/tests/scenarios/configuration.rs
+++ b/crates/routing/tests/scenarios/configuration.rs
@@ -3,13 +3,13 @@
 use crate::runner::ScenarioRunner;
 use crate::words::{Words, span, value};
 use routing::{
-    ClassId, Idempotency, Input, RequestClass, RetryBudget, ShardLayout, Tenant, TenantId, Tenths,
+    ClassId, Idempotency, Input, RequestClass, RetryBudget, ShardLayout, Tenant, TenantId, TimeSpan,
 };
 
 /// The configuration of a scenario that says nothing of it.
 pub fn default_config() -> routing::BrokerConfig {
     let mut config =
-        routing::BrokerConfig { brokers: 1, period: Tenths(50), ..routing::BrokerConfig::default() };
+        routing::BrokerConfig { brokers: 1, period: TimeSpan(50), ..routing::BrokerConfig::default() };
     config.layout = ShardLayout { placement_groups: 1, replica_groups: 1, shards: 1, max_batch_size: 1 };
     config.limits.max_open = 1000;
     config.limits.max_attempts = 3;
@@ -20,7 +20,7 @@
     /// Changes the configuration; false where the statement is about something else.
     pub fn configure(&mut self, words: &Words) -> bool {
         match words[0] {
-            "send-lag" => self.config.send_lag = Tenths::from_ms(words[1].parse().unwrap()),
+            "send-lag" => self.config.send_lag = TimeSpan::from_ms(words[1].parse().unwrap()),
             "brokers" => self.config.brokers = words[1].parse().unwrap(),
             "class" => self.add_class(words),
             "remove-class" => {
--- a/crates/routing/tests/scenarios/events.rs
+++ b/crates/routing/tests/scenarios/events.rs
@@ -5,7 +5,7 @@
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointListKind,
     EndpointState, GroupId, Input, LoadMetric, NewQuery, NewShardRequest, NodeId, PlacementGroupId,
-    ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
+    ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, WallClockTime, ZoneId,
 };
 
 /// A class that no scenario configures.
@@ -47,7 +47,7 @@
                 _ => self.ineligible.insert(endpoint.node),
             };
         }
-        let list = EndpointList { kind, wall_clock: self.now, entries: endpoints.into() };
+        let list = EndpointList { kind, wall_clock: WallClockTime(self.now.0), entries: endpoints.into() };
         self.inputs.push(Input::EndpointList(list));
     }
 
@@ -136,7 +136,7 @@
             Some("removed") => EndpointState::Removed,
             _ => EndpointState::Ready,
         },
-        started_at: fields.next().and_then(|ms| ms.parse().ok()).map(Tenths::from_ms),
+        started_at: fields.next().and_then(|ms| ms.parse().ok()).map(WallClockTime::from_ms),
         zone: ZoneId(fields.next().map_or(0, |zone| zone.parse().unwrap())),
     }
 }
--- a/crates/routing/tests/scenarios/main.rs
+++ b/crates/routing/tests/scenarios/main.rs
@@ -6,14 +6,14 @@
 mod runner;
 mod words;
 
-use routing::Tenths;
+use routing::TimeSpan;
 use rstest::rstest;
 use runner::ScenarioRunner;
 use std::path::PathBuf;
 use words::Words;
 
 /// How long a scenario goes on after its last statement.
-const AFTERMATH: Tenths = Tenths(100_000);
+const AFTERMATH: TimeSpan = TimeSpan(100_000);
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
--- a/crates/routing/tests/scenarios/runner.rs
+++ b/crates/routing/tests/scenarios/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::default_config;
 use crate::words::{Words, check_keys, name};
-use routing::{Broker, BrokerConfig, Effect, Input, NodeId, QueryId, ShardRequestId, Tenths};
+use routing::{Broker, BrokerConfig, Effect, Input, NodeId, QueryId, ShardRequestId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The seed of every scenario.
@@ -11,7 +11,7 @@
 /// An attempt that the broker sent.
 pub struct SentAttempt {
     pub node: NodeId,
-    pub sent_at: Tenths,
+    pub sent_at: Timestamp,
     pub is_in_flight: bool,
 }
 
@@ -21,8 +21,8 @@
     pub config: BrokerConfig,
     pub class_names: Vec<String>,
     broker: Option<Broker>,
-    pub now: Tenths,
-    wake_ups: BTreeSet<Tenths>,
+    pub now: Timestamp,
+    wake_ups: BTreeSet<Timestamp>,
     /// What has come in since the last turn.
     pub inputs: Vec<Input>,
     /// All effects since the last moment, in the notation.
@@ -47,7 +47,7 @@
     pub fn play(&mut self, words: Words) {
         match words[0] {
             ">" => return self.expect(&words[1..].to_vec()),
-            "at" => return self.go_to(Tenths::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
+            "at" => return self.go_to(Timestamp::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
             _ => check_keys(&words),
         }
         if !self.configure(&words) {
@@ -56,7 +56,7 @@
     }
 
     /// Plays the wake-ups up to a moment, then stands at it.
-    pub fn go_to(&mut self, at: Tenths) {
+    pub fn go_to(&mut self, at: Timestamp) {
         self.turn();
         self.effects.clear();
         while let Some(wake) = self.wake_ups.first().copied().filter(|wake| *wake < at) {
--- a/crates/routing/tests/scenarios/words.rs
+++ b/crates/routing/tests/scenarios/words.rs
@@ -1,6 +1,6 @@
 //! The words of a statement.
 
-use routing::Tenths;
+use routing::TimeSpan;
 
 /// A statement, split at spaces.
 pub type Words<'a> = Vec<&'a str>;
@@ -55,8 +55,8 @@
 }
 
 /// A span of milliseconds behind `key=`.
-pub fn span(words: &Words, key: &str, none: f64) -> Tenths {
-    Tenths::from_ms(value(words, key, none))
+pub fn span(words: &Words, key: &str, none: f64) -> TimeSpan {
+    TimeSpan::from_ms(value(words, key, none))
 }
 
 /// The id that a name of at most eight letters stands for.
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -20,7 +20,7 @@
 use crate::{NameRegistry, SettingsError};
 use routing::{
     BrokerConfig, ClassId, Idempotency, LoadMetric, RequestClass, RequestLimits, RetryBudget, SafetyRules,
-    ShardLayout, Tenant, TenantId, Tenths, ZoneId,
+    ShardLayout, Tenant, TenantId, TimeSpan, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionSettings {
     /// A node closes a connection that was idle for this long.
-    pub idle_timeout: Option<Tenths>,
+    pub idle_timeout: Option<TimeSpan>,
     /// A connection that is not established within this time never will be.
-    pub connect_timeout: Option<Tenths>,
+    pub connect_timeout: Option<TimeSpan>,
     /// The shard requests that one connection carries at a time.
     pub max_shard_requests: Option<u32>,
 }
@@ -100,8 +100,8 @@
     Ok(BrokerConfig {
         brokers: text.instances,
         zone: ZoneId(text.zone),
-        period: Tenths::from_ms(text.period_ms),
-        send_lag: Tenths::ZERO,
+        period: TimeSpan::from_ms(text.period_ms),
+        send_lag: TimeSpan::ZERO,
         classes: request_classes(text, &numbers.classes)?,
         tenants: tenants(text, &numbers.tenants),
         over_quota_weight: text.over_share_worth,
@@ -135,16 +135,16 @@
         shares.get(index).copied().ok_or(SettingsError::ListTooShort { key })
     };
     Ok(RequestClass {
-        latency_objective: Tenths::from_ms(service.on_time_ms),
+        latency_objective: TimeSpan::from_ms(service.on_time_ms),
         objective_stretch: service.aim_stretch,
-        deadline: Tenths::from_ms(service.deadline_ms),
+        deadline: TimeSpan::from_ms(service.deadline_ms),
         priority_weight: service.worth,
         late_weight_share: service.late_share,
         min_coverage: share(&text.domain.min_share, "MinShare")?,
         complete_coverage: share(&text.domain.complete_from, "CompleteFrom")?,
         second_phase_shard_requests: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
         idempotency: idempotency(&service.effect)?,
-        dedup_window: Tenths::from_ms(service.dedup_window_ms),
+        dedup_window: TimeSpan::from_ms(service.dedup_window_ms),
     })
 }
 
@@ -180,30 +180,30 @@
         allow_hedging: limits.second_copies,
         allow_cancel: limits.may_cancel,
         retry_after: limits.retry_after,
-        max_retry_after: Tenths::from_ms(limits.max_retry_after_ms),
+        max_retry_after: TimeSpan::from_ms(limits.max_retry_after_ms),
     }
 }
 
 fn safety_rules(rules: &RulesText) -> SafetyRules {
     SafetyRules {
         initial_capacity_share: rules.cold_from,
-        warm_up_period: Tenths::from_ms(rules.warm_up_ms),
+        warm_up_period: TimeSpan::from_ms(rules.warm_up_ms),
         overload_factor: rules.overload_factor,
-        overload_window: Tenths::from_ms(rules.overload_for_ms),
-        endpoint_list_max_age: Tenths::from_ms(rules.ask_within_ms),
-        drain_grace: Tenths::from_ms(rules.stop_sending_within_ms),
+        overload_window: TimeSpan::from_ms(rules.overload_for_ms),
+        endpoint_list_max_age: TimeSpan::from_ms(rules.ask_within_ms),
+        drain_grace: TimeSpan::from_ms(rules.stop_sending_within_ms),
         retry_budget: rules.budget_window_ms.map(|window_ms| RetryBudget {
             floor: rules.extra_floor.unwrap_or(0.0),
             share: rules.resend_ratio.unwrap_or(0.0),
-            window: Tenths::from_ms(window_ms),
+            window: TimeSpan::from_ms(window_ms),
         }),
     }
 }
 
 fn connection_settings(limits: &LimitsText) -> ConnectionSettings {
     ConnectionSettings {
-        idle_timeout: limits.conn_idle_ms.map(Tenths::from_ms),
-        connect_timeout: limits.connect_timeout_ms.map(Tenths::from_ms),
+        idle_timeout: limits.conn_idle_ms.map(TimeSpan::from_ms),
+        connect_timeout: limits.connect_timeout_ms.map(TimeSpan::from_ms),
         max_shard_requests: limits.streams_per_conn,
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,7 +1,7 @@
 //! What is read of settings texts, which errors they have, and what a running broker applies.
 
 use super::{Applies, BrokerSettings, Document, FIELDS, Revised, ValidationError, check, compare, revise};
-use routing::{ClassId, Idempotency, Tenths, ZoneId};
+use routing::{ClassId, Idempotency, TimeSpan, ZoneId};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -43,7 +43,7 @@
     let text = with("/Surprise", json!([1])).to_string();
     let BrokerSettings { broker_config: read, names, zones, connections, load_report } =
         super::read(text.as_bytes()).unwrap();
-    assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (Tenths(50), 111, false));
+    assert_eq!((read.period, read.limits.max_open, read.watch_on_request), (TimeSpan(50), 111, false));
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.idempotency, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.retry_budget.is_none());
@@ -52,7 +52,7 @@
     assert_eq!((load_report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
     assert_eq!(
         (connections.idle_timeout, connections.connect_timeout, connections.max_shard_requests),
-        (Some(Tenths(150_000)), None, Some(32))
+        (Some(TimeSpan(150_000)), None, Some(32))
     );
 }
 
@@ -301,7 +301,7 @@
 mod arbitrary_values {
     use super::{check, compare, document, revise, valid};
     use proptest::prelude::*;
-    use routing::Tenths;
+    use routing::Timestamp;
     use serde_json::{Value, json};
 
     /// The same sequence in every run, unless PROPTEST_RNG_SEED names another; a failure prints what it
@@ -367,8 +367,8 @@
             let document = document(&text);
             if check(&document).is_empty() {
                 let read = super::super::read(text.to_string().as_bytes()).unwrap();
-                let mut broker = routing::Broker::start(read.broker_config, 1, Tenths(0));
-                broker.turn(Tenths(10), &[routing::Input::Woken]);
+                let mut broker = routing::Broker::start(read.broker_config, 1, Timestamp(0));
+                broker.turn(Timestamp(10), &[routing::Input::Woken]);
                 // A broker that runs it finds nothing changed.
                 prop_assert_eq!(compare(&document, &document), vec![]);
                 prop_assert!(revise(&document, &read.names, &document).is_ok());
--- a/crates/simulator-adapter/src/broker_host.rs
+++ b/crates/simulator-adapter/src/broker_host.rs
@@ -2,7 +2,8 @@
 
 use crate::wire::{Batch, BatchEvent, Reply};
 use routing::{
-    Broker, Endpoint, EndpointList, EndpointListKind, Input, LoadMetric, NodeId, ProbeResult, Tenths,
+    Broker, Endpoint, EndpointList, EndpointListKind, Input, LoadMetric, NodeId, ProbeResult, Timestamp,
+    WallClockTime,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -55,7 +56,7 @@
 
     fn handle_event(
         &mut self,
-        now: Tenths,
+        now: Timestamp,
         event: BatchEvent,
         inputs: &mut BrokerInputs,
     ) -> Result<(), BatchError> {
@@ -84,7 +85,7 @@
         Ok(())
     }
 
-    fn run_turns(&mut self, now: Tenths, inputs: &BrokerInputs) -> Reply {
+    fn run_turns(&mut self, now: Timestamp, inputs: &BrokerInputs) -> Reply {
         let mut reply = Reply::default();
         for (number, inputs) in inputs {
             match self.brokers.get_mut(number) {
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    fn list_input(&self, now: Tenths, number: u16, form: u8) -> Result<Input, BatchError> {
+    fn list_input(&self, now: Timestamp, number: u16, form: u8) -> Result<Input, BatchError> {
         let kind = match form {
             0 => EndpointListKind::Delta,
             1 => EndpointListKind::Snapshot,
@@ -117,7 +118,7 @@
             other => return Err(BatchError::UnknownListForm(other)),
         };
         let entries = self.endpoint_lists.get(&number).ok_or(BatchError::MissingList(number))?.clone();
-        Ok(Input::EndpointList(EndpointList { kind, wall_clock: now, entries }))
+        Ok(Input::EndpointList(EndpointList { kind, wall_clock: WallClockTime(now.0), entries }))
     }
 
     fn probe_input(&self, broker: u16, node: NodeId, is_healthy: bool, load_values: Vec<f32>) -> Input {
@@ -132,7 +133,7 @@
 }
 
 impl HostedBroker {
-    fn start(settings: &[u8], seed: u64, now: Tenths) -> HostedBroker {
+    fn start(settings: &[u8], seed: u64, now: Timestamp) -> HostedBroker {
         match settings::read(settings) {
             Ok(settings) => HostedBroker::Running {
                 broker: Box::new(Broker::start(settings.broker_config, seed, now)),
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -42,9 +42,9 @@
 #[rstest]
 fn decodes_the_examples() {
     let header: [u8; HEADER_BYTES] = bytes("00000000206ec040 50000000").try_into().unwrap();
-    assert_eq!(decode_header(&header), (Tenths(84_122), 80));
+    assert_eq!(decode_header(&header), (Timestamp(84_122), 80));
     let batch =
-        decode_body(Tenths(1), &body(&[SHARD_REQUEST, LIST, ATTEMPT_ENDED, "16 0300 4d00000000000000"]))
+        decode_body(Timestamp(1), &body(&[SHARD_REQUEST, LIST, ATTEMPT_ENDED, "16 0300 4d00000000000000"]))
             .unwrap();
     let [
         BatchEvent::Input { broker: 3, input: Input::ShardRequest(shard_request) },
@@ -59,11 +59,11 @@
         (shard_request.id, shard_request.shard, shard_request.weight),
         (ShardRequestId(0x9_af5d_5d3a_91c4), ShardId(0), 0.125)
     );
-    assert_eq!((endpoints[0].started_at, endpoints[1].started_at), (None, Some(Tenths(61_000))));
+    assert_eq!((endpoints[0].started_at, endpoints[1].started_at), (None, Some(WallClockTime(61_000))));
     assert_eq!((endpoints[1].node, endpoints[1].zone), (NodeId(0x1fbc_f211_900a), ZoneId(1)));
     assert_eq!(
         (result.outcome, result.duration, result.node),
-        (AttemptOutcome::Succeeded, Tenths(185), endpoints[0].node)
+        (AttemptOutcome::Succeeded, TimeSpan(185), endpoints[0].node)
     );
 }
 
@@ -71,14 +71,14 @@
     Effect::Send {
         shard_request: ShardRequestId(0x9_af5d_5d3a_91c4),
         node: NodeId(0x1f93_074a_120a),
-        timeout: Tenths(800),
+        timeout: TimeSpan(800),
     }
 }
 
 #[rstest]
 #[case(send(), "50 0300 c4913a5d5daf0900 0a124a07 931f 0000000000005440")]
 #[case(Effect::Log(LogEvent::QueryQuarantined { lost_nodes: 2 }), "58 0300 2600 71756172616e74696e65643a2032206e6f646573206c6f737420776974682061207175657279")]
-#[case(Effect::Wake { after: Tenths(5000) }, "54 0300 0000000000000000 0000000000407f40")]
+#[case(Effect::Wake { after: TimeSpan(5000) }, "54 0300 0000000000000000 0000000000407f40")]
 #[case(Effect::Respond { query: QueryId(1), complete: true }, "5c 0300 0100000000000000 01")]
 #[case(Effect::WatchEndpoints, "5a 0300 01")]
 fn encodes(#[case] effect: Effect, #[case] record: &str) {
@@ -98,7 +98,7 @@
 #[case("ffffffff", "field cut short", 16)]
 #[case("00000000 16", "1 bytes are left over", 16)]
 fn names_what_is_invalid(#[case] body: &str, #[case] expected: &str, #[case] expected_at: usize) {
-    let Err(DecodeError { kind, at }) = decode_body(Tenths(0), &bytes(body)) else {
+    let Err(DecodeError { kind, at }) = decode_body(Timestamp(0), &bytes(body)) else {
         panic!("it was decoded")
     };
     let text = kind.to_string();
@@ -128,7 +128,7 @@
 #[case(&SETTINGS.replace("\"MinShare\": [0.4]", "\"MinShare\": []"), "`MinShare` is too short")]
 fn names_the_invalid_setting(#[case] text: &str, #[case] expected: &str) {
     assert!(settings::read(text.as_bytes()).unwrap_err().to_string().contains(expected));
-    let batch = decode_body(Tenths(0), &body(&[&start(text)])).unwrap();
+    let batch = decode_body(Timestamp(0), &body(&[&start(text)])).unwrap();
     let reply = BrokerHost::default().handle(batch).unwrap().frame();
     assert_eq!(reply[8..11], bytes("59 0300"), "the broker can't go on");
 }
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -4,7 +4,8 @@
 use bytes::{Buf, TryGetError};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointState, GroupId, Input, NewQuery,
-    NewShardRequest, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId, Tenths, ZoneId,
+    NewShardRequest, NodeId, PlacementGroupId, QueryId, ShardId, ShardRequestId, TenantId, TimeSpan,
+    Timestamp, WallClockTime, ZoneId,
 };
 
 /// Bytes of a batch's header: the clock (8) and the length of what follows (4).
@@ -49,7 +50,7 @@
 /// The records of a batch, and the clock that it came with.
 pub struct Batch {
     /// The simulator's clock.
-    pub now: Tenths,
+    pub now: Timestamp,
     /// The records in their order.
     pub events: Vec<BatchEvent>,
 }
@@ -72,13 +73,13 @@
 }
 
 /// Reads a header: the clock, and how many bytes follow.
-pub fn decode_header(header: &[u8; HEADER_BYTES]) -> (Tenths, usize) {
+pub fn decode_header(header: &[u8; HEADER_BYTES]) -> (Timestamp, usize) {
     let mut rest = &header[..];
-    (Tenths::from_ms(rest.get_f64_le()), rest.get_u32_le() as usize)
+    (Timestamp::from_ms(rest.get_f64_le()), rest.get_u32_le() as usize)
 }
 
 /// Reads what follows a header.
-pub fn decode_body(now: Tenths, body: &[u8]) -> Result<Batch, DecodeError> {
+pub fn decode_body(now: Timestamp, body: &[u8]) -> Result<Batch, DecodeError> {
     let mut reader = Reader { rest: body, body_length: body.len() };
     let count = reader.u32()?;
     let events = (0..count).map(|_| reader.event()).collect::<Result<_, _>>()?;
@@ -123,8 +124,8 @@
         DecodeError { kind, at: self.position() }
     }
 
-    fn duration(&mut self) -> Result<Tenths, DecodeError> {
-        self.f64().map(Tenths::from_ms)
+    fn duration(&mut self) -> Result<TimeSpan, DecodeError> {
+        self.f64().map(TimeSpan::from_ms)
     }
 
     /// An address (4 bytes) and a port (2).
@@ -152,7 +153,7 @@
         let state = self.endpoint_state()?;
         let _size = self.f32()?;
         let started_at_ms = self.f64()?;
-        let started_at = (started_at_ms > 0.0).then(|| Tenths::from_ms(started_at_ms));
+        let started_at = (started_at_ms > 0.0).then(|| WallClockTime::from_ms(started_at_ms));
         Ok(Endpoint { node, zone, placement_group, state, started_at })
     }
 
@@ -280,7 +281,7 @@
                 class,
                 tenant,
                 time_left,
-                work: if has_work_hint { work_hint } else { Tenths::ZERO },
+                work: if has_work_hint { work_hint } else { TimeSpan::ZERO },
                 client_attempt: 0,
                 min_coverage_only: false,
             }));
