--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -4,7 +4,7 @@
 use crate::loopback::NoFigure;
 use crate::loopback::day::Day;
 use crate::results::QueryOrigin;
-use crate::simulation::deployment;
+use crate::simulation::settings_text::tenant_name;
 use cluster_trace::plan::PlannedShardRequest;
 use node_emulator::{HttpClient, HttpResponse, query_body, tenant_query_request};
 use routing::Tenths;
@@ -191,7 +191,7 @@
         let shards: Vec<(u32, f64)> =
             shard_requests.iter().map(|planned| (planned.shard, planned.weight)).collect();
         let class = &self.classes[origin.class];
-        let tenant = self.has_quotas.then(|| deployment::tenant_name(origin.tenant));
+        let tenant = self.has_quotas.then(|| tenant_name(origin.tenant));
         let (id, body) = (format!("r{query}"), query_body(&shards, QUERY_TEXT));
         tenant_query_request(tenant.as_deref(), &id, &class.name, u64::from(class.deadline_ms), &body)
     }
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -8,6 +8,7 @@
 use crate::results::DayResults;
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment;
+use crate::simulation::settings_text::settings_text;
 use broker::{Running, StartupConfig};
 use cluster_trace::plan::{Plan, ReplayConfig};
 use node_emulator::DiscoveryCatalog;
@@ -98,7 +99,7 @@
         "discovery": discovery.to_string(),
         "seed": format!("{seed:x}"),
         "limits": {"cores": BROKER_CORES, "memory_mb": BROKER_MEMORY_MB, "sockets": BROKER_SOCKETS},
-        "settings": deployment::settings(replay, config),
+        "settings": settings_text(replay, config),
     });
     let no_environment = |_: &str| None;
     let mut startup_config =
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -1,5 +1,5 @@
-//! What a replay's configuration means for brokers, nodes and the checked rules: the same in virtual time and
-//! on sockets.
+//! What a replay's configuration means for brokers, nodes and the checked rules: the same in virtual time and on
+//! sockets. [`super::settings_text`] has the same for brokers that read a text.
 
 use crate::invariants::{ClassLimits, InvariantLimits};
 use crate::results::ClassValue;
@@ -10,13 +10,10 @@
     BrokerConfig, ClassId, EndpointState, Idempotency, RequestClass, RequestLimits, RetryBudget, SafetyRules,
     ShardLayout, Tenant, TenantId, Tenths,
 };
-use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 /// How long a message takes through the network.
 pub const ONE_WAY_LATENCY: Tenths = Tenths(5);
-/// The name of the only zone on sockets.
-pub const ZONE_NAME: &str = "zone-0";
 /// The least time between two turns of a broker.
 pub const TURN_PERIOD: Tenths = Tenths(50);
 /// How late the endpoint list is with nodes that start or stop.
@@ -24,21 +21,20 @@
 /// The latency objective of all classes, and the longest time after which a rejected client may retry.
 pub const LATENCY_OBJECTIVE: Tenths = Tenths(20_000);
 /// How long an attempt may still go to a node that was published as draining or removed.
-const DRAIN_GRACE: Tenths = Tenths(2500);
-const ENDPOINT_LIST_MAX_AGE: Tenths = Tenths(100_000);
-const MAX_OPEN_QUERIES: u32 = 2000;
-const MAX_ATTEMPTS: u32 = 3;
+pub(super) const DRAIN_GRACE: Tenths = Tenths(2500);
+/// An endpoint list that is older is asked for again.
+pub(super) const ENDPOINT_LIST_MAX_AGE: Tenths = Tenths(100_000);
+/// Queries that a broker has open at the most.
+pub(super) const MAX_OPEN_QUERIES: u32 = 2000;
+/// Attempts at one shard request.
+pub(super) const MAX_ATTEMPTS: u32 = 3;
 /// What a query beyond its tenant's quota is worth to brokers; the service figure counts all alike.
-const OVER_QUOTA_WEIGHT: f64 = 0.1;
-/// Limits of a connection to a node, on sockets.
-const CONNECTION_IDLE_TIMEOUT: Tenths = Tenths(6_000_000);
-const CONNECT_TIMEOUT: Tenths = Tenths(10_000);
-const STREAMS_PER_CONNECTION: u32 = 64;
+pub(super) const OVER_QUOTA_WEIGHT: f64 = 0.1;
 /// How many placement groups hold a shard.
-const REPLICA_GROUPS: u32 = 2;
+pub(super) const REPLICA_GROUPS: u32 = 2;
 
 /// The idempotency of a class, and its deduplication window.
-fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, Tenths) {
+pub(super) fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, Tenths) {
     match idempotency {
         ClassIdempotency::Idempotent => (Idempotency::Idempotent, Tenths::ZERO),
         ClassIdempotency::IdempotencyKey { dedup_window_ms } => {
@@ -52,7 +48,7 @@
     Tenths::from_ms(f64::from(class.deadline_ms))
 }
 
-fn latency_objective_of(class: &ClassSpec) -> Tenths {
+pub(super) fn latency_objective_of(class: &ClassSpec) -> Tenths {
     LATENCY_OBJECTIVE.min(deadline_of(class))
 }
 
@@ -63,20 +59,15 @@
 }
 
 /// The quota of each tenant, in queries a second; empty where there are none.
-fn tenant_quotas(replay: &ReplayConfig) -> Vec<f64> {
+pub(super) fn tenant_quotas(replay: &ReplayConfig) -> Vec<f64> {
     let total: f64 = replay.tenant_weights.iter().sum();
     let shares =
         |quota: f64| replay.tenant_weights.iter().map(move |weight| quota * weight / total).collect();
     replay.quota_per_s.map(shares).unwrap_or_default()
 }
 
-/// A tenant's name on the wire.
-pub fn tenant_name(index: usize) -> String {
-    format!("u{index}")
-}
-
 /// How a node is built.
-fn node_spec(config: &SimulationConfig) -> NodeSpec {
+pub(super) fn node_spec(config: &SimulationConfig) -> NodeSpec {
     NodeSpec {
         cores: config.cores,
         warm_up_jobs: config.warm_jobs,
@@ -179,86 +170,6 @@
     }
 }
 
-/// The same as a settings text, for brokers on sockets.
-pub fn settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
-    let services: Vec<Value> = replay.classes.iter().map(service_settings).collect();
-    let tenant = |(index, quota): (usize, f64)| json!({"Name": tenant_name(index), "QuotaRps": quota});
-    let tenants: Vec<Value> = tenant_quotas(replay).into_iter().enumerate().map(tenant).collect();
-    json!({
-        "Instances": config.brokers,
-        "PeriodMs": TURN_PERIOD.as_ms(),
-        "RegistryMode": "automatic",
-        "Areas": [ZONE_NAME],
-        "Zone": 0,
-        "Tenants": tenants,
-        "OverShareWorth": OVER_QUOTA_WEIGHT,
-        "Prices": {"LateFail": 0.0},
-        "Services": services,
-        "Domain": domain_settings(replay, config),
-        "Limits": {
-            "ConnIdleMs": CONNECTION_IDLE_TIMEOUT.as_ms(),
-            "ConnectTimeoutMs": CONNECT_TIMEOUT.as_ms(),
-            "MaxAttempts": MAX_ATTEMPTS,
-            "MaxOpen": MAX_OPEN_QUERIES,
-            "MayCancel": true,
-            "SecondCopies": true,
-            "StreamsPerConn": STREAMS_PER_CONNECTION,
-            "RetryAfter": true,
-            "MaxRetryAfterMs": LATENCY_OBJECTIVE.as_ms(),
-        },
-        "Rules": rule_settings(replay, config),
-    })
-}
-
-fn service_settings(class: &ClassSpec) -> Value {
-    let (idempotency, dedup_window) = idempotency_of(class.idempotency);
-    let effect = match idempotency {
-        Idempotency::Idempotent => "idempotent",
-        Idempotency::IdempotencyKey => "deduplicated",
-        Idempotency::AtMostOnce => "at_most_once",
-    };
-    json!({
-        "Name": class.name,
-        "OnTimeMs": latency_objective_of(class).as_ms(),
-        "DeadlineMs": class.deadline_ms,
-        "Worth": class.priority_weight,
-        "LateShare": 0.0,
-        "Effect": effect,
-        "DedupWindowMs": dedup_window.as_ms(),
-    })
-}
-
-fn domain_settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
-    let of_classes = |value: fn(&ClassSpec) -> f64| replay.classes.iter().map(value).collect::<Vec<f64>>();
-    json!({
-        "Cells": config.placement_groups,
-        "Reach": REPLICA_GROUPS,
-        "Ranges": replay.shards,
-        "PerCall": 1,
-        "CompleteFrom": of_classes(|_| 1.0),
-        "MinShare": of_classes(|class| class.min_coverage),
-        "FetchParts": vec![0; replay.classes.len()],
-    })
-}
-
-fn rule_settings(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
-    let node = node_spec(config);
-    let mut rules = json!({
-        "AskWithinMs": ENDPOINT_LIST_MAX_AGE.as_ms(),
-        "ColdFrom": node.initial_capacity_share,
-        "WarmUpMs": node.warm_up_period.as_ms(),
-        "OverloadFactor": node.overload_factor,
-        "OverloadForMs": node.overload_window.as_ms(),
-        "StopSendingWithinMs": DRAIN_GRACE.as_ms(),
-    });
-    if let Some(budget) = replay.retry_budget {
-        rules["ExtraFloor"] = json!(budget.floor);
-        rules["ResendRatio"] = json!(budget.ratio);
-        rules["BudgetWindowMs"] = json!(budget.window_ms);
-    }
-    rules
-}
-
 /// What the checked rules allow; `slack` is how much later than it was done something may be observed.
 pub fn invariant_limits(replay: &ReplayConfig, slack: Tenths) -> InvariantLimits {
     let limits = |class: &ClassSpec| {
--- a/crates/broker-bench/src/simulation/mod.rs
+++ b/crates/broker-bench/src/simulation/mod.rs
@@ -11,6 +11,7 @@
 mod faults;
 mod nodes;
 mod runner;
+pub mod settings_text;
 
 pub use config::{FaultSchedule, RoutingPolicy, SimulationConfig};
 pub use runner::Simulation;
