--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -2,7 +2,7 @@
 //! slower increase past the rate at which losses were last seen (as congestion control slows down at its
 //! last peak; Jacobson, 'Congestion Avoidance and Control', 1988).
 //!
-//! The rate shows in the log line of [`ModeChange`](crate::mode_change::ModeChange) and as
+//! The rate shows in the log line of `LogEvent::AdmissionOverloaded` and as
 //! [`AdmissionController::rate`](crate::AdmissionController::rate).
 
 use crate::window::{STEPS_PER_WINDOW, seconds};
@@ -22,8 +22,8 @@
     1.0 / level / seconds(window)
 }
 
-/// The rate at which the limit starts, in shard requests a second: what the nodes have served, but not less than
-/// `min_rate`.
+/// The rate at which the limit starts, in shard requests a second: what the nodes have served, but not less
+/// than `min_rate`.
 ///
 /// A rate that started higher and followed losses alone would overshoot: losses show late, and until they do
 /// it would add to the queues that cause them.
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -140,6 +140,7 @@
         self.last_step_at = self.now;
         let previous_mode = self.mode;
         let observed = self.observe_load();
+        // All steps are judged by what is known now; at most the first can decrease the rate.
         for _ in 0..steps {
             self.take_step(observed);
         }
--- a/crates/admission-control/src/mode.rs
+++ b/crates/admission-control/src/mode.rs
@@ -4,7 +4,7 @@
 //! decides which mode comes next and how the admitted rate changes. Whether there is overload is decided by
 //! [`overload_detection`](crate::overload_detection); what the changes come to, by
 //! [`adaptive_rate`](crate::adaptive_rate). A change of mode shows as a log line
-//! ([`ModeChange`](crate::mode_change::ModeChange)).
+//! ([`mode_change`](crate::mode_change::mode_change)).
 
 use Mode::{Normal, Overloaded};
 
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,5 +1,5 @@
-//! One configuration as request handlers read it. It never changes: the engine replaces it by a newer one, and a query
-//! keeps the one under which it was accepted.
+//! One configuration as request handlers read it. It never changes: the engine replaces it by a newer one,
+//! and a query keeps the one under which it was accepted.
 
 use routing::{BrokerConfig, ClassId, RequestClass, TimeSpan};
 use settings::{BrokerSettings, NameRegistry};
@@ -35,7 +35,7 @@
     pub failed: u64,
     /// Not accepted: at a bound of the engine, or for a class or shard that the epoch does not have.
     pub not_accepted: u64,
-    /// Of the last four kinds: an attempt found its node down, or lost its connection.
+    /// Of those that were late, rejected or failed: an attempt found its node down, or lost its connection.
     pub with_lost_node: u64,
 }
 
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -1,5 +1,5 @@
-//! Reads a query from its HTTP request, by one configuration epoch. Here the protocol's headers become the fields
-//! of a [`QueryRequest`]; those of the body do in `body`.
+//! Reads a query from its HTTP request, by one configuration epoch. Here the protocol's headers become the
+//! fields of a [`QueryRequest`]; those of the body do in `body`.
 
 use super::RequestError;
 use super::body::{RequestBody, RequestedShardBody};
@@ -24,9 +24,13 @@
 const TENANT_HEADER: &str = "X-Account";
 /// How long its client will wait, in milliseconds.
 const TIME_LEFT_HEADER: &str = "X-Time-Left-Ms";
+/// The first tenant of the settings.
+const FIRST_TENANT: TenantId = TenantId(0);
+/// All tenants that the settings do not name.
+const UNKNOWN_TENANT: TenantId = TenantId(u32::MAX);
 
-/// The length in bytes that a request announces for its body, if it does. A request for a protocol switch is an error:
-/// the HTTP library would take the rest of the connection for its body, and read without end.
+/// The length in bytes that a request announces for its body, if it does. A request for a protocol switch is
+/// an error: the HTTP library would take the rest of the connection for its body, and read without end.
 pub(super) fn announced_length(request: &Request) -> Result<Option<usize>, RequestError> {
     let headers = request.headers();
     if headers.contains_key(UPGRADE) {
@@ -118,10 +122,11 @@
     class.ok_or_else(|| count_unknown(epoch, RequestError::UnknownClass))
 }
 
-/// A tenant that the settings do not name has no quota of its own.
+/// The tenant of a request. One without the header counts as the first tenant of the settings; all names that
+/// the settings do not have count as one tenant without a quota.
 fn read_tenant(headers: &HeaderMap, epoch: &ConfigEpoch) -> TenantId {
-    let tenant = header(headers, TENANT_HEADER).map_or(Some(TenantId(0)), |name| epoch.names.tenant(name));
-    tenant.unwrap_or(TenantId(u32::MAX))
+    let tenant = header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant(name));
+    tenant.unwrap_or(UNKNOWN_TENANT)
 }
 
 /// How long the client will wait: a whole number of milliseconds.
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -22,7 +22,7 @@
     pub stable_stream_age: TimeSpan,
     /// A service with an older or another history is avoided for this long while there are others.
     pub suspect_duration: TimeSpan,
-    /// How long an applied version is on probation.
+    /// How long an applied version is on probation; the baseline that it is compared with is as long.
     pub probation_duration: TimeSpan,
     /// A probation that could not be judged ends after this.
     pub max_probation_duration: TimeSpan,
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -1,5 +1,6 @@
-//! Whether a version on probation makes queries fail. The share of queries that failed under it is compared with the share before, beyond noise (Wilson's score interval); while nodes are failing there is
-//! no verdict, because a zone that is lost in the same minute makes queries fail just as a bad version does.
+//! Whether a version on probation makes queries fail. The share of queries that failed under it is compared
+//! with the share before, beyond noise (Wilson's score interval); while nodes are failing there is no
+//! verdict, because a zone that is lost in the same minute makes queries fail just as a bad version does.
 //!
 //! What it can't tell: a version that brings nodes down (it looks like failing nodes); a fault of tenants, or
 //! of the network to them, that began in the same span as the version; failures that are too rare for the
@@ -31,7 +32,7 @@
 /// What one look at the counts shows.
 struct Observation {
     now: Timestamp,
-    /// Since the condition was last stable.
+    /// Since counting last began, see `Probation::count_start`.
     sample: Sample,
 }
 
@@ -82,7 +83,7 @@
     policy: RolloutPolicy,
     baseline: Baseline,
     started: Timestamp,
-    /// When the condition was last stable.
+    /// When counting last began: when the version was applied, or when nodes were last seen failing.
     count_start: CountStart,
     condition: ProbationCondition,
 }
@@ -147,8 +148,8 @@
         sample.ended >= min_ended_queries && lower > self.usual_failure_ratio() + failure_ratio_margin
     }
 
-    /// There was enough time and there were enough queries, and no larger share failed than usual. While a larger
-    /// share failed, though not beyond noise, the version stays on probation.
+    /// There was enough time and there were enough queries, and no larger share failed than usual. While a
+    /// larger share failed, though not beyond noise, the version stays on probation.
     fn is_over(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, probation_duration, .. } = self.policy;
         let sample = observation.sample;
--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -4,7 +4,7 @@
 use super::Broker;
 use crate::effects::Effect;
 use crate::ids::NodeId;
-use crate::policy::admission::Demand;
+use crate::policy::admission::AdmissionRequest;
 use crate::policy::admission_queue::Applicant;
 use crate::policy::class_yield::ClassYield;
 use crate::policy::{completion_chance, coverage, load_probe};
@@ -65,14 +65,14 @@
         let needed = self.needed_shard_requests(query);
         let out_of_reach = query.shard_requests.iter().filter(|s| self.is_out_of_reach(query, s));
         let lost_weight: f64 = out_of_reach.map(|s| s.weight).sum();
-        let demand = Demand {
+        let request = AdmissionRequest {
             in_flight: self.state.queries.in_flight.len(),
             needed,
             limit: self.limit_for(query, self.class_yield(query, needed)),
             misses_min_coverage: !coverage::covers_minimum(query, 1.0 - lost_weight),
             was_probed: query.probed_at.is_some(),
         };
-        demand.exceeds_limit()
+        request.exceeds_limit()
     }
 
     /// The concurrency limit for a query, in shard requests.
@@ -107,8 +107,8 @@
 
 /// Records and actions.
 impl Broker {
-    /// Remembers what a query's class yields, and by which pressure it is decided on.
-    pub(crate) fn record_demand(&mut self, query: &Query) {
+    /// Remembers what a query's class yields, and whether the cutoff is active for it.
+    pub(crate) fn record_class_yield(&mut self, query: &Query) {
         self.record_cutoff(query);
         let class_yield = self.class_yield(query, self.needed_shard_requests(query));
         self.state.class_yields.record(query.class, class_yield);
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -80,14 +80,15 @@
 
     fn begin_turn(&mut self, now: Timestamp) {
         self.state.now = now;
-        self.state.average_latency = self.state.nodes.mean_latency();
+        self.state.mean_latency = self.state.nodes.mean_latency();
         self.state.superseded_configs.retain(|superseded| superseded.binds_until > now);
         self.state.quarantine.forget(now);
         let windows = self.binding_configs().map(|config| config.retry_budget.window);
         let max_window = windows.max().unwrap_or_default();
         let send_delay = self.max_send_delay();
         self.state.retries.forget(now, max_window, send_delay);
-        self.state.demand.forget_before(now - max_window + send_delay);
+        // Remembered for as long as the retry budget remembers what was accepted.
+        self.state.recent_shard_requests.forget_before(now - max_window + send_delay);
     }
 
     fn handle(&mut self, input: &Input) {
@@ -111,6 +112,7 @@
             Timer::Deadline(id) => self.advance(id, QueryEvent::DeadlineNear),
             Timer::AttemptCheck(attempt) => self.check_attempt(attempt),
             Timer::Resend(shard_request) => self.state.queries.to_send.push(shard_request),
+            // Looked at as after a response: what has come may be enough now.
             Timer::FirstPhaseEnd(id) => self.advance(id, QueryEvent::ResponseReceived),
             Timer::AdmissionCheck(id) => self.advance(id, QueryEvent::Ready),
             Timer::WatchEndpoints => self.watch_endpoints(),
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -14,7 +14,7 @@
 impl Broker {
     /// The smoothed latency over all nodes, or a guess before any was measured.
     pub(super) fn average_latency(&self) -> TimeSpan {
-        average_latency(self.state.average_latency, self.config.shortest_objective)
+        average_latency(self.state.mean_latency, self.config.shortest_objective)
     }
 
     /// Estimates nodes' latencies now.
@@ -81,7 +81,7 @@
             consecutive_failures: node.consecutive_failures,
             cost: state.baselines.of(shard_request.class, average),
             shard_request: shard_request.id,
-            demand: state.demand.rate(state.now, rules.overload_window),
+            demand: state.recent_shard_requests.rate(state.now, rules.overload_window),
             ready_nodes: state.nodes.ready(),
             draw_seed: self.seed ^ id.0.rotate_left(32),
         };
@@ -93,7 +93,7 @@
 
     /// The connection that an attempt goes out on, where it is the first after an idle period of its node or
     /// shares its batch with that. Where idle connections are not trusted, they are closed.
-    pub(super) fn connection_after_idle(
+    pub(super) fn choose_connection(
         &mut self,
         id: NodeId,
         must_succeed: bool,
--- a/crates/routing/src/broker/select.rs
+++ b/crates/routing/src/broker/select.rs
@@ -37,7 +37,7 @@
 
     /// Queues a shard request to be sent at the end of this turn.
     pub(super) fn queue(&mut self, query: &mut Query, index: usize) {
-        self.state.demand.record(self.state.now);
+        self.state.recent_shard_requests.record(self.state.now);
         self.state.queries.queue(&mut query.shard_requests[index]);
     }
 
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -60,7 +60,7 @@
     /// Enters an attempt in its node's batch, in its shard request and in the retry budget.
     fn record_attempt(&mut self, query: &mut Query, index: usize, node: NodeId) -> AttemptId {
         let now = self.state.now;
-        let connection = self.connection_after_idle(node, !query.allows_partial());
+        let connection = self.choose_connection(node, !query.allows_partial());
         let slow_start_class = self.is_warming_up(node).then_some(query.class);
         let max_batch_size = self.config.broker.layout.max_batch_size;
         let batched = BatchedAttempt { max_batch_size, slow_start_class, connection };
@@ -167,9 +167,9 @@
 
     /// Whether another attempt of a shard request is harmless and within the limit of attempts. `is_hedge`:
     /// an attempt may still be in flight.
-    pub(super) fn may_retry(&self, query: &Query, index: usize, is_hedge: bool) -> bool {
+    pub(super) fn may_retry(&self, query: &Query, index: usize, with_in_flight: bool) -> bool {
         let shard_request = &query.shard_requests[index];
-        let first_executed_at = shard_request.earliest_execution(is_hedge);
+        let first_executed_at = shard_request.earliest_execution(with_in_flight);
         let arrives_at = self.state.now + self.max_send_delay();
         let mut policies = self.binding_policies(query);
         self.attempt_limit(query).allows_another(shard_request.attempts_made())
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -147,7 +147,7 @@
     Overloaded,
     /// No response came in its time.
     TimedOut,
-    /// No connection came up; nothing was sent.
+    /// The node can't have executed it: no connection came up, or its frame was not written completely.
     ConnectFailed,
     /// The connection was lost while it was in flight.
     ConnectionLost,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -9,10 +9,11 @@
 #[cfg(test)]
 mod tests;
 
-/// What a query asks for, beside what is in flight.
+/// What a query asks for, beside what is in flight when its turn begins. What the same turn has queued before
+/// it does not count yet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Demand {
-    /// Shard requests in flight now.
+pub(crate) struct AdmissionRequest {
+    /// Attempts in flight, hedges and those of ended queries included.
     pub(crate) in_flight: usize,
     /// Shard requests that the minimum coverage of the query needs.
     pub(crate) needed: usize,
@@ -24,7 +25,7 @@
     pub(crate) was_probed: bool,
 }
 
-impl Demand {
+impl AdmissionRequest {
     /// Whether the query is not to be sent now. With nothing in flight a query is always sent, however large,
     /// or the limit could never grow again; only what probed replicas said just now can hold it then.
     pub(crate) fn exceeds_limit(&self) -> bool {
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -16,12 +16,18 @@
 /// The limit aims at this share of the latency objective.
 const TARGET_LATENCY_SHARE: f64 = 0.25;
 
-/// The limit grows by at most this ratio within the time of one limit's worth of attempts.
+/// The limit grows by at most this ratio while as many attempts end as it allows in flight.
 const MAX_GROWTH: f64 = 1.5;
 
 /// Every query may use this share of the limit.
 const COMMON_SHARE: f64 = 0.5;
 
+/// The limit at the start, as a share of what may be open.
+const INITIAL_SHARE: f64 = 0.5;
+
+/// The limit counts as used, so that it may grow, from this share of it in flight on.
+const USED_SHARE: f64 = 0.5;
+
 /// A limit smaller than this adapts in steps as if it were this large, so that single attempts do not swing
 /// it.
 const MIN_STEP_BASE: f64 = 10.0;
@@ -46,9 +52,9 @@
 pub(crate) struct ConcurrencyLimit(f64);
 
 impl ConcurrencyLimit {
-    /// The limit at the start: the common share of what may be open.
+    /// The limit at the start.
     pub(crate) fn initial(max_open: u32) -> ConcurrencyLimit {
-        ConcurrencyLimit(f64::from(max_open) * COMMON_SHARE)
+        ConcurrencyLimit(f64::from(max_open) * INITIAL_SHARE)
     }
 
     /// The limit in shard requests.
@@ -81,7 +87,7 @@
 
     /// Whether this many shard requests in flight use enough of the limit to tell that it could grow.
     pub(crate) fn is_used_by(self, in_flight: f64) -> bool {
-        in_flight >= self.0 * COMMON_SHARE
+        in_flight >= self.0 * USED_SHARE
     }
 
     /// The limit for a query that yields `own_yield` priority weight for each shard request, beside the best
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -11,8 +11,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Weights are told with this much rounding at the most, as a share of a query: half of what a response may
-/// fall short.
+/// The most by which a sum of weights may be off through rounding, as a share of a query. Rule 5 tolerates
+/// twice this.
 pub(crate) const WEIGHT_ROUNDING: f64 = 0.00005;
 
 /// The weight that a response to this query must cover. The second phase of a class without partial responses
--- a/crates/routing/src/policy/cutoff.rs
+++ b/crates/routing/src/policy/cutoff.rs
@@ -68,7 +68,8 @@
 
 /// What is sent of the selected shard requests while `in_flight` are in flight under a limit of `limit`: all
 /// that the minimum coverage needs, and beyond it only as many as the limit has room for. A query that takes
-/// no partial responses needs all of them.
+/// no partial responses needs all of them. The whole limit counts here: what the class yields was weighed at
+/// admission.
 pub(crate) fn limit_to_capacity(
     query: &Query,
     selected: &[usize],
--- a/crates/routing/src/policy/endpoint_watch.rs
+++ b/crates/routing/src/policy/endpoint_watch.rs
@@ -21,7 +21,7 @@
 const SILENCE_SHARE: f64 = 0.5;
 
 /// A greatest age that is configured shorter than this counts as this long.
-const MIN_LIST_AGE: TimeSpan = TimeSpan(50_000);
+const MIN_LIST_AGE: TimeSpan = TimeSpan::from_seconds(5);
 
 /// How long to wait after a failed call, `earlier_failures` in a row before it. `random` is a number from 0
 /// to 1.
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -32,13 +32,13 @@
 const MIN_LOSSES_TO_NEW: f64 = 2.0;
 
 /// The span over which losses are counted.
-const LOSS_SPAN: TimeSpan = TimeSpan(300_000);
+const LOSS_SPAN: TimeSpan = TimeSpan::from_seconds(30);
 
 /// Fewer attempts than this count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
 
 /// How long the idle period of a connection that was reset is remembered.
-const RESET_MEMORY: TimeSpan = TimeSpan(300_000);
+const RESET_MEMORY: TimeSpan = TimeSpan::from_seconds(30);
 
 /// A connection that is lost within this many turns was closed before the attempt, not by it.
 const RESET_TURNS: f64 = 2.0;
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -18,7 +18,7 @@
 
 /// What was measured this long ago has faded by a factor of e toward the average, so that a node that was
 /// slow once is tried again.
-const FADE_SPAN: TimeSpan = TimeSpan(50_000);
+const FADE_SPAN: TimeSpan = TimeSpan::from_seconds(5);
 
 /// Before anything was measured, a shard request takes this share of the shortest latency objective.
 const INITIAL_SHARE: f64 = 0.125;
@@ -33,7 +33,7 @@
 /// This many latencies of a class make a mean that chance does not bend.
 const BASELINE_SAMPLES: f64 = 32.0;
 
-/// The smoothed latency over all nodes, or a guess before any was measured; never zero.
+/// The mean latency of the ready nodes that were measured, or a guess before any was; never zero.
 pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
     let initial = shortest_objective.times(INITIAL_SHARE);
     measured.unwrap_or(initial).max(TimeSpan(1))
--- a/crates/routing/src/policy/query_life.rs
+++ b/crates/routing/src/policy/query_life.rs
@@ -73,8 +73,9 @@
 /// The rows are gone through in order; the first `Move` that applies is taken. Where none applies, nothing
 /// happens.
 ///
-/// A query's demand is recorded for each of the two decisions that read it: whether it may wait, and whether
-/// it is rejected.
+/// What a class yields is smoothed in before each of the two decisions that compare yields: whether the query
+/// has to wait, and whether it is rejected. A query that waits therefore counts once more each time it is
+/// looked at.
 #[rustfmt::skip]
 pub(crate) const TABLE: &[Row] = &[
     //  from              on                  when                         to             action
@@ -82,9 +83,9 @@
     row(&[Pending],       Ready,              Broker::needs_load_reports,  Pending,       Broker::probe_replicas),
     row(&[Pending],       Ready,              Broker::awaits_load_reports, Pending,       nothing),
     row(&[Pending],       Ready,              Broker::is_unlikely,         Finished,      Broker::give_up),
-    record(&[Pending],    Ready,              Broker::may_wait,            Broker::record_demand),
+    record(&[Pending],    Ready,              Broker::may_wait,            Broker::record_class_yield),
     row(&[Pending],       Ready,              Broker::has_to_wait,         Pending,       Broker::wait),
-    record(&[Pending],    Ready,              always,                      Broker::record_demand),
+    record(&[Pending],    Ready,              always,                      Broker::record_class_yield),
     row(&[Pending],       Ready,              Broker::exceeds_limit,       Finished,      Broker::reject),
     row(&[Pending],       Ready,              always,                      InFlight,      Broker::send),
     row(&[BetweenPhases], Ready,              always,                      InFlight,      Broker::send),
--- a/crates/routing/src/policy/reconfiguration.rs
+++ b/crates/routing/src/policy/reconfiguration.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// The shortest latency objective of a configuration without classes.
-const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan(50_000);
+const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan::from_seconds(5);
 
 /// A configuration with what decisions read of it.
 pub(crate) fn derive_config(config: BrokerConfig) -> EffectiveConfig {
@@ -24,7 +24,8 @@
 
 /// How long a configuration binds beside the one that replaces it: as long as a window of its rules reaches
 /// back. Without that, a change would let twice the retry budget, or twice what a warming node bears, through
-/// in one window.
+/// in one window. One period, the longest, serves all rules: simpler than one each, at the cost that a higher
+/// retry budget waits for the warm-up period.
 pub(crate) fn binding_period(old: &EffectiveConfig, send_delay: TimeSpan) -> TimeSpan {
     let rules = &old.broker.rules;
     let retry_window = old.retry_budget.window + send_delay;
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -18,10 +18,10 @@
 const DEFAULT_SHARE: f64 = 0.25;
 
 /// Without a stated budget: the window over which retries are counted.
-const DEFAULT_WINDOW: TimeSpan = TimeSpan(50_000);
+const DEFAULT_WINDOW: TimeSpan = TimeSpan::from_seconds(5);
 
-/// The budget of a broker for which none is stated: as many retries as one shard request may have, and a
-/// share of what was accepted.
+/// The budget of a broker for which none is stated: as many retries as a shard request may have attempts, and
+/// a share of the queries and shard requests that were accepted.
 pub(crate) fn default_budget(limits: &RequestLimits) -> RetryBudget {
     RetryBudget { floor: limits.max_attempts.into(), share: DEFAULT_SHARE, window: DEFAULT_WINDOW }
 }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -61,21 +61,21 @@
     looks_down && execution == Execution::NotExecuted && consecutive_failures >= MIN_FAILURES
 }
 
-/// When shard requests were first queued, of late.
+/// When shard requests were queued of late, for the first time or as a hedge.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentDemand {
+pub(crate) struct RecentShardRequests {
     requested_at: VecDeque<Timestamp>,
 }
 
 /// How many shard requests were queued within a span.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct DemandRate {
+pub(crate) struct RequestRate {
     /// At least one.
     pub(crate) shard_requests: f64,
     pub(crate) span: TimeSpan,
 }
 
-impl RecentDemand {
+impl RecentShardRequests {
     /// A shard request is queued.
     pub(crate) fn record(&mut self, now: Timestamp) {
         self.requested_at.push_back(now);
@@ -87,9 +87,9 @@
     }
 
     /// What was queued of late, over a span of `min_span` at the least.
-    pub(crate) fn rate(&self, now: Timestamp, min_span: TimeSpan) -> DemandRate {
+    pub(crate) fn rate(&self, now: Timestamp, min_span: TimeSpan) -> RequestRate {
         let span = self.requested_at.front().map_or(TimeSpan::ZERO, |at| now - *at);
-        DemandRate { shard_requests: self.requested_at.len().max(1) as f64, span: span.max(min_span) }
+        RequestRate { shard_requests: self.requested_at.len().max(1) as f64, span: span.max(min_span) }
     }
 }
 
@@ -109,7 +109,7 @@
     pub(crate) cost: f64,
     pub(crate) shard_request: ShardRequestId,
     /// What this broker's shard requests were of late.
-    pub(crate) demand: DemandRate,
+    pub(crate) demand: RequestRate,
     pub(crate) ready_nodes: usize,
     /// Seeds the chance of this broker at this node.
     pub(crate) draw_seed: u64,
@@ -127,8 +127,11 @@
         let own_share = capacity / f64::from(self.brokers.max(1));
         let sent_lately = cost_since(self.now - self.rules.overload_window);
         let is_failing = self.consecutive_failures >= MIN_FAILURES;
-        if own_share >= self.cost || self.brokers <= 1 || sent_lately > 0.0 && is_failing {
-            return sent_lately == 0.0 || !is_failing && sent_lately + self.cost <= own_share;
+        if is_failing && sent_lately > 0.0 {
+            return false;
+        }
+        if own_share >= self.cost || self.brokers <= 1 {
+            return sent_lately == 0.0 || sent_lately + self.cost <= own_share;
         }
         let steady = self.steady_requests(capacity);
         let expected = self.demand.shard_requests / self.ready_nodes.max(1) as f64;
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -1,6 +1,8 @@
 //! What a node that warms up may receive.
 
-use super::{DemandRate, RecentDemand, SlowStartRequest, is_warming_up, looks_restarted, presumed_start};
+use super::{
+    RecentShardRequests, RequestRate, SlowStartRequest, is_warming_up, looks_restarted, presumed_start,
+};
 use crate::config::SafetyRules;
 use crate::ids::ShardRequestId;
 use crate::state::Execution::{MaybeExecuted, NotExecuted};
@@ -31,7 +33,7 @@
         consecutive_failures: 0,
         cost: 1_000.0,
         shard_request: ShardRequestId(1),
-        demand: DemandRate { shard_requests: 100.0, span: TimeSpan(10_000) },
+        demand: RequestRate { shard_requests: 100.0, span: TimeSpan(10_000) },
         ready_nodes: 10,
         draw_seed: 1,
     }
@@ -101,7 +103,7 @@
 #[rstest]
 fn a_broker_that_rarely_meets_the_node_draws_for_each_shard_request() {
     let rules = rules();
-    let rare = DemandRate { shard_requests: 50.0, span: TimeSpan(10_000) };
+    let rare = RequestRate { shard_requests: 50.0, span: TimeSpan(10_000) };
     let sends = (0..10_000).filter(|id| {
         let request = SlowStartRequest {
             shard_request: ShardRequestId(*id),
@@ -156,7 +158,7 @@
 
 #[rstest]
 fn demand_is_a_rate_over_what_is_remembered() {
-    let mut demand = RecentDemand::default();
+    let mut demand = RecentShardRequests::default();
     let empty = demand.rate(NOW, TimeSpan(10_000));
     assert_eq!((empty.shard_requests, empty.span), (1.0, TimeSpan(10_000)));
     demand.record(NOW - TimeSpan(30_000));
--- a/crates/routing/src/state/attempt.rs
+++ b/crates/routing/src/state/attempt.rs
@@ -59,7 +59,7 @@
     pub(crate) in_flight_at_send: f64,
     /// These used much of the concurrency limit of that moment.
     pub(crate) limit_was_used: bool,
-    /// It opened a batch after an idle period of its node's connections.
+    /// Its batch was the first after an idle period of its node's connections.
     pub(crate) after_idle: Option<ConnectionAfterIdle>,
     /// It was counted as lost while it is still in flight.
     pub(crate) counted_unresponsive: bool,
--- a/crates/routing/src/state/broker_state.rs
+++ b/crates/routing/src/state/broker_state.rs
@@ -16,7 +16,7 @@
 use crate::policy::query_of_death::Quarantine;
 use crate::policy::quota::TenantRates;
 use crate::policy::retry_budget::RetryHistory;
-use crate::policy::slow_start::RecentDemand;
+use crate::policy::slow_start::RecentShardRequests;
 use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
@@ -40,8 +40,9 @@
     pub(crate) queries: QueryTable,
     pub(crate) superseded_configs: Vec<SupersededConfig>,
 
-    /// Smoothed latency over all nodes, as of the beginning of this turn; none before any was measured.
-    pub(crate) average_latency: Option<TimeSpan>,
+    /// The mean latency of the ready nodes that were measured, as of the beginning of this turn; none before
+    /// any was.
+    pub(crate) mean_latency: Option<TimeSpan>,
     /// The cutoff leaves light shard requests unsent.
     pub(crate) is_cutoff_active: bool,
     /// Shard requests in flight or to be sent at the end of this turn.
@@ -51,7 +52,7 @@
     pub(crate) baselines: ClassBaselines,
     pub(crate) class_yields: ClassYields,
     pub(crate) concurrency_limit: ConcurrencyLimit,
-    pub(crate) demand: RecentDemand,
+    pub(crate) recent_shard_requests: RecentShardRequests,
     pub(crate) idle_connections: IdleConnectionHistory,
     pub(crate) node_failures: NodeFailureRate,
     pub(crate) overload_rate: OverloadRate,
@@ -72,13 +73,13 @@
             endpoint_list: EndpointListStatus::default(),
             queries: QueryTable::default(),
             superseded_configs: Vec::new(),
-            average_latency: None,
+            mean_latency: None,
             is_cutoff_active: false,
             in_flight_this_turn: 0.0,
             baselines: ClassBaselines::default(),
             class_yields: ClassYields::default(),
             concurrency_limit,
-            demand: RecentDemand::default(),
+            recent_shard_requests: RecentShardRequests::default(),
             idle_connections: IdleConnectionHistory::default(),
             node_failures: NodeFailureRate::default(),
             overload_rate: OverloadRate::default(),
--- a/crates/routing/src/state/node_table.rs
+++ b/crates/routing/src/state/node_table.rs
@@ -206,8 +206,12 @@
         if list.kind != EndpointListKind::Delta {
             self.remove_unlisted(list);
         }
-        let is_restarted = |endpoint: &&Endpoint| self.apply_endpoint(now, endpoint, &presumed_start);
-        let restarted: Vec<&Endpoint> = list.entries.iter().filter(is_restarted).collect();
+        let mut restarted = Vec::new();
+        for endpoint in list.entries.iter() {
+            if self.apply_endpoint(now, endpoint, &presumed_start) {
+                restarted.push(endpoint);
+            }
+        }
         for endpoint in restarted {
             self.update(endpoint.node, Node::forget_process);
         }
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -118,7 +118,7 @@
 /// What moves a query on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryEvent {
-    /// All its shard requests of this turn are known.
+    /// It is to be looked at: its shard requests are known, a load report came, or it has waited.
     Ready,
     ResponseReceived,
     ShardRequestFailed,
@@ -128,7 +128,8 @@
     ClientLeft,
 }
 
-/// What a query asks for: the same when a client sends it again.
+/// The class and the set of shards: all that routing knows of what a query asks. Two queries with different
+/// texts for the same shards are the same query here.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QuerySignature {
     class: ClassId,
@@ -138,11 +139,13 @@
 /// The times of a query.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueryTimes {
-    /// Its latency objective, or what its client will wait if that is less.
+    /// The latency objective of its class, stretched by the work that was told, at most the deadline and what
+    /// the client waits.
     pub(crate) latency_objective: TimeSpan,
     /// When a response has to leave to be on time.
     pub(crate) objective_at: Timestamp,
-    /// When a response has to leave to be of any use.
+    /// When a response has to leave to reach the client before it stops waiting; the class's deadline has no
+    /// part in it.
     pub(crate) deadline_at: Timestamp,
 }
 
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -1,11 +1,14 @@
-//! Moments and spans, in whole tenths of a millisecond. Moments of different clocks are different types, so that
-//! the compiler refuses a sum or a difference that means nothing.
+//! Moments and spans, in whole tenths of a millisecond. Moments of different clocks are different types, so
+//! that the compiler refuses a sum or a difference that means nothing.
 
 use std::ops::{Add, AddAssign, Sub};
 
 /// Tenths of a millisecond in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 
+/// Tenths of a millisecond in a second.
+const TENTHS_PER_SECOND: i64 = 10_000;
+
 /// A span of time, in tenths of a millisecond. Sums and differences saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeSpan(
@@ -17,6 +20,11 @@
     /// No time.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
+    /// So many seconds.
+    pub const fn from_seconds(seconds: i64) -> TimeSpan {
+        TimeSpan(seconds * TENTHS_PER_SECOND)
+    }
+
     /// Whole tenths of so many milliseconds, rounded down; not-a-number is zero.
     pub fn from_ms(ms: f64) -> TimeSpan {
         TimeSpan((ms * TENTHS_PER_MS).floor() as i64)
@@ -115,7 +123,7 @@
 clocks! {
     /// A moment on the monotonic clock that a broker's turns are given by.
     Timestamp;
-    /// A moment on a machine's wall clock. Wall clocks may be set forward or back at any time, and those of two machines
-    /// differ.
+    /// A moment on a machine's wall clock. Wall clocks may be set forward or back at any time, and those of
+    /// two machines differ.
     WallClockTime;
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Applies {
     /// At once, for everything; where a rule counts over a window, the tighter of the old and the new value
-    /// applies until the window has passed.
+    /// applies until the longest of retry window, warm-up period and overload window has passed.
     Immediately,
     /// For queries accepted from then on; an open query goes by the configuration that it was accepted under.
     NewQueries,
