--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -39,7 +39,7 @@
 
     /// Counts an attempt that ended.
     pub fn record_result(&mut self, now: Timestamp, result: &AttemptResult) {
-        if result.outcome.tells_of_load() {
+        if result.outcome.reflects_load() {
             let lost = if result.outcome.is_overload() { 1.0 } else { 0.0 };
             self.losses.count(now, self.loss_window(), lost, 1.0);
         }
--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -1,11 +1,11 @@
 //! Whether a query is sent, waits, or is rejected. The guards and actions of the table in
-//! `policy::query_life` for queries that were not sent yet.
+//! `policy::query_lifecycle` for queries that were not sent yet.
 
 use super::Broker;
 use crate::effects::Effect;
 use crate::ids::NodeId;
 use crate::policy::admission::AdmissionRequest;
-use crate::policy::admission_queue::Applicant;
+use crate::policy::admission_queue::QueueRequest;
 use crate::policy::class_yield::ClassYield;
 use crate::policy::{completion_chance, coverage, load_probe};
 use crate::state::{Query, Timer};
@@ -44,7 +44,7 @@
     /// It may wait for capacity.
     pub(crate) fn may_wait(&self, query: &Query) -> bool {
         let queue = &self.state.queries.admission_queue;
-        let applicant = Applicant {
+        let queue_request = QueueRequest {
             is_queued: queue.contains(&query.id),
             shard_requests: query.shard_requests.len(),
             queue_length: queue.len(),
@@ -52,7 +52,7 @@
             latency_objective: query.policy.latency_objective,
             time_left: query.times.objective_at - self.state.now,
         };
-        applicant.may_wait()
+        queue_request.may_wait()
     }
 
     /// It may wait for capacity, and has to.
@@ -63,8 +63,8 @@
     /// It exceeds what may be in flight, or can't reach its minimum coverage.
     pub(crate) fn exceeds_limit(&self, query: &Query) -> bool {
         let needed = self.needed_shard_requests(query);
-        let out_of_reach = query.shard_requests.iter().filter(|s| self.is_out_of_reach(query, s));
-        let lost_weight: f64 = out_of_reach.map(|s| s.weight).sum();
+        let infeasible = query.shard_requests.iter().filter(|s| self.is_infeasible(query, s));
+        let lost_weight: f64 = infeasible.map(|s| s.weight).sum();
         let request = AdmissionRequest {
             in_flight: self.state.queries.in_flight.len(),
             needed,
--- a/crates/routing/src/broker/attempt_ended.rs
+++ b/crates/routing/src/broker/attempt_ended.rs
@@ -4,7 +4,7 @@
 use crate::inputs::{AttemptOutcome, AttemptResult};
 use crate::policy::concurrency_limit::LimitSample;
 use crate::policy::latency::{SAMPLE_SHARE, observed_latency};
-use crate::policy::node_health::{MAX_CONSECUTIVE_FAILURES, is_next_failure, tells_nothing};
+use crate::policy::node_health::{MAX_CONSECUTIVE_FAILURES, is_new_failure, is_uninformative};
 use crate::policy::outcome::OutcomeMeaning;
 use crate::policy::query_of_death::counts_as_lost_node;
 use crate::policy::shard_request_state::{EndedAttempt, state_after};
@@ -67,7 +67,7 @@
         if meaning.execution != Execution::Unsent {
             self.learn_of_connection(attempt, result, meaning);
         }
-        if result.outcome.tells_of_load() {
+        if result.outcome.reflects_load() {
             let overloaded = f64::from(u8::from(meaning.is_overload));
             self.state.node_failures.record(now, meaning.looks_down);
             self.state.pressure.record(now, attempt.within_quota, overloaded, 1.0);
@@ -103,7 +103,7 @@
         let node = self.state.nodes.get(attempt.node);
         let node_was_silent = node.is_none_or(|node| sent_at >= node.last_success_at);
         let was_lost = idle_connections::was_lost(
-            meaning.blames_node,
+            meaning.is_node_failure,
             result.outcome,
             node_was_silent,
             result.duration,
@@ -113,7 +113,7 @@
         history.record_end(now, connection.usage, was_lost, attempt.counted_unresponsive);
         let was_reset =
             result.outcome == AttemptOutcome::ConnectionLost && connection.usage == ConnectionUse::Reused;
-        if was_reset && idle_connections::was_reset_at_once(result.duration, self.config.broker.period) {
+        if was_reset && idle_connections::was_reset_immediately(result.duration, self.config.broker.period) {
             history.record_reset(now, connection.idle_period);
         }
     }
@@ -125,7 +125,7 @@
             node.end_attempt_of(attempt.batch);
             let is_before_latency = node.latency.is_some_and(|latency| result.duration < latency);
             let on_reused = attempt.on_reused_connection();
-            if !tells_nothing(meaning.execution, result.outcome, on_reused, is_before_latency) {
+            if !is_uninformative(meaning.execution, result.outcome, on_reused, is_before_latency) {
                 update_node(node, now, average, attempt.latency_objective, result, meaning);
             }
         });
@@ -158,12 +158,12 @@
     meaning: OutcomeMeaning,
 ) {
     let sent_at = now - result.duration;
-    if is_next_failure(meaning.blames_node, sent_at, node.failed_at) {
+    if is_new_failure(meaning.is_node_failure, sent_at, node.failed_at) {
         node.count_failure(now, MAX_CONSECUTIVE_FAILURES);
     }
     let failures = node.consecutive_failures;
     let latency =
-        observed_latency(result.duration, meaning.blames_node, failures, average, latency_objective);
+        observed_latency(result.duration, meaning.is_node_failure, failures, average, latency_objective);
     node.record_latency(now, latency, SAMPLE_SHARE);
     if result.outcome == AttemptOutcome::Succeeded {
         node.record_success(now, sent_at);
--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -1,5 +1,5 @@
 //! How queries end, and what their ends read of them. The guards and actions of the table in
-//! `policy::query_life` for queries that were sent.
+//! `policy::query_lifecycle` for queries that were sent.
 
 use super::Broker;
 use crate::config::Idempotency;
@@ -33,8 +33,8 @@
     }
 
     /// The minimum coverage is missed whatever still comes in.
-    pub(crate) fn is_hopeless(&self, query: &Query) -> bool {
-        coverage::is_hopeless(query)
+    pub(crate) fn is_unsatisfiable(&self, query: &Query) -> bool {
+        coverage::is_unsatisfiable(query)
     }
 
     /// A response after the latency objective is worth waiting for.
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -27,7 +27,7 @@
 use crate::inputs::Input;
 use crate::policy::concurrency_limit::ConcurrencyLimit;
 use crate::policy::polling;
-use crate::policy::query_life::{Step, TABLE};
+use crate::policy::query_lifecycle::{Step, TRANSITIONS};
 use crate::policy::reconfiguration::derive_config;
 use crate::policy::send_delay::max_send_delay;
 use crate::state::{BrokerState, QueryEvent, QueryState, ShardRequestState, Timer};
@@ -82,13 +82,13 @@
         self.state.now = now;
         self.state.mean_latency = self.state.nodes.mean_latency();
         self.state.superseded_configs.retain(|superseded| superseded.binds_until > now);
-        self.state.quarantine.forget(now);
+        self.state.quarantine.remove_expired(now);
         let windows = self.binding_configs().map(|config| config.retry_budget.window);
         let max_window = windows.max().unwrap_or_default();
         let send_delay = self.max_send_delay();
-        self.state.retries.forget(now, max_window, send_delay);
+        self.state.retries.remove_expired(now, max_window, send_delay);
         // Remembered for as long as the retry budget remembers what was accepted.
-        self.state.recent_shard_requests.forget_before(now - max_window + send_delay);
+        self.state.recent_shard_requests.remove_before(now - max_window + send_delay);
     }
 
     fn handle(&mut self, input: &Input) {
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Takes a query through the rows of [`TABLE`] that an event calls for.
+    /// Takes a query through the rows of [`TRANSITIONS`] that an event calls for.
     fn advance(&mut self, id: QueryId, event: QueryEvent) {
         let Some(mut query) = self.state.queries.take(id) else { return };
-        for row in TABLE {
+        for row in TRANSITIONS {
             if !row.applies(self, &query, event) {
                 continue;
             }
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -83,7 +83,7 @@
             shard_request: shard_request.id,
             demand: state.recent_shard_requests.rate(state.now, rules.overload_window),
             ready_nodes: state.nodes.ready(),
-            draw_seed: self.seed ^ id.0.rotate_left(32),
+            random_seed: self.seed ^ id.0.rotate_left(32),
         };
         request.may_receive(|from| {
             let classes = node.slow_start_sent_since(from);
--- a/crates/routing/src/broker/reconfigure.rs
+++ b/crates/routing/src/broker/reconfigure.rs
@@ -19,7 +19,7 @@
             let (before, after) = (old.classes.get(&class), new.classes.get(&class));
             keeps_yield(before.map(Arc::as_ref), after.map(Arc::as_ref))
         });
-        self.state.tenant_rates.forget_idle(now, |tenant| new.broker.tenants.contains_key(&tenant));
+        self.state.tenant_rates.remove_idle(now, |tenant| new.broker.tenants.contains_key(&tenant));
         self.state.superseded_configs.push(SupersededConfig { binds_until, config: old });
     }
 }
--- a/crates/routing/src/broker/select.rs
+++ b/crates/routing/src/broker/select.rs
@@ -3,7 +3,7 @@
 use super::Broker;
 use crate::effects::Effect;
 use crate::log_event::LogEvent;
-use crate::policy::{cutoff, reach};
+use crate::policy::{cutoff, feasibility};
 use crate::state::{Query, ShardRequest, ShardRequestState};
 
 impl Broker {
@@ -11,7 +11,7 @@
     /// request first.
     pub(crate) fn send(&mut self, query: &mut Query) {
         self.record_cutoff(query);
-        query.canary_in_flight = self.wants_canary(query);
+        query.canary_in_flight = self.needs_canary(query);
         let selected = self.select(query, query.min_coverage_only);
         let canary = selected.first().copied();
         for index in self.limit_to_capacity(query, &selected) {
@@ -23,10 +23,10 @@
         }
     }
 
-    fn wants_canary(&self, query: &Query) -> bool {
+    fn needs_canary(&self, query: &Query) -> bool {
         let is_first_send = query.shard_requests.iter().all(|s| s.attempts.is_empty());
         let shard_requests = query.shard_requests.len();
-        self.state.node_failures.wants_canary(self.state.now, is_first_send, shard_requests)
+        self.state.node_failures.needs_canary(self.state.now, is_first_send, shard_requests)
     }
 
     fn limit_to_capacity(&self, query: &Query, selected: &[usize]) -> Vec<usize> {
@@ -45,21 +45,21 @@
     pub(super) fn select(&self, query: &Query, min_coverage_only: bool) -> Vec<usize> {
         let base = cutoff::base(self.pressure_for(query));
         cutoff::select_shard_requests(query, base, min_coverage_only, |shard_request| {
-            self.is_out_of_reach(query, shard_request)
+            self.is_infeasible(query, shard_request)
         })
     }
 
     /// Whether no replica can answer a shard request in time.
-    pub(super) fn is_out_of_reach(&self, query: &Query, shard_request: &ShardRequest) -> bool {
+    pub(super) fn is_infeasible(&self, query: &Query, shard_request: &ShardRequest) -> bool {
         let in_flight = self.state.queries.in_flight.len();
-        let ignores_failures = reach::ignores_failures(query.probed_at.is_some(), in_flight);
+        let ignores_failures = feasibility::ignores_failures(query.probed_at.is_some(), in_flight);
         let latencies = self.latencies();
         let usable = self.replicas(query, shard_request, |id| self.may_receive(id, shard_request));
         let waits = usable.map(|id| {
             let node = &self.state.nodes[id];
-            reach::expected_wait(node, || latencies.of(node), ignores_failures)
+            feasibility::expected_wait(node, || latencies.of(node), ignores_failures)
         });
-        reach::is_out_of_reach(waits.min(), self.state.now, query.times.objective_at)
+        feasibility::is_infeasible(waits.min(), self.state.now, query.times.objective_at)
     }
 
     fn pressure_for(&self, query: &Query) -> f64 {
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -7,10 +7,10 @@
 use crate::ids::NodeId;
 use crate::policy::attempt_limit::AttemptLimit;
 use crate::policy::hedging::{
-    NodeProgress, ReplacementConditions, SilentAttempt, hedge_delay, should_replace,
+    AttemptProgress, NodeProgress, ReplacementConditions, hedge_delay, should_replace,
 };
 use crate::policy::idempotency::{self, is_repeat_harmless};
-use crate::policy::query_of_death::{RetryHold, is_query_of_death, retry_hold};
+use crate::policy::query_of_death::{RetryDecision, decide_retry, is_query_of_death};
 use crate::policy::query_times::attempt_timeout;
 use crate::state::{AttemptId, BatchedAttempt, InFlightAttempt, Query, QueryState};
 use crate::state::{ShardRequestState, Timer};
@@ -23,12 +23,12 @@
     pub(super) fn send_attempt(&mut self, query: &mut Query, index: usize) {
         let is_retry = query.shard_requests[index].was_attempted();
         let in_flight_weight = query.weight_in(&[ShardRequestState::InFlight]);
-        let hold = retry_hold(is_retry, self.is_query_of_death(query), in_flight_weight);
-        if hold == RetryHold::GivenUp || is_retry && !self.may_retry(query, index, true) {
+        let decision = decide_retry(is_retry, self.is_query_of_death(query), in_flight_weight);
+        if decision == RetryDecision::GiveUp || is_retry && !self.may_retry(query, index, true) {
             self.leave_unsent(query, index, ShardRequestState::Failed);
             return;
         }
-        let may_send = hold == RetryHold::Free && (!is_retry || self.has_retry_budget());
+        let may_send = decision == RetryDecision::Send && (!is_retry || self.has_retry_budget());
         // Drawn also where it may not be sent, so that the chance of later decisions does not depend on that.
         let replica = self.choose_replica(query, index);
         match replica.filter(|_| may_send) {
@@ -106,8 +106,8 @@
     }
 
     fn replace_if_lost(&mut self, query: &mut Query, index: usize, id: AttemptId) {
-        let attempt = self.silent_attempt(query, index, id);
-        if attempt.is_silent() {
+        let attempt = self.attempt_progress(query, index, id);
+        if attempt.is_unresponsive() {
             self.record_unresponsive(id);
         }
         let other = self.choose_replica(query, index);
@@ -143,12 +143,12 @@
             is_only_attempt: query.shard_requests[index].attempts_in_flight() == 1,
             may_retry: self.may_retry(query, index, true),
             has_retry_budget: self.has_retry_budget(),
-            other_latency: other.map(|node| latencies.of(&self.state.nodes[node])),
+            alternative_latency: other.map(|node| latencies.of(&self.state.nodes[node])),
             objective_at: query.times.objective_at,
         }
     }
 
-    fn silent_attempt(&self, query: &Query, index: usize, id: AttemptId) -> SilentAttempt {
+    fn attempt_progress(&self, query: &Query, index: usize, id: AttemptId) -> AttemptProgress {
         let attempt = &query.shard_requests[index].attempts[usize::from(id.number.0)];
         let latencies = self.latencies();
         let node = self.state.nodes.get(attempt.node).map(|node| NodeProgress {
@@ -156,7 +156,7 @@
             last_success_at: node.last_success_at,
             latency: latencies.of(node),
         });
-        SilentAttempt {
+        AttemptProgress {
             now: self.state.now,
             sent_at: attempt.sent_at,
             node,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,7 +14,7 @@
 //! assert!(broker.turn(Timestamp(50), &[Input::Woken]).is_empty());
 //! ```
 //!
-//! Where to read: `policy` has every decision, a file for each rule; `policy/query_life.rs` the states of a
+//! Where to read: `policy` has every decision, a file for each rule; `policy/query_lifecycle.rs` the states of a
 //! query and what moves it from one to the next. `broker` is the event loop that gathers the rules' inputs and
 //! calls them; `state` is what a broker remembers.
 
--- a/crates/routing/src/policy/admission_queue.rs
+++ b/crates/routing/src/policy/admission_queue.rs
@@ -14,7 +14,7 @@
 
 /// What is known when a query would wait.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Applicant {
+pub(crate) struct QueueRequest {
     /// It waits already.
     pub(crate) is_queued: bool,
     pub(crate) shard_requests: usize,
@@ -27,7 +27,7 @@
     pub(crate) time_left: TimeSpan,
 }
 
-impl Applicant {
+impl QueueRequest {
     /// Whether it may wait. All that wait are taken to be as wide as this query.
     pub(crate) fn may_wait(&self) -> bool {
         let queued = ((self.queue_length + 1) * self.shard_requests) as f64;
--- a/crates/routing/src/policy/admission_queue/tests.rs
+++ b/crates/routing/src/policy/admission_queue/tests.rs
@@ -1,10 +1,10 @@
 //! Which queries may wait.
 
-use super::Applicant;
+use super::QueueRequest;
 use crate::time::TimeSpan;
 use rstest::rstest;
 
-const FIRST: Applicant = Applicant {
+const FIRST: QueueRequest = QueueRequest {
     is_queued: false,
     shard_requests: 5,
     queue_length: 1,
@@ -15,11 +15,11 @@
 
 #[rstest]
 #[case::fills_the_limit_once_more(FIRST, true)]
-#[case::more_than_fills_the_limit(Applicant { queue_length: 2, ..FIRST }, false)]
-#[case::keeps_its_place(Applicant { is_queued: true, queue_length: 2, ..FIRST }, true)]
-#[case::within_a_fifth_of_the_objective(Applicant { time_left: TimeSpan(801), ..FIRST }, true)]
-#[case::after_a_fifth_of_the_objective(Applicant { time_left: TimeSpan(800), ..FIRST }, false)]
-#[case::no_time_though_queued(Applicant { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
-fn may_wait(#[case] applicant: Applicant, #[case] expected: bool) {
-    assert_eq!(applicant.may_wait(), expected);
+#[case::more_than_fills_the_limit(QueueRequest { queue_length: 2, ..FIRST }, false)]
+#[case::keeps_its_place(QueueRequest { is_queued: true, queue_length: 2, ..FIRST }, true)]
+#[case::within_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(801), ..FIRST }, true)]
+#[case::after_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(800), ..FIRST }, false)]
+#[case::no_time_though_queued(QueueRequest { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
+fn may_wait(#[case] queue_request: QueueRequest, #[case] expected: bool) {
+    assert_eq!(queue_request.may_wait(), expected);
 }
--- a/crates/routing/src/policy/canary.rs
+++ b/crates/routing/src/policy/canary.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether a query sends a canary request. `is_first_send`: none of its shard requests was sent yet.
-    pub(crate) fn wants_canary(&self, now: Timestamp, is_first_send: bool, shard_requests: usize) -> bool {
+    pub(crate) fn needs_canary(&self, now: Timestamp, is_first_send: bool, shard_requests: usize) -> bool {
         let failure_rate = self.0.share(now, SPAN, MIN_ATTEMPTS);
         is_first_send && shard_requests > 1 && failure_rate > MAX_FAILURE_RATE
     }
--- a/crates/routing/src/policy/canary/tests.rs
+++ b/crates/routing/src/policy/canary/tests.rs
@@ -18,7 +18,7 @@
 #[case::one_failure_alone_is_not_enough(1, 1, true, 2, false)]
 #[case::some_were_sent_before(3, 20, false, 2, false)]
 #[case::one_shard_request_is_its_own_canary(3, 20, true, 1, false)]
-fn wants_canary(
+fn needs_canary(
     #[case] failures: usize,
     #[case] attempts: usize,
     #[case] is_first_send: bool,
@@ -26,5 +26,5 @@
     #[case] expected: bool,
 ) {
     let rate = failure_rate(failures, attempts);
-    assert_eq!(rate.wants_canary(NOW, is_first_send, shard_requests), expected);
+    assert_eq!(rate.needs_canary(NOW, is_first_send, shard_requests), expected);
 }
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -52,7 +52,7 @@
 }
 
 /// Whether the minimum coverage is missed even if everything in flight or queued comes in.
-pub(crate) fn is_hopeless(query: &Query) -> bool {
+pub(crate) fn is_unsatisfiable(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received};
     !covers_minimum(query, query.weight_in(&[Queued, InFlight, Received]))
 }
@@ -60,7 +60,7 @@
 /// Whether unsent shard requests can make up for those that failed.
 pub(crate) fn can_substitute(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received, Unsent};
-    is_hopeless(query) && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
+    is_unsatisfiable(query) && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
 }
 
 /// Whether a query is kept open past its latency objective: a late response earns more than a late failure
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -1,7 +1,8 @@
 //! What is enough for a response, and when it is due.
 
 use super::{
-    can_substitute, covers_minimum, has_min_coverage, is_complete, is_hopeless, is_late_useful, is_settled,
+    can_substitute, covers_minimum, has_min_coverage, is_complete, is_late_useful, is_settled,
+    is_unsatisfiable,
 };
 use crate::config::RequestClass;
 use crate::policy::test_queries::{class, query, with_states};
@@ -95,7 +96,7 @@
     #[case] substitutable: bool,
 ) {
     let query = halves(class(0.5, 1.0), states);
-    assert_eq!((is_hopeless(&query), can_substitute(&query)), (hopeless, substitutable));
+    assert_eq!((is_unsatisfiable(&query), can_substitute(&query)), (hopeless, substitutable));
 }
 
 #[rstest]
--- a/crates/routing/src/policy/cutoff.rs
+++ b/crates/routing/src/policy/cutoff.rs
@@ -42,7 +42,7 @@
 /// The indices of the shard requests to send, in the order of sending.
 ///
 /// Left out are those that scored too little at `base`, and those that no replica can answer in time
-/// (`is_out_of_reach`): sent first for its weight, the request to a dead shard would take the place of light
+/// (`is_infeasible`): sent first for its weight, the request to a dead shard would take the place of light
 /// ones that can be served. With `min_coverage_only` everything is left out that the minimum coverage does
 /// not need. Failed shard requests are not selected again. A query that needs all of its shard requests gets
 /// all of them.
@@ -50,14 +50,14 @@
     query: &Query,
     base: f64,
     min_coverage_only: bool,
-    is_out_of_reach: impl Fn(&ShardRequest) -> bool,
+    is_infeasible: impl Fn(&ShardRequest) -> bool,
 ) -> Vec<usize> {
     let scores = score_shard_requests(query, base);
     let mut candidates: Vec<Candidate> = Vec::new();
     for (index, score) in scores {
         let is_light = base > 1.0 && score < MIN_SCORE;
         let is_cut = query.allows_partial()
-            && (min_coverage_only || is_light || is_out_of_reach(&query.shard_requests[index]));
+            && (min_coverage_only || is_light || is_infeasible(&query.shard_requests[index]));
         candidates.push(Candidate { is_cut, index });
     }
     if !min_coverage_only {
--- a/crates/routing/src/policy/discovery_backoff.rs
+++ b/crates/routing/src/policy/discovery_backoff.rs
@@ -14,7 +14,7 @@
 //! - *shared* discovery is asked again when the routing decisions say so ([`Effect::WatchEndpoints`]), whose backoff
 //!   doubles with each failure and has jitter.
 //!
-//! Of the requests that wait at a time, one is patient ([`PATIENT_LIST_TIMEOUT`]), the others are given up after
+//! Of the requests that wait at a time, one is patient ([`LONG_LIST_TIMEOUT`]), the others are given up after
 //! [`list_timeout`].
 //!
 //! **Why.** What a local agent holds counts as known to the broker, so a drain must be read from it within the drain
@@ -41,7 +41,7 @@
 /// for the request that follows a silent watch.
 pub const WATCH_SLACK: Duration = Duration::from_secs(1);
 /// How long the one patient list request waits. A broker that is not ready within 30 s of its start counts as failed.
-pub const PATIENT_LIST_TIMEOUT: Duration = Duration::from_secs(24);
+pub const LONG_LIST_TIMEOUT: Duration = Duration::from_secs(24);
 /// The most list requests that wait for a silent agent side by side, the patient one apart.
 pub const MAX_PENDING_AGENT_REQUESTS: u32 = 10;
 
--- a/crates/routing/src/policy/reach.rs
+++ b/crates/routing/src/policy/feasibility.rs
@@ -39,7 +39,7 @@
 
 /// Whether a shard request is out of reach. `shortest_wait` is the least of its replicas' expected waits;
 /// none: no replica may receive it.
-pub(crate) fn is_out_of_reach(
+pub(crate) fn is_infeasible(
     shortest_wait: Option<TimeSpan>,
     now: Timestamp,
     objective_at: Timestamp,
--- a/crates/routing/src/policy/reach/tests.rs
+++ b/crates/routing/src/policy/feasibility/tests.rs
@@ -1,6 +1,6 @@
 //! Which shard requests can be answered in time.
 
-use super::{expected_wait, ignores_failures, is_out_of_reach};
+use super::{expected_wait, ignores_failures, is_infeasible};
 use crate::ids::BatchId;
 use crate::state::{LoadReport, Node};
 use crate::time::{TimeSpan, Timestamp};
@@ -60,5 +60,5 @@
 #[case::too_late(Some(601), true)]
 #[case::no_replica(None, true)]
 fn out_of_reach(#[case] shortest_wait: Option<i64>, #[case] expected: bool) {
-    assert_eq!(is_out_of_reach(shortest_wait.map(TimeSpan), Timestamp(100), Timestamp(1_000)), expected);
+    assert_eq!(is_infeasible(shortest_wait.map(TimeSpan), Timestamp(100), Timestamp(1_000)), expected);
 }
--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -41,7 +41,7 @@
 
 /// An attempt in flight that is looked at.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SilentAttempt {
+pub(crate) struct AttemptProgress {
     pub(crate) now: Timestamp,
     pub(crate) sent_at: Timestamp,
     /// None where the node is no longer known.
@@ -51,7 +51,7 @@
     pub(crate) hedge_delay: TimeSpan,
 }
 
-impl SilentAttempt {
+impl AttemptProgress {
     /// The node has answered an attempt that was sent later by an average latency.
     pub(crate) fn is_overtaken(&self) -> bool {
         let overtaken_after = self.sent_at + self.average_latency;
@@ -59,7 +59,7 @@
     }
 
     /// The node has answered nothing for the hedge delay.
-    pub(crate) fn is_silent(&self) -> bool {
+    pub(crate) fn is_unresponsive(&self) -> bool {
         let silent_since = self.node.map_or(self.sent_at, |node| node.last_success_at.max(self.sent_at));
         self.now - silent_since >= self.hedge_delay
     }
@@ -86,7 +86,7 @@
     pub(crate) may_retry: bool,
     pub(crate) has_retry_budget: bool,
     /// The latency of the replica that would be tried instead; none where there is none.
-    pub(crate) other_latency: Option<TimeSpan>,
+    pub(crate) alternative_latency: Option<TimeSpan>,
     /// When a response has to leave to be on time.
     pub(crate) objective_at: Timestamp,
 }
@@ -95,12 +95,12 @@
 /// which loses its response for certain: that is done only where it was overtaken or its connection is
 /// unresponsive. The budget is asked before a cancellation, since an attempt that is cancelled and not made
 /// again would be lost for nothing.
-pub(crate) fn should_replace(attempt: &SilentAttempt, conditions: ReplacementConditions) -> bool {
-    let is_lost = (attempt.is_overtaken() || attempt.is_silent()) && conditions.is_only_attempt;
+pub(crate) fn should_replace(attempt: &AttemptProgress, conditions: ReplacementConditions) -> bool {
+    let is_lost = (attempt.is_overtaken() || attempt.is_unresponsive()) && conditions.is_only_attempt;
     let may_cancel =
         conditions.allow_cancel && (attempt.is_overtaken() || conditions.is_connection_unresponsive);
     let may_act = conditions.allow_hedging || may_cancel;
-    let is_other_faster = conditions.other_latency.is_some_and(|latency| {
+    let is_other_faster = conditions.alternative_latency.is_some_and(|latency| {
         latency < attempt.expected_latency() && attempt.now + latency < conditions.objective_at
     });
     is_lost && may_act && conditions.may_retry && is_other_faster && conditions.has_retry_budget
--- a/crates/routing/src/policy/hedging/tests.rs
+++ b/crates/routing/src/policy/hedging/tests.rs
@@ -1,6 +1,6 @@
 //! Which attempts are replaced.
 
-use super::{NodeProgress, ReplacementConditions, SilentAttempt, hedge_delay, should_replace};
+use super::{AttemptProgress, NodeProgress, ReplacementConditions, hedge_delay, should_replace};
 use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
 };
 
 /// In flight for 3,000, and its node has answered nothing since before it was sent.
-const SILENT: SilentAttempt = SilentAttempt {
+const SILENT: AttemptProgress = AttemptProgress {
     now: Timestamp(4_000),
     sent_at: Timestamp(1_000),
     node: Some(NODE),
@@ -28,11 +28,11 @@
 };
 
 /// Its node goes on answering what was sent before it.
-const SLOW: SilentAttempt =
-    SilentAttempt { node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }), ..SILENT };
+const SLOW: AttemptProgress =
+    AttemptProgress { node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }), ..SILENT };
 
 /// Its node has answered an attempt that was sent more than an average latency later.
-const OVERTAKEN: SilentAttempt = SilentAttempt {
+const OVERTAKEN: AttemptProgress = AttemptProgress {
     node: Some(NodeProgress {
         last_success_at: Timestamp(3_999),
         newest_answered_sent_at: Timestamp(2_001),
@@ -41,7 +41,7 @@
     ..SILENT
 };
 
-const UNKNOWN_NODE: SilentAttempt = SilentAttempt { node: None, ..SILENT };
+const UNKNOWN_NODE: AttemptProgress = AttemptProgress { node: None, ..SILENT };
 
 const HEDGE: ReplacementConditions = ReplacementConditions {
     allow_hedging: true,
@@ -50,7 +50,7 @@
     is_only_attempt: true,
     may_retry: true,
     has_retry_budget: true,
-    other_latency: Some(TimeSpan(1_000)),
+    alternative_latency: Some(TimeSpan(1_000)),
     objective_at: Timestamp(10_000),
 };
 
@@ -62,15 +62,19 @@
 #[case::overtaken(OVERTAKEN, HEDGE, true)]
 #[case::merely_slow(SLOW, HEDGE, false)]
 #[case::node_is_gone(UNKNOWN_NODE, HEDGE, true)]
-#[case::not_yet(SilentAttempt { hedge_delay: TimeSpan(3_001), ..SILENT }, HEDGE, false)]
+#[case::not_yet(AttemptProgress { hedge_delay: TimeSpan(3_001), ..SILENT }, HEDGE, false)]
 #[case::has_a_hedge(SILENT, ReplacementConditions { is_only_attempt: false, ..HEDGE }, false)]
 #[case::not_harmless(SILENT, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
 #[case::no_budget(SILENT, ReplacementConditions { has_retry_budget: false, ..HEDGE }, false)]
-#[case::no_other_replica(SILENT, ReplacementConditions { other_latency: None, ..HEDGE }, false)]
-#[case::other_is_slower(SILENT, ReplacementConditions { other_latency: Some(TimeSpan(3_000)), ..HEDGE }, false)]
+#[case::no_other_replica(SILENT, ReplacementConditions { alternative_latency: None, ..HEDGE }, false)]
+#[case::other_is_slower(SILENT, ReplacementConditions { alternative_latency: Some(TimeSpan(3_000)), ..HEDGE }, false)]
 #[case::other_is_too_late(SILENT, ReplacementConditions { objective_at: Timestamp(5_000), ..HEDGE }, false)]
 #[case::neither_allowed(SILENT, ReplacementConditions { allow_hedging: false, ..HEDGE }, false)]
-fn hedged(#[case] attempt: SilentAttempt, #[case] conditions: ReplacementConditions, #[case] expected: bool) {
+fn hedged(
+    #[case] attempt: AttemptProgress,
+    #[case] conditions: ReplacementConditions,
+    #[case] expected: bool,
+) {
     assert_eq!(should_replace(&attempt, conditions), expected);
 }
 
@@ -83,7 +87,7 @@
 #[case::no_budget(OVERTAKEN, ReplacementConditions { has_retry_budget: false, ..CANCEL }, false)]
 #[case::not_allowed(OVERTAKEN, ReplacementConditions { allow_cancel: false, ..CANCEL }, false)]
 fn cancelled(
-    #[case] attempt: SilentAttempt,
+    #[case] attempt: AttemptProgress,
     #[case] conditions: ReplacementConditions,
     #[case] expected: bool,
 ) {
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -76,21 +76,21 @@
 }
 
 /// Whether an attempt was reset at once, so that its connection must have been closed while it was idle.
-pub(crate) fn was_reset_at_once(duration: TimeSpan, turn_period: TimeSpan) -> bool {
+pub(crate) fn was_reset_immediately(duration: TimeSpan, turn_period: TimeSpan) -> bool {
     duration <= turn_period.times(RESET_TURNS)
 }
 
 /// Whether an attempt after an idle period counts as lost: it failed, or it was cancelled after it had been
 /// silent for longer than an average latency.
 pub(crate) fn was_lost(
-    blames_node: bool,
+    is_node_failure: bool,
     outcome: AttemptOutcome,
     node_was_silent: bool,
     duration: TimeSpan,
     average_latency: TimeSpan,
 ) -> bool {
     let is_late = duration > average_latency;
-    blames_node || outcome == AttemptOutcome::Cancelled && node_was_silent && is_late
+    is_node_failure || outcome == AttemptOutcome::Cancelled && node_was_silent && is_late
 }
 
 impl IdleConnectionHistory {
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -1,6 +1,8 @@
 //! When idle connections are trusted.
 
-use super::{AttemptAfterIdle, IdleConnectionHistory, RESET_MEMORY, is_idle, was_lost, was_reset_at_once};
+use super::{
+    AttemptAfterIdle, IdleConnectionHistory, RESET_MEMORY, is_idle, was_lost, was_reset_immediately,
+};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, Succeeded};
 use crate::state::ConnectionUse::{New, Reused};
 use crate::time::{TimeSpan, Timestamp};
@@ -88,20 +90,20 @@
 #[case::cancelled_early(false, Cancelled, true, 5, false)]
 #[case::cancelled_at_a_node_that_answers(false, Cancelled, false, 6, false)]
 fn lost_attempts(
-    #[case] blames_node: bool,
+    #[case] is_node_failure: bool,
     #[case] outcome: AttemptOutcome,
     #[case] node_was_silent: bool,
     #[case] duration: i64,
     #[case] expected: bool,
 ) {
     let average = TimeSpan(5);
-    assert_eq!(was_lost(blames_node, outcome, node_was_silent, TimeSpan(duration), average), expected);
+    assert_eq!(was_lost(is_node_failure, outcome, node_was_silent, TimeSpan(duration), average), expected);
 }
 
 #[rstest]
 fn a_reset_within_two_turns_was_there_before_the_attempt() {
-    assert!(was_reset_at_once(TimeSpan(100), TimeSpan(50)));
-    assert!(!was_reset_at_once(TimeSpan(101), TimeSpan(50)));
+    assert!(was_reset_immediately(TimeSpan(100), TimeSpan(50)));
+    assert!(!was_reset_immediately(TimeSpan(101), TimeSpan(50)));
 }
 
 /// What was lost long ago must not keep connections from being used again.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -5,10 +5,10 @@
 //!
 //! The way of a query through the rules:
 //!
-//! - **Accepting**: [`query_times`], [`quota`], and the table of its life, [`query_life`].
+//! - **Accepting**: [`query_times`], [`quota`], and the table of its life, [`query_lifecycle`].
 //! - **Admitting**: [`query_of_death`], [`load_probe`], [`completion_chance`], [`admission`],
 //!   [`admission_queue`], [`concurrency_limit`], [`class_yield`].
-//! - **Selecting its shard requests**: [`pressure`], [`cutoff`], [`reach`], [`canary`].
+//! - **Selecting its shard requests**: [`pressure`], [`cutoff`], [`feasibility`], [`canary`].
 //! - **Choosing a replica**: [`replica_subset`], [`slow_start`], [`latency`], [`replica_choice`],
 //!   [`idle_connections`].
 //! - **When an attempt ends or stays silent**: [`outcome`], [`node_health`], [`shard_request_state`],
@@ -28,6 +28,7 @@
 pub(crate) mod cutoff;
 pub mod discovery_backoff;
 pub(crate) mod endpoint_watch;
+pub(crate) mod feasibility;
 pub(crate) mod give_up;
 pub(crate) mod hedging;
 pub(crate) mod idempotency;
@@ -38,11 +39,10 @@
 pub(crate) mod outcome;
 pub(crate) mod polling;
 pub(crate) mod pressure;
-pub(crate) mod query_life;
+pub(crate) mod query_lifecycle;
 pub(crate) mod query_of_death;
 pub(crate) mod query_times;
 pub(crate) mod quota;
-pub(crate) mod reach;
 pub(crate) mod reconfiguration;
 pub(crate) mod replica_choice;
 pub(crate) mod replica_subset;
--- a/crates/routing/src/policy/node_health/tests.rs
+++ b/crates/routing/src/policy/node_health/tests.rs
@@ -1,6 +1,6 @@
 //! What counts for or against a node.
 
-use super::{is_next_failure, tells_nothing};
+use super::{is_new_failure, is_uninformative};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, NotSent, TimedOut};
 use crate::state::Execution::{self, MaybeExecuted, Unsent};
 use crate::time::Timestamp;
@@ -20,7 +20,7 @@
     #[case] is_before_latency: bool,
     #[case] expected: bool,
 ) {
-    assert_eq!(tells_nothing(execution, outcome, on_reused_connection, is_before_latency), expected);
+    assert_eq!(is_uninformative(execution, outcome, on_reused_connection, is_before_latency), expected);
 }
 
 /// A node that hangs takes down all that is in flight there. That is one failure in a row, not ten, or the
@@ -30,10 +30,10 @@
 #[case::in_flight_together(true, 99, 100, false)]
 #[case::no_failure(false, 101, 100, false)]
 fn failures_in_a_row(
-    #[case] blames_node: bool,
+    #[case] is_node_failure: bool,
     #[case] sent_at: i64,
     #[case] last_failure_at: i64,
     #[case] expected: bool,
 ) {
-    assert_eq!(is_next_failure(blames_node, Timestamp(sent_at), Timestamp(last_failure_at)), expected);
+    assert_eq!(is_new_failure(is_node_failure, Timestamp(sent_at), Timestamp(last_failure_at)), expected);
 }
--- a/crates/routing/src/policy/outcome.rs
+++ b/crates/routing/src/policy/outcome.rs
@@ -14,22 +14,22 @@
     /// It counts as overload in the pressure.
     pub(crate) is_overload: bool,
     /// It counts as a failure of the node.
-    pub(crate) blames_node: bool,
+    pub(crate) is_node_failure: bool,
     /// The node's process looks as if it were down.
     pub(crate) looks_down: bool,
 }
 
 impl OutcomeMeaning {
     const fn of(execution: Execution) -> OutcomeMeaning {
-        OutcomeMeaning { execution, is_overload: false, blames_node: false, looks_down: false }
+        OutcomeMeaning { execution, is_overload: false, is_node_failure: false, looks_down: false }
     }
 
     const fn overload(self) -> OutcomeMeaning {
         OutcomeMeaning { is_overload: true, ..self }
     }
 
-    const fn blames_node(self) -> OutcomeMeaning {
-        OutcomeMeaning { blames_node: true, ..self }
+    const fn node_failure(self) -> OutcomeMeaning {
+        OutcomeMeaning { is_node_failure: true, ..self }
     }
 
     const fn looks_down(self) -> OutcomeMeaning {
@@ -43,18 +43,18 @@
         use Execution::{MaybeExecuted, NotExecuted, Unsent};
         match self {
             AttemptOutcome::Succeeded => OutcomeMeaning::of(MaybeExecuted),
-            AttemptOutcome::Errored => OutcomeMeaning::of(MaybeExecuted).blames_node(),
-            AttemptOutcome::Overloaded => OutcomeMeaning::of(NotExecuted).overload().blames_node(),
-            AttemptOutcome::TimedOut => OutcomeMeaning::of(MaybeExecuted).overload().blames_node(),
-            AttemptOutcome::ConnectFailed => OutcomeMeaning::of(NotExecuted).blames_node().looks_down(),
-            AttemptOutcome::ConnectionLost => OutcomeMeaning::of(MaybeExecuted).blames_node().looks_down(),
+            AttemptOutcome::Errored => OutcomeMeaning::of(MaybeExecuted).node_failure(),
+            AttemptOutcome::Overloaded => OutcomeMeaning::of(NotExecuted).overload().node_failure(),
+            AttemptOutcome::TimedOut => OutcomeMeaning::of(MaybeExecuted).overload().node_failure(),
+            AttemptOutcome::ConnectFailed => OutcomeMeaning::of(NotExecuted).node_failure().looks_down(),
+            AttemptOutcome::ConnectionLost => OutcomeMeaning::of(MaybeExecuted).node_failure().looks_down(),
             AttemptOutcome::Cancelled => OutcomeMeaning::of(MaybeExecuted),
             AttemptOutcome::NotSent | AttemptOutcome::LocalShortage => OutcomeMeaning::of(Unsent),
         }
     }
 
     /// Whether it says something of how nodes bear the load: the attempt was sent, and ended by itself.
-    pub fn tells_of_load(self) -> bool {
+    pub fn reflects_load(self) -> bool {
         self != AttemptOutcome::Cancelled && self.meaning().execution != Execution::Unsent
     }
 
--- a/crates/routing/src/policy/outcome/tests.rs
+++ b/crates/routing/src/policy/outcome/tests.rs
@@ -19,13 +19,13 @@
     #[case] outcome: AttemptOutcome,
     #[case] execution: Execution,
     #[case] is_overload: bool,
-    #[case] blames_node: bool,
+    #[case] is_node_failure: bool,
     #[case] looks_down: bool,
-    #[case] tells_of_load: bool,
+    #[case] reflects_load: bool,
 ) {
     let meaning = outcome.meaning();
     assert_eq!(meaning.execution, execution);
     assert_eq!((meaning.is_overload, outcome.is_overload()), (is_overload, is_overload));
-    assert_eq!((meaning.blames_node, meaning.looks_down), (blames_node, looks_down));
-    assert_eq!(outcome.tells_of_load(), tells_of_load);
+    assert_eq!((meaning.is_node_failure, meaning.looks_down), (is_node_failure, looks_down));
+    assert_eq!(outcome.reflects_load(), reflects_load);
 }
--- a/crates/routing/src/policy/query_life.rs
+++ b/crates/routing/src/policy/query_lifecycle.rs
@@ -34,14 +34,14 @@
 }
 
 /// A row of the table: in one of these states, on an event, if the guard holds.
-pub(crate) struct Row {
+pub(crate) struct Transition {
     from: &'static [QueryState],
     on: QueryEvent,
     when: Guard,
     pub(crate) step: Step,
 }
 
-impl Row {
+impl Transition {
     /// Whether the row applies to a query now.
     pub(crate) fn applies(&self, broker: &Broker, query: &Query, event: QueryEvent) -> bool {
         self.on == event && self.from.contains(&query.state) && (self.when)(broker, query)
@@ -54,12 +54,12 @@
     when: Guard,
     to: QueryState,
     action: Action,
-) -> Row {
-    Row { from, on, when, step: Step::Move(to, action) }
+) -> Transition {
+    Transition { from, on, when, step: Step::Move(to, action) }
 }
 
-const fn record(from: &'static [QueryState], on: QueryEvent, when: Guard, record: Record) -> Row {
-    Row { from, on, when, step: Step::Record(record) }
+const fn record(from: &'static [QueryState], on: QueryEvent, when: Guard, record: Record) -> Transition {
+    Transition { from, on, when, step: Step::Record(record) }
 }
 
 fn always(_: &Broker, _: &Query) -> bool {
@@ -77,7 +77,7 @@
 /// has to wait, and whether it is rejected. A query that waits therefore counts once more each time it is
 /// looked at.
 #[rustfmt::skip]
-pub(crate) const TABLE: &[Row] = &[
+pub(crate) const TRANSITIONS: &[Transition] = &[
     //  from              on                  when                         to             action
     row(&[Pending],       Ready,              Broker::is_quarantined,      Finished,      Broker::give_up),
     row(&[Pending],       Ready,              Broker::needs_load_reports,  Pending,       Broker::probe_replicas),
@@ -93,7 +93,7 @@
     row(&[InFlight],      ResponseReceived,   Broker::is_settled,          Responded,     Broker::respond),
     row(&[InFlight],      ShardRequestFailed, Broker::is_settled,          Responded,     Broker::respond),
     row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,      InFlight,      Broker::send),
-    row(&[InFlight],      ShardRequestFailed, Broker::is_hopeless,         Finished,      Broker::give_up),
+    row(&[InFlight],      ShardRequestFailed, Broker::is_unsatisfiable,    Finished,      Broker::give_up),
     row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,    Responded,     Broker::respond),
     row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,      PastObjective, nothing),
     row(&[InFlight],      ObjectiveNear,      always,                      Finished,      Broker::give_up),
--- a/crates/routing/src/policy/query_of_death.rs
+++ b/crates/routing/src/policy/query_of_death.rs
@@ -30,22 +30,22 @@
 
 /// What may still be done for a shard request of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RetryHold {
+pub(crate) enum RetryDecision {
     /// It is sent as any other.
-    Free,
+    Send,
     /// It waits for another shard request of its query that is in flight.
-    Held,
+    Wait,
     /// It is given up.
-    GivenUp,
+    GiveUp,
 }
 
 /// Whether a shard request is held back. First attempts never are; retries of a query of death wait for one
 /// that is in flight as proof, and without one are given up.
-pub(crate) fn retry_hold(is_retry: bool, is_query_of_death: bool, in_flight_weight: f64) -> RetryHold {
+pub(crate) fn decide_retry(is_retry: bool, is_query_of_death: bool, in_flight_weight: f64) -> RetryDecision {
     match (is_retry && is_query_of_death, in_flight_weight == 0.0) {
-        (false, _) => RetryHold::Free,
-        (true, false) => RetryHold::Held,
-        (true, true) => RetryHold::GivenUp,
+        (false, _) => RetryDecision::Send,
+        (true, false) => RetryDecision::Wait,
+        (true, true) => RetryDecision::GiveUp,
     }
 }
 
@@ -70,7 +70,7 @@
     }
 
     /// Drops those whose time is over.
-    pub(crate) fn forget(&mut self, now: Timestamp) {
+    pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         self.0.retain(|_, until| *until > now);
     }
 }
--- a/crates/routing/src/policy/query_of_death/tests.rs
+++ b/crates/routing/src/policy/query_of_death/tests.rs
@@ -1,6 +1,6 @@
 //! Queries that bring nodes down.
 
-use super::{Quarantine, RetryHold, counts_as_lost_node, is_query_of_death, retry_hold};
+use super::{Quarantine, RetryDecision, counts_as_lost_node, decide_retry, is_query_of_death};
 use crate::inputs::AttemptOutcome::{self, ConnectFailed, ConnectionLost, TimedOut};
 use crate::policy::test_queries::{class, query};
 use crate::time::{TimeSpan, Timestamp};
@@ -24,17 +24,17 @@
 }
 
 #[rstest]
-#[case::first_attempt(false, true, 0.0, RetryHold::Free)]
-#[case::sound_query(true, false, 0.0, RetryHold::Free)]
-#[case::another_in_flight(true, true, 0.1, RetryHold::Held)]
-#[case::nothing_in_flight(true, true, 0.0, RetryHold::GivenUp)]
+#[case::first_attempt(false, true, 0.0, RetryDecision::Send)]
+#[case::sound_query(true, false, 0.0, RetryDecision::Send)]
+#[case::another_in_flight(true, true, 0.1, RetryDecision::Wait)]
+#[case::nothing_in_flight(true, true, 0.0, RetryDecision::GiveUp)]
 fn retries_wait_for_proof(
     #[case] is_retry: bool,
     #[case] is_query_of_death: bool,
     #[case] in_flight_weight: f64,
-    #[case] expected: RetryHold,
+    #[case] expected: RetryDecision,
 ) {
-    assert_eq!(retry_hold(is_retry, is_query_of_death, in_flight_weight), expected);
+    assert_eq!(decide_retry(is_retry, is_query_of_death, in_flight_weight), expected);
 }
 
 #[rstest]
@@ -46,8 +46,8 @@
     assert!(quarantine.contains(&signature, Timestamp(1_499)));
     assert!(!quarantine.contains(&other, Timestamp(1_499)));
     assert!(!quarantine.contains(&signature, Timestamp(1_500)));
-    quarantine.forget(Timestamp(1_499));
+    quarantine.remove_expired(Timestamp(1_499));
     assert!(!quarantine.is_empty());
-    quarantine.forget(Timestamp(1_500));
+    quarantine.remove_expired(Timestamp(1_500));
     assert!(quarantine.is_empty());
 }
--- a/crates/routing/src/policy/quota.rs
+++ b/crates/routing/src/policy/quota.rs
@@ -44,7 +44,7 @@
     }
 
     /// Forgets tenants that have been silent, but for those that `has_quota` says.
-    pub(crate) fn forget_idle(&mut self, now: Timestamp, has_quota: impl Fn(TenantId) -> bool) {
+    pub(crate) fn remove_idle(&mut self, now: Timestamp, has_quota: impl Fn(TenantId) -> bool) {
         self.0.retain(|tenant, rate| has_quota(*tenant) || rate.read(now, SPAN) >= FORGOTTEN_BELOW);
     }
 }
--- a/crates/routing/src/policy/quota/tests.rs
+++ b/crates/routing/src/policy/quota/tests.rs
@@ -26,11 +26,11 @@
     let mut rates = TenantRates::default();
     rates.record(TENANT, NOW);
     let still_known = NOW + TimeSpan(100_000);
-    rates.forget_idle(still_known, |_| false);
+    rates.remove_idle(still_known, |_| false);
     assert!(!rates.0.is_empty());
     let forgotten = NOW + TimeSpan(120_000);
-    rates.forget_idle(forgotten, |tenant| tenant == TENANT);
+    rates.remove_idle(forgotten, |tenant| tenant == TENANT);
     assert!(!rates.0.is_empty());
-    rates.forget_idle(forgotten, |_| false);
+    rates.remove_idle(forgotten, |_| false);
     assert!(rates.0.is_empty());
 }
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -68,7 +68,7 @@
     }
 
     /// Drops what no window reaches back to, the longest being `max_window`.
-    pub(crate) fn forget(&mut self, now: Timestamp, max_window: TimeSpan, send_delay: TimeSpan) {
+    pub(crate) fn remove_expired(&mut self, now: Timestamp, max_window: TimeSpan, send_delay: TimeSpan) {
         let accepted_from = now - max_window + send_delay;
         let retried_from = now - max_window - send_delay;
         while self.accepted_at.pop_front_if(|at| *at < accepted_from).is_some() {}
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -58,9 +58,9 @@
 #[rstest]
 fn forgetting_changes_no_decision() {
     let mut history = history(NOW - TimeSpan(10_000), 10, 2);
-    history.forget(NOW, BUDGET.window, TimeSpan::ZERO);
+    history.remove_expired(NOW, BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (10, 2));
-    history.forget(NOW + TimeSpan(1), BUDGET.window, TimeSpan::ZERO);
+    history.remove_expired(NOW + TimeSpan(1), BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (0, 0));
 }
 
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -82,7 +82,7 @@
     }
 
     /// Drops what was queued before.
-    pub(crate) fn forget_before(&mut self, from: Timestamp) {
+    pub(crate) fn remove_before(&mut self, from: Timestamp) {
         while self.requested_at.pop_front_if(|at| *at < from).is_some() {}
     }
 
@@ -112,7 +112,7 @@
     pub(crate) demand: RequestRate,
     pub(crate) ready_nodes: usize,
     /// Seeds the chance of this broker at this node.
-    pub(crate) draw_seed: u64,
+    pub(crate) random_seed: u64,
 }
 
 impl SlowStartRequest<'_> {
@@ -180,6 +180,6 @@
 
     /// A number from 0 to 1, the same each time for the same subject.
     fn draw(&self, subject: u64) -> f64 {
-        fastrand::Rng::with_seed(self.draw_seed ^ subject).f64()
+        fastrand::Rng::with_seed(self.random_seed ^ subject).f64()
     }
 }
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -35,7 +35,7 @@
         shard_request: ShardRequestId(1),
         demand: RequestRate { shard_requests: 100.0, span: TimeSpan(10_000) },
         ready_nodes: 10,
-        draw_seed: 1,
+        random_seed: 1,
     }
 }
 
@@ -85,7 +85,7 @@
         let sends = brokers.filter(|broker| {
             let request = SlowStartRequest {
                 now: NOW + TimeSpan(age),
-                draw_seed: broker.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+                random_seed: broker.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 ..request(&rules, 300)
             };
             request.may_receive(|_| 0.0)
@@ -165,6 +165,6 @@
     demand.record(NOW - TimeSpan(20_000));
     let rate = demand.rate(NOW, TimeSpan(10_000));
     assert_eq!((rate.shard_requests, rate.span), (2.0, TimeSpan(30_000)));
-    demand.forget_before(NOW - TimeSpan(20_000));
+    demand.remove_before(NOW - TimeSpan(20_000));
     assert_eq!(demand.rate(NOW, TimeSpan(10_000)).shard_requests, 1.0);
 }
--- a/crates/routing/tests/discovery_backoff.rs
+++ b/crates/routing/tests/discovery_backoff.rs
@@ -1,8 +1,8 @@
 //! How long discovery is waited for, and when it is asked again.
 
 use routing::discovery_backoff::{
-    DiscoveryKind, MAX_PENDING_AGENT_REQUESTS, NOTIFIED_AFTER_SILENCE, NOTIFIED_AFTER_WAIT,
-    PATIENT_LIST_TIMEOUT, RetrySchedule, WATCH_SLACK, list_retry_interval, list_timeout, retry_schedule,
+    DiscoveryKind, LONG_LIST_TIMEOUT, MAX_PENDING_AGENT_REQUESTS, NOTIFIED_AFTER_SILENCE,
+    NOTIFIED_AFTER_WAIT, RetrySchedule, WATCH_SLACK, list_retry_interval, list_timeout, retry_schedule,
     watch_wait,
 };
 use rstest::rstest;
@@ -50,7 +50,7 @@
     let interval = Duration::from_millis(interval_ms);
     let timeout = list_timeout(kind, interval);
     assert_eq!(timeout, Duration::from_millis(timeout_ms));
-    assert!(timeout < PATIENT_LIST_TIMEOUT);
+    assert!(timeout < LONG_LIST_TIMEOUT);
     if kind == DiscoveryKind::LocalAgent {
         assert!(timeout <= interval * MAX_PENDING_AGENT_REQUESTS);
     }
