--- a/crates/routing/src/policy/class_yield.rs
+++ b/crates/routing/src/policy/class_yield.rs
@@ -1,5 +1,5 @@
-//! Yields: what a class is worth for each shard request that it sends. Under overload capacity goes to the
-//! classes that yield most (`concurrency_limit`), and so do retries (`attempt_limit`).
+//! Yields: the priority weight that a class earns per shard request. Under overload, classes with a higher
+//! yield get more of the capacity (`concurrency_limit`) and more retries (`attempt_limit`).
 
 use crate::ids::ClassId;
 use std::collections::BTreeMap;
@@ -7,21 +7,21 @@
 #[cfg(test)]
 mod tests;
 
-/// A new sample counts for this share of a class's smoothed yield.
+/// The weight of a new sample in a class's smoothed yield.
 const SAMPLE_SHARE: f64 = 0.25;
 
-/// Priority weight for each shard request.
+/// The priority weight per shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ClassYield {
-    /// Where only the minimum coverage is sent.
+    /// The yield if only the minimum coverage is sent.
     pub(crate) at_min_coverage: f64,
-    /// Where all is sent.
+    /// The yield if all shard requests are sent.
     pub(crate) at_full_coverage: f64,
 }
 
 impl ClassYield {
-    /// The yield of a query with this priority weight, of whose shard requests the minimum coverage needs
-    /// `needed`.
+    /// Returns the yield of a query with this priority weight. `needed` is the number of its shard requests
+    /// that the minimum coverage needs.
     pub(crate) fn of(
         priority_weight: f64,
         min_coverage: f64,
@@ -35,24 +35,24 @@
     }
 }
 
-/// The smoothed yields of the classes of late.
+/// The smoothed recent yields of the classes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassYields(BTreeMap<ClassId, ClassYield>);
 
 impl ClassYields {
-    /// Smooths in the yield of a query.
+    /// Adds the yield of a query to the smoothed yield of its class.
     pub(crate) fn record(&mut self, class: ClassId, new: ClassYield) {
         let smoothed = self.0.entry(class).or_insert(new);
         smoothed.at_min_coverage += (new.at_min_coverage - smoothed.at_min_coverage) * SAMPLE_SHARE;
         smoothed.at_full_coverage += (new.at_full_coverage - smoothed.at_full_coverage) * SAMPLE_SHARE;
     }
 
-    /// The best yield of any class at its minimum coverage, at least `own`.
+    /// Returns the highest yield of any class at its minimum coverage, at least `own`.
     pub(crate) fn best_at_min_coverage(&self, own: f64) -> f64 {
         self.best(own, |class_yield| class_yield.at_min_coverage)
     }
 
-    /// The best yield of any class at full coverage, at least `own`.
+    /// Returns the highest yield of any class at full coverage, at least `own`.
     pub(crate) fn best_at_full_coverage(&self, own: f64) -> f64 {
         self.best(own, |class_yield| class_yield.at_full_coverage)
     }
@@ -61,7 +61,7 @@
         self.0.values().map(kind).fold(own, f64::max).max(f64::MIN_POSITIVE)
     }
 
-    /// Keeps the classes that `is_kept` says.
+    /// Removes the yields of the classes for which `is_kept` returns false.
     pub(crate) fn retain(&mut self, is_kept: impl Fn(ClassId) -> bool) {
         self.0.retain(|class, _| is_kept(*class));
     }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,78 +1,81 @@
-//! The concurrency limit: how many shard requests this broker may have in flight.
+//! The concurrency limit: the number of shard requests that this broker may have in flight.
 //!
-//! It adapts by Little's law, as concurrency limiters do: with n in flight an attempt took t, so at the
-//! target latency T about n × T / t may be. The target is a share of the latency objective. The limit grows
-//! only where it is used, else a quiet hour would lift it beyond any meaning. Inputs are attempts that ended;
-//! it shows as rejected queries at a broker whose nodes answer late.
+//! The limit adapts by Little's law, like other adaptive concurrency limits: if an attempt took t with n in
+//! flight, about n × T / t can be in flight at the target latency T. The target is a share of the latency
+//! objective. The limit grows only while it is used; otherwise a period of low traffic would raise it without
+//! any evidence. Its inputs are ended attempts. The symptom of a low limit is rejected queries at a broker
+//! whose nodes answer late.
 //!
-//! Under overload capacity goes where it is worth most: every query may use a common share of the limit, and
-//! more in proportion to what its class yields for each shard request.
+//! Under overload, capacity is assigned where it is worth most: every query may use a common share of the
+//! limit, and more in proportion to the yield of its class.
 
 use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
 
-/// The limit aims at this share of the latency objective.
+/// The target latency as a share of the latency objective.
 const TARGET_LATENCY_SHARE: f64 = 0.25;
 
-/// The limit grows by at most this ratio while as many attempts end as it allows in flight.
+/// The maximum ratio by which the limit grows in the time in which as many attempts end as it allows in
+/// flight.
 const MAX_GROWTH: f64 = 1.5;
 
-/// Every query may use this share of the limit.
+/// The share of the limit that every query may use.
 const COMMON_SHARE: f64 = 0.5;
 
-/// The limit at the start, as a share of what may be open.
+/// The initial limit as a share of the configured bound on what may be open.
 const INITIAL_SHARE: f64 = 0.5;
 
-/// The limit counts as used, so that it may grow, from this share of it in flight on.
+/// The share of the limit that must be in flight for the limit to count as used, so that it may grow.
 const USED_SHARE: f64 = 0.5;
 
-/// A limit smaller than this adapts in steps as if it were this large, so that single attempts do not swing
-/// it.
+/// The lower bound on the limit in the computation of a step, so that single attempts do not change a small
+/// limit too much.
 const MIN_STEP_BASE: f64 = 10.0;
 
-/// The least limit: one shard request may always be sent.
+/// The minimum limit: one shard request may always be sent.
 const MIN_LIMIT: f64 = 1.0;
 
-/// An attempt that has ended, as the limit reads it.
+/// A sample of the limit, taken from an ended attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitSample {
-    /// The latency objective of its class.
+    /// The latency objective of the attempt's class.
     pub(crate) latency_objective: TimeSpan,
     pub(crate) duration: TimeSpan,
-    /// Shard requests in flight after the turn in which it was sent.
+    /// The number of shard requests in flight after the turn in which the attempt was sent.
     pub(crate) in_flight_at_send: f64,
-    /// These used much of the limit of that moment, see [`ConcurrencyLimit::is_used_by`].
+    /// Whether that number used the limit at that time, see [`ConcurrencyLimit::is_used_by`].
     pub(crate) limit_was_used: bool,
 }
 
-/// The limit, in shard requests.
+/// The adaptive concurrency limit, in shard requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ConcurrencyLimit(f64);
 
 impl ConcurrencyLimit {
-    /// The limit at the start.
+    /// Returns the limit of a broker that has just started.
     pub(crate) fn initial(max_open: u32) -> ConcurrencyLimit {
         ConcurrencyLimit(f64::from(max_open) * INITIAL_SHARE)
     }
 
-    /// The limit in shard requests.
+    /// Returns the limit as a number of shard requests.
     pub(crate) fn shard_requests(self) -> f64 {
         self.0
     }
 
-    /// The most that the limit may become, by the configured bound on open queries and shard requests.
+    /// Returns the maximum limit for the configured bound on open queries and shard requests.
     fn max(max_open: u32) -> f64 {
         f64::from(max_open.max(1))
     }
 
-    /// Takes over a configuration's bound at once; from there the limit grows by use.
+    /// Lowers the limit to the bound of a new configuration immediately; a higher bound is approached by use
+    /// only.
     pub(crate) fn lower_to(&mut self, max_open: u32) {
         self.0 = self.0.min(ConcurrencyLimit::max(max_open));
     }
 
-    /// Adapts to an attempt that has ended.
+    /// Adapts the limit to an ended attempt.
     pub(crate) fn adapt(&mut self, sample: LimitSample, max_open: u32) {
         let target = sample.latency_objective.times(TARGET_LATENCY_SHARE);
         let ratio = target.over(sample.duration).min(MAX_GROWTH);
@@ -85,13 +88,14 @@
         self.0 = (self.0 + step).clamp(MIN_LIMIT, ConcurrencyLimit::max(max_open));
     }
 
-    /// Whether this many shard requests in flight use enough of the limit to tell that it could grow.
+    /// Returns whether `in_flight` shard requests use enough of the limit to justify growth.
     pub(crate) fn is_used_by(self, in_flight: f64) -> bool {
         in_flight >= self.0 * USED_SHARE
     }
 
-    /// The limit for a query that yields `own_yield` priority weight for each shard request, beside the best
-    /// of any class. `quota_share` is 1 for tenants within their quota, and less beyond it.
+    /// Returns the limit for a query whose class yields `own_yield` priority weight per shard request,
+    /// relative to the best yield of any class. `quota_share` is 1 for tenants within their quota, and less
+    /// beyond it.
     pub(crate) fn for_yield(self, quota_share: f64, own_yield: f64, best_yield: f64) -> f64 {
         let share = COMMON_SHARE + (1.0 - COMMON_SHARE) * quota_share * own_yield / best_yield;
         self.0 * share
--- a/crates/routing/src/policy/discovery_backoff.rs
+++ b/crates/routing/src/policy/discovery_backoff.rs
@@ -1,97 +1,107 @@
-//! When discovery is asked for the endpoint list again, and how long one request waits for its answer.
+//! The schedule of requests to discovery: when the endpoint list is requested again, and how long a request
+//! waits for its response.
 //!
-//! **Decided.** The length of a watch, the time limit of a list request, and what follows a watch or a list
-//! request that failed or is silent.
+//! **Scope.** The length of a watch, the timeout of a list request, and the reaction to a watch or a list
+//! request that failed or received no response.
 //!
-//! **Inputs.** What discovery is ([`DiscoveryKind`]), how old an endpoint list may be, and the drain grace: how
-//! long after a broker counts as notified of a drain it may still send to the draining node. All are spans of time.
+//! **Inputs.** The kind of discovery ([`DiscoveryKind`]), the maximum age of an endpoint list, and the drain
+//! grace: how long a broker may still send to a draining node after it counts as notified of the drain. The
+//! latter two are durations.
 //!
-//! **Rule.** The current list is always asked for in a watch: a request that discovery answers at the next change,
-//! or after [`watch_wait`]. After a failure,
+//! **Rule.** The current list is always requested with a watch: a request that discovery answers at the next
+//! change, or after [`watch_wait`]. After a failure,
 //!
-//! - a *local agent* is asked again at a fixed interval, [`list_retry_interval`], while earlier requests still wait
-//!   for their answers;
-//! - *shared* discovery is asked again when the routing decisions say so ([`Effect::WatchEndpoints`]), whose backoff
-//!   doubles with each failure and has jitter.
+//! - a *local agent* is sent a new request at a fixed interval, [`list_retry_interval`], while earlier
+//!   requests are still waiting for their responses;
+//! - *shared* discovery is sent a new request when the routing decisions ask for it
+//!   ([`Effect::WatchEndpoints`]), with a backoff that doubles with each failure and has jitter.
 //!
-//! Of the requests that wait at a time, one is patient ([`LONG_LIST_TIMEOUT`]), the others are given up after
-//! [`list_timeout`].
+//! Of the concurrent requests, one has the long timeout [`LONG_LIST_TIMEOUT`], and the others are aborted
+//! after [`list_timeout`].
 //!
-//! **Why.** What a local agent holds counts as known to the broker, so a drain must be read from it within the drain
-//! grace, and nobody shares its capacity. Shared discovery is asked by the whole fleet: brokers that retry it
-//! together would keep it down. The patient request serves discovery whose answers take longer than
-//! [`list_timeout`].
+//! **Rationale.** The broker counts as notified of everything that a local agent holds, so a drain must be
+//! read from the agent within the drain grace, and no other broker uses the capacity of the agent. Shared
+//! discovery serves the whole fleet, and brokers that retry in unison would keep it down. The request with
+//! the long timeout serves discovery whose responses take longer than [`list_timeout`].
 //!
-//! **Cost.** Up to [`MAX_PENDING_AGENT_REQUESTS`] connections to a silent agent; a change that shared discovery
-//! announces while it fails is known later, by the length of the backoff.
+//! **Cost.** Up to [`MAX_PENDING_AGENT_REQUESTS`] connections to an unresponsive agent. A change that shared
+//! discovery announces while it fails is received later by the length of the backoff.
 //!
-//! **How it shows.** The log lines `endpoint list watch failed, the last list stays in use` and `endpoint list
-//! request failed, retrying until one is answered`.
+//! **Observability.** The log lines `endpoint list watch failed, the last list stays in use` and `endpoint
+//! list request failed, retrying until one is answered`.
 //!
 //! [`Effect::WatchEndpoints`]: crate::Effect::WatchEndpoints
 
 use std::time::Duration;
 
-/// A broker counts as notified of a change this long after its watch fell silent, or [`NOTIFIED_AFTER_WAIT`] after
-/// the watch's wait was over, if that is later.
+/// A broker counts as notified of a change this long after its watch last delivered data, or
+/// [`NOTIFIED_AFTER_WAIT`] after the wait of the watch ended, whichever is later.
 pub const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// See [`NOTIFIED_AFTER_SILENCE`].
+/// The time after the end of a watch's wait at which a broker counts as notified, see
+/// [`NOTIFIED_AFTER_SILENCE`].
 pub const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// How much later than its wait a watch may be answered. It is half of [`NOTIFIED_AFTER_WAIT`]: the other half is
-/// for the request that follows a silent watch.
+/// How long after the end of its wait a watch may be answered. This is half of [`NOTIFIED_AFTER_WAIT`]; the
+/// other half is reserved for the request that follows an unanswered watch.
 pub const WATCH_SLACK: Duration = Duration::from_secs(1);
-/// How long the one patient list request waits. A broker that is not ready within 30 s of its start counts as failed.
+/// The timeout of the one list request with a long timeout. A broker that is not ready within 30 s of its
+/// start counts as failed.
 pub const LONG_LIST_TIMEOUT: Duration = Duration::from_secs(24);
-/// The most list requests that wait for a silent agent side by side, the patient one apart.
+/// The maximum number of concurrent list requests to an unresponsive agent, not counting the one with the
+/// long timeout.
 pub const MAX_PENDING_AGENT_REQUESTS: u32 = 10;
 
-/// The shortest wait of a watch: each watch costs discovery a request.
+/// The minimum wait of a watch, because each watch costs discovery a request.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// The number of watches within the age that an endpoint list may have.
+/// The number of watches within the maximum age of an endpoint list.
 const WATCHES_PER_LIST_AGE: u32 = 10;
-/// The share of a list request's time limit in [`NOTIFIED_AFTER_SILENCE`], as a divisor, where discovery is shared.
+/// The ratio of [`NOTIFIED_AFTER_SILENCE`] to the timeout of a list request to shared discovery.
 const SHARED_LIST_TIMEOUT_DIVISOR: u32 = 2;
-/// List requests within a drain's grace: one is sent in the first third, answered in the second, and in the last
-/// the shard requests that were not sent yet are cancelled.
+/// The number of list request intervals within a drain grace: a request is sent in the first third and
+/// answered in the second, and in the last third the shard requests that have not been sent yet are
+/// cancelled.
 const LIST_REQUESTS_PER_GRACE: u32 = 3;
-/// How much longer than in a simulation the drain grace is on sockets.
+/// The allowance by which the drain grace on real sockets is longer than in a simulation.
 const DRAIN_GRACE_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// What discovery is, as seen from one broker.
+/// The kind of discovery service that a broker uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryKind {
-    /// An agent on the broker's own machine; what it holds counts as known to the broker.
+    /// An agent on the broker's own machine; the broker counts as notified of everything that the agent
+    /// holds.
     LocalAgent,
-    /// A service that the whole fleet asks.
+    /// A service that is shared by the whole fleet.
     Shared,
 }
 
-/// What follows a watch or a list request that has failed.
+/// The way in which a failed watch or list request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySchedule {
-    /// The next request starts this long after the previous one started, whether that one has failed or still waits.
+    /// The next request starts this long after the previous one started, whether that one has failed or is
+    /// still waiting.
     FixedInterval(Duration),
     /// The failure is reported to the routing decisions, and the next request starts when they ask for it.
     RoutingBackoff {
-        /// A list request that is silent for this long counts as failed, though its answer is still accepted.
+        /// A list request without a response for this long counts as failed, but its response is still
+        /// accepted.
         silence_timeout: Duration,
     },
 }
 
-/// How long discovery is asked to hold a watch that has no change to report. `max_list_age`: how old an endpoint
-/// list may be.
+/// Returns how long discovery is asked to hold a watch that has no change to report. `max_list_age` is the
+/// maximum age of an endpoint list.
 pub fn watch_wait(max_list_age: Duration) -> Duration {
-    // With a longer wait the broker would count as notified by the wait, not by the silence, and gain nothing.
+    // With a longer wait, the end of the wait instead of the missing data would determine when the broker
+    // counts as notified, without any benefit.
     let longest_wait = NOTIFIED_AFTER_SILENCE - NOTIFIED_AFTER_WAIT;
     (max_list_age / WATCHES_PER_LIST_AGE).clamp(MIN_WATCH_WAIT, longest_wait)
 }
 
-/// The shortest time from the start of one list request to that of the next.
+/// Returns the minimum time between the starts of two consecutive list requests.
 pub fn list_retry_interval(drain_grace: Duration) -> Duration {
     (drain_grace + DRAIN_GRACE_ALLOWANCE) / LIST_REQUESTS_PER_GRACE
 }
 
-/// How long a list request that is not the patient one waits for its answer.
+/// Returns the timeout of a list request other than the one with the long timeout.
 pub fn list_timeout(kind: DiscoveryKind, list_retry_interval: Duration) -> Duration {
     match kind {
         DiscoveryKind::LocalAgent => WATCH_SLACK.min(list_retry_interval * MAX_PENDING_AGENT_REQUESTS),
@@ -99,8 +109,8 @@
     }
 }
 
-/// What follows a failure of discovery. `list_retry_interval` and `list_timeout` are those of the functions of these
-/// names, or what a test has set in their place.
+/// Returns how a failed request to discovery is retried. `list_retry_interval` and `list_timeout` are the
+/// results of the functions with these names, or replacements set by a test.
 pub fn retry_schedule(
     kind: DiscoveryKind,
     list_retry_interval: Duration,
--- a/crates/routing/src/policy/endpoint_watch.rs
+++ b/crates/routing/src/policy/endpoint_watch.rs
@@ -1,37 +1,37 @@
-//! When the endpoint list is asked for again.
+//! Backoff of endpoint list requests.
 //!
-//! Discovery is shared by all brokers and finite: while it fails, each broker waits exponentially longer,
-//! with jitter, so that they don't all call at once when it is back.
+//! Discovery is shared by all brokers and has limited capacity. While it fails, each broker backs off
+//! exponentially with jitter, so that the brokers do not all send requests at once when it recovers.
 
 use crate::time::TimeSpan;
 
 #[cfg(test)]
 mod tests;
 
-/// After the first failure the next call comes after this share of the list's greatest age.
+/// The delay after the first failure, as a share of the maximum age of the endpoint list.
 const FAILURE_DELAY_SHARE: f64 = 0.05;
 
-/// Failures after which the wait no longer doubles.
+/// The number of failures after which the delay stops doubling.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The least factor of the jitter, which is spread evenly over a range of one.
+/// The smallest jitter factor. The factor is uniformly distributed over an interval of length one.
 const MIN_JITTER: f64 = 0.5;
 
-/// A watch that has brought nothing at all is opened anew after this share of the list's greatest age.
+/// A watch that has delivered nothing is reopened after this share of the maximum age of the endpoint list.
 const SILENCE_SHARE: f64 = 0.5;
 
-/// A greatest age that is configured shorter than this counts as this long.
+/// The lower bound on the configured maximum age; a shorter age is treated as this one.
 const MIN_LIST_AGE: TimeSpan = TimeSpan::from_seconds(5);
 
-/// How long to wait after a failed call, `earlier_failures` in a row before it. `random` is a number from 0
-/// to 1.
+/// Returns the delay before the next request after a failed one. `earlier_failures` is the number of
+/// consecutive failures before this one, and `random` is a number from 0 to 1.
 pub(crate) fn delay_after_failure(list_max_age: TimeSpan, earlier_failures: u32, random: f64) -> TimeSpan {
     let base = list_max_age.max(MIN_LIST_AGE).times(FAILURE_DELAY_SHARE);
     let doublings = earlier_failures.min(MAX_DOUBLINGS);
     base.times(f64::from(1 << doublings) * (MIN_JITTER + random))
 }
 
-/// How long a watch may bring nothing before it is opened anew.
+/// Returns how long a watch may deliver nothing before it is reopened.
 pub(crate) fn max_silence(list_max_age: TimeSpan) -> TimeSpan {
     list_max_age.max(MIN_LIST_AGE).times(SILENCE_SHARE)
 }
--- a/crates/routing/src/policy/feasibility.rs
+++ b/crates/routing/src/policy/feasibility.rs
@@ -1,8 +1,8 @@
-//! Reach: whether any replica can answer a shard request in time.
+//! Feasibility: determines whether any replica can answer a shard request in time.
 //!
-//! A shard request out of reach is sent last (`cutoff`) and counts against the admission of its query
-//! (`admission`). It is out of reach where no replica may receive it, or where even the best one is expected
-//! to answer after the objective.
+//! An infeasible shard request is sent last (`cutoff`) and counts against the admission of its query
+//! (`admission`). A shard request is infeasible if no replica may receive it, or if even the best replica is
+//! expected to answer after the latency objective.
 
 use super::load_probe::reported_wait;
 use crate::state::Node;
@@ -11,12 +11,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Single shard requests take up to this multiple of the expected wait.
+/// The factor by which a single shard request may take longer than the expected wait.
 const LATENESS_RATIO: f64 = 1.5;
 
-/// How long a replica is expected to take. An idle, healthy node counts as no wait at all, however slow it
-/// was: a slow pair of replicas is still used for what it can do. `ignores_failures`: failures do not make a
-/// node unhealthy, see [`ignores_failures`].
+/// Returns the time that a replica is expected to take. An idle, healthy node counts as no wait at all,
+/// however slow it has been, so that a slow pair of replicas is still used for what it can serve. If
+/// `ignores_failures` is true, failures do not make a node unhealthy, see [`ignores_failures`].
 pub(crate) fn expected_wait(
     node: &Node,
     latency: impl FnOnce() -> TimeSpan,
@@ -30,15 +30,15 @@
     latency() + reported_wait
 }
 
-/// Whether past failures alone keep no node from being asked. After an outage of all nodes nothing is in
-/// flight, and every node has failed; if that put all shards out of reach, no attempt would ever find out
-/// that the outage is over. Where nodes are probed, the query has asked them just now.
+/// Returns whether past failures alone do not make a node unhealthy. After an outage of all nodes, nothing is
+/// in flight and every node has failed; if that made all shard requests infeasible, no attempt would ever
+/// detect that the outage is over. If nodes are probed, the query has just probed them.
 pub(crate) fn ignores_failures(was_probed: bool, attempts_in_flight: usize) -> bool {
     was_probed && attempts_in_flight == 0
 }
 
-/// Whether a shard request is out of reach. `shortest_wait` is the least of its replicas' expected waits;
-/// none: no replica may receive it.
+/// Returns whether a shard request is infeasible. `shortest_wait` is the shortest expected wait of its
+/// replicas, or `None` if no replica may receive the shard request.
 pub(crate) fn is_infeasible(
     shortest_wait: Option<TimeSpan>,
     now: Timestamp,
--- a/crates/routing/src/policy/idempotency.rs
+++ b/crates/routing/src/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency: whether another attempt could give a shard request a second effect (rule 2).
+//! Idempotency: determines whether another attempt could execute a shard request twice (rule 2).
 
 use crate::config::Idempotency;
 use crate::effective_config::ClassPolicy;
@@ -7,9 +7,9 @@
 #[cfg(test)]
 mod tests;
 
-/// The policies of its class that bind a query: as it was when the query was accepted, and as it is now
-/// (none: the class was removed). Nodes may know of a change already, so what either of the two forbids is
-/// not done.
+/// Returns the class policies that bind a query: the policy as of when the query was accepted, and the
+/// current one (`None` if the class was removed). Nodes may already have applied a change, so an action that
+/// either policy forbids is not taken.
 pub(crate) fn binding_policies<'a>(
     accepted: &'a ClassPolicy,
     current: Option<&'a ClassPolicy>,
@@ -17,13 +17,14 @@
     std::iter::once(accepted).chain(current)
 }
 
-/// Whether another attempt is harmless. `first_executed_at` is when the first attempt was sent that was
-/// executed, or may be (none: no attempt was); `arrives_at` is when the new attempt reaches its node at the
-/// latest.
+/// Returns whether another attempt is safe. `first_executed_at` is the send time of the first attempt that
+/// was or may have been executed, or `None` if there is none. `arrives_at` is the latest time at which the
+/// new attempt reaches its node.
 ///
-/// An idempotent class may always repeat. With an idempotency key nodes drop repeats for the class's window
-/// from the first attempt on, so the new attempt must arrive within it. An at-most-once class never repeats
-/// what may have been executed: its shard request fails instead, and the query is answered as failed.
+/// An idempotent class may always be repeated. With an idempotency key, nodes drop repeats during the
+/// deduplication window of the class, counted from the first attempt, so the new attempt must arrive within
+/// it. A shard request of an at-most-once class is never repeated if it may have been executed; it fails
+/// instead, and its query is answered as failed.
 pub(crate) fn is_repeat_harmless(
     policy: &ClassPolicy,
     first_executed_at: Option<Timestamp>,
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -1,14 +1,14 @@
-//! Idle connections: whether a connection that was idle is used again or replaced by a new one.
+//! Idle connections: decides whether a connection that was idle is reused or replaced by a new one.
 //!
-//! The failure: something between broker and node drops idle connections without a word, and an attempt that
-//! goes out on one is lost. It looks like many sick nodes; it shows as resets within milliseconds, or
-//! silence, of attempts after an idle period, while no node restarts and busy brokers are fine. Idle
-//! connections are closed before an attempt while they are known to fail, and where an attempt must succeed.
-//! The cost is a handshake.
+//! Middleboxes between broker and node may silently drop idle connections, and an attempt that is sent on
+//! such a connection is lost. This resembles many unhealthy nodes. The symptoms are resets within
+//! milliseconds, or missing responses, of attempts after an idle period, while no node restarts and busy
+//! brokers are unaffected. Idle connections are closed before an attempt while they are known to fail, and if
+//! the attempt must succeed. The cost is a handshake.
 //!
-//! Connections are known to fail after an idle period at which one was reset at once, for [`RESET_MEMORY`];
-//! and while a fifth of the attempts on reused connections come to nothing, where those on new ones fail at
-//! most half as often.
+//! Connections are known to fail in two cases: for [`RESET_RETENTION`] after a connection was reset immediately
+//! following an idle period that was no longer; and while a fifth of the attempts on reused connections is lost
+//! and those on new connections fail at most half as often.
 
 use crate::inputs::AttemptOutcome;
 use crate::state::ConnectionUse;
@@ -18,40 +18,41 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection counts as idle from this share of the shortest latency objective on.
+/// The idle period from which a connection counts as idle, as a share of the shortest latency objective.
 const MIN_IDLE_SHARE: f64 = 0.2;
 
-/// An attempt that must succeed goes out on a new connection after an idle period of this share of the
+/// The idle period after which an attempt that must succeed is sent on a new connection, as a share of the
 /// shortest latency objective.
-const MAX_IDLE_SHARE_IF_NEEDED: f64 = 0.5;
+const MAX_IDLE_SHARE_IF_MUST_SUCCEED: f64 = 0.5;
 
-/// Reused connections fail where this share of attempts on them is lost.
+/// The share of lost attempts from which reused connections count as failing.
 const MAX_LOSS_RATE: f64 = 0.2;
 
-/// They fail only if they lose at least this many times what new ones lose: else nodes fail, not connections.
-const MIN_LOSSES_TO_NEW: f64 = 2.0;
+/// Reused connections count as failing only if their loss rate is at least this multiple of the rate on new
+/// connections. With a smaller ratio, the nodes fail rather than the connections.
+const MIN_LOSS_RATIO_TO_NEW: f64 = 2.0;
 
-/// The span over which losses are counted.
+/// The time constant of the decaying loss counts.
 const LOSS_SPAN: TimeSpan = TimeSpan::from_seconds(30);
 
-/// Fewer attempts than this count as this many.
+/// The minimum number of attempts that a loss rate is based on; fewer attempts count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
 
-/// How long the idle period of a connection that was reset is remembered.
-const RESET_MEMORY: TimeSpan = TimeSpan::from_seconds(30);
+/// How long the idle period of a connection that was reset is retained.
+const RESET_RETENTION: TimeSpan = TimeSpan::from_seconds(30);
 
-/// A connection that is lost within this many turns was closed before the attempt, not by it.
-const RESET_TURNS: f64 = 2.0;
+/// A connection that is lost within this number of turns was closed before the attempt and not because of it.
+const MAX_RESET_TURNS: f64 = 2.0;
 
-/// The shortest idle period after which an attempt's connection was reset at once, and when that was last
-/// seen.
+/// The shortest idle period after which the connection of an attempt was immediately reset, and the time of
+/// the last such reset.
 #[derive(Clone, Copy, Debug)]
 struct ResetAfterIdle {
     idle_period: TimeSpan,
     seen_at: Timestamp,
 }
 
-/// What is known of connections after idle periods.
+/// The history of attempts on connections after idle periods.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IdleConnectionHistory {
     reused: LossRatio,
@@ -64,24 +65,24 @@
 pub(crate) struct AttemptAfterIdle {
     pub(crate) now: Timestamp,
     pub(crate) idle_period: TimeSpan,
-    /// Its query needs all of its shard requests.
+    /// Whether the query needs all of its shard requests.
     pub(crate) must_succeed: bool,
-    /// Of all classes.
+    /// The shortest latency objective of all classes.
     pub(crate) shortest_objective: TimeSpan,
 }
 
-/// Whether a connection of this idle period counts as idle at all.
+/// Returns whether a connection with this idle period counts as idle.
 pub(crate) fn is_idle(idle_period: TimeSpan, shortest_objective: TimeSpan) -> bool {
     idle_period >= shortest_objective.times(MIN_IDLE_SHARE)
 }
 
-/// Whether an attempt was reset at once, so that its connection must have been closed while it was idle.
+/// Returns whether an attempt was reset so soon that its connection must have been closed while idle.
 pub(crate) fn was_reset_immediately(duration: TimeSpan, turn_period: TimeSpan) -> bool {
-    duration <= turn_period.times(RESET_TURNS)
+    duration <= turn_period.times(MAX_RESET_TURNS)
 }
 
-/// Whether an attempt after an idle period counts as lost: it failed, or it was cancelled after it had been
-/// silent for longer than an average latency.
+/// Returns whether an attempt after an idle period counts as lost: it failed, or it was cancelled after its
+/// node had not responded for longer than an average latency.
 pub(crate) fn was_lost(
     is_node_failure: bool,
     outcome: AttemptOutcome,
@@ -94,8 +95,8 @@
 }
 
 impl IdleConnectionHistory {
-    /// An attempt after an idle period has ended. One that was counted as unresponsive is not counted again,
-    /// and is taken back where it was not lost after all.
+    /// Records the end of an attempt after an idle period. An attempt that was already counted as
+    /// unresponsive is not counted again, and that count is reverted if the attempt was not lost in the end.
     pub(crate) fn record_end(
         &mut self,
         now: Timestamp,
@@ -111,37 +112,39 @@
         losses.count(now, LOSS_SPAN, lost - counted, 1.0 - counted);
     }
 
-    /// An attempt in flight on a reused connection has been silent for the hedge delay: it counts as lost
-    /// now, not only once it times out.
+    /// Records an in-flight attempt on a reused connection that has been unresponsive for the hedge delay. It
+    /// counts as lost immediately instead of only when it times out.
     pub(crate) fn record_unresponsive(&mut self, now: Timestamp) {
         self.reused.count(now, LOSS_SPAN, 1.0, 1.0);
     }
 
-    /// A reused connection was reset at once after such an idle period.
+    /// Records that a reused connection was reset immediately after this idle period.
     pub(crate) fn record_reset(&mut self, now: Timestamp, idle_period: TimeSpan) {
-        let known = self.reset.filter(|reset| now - reset.seen_at < RESET_MEMORY);
+        let known = self.reset.filter(|reset| now - reset.seen_at < RESET_RETENTION);
         let shortest = known.map_or(idle_period, |reset| reset.idle_period.min(idle_period));
         self.reset = Some(ResetAfterIdle { idle_period: shortest, seen_at: now });
     }
 
-    /// Which connection the first attempt after an idle period goes out on.
+    /// Returns which kind of connection the first attempt after an idle period is sent on.
     pub(crate) fn choose(&self, attempt: AttemptAfterIdle) -> ConnectionUse {
-        let max_idle_period = attempt.shortest_objective.times(MAX_IDLE_SHARE_IF_NEEDED);
+        let max_idle_period = attempt.shortest_objective.times(MAX_IDLE_SHARE_IF_MUST_SUCCEED);
         let is_too_risky = attempt.must_succeed && attempt.idle_period > max_idle_period;
-        let is_known_to_fail =
-            self.resets_after(attempt.idle_period, attempt.now) || self.reused_connections_fail(attempt.now);
+        let is_known_to_fail = self.was_reset_after(attempt.idle_period, attempt.now)
+            || self.reused_connections_fail(attempt.now);
         if is_too_risky || is_known_to_fail { ConnectionUse::New } else { ConnectionUse::Reused }
     }
 
-    /// Whether a connection was reset lately after no longer an idle period.
-    fn resets_after(&self, idle_period: TimeSpan, now: Timestamp) -> bool {
-        self.reset.is_some_and(|reset| idle_period >= reset.idle_period && now - reset.seen_at < RESET_MEMORY)
+    /// Returns whether a connection was recently reset after an idle period no longer than `idle_period`.
+    fn was_reset_after(&self, idle_period: TimeSpan, now: Timestamp) -> bool {
+        self.reset
+            .is_some_and(|reset| idle_period >= reset.idle_period && now - reset.seen_at < RESET_RETENTION)
     }
 
-    /// Whether so many attempts on reused connections are lost that it must be the connections.
+    /// Returns whether the loss rate on reused connections is so high that the connections, and not the
+    /// nodes, must be the cause.
     pub(crate) fn reused_connections_fail(&self, now: Timestamp) -> bool {
         let reused = self.reused.share(now, LOSS_SPAN, MIN_ATTEMPTS);
         let new = self.new.share(now, LOSS_SPAN, MIN_ATTEMPTS);
-        reused >= MAX_LOSS_RATE && new <= reused / MIN_LOSSES_TO_NEW
+        reused >= MAX_LOSS_RATE && new <= reused / MIN_LOSS_RATIO_TO_NEW
     }
 }
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -1,7 +1,7 @@
 //! When idle connections are trusted.
 
 use super::{
-    AttemptAfterIdle, IdleConnectionHistory, RESET_MEMORY, is_idle, was_lost, was_reset_immediately,
+    AttemptAfterIdle, IdleConnectionHistory, RESET_RETENTION, is_idle, was_lost, was_reset_immediately,
 };
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, Succeeded};
 use crate::state::ConnectionUse::{New, Reused};
@@ -41,10 +41,10 @@
     history.record_reset(NOW, TimeSpan(4_000));
     assert_eq!(history.choose(ATTEMPT), New);
     assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(2_499), ..ATTEMPT }), Reused);
-    assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_MEMORY, ..ATTEMPT }), Reused);
+    assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_RETENTION, ..ATTEMPT }), Reused);
     // What was seen long ago no longer counts, also beside what was seen now.
-    history.record_reset(NOW + RESET_MEMORY, TimeSpan(4_000));
-    assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_MEMORY, ..ATTEMPT }), Reused);
+    history.record_reset(NOW + RESET_RETENTION, TimeSpan(4_000));
+    assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_RETENTION, ..ATTEMPT }), Reused);
 }
 
 fn history(reused: (usize, usize), new: (usize, usize)) -> IdleConnectionHistory {
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -1,8 +1,9 @@
-//! Latencies: what is expected of a node, from what was measured of it, of its zone and of all nodes.
+//! Latency estimates: the expected latency of a node, derived from the measurements of the node, its zone and
+//! all nodes.
 //!
-//! The replica choice, hedging and the reach of a shard request all read the same figure,
-//! [`LatencyEstimate::of`]. A node's latency is an exponentially weighted moving average of its attempts;
-//! failures enter it with a penalty, see [`observed_latency`].
+//! The replica choice, hedging and the feasibility check of a shard request all use the same estimate,
+//! [`LatencyEstimate::of`]. A node's latency is an exponentially weighted moving average over its attempts;
+//! failures are included with a penalty, see [`observed_latency`].
 
 use crate::ids::ClassId;
 use crate::state::{Node, NodeTable};
@@ -13,58 +14,59 @@
 #[cfg(test)]
 mod tests;
 
-/// A new sample counts for this share of a node's smoothed latency.
+/// The weight of a new sample in a node's smoothed latency.
 pub(crate) const SAMPLE_SHARE: f64 = 0.25;
 
-/// What was measured this long ago has faded by a factor of e toward the average, so that a node that was
-/// slow once is tried again.
-const FADE_SPAN: TimeSpan = TimeSpan::from_seconds(5);
+/// The time in which the deviation of a measurement from the average decays by a factor of e, so that a node
+/// that was slow once is tried again.
+const DECAY_TIME: TimeSpan = TimeSpan::from_seconds(5);
 
-/// Before anything was measured, a shard request takes this share of the shortest latency objective.
+/// The expected latency before any measurement, as a share of the shortest latency objective.
 const INITIAL_SHARE: f64 = 0.125;
 
-/// A zone is slow where its mean latency passes the average of all nodes by this ratio.
+/// A zone is considered slow if its mean latency exceeds the average of all nodes by this ratio.
 const SLOW_ZONE_RATIO: f64 = 1.5;
 
-/// A zone's mean counts this many nodes at the average of all beside its own, so that one slow node is no
-/// slow zone.
+/// The number of additional nodes at the overall average that are included in a zone's mean, so that a single
+/// slow node does not make its zone slow.
 const ZONE_PRIOR_NODES: f64 = 4.0;
 
-/// This many latencies of a class make a mean that chance does not bend.
+/// The number of samples of a class needed for a mean that is robust against random variation.
 const BASELINE_SAMPLES: f64 = 32.0;
 
-/// The mean latency of the ready nodes that were measured, or a guess before any was; never zero.
+/// Returns the mean latency of the measured ready nodes, or an initial guess if none has been measured yet;
+/// it is never zero.
 pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
     let initial = shortest_objective.times(INITIAL_SHARE);
     measured.unwrap_or(initial).max(TimeSpan(1))
 }
 
-/// Estimates latencies of nodes at one moment.
+/// An estimator of node latencies at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyEstimate<'a> {
     pub(crate) nodes: &'a NodeTable,
     pub(crate) now: Timestamp,
-    /// See [`average_latency`].
+    /// The average latency of all nodes, see [`average_latency`].
     pub(crate) average: TimeSpan,
 }
 
 impl LatencyEstimate<'_> {
-    /// The latency that is expected of a node: its smoothed latency, faded toward the average of all nodes
-    /// or, in a slow zone, toward the zone's. A slow zone, or a slow way to it, thus shows at all of its
-    /// nodes, also those that were not measured. The time since its oldest batch in flight was sent counts
-    /// too, where nothing came in between.
+    /// Returns the expected latency of a node: its smoothed latency, decayed toward the average of all nodes
+    /// or, in a slow zone, toward the mean of the zone. A slow zone, or a slow network path to it, thus
+    /// affects the estimates of all its nodes, including those that have not been measured. The estimate is
+    /// at least the time for which the node has answered nothing while its oldest batch has been in flight.
     pub(crate) fn of(&self, node: &Node) -> TimeSpan {
         let zone = self.nodes.zone_mean_latency(node.zone, self.average, ZONE_PRIOR_NODES);
         let is_zone_slow = zone > self.average.times(SLOW_ZONE_RATIO);
         let usual = if is_zone_slow { zone } else { self.average };
-        node.faded_latency(self.now, usual, FADE_SPAN).max(node.silence(self.now))
+        node.faded_latency(self.now, usual, DECAY_TIME).max(node.silence(self.now))
     }
 }
 
-/// The latency that an attempt enters its node's average with. A dead node fails quickly and would look like
-/// the fastest of all: a failure counts as the average latency at least, doubled for each failure in a row,
-/// up to the latency objective. The cost: after an outage a node is tried again late, as its average has to
-/// fade first.
+/// Returns the latency with which an attempt is included in its node's average. A dead node fails quickly and
+/// would otherwise appear to be the fastest of all; therefore a failure counts as at least the average
+/// latency, doubled for each consecutive failure, up to the latency objective. The cost is that a node is
+/// tried again late after an outage, because its average has to decay first.
 pub(crate) fn observed_latency(
     duration: TimeSpan,
     is_failure: bool,
@@ -80,18 +82,18 @@
     duration.max(penalty)
 }
 
-/// How long shard requests of each class take when nothing slows them.
+/// The latency of each class's shard requests in the absence of load.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassBaselines(BTreeMap<ClassId, BaselineLatency>);
 
 impl ClassBaselines {
-    /// An attempt of this class has succeeded.
+    /// Records the duration of a successful attempt of this class.
     pub(crate) fn record(&mut self, class: ClassId, duration: TimeSpan) {
         self.0.entry(class).or_default().record(duration, BASELINE_SAMPLES);
     }
 
-    /// A class's baseline in tenths of a millisecond, at least one; `unknown` where too few attempts were
-    /// measured.
+    /// Returns the baseline of a class in tenths of a millisecond, at least one. `unknown` is used while too
+    /// few attempts have been measured.
     pub(crate) fn of(&self, class: ClassId, unknown: TimeSpan) -> f64 {
         let lowest = self.0.get(&class).and_then(|baseline| baseline.lowest_mean);
         lowest.unwrap_or(unknown).max(TimeSpan(1)).0 as f64
--- a/crates/routing/src/policy/load_probe.rs
+++ b/crates/routing/src/policy/load_probe.rs
@@ -1,8 +1,9 @@
-//! Load probes: where nodes report their load only when they are probed, replicas are asked before the first
-//! shard requests of a query go out, and their reports are waited for a short while.
+//! Load probes: if nodes report their load only when probed, the replicas of a query are probed before its
+//! first shard requests are sent, and the query waits briefly for the reports.
 //!
-//! A broker that has a query every few seconds has no latency that tells how a node is now. The cost is one
-//! short wait for each query whose replicas have no recent report, and the probes.
+//! A broker that receives a query only every few seconds has no recent latency measurements that reflect the
+//! current state of a node. The cost is the probes, and a short wait for each query whose replicas have no
+//! recent report.
 
 use crate::inputs::{LoadMetric, ProbeResult};
 use crate::state::{LoadReport, Node};
@@ -11,37 +12,37 @@
 #[cfg(test)]
 mod tests;
 
-/// A report is recent for this share of the latency objective.
+/// How long a report counts as recent, as a share of the latency objective.
 const MAX_AGE_SHARE: f64 = 0.02;
 
-/// Reports are waited for this share of the latency objective at the most.
+/// The maximum time that a query waits for reports, as a share of the latency objective.
 const MAX_WAIT_SHARE: f64 = 0.02;
 
-/// A lower reported rate counts as this many shard requests a second.
+/// The lower bound on a reported service rate, in shard requests per second.
 const MIN_SERVICE_RATE_PER_S: f64 = 1.0;
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
-/// Whether a replica is to be probed for a query with this latency objective: its last report is not recent,
-/// and none is on the way. A probe that is not answered within the objective counts as lost.
+/// Returns whether a replica must be probed for a query with this latency objective: its last report is not
+/// recent, and no probe is outstanding. A probe that is not answered within the objective counts as lost.
 pub(crate) fn needs_probe(node: &Node, now: Timestamp, latency_objective: TimeSpan) -> bool {
     let is_probed = node.probe_sent_at.is_some_and(|at| now - at <= latency_objective);
     let max_age = latency_objective.times(MAX_AGE_SHARE);
     !is_probed && node.load.is_none_or(|load| now - load.received_at > max_age)
 }
 
-/// How long reports are waited for.
+/// Returns the maximum time that a query waits for load reports.
 pub(crate) fn max_wait(latency_objective: TimeSpan) -> TimeSpan {
     latency_objective.times(MAX_WAIT_SHARE)
 }
 
-/// Whether a query that probed its replicas then may still wait for their reports.
+/// Returns whether a query that probed its replicas at `probed_at` may still wait for their reports.
 pub(crate) fn may_wait(probed_at: Option<Timestamp>, now: Timestamp, latency_objective: TimeSpan) -> bool {
     probed_at.is_some_and(|at| now - at < max_wait(latency_objective))
 }
 
-/// How long the queue of a node will take by its load report; zero where it reports no queue or no rate.
+/// Returns the time that a node needs to work off its queue according to its load report; zero if the report
+/// lacks the queue length or the rate, or is invalid.
 pub(crate) fn reported_wait(load: Option<LoadReport>) -> TimeSpan {
     let load = load.filter(|load| load.is_valid);
     let wait_s = load.and_then(|load| {
@@ -51,7 +52,7 @@
     TimeSpan::from_ms(wait_s.unwrap_or(0.0) * MS_PER_S)
 }
 
-/// Reads a probe's result; of each metric the first usable value counts.
+/// Converts the result of a probe into a load report; the first usable value of each metric is taken.
 pub(crate) fn read_report(now: Timestamp, result: &ProbeResult) -> LoadReport {
     let first = |metric: LoadMetric| {
         let is_usable = |value: f64| value.is_finite() && value >= 0.0;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,21 +1,24 @@
-//! Every decision of one broker. A rule is a file: a plain type or function whose arguments are all that it
-//! reads, with its constants beside it. `Broker` (in `crate::broker`) gathers the inputs and calls the rules;
-//! what a rule has to remember is a type of its own here, kept in `crate::state::BrokerState`. Reasons and
-//! figures are in `docs/design.md` and `docs/capacity.md`.
+//! The routing policies of one broker. Each policy is a file with plain types and functions that take
+//! everything they read as arguments; their constants are defined beside them. `Broker` (in `crate::broker`)
+//! collects the inputs and calls the policies. State that a policy keeps between calls is a type of its own
+//! in the policy's file, stored in `crate::state::BrokerState`. The rationale and the measurements are in
+//! `docs/design.md` and `docs/capacity.md`.
 //!
-//! The way of a query through the rules:
+//! The policies in the order in which a query passes them:
 //!
-//! - **Accepting**: [`query_times`], [`quota`], and the table of its life, [`query_lifecycle`].
-//! - **Admitting**: [`query_of_death`], [`load_probe`], [`completion_chance`], [`admission`],
+//! - **Accepting the query**: [`query_times`], [`quota`], and the state machine of queries,
+//!   [`query_lifecycle`].
+//! - **Admission**: [`query_of_death`], [`load_probe`], [`completion_chance`], [`admission`],
 //!   [`admission_queue`], [`concurrency_limit`], [`class_yield`].
-//! - **Selecting its shard requests**: [`pressure`], [`cutoff`], [`feasibility`], [`canary`].
+//! - **Selecting the shard requests to send**: [`pressure`], [`cutoff`], [`feasibility`], [`canary`].
 //! - **Choosing a replica**: [`replica_subset`], [`slow_start`], [`latency`], [`replica_choice`],
 //!   [`idle_connections`].
-//! - **When an attempt ends or stays silent**: [`outcome`], [`node_health`], [`shard_request_state`],
-//!   [`idempotency`], [`attempt_limit`], [`retry_budget`], [`hedging`], [`send_delay`], [`polling`].
+//! - **Handling attempts that ended or do not respond**: [`outcome`], [`node_health`],
+//!   [`shard_request_state`], [`idempotency`], [`attempt_limit`], [`retry_budget`], [`hedging`],
+//!   [`send_delay`], [`polling`].
 //! - **Responding or giving up**: [`coverage`], [`give_up`].
-//! - **Beside queries**: [`endpoint_watch`], [`reconfiguration`]; for the front end [`discovery_backoff`] and
-//!   [`shutdown_deadline`].
+//! - **Independent of queries**: [`endpoint_watch`] and [`reconfiguration`]; for the front end,
+//!   [`discovery_backoff`] and [`shutdown_deadline`].
 
 pub(crate) mod admission;
 pub(crate) mod admission_queue;
--- a/crates/routing/src/policy/node_health.rs
+++ b/crates/routing/src/policy/node_health.rs
@@ -1,7 +1,8 @@
-//! Node health: which ends of attempts count for or against a node, and how failures in a row add up.
+//! Node health: determines which attempt outcomes count for or against a node, and how consecutive failures
+//! are counted.
 //!
-//! Failures in a row raise the latency that a node is expected to have (`latency`) and put it out of reach
-//! for a while (`feasibility`); nothing else ejects it.
+//! Consecutive failures raise the expected latency of a node (`latency`), which can make shard requests
+//! infeasible there for a while (`feasibility`). No other mechanism ejects a node.
 
 use crate::inputs::AttemptOutcome;
 use crate::state::Execution;
@@ -10,11 +11,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Failures in a row that are told apart.
+/// The number at which the count of consecutive failures saturates.
 pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 16;
 
-/// Whether an attempt's end tells nothing of its node: it was never sent; the connection that it used again
-/// had been closed before; or it was cancelled before the node's usual latency was over.
+/// Returns whether the end of an attempt reveals nothing about its node: the attempt was never sent; the
+/// reused connection had been closed before; or the attempt was cancelled before the node's usual latency had
+/// passed.
 pub(crate) fn is_uninformative(
     execution: Execution,
     outcome: AttemptOutcome,
@@ -26,8 +28,8 @@
     execution == Execution::Unsent || was_closed_before || was_cancelled_early
 }
 
-/// Whether a failure is one more in a row. Attempts that were in flight together fail together: they count as
-/// one. `last_failure_at` is when the last failure was counted.
+/// Returns whether a failure adds to the node's consecutive failures. Attempts that are in flight together
+/// fail together and count once. `last_failure_at` is the time at which the last failure was counted.
 pub(crate) fn is_new_failure(is_node_failure: bool, sent_at: Timestamp, last_failure_at: Timestamp) -> bool {
     is_node_failure && sent_at >= last_failure_at
 }
--- a/crates/routing/src/policy/outcome.rs
+++ b/crates/routing/src/policy/outcome.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt means: for its execution, for pressure, for its node.
+//! The interpretation of attempt outcomes: their effect on execution state, pressure and node health.
 
 use crate::inputs::AttemptOutcome;
 use crate::state::Execution;
@@ -6,16 +6,16 @@
 #[cfg(test)]
 mod tests;
 
-/// The meaning of an outcome.
+/// The interpretation of an attempt outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OutcomeMeaning {
     /// Whether the node has executed the shard request.
     pub(crate) execution: Execution,
-    /// It counts as overload in the pressure.
+    /// Whether the outcome counts as overload in the pressure.
     pub(crate) is_overload: bool,
-    /// It counts as a failure of the node.
+    /// Whether the outcome counts as a failure of the node.
     pub(crate) is_node_failure: bool,
-    /// The node's process looks as if it were down.
+    /// Whether the node's process appears to be down.
     pub(crate) looks_down: bool,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl AttemptOutcome {
-    /// The one table of what outcomes mean.
+    /// Returns the interpretation of this outcome, which is defined in this table only.
     pub(crate) fn meaning(self) -> OutcomeMeaning {
         use Execution::{MaybeExecuted, NotExecuted, Unsent};
         match self {
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Whether it says something of how nodes bear the load: the attempt was sent, and ended by itself.
+    /// Returns whether the outcome reflects the load on nodes: the attempt was sent and was not cancelled.
     pub fn reflects_load(self) -> bool {
         self != AttemptOutcome::Cancelled && self.meaning().execution != Execution::Unsent
     }
 
-    /// Whether it counts as overload in the pressure.
+    /// Returns whether the outcome counts as overload in the pressure.
     pub fn is_overload(self) -> bool {
         self.meaning().is_overload
     }
--- a/crates/routing/src/policy/polling.rs
+++ b/crates/routing/src/policy/polling.rs
@@ -1,11 +1,11 @@
-//! How soon something that waits for nodes, capacity or budget is looked at again.
+//! The interval at which work that waits for nodes, capacity or retry budget is re-evaluated.
 
 use crate::time::TimeSpan;
 
-/// After this share of the latency objective.
+/// The polling interval as a share of the latency objective.
 const INTERVAL_SHARE: f64 = 0.05;
 
-/// The time until the next look, never zero.
+/// Returns the time until the next evaluation, which is never zero.
 pub(crate) fn interval(latency_objective: TimeSpan) -> TimeSpan {
     latency_objective.times(INTERVAL_SHARE).max(TimeSpan(1))
 }
--- a/crates/routing/src/policy/pressure.rs
+++ b/crates/routing/src/policy/pressure.rs
@@ -1,13 +1,13 @@
-//! Pressure: the share of recent shard requests that overload has cost.
+//! Pressure: the share of recent shard requests that were lost to overload.
 //!
-//! Inputs: attempts that nodes refused as overloaded or that timed out, and shard requests that this broker
-//! rejected itself, out of all of them within [`WINDOW`]. The design's cutoff reads it (see `cutoff`); it
-//! shows in the log with the events `CutoffActivated` and `CutoffDeactivated`.
+//! Pressure counts attempts that nodes rejected as overloaded or that timed out, and shard requests that this
+//! broker rejected itself, relative to all shard requests within [`WINDOW`]. The cutoff of the design depends
+//! on it (see `cutoff`); its effect is logged by the events `CutoffActivated` and `CutoffDeactivated`.
 //!
-//! Why a sliding window: under exponentially decaying counts the many events of a burst outweigh for many
-//! windows the fewer events that follow, so pressure stays high, queries stay trimmed, and the overload seems
-//! to feed itself after its cause is over. A window forgets a burst entirely once it has passed. The cost is
-//! a small array for each count.
+//! Pressure uses a sliding window because with exponentially decaying counts, the many events of a burst
+//! outweigh the fewer events after it for many windows: pressure stays high, queries stay reduced, and the
+//! overload appears to sustain itself after its cause has ended. A sliding window drops a burst entirely once
+//! it has passed. The cost is a small array for each count.
 
 use crate::statistics::SlidingWindow;
 use crate::time::{TimeSpan, Timestamp};
@@ -15,14 +15,14 @@
 #[cfg(test)]
 mod tests;
 
-/// The span over which pressure is measured.
+/// The window over which pressure is measured.
 pub(crate) const WINDOW: TimeSpan = TimeSpan::from_seconds(5);
 
-/// Slices of the window: what the oldest slice holds is forgotten at once.
+/// The number of slices of the window; the contents of the oldest slice expire together.
 const SLICES: usize = 10;
 
-/// Fewer shard requests than this count as this many, so that one overloaded attempt alone does not pass the
-/// cutoff's threshold.
+/// The minimum number of shard requests that pressure is based on; fewer count as this many, so that a single
+/// overloaded attempt does not exceed the threshold of the cutoff.
 const MIN_SHARD_REQUESTS: f64 = 10.0;
 
 /// The pressure over all shard requests, and over those of tenants within their quota.
@@ -33,7 +33,7 @@
 }
 
 impl Pressure {
-    /// Counts `total` shard requests, of which overload has cost `overloaded`.
+    /// Records `total` shard requests, of which `overloaded` were lost to overload.
     pub(crate) fn record(&mut self, now: Timestamp, within_quota: bool, overloaded: f64, total: f64) {
         self.all.count(now, WINDOW, overloaded, total);
         if within_quota {
@@ -41,8 +41,9 @@
         }
     }
 
-    /// The pressure that a query is trimmed by, from 0 to 1. A tenant within its quota is not judged by the
-    /// overload of those beyond theirs: one tenant's storm would else trim the responses of all.
+    /// Returns the pressure that applies to a query, from 0 to 1. A tenant within its quota is not affected
+    /// by overload from tenants beyond theirs; otherwise a burst of one tenant would reduce the responses of
+    /// all.
     pub(crate) fn for_query(&self, now: Timestamp, within_quota: bool) -> f64 {
         let all = self.all.share(now, WINDOW, MIN_SHARD_REQUESTS);
         let within = self.within_quota.share(now, WINDOW, MIN_SHARD_REQUESTS);
--- a/crates/routing/src/policy/query_lifecycle.rs
+++ b/crates/routing/src/policy/query_lifecycle.rs
@@ -1,15 +1,15 @@
-//! The life of a query: the table of its states, and what moves it from one to the next.
+//! The state machine of queries: the table of transitions and the conditions under which they are taken.
 //!
-//! 1. `Pending`: accepted, with all of its shard requests known. It is rejected, waits, or is sent.
-//! 2. `InFlight`: shard requests are in flight or queued; responses and failures come in.
-//! 3. `PastObjective`: the latency objective is over and nothing more is sent, but a late response is still
-//!    worth something.
-//! 4. `Responded`: a response was given. A class with a second phase goes on to `BetweenPhases`, and from
-//!    there to `InFlight` once the shard requests of that phase are known.
-//! 5. `Finished`: nothing more happens.
+//! 1. `Pending`: accepted, with all of its shard requests known. The query is rejected, waits, or is sent.
+//! 2. `InFlight`: shard requests are in flight or queued; responses and failures arrive.
+//! 3. `PastObjective`: the latency objective has passed and nothing more is sent, but a late response is
+//!    still useful.
+//! 4. `Responded`: a response was sent. A query of a class with a second phase continues with
+//!    `BetweenPhases`, and returns to `InFlight` once the shard requests of that phase are known.
+//! 5. `Finished`: final state.
 //!
-//! Guards answer and change nothing. What has to be remembered of a query that is looked at is recorded in
-//! rows of its own.
+//! Guards are pure. Anything that has to be recorded about a query when an event is handled has a row of its
+//! own.
 
 use crate::broker::Broker;
 use crate::state::QueryEvent::{
@@ -18,22 +18,22 @@
 use crate::state::QueryState::{BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{Query, QueryEvent, QueryState};
 
-/// Answers whether a row applies.
+/// A condition under which a row applies.
 type Guard = fn(&Broker, &Query) -> bool;
-/// What is done on the way to the next state.
+/// An action that is carried out on a state transition.
 type Action = fn(&mut Broker, &mut Query);
-/// What is remembered of a query without moving it.
+/// An action that records an observation about a query without changing its state.
 type Record = fn(&mut Broker, &Query);
 
-/// What a row does.
+/// The effect of a row.
 pub(crate) enum Step {
-    /// Moves the query to the next state and carries out the action.
+    /// Changes the state of the query and then carries out the action.
     Move(QueryState, Action),
-    /// Records what was observed, and goes on to the next row.
+    /// Records an observation and continues with the next row.
     Record(Record),
 }
 
-/// A row of the table: in one of these states, on an event, if the guard holds.
+/// A row of the transition table, which applies to an event in one of the given states if the guard holds.
 pub(crate) struct Transition {
     from: &'static [QueryState],
     on: QueryEvent,
@@ -42,7 +42,7 @@
 }
 
 impl Transition {
-    /// Whether the row applies to a query now.
+    /// Returns whether the row applies to the query for this event.
     pub(crate) fn applies(&self, broker: &Broker, query: &Query, event: QueryEvent) -> bool {
         self.on == event && self.from.contains(&query.state) && (self.when)(broker, query)
     }
@@ -66,22 +66,22 @@
     true
 }
 
-fn nothing(_: &mut Broker, _: &mut Query) {}
+fn no_action(_: &mut Broker, _: &mut Query) {}
 
 const OPEN: &[QueryState] = &[Pending, InFlight, PastObjective, BetweenPhases];
 
-/// The rows are gone through in order; the first `Move` that applies is taken. Where none applies, nothing
-/// happens.
+/// The transition table. Rows are evaluated in order, and the first `Move` that applies is taken. If none
+/// applies, the event has no effect.
 ///
-/// What a class yields is smoothed in before each of the two decisions that compare yields: whether the query
-/// has to wait, and whether it is rejected. A query that waits therefore counts once more each time it is
-/// looked at.
+/// The yield of a class is recorded before each of the two decisions that compare yields: whether the query
+/// has to wait, and whether it is rejected. A waiting query is therefore counted once more each time it is
+/// re-evaluated.
 #[rustfmt::skip]
 pub(crate) const TRANSITIONS: &[Transition] = &[
     //  from              on                  when                         to             action
     row(&[Pending],       Ready,              Broker::is_quarantined,      Finished,      Broker::give_up),
     row(&[Pending],       Ready,              Broker::needs_load_reports,  Pending,       Broker::probe_replicas),
-    row(&[Pending],       Ready,              Broker::awaits_load_reports, Pending,       nothing),
+    row(&[Pending],       Ready,              Broker::awaits_load_reports, Pending,       no_action),
     row(&[Pending],       Ready,              Broker::is_unlikely,         Finished,      Broker::give_up),
     record(&[Pending],    Ready,              Broker::may_wait,            Broker::record_class_yield),
     row(&[Pending],       Ready,              Broker::has_to_wait,         Pending,       Broker::wait),
@@ -95,13 +95,13 @@
     row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,      InFlight,      Broker::send),
     row(&[InFlight],      ShardRequestFailed, Broker::is_unsatisfiable,    Finished,      Broker::give_up),
     row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,      PastObjective, nothing),
+    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,      PastObjective, no_action),
     row(&[InFlight],      ObjectiveNear,      always,                      Finished,      Broker::give_up),
     row(&[PastObjective], ResponseReceived,   Broker::has_min_coverage,    Responded,     Broker::respond),
     row(&[PastObjective], ShardRequestFailed, Broker::is_late_useless,     Finished,      Broker::give_up),
     row(&[Responded],     ResponseSent,       Broker::has_phase_to_come,   BetweenPhases, Broker::end_phase),
-    row(&[Responded],     ResponseSent,       always,                      Finished,      nothing),
+    row(&[Responded],     ResponseSent,       always,                      Finished,      no_action),
     row(OPEN,             DeadlineNear,       Broker::has_min_coverage,    Responded,     Broker::respond),
     row(OPEN,             DeadlineNear,       always,                      Finished,      Broker::give_up),
-    row(OPEN,             ClientLeft,         always,                      Finished,      nothing),
+    row(OPEN,             ClientLeft,         always,                      Finished,      no_action),
 ];
--- a/crates/routing/src/policy/query_times.rs
+++ b/crates/routing/src/policy/query_times.rs
@@ -1,4 +1,4 @@
-//! The times of a query: until when a response is on time, until when it is of any use, and how two phases
+//! The times of a query: until when a response is on time, until when it is useful at all, and how two phases
 //! share the latency objective.
 
 use crate::effective_config::ClassPolicy;
@@ -8,34 +8,34 @@
 #[cfg(test)]
 mod tests;
 
-/// A response leaves this share of the latency objective before it, for the way to the client.
+/// The time reserved for a response to reach the client, as a share of the latency objective.
 const OBJECTIVE_MARGIN: f64 = 0.02;
 
-/// A response is decided on this many turns before the latency objective: the decision waits for a turn, and
-/// its effects are carried out in the course of the next.
+/// A response is decided on this many turns before the latency objective: the decision waits for the next
+/// turn, and its effects are carried out during the turn after that.
 const OBJECTIVE_TURNS: f64 = 2.0;
 
-/// A last response is decided on this many turns before the client stops waiting.
+/// The final response is decided on this many turns before the client stops waiting.
 const DEADLINE_TURNS: f64 = 4.0;
 
-/// Of the latency objective, the second phase of a query keeps this share for itself.
+/// The share of the latency objective that is reserved for the second phase of a query.
 const SECOND_PHASE_SHARE: f64 = 0.5;
 
-/// What a query's times follow from.
+/// The inputs of a query's times.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) now: Timestamp,
-    /// How long the client will wait.
+    /// How long the client will wait for a response.
     pub(crate) time_left: TimeSpan,
-    /// The work of all shard requests, where that is told; else zero.
+    /// The declared work of all shard requests, or zero if it was not declared.
     pub(crate) work: TimeSpan,
-    /// The least time between two turns of the broker.
+    /// The minimum time between two turns of the broker.
     pub(crate) turn_period: TimeSpan,
 }
 
 impl Arrival {
-    /// The times of a query that arrives now. The latency objective grows with the work that the query is
-    /// expected to be, and never passes the class's deadline or what the client will wait.
+    /// Returns the times of a query that arrives now. The latency objective grows with the declared work of
+    /// the query, and never exceeds the class's deadline or the time that the client will wait.
     pub(crate) fn times(&self, policy: &ClassPolicy) -> QueryTimes {
         let stretched = policy.latency_objective + self.work.times(policy.objective_stretch);
         let latency_objective = stretched.min(policy.deadline).min(self.time_left);
@@ -49,8 +49,9 @@
     }
 }
 
-/// How long an attempt may take that is sent now: until the latency objective, and beyond it for as long as a
-/// late response is worth something (`useful_after_objective`), but never past the deadline. Never zero.
+/// Returns the timeout of an attempt that is sent now. It lasts until the latency objective, and beyond it
+/// for as long as a late response is useful (`useful_after_objective`), but never past the deadline. The
+/// timeout is never zero.
 pub(crate) fn attempt_timeout(
     times: &QueryTimes,
     useful_after_objective: TimeSpan,
@@ -60,7 +61,7 @@
     (useful_until.min(times.deadline_at) - now).max(TimeSpan(1))
 }
 
-/// When the first phase of a query with two must give its response.
+/// Returns the time at which the first phase of a two-phase query must send its response.
 pub(crate) fn first_phase_ends_at(objective_at: Timestamp, latency_objective: TimeSpan) -> Timestamp {
     objective_at - latency_objective.times(SECOND_PHASE_SHARE)
 }
--- a/crates/routing/src/policy/replica_choice.rs
+++ b/crates/routing/src/policy/replica_choice.rs
@@ -1,10 +1,11 @@
-//! Replica choice: which replica of its shard a shard request goes to.
+//! Replica choice: selects the replica that a shard request is sent to.
 //!
-//! The rule: least smoothed latency × (own batches in flight + 1 + reported queue). Joining the batch that
-//! this turn already sends to a node opens no other, so it counts no more. Replicas that this shard request
-//! has not tried come before those that it has. Scores within [`TIE_MARGIN`] of the best count as equal;
-//! among those a replica in the broker's own zone is preferred, then one with an open batch, then chance
-//! decides, so that brokers that know the same do not all choose the same node.
+//! The replica with the lowest score is chosen: smoothed latency × (own batches in flight + 1 + reported
+//! queue length). The 1 stands for a new batch and is omitted if the shard request can join the batch that
+//! this turn already sends to the node. Replicas that this shard request has not tried take precedence over
+//! those that it has. Scores within [`TIE_MARGIN`] of the best are considered equal. Among those, a replica
+//! in the broker's own zone is preferred, then one with an open batch; the remaining ties are broken at
+//! random, so that brokers with the same information do not all choose the same node.
 
 use crate::ids::NodeId;
 use crate::state::Node;
@@ -13,34 +14,35 @@
 #[cfg(test)]
 mod tests;
 
-/// Scores this share above the best count as equal to it.
+/// The margin above the best score, as a share of it, within which scores are considered equal.
 const TIE_MARGIN: f64 = 0.1;
 
-/// A node that left its probe unanswered counts as one with this many shard requests waiting.
+/// The queue length assumed for a node that did not answer its probe.
 const UNREPORTED_QUEUE: f64 = 32.0;
 
 /// A replica that may receive the shard request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) node: NodeId,
-    /// The shard request had an attempt there.
+    /// Whether the shard request has already had an attempt there.
     pub(crate) was_tried: bool,
-    /// See [`score`].
+    /// The score of the replica, see [`score`].
     pub(crate) score: f64,
     pub(crate) is_in_other_zone: bool,
-    /// It has no batch of this turn that could be joined.
+    /// Whether the replica has no open batch of this turn.
     pub(crate) needs_new_batch: bool,
 }
 
-/// A replica's score, in tenths of a millisecond of expected work: the lower the better. `latency` is its
-/// smoothed latency.
+/// Returns the score of a replica, in tenths of a millisecond of expected work; lower is better. `latency` is
+/// the replica's smoothed latency.
 pub(crate) fn score(node: &Node, latency: TimeSpan, max_batch_size: u32) -> f64 {
     let joins_batch = node.open_batch.is_some_and(|batch| batch.shard_requests < max_batch_size);
     let batches = (node.batches.len() + usize::from(!joins_batch)) as f64;
     latency.0 as f64 * (batches + queue_length(node))
 }
 
-/// The reported queue of a node; a node that left its probe unanswered comes after all that did answer.
+/// Returns the reported queue length of a node. A node that did not answer its probe is assigned
+/// [`UNREPORTED_QUEUE`], which ranks it after the nodes that did.
 fn queue_length(node: &Node) -> f64 {
     match (node.probe_sent_at, node.load) {
         (None, None) => 0.0,
@@ -49,8 +51,7 @@
     }
 }
 
-/// Chooses among the candidates; none where there are none. Chance is drawn once for each choice that is
-/// made.
+/// Chooses one of the candidates, or returns `None` if there are none. One random number is drawn per choice.
 pub(crate) fn choose(candidates: &[Candidate], rng: &mut fastrand::Rng) -> Option<NodeId> {
     let all_tried = candidates.iter().all(|candidate| candidate.was_tried);
     let eligible = candidates.iter().filter(|candidate| all_tried || !candidate.was_tried);
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -1,11 +1,11 @@
-//! Subsetting: among which replicas of a shard a broker chooses.
+//! Subsetting: limits the replicas of a shard that a broker chooses from.
 //!
-//! In a large fleet every broker would meet every node: connections, and the time that a choice takes, would
-//! grow with the fleet. A broker therefore chooses among [`MAX_SHARD_REPLICAS`] replicas of a shard at the
-//! most, evenly from its placement groups, in an order that is drawn from its seed and each node's id. The
-//! draw stays the same for as long as both live, so that connections are kept; where some of the subset may
-//! not receive now, the next ones in the order take their place. The cost: a broker learns latencies of its
-//! own subset only.
+//! In a large fleet, a broker that sends to every node would need connections, and time to choose a replica,
+//! in proportion to the size of the fleet. A broker therefore chooses among at most [`MAX_SHARD_REPLICAS`]
+//! replicas of a shard, evenly distributed over its placement groups, in a pseudorandom order that depends on
+//! the broker's seed and each node's id. The order does not change during the lifetime of broker and node, so
+//! that connections are kept. If some nodes of the subset may not receive shard requests, the next ones in
+//! the order take their place. The cost is that a broker only measures latencies of its own subset.
 
 use crate::config::ShardLayout;
 use crate::ids::NodeId;
@@ -14,45 +14,46 @@
 #[cfg(test)]
 mod tests;
 
-/// A broker chooses among this many replicas of a shard at the most.
+/// The maximum number of replicas of a shard that a broker chooses from.
 const MAX_SHARD_REPLICAS: usize = 64;
 
-/// How many replicas of one placement group are chosen among.
+/// Returns the maximum number of replicas of one placement group that a broker chooses from.
 pub(crate) fn max_group_replicas(layout: &ShardLayout) -> usize {
     MAX_SHARD_REPLICAS.div_ceil(layout.replica_groups.max(1) as usize)
 }
 
-/// A node's place in the order of a broker.
-fn draw(seed: u64, node: NodeId) -> u64 {
+/// Returns the sort key of a node in a broker's pseudorandom order.
+fn order_key(seed: u64, node: NodeId) -> u64 {
     fastrand::Rng::with_seed(seed ^ node.0.rotate_left(32)).u64(..)
 }
 
-/// The ready nodes of a placement group, in two orders: by id, and as one broker draws them.
+/// The ready nodes of a placement group in two orders: by id, and in the broker's pseudorandom order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaGroup {
     by_id: BTreeSet<NodeId>,
-    by_draw: BTreeSet<(u64, NodeId)>,
+    by_order_key: BTreeSet<(u64, NodeId)>,
 }
 
 impl ReplicaGroup {
-    /// Adds a node. `seed` is the broker's, the same in all calls.
+    /// Adds a node. `seed` is the broker's seed and must be the same in all calls.
     pub(crate) fn insert(&mut self, seed: u64, node: NodeId) {
         self.by_id.insert(node);
-        self.by_draw.insert((draw(seed, node), node));
+        self.by_order_key.insert((order_key(seed, node), node));
     }
 
-    /// Removes a node that was added with this seed.
+    /// Removes a node that was added with the same seed.
     pub(crate) fn remove(&mut self, seed: u64, node: NodeId) {
         self.by_id.remove(&node);
-        self.by_draw.remove(&(draw(seed, node), node));
+        self.by_order_key.remove(&(order_key(seed, node), node));
     }
 
-    /// All nodes of the group: by id where there are no more than `max_replicas`, else as they were drawn.
-    /// Whoever takes the first usable ones gets the broker's subset.
+    /// Returns all nodes of the group: by id if there are at most `max_replicas`, otherwise in pseudorandom
+    /// order. The first usable ones form the broker's subset.
     pub(crate) fn candidates(&self, max_replicas: usize) -> impl Iterator<Item = NodeId> + '_ {
         let is_small = self.by_id.len() <= max_replicas;
         let by_id = is_small.then(|| self.by_id.iter().copied()).into_iter().flatten();
-        let by_draw = (!is_small).then(|| self.by_draw.iter().map(|(_, id)| *id)).into_iter().flatten();
-        by_id.chain(by_draw)
+        let by_order_key =
+            (!is_small).then(|| self.by_order_key.iter().map(|(_, id)| *id)).into_iter().flatten();
+        by_id.chain(by_order_key)
     }
 }
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -1,10 +1,10 @@
-//! The retry budget (rule 6): attempts beyond a shard request's first, retries and hedges alike, are bounded
-//! by a few and a share of what was accepted within a window.
+//! The retry budget (rule 6): limits attempts beyond the first of a shard request, retries and hedges alike,
+//! to a fixed number plus a share of what was accepted within a window.
 //!
-//! Without a budget an outage of one node multiplies the load on the others by the number of attempts. The
-//! budget is the configured one, or [`default_budget`] where none is stated. A shard request whose retry is
-//! not covered stays queued and tries again until its query's objective; it shows as queries that time out or
-//! are rejected without another attempt after an error.
+//! Without a budget, an outage of one node multiplies the load on the others by the number of attempts. The
+//! budget is the configured one, or [`default_budget`] if none is configured. A shard request whose retry
+//! exceeds the budget stays queued and is re-evaluated until its query's objective. The symptom is queries
+//! that time out or are rejected without another attempt after an error.
 
 use crate::config::{RequestLimits, RetryBudget};
 use crate::state::AttemptId;
@@ -14,52 +14,53 @@
 #[cfg(test)]
 mod tests;
 
-/// Without a stated budget: retries for each query and shard request that was accepted.
+/// The default number of retries per accepted query and shard request.
 const DEFAULT_SHARE: f64 = 0.25;
 
-/// Without a stated budget: the window over which retries are counted.
+/// The default window over which retries are counted.
 const DEFAULT_WINDOW: TimeSpan = TimeSpan::from_seconds(5);
 
-/// The budget of a broker for which none is stated: as many retries as a shard request may have attempts, and
-/// a share of the queries and shard requests that were accepted.
+/// Returns the retry budget of a broker for which none is configured: as many retries as a shard request may
+/// have attempts, plus a share of the accepted queries and shard requests.
 pub(crate) fn default_budget(limits: &RequestLimits) -> RetryBudget {
     RetryBudget { floor: limits.max_attempts.into(), share: DEFAULT_SHARE, window: DEFAULT_WINDOW }
 }
 
-/// An attempt beyond a shard request's first.
+/// An attempt beyond the first of a shard request.
 #[derive(Clone, Copy, Debug)]
 struct Retry {
     sent_at: Timestamp,
     attempt: AttemptId,
 }
 
-/// What was accepted and what was retried, in the order of time.
+/// The accepted queries and shard requests and the retries, in chronological order.
 #[derive(Debug, Default)]
 pub(crate) struct RetryHistory {
-    /// When queries and shard requests were accepted.
+    /// The times at which queries and shard requests were accepted.
     accepted_at: VecDeque<Timestamp>,
     retries: VecDeque<Retry>,
 }
 
 impl RetryHistory {
-    /// A query or a shard request was accepted.
+    /// Records a query or shard request that was accepted.
     pub(crate) fn record_accepted(&mut self, now: Timestamp) {
         self.accepted_at.push_back(now);
     }
 
-    /// An attempt beyond a shard request's first is sent.
+    /// Records an attempt beyond the first of a shard request that is sent now.
     pub(crate) fn record_retry(&mut self, now: Timestamp, attempt: AttemptId) {
         self.retries.push_back(Retry { sent_at: now, attempt });
     }
 
-    /// An attempt never left this broker: it does not count.
+    /// Removes an attempt that never left this broker, so that it does not count.
     pub(crate) fn withdraw(&mut self, attempt: AttemptId) {
         self.retries.retain(|retry| retry.attempt != attempt);
     }
 
-    /// Whether the budget covers one more retry now. `send_delay` is the longest way of an attempt to its
-    /// node: what was accepted is counted over a window shorter by it and retries over a longer one, so that
-    /// the budget also holds for the windows as nodes see them.
+    /// Returns whether the budget covers one more retry now. `send_delay` is the maximum delay until an
+    /// attempt reaches its node. Accepted requests are counted over a window shortened by this delay, and
+    /// retries over a window extended by it, so that the budget also holds for the windows as nodes observe
+    /// them.
     pub(crate) fn allows_retry(&self, budget: &RetryBudget, now: Timestamp, send_delay: TimeSpan) -> bool {
         let window_start = now - budget.window;
         let accepted = self.accepted_since(window_start + send_delay) as f64;
@@ -67,7 +68,7 @@
         (retried + 1) as f64 <= budget.floor + budget.share * accepted
     }
 
-    /// Drops what no window reaches back to, the longest being `max_window`.
+    /// Removes the entries that no window can include any more; `max_window` is the longest window.
     pub(crate) fn remove_expired(&mut self, now: Timestamp, max_window: TimeSpan, send_delay: TimeSpan) {
         let accepted_from = now - max_window + send_delay;
         let retried_from = now - max_window - send_delay;
--- a/crates/routing/src/policy/send_delay.rs
+++ b/crates/routing/src/policy/send_delay.rs
@@ -1,18 +1,18 @@
-//! How long an attempt may take from its decision to its node.
+//! The maximum delay between the decision to send an attempt and its arrival at the node.
 
 use crate::config::BrokerConfig;
 use crate::time::TimeSpan;
 
-/// Turns that may pass until an attempt is written.
+/// The number of turns that may pass until an attempt is written.
 const TURNS: f64 = 2.0;
 
-/// The longest way of an attempt to its node: two turns, and what the front end may need to connect and
-/// write.
+/// Returns the maximum delay until an attempt reaches its node: two turns, and the time that the front end
+/// may need to connect and write.
 ///
-/// Rules with a window (the retry budget, a class's window for idempotency keys) are about what nodes see. An
-/// attempt decided on within a window can reach its node after it, where it would count against another
-/// window or run a second time. Windows are therefore kept with this much slack; the cost is a few retries
-/// less.
+/// Rules with a window (the retry budget, and the deduplication window of a class with idempotency keys)
+/// apply to the requests as nodes receive them. An attempt that is decided on within a window can reach its
+/// node after the window has ended; it would then count against a later window or be executed twice. Windows
+/// are therefore enforced with this delay as a safety margin, at the cost of slightly fewer retries.
 pub(crate) fn max_send_delay(config: &BrokerConfig) -> TimeSpan {
     config.period.times(TURNS) + config.send_lag
 }
--- a/crates/routing/src/policy/shard_request_state.rs
+++ b/crates/routing/src/policy/shard_request_state.rs
@@ -1,4 +1,4 @@
-//! What becomes of a shard request when one of its attempts has ended.
+//! The state transition of a shard request when one of its attempts has ended.
 
 use crate::inputs::AttemptOutcome;
 use crate::state::{QueryState, ShardRequestState};
@@ -6,19 +6,19 @@
 #[cfg(test)]
 mod tests;
 
-/// What the next state follows from.
+/// The inputs that determine the next state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) outcome: AttemptOutcome,
-    /// The shard request's state before.
+    /// The state of the shard request before the attempt ended.
     pub(crate) state: ShardRequestState,
-    /// Its other attempts that are still in flight.
+    /// The number of its other attempts that are still in flight.
     pub(crate) attempts_in_flight: usize,
     pub(crate) query_state: QueryState,
 }
 
-/// The shard request's next state. It is queued for a retry only while its query waits for responses and
-/// `may_retry` holds; an attempt that was cancelled before it was sent is not made again.
+/// Returns the next state of the shard request. It is queued for a retry only while its query waits for
+/// responses and `may_retry` returns true. An attempt that was cancelled before it was sent is not retried.
 pub(crate) fn state_after(ended: EndedAttempt, may_retry: impl FnOnce() -> bool) -> ShardRequestState {
     if ended.state == ShardRequestState::Received || ended.outcome == AttemptOutcome::Succeeded {
         return ShardRequestState::Received;
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -47,13 +47,13 @@
 #[case::failing_gets_one(0.0, 2, true)]
 #[case::failing_gets_no_more(1.0, 2, false)]
 fn few_brokers_share_what_the_node_bears(
-    #[case] sent_lately: f64,
+    #[case] recent_cost: f64,
     #[case] consecutive_failures: u32,
     #[case] expected: bool,
 ) {
     let rules = rules();
     let request = SlowStartRequest { consecutive_failures, ..request(&rules, 2) };
-    assert_eq!(request.may_receive(|_| sent_lately), expected);
+    assert_eq!(request.may_receive(|_| recent_cost), expected);
 }
 
 #[rstest]
--- a/crates/routing/src/policy/test_queries.rs
+++ b/crates/routing/src/policy/test_queries.rs
@@ -1,4 +1,4 @@
-//! Queries for the tests of rules that read one.
+//! Query fixtures for the tests of policies that read a query.
 
 use crate::config::{BrokerConfig, RequestClass};
 use crate::ids::{ClassId, GroupId, QueryId, ShardId, ShardRequestId, TenantId};
@@ -8,7 +8,7 @@
 use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
-/// A class whose responses must cover this much, and are complete from that on.
+/// Returns a class with this minimum coverage, whose responses are complete from `complete_coverage` on.
 pub(crate) fn class(min_coverage: f64, complete_coverage: f64) -> RequestClass {
     RequestClass {
         latency_objective: TimeSpan(10_000),
@@ -20,8 +20,7 @@
     }
 }
 
-/// A query of this class, accepted at the beginning of the clock, with unsent shard requests of these
-/// weights.
+/// Returns a query of this class that is accepted at time zero and has one unsent shard request per weight.
 pub(crate) fn query(class: RequestClass, weights: &[f64]) -> Query {
     let mut config = BrokerConfig::default();
     config.classes.insert(ClassId(0), class);
@@ -52,7 +51,7 @@
     query
 }
 
-/// The same query with its shard requests in these states.
+/// Returns the query with its shard requests set to `states`.
 pub(crate) fn with_states(mut query: Query, states: &[ShardRequestState]) -> Query {
     for (shard_request, state) in query.shard_requests.iter_mut().zip(states) {
         shard_request.state = *state;
