--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -7,7 +7,7 @@
 use crate::policy::admission::AdmissionRequest;
 use crate::policy::admission_queue::QueueRequest;
 use crate::policy::class_yield::ClassYield;
-use crate::policy::{completion_chance, coverage, load_probe};
+use crate::policy::{completion_probability, coverage, load_probe};
 use crate::state::{Query, Timer};
 use std::collections::BTreeSet;
 
@@ -38,7 +38,7 @@
         let overload_rate = self.state.overload_rate.read(self.state.now);
         let max_attempts = query.config.broker.limits.max_attempts;
         !query.allows_partial()
-            && completion_chance::is_unlikely(overload_rate, max_attempts, query.shard_requests.len())
+            && completion_probability::is_unlikely(overload_rate, max_attempts, query.shard_requests.len())
     }
 
     /// It may wait for capacity.
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -5,7 +5,7 @@
 use crate::effects::Effect;
 use crate::ids::NodeId;
 use crate::policy::idle_connections::{AttemptAfterIdle, is_idle};
-use crate::policy::latency::{LatencyEstimate, average_latency};
+use crate::policy::latency::{LatencyEstimator, average_latency};
 use crate::policy::replica_choice::{self, Candidate};
 use crate::policy::slow_start::{self, SlowStartRequest};
 use crate::state::{ConnectionAfterIdle, ConnectionUse, Query, ShardRequest};
@@ -18,8 +18,8 @@
     }
 
     /// Estimates nodes' latencies now.
-    pub(super) fn latencies(&self) -> LatencyEstimate<'_> {
-        LatencyEstimate { nodes: &self.state.nodes, now: self.state.now, average: self.average_latency() }
+    pub(super) fn latencies(&self) -> LatencyEstimator<'_> {
+        LatencyEstimator { nodes: &self.state.nodes, now: self.state.now, average: self.average_latency() }
     }
 
     /// The ready nodes that hold a shard request's shard and are usable, as far as this broker chooses among
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -2,7 +2,7 @@
 //! all nodes.
 //!
 //! The replica choice, hedging and the feasibility check of a shard request all use the same estimate,
-//! [`LatencyEstimate::of`]. A node's latency is an exponentially weighted moving average over its attempts;
+//! [`LatencyEstimator::of`]. A node's latency is an exponentially weighted moving average over its attempts;
 //! failures are included with a penalty, see [`observed_latency`].
 
 use crate::ids::ClassId;
@@ -43,14 +43,14 @@
 
 /// An estimator of node latencies at one point in time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LatencyEstimate<'a> {
+pub(crate) struct LatencyEstimator<'a> {
     pub(crate) nodes: &'a NodeTable,
     pub(crate) now: Timestamp,
     /// The average latency of all nodes, see [`average_latency`].
     pub(crate) average: TimeSpan,
 }
 
-impl LatencyEstimate<'_> {
+impl LatencyEstimator<'_> {
     /// Returns the expected latency of a node: its smoothed latency, decayed toward the average of all nodes
     /// or, in a slow zone, toward the mean of the zone. A slow zone, or a slow network path to it, thus
     /// affects the estimates of all its nodes, including those that have not been measured. The estimate is
--- a/crates/routing/src/policy/latency/tests.rs
+++ b/crates/routing/src/policy/latency/tests.rs
@@ -1,6 +1,6 @@
 //! What latency is expected of a node.
 
-use super::{ClassBaselines, LatencyEstimate, average_latency, observed_latency};
+use super::{ClassBaselines, LatencyEstimator, average_latency, observed_latency};
 use crate::ids::{ClassId, NodeId, PlacementGroupId, ZoneId};
 use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
 use crate::state::{Node, NodeTable};
@@ -66,7 +66,7 @@
 #[case::nothing_measured(0, 100)]
 fn an_unmeasured_node_is_expected_to_be_like_its_zone(#[case] measured: u64, #[case] expected: i64) {
     let nodes = zone_of_nodes(measured, TimeSpan(200));
-    let estimate = LatencyEstimate { nodes: &nodes, now: Timestamp::ZERO, average: TimeSpan(100) };
+    let estimate = LatencyEstimator { nodes: &nodes, now: Timestamp::ZERO, average: TimeSpan(100) };
     assert_eq!(estimate.of(&nodes[NodeId(9)]), TimeSpan(expected));
 }
 
@@ -75,7 +75,7 @@
     let nodes = NodeTable::new(1);
     let mut node = Node::default();
     node.record_latency(Timestamp::ZERO, TimeSpan(1_100), 1.0);
-    let at = |now| LatencyEstimate { nodes: &nodes, now: Timestamp(now), average: TimeSpan(100) }.of(&node);
+    let at = |now| LatencyEstimator { nodes: &nodes, now: Timestamp(now), average: TimeSpan(100) }.of(&node);
     assert_eq!(at(0), TimeSpan(1_100));
     assert_eq!(at(50_000), TimeSpan(100 + 367));
     assert_eq!(at(5_000_000), TimeSpan(100));
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! - **Accepting the query**: [`query_times`], [`quota`], and the state machine of queries,
 //!   [`query_lifecycle`].
-//! - **Admission**: [`query_of_death`], [`load_probe`], [`completion_chance`], [`admission`],
+//! - **Admission**: [`query_of_death`], [`load_probe`], [`completion_probability`], [`admission`],
 //!   [`admission_queue`], [`concurrency_limit`], [`class_yield`].
 //! - **Selecting the shard requests to send**: [`pressure`], [`cutoff`], [`feasibility`], [`canary`].
 //! - **Choosing a replica**: [`replica_subset`], [`slow_start`], [`latency`], [`replica_choice`],
@@ -25,7 +25,7 @@
 pub(crate) mod attempt_limit;
 pub(crate) mod canary;
 pub(crate) mod class_yield;
-pub(crate) mod completion_chance;
+pub(crate) mod completion_probability;
 pub(crate) mod concurrency_limit;
 pub(crate) mod coverage;
 pub(crate) mod cutoff;
--- a/crates/routing/src/state/broker_state.rs
+++ b/crates/routing/src/state/broker_state.rs
@@ -8,7 +8,7 @@
 use crate::effects::Effect;
 use crate::policy::canary::NodeFailureRate;
 use crate::policy::class_yield::ClassYields;
-use crate::policy::completion_chance::OverloadRate;
+use crate::policy::completion_probability::OverloadRate;
 use crate::policy::concurrency_limit::ConcurrencyLimit;
 use crate::policy::idle_connections::IdleConnectionHistory;
 use crate::policy::latency::ClassBaselines;
