--- a/crates/routing/src/policy/admission/tests.rs
+++ b/crates/routing/src/policy/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Which demand exceeds the limit.
+//! Tests of admission.
 
 use super::AdmissionRequest;
 use rstest::rstest;
@@ -8,15 +8,18 @@
 
 #[rstest]
 #[case::fits(FITS, false)]
-#[case::one_too_many(AdmissionRequest { needed: 7, ..FITS }, true)]
-#[case::busy_and_out_of_reach(AdmissionRequest { misses_min_coverage: true, ..FITS }, true)]
-#[case::idle_broker_takes_any_width(AdmissionRequest { in_flight: 0, needed: 1000, ..FITS }, false)]
-#[case::idle_broker_asks_nodes_that_failed(AdmissionRequest { in_flight: 0, misses_min_coverage: true, ..FITS }, false)]
-#[case::idle_broker_believes_fresh_probes(
+#[case::exceeds_the_limit_by_one(AdmissionRequest { needed: 7, ..FITS }, true)]
+#[case::busy_and_infeasible(AdmissionRequest { misses_min_coverage: true, ..FITS }, true)]
+#[case::idle_broker_accepts_any_size(AdmissionRequest { in_flight: 0, needed: 1000, ..FITS }, false)]
+#[case::idle_broker_retries_failed_nodes(
+    AdmissionRequest { in_flight: 0, misses_min_coverage: true, ..FITS },
+    false
+)]
+#[case::idle_broker_trusts_recent_probes(
     AdmissionRequest { in_flight: 0, misses_min_coverage: true, was_probed: true, ..FITS },
     true
 )]
-#[case::probes_alone_hold_nothing(AdmissionRequest { in_flight: 0, was_probed: true, ..FITS }, false)]
+#[case::probes_alone_do_not_exceed(AdmissionRequest { in_flight: 0, was_probed: true, ..FITS }, false)]
 fn exceeds_limit(#[case] demand: AdmissionRequest, #[case] expected: bool) {
     assert_eq!(demand.exceeds_limit(), expected);
 }
--- a/crates/routing/src/policy/admission_queue/tests.rs
+++ b/crates/routing/src/policy/admission_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Which queries may wait.
+//! Tests of the admission queue.
 
 use super::QueueRequest;
 use crate::time::TimeSpan;
@@ -15,11 +15,11 @@
 
 #[rstest]
 #[case::fills_the_limit_once_more(FIRST, true)]
-#[case::more_than_fills_the_limit(QueueRequest { queue_length: 2, ..FIRST }, false)]
+#[case::exceeds_the_limit_once_more(QueueRequest { queue_length: 2, ..FIRST }, false)]
 #[case::keeps_its_place(QueueRequest { is_queued: true, queue_length: 2, ..FIRST }, true)]
 #[case::within_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(801), ..FIRST }, true)]
 #[case::after_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(800), ..FIRST }, false)]
-#[case::no_time_though_queued(QueueRequest { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
+#[case::queued_but_out_of_time(QueueRequest { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
 fn may_wait(#[case] queue_request: QueueRequest, #[case] expected: bool) {
     assert_eq!(queue_request.may_wait(), expected);
 }
--- a/crates/routing/src/policy/attempt_limit/tests.rs
+++ b/crates/routing/src/policy/attempt_limit/tests.rs
@@ -1,4 +1,4 @@
-//! How many attempts a shard request may have.
+//! Tests of the attempt limit.
 
 use super::AttemptLimit;
 use rstest::rstest;
@@ -6,8 +6,8 @@
 #[rstest]
 #[case::best_class_uses_all(3, 1.0, 1.0, 2, true)]
 #[case::never_more_than_configured(3, 1.0, 1.0, 3, false)]
-#[case::half_the_yield_half_the_retries(3, 0.5, 1.0, 1, true)]
-#[case::half_the_yield_no_more(3, 0.5, 1.0, 2, false)]
+#[case::half_the_yield_gets_half_the_retries(3, 0.5, 1.0, 1, true)]
+#[case::half_the_yield_gets_no_more(3, 0.5, 1.0, 2, false)]
 #[case::rounded_down(3, 0.2, 1.0, 1, false)]
 #[case::no_retries_configured(1, 1.0, 1.0, 1, false)]
 #[case::zero_attempts_count_as_one(0, 1.0, 1.0, 0, true)]
--- a/crates/routing/src/policy/canary/tests.rs
+++ b/crates/routing/src/policy/canary/tests.rs
@@ -1,4 +1,4 @@
-//! When a canary request goes first.
+//! Tests of canary requests.
 
 use super::NodeFailureRate;
 use crate::time::Timestamp;
@@ -14,10 +14,10 @@
 
 #[rstest]
 #[case::nodes_fail(3, 20, true, 2, true)]
-#[case::a_tenth_is_not_enough(2, 20, true, 2, false)]
-#[case::one_failure_alone_is_not_enough(1, 1, true, 2, false)]
-#[case::some_were_sent_before(3, 20, false, 2, false)]
-#[case::one_shard_request_is_its_own_canary(3, 20, true, 1, false)]
+#[case::at_the_failure_rate_threshold(2, 20, true, 2, false)]
+#[case::one_failure_alone_is_not_sufficient(1, 1, true, 2, false)]
+#[case::not_the_first_send(3, 20, false, 2, false)]
+#[case::single_shard_request(3, 20, true, 1, false)]
 fn needs_canary(
     #[case] failures: usize,
     #[case] attempts: usize,
--- a/crates/routing/src/policy/class_yield/tests.rs
+++ b/crates/routing/src/policy/class_yield/tests.rs
@@ -1,4 +1,4 @@
-//! What classes yield.
+//! Tests of class yields.
 
 use super::{ClassYield, ClassYields};
 use crate::ids::ClassId;
@@ -13,7 +13,7 @@
 }
 
 #[rstest]
-fn new_samples_count_for_a_quarter() {
+fn new_samples_have_a_weight_of_a_quarter() {
     let mut yields = ClassYields::default();
     yields.record(ClassId(0), ClassYield { at_min_coverage: 1.0, at_full_coverage: 2.0 });
     yields.record(ClassId(0), ClassYield { at_min_coverage: 2.0, at_full_coverage: 6.0 });
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-fn the_best_is_never_less_than_the_own_and_never_zero() {
+fn best_yield_is_at_least_the_own_and_never_zero() {
     let mut yields = ClassYields::default();
     assert!(yields.best_at_min_coverage(0.0) > 0.0);
     yields.record(ClassId(0), ClassYield { at_min_coverage: 1.0, at_full_coverage: 1.0 });
--- a/crates/routing/src/policy/concurrency_limit/tests.rs
+++ b/crates/routing/src/policy/concurrency_limit/tests.rs
@@ -1,4 +1,4 @@
-//! How the limit adapts.
+//! Tests of the concurrency limit.
 
 use super::{ConcurrencyLimit, LimitSample};
 use crate::time::TimeSpan;
@@ -6,7 +6,7 @@
 
 const MAX_OPEN: u32 = 200;
 
-/// At the target latency, a quarter of the objective, with the limit of 100 fully used.
+/// A sample at the target latency, a quarter of the objective, with the limit of 100 fully used.
 const AT_TARGET: LimitSample = LimitSample {
     latency_objective: TimeSpan(4000),
     duration: TimeSpan(1000),
@@ -16,11 +16,12 @@
 
 #[rstest]
 #[case::at_the_target(AT_TARGET, 100.0)]
-// Half as long: one and a half times as many at the most, a hundredth of the way.
+// At half the target latency, the limit moves a hundredth of the way toward 1.5 times its value, the maximum
+// growth.
 #[case::faster(LimitSample { duration: TimeSpan(500), ..AT_TARGET }, 100.5)]
 #[case::faster_but_unused(LimitSample { duration: TimeSpan(500), limit_was_used: false, ..AT_TARGET }, 100.0)]
 #[case::slower(LimitSample { duration: TimeSpan(2000), ..AT_TARGET }, 99.5)]
-#[case::slower_though_unused(LimitSample { duration: TimeSpan(2000), limit_was_used: false, ..AT_TARGET }, 99.5)]
+#[case::slower_and_unused(LimitSample { duration: TimeSpan(2000), limit_was_used: false, ..AT_TARGET }, 99.5)]
 #[case::slower_with_few_in_flight(
     LimitSample { duration: TimeSpan(2000), in_flight_at_send: 50.0, ..AT_TARGET },
     99.25
@@ -51,7 +52,7 @@
 }
 
 #[rstest]
-fn small_limits_move_in_small_steps() {
+fn small_limits_adapt_in_small_steps() {
     let mut limit = ConcurrencyLimit::initial(4);
     limit.adapt(LimitSample { duration: TimeSpan(500), ..AT_TARGET }, 4);
     assert_eq!(limit.shard_requests(), 2.1);
@@ -61,8 +62,8 @@
 #[case::best_class(1.0, 2.0, 2.0, 100.0)]
 #[case::half_the_yield(1.0, 1.0, 2.0, 75.0)]
 #[case::beyond_its_quota(0.2, 2.0, 2.0, 60.0)]
-#[case::worth_nothing(1.0, 0.0, 2.0, 50.0)]
-fn capacity_goes_where_it_yields_most(
+#[case::zero_yield(1.0, 0.0, 2.0, 50.0)]
+fn capacity_is_assigned_by_yield(
     #[case] quota_share: f64,
     #[case] own_yield: f64,
     #[case] best_yield: f64,
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -1,4 +1,4 @@
-//! What is enough for a response, and when it is due.
+//! Tests of coverage.
 
 use super::{
     can_substitute, covers_minimum, has_min_coverage, is_complete, is_late_useful, is_settled,
@@ -28,10 +28,10 @@
     assert_eq!(covers_minimum(&query(class(min_coverage, 1.0), &[1.0]), weight), expected);
 }
 
-/// The class's figures say what a first phase needs. A second phase of a class without partial responses
-/// needs all of its shard requests, also where a first phase would be complete with less.
+/// The class's minimum coverage applies to the first phase. The second phase of a class without partial
+/// responses needs all of its shard requests, even if a first phase would be complete with less.
 #[rstest]
-fn a_second_phase_without_partial_responses_needs_everything() {
+fn a_second_phase_without_partial_responses_needs_all_shard_requests() {
     let first_phase = query(class(0.9, 0.9), &[1.0]);
     assert!(covers_minimum(&first_phase, 0.9));
     let second_phase = in_second_phase(first_phase);
@@ -43,7 +43,7 @@
 }
 
 #[rstest]
-fn only_what_was_received_counts_for_a_response() {
+fn only_received_shard_requests_count_for_a_response() {
     assert!(has_min_coverage(&halves(class(0.5, 1.0), [Received, Failed])));
     assert!(!has_min_coverage(&halves(class(0.5, 1.0), [InFlight, Queued])));
     assert!(!is_complete(&halves(class(0.5, 1.0), [Received, InFlight])));
@@ -65,9 +65,9 @@
 }
 
 #[rstest]
-#[case::all_in([Received, Received], true)]
+#[case::all_received([Received, Received], true)]
 #[case::the_rest_failed([Received, Failed], true)]
-#[case::the_rest_was_never_sent([Received, Unsent], true)]
+#[case::the_rest_was_not_sent([Received, Unsent], true)]
 #[case::the_rest_is_in_flight([Received, InFlight], false)]
 #[case::the_rest_is_queued([Received, Queued], false)]
 #[case::too_little([Failed, Failed], false)]
@@ -86,22 +86,22 @@
 }
 
 #[rstest]
-#[case::may_still_come([InFlight, Failed], false, false)]
+#[case::still_in_flight([InFlight, Failed], false, false)]
 #[case::is_queued([Queued, Failed], false, false)]
-#[case::an_unsent_one_can_stand_in([Unsent, Failed], true, true)]
-#[case::nothing_is_left([Failed, Failed], true, false)]
-fn hopeless_and_substitutable(
+#[case::an_unsent_one_can_substitute([Unsent, Failed], true, true)]
+#[case::all_failed([Failed, Failed], true, false)]
+fn unsatisfiable_and_substitutable(
     #[case] states: [ShardRequestState; 2],
-    #[case] hopeless: bool,
+    #[case] unsatisfiable: bool,
     #[case] substitutable: bool,
 ) {
     let query = halves(class(0.5, 1.0), states);
-    assert_eq!((is_unsatisfiable(&query), can_substitute(&query)), (hopeless, substitutable));
+    assert_eq!((is_unsatisfiable(&query), can_substitute(&query)), (unsatisfiable, substitutable));
 }
 
 #[rstest]
-#[case::worth_it(0.5, [InFlight, Failed], true)]
-#[case::worth_nothing(0.0, [InFlight, Failed], false)]
+#[case::late_response_has_value(0.5, [InFlight, Failed], true)]
+#[case::late_response_has_no_value(0.0, [InFlight, Failed], false)]
 #[case::not_in_flight(0.5, [Queued, Failed], false)]
 fn a_late_response_is_useful(
     #[case] late_weight_share: f64,
--- a/crates/routing/src/policy/feasibility/tests.rs
+++ b/crates/routing/src/policy/feasibility/tests.rs
@@ -1,4 +1,4 @@
-//! Which shard requests can be answered in time.
+//! Tests of feasibility.
 
 use super::{expected_wait, ignores_failures, is_infeasible};
 use crate::ids::BatchId;
@@ -30,24 +30,24 @@
     Node { consecutive_failures: 1, ..Node::default() }
 }
 
-// The latency is 700; three in a queue at ten a second take 3,000.
+// The latency is 700; a queue of three at ten per second takes 3,000.
 #[rstest]
 #[case::idle(idle(), false, 0)]
 #[case::busy(busy(), false, 700)]
 #[case::reports_a_queue(with_queue(3.0), false, 3_700)]
 #[case::reports_no_queue(with_queue(0.0), false, 0)]
 #[case::failing(failing(), false, 700)]
-#[case::failing_but_asked_all_the_same(failing(), true, 0)]
-fn waits(#[case] node: Node, #[case] ignores_failures: bool, #[case] expected: i64) {
+#[case::failing_but_failures_ignored(failing(), true, 0)]
+fn expected_waits(#[case] node: Node, #[case] ignores_failures: bool, #[case] expected: i64) {
     assert_eq!(expected_wait(&node, || TimeSpan(700), ignores_failures), TimeSpan(expected));
 }
 
-/// Every node has failed in an outage, and nothing is in flight that could tell that it is over.
+/// After an outage, every node has failed, and nothing in flight could show that the outage is over.
 #[rstest]
 #[case::after_an_outage(true, 0, true)]
 #[case::something_is_in_flight(true, 1, false)]
-#[case::nodes_were_not_asked(false, 0, false)]
-fn failures_alone_hold_nothing(
+#[case::nodes_were_not_probed(false, 0, false)]
+fn failures_are_ignored_after_an_outage(
     #[case] was_probed: bool,
     #[case] attempts_in_flight: usize,
     #[case] expected: bool,
@@ -59,6 +59,6 @@
 #[case::in_time(Some(600), false)]
 #[case::too_late(Some(601), true)]
 #[case::no_replica(None, true)]
-fn out_of_reach(#[case] shortest_wait: Option<i64>, #[case] expected: bool) {
+fn infeasible(#[case] shortest_wait: Option<i64>, #[case] expected: bool) {
     assert_eq!(is_infeasible(shortest_wait.map(TimeSpan), Timestamp(100), Timestamp(1_000)), expected);
 }
--- a/crates/routing/src/policy/hedging/tests.rs
+++ b/crates/routing/src/policy/hedging/tests.rs
@@ -1,4 +1,4 @@
-//! Which attempts are replaced.
+//! Tests of hedging.
 
 use super::{AttemptProgress, NodeProgress, ReplacementConditions, hedge_delay, should_replace};
 use crate::time::{TimeSpan, Timestamp};
@@ -18,7 +18,7 @@
     latency: TimeSpan(1_000),
 };
 
-/// In flight for 3,000, and its node has answered nothing since before it was sent.
+/// An attempt that has been in flight for 3,000, whose node has answered nothing since before it was sent.
 const SILENT: AttemptProgress = AttemptProgress {
     now: Timestamp(4_000),
     sent_at: Timestamp(1_000),
@@ -27,11 +27,11 @@
     hedge_delay: TimeSpan(3_000),
 };
 
-/// Its node goes on answering what was sent before it.
+/// An attempt whose node keeps answering requests that were sent before it.
 const SLOW: AttemptProgress =
     AttemptProgress { node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }), ..SILENT };
 
-/// Its node has answered an attempt that was sent more than an average latency later.
+/// An attempt whose node has answered an attempt that was sent more than an average latency later.
 const OVERTAKEN: AttemptProgress = AttemptProgress {
     node: Some(NodeProgress {
         last_success_at: Timestamp(3_999),
@@ -60,15 +60,23 @@
 #[rstest]
 #[case::silent(SILENT, HEDGE, true)]
 #[case::overtaken(OVERTAKEN, HEDGE, true)]
-#[case::merely_slow(SLOW, HEDGE, false)]
-#[case::node_is_gone(UNKNOWN_NODE, HEDGE, true)]
+#[case::slow_but_answering(SLOW, HEDGE, false)]
+#[case::node_is_no_longer_listed(UNKNOWN_NODE, HEDGE, true)]
 #[case::not_yet(AttemptProgress { hedge_delay: TimeSpan(3_001), ..SILENT }, HEDGE, false)]
 #[case::has_a_hedge(SILENT, ReplacementConditions { is_only_attempt: false, ..HEDGE }, false)]
-#[case::not_harmless(SILENT, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
+#[case::not_safe_to_retry(SILENT, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
 #[case::no_budget(SILENT, ReplacementConditions { has_retry_budget: false, ..HEDGE }, false)]
-#[case::no_other_replica(SILENT, ReplacementConditions { alternative_latency: None, ..HEDGE }, false)]
-#[case::other_is_slower(SILENT, ReplacementConditions { alternative_latency: Some(TimeSpan(3_000)), ..HEDGE }, false)]
-#[case::other_is_too_late(SILENT, ReplacementConditions { objective_at: Timestamp(5_000), ..HEDGE }, false)]
+#[case::no_alternative_replica(SILENT, ReplacementConditions { alternative_latency: None, ..HEDGE }, false)]
+#[case::alternative_is_slower(
+    SILENT,
+    ReplacementConditions { alternative_latency: Some(TimeSpan(3_000)), ..HEDGE },
+    false
+)]
+#[case::alternative_is_too_late(
+    SILENT,
+    ReplacementConditions { objective_at: Timestamp(5_000), ..HEDGE },
+    false
+)]
 #[case::neither_allowed(SILENT, ReplacementConditions { allow_hedging: false, ..HEDGE }, false)]
 fn hedged(
     #[case] attempt: AttemptProgress,
@@ -78,11 +86,11 @@
     assert_eq!(should_replace(&attempt, conditions), expected);
 }
 
-/// A cancellation loses the response for certain. Without a budget for another attempt the shard request
-/// would be lost with it, where waiting might have brought it.
+/// A cancellation certainly discards the response. Without a budget for another attempt, the shard request
+/// would be lost with it, although waiting might have succeeded.
 #[rstest]
 #[case::overtaken(OVERTAKEN, CANCEL, true)]
-#[case::silence_alone_is_waited_out(SILENT, CANCEL, false)]
+#[case::silent_without_being_overtaken(SILENT, CANCEL, false)]
 #[case::unresponsive(SILENT, ReplacementConditions { is_connection_unresponsive: true, ..CANCEL }, true)]
 #[case::no_budget(OVERTAKEN, ReplacementConditions { has_retry_budget: false, ..CANCEL }, false)]
 #[case::not_allowed(OVERTAKEN, ReplacementConditions { allow_cancel: false, ..CANCEL }, false)]
--- a/crates/routing/src/policy/idempotency/tests.rs
+++ b/crates/routing/src/policy/idempotency/tests.rs
@@ -1,4 +1,4 @@
-//! When another attempt is harmless.
+//! Tests of when another attempt is safe.
 
 use super::is_repeat_harmless;
 use crate::config::{Idempotency, RequestClass};
@@ -6,8 +6,8 @@
 use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
 
-/// Two executions of one shard request are two effects. A node drops a repeat under its key only within the
-/// window, counted from the first attempt that it may have seen.
+/// Executing a shard request twice has two effects. A node drops a repeat with the same key only within the
+/// window, which is counted from the first attempt that it may have received.
 #[rstest]
 #[case::idempotent(Idempotency::Idempotent, Some(0), 1_000_000, true)]
 #[case::key_within_the_window(Idempotency::IdempotencyKey, Some(100), 1_100, true)]
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -1,4 +1,4 @@
-//! When idle connections are trusted.
+//! Tests of the reuse of idle connections.
 
 use super::{
     AttemptAfterIdle, IdleConnectionHistory, RESET_RETENTION, is_idle, was_lost, was_reset_immediately,
@@ -23,7 +23,7 @@
 }
 
 #[rstest]
-fn what_must_succeed_goes_out_on_a_new_connection_after_half_of_the_objective() {
+fn attempts_that_must_succeed_use_a_new_connection_after_half_of_the_objective() {
     let history = IdleConnectionHistory::default();
     let must_succeed = AttemptAfterIdle { must_succeed: true, idle_period: TimeSpan(5_000), ..ATTEMPT };
     assert_eq!(history.choose(must_succeed), Reused);
@@ -31,18 +31,18 @@
     assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(5_001), ..ATTEMPT }), Reused);
 }
 
-/// Something between broker and node drops connections after an idle period, and the next attempt on one is
-/// reset at once. From the shortest such period on connections are replaced, until that has not been seen for
-/// a while.
+/// A middlebox drops connections after an idle period, and the next attempt on such a connection is
+/// immediately reset. Connections are replaced from the shortest such period on, until no reset has been seen
+/// for a while.
 #[rstest]
-fn idle_periods_after_which_connections_were_reset_are_remembered() {
+fn idle_periods_before_resets_are_retained() {
     let mut history = IdleConnectionHistory::default();
     history.record_reset(NOW, TimeSpan(2_500));
     history.record_reset(NOW, TimeSpan(4_000));
     assert_eq!(history.choose(ATTEMPT), New);
     assert_eq!(history.choose(AttemptAfterIdle { idle_period: TimeSpan(2_499), ..ATTEMPT }), Reused);
     assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_RETENTION, ..ATTEMPT }), Reused);
-    // What was seen long ago no longer counts, also beside what was seen now.
+    // An expired observation no longer counts, even if a new one is recorded.
     history.record_reset(NOW + RESET_RETENTION, TimeSpan(4_000));
     assert_eq!(history.choose(AttemptAfterIdle { now: NOW + RESET_RETENTION, ..ATTEMPT }), Reused);
 }
@@ -55,10 +55,10 @@
 }
 
 #[rstest]
-#[case::a_fifth_is_lost((4, 20), (0, 20), true)]
+#[case::a_fifth_of_reused_is_lost((4, 20), (0, 20), true)]
 #[case::less_than_a_fifth((3, 20), (0, 20), false)]
-#[case::new_ones_half_as_often((4, 20), (2, 20), true)]
-#[case::new_ones_are_lost_too((4, 20), (3, 20), false)]
+#[case::new_lose_half_as_often((4, 20), (2, 20), true)]
+#[case::new_lose_almost_as_often((4, 20), (3, 20), false)]
 #[case::one_loss_alone((1, 1), (0, 0), false)]
 fn losses_on_reused_connections(
     #[case] reused: (usize, usize),
@@ -69,8 +69,8 @@
     assert_eq!(history(reused, new).choose(ATTEMPT), if expected { New } else { Reused });
 }
 
-/// A silent attempt counts as lost before it ends, since the next ones go out meanwhile. Its end must not
-/// count it again.
+/// An unresponsive attempt counts as lost before it ends, because other attempts are sent in the meantime.
+/// Its end must not be counted again.
 #[rstest]
 fn an_unresponsive_attempt_counts_once() {
     let mut history = history((3, 19), (0, 0));
@@ -78,9 +78,9 @@
     assert!(history.reused_connections_fail(NOW));
     history.record_end(NOW, Reused, true, true);
     assert!(history.reused_connections_fail(NOW));
-    let mut answered_after_all = history.clone();
-    answered_after_all.record_end(NOW, Reused, false, true);
-    assert!(!answered_after_all.reused_connections_fail(NOW));
+    let mut eventually_answered = history.clone();
+    eventually_answered.record_end(NOW, Reused, false, true);
+    assert!(!eventually_answered.reused_connections_fail(NOW));
 }
 
 #[rstest]
@@ -88,7 +88,7 @@
 #[case::succeeded(false, Succeeded, true, 9, false)]
 #[case::cancelled_late_and_silent(false, Cancelled, true, 6, true)]
 #[case::cancelled_early(false, Cancelled, true, 5, false)]
-#[case::cancelled_at_a_node_that_answers(false, Cancelled, false, 6, false)]
+#[case::cancelled_at_an_answering_node(false, Cancelled, false, 6, false)]
 fn lost_attempts(
     #[case] is_node_failure: bool,
     #[case] outcome: AttemptOutcome,
@@ -101,14 +101,14 @@
 }
 
 #[rstest]
-fn a_reset_within_two_turns_was_there_before_the_attempt() {
+fn a_reset_within_two_turns_preceded_the_attempt() {
     assert!(was_reset_immediately(TimeSpan(100), TimeSpan(50)));
     assert!(!was_reset_immediately(TimeSpan(101), TimeSpan(50)));
 }
 
-/// What was lost long ago must not keep connections from being used again.
+/// Old losses must not prevent the reuse of connections.
 #[rstest]
-fn losses_fade() {
+fn losses_decay() {
     let mut history = history((4, 20), (0, 0));
     assert!(history.reused_connections_fail(NOW));
     let later = NOW + TimeSpan(300_000);
--- a/crates/routing/src/policy/latency/tests.rs
+++ b/crates/routing/src/policy/latency/tests.rs
@@ -1,4 +1,4 @@
-//! What latency is expected of a node.
+//! Tests of latency estimates.
 
 use super::{ClassBaselines, LatencyEstimator, average_latency, observed_latency};
 use crate::ids::{ClassId, NodeId, PlacementGroupId, ZoneId};
@@ -14,13 +14,13 @@
     assert_eq!(average_latency(Some(TimeSpan::ZERO), TimeSpan(8_000)), TimeSpan(1));
 }
 
-/// A dead node answers at once, with an error. By its durations alone it would be the fastest of all.
+/// A dead node fails immediately, so by durations alone it would appear to be the fastest node of all.
 #[rstest]
 #[case::success(false, 0, 10, 10)]
 #[case::first_failure(true, 0, 10, 100)]
 #[case::third_failure(true, 2, 10, 400)]
 #[case::up_to_the_objective(true, 16, 10, 1_000)]
-#[case::a_slow_failure(true, 0, 700, 700)]
+#[case::slow_failure(true, 0, 700, 700)]
 fn failures_count_as_slow(
     #[case] is_failure: bool,
     #[case] consecutive_failures: u32,
@@ -37,7 +37,7 @@
     assert_eq!(observed, TimeSpan(expected));
 }
 
-/// Nodes of one zone, the first so many of them measured with this latency.
+/// Returns ten nodes of one zone, the first `measured` of which have this measured latency.
 fn zone_of_nodes(measured: u64, latency: TimeSpan) -> NodeTable {
     let mut nodes = NodeTable::new(1);
     let entries = (0..10).map(|id| Endpoint {
@@ -59,19 +59,20 @@
     nodes
 }
 
-// With four nodes at the average of 100, eight at 200 make a mean of 167, four at 200 one of 150.
+// Together with four nodes at the average of 100, eight at 200 have a mean of 167, and four at 200 a mean of
+// 150.
 #[rstest]
 #[case::slow_zone(8, 166)]
-#[case::half_as_slow_again_is_not_enough(4, 100)]
+#[case::at_the_slow_zone_ratio(4, 100)]
 #[case::nothing_measured(0, 100)]
-fn an_unmeasured_node_is_expected_to_be_like_its_zone(#[case] measured: u64, #[case] expected: i64) {
+fn an_unmeasured_node_has_the_latency_of_its_zone(#[case] measured: u64, #[case] expected: i64) {
     let nodes = zone_of_nodes(measured, TimeSpan(200));
     let estimate = LatencyEstimator { nodes: &nodes, now: Timestamp::ZERO, average: TimeSpan(100) };
     assert_eq!(estimate.of(&nodes[NodeId(9)]), TimeSpan(expected));
 }
 
 #[rstest]
-fn a_measured_latency_fades_to_the_average() {
+fn a_measured_latency_decays_to_the_average() {
     let nodes = NodeTable::new(1);
     let mut node = Node::default();
     node.record_latency(Timestamp::ZERO, TimeSpan(1_100), 1.0);
--- a/crates/routing/src/policy/load_probe/tests.rs
+++ b/crates/routing/src/policy/load_probe/tests.rs
@@ -1,4 +1,4 @@
-//! When nodes are probed, and what their reports are worth.
+//! Tests of load probes and load reports.
 
 use super::{max_wait, may_wait, needs_probe, read_report, reported_wait};
 use crate::ids::NodeId;
@@ -18,14 +18,14 @@
 #[case::never_reported(node(None, None), true)]
 #[case::recent(node(None, Some(99_800)), false)]
 #[case::old(node(None, Some(99_799)), true)]
-#[case::on_the_way(node(Some(90_000), None), false)]
+#[case::probe_is_outstanding(node(Some(90_000), None), false)]
 #[case::probe_was_lost(node(Some(89_999), None), true)]
 fn nodes_are_probed(#[case] node: Node, #[case] expected: bool) {
     assert_eq!(needs_probe(&node, Timestamp(100_000), OBJECTIVE), expected);
 }
 
 #[rstest]
-fn reports_are_waited_for_a_fiftieth_of_the_objective() {
+fn queries_wait_a_fiftieth_of_the_objective_for_reports() {
     assert_eq!(max_wait(OBJECTIVE), TimeSpan(200));
     assert!(may_wait(Some(Timestamp(1_000)), Timestamp(1_199), OBJECTIVE));
     assert!(!may_wait(Some(Timestamp(1_000)), Timestamp(1_200), OBJECTIVE));
@@ -53,7 +53,7 @@
 #[case::no_rate(true, Some(3.0), None, 0)]
 #[case::no_queue(true, None, Some(10.0), 0)]
 #[case::failed_probe(false, Some(3.0), Some(10.0), 0)]
-fn a_reported_queue_takes_its_time(
+fn expected_wait_of_a_reported_queue(
     #[case] is_valid: bool,
     #[case] queue_length: Option<f64>,
     #[case] service_rate: Option<f64>,
--- a/crates/routing/src/policy/node_health/tests.rs
+++ b/crates/routing/src/policy/node_health/tests.rs
@@ -1,4 +1,4 @@
-//! What counts for or against a node.
+//! Tests of node health.
 
 use super::{is_new_failure, is_uninformative};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, NotSent, TimedOut};
@@ -9,11 +9,11 @@
 #[rstest]
 #[case::never_sent(Unsent, NotSent, false, false, true)]
 #[case::timed_out(MaybeExecuted, TimedOut, true, true, false)]
-#[case::its_connection_was_closed_before(MaybeExecuted, ConnectionLost, true, false, true)]
-#[case::it_closed_the_connection(MaybeExecuted, ConnectionLost, false, false, false)]
+#[case::connection_was_closed_before(MaybeExecuted, ConnectionLost, true, false, true)]
+#[case::node_closed_the_connection(MaybeExecuted, ConnectionLost, false, false, false)]
 #[case::cancelled_early(MaybeExecuted, Cancelled, false, true, true)]
 #[case::cancelled_late(MaybeExecuted, Cancelled, false, false, false)]
-fn ends_that_tell_nothing(
+fn uninformative_ends(
     #[case] execution: Execution,
     #[case] outcome: AttemptOutcome,
     #[case] on_reused_connection: bool,
@@ -23,13 +23,13 @@
     assert_eq!(is_uninformative(execution, outcome, on_reused_connection, is_before_latency), expected);
 }
 
-/// A node that hangs takes down all that is in flight there. That is one failure in a row, not ten, or the
-/// node would be shunned for long after a short pause.
+/// A node that hangs fails all attempts that are in flight there. They count as one consecutive failure and
+/// not as ten; otherwise the node would be avoided for a long time after a short pause.
 #[rstest]
-#[case::sent_after_the_last(true, 101, 100, true)]
+#[case::sent_after_the_last_failure(true, 101, 100, true)]
 #[case::in_flight_together(true, 99, 100, false)]
 #[case::no_failure(false, 101, 100, false)]
-fn failures_in_a_row(
+fn consecutive_failures(
     #[case] is_node_failure: bool,
     #[case] sent_at: i64,
     #[case] last_failure_at: i64,
--- a/crates/routing/src/policy/outcome/tests.rs
+++ b/crates/routing/src/policy/outcome/tests.rs
@@ -1,10 +1,10 @@
-//! What outcomes mean.
+//! Tests of the interpretation of attempt outcomes.
 
 use crate::inputs::AttemptOutcome::{self, *};
 use crate::state::Execution::{self, MaybeExecuted, NotExecuted, Unsent};
 use rstest::rstest;
 
-// Outcome, execution, counts as overload, blames the node, looks down, tells of load.
+// Columns: outcome, execution, is overload, is node failure, looks down, reflects load.
 #[rstest]
 #[case(Succeeded, MaybeExecuted, false, false, false, true)]
 #[case(Errored, MaybeExecuted, false, true, false, true)]
--- a/crates/routing/src/policy/pressure/tests.rs
+++ b/crates/routing/src/policy/pressure/tests.rs
@@ -1,4 +1,4 @@
-//! Pressure, over all and within quotas.
+//! Tests of pressure.
 
 use super::{Pressure, WINDOW};
 use crate::time::Timestamp;
@@ -7,16 +7,16 @@
 const NOW: Timestamp = Timestamp(1_000_000);
 
 #[rstest]
-fn one_overloaded_shard_request_alone_is_a_tenth() {
+fn a_single_overloaded_shard_request_counts_as_a_tenth() {
     let mut pressure = Pressure::default();
     pressure.record(NOW, true, 1.0, 1.0);
     assert_eq!(pressure.for_query(NOW, true), 0.1);
 }
 
-/// One tenant sends ten times its quota and is refused. Tenants within theirs are served in full; those
-/// beyond are trimmed by whichever is worse.
+/// A tenant sends ten times its quota and is rejected. Tenants within their quotas are served in full, and
+/// those beyond are subject to the higher of the two pressures.
 #[rstest]
-fn a_storm_beyond_quotas_does_not_lift_the_pressure_of_others() {
+fn a_burst_beyond_quota_does_not_raise_the_pressure_of_others() {
     let mut pressure = Pressure::default();
     pressure.record(NOW, false, 50.0, 50.0);
     pressure.record(NOW, true, 0.0, 50.0);
@@ -26,9 +26,9 @@
     assert_eq!(pressure.for_query(NOW, true), 0.5);
 }
 
-/// Under decaying counts the 10,000 refusals of a burst would outweigh later successes for many windows.
+/// With decaying counts, the 10,000 rejections of a burst would outweigh later successes for many windows.
 #[rstest]
-fn a_burst_is_forgotten_with_its_window() {
+fn a_burst_expires_with_its_window() {
     let mut pressure = Pressure::default();
     pressure.record(NOW, true, 10_000.0, 10_000.0);
     assert_eq!(pressure.for_query(NOW, true), 1.0);
--- a/crates/routing/src/policy/query_of_death/tests.rs
+++ b/crates/routing/src/policy/query_of_death/tests.rs
@@ -1,4 +1,4 @@
-//! Queries that bring nodes down.
+//! Tests of queries of death.
 
 use super::{Quarantine, RetryDecision, counts_as_lost_node, decide_retry, is_query_of_death};
 use crate::inputs::AttemptOutcome::{self, ConnectFailed, ConnectionLost, TimedOut};
@@ -15,7 +15,7 @@
 }
 
 #[rstest]
-#[case::under_execution(ConnectionLost, false, true)]
+#[case::during_execution(ConnectionLost, false, true)]
 #[case::closed_while_idle(ConnectionLost, true, false)]
 #[case::refused(ConnectFailed, false, false)]
 #[case::silent(TimedOut, false, false)]
@@ -25,10 +25,10 @@
 
 #[rstest]
 #[case::first_attempt(false, true, 0.0, RetryDecision::Send)]
-#[case::sound_query(true, false, 0.0, RetryDecision::Send)]
+#[case::harmless_query(true, false, 0.0, RetryDecision::Send)]
 #[case::another_in_flight(true, true, 0.1, RetryDecision::Wait)]
 #[case::nothing_in_flight(true, true, 0.0, RetryDecision::GiveUp)]
-fn retries_wait_for_proof(
+fn retries_wait_for_a_request_in_flight(
     #[case] is_retry: bool,
     #[case] is_query_of_death: bool,
     #[case] in_flight_weight: f64,
--- a/crates/routing/src/policy/quota/tests.rs
+++ b/crates/routing/src/policy/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Who is within its quota.
+//! Tests of tenant quotas.
 
 use super::TenantRates;
 use crate::ids::TenantId;
@@ -8,13 +8,13 @@
 const NOW: Timestamp = Timestamp(1_000_000);
 const TENANT: TenantId = TenantId(1);
 
-// 10 queries a second over 5 brokers are 10 in 5 s at each.
+// 10 queries per second over 5 brokers are 10 queries in 5 s per broker.
 #[rstest]
 #[case::at_its_share(10, 10.0, 5, true)]
 #[case::beyond_its_share(11, 10.0, 5, false)]
-#[case::alone(50, 10.0, 1, true)]
+#[case::single_broker(50, 10.0, 1, true)]
 #[case::one_query_is_always_within(1, 0.0, 5, true)]
-#[case::and_no_more(2, 0.0, 5, false)]
+#[case::two_queries_exceed_a_zero_quota(2, 0.0, 5, false)]
 fn quotas(#[case] queries: usize, #[case] quota_per_s: f64, #[case] brokers: u32, #[case] expected: bool) {
     let mut rates = TenantRates::default();
     (0..queries).for_each(|_| rates.record(TENANT, NOW));
@@ -22,15 +22,15 @@
 }
 
 #[rstest]
-fn idle_tenants_without_a_quota_are_forgotten() {
+fn idle_tenants_without_a_quota_are_removed() {
     let mut rates = TenantRates::default();
     rates.record(TENANT, NOW);
     let still_known = NOW + TimeSpan(100_000);
     rates.remove_idle(still_known, |_| false);
     assert!(!rates.0.is_empty());
-    let forgotten = NOW + TimeSpan(120_000);
-    rates.remove_idle(forgotten, |tenant| tenant == TENANT);
+    let expired = NOW + TimeSpan(120_000);
+    rates.remove_idle(expired, |tenant| tenant == TENANT);
     assert!(!rates.0.is_empty());
-    rates.remove_idle(forgotten, |_| false);
+    rates.remove_idle(expired, |_| false);
     assert!(rates.0.is_empty());
 }
--- a/crates/routing/src/policy/reconfiguration/tests.rs
+++ b/crates/routing/src/policy/reconfiguration/tests.rs
@@ -1,4 +1,4 @@
-//! What outlives a configuration.
+//! Tests of configuration changes.
 
 use super::{binding_period, derive_config, keeps_yield};
 use crate::config::{BrokerConfig, RequestClass, RetryBudget, SafetyRules};
@@ -19,9 +19,9 @@
     BrokerConfig { rules, ..BrokerConfig::default() }
 }
 
-/// A change that took effect at once would let twice a budget through in one window.
+/// If a change took effect at once, one window could admit twice a budget.
 #[rstest]
-#[case::retries_on_their_way(rules(1, 1, 1_000), 1_100)]
+#[case::retry_window_with_send_delay(rules(1, 1, 1_000), 1_100)]
 #[case::warm_up(rules(2_000, 1, 1_000), 2_000)]
 #[case::overload_window(rules(1, 3_000, 1_000), 3_000)]
 fn a_configuration_binds_for_its_longest_window(#[case] old: BrokerConfig, #[case] expected: i64) {
@@ -33,7 +33,7 @@
 }
 
 #[rstest]
-fn a_yield_is_kept_while_its_class_is_worth_the_same() {
+fn a_yield_is_kept_while_its_class_is_unchanged() {
     let old = policy(1.0, 0.5);
     assert!(keeps_yield(Some(&old), Some(&policy(1.0, 0.5))));
     assert!(!keeps_yield(Some(&old), Some(&policy(2.0, 0.5))));
--- a/crates/routing/src/policy/replica_choice/tests.rs
+++ b/crates/routing/src/policy/replica_choice/tests.rs
@@ -1,4 +1,4 @@
-//! Which replica is chosen.
+//! Tests of the replica choice.
 
 use super::{Candidate, choose, score};
 use crate::ids::{BatchId, NodeId};
@@ -10,7 +10,7 @@
     Candidate { node: NodeId(node), was_tried: false, score, is_in_other_zone: false, needs_new_batch: true }
 }
 
-/// All that are chosen over many draws.
+/// Returns all nodes that are chosen in 200 draws.
 fn chosen(candidates: &[Candidate]) -> Vec<u64> {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut nodes: Vec<u64> =
@@ -21,14 +21,14 @@
 }
 
 #[rstest]
-fn the_lowest_score_wins_and_close_ones_tie() {
+fn the_lowest_score_wins_and_close_scores_tie() {
     let scores = [candidate(1, 100.0), candidate(2, 109.9), candidate(3, 110.2)];
     assert_eq!(chosen(&scores), [1, 2]);
     assert_eq!(chosen(&[]), []);
 }
 
 #[rstest]
-fn close_ones_in_the_own_zone_go_first_then_those_with_an_open_batch() {
+fn ties_prefer_the_own_zone_and_then_an_open_batch() {
     let other_zone = Candidate { is_in_other_zone: true, needs_new_batch: false, ..candidate(1, 100.0) };
     let open_batch = Candidate { needs_new_batch: false, ..candidate(2, 105.0) };
     assert_eq!(chosen(&[other_zone, candidate(3, 105.0)]), [3]);
@@ -37,7 +37,7 @@
 }
 
 #[rstest]
-fn replicas_that_were_tried_come_last() {
+fn tried_replicas_come_last() {
     let tried = Candidate { was_tried: true, ..candidate(1, 1.0) };
     assert_eq!(chosen(&[tried, candidate(2, 100.0)]), [2]);
     assert_eq!(chosen(&[tried]), [1]);
@@ -55,12 +55,12 @@
     Node { probe_sent_at, load: probe_sent_at.is_none().then_some(load), ..Node::default() }
 }
 
-// The latency is 10 and a batch holds 4.
+// The latency is 10, and a batch holds 4 shard requests.
 #[rstest]
 #[case::idle(node(0, None), 10.0)]
 #[case::two_batches(node(2, None), 30.0)]
-#[case::joins_the_open_one(node(2, Some(3)), 20.0)]
-#[case::the_open_one_is_full(node(2, Some(4)), 30.0)]
+#[case::joins_the_open_batch(node(2, Some(3)), 20.0)]
+#[case::the_open_batch_is_full(node(2, Some(4)), 30.0)]
 #[case::reported_queue(reported(None, true, Some(3.0)), 40.0)]
 #[case::no_queue_in_the_report(reported(None, true, None), 10.0)]
 #[case::failed_probe(reported(None, false, Some(3.0)), 330.0)]
--- a/crates/routing/src/policy/replica_subset/tests.rs
+++ b/crates/routing/src/policy/replica_subset/tests.rs
@@ -1,4 +1,4 @@
-//! Among which replicas a broker chooses.
+//! Tests of the subset of replicas that a broker chooses from.
 
 use super::{ReplicaGroup, max_group_replicas};
 use crate::config::ShardLayout;
@@ -10,7 +10,7 @@
 #[case(4, 16)]
 #[case(5, 13)]
 #[case(0, 64)]
-fn groups_share_64_replicas_evenly(#[case] replica_groups: u32, #[case] expected: usize) {
+fn placement_groups_share_64_replicas_evenly(#[case] replica_groups: u32, #[case] expected: usize) {
     assert_eq!(max_group_replicas(&ShardLayout { replica_groups, ..ShardLayout::default() }), expected);
 }
 
@@ -25,12 +25,12 @@
 }
 
 #[rstest]
-fn small_groups_are_seen_whole_by_id() {
+fn small_groups_are_used_entirely_by_id() {
     assert_eq!(subset(&group(1, 16)), (0..16).map(NodeId).collect::<Vec<_>>());
 }
 
 #[rstest]
-fn brokers_draw_different_subsets_of_large_groups_and_keep_them() {
+fn brokers_use_different_stable_subsets_of_large_groups() {
     let (one, other) = (group(1, 100), group(2, 100));
     assert_ne!(subset(&one), subset(&other));
     let mut changed = one.clone();
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Tests of the retry budget.
 
 use super::{RetryHistory, default_budget};
 use crate::config::{RequestLimits, RetryBudget};
@@ -14,7 +14,7 @@
     AttemptId { shard_request: ShardRequestId(1), number: AttemptNumber(number) }
 }
 
-/// So many were accepted and retried at a time.
+/// Returns a history in which the given numbers of requests were accepted and retried at `at`.
 fn history(at: Timestamp, accepted: usize, retries: u16) -> RetryHistory {
     let mut history = RetryHistory::default();
     (0..accepted).for_each(|_| history.record_accepted(at));
@@ -25,18 +25,19 @@
 #[rstest]
 #[case::the_floor(0, 1, true)]
 #[case::the_floor_is_spent(0, 2, false)]
-#[case::a_share_of_what_was_accepted(30, 4, true)]
+#[case::a_share_of_accepted_requests(30, 4, true)]
 #[case::the_share_is_spent(30, 5, false)]
-#[case::no_part_of_a_retry(39, 5, false)]
-fn retries_are_a_few_and_a_share(#[case] accepted: usize, #[case] retries: u16, #[case] expected: bool) {
+#[case::no_fraction_of_a_retry(39, 5, false)]
+fn the_budget_is_a_floor_and_a_share(#[case] accepted: usize, #[case] retries: u16, #[case] expected: bool) {
     assert_eq!(history(NOW, accepted, retries).allows_retry(&BUDGET, NOW, TimeSpan::ZERO), expected);
 }
 
-/// An attempt that takes its time to its node counts there in a later window than it was decided in.
+/// An attempt that reaches its node late may count there in a later window than the one in which it was
+/// decided on.
 #[rstest]
 #[case::accepted_within(history(NOW - TimeSpan(9_900), 10, 2), true)]
 #[case::accepted_too_long_ago(history(NOW - TimeSpan(9_901), 10, 2), false)]
-fn windows_are_kept_with_the_way_to_a_node(#[case] history: RetryHistory, #[case] expected: bool) {
+fn windows_include_the_send_delay(#[case] history: RetryHistory, #[case] expected: bool) {
     assert_eq!(history.allows_retry(&BUDGET, NOW, TimeSpan(100)), expected);
 }
 
@@ -49,14 +50,14 @@
 }
 
 #[rstest]
-fn what_never_left_the_broker_does_not_count() {
+fn unsent_attempts_do_not_count() {
     let mut history = history(NOW, 0, 2);
     history.withdraw(attempt(1));
     assert!(history.allows_retry(&BUDGET, NOW, TimeSpan::ZERO));
 }
 
 #[rstest]
-fn forgetting_changes_no_decision() {
+fn removing_expired_entries_changes_no_decision() {
     let mut history = history(NOW - TimeSpan(10_000), 10, 2);
     history.remove_expired(NOW, BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (10, 2));
@@ -65,7 +66,7 @@
 }
 
 #[rstest]
-fn without_a_stated_budget_retries_are_a_quarter() {
+fn the_default_budget_allows_a_quarter() {
     let limits = RequestLimits { max_attempts: 3, ..RequestLimits::default() };
     let budget = default_budget(&limits);
     assert_eq!((budget.floor, budget.share, budget.window), (3.0, 0.25, TimeSpan(50_000)));
--- a/crates/routing/src/policy/shard_request_state/tests.rs
+++ b/crates/routing/src/policy/shard_request_state/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a shard request.
+//! Tests of the state transition of a shard request when an attempt has ended.
 
 use super::{EndedAttempt, state_after};
 use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalShortage, NotSent, Succeeded};
@@ -24,9 +24,9 @@
     true,
     Received
 )]
-#[case::was_taken_back(EndedAttempt { outcome: NotSent, ..ERRORED }, true, Failed)]
-#[case::was_cancelled_to_be_made_again(EndedAttempt { outcome: Cancelled, ..ERRORED }, true, State::Queued)]
-#[case::this_machine_lacked_something(EndedAttempt { outcome: LocalShortage, ..ERRORED }, true, State::Queued)]
+#[case::was_not_sent(EndedAttempt { outcome: NotSent, ..ERRORED }, true, Failed)]
+#[case::was_cancelled_for_a_retry(EndedAttempt { outcome: Cancelled, ..ERRORED }, true, State::Queued)]
+#[case::local_resource_shortage(EndedAttempt { outcome: LocalShortage, ..ERRORED }, true, State::Queued)]
 #[case::past_the_objective(EndedAttempt { query_state: QueryState::PastObjective, ..ERRORED }, true, Failed)]
 fn next_states(#[case] ended: EndedAttempt, #[case] may_retry: bool, #[case] expected: ShardRequestState) {
     assert_eq!(state_after(ended, || may_retry), expected);
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! What a node that warms up may receive.
+//! Tests of slow start.
 
 use super::{
     RecentShardRequests, RequestRate, SlowStartRequest, is_warming_up, looks_restarted, presumed_start,
@@ -21,8 +21,8 @@
     }
 }
 
-/// Just started: in a window the node bears 2.0 × 0.2 × 10,000 = 4,000 of work, and a shard request costs
-/// 1,000.
+/// Returns a request to a node that has just started. Within a window, the node can do 2.0 × 0.2 × 10,000 =
+/// 4,000 of work, and a shard request costs 1,000.
 fn request(rules: &SafetyRules, brokers: u32) -> SlowStartRequest<'_> {
     SlowStartRequest {
         now: NOW,
@@ -44,9 +44,9 @@
 #[case::up_to_its_share(1_000.0, 0, true)]
 #[case::beyond_its_share(1_001.0, 0, false)]
 #[case::one_failure(1_000.0, 1, true)]
-#[case::failing_gets_one(0.0, 2, true)]
-#[case::failing_gets_no_more(1.0, 2, false)]
-fn few_brokers_share_what_the_node_bears(
+#[case::failing_node_receives_one(0.0, 2, true)]
+#[case::failing_node_receives_no_more(1.0, 2, false)]
+fn few_brokers_share_the_capacity_of_the_node(
     #[case] recent_cost: f64,
     #[case] consecutive_failures: u32,
     #[case] expected: bool,
@@ -57,7 +57,7 @@
 }
 
 #[rstest]
-fn a_single_broker_sends_one_that_is_more_than_its_share() {
+fn a_single_broker_sends_one_request_that_exceeds_its_share() {
     let rules = rules();
     let heavy = SlowStartRequest { cost: 9_000.0, ..request(&rules, 1) };
     assert!(heavy.may_receive(|_| 0.0));
@@ -74,11 +74,11 @@
     assert!(!is_warming_up(None, NOW, rules.warm_up_period));
 }
 
-/// Three hundred brokers hear of a node that has just started, and each sees only its own traffic. Together
-/// they must stay within what it bears, 4 shard requests in a window, by three standard deviations: they mean
-/// m with m + 3√m = 4, which is m = 1.
+/// Three hundred brokers learn of a node that has just started, and each sees only its own traffic. Together
+/// they must stay within the node's capacity of 4 shard requests per window by three standard deviations: the
+/// mean m satisfies m + 3√m = 4, so m = 1.
 #[rstest]
-fn many_brokers_together_stay_within_what_the_node_bears() {
+fn many_brokers_together_stay_within_the_capacity_of_the_node() {
     let rules = rules();
     let sent_at = |age: i64| {
         let brokers = 0..300u64;
@@ -93,15 +93,16 @@
         sends.count()
     };
     assert_eq!(sent_at(0), 0);
-    // A window later the node is warmer: it bears 5.6, so 1.9 are meant, and chance may pass that.
+    // One window later the node is warmer: its capacity is 5.6 and the mean 1.9, which random variation may
+    // exceed.
     let sent = sent_at(10_000);
     assert!((1..=5).contains(&sent), "{sent} of 300 brokers");
 }
 
-/// A broker that has a query now and then meets the node with many shard requests at once: each is drawn for
-/// by itself, and as many go as its share says.
+/// A broker with infrequent queries sends many shard requests to the node at once. Each is drawn for
+/// independently, and the number sent matches the broker's share.
 #[rstest]
-fn a_broker_that_rarely_meets_the_node_draws_for_each_shard_request() {
+fn a_broker_that_rarely_uses_the_node_draws_for_each_shard_request() {
     let rules = rules();
     let rare = RequestRate { shard_requests: 50.0, span: TimeSpan(10_000) };
     let sends = (0..10_000).filter(|id| {
@@ -113,13 +114,14 @@
         };
         request.may_receive(|_| 0.0)
     });
-    // One in 300 windows is meant, and half a shard request is expected there in each: two in 300 go.
+    // The mean is one in 300 windows, and half a shard request is expected there per window, so two in 300
+    // are sent.
     let sent = sends.count();
     assert!((40..=95).contains(&sent), "{sent} of 10,000");
 }
 
 #[rstest]
-fn what_was_sent_uses_up_what_has_accumulated() {
+fn sent_requests_consume_the_accumulated_share() {
     let rules = rules();
     let late = SlowStartRequest {
         now: NOW + TimeSpan(90_000),
@@ -130,13 +132,13 @@
     assert!(!late.may_receive(|from| if from == late.start_known_at { 1_000_000.0 } else { 0.0 }));
 }
 
-/// Start times come from other machines' wall clocks, which may be set by an hour. An age that is read too
-/// great puts full load on a cold node.
+/// Start times come from the wall clocks of other machines, which may be set forward or back by an hour. If
+/// the computed age is too high, a cold node receives full load.
 #[rstest]
 #[case::first_list(false, 50_000, 20_000, 70_000)]
-#[case::first_list_from_a_clock_ahead(false, 50_000, 60_000, 100_000)]
+#[case::first_list_with_a_start_in_the_future(false, 50_000, 60_000, 100_000)]
 #[case::later_list(true, 50_000, 20_000, 100_000)]
-fn how_old_a_process_is_taken_to_be(
+fn assumed_start_of_a_process(
     #[case] has_earlier_list: bool,
     #[case] wall_clock: i64,
     #[case] listed_start: i64,
@@ -146,8 +148,8 @@
     assert_eq!(start, Timestamp(expected));
 }
 
-/// One reset must not put a healthy node through slow start; a process that went down refuses the next
-/// connection.
+/// A single reset must not put a healthy node through slow start, but a process that went down refuses the
+/// next connection.
 #[rstest]
 fn a_node_that_refuses_after_another_failure_looks_restarted() {
     assert!(looks_restarted(true, NotExecuted, 2));
@@ -157,7 +159,7 @@
 }
 
 #[rstest]
-fn demand_is_a_rate_over_what_is_remembered() {
+fn demand_is_a_rate_over_the_recorded_requests() {
     let mut demand = RecentShardRequests::default();
     let empty = demand.rate(NOW, TimeSpan(10_000));
     assert_eq!((empty.shard_requests, empty.span), (1.0, TimeSpan(10_000)));
