--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -1,5 +1,6 @@
-//! One broker among 200 nodes and among sixteen times as many, with the same traffic. If it met every node,
-//! its connections and the time of a choice would grow with the fleet; it must reach nearly as few nodes.
+//! Compares one broker in a fleet of 200 nodes and in one of sixteen times that size, with the same traffic.
+//! If the broker sent to every node, its connections and the time to choose a replica would grow with the
+//! fleet; the number of nodes that it uses must remain nearly as small.
 
 use routing::*;
 use rstest::rstest;
@@ -51,7 +52,7 @@
     inputs
 }
 
-/// The nodes that are sent to.
+/// Returns the nodes that shard requests are sent to.
 fn nodes_used(node_count: u64, seed: u64, queries: u64) -> BTreeSet<NodeId> {
     let mut now = Timestamp(1_000_000);
     let mut broker = Broker::start(config(), seed, now);
@@ -85,16 +86,16 @@
     used
 }
 
-/// Each node that is used costs a connection, of which there may be 2.5 times as many, and 40.
+/// Each used node costs a connection; the large fleet may need at most 2.5 times as many connections plus 40.
 #[rstest]
-fn a_larger_fleet_takes_hardly_more_connections() {
+fn a_larger_fleet_needs_few_more_connections() {
     let (few, many) = (nodes_used(200, 1, 200).len(), nodes_used(3200, 1, 200).len());
-    assert!(2 * many <= 5 * few + 2 * 40, "{few} nodes of 200, {many} of 3,200");
+    assert!(2 * many <= 5 * few + 2 * 40, "{few} of 200 nodes and {many} of 3,200 nodes were used");
 }
 
-/// Brokers use different nodes of a large fleet, so that all of it serves.
+/// Brokers use different nodes of a large fleet, so that the whole fleet serves requests.
 #[rstest]
 fn brokers_use_different_nodes_of_a_large_fleet() {
     let used: BTreeSet<NodeId> = (1..=30).flat_map(|seed| nodes_used(3200, seed, 16)).collect();
-    assert!(used.len() > 1000, "{}", used.len());
+    assert!(used.len() > 1000, "only {} of 3,200 nodes were used", used.len());
 }
--- a/crates/routing/tests/random_inputs.rs
+++ b/crates/routing/tests/random_inputs.rs
@@ -1,5 +1,5 @@
-//! Random inputs, by seed. A broker that panics takes all of its open queries with it: whatever a front end
-//! hands over, in whatever order, the decisions must go on.
+//! Tests with random inputs, one run per seed. A broker that panics loses all of its open queries, so it must
+//! handle any input that a front end passes, in any order.
 
 use fastrand::Rng;
 use routing::*;
@@ -7,7 +7,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..400;
 const TURNS: usize = 120;
-/// Few enough that ids come again.
+/// Small enough that ids recur.
 const IDS: u64 = 12;
 const NODES: u64 = 4;
 
@@ -37,7 +37,7 @@
     if is_reused { rng.u64(0..IDS) } else { 1000 + *next }
 }
 
-/// A query with its shard requests, as they come in one turn.
+/// Returns a query with its shard requests, as received in one turn.
 fn query(rng: &mut Rng, is_reused: bool, next: &mut u64) -> Vec<Input> {
     let query_id = id(rng, is_reused, next);
     let group = GroupId(query_id as u32);
@@ -103,7 +103,7 @@
     }))
 }
 
-fn play(seed: u64, is_reused: bool) {
+fn run(seed: u64, is_reused: bool) {
     let mut rng = Rng::with_seed(seed);
     let mut now = Timestamp(1_000_000);
     let mut broker = Broker::start(config(&mut rng), seed, now);
@@ -128,14 +128,14 @@
 }
 
 #[rstest]
-fn goes_on_whatever_comes() {
-    SEEDS.for_each(|seed| play(seed, false));
+fn handles_any_input() {
+    SEEDS.for_each(|seed| run(seed, false));
 }
 
-/// The wire promises that no id is used again, but brokers on sockets can't keep that for ever. Once an id of
-/// an open query was used again, look-ups by id found another query and indexed past its end. It may spoil
-/// its own query and nothing else.
+/// The wire protocol promises that ids are unique, but brokers on sockets cannot guarantee that indefinitely.
+/// In the past, when the id of an open query was reused, look-ups by id returned a different query and
+/// indexed out of bounds. A reused id may only affect its own query.
 #[rstest]
-fn goes_on_where_ids_are_used_again() {
-    SEEDS.for_each(|seed| play(seed, true));
+fn handles_reused_ids() {
+    SEEDS.for_each(|seed| run(seed, true));
 }
--- a/crates/routing/tests/scenarios/configuration.rs
+++ b/crates/routing/tests/scenarios/configuration.rs
@@ -1,4 +1,4 @@
-//! Statements about the configuration.
+//! Statements that change the configuration.
 
 use crate::runner::ScenarioRunner;
 use crate::words::{Words, span, value};
@@ -6,7 +6,7 @@
     ClassId, Idempotency, Input, RequestClass, RetryBudget, ShardLayout, Tenant, TenantId, TimeSpan,
 };
 
-/// The configuration of a scenario that says nothing of it.
+/// Returns the configuration of a scenario without configuration statements.
 pub fn default_config() -> routing::BrokerConfig {
     let mut config =
         routing::BrokerConfig { brokers: 1, period: TimeSpan(50), ..routing::BrokerConfig::default() };
@@ -17,7 +17,7 @@
 }
 
 impl ScenarioRunner {
-    /// Changes the configuration; false where the statement is about something else.
+    /// Applies a configuration statement; returns false if the statement is of another kind.
     pub fn configure(&mut self, words: &Words) -> bool {
         match words[0] {
             "send-lag" => self.config.send_lag = TimeSpan::from_ms(words[1].parse().unwrap()),
@@ -33,7 +33,7 @@
             "limits" => self.set_limits(words),
             "rules" => self.set_rules(words),
             "retry-budget" => self.set_retry_budget(words),
-            // What was said of the configuration since is in force from here on.
+            // The configuration statements since the last `configure` take effect from here on.
             "configure" => {
                 self.effects.clear();
                 self.inputs.push(Input::Config(Box::new(self.config.clone())));
@@ -43,7 +43,7 @@
         true
     }
 
-    /// The class of this name, if it was ever configured.
+    /// Returns the id of the class with this name, if it has ever been configured.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let position = self.class_names.iter().position(|known| known == name)?;
         Some(ClassId(position as u16))
--- a/crates/routing/tests/scenarios/events.rs
+++ b/crates/routing/tests/scenarios/events.rs
@@ -1,4 +1,4 @@
-//! Statements about what comes in.
+//! Statements that pass inputs to the broker.
 
 use crate::runner::ScenarioRunner;
 use crate::words::{Words, id, span, value};
@@ -8,11 +8,11 @@
     ProbeResult, QueryId, ShardId, ShardRequestId, TenantId, WallClockTime, ZoneId,
 };
 
-/// A class that no scenario configures.
+/// A class id that no scenario configures.
 const UNKNOWN_CLASS: ClassId = ClassId(99);
 
 impl ScenarioRunner {
-    /// Collects what comes in for the next turn.
+    /// Adds the inputs of a statement to those of the next turn.
     pub fn receive(&mut self, words: &Words) {
         self.effects.clear();
         match words[0] {
@@ -30,7 +30,7 @@
                 self.inputs.push(Input::ResponseStarted(ShardRequestId(id(words[1]))));
             }
             "end" => self.end_attempts(words[1], words[2]),
-            other => panic!("`{other}` is not a word of the notation"),
+            other => panic!("unknown statement `{other}`"),
         }
     }
 
@@ -71,7 +71,7 @@
         self.receive_shard_requests(query_id, words);
     }
 
-    /// Shard requests, as `name:shard:weight`.
+    /// Adds the shard requests of a statement, written as `name:shard:weight`.
     fn receive_shard_requests(&mut self, query_id: QueryId, words: &Words) {
         for word in words.iter().filter(|word| word.contains(':')) {
             let fields: Words = word.split(':').collect();
@@ -96,16 +96,17 @@
         }));
     }
 
-    /// Ends the newest attempt in flight of a shard request, all that are in flight at `@node`, or `all`.
-    fn end_attempts(&mut self, which: &str, outcome: &str) {
+    /// Ends the newest attempt in flight of a shard request, all attempts in flight at `@node`, or `all`.
+    fn end_attempts(&mut self, selector: &str, outcome: &str) {
         let outcome = attempt_outcome(outcome);
         let before = self.inputs.len();
         for (shard_request, attempts) in &mut self.attempts {
-            let is_named = id(which) == shard_request.0;
+            let is_named = id(selector) == shard_request.0;
             for (number, attempt) in attempts.iter_mut().enumerate().rev() {
-                let is_meant =
-                    which == "all" || is_named || which.strip_prefix('@').map(id) == Some(attempt.node.0);
-                if !attempt.is_in_flight || !is_meant {
+                let is_selected = selector == "all"
+                    || is_named
+                    || selector.strip_prefix('@').map(id) == Some(attempt.node.0);
+                if !attempt.is_in_flight || !is_selected {
                     continue;
                 }
                 attempt.is_in_flight = false;
@@ -121,11 +122,11 @@
                 }
             }
         }
-        assert!(self.inputs.len() > before || which == "all", "{which} has nothing in flight");
+        assert!(self.inputs.len() > before || selector == "all", "no attempt of `{selector}` is in flight");
     }
 }
 
-/// An endpoint, as `node:group[:state[:started-at[:zone]]]`.
+/// Parses an endpoint, written as `node:group[:state[:started-at[:zone]]]`.
 fn endpoint(word: &str) -> Endpoint {
     let mut fields = word.split(':');
     Endpoint {
@@ -156,6 +157,6 @@
         "cancelled" => AttemptOutcome::Cancelled,
         "not-sent" => AttemptOutcome::NotSent,
         "local-shortage" => AttemptOutcome::LocalShortage,
-        other => panic!("`{other}` is no outcome"),
+        other => panic!("unknown attempt outcome `{other}`"),
     }
 }
--- a/crates/routing/tests/scenarios/main.rs
+++ b/crates/routing/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Plays the scenarios of this folder; `README.md` beside them has their notation.
+//! Runs the scenarios in this directory; their notation is described in `README.md` next to this file.
 
 mod configuration;
 mod events;
@@ -12,8 +12,8 @@
 use std::path::PathBuf;
 use words::Words;
 
-/// How long a scenario goes on after its last statement.
-const AFTERMATH: TimeSpan = TimeSpan(100_000);
+/// How long a scenario continues after its last statement.
+const SETTLE_TIME: TimeSpan = TimeSpan(100_000);
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
@@ -22,10 +22,10 @@
     for statement in text.lines().flat_map(|line| line.split('#').next().unwrap_or("").split(';')) {
         let words: Words = statement.split_whitespace().collect();
         if !words.is_empty() {
-            runner.play(words);
+            runner.execute(words);
         }
     }
-    // Whatever happens next, no query may stay open.
-    runner.go_to(runner.now + AFTERMATH);
-    assert!(runner.open.is_empty(), "left open: {:?}", runner.open);
+    // Every query must have been closed by then.
+    runner.advance(runner.now + SETTLE_TIME);
+    assert!(runner.open.is_empty(), "queries without a final response: {:?}", runner.open);
 }
--- a/crates/routing/tests/scenarios/runner.rs
+++ b/crates/routing/tests/scenarios/runner.rs
@@ -1,14 +1,14 @@
-//! One broker that plays a scenario, with its clock and what it has done.
+//! Runs a scenario against one broker: keeps its clock, its inputs and its effects.
 
 use crate::configuration::default_config;
 use crate::words::{Words, check_keys, name};
 use routing::{Broker, BrokerConfig, Effect, Input, NodeId, QueryId, ShardRequestId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The seed of every scenario.
+/// The seed of the broker in every scenario.
 const SEED: u64 = 1;
 
-/// An attempt that the broker sent.
+/// An attempt that the broker has sent.
 pub struct SentAttempt {
     pub node: NodeId,
     pub sent_at: Timestamp,
@@ -17,24 +17,25 @@
 
 #[derive(Default)]
 pub struct ScenarioRunner {
-    /// As the statements so far say; in force from the start, or from `configure` on.
+    /// The configuration according to the statements so far; in effect from the start, or from `configure`
+    /// on.
     pub config: BrokerConfig,
     pub class_names: Vec<String>,
     broker: Option<Broker>,
     pub now: Timestamp,
     wake_ups: BTreeSet<Timestamp>,
-    /// What has come in since the last turn.
+    /// The inputs since the last turn.
     pub inputs: Vec<Input>,
-    /// All effects since the last moment, in the notation.
+    /// The effects since the last `at` statement or input, in the scenario notation.
     pub effects: Vec<String>,
-    /// All attempts of each shard request, by number.
+    /// The attempts of each shard request, indexed by attempt number.
     pub attempts: BTreeMap<ShardRequestId, Vec<SentAttempt>>,
     pub shard_requests: BTreeMap<ShardRequestId, QueryId>,
-    /// Queries without a final response.
+    /// The queries without a final response.
     pub open: BTreeSet<QueryId>,
-    /// Nodes that were listed as draining or removed.
+    /// The nodes that the endpoint list reported as draining or removed.
     pub ineligible: BTreeSet<NodeId>,
-    /// Queries that have a second phase to come.
+    /// The queries whose second phase has not started.
     pub awaiting_second_phase: BTreeSet<QueryId>,
 }
 
@@ -43,11 +44,11 @@
         ScenarioRunner { config: default_config(), ..ScenarioRunner::default() }
     }
 
-    /// Plays one statement.
-    pub fn play(&mut self, words: Words) {
+    /// Runs one statement.
+    pub fn execute(&mut self, words: Words) {
         match words[0] {
             ">" => return self.expect(&words[1..].to_vec()),
-            "at" => return self.go_to(Timestamp::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
+            "at" => return self.advance(Timestamp::from_ms(words[1].trim_end_matches(':').parse().unwrap())),
             _ => check_keys(&words),
         }
         if !self.configure(&words) {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Plays the wake-ups up to a moment, then stands at it.
-    pub fn go_to(&mut self, at: Timestamp) {
+    /// Processes the wake-ups before `at`, then sets the clock to `at`.
+    pub fn advance(&mut self, at: Timestamp) {
         self.turn();
         self.effects.clear();
         while let Some(wake) = self.wake_ups.first().copied().filter(|wake| *wake < at) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Gives the broker a turn with what has come in; the first starts it.
+    /// Runs a turn of the broker with the pending inputs; the first turn starts the broker.
     pub fn turn(&mut self) {
         let (config, now) = (&self.config, self.now);
         let is_new = self.broker.is_none();
@@ -81,32 +82,41 @@
         }
         let inputs = std::mem::take(&mut self.inputs);
         for effect in broker.turn(now, &inputs) {
-            self.check(&effect);
-            let noted = self.note(effect);
-            self.effects.push(noted);
+            self.check_invariants(&effect);
+            let recorded = self.record_effect(effect);
+            self.effects.push(recorded);
         }
     }
 
-    /// Holds an effect against the rules that every scenario keeps: one final response for each query,
-    /// nothing sent after it, and nothing sent to a node that drains or was removed.
-    fn check(&mut self, effect: &Effect) {
+    /// Checks an effect against the invariants of every scenario: one final response for each query, nothing
+    /// sent after it, and nothing sent to a node that is draining or was removed.
+    fn check_invariants(&mut self, effect: &Effect) {
         match effect {
             Effect::Respond { query, .. } if self.awaiting_second_phase.remove(query) => {}
             Effect::Respond { query, .. } | Effect::Reject { query, .. } | Effect::Fail { query } => {
-                assert!(self.open.remove(query), "a second final answer for {}", name(query.0));
+                assert!(self.open.remove(query), "second final response for query {}", name(query.0));
             }
             Effect::Send { shard_request, node, .. } => {
                 let is_open = self.open.contains(&self.shard_requests[shard_request]);
-                assert!(is_open, "{} sent after the end", name(shard_request.0));
+                assert!(
+                    is_open,
+                    "shard request {} sent after the final response of its query",
+                    name(shard_request.0)
+                );
                 let is_eligible = !self.ineligible.contains(node);
-                assert!(is_eligible, "{} sent to {}", name(shard_request.0), name(node.0));
+                assert!(
+                    is_eligible,
+                    "shard request {} sent to the draining or removed node {}",
+                    name(shard_request.0),
+                    name(node.0)
+                );
             }
             _ => {}
         }
     }
 
-    /// Puts an effect into the notation.
-    fn note(&mut self, effect: Effect) -> String {
+    /// Records an effect and returns it in the scenario notation.
+    fn record_effect(&mut self, effect: Effect) -> String {
         match effect {
             Effect::Send { shard_request, node, timeout } => {
                 let attempt = SentAttempt { node, sent_at: self.now, is_in_flight: true };
--- a/crates/routing/tests/shutdown_deadline.rs
+++ b/crates/routing/tests/shutdown_deadline.rs
@@ -1,4 +1,4 @@
-//! The steps between SIGTERM and the end of the process.
+//! Tests of the shutdown schedule.
 
 use routing::shutdown_deadline::{KILL_MARGIN, LONGEST_COUNTED_DEADLINE, ShutdownSchedule};
 use rstest::rstest;
@@ -8,7 +8,7 @@
 #[case(0, 600)]
 #[case(700, 1300)]
 #[case(3000, 3600)]
-#[case(3001, 3600)] // no more than three seconds count
+#[case(3001, 3600)] // at most three seconds are counted
 #[case(90_000, 3600)]
 fn open_queries_are_failed_before_the_earliest_kill(#[case] deadline_ms: u64, #[case] fail_after_ms: u64) {
     let longest_deadline = Duration::from_millis(deadline_ms);
