--- a/crates/routing/src/policy/admission/tests.rs
+++ b/crates/routing/src/policy/admission/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of admission.
-
 use super::AdmissionRequest;
 use rstest::rstest;
 
--- a/crates/routing/src/policy/admission_queue/tests.rs
+++ b/crates/routing/src/policy/admission_queue/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the admission queue.
-
 use super::QueueRequest;
 use crate::time::TimeSpan;
 use rstest::rstest;
--- a/crates/routing/src/policy/attempt_limit/tests.rs
+++ b/crates/routing/src/policy/attempt_limit/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the attempt limit.
-
 use super::AttemptLimit;
 use rstest::rstest;
 
--- a/crates/routing/src/policy/canary/tests.rs
+++ b/crates/routing/src/policy/canary/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of canary requests.
-
 use super::NodeFailureRate;
 use crate::time::Timestamp;
 use rstest::rstest;
--- a/crates/routing/src/policy/class_yield/tests.rs
+++ b/crates/routing/src/policy/class_yield/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of class yields.
-
 use super::{ClassYield, ClassYields};
 use crate::ids::ClassId;
 use rstest::rstest;
--- a/crates/routing/src/policy/completion_probability/tests.rs
+++ b/crates/routing/src/policy/completion_probability/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the completion probability.
-
 use super::{OverloadRate, WINDOW, is_unlikely};
 use crate::time::Timestamp;
 use rstest::rstest;
--- a/crates/routing/src/policy/concurrency_limit/tests.rs
+++ b/crates/routing/src/policy/concurrency_limit/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the concurrency limit.
-
 use super::{ConcurrencyLimit, LimitSample};
 use crate::time::TimeSpan;
 use rstest::rstest;
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of coverage.
-
 use super::{
     can_substitute, covers_minimum, has_min_coverage, is_complete, is_late_useful, is_settled,
     is_unsatisfiable,
--- a/crates/routing/src/policy/endpoint_watch/tests.rs
+++ b/crates/routing/src/policy/endpoint_watch/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the backoff of endpoint list requests.
-
 use super::{delay_after_failure, max_silence};
 use crate::time::TimeSpan;
 use rstest::rstest;
--- a/crates/routing/src/policy/feasibility/tests.rs
+++ b/crates/routing/src/policy/feasibility/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of feasibility.
-
 use super::{expected_wait, ignores_failures, is_infeasible};
 use crate::ids::BatchId;
 use crate::state::{LoadReport, Node};
--- a/crates/routing/src/policy/give_up/tests.rs
+++ b/crates/routing/src/policy/give_up/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of how queries without a response end.
-
 use super::{Ending, ending, retry_after};
 use crate::config::RequestLimits;
 use crate::time::TimeSpan;
--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -4,7 +4,7 @@
 //! neither a response nor an error ever arrives. Without it, queries would end at their latency objective
 //! with one shard request missing. An attempt is checked once it has been in flight for the hedge delay. It
 //! is considered lost if its node has answered nothing for that long, or has answered an attempt that was
-//! sent at least an average latency later. A node that keeps answering in order is only slow and keeps its
+//! sent more than an average latency later. A node that keeps answering in order is only slow and keeps its
 //! attempts. A lost attempt is replaced by one at a replica that is expected to be faster: as a hedge if the
 //! configuration allows two attempts in flight, otherwise after the first attempt has been cancelled. The
 //! cost is that some work is done twice.
--- a/crates/routing/src/policy/hedging/tests.rs
+++ b/crates/routing/src/policy/hedging/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of hedging.
-
 use super::{AttemptProgress, NodeProgress, ReplacementConditions, hedge_delay, should_replace};
 use crate::time::{TimeSpan, Timestamp};
 use rstest::rstest;
--- a/crates/routing/src/policy/idempotency/tests.rs
+++ b/crates/routing/src/policy/idempotency/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of when another attempt is safe.
-
 use super::is_repeat_harmless;
 use crate::config::{Idempotency, RequestClass};
 use crate::policy::test_queries::{class, query};
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the reuse of idle connections.
-
 use super::{
     AttemptAfterIdle, IdleConnectionHistory, RESET_RETENTION, is_idle, was_lost, was_reset_immediately,
 };
--- a/crates/routing/src/policy/latency/tests.rs
+++ b/crates/routing/src/policy/latency/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of latency estimates.
-
 use super::{ClassBaselines, LatencyEstimator, average_latency, observed_latency};
 use crate::ids::{ClassId, NodeId, PlacementGroupId, ZoneId};
 use crate::inputs::{Endpoint, EndpointList, EndpointListKind, EndpointState};
--- a/crates/routing/src/policy/load_probe/tests.rs
+++ b/crates/routing/src/policy/load_probe/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of load probes and load reports.
-
 use super::{max_wait, may_wait, needs_probe, read_report, reported_wait};
 use crate::ids::NodeId;
 use crate::inputs::{LoadMetric, ProbeResult};
--- a/crates/routing/src/policy/node_health/tests.rs
+++ b/crates/routing/src/policy/node_health/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of node health.
-
 use super::{is_new_failure, is_uninformative};
 use crate::inputs::AttemptOutcome::{self, Cancelled, ConnectionLost, NotSent, TimedOut};
 use crate::state::Execution::{self, MaybeExecuted, Unsent};
--- a/crates/routing/src/policy/outcome/tests.rs
+++ b/crates/routing/src/policy/outcome/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the interpretation of attempt outcomes.
-
 use crate::inputs::AttemptOutcome::{self, *};
 use crate::state::Execution::{self, MaybeExecuted, NotExecuted, Unsent};
 use rstest::rstest;
--- a/crates/routing/src/policy/pressure/tests.rs
+++ b/crates/routing/src/policy/pressure/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of pressure.
-
 use super::{Pressure, WINDOW};
 use crate::time::Timestamp;
 use rstest::rstest;
--- a/crates/routing/src/policy/query_of_death.rs
+++ b/crates/routing/src/policy/query_of_death.rs
@@ -67,7 +67,6 @@
         self.0.get(query).is_some_and(|until| *until > now)
     }
 
-    /// Returns whether no query is quarantined.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/routing/src/policy/query_of_death/tests.rs
+++ b/crates/routing/src/policy/query_of_death/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of queries of death.
-
 use super::{Quarantine, RetryDecision, counts_as_lost_node, decide_retry, is_query_of_death};
 use crate::inputs::AttemptOutcome::{self, ConnectFailed, ConnectionLost, TimedOut};
 use crate::policy::test_queries::{class, query};
--- a/crates/routing/src/policy/query_times/tests.rs
+++ b/crates/routing/src/policy/query_times/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of query times.
-
 use super::{Arrival, attempt_timeout, first_phase_ends_at};
 use crate::config::RequestClass;
 use crate::policy::test_queries::{class, query};
--- a/crates/routing/src/policy/quota/tests.rs
+++ b/crates/routing/src/policy/quota/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of tenant quotas.
-
 use super::TenantRates;
 use crate::ids::TenantId;
 use crate::time::{TimeSpan, Timestamp};
--- a/crates/routing/src/policy/reconfiguration/tests.rs
+++ b/crates/routing/src/policy/reconfiguration/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of configuration changes.
-
 use super::{binding_period, derive_config, keeps_yield};
 use crate::config::{BrokerConfig, RequestClass, RetryBudget, SafetyRules};
 use crate::effective_config::ClassPolicy;
--- a/crates/routing/src/policy/replica_choice/tests.rs
+++ b/crates/routing/src/policy/replica_choice/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the replica choice.
-
 use super::{Candidate, choose, score};
 use crate::ids::{BatchId, NodeId};
 use crate::state::{LoadReport, Node, OpenBatch};
--- a/crates/routing/src/policy/replica_subset/tests.rs
+++ b/crates/routing/src/policy/replica_subset/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the subset of replicas that a broker chooses from.
-
 use super::{ReplicaGroup, max_group_replicas};
 use crate::config::ShardLayout;
 use crate::ids::NodeId;
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the retry budget.
-
 use super::{RetryHistory, default_budget};
 use crate::config::{RequestLimits, RetryBudget};
 use crate::ids::{AttemptNumber, ShardRequestId};
--- a/crates/routing/src/policy/shard_request_state/tests.rs
+++ b/crates/routing/src/policy/shard_request_state/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the state transition of a shard request when an attempt has ended.
-
 use super::{EndedAttempt, state_after};
 use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalShortage, NotSent, Succeeded};
 use crate::state::ShardRequestState::{self, Failed, Received};
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -102,7 +102,6 @@
 pub(crate) struct SlowStartRequest<'a> {
     pub(crate) now: Timestamp,
     pub(crate) rules: &'a SafetyRules,
-    /// The number of brokers that serve together.
     pub(crate) brokers: u32,
     pub(crate) started_at: Timestamp,
     /// The time at which this broker learned of the start.
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of slow start.
-
 use super::{
     RecentShardRequests, RequestRate, SlowStartRequest, is_warming_up, looks_restarted, presumed_start,
 };
