--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -62,7 +62,7 @@
     /// show. Otherwise losses of what was admitted before a decrease would be answered by decrease after
     /// decrease, down to the lowest rate.
     pub fn may_decrease(&self, now: Timestamp, window: TimeSpan) -> bool {
-        now - self.decreased_at >= window.times(DECREASE_HOLD_RATIO)
+        now - self.decreased_at >= window.mul_f64(DECREASE_HOLD_RATIO)
     }
 
     /// Multiplies the rate by `factor` (0 to 1), but not below `min_per_second`.
--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -83,7 +83,7 @@
     }
 
     fn loss_window(&self) -> TimeSpan {
-        self.window.times(LOSS_WINDOW_RATIO)
+        self.window.mul_f64(LOSS_WINDOW_RATIO)
     }
 }
 
--- a/crates/admission-control/src/retry_after/tests.rs
+++ b/crates/admission-control/src/retry_after/tests.rs
@@ -16,7 +16,7 @@
     #[case] expected: i64,
 ) {
     let limits = RequestLimits {
-        retry_after: retry_after_allowed,
+        send_retry_after: retry_after_allowed,
         max_retry_after: TimeSpan(max_retry_after),
         ..RequestLimits::default()
     };
--- a/crates/admission-control/tests/controller/fixture.rs
+++ b/crates/admission-control/tests/controller/fixture.rs
@@ -11,7 +11,7 @@
     config.limits = RequestLimits {
         max_open: 1000,
         max_attempts: 3,
-        retry_after: true,
+        send_retry_after: true,
         max_retry_after: TimeSpan(20_000),
         ..RequestLimits::default()
     };
--- a/crates/admission-control/tests/controller/retries.rs
+++ b/crates/admission-control/tests/controller/retries.rs
@@ -33,7 +33,7 @@
 #[rstest]
 fn no_retry_after_where_the_configuration_forbids_it() {
     let mut config = broker_config(&[]);
-    config.limits.retry_after = false;
+    config.limits.send_retry_after = false;
     let mut admission = AdmissionController::new(
         AdmissionConfig { min_retries: 0.0, retry_ratio: 0.0, ..AdmissionConfig::default() },
         &config,
@@ -70,7 +70,7 @@
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let effects = admission.filter_inputs(now, &queries.query(0, 1, 3)).effects;
     assert_eq!(rejections(&effects)[0].1, TimeSpan(20_000), "half a window, up to the configured maximum");
-    config.limits.retry_after = false;
+    config.limits.send_retry_after = false;
     let mut inputs = vec![Input::Config(config.into())];
     inputs.extend(queries.query(0, 1, 3));
     let effects = admission.filter_inputs(now, &inputs).effects;
--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -175,7 +175,7 @@
 
     fn accept(&mut self, new: &NewQuery, now: Timestamp, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
-        let margin = self.period.times(MARGIN_TURNS);
+        let margin = self.period.mul_f64(MARGIN_TURNS);
         let class = self.classes.get(&new.class);
         let latency_objective = class.map_or(TimeSpan::ZERO, |class| class.latency_objective);
         let objective_at = now + latency_objective - margin;
--- a/crates/broker-bench/src/fault_injector.rs
+++ b/crates/broker-bench/src/fault_injector.rs
@@ -235,7 +235,7 @@
 }
 
 fn signed(added: TimeSpan, begins: bool) -> TimeSpan {
-    added.times(if begins { 1.0 } else { -1.0 })
+    added.mul_f64(if begins { 1.0 } else { -1.0 })
 }
 
 #[cfg(test)]
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -260,7 +260,7 @@
 
     fn check_grace(&mut self, now: Timestamp, sent_after: TimeSpan) {
         let grace = self.limits.grace;
-        self.record_approach(now, approach::TIME_SINCE_PUBLISHED, sent_after.over(grace));
+        self.record_approach(now, approach::TIME_SINCE_PUBLISHED, sent_after.ratio_to(grace));
         if sent_after > grace + self.limits.slack {
             self.record_violation(now, violation::ATTEMPT_PAST_GRACE);
         }
@@ -305,7 +305,7 @@
             return None;
         }
         let ClassLimits { deadline, min_coverage, idempotency, .. } = self.limits.classes[class];
-        let time_used = 1.0 - (until - now).over(deadline);
+        let time_used = 1.0 - (until - now).ratio_to(deadline);
         self.record_approach(now, approach::TIME_TO_RESPONSE, time_used);
         if now > until + self.limits.slack {
             self.record_violation(now, violation::RESPONSE_TOO_LATE);
--- a/crates/broker-bench/src/invariants/retry_window.rs
+++ b/crates/broker-bench/src/invariants/retry_window.rs
@@ -40,7 +40,7 @@
         self.retries.push_back(now);
         while self.retries.pop_front_if(|at| *at < now - budget.window).is_some() {}
         while self.accepted.pop_front_if(|at| *at < now - budget.window - slack).is_some() {}
-        let allowed = budget.floor + budget.share * self.accepted.len() as f64;
+        let allowed = budget.min_retries + budget.ratio * self.accepted.len() as f64;
         RetryUse { retries: self.retries.len() as f64, allowed }
     }
 }
--- a/crates/broker-bench/src/invariants/tests.rs
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -24,7 +24,7 @@
         class(Idempotency::IdempotencyKey, 1.0),
         class(Idempotency::AtMostOnce, 1.0),
     ];
-    let retry_budget = Some(RetryBudget { floor: 1.0, share: 0.5, window: TimeSpan(100) });
+    let retry_budget = Some(RetryBudget { min_retries: 1.0, ratio: 0.5, window: TimeSpan(100) });
     let limits = InvariantLimits { classes, retry_budget, grace: TimeSpan(50), slack: TimeSpan(5) };
     InvariantChecker::new(limits, 1)
 }
--- a/crates/broker-bench/src/rollout_simulation.rs
+++ b/crates/broker-bench/src/rollout_simulation.rs
@@ -324,7 +324,7 @@
         self.brokers[broker].is_connected = true;
         if let Some(mean) = self.mean_stream_lifetime {
             // Streams are dropped at a constant rate: their lifetimes are exponentially distributed.
-            let lifetime = mean.times(-(1.0 - self.rng.f64()).ln());
+            let lifetime = mean.mul_f64(-(1.0 - self.rng.f64()).ln());
             self.schedule(self.now + lifetime, Event::StreamEnded { broker, stream });
         }
         let running = self.brokers[broker].running.number;
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -74,7 +74,7 @@
         self.results.client_attempts += 1;
         let impatient_share = self.client_behavior.impatient_share;
         if impatient_share > 0.0 && self.injector.random() < impatient_share {
-            let leaves_at = self.now + time_left.times(IMPATIENT_TIME_SHARE);
+            let leaves_at = self.now + time_left.mul_f64(IMPATIENT_TIME_SHARE);
             self.schedule(leaves_at, Event::ClientLeaves(index));
         }
     }
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -51,7 +51,7 @@
             classes: config.classes.clone(),
             shards: config.layout.shards,
             max_open: config.limits.max_open as usize,
-            retry_after: if config.limits.retry_after { retry_after } else { TimeSpan::ZERO },
+            retry_after: if config.limits.send_retry_after { retry_after } else { TimeSpan::ZERO },
             counts: Cell::default(),
         }
     }
@@ -59,7 +59,7 @@
     /// When a query of this class and announced work is on time, counted from its acceptance.
     pub fn latency_objective(&self, class: ClassId, work: TimeSpan) -> TimeSpan {
         let class = self.classes.get(&class);
-        class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
+        class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.mul_f64(class.objective_stretch))
     }
 
     /// The longest deadline of a request class; zero where there is none.
--- a/crates/broker/src/node_pool/connection.rs
+++ b/crates/broker/src/node_pool/connection.rs
@@ -113,7 +113,7 @@
     /// where this machine could have connected.
     pub fn unwritten_outcome(&self) -> AttemptOutcome {
         match self.lacks_local_resources.get() {
-            true => AttemptOutcome::LocalShortage,
+            true => AttemptOutcome::LocalResourceExhausted,
             false => AttemptOutcome::ConnectFailed,
         }
     }
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -235,7 +235,7 @@
         self.failures = if was_stable { 0 } else { self.failures.saturating_add(1) };
         self.opened_at = Timestamp::ZERO;
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
-        let bound = self.policy.initial_backoff.times(f64::from(1_u32 << doublings));
+        let bound = self.policy.initial_backoff.mul_f64(f64::from(1_u32 << doublings));
         let bound = bound.min(self.policy.max_backoff).max(TimeSpan(1));
         let drawn = now + TimeSpan(self.rng.i64(0..=bound.0));
         self.due = Some(drawn.max(self.budget_free_at().unwrap_or(drawn)));
--- a/crates/node-emulator/src/emulated_node.rs
+++ b/crates/node-emulator/src/emulated_node.rs
@@ -125,7 +125,7 @@
         let Some(started_at) = self.started_at else { return self.speed };
         let progress = match self.spec.warm_up_jobs {
             Some(jobs) => f64::from(self.completed_jobs) / f64::from(jobs.max(1)),
-            None => (now - started_at).max(TimeSpan::ZERO).over(self.spec.warm_up_period),
+            None => (now - started_at).max(TimeSpan::ZERO).ratio_to(self.spec.warm_up_period),
         };
         let initial = self.spec.initial_capacity_share;
         self.speed * (initial + (1.0 - initial) * progress.min(1.0))
--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -34,7 +34,7 @@
     }
 
     /// It needs all of its shard requests, and has hardly a chance to get them.
-    pub(crate) fn is_unlikely(&self, query: &Query) -> bool {
+    pub(crate) fn is_unlikely_to_complete(&self, query: &Query) -> bool {
         let overload_rate = self.state.overload_rate.read(self.state.now);
         let max_attempts = query.config.broker.limits.max_attempts;
         !query.allows_partial()
@@ -56,7 +56,7 @@
     }
 
     /// It may wait for capacity, and has to.
-    pub(crate) fn has_to_wait(&self, query: &Query) -> bool {
+    pub(crate) fn must_wait(&self, query: &Query) -> bool {
         self.may_wait(query) && self.exceeds_limit(query)
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Lets it wait in the admission queue.
-    pub(crate) fn wait(&mut self, query: &mut Query) {
+    pub(crate) fn enqueue(&mut self, query: &mut Query) {
         self.state.queries.admission_queue.insert(query.id);
         self.poll(query.policy.latency_objective, Timer::AdmissionCheck(query.id));
     }
--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -18,7 +18,7 @@
     }
 
     /// A response is due now.
-    pub(crate) fn is_settled(&self, query: &Query) -> bool {
+    pub(crate) fn is_response_due(&self, query: &Query) -> bool {
         coverage::is_settled(query, self.state.now)
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// The minimum coverage is missed whatever still comes in.
-    pub(crate) fn is_hopeless(&self, query: &Query) -> bool {
+    pub(crate) fn misses_min_coverage(&self, query: &Query) -> bool {
         coverage::is_hopeless(query)
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// A second phase follows.
-    pub(crate) fn has_phase_to_come(&self, query: &Query) -> bool {
-        query.has_phase_to_come()
+    pub(crate) fn has_next_phase(&self, query: &Query) -> bool {
+        query.has_next_phase()
     }
 }
 
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -69,7 +69,7 @@
         }
         for id in std::mem::take(&mut self.state.queries.updated) {
             self.state.queries.rank_shard_requests(id);
-            self.advance(id, QueryEvent::Ready);
+            self.advance(id, QueryEvent::Reevaluate);
         }
         self.send_queued();
         if let Some(after) = self.state.timers.next_wake_up(now) {
@@ -114,7 +114,7 @@
             Timer::Resend(shard_request) => self.state.queries.to_send.push(shard_request),
             // Looked at as after a response: what has come may be enough now.
             Timer::FirstPhaseEnd(id) => self.advance(id, QueryEvent::ResponseReceived),
-            Timer::AdmissionCheck(id) => self.advance(id, QueryEvent::Ready),
+            Timer::AdmissionCheck(id) => self.advance(id, QueryEvent::Reevaluate),
             Timer::WatchEndpoints => self.watch_endpoints(),
         }
     }
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -117,8 +117,8 @@
     /// Attempts in flight may be cancelled.
     pub allow_cancel: bool,
     /// Rejected clients are told when to come back, `max_retry_after` at the most.
-    pub retry_after: bool,
-    /// See `retry_after`.
+    pub send_retry_after: bool,
+    /// See `send_retry_after`.
     pub max_retry_after: TimeSpan,
 }
 
@@ -145,9 +145,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     /// So many are allowed in any window.
-    pub floor: f64,
+    pub min_retries: f64,
     /// So many more for each query and shard request that was accepted in it.
-    pub share: f64,
+    pub ratio: f64,
     /// The length of the window.
     pub window: TimeSpan,
 }
--- a/crates/routing/src/effective_config.rs
+++ b/crates/routing/src/effective_config.rs
@@ -32,7 +32,7 @@
             latency_objective: class.latency_objective.min(class.deadline),
             objective_stretch: class.objective_stretch,
             deadline: class.deadline,
-            useful_after_objective: after_objective.times(class.late_weight_share),
+            useful_after_objective: after_objective.mul_f64(class.late_weight_share),
             late_weight_share: class.late_weight_share,
             min_coverage: class.min_coverage.min(class.complete_coverage),
             complete_coverage: class.complete_coverage,
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -157,7 +157,7 @@
     NotSent,
     /// It could not be sent for want of something on this broker's own machine: a descriptor, a port, memory.
     /// That says nothing of the node.
-    LocalShortage,
+    LocalResourceExhausted,
 }
 
 /// What came of a probe.
--- a/crates/routing/src/policy/admission_queue.rs
+++ b/crates/routing/src/policy/admission_queue.rs
@@ -32,7 +32,7 @@
     pub(crate) fn may_wait(&self) -> bool {
         let queued = ((self.queue_length + 1) * self.shard_requests) as f64;
         let has_place = self.is_queued || queued <= self.limit;
-        let min_time_left = self.latency_objective.times(1.0 - MAX_WAIT_SHARE);
+        let min_time_left = self.latency_objective.mul_f64(1.0 - MAX_WAIT_SHARE);
         has_place && self.time_left > min_time_left
     }
 }
--- a/crates/routing/src/policy/canary.rs
+++ b/crates/routing/src/policy/canary.rs
@@ -16,7 +16,7 @@
 const MAX_FAILURE_RATE: f64 = 0.1;
 
 /// The span over which failures are counted.
-const SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// Fewer attempts than this count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
--- a/crates/routing/src/policy/completion_chance.rs
+++ b/crates/routing/src/policy/completion_chance.rs
@@ -17,7 +17,7 @@
 const MIN_CHANCE: f64 = 0.03;
 
 /// The span over which overload is counted.
-const WINDOW: TimeSpan = TimeSpan::from_seconds(5);
+const WINDOW: TimeSpan = TimeSpan::from_secs(5);
 
 /// Slices of the window.
 const SLICES: usize = 10;
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -74,8 +74,8 @@
 
     /// Adapts to an attempt that has ended.
     pub(crate) fn adapt(&mut self, sample: LimitSample, max_open: u32) {
-        let target = sample.latency_objective.times(TARGET_LATENCY_SHARE);
-        let ratio = target.over(sample.duration).min(MAX_GROWTH);
+        let target = sample.latency_objective.mul_f64(TARGET_LATENCY_SHARE);
+        let ratio = target.ratio_to(sample.duration).min(MAX_GROWTH);
         let is_too_slow = ratio < 1.0;
         if !is_too_slow && !sample.limit_was_used {
             return;
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -46,7 +46,7 @@
 /// be waited for any longer because a second phase is to follow.
 pub(crate) fn is_settled(query: &Query, now: Timestamp) -> bool {
     let phase_ends_at = first_phase_ends_at(query.times.objective_at, query.policy.latency_objective);
-    let is_phase_over = query.has_phase_to_come() && now >= phase_ends_at;
+    let is_phase_over = query.has_next_phase() && now >= phase_ends_at;
     let has_ended = query.weight_in(&[ShardRequestState::Queued, ShardRequestState::InFlight]) == 0.0;
     has_min_coverage(query) && (is_complete(query) || has_ended || is_phase_over)
 }
--- a/crates/routing/src/policy/endpoint_watch.rs
+++ b/crates/routing/src/policy/endpoint_watch.rs
@@ -21,17 +21,17 @@
 const SILENCE_SHARE: f64 = 0.5;
 
 /// A greatest age that is configured shorter than this counts as this long.
-const MIN_LIST_AGE: TimeSpan = TimeSpan::from_seconds(5);
+const MIN_LIST_AGE: TimeSpan = TimeSpan::from_secs(5);
 
 /// How long to wait after a failed call, `earlier_failures` in a row before it. `random` is a number from 0
 /// to 1.
 pub(crate) fn delay_after_failure(list_max_age: TimeSpan, earlier_failures: u32, random: f64) -> TimeSpan {
-    let base = list_max_age.max(MIN_LIST_AGE).times(FAILURE_DELAY_SHARE);
+    let base = list_max_age.max(MIN_LIST_AGE).mul_f64(FAILURE_DELAY_SHARE);
     let doublings = earlier_failures.min(MAX_DOUBLINGS);
-    base.times(f64::from(1 << doublings) * (MIN_JITTER + random))
+    base.mul_f64(f64::from(1 << doublings) * (MIN_JITTER + random))
 }
 
 /// How long a watch may bring nothing before it is opened anew.
 pub(crate) fn max_silence(list_max_age: TimeSpan) -> TimeSpan {
-    list_max_age.max(MIN_LIST_AGE).times(SILENCE_SHARE)
+    list_max_age.max(MIN_LIST_AGE).mul_f64(SILENCE_SHARE)
 }
--- a/crates/routing/src/policy/give_up.rs
+++ b/crates/routing/src/policy/give_up.rs
@@ -27,5 +27,5 @@
 /// The time after which a rejected client may come back; zero where clients are not told one. By the latency
 /// objective of its class the queries that are in flight now have ended.
 pub(crate) fn retry_after(limits: &RequestLimits, latency_objective: TimeSpan) -> TimeSpan {
-    if limits.retry_after { latency_objective.min(limits.max_retry_after) } else { TimeSpan::ZERO }
+    if limits.send_retry_after { latency_objective.min(limits.max_retry_after) } else { TimeSpan::ZERO }
 }
--- a/crates/routing/src/policy/give_up/tests.rs
+++ b/crates/routing/src/policy/give_up/tests.rs
@@ -31,7 +31,7 @@
     #[case] expected: i64,
 ) {
     let limits = RequestLimits {
-        retry_after: is_told,
+        send_retry_after: is_told,
         max_retry_after: TimeSpan(max_retry_after),
         ..RequestLimits::default()
     };
--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -24,9 +24,9 @@
 
 /// How long an attempt may be silent before another is considered.
 pub(crate) fn hedge_delay(average_latency: TimeSpan, latency_objective: TimeSpan) -> TimeSpan {
-    let min = latency_objective.times(MIN_DELAY_SHARE);
-    let max = latency_objective.times(MAX_DELAY_SHARE);
-    average_latency.times(DELAY_LATENCIES).clamp(min, max)
+    let min = latency_objective.mul_f64(MIN_DELAY_SHARE);
+    let max = latency_objective.mul_f64(MAX_DELAY_SHARE);
+    average_latency.mul_f64(DELAY_LATENCIES).clamp(min, max)
 }
 
 /// What is known of the node of an attempt.
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -32,13 +32,13 @@
 const MIN_LOSSES_TO_NEW: f64 = 2.0;
 
 /// The span over which losses are counted.
-const LOSS_SPAN: TimeSpan = TimeSpan::from_seconds(30);
+const LOSS_SPAN: TimeSpan = TimeSpan::from_secs(30);
 
 /// Fewer attempts than this count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
 
 /// How long the idle period of a connection that was reset is remembered.
-const RESET_MEMORY: TimeSpan = TimeSpan::from_seconds(30);
+const RESET_MEMORY: TimeSpan = TimeSpan::from_secs(30);
 
 /// A connection that is lost within this many turns was closed before the attempt, not by it.
 const RESET_TURNS: f64 = 2.0;
@@ -72,12 +72,12 @@
 
 /// Whether a connection of this idle period counts as idle at all.
 pub(crate) fn is_idle(idle_period: TimeSpan, shortest_objective: TimeSpan) -> bool {
-    idle_period >= shortest_objective.times(MIN_IDLE_SHARE)
+    idle_period >= shortest_objective.mul_f64(MIN_IDLE_SHARE)
 }
 
 /// Whether an attempt was reset at once, so that its connection must have been closed while it was idle.
 pub(crate) fn was_reset_at_once(duration: TimeSpan, turn_period: TimeSpan) -> bool {
-    duration <= turn_period.times(RESET_TURNS)
+    duration <= turn_period.mul_f64(RESET_TURNS)
 }
 
 /// Whether an attempt after an idle period counts as lost: it failed, or it was cancelled after it had been
@@ -126,7 +126,7 @@
 
     /// Which connection the first attempt after an idle period goes out on.
     pub(crate) fn choose(&self, attempt: AttemptAfterIdle) -> ConnectionUse {
-        let max_idle_period = attempt.shortest_objective.times(MAX_IDLE_SHARE_IF_NEEDED);
+        let max_idle_period = attempt.shortest_objective.mul_f64(MAX_IDLE_SHARE_IF_NEEDED);
         let is_too_risky = attempt.must_succeed && attempt.idle_period > max_idle_period;
         let is_known_to_fail =
             self.resets_after(attempt.idle_period, attempt.now) || self.reused_connections_fail(attempt.now);
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -18,7 +18,7 @@
 
 /// What was measured this long ago has faded by a factor of e toward the average, so that a node that was
 /// slow once is tried again.
-const FADE_SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const FADE_SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// Before anything was measured, a shard request takes this share of the shortest latency objective.
 const INITIAL_SHARE: f64 = 0.125;
@@ -35,7 +35,7 @@
 
 /// The mean latency of the ready nodes that were measured, or a guess before any was; never zero.
 pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
-    let initial = shortest_objective.times(INITIAL_SHARE);
+    let initial = shortest_objective.mul_f64(INITIAL_SHARE);
     measured.unwrap_or(initial).max(TimeSpan(1))
 }
 
@@ -55,9 +55,9 @@
     /// too, where nothing came in between.
     pub(crate) fn of(&self, node: &Node) -> TimeSpan {
         let zone = self.nodes.zone_mean_latency(node.zone, self.average, ZONE_PRIOR_NODES);
-        let is_zone_slow = zone > self.average.times(SLOW_ZONE_RATIO);
+        let is_zone_slow = zone > self.average.mul_f64(SLOW_ZONE_RATIO);
         let usual = if is_zone_slow { zone } else { self.average };
-        node.faded_latency(self.now, usual, FADE_SPAN).max(node.silence(self.now))
+        node.decayed_latency(self.now, usual, FADE_SPAN).max(node.unresponsive_for(self.now))
     }
 }
 
@@ -76,7 +76,7 @@
         return duration;
     }
     let doublings = f64::from(1 << consecutive_failures);
-    let penalty = average.times(doublings).min(latency_objective);
+    let penalty = average.mul_f64(doublings).min(latency_objective);
     duration.max(penalty)
 }
 
--- a/crates/routing/src/policy/load_probe.rs
+++ b/crates/routing/src/policy/load_probe.rs
@@ -27,13 +27,13 @@
 /// and none is on the way. A probe that is not answered within the objective counts as lost.
 pub(crate) fn needs_probe(node: &Node, now: Timestamp, latency_objective: TimeSpan) -> bool {
     let is_probed = node.probe_sent_at.is_some_and(|at| now - at <= latency_objective);
-    let max_age = latency_objective.times(MAX_AGE_SHARE);
+    let max_age = latency_objective.mul_f64(MAX_AGE_SHARE);
     !is_probed && node.load.is_none_or(|load| now - load.received_at > max_age)
 }
 
 /// How long reports are waited for.
 pub(crate) fn max_wait(latency_objective: TimeSpan) -> TimeSpan {
-    latency_objective.times(MAX_WAIT_SHARE)
+    latency_objective.mul_f64(MAX_WAIT_SHARE)
 }
 
 /// Whether a query that probed its replicas then may still wait for their reports.
--- a/crates/routing/src/policy/outcome.rs
+++ b/crates/routing/src/policy/outcome.rs
@@ -49,7 +49,7 @@
             AttemptOutcome::ConnectFailed => OutcomeMeaning::of(NotExecuted).blames_node().looks_down(),
             AttemptOutcome::ConnectionLost => OutcomeMeaning::of(MaybeExecuted).blames_node().looks_down(),
             AttemptOutcome::Cancelled => OutcomeMeaning::of(MaybeExecuted),
-            AttemptOutcome::NotSent | AttemptOutcome::LocalShortage => OutcomeMeaning::of(Unsent),
+            AttemptOutcome::NotSent | AttemptOutcome::LocalResourceExhausted => OutcomeMeaning::of(Unsent),
         }
     }
 
--- a/crates/routing/src/policy/outcome/tests.rs
+++ b/crates/routing/src/policy/outcome/tests.rs
@@ -14,7 +14,7 @@
 #[case(ConnectionLost, MaybeExecuted, false, true, true, true)]
 #[case(Cancelled, MaybeExecuted, false, false, false, false)]
 #[case(NotSent, Unsent, false, false, false, false)]
-#[case(LocalShortage, Unsent, false, false, false, false)]
+#[case(LocalResourceExhausted, Unsent, false, false, false, false)]
 fn outcomes(
     #[case] outcome: AttemptOutcome,
     #[case] execution: Execution,
--- a/crates/routing/src/policy/polling.rs
+++ b/crates/routing/src/policy/polling.rs
@@ -7,5 +7,5 @@
 
 /// The time until the next look, never zero.
 pub(crate) fn interval(latency_objective: TimeSpan) -> TimeSpan {
-    latency_objective.times(INTERVAL_SHARE).max(TimeSpan(1))
+    latency_objective.mul_f64(INTERVAL_SHARE).max(TimeSpan(1))
 }
--- a/crates/routing/src/policy/pressure.rs
+++ b/crates/routing/src/policy/pressure.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 /// The span over which pressure is measured.
-pub(crate) const WINDOW: TimeSpan = TimeSpan::from_seconds(5);
+pub(crate) const WINDOW: TimeSpan = TimeSpan::from_secs(5);
 
 /// Slices of the window: what the oldest slice holds is forgotten at once.
 const SLICES: usize = 10;
--- a/crates/routing/src/policy/query_life.rs
+++ b/crates/routing/src/policy/query_life.rs
@@ -13,7 +13,7 @@
 
 use crate::broker::Broker;
 use crate::state::QueryEvent::{
-    ClientLeft, DeadlineNear, ObjectiveNear, Ready, ResponseReceived, ResponseSent, ShardRequestFailed,
+    ClientLeft, DeadlineNear, ObjectiveNear, Reevaluate, ResponseReceived, ResponseSent, ShardRequestFailed,
 };
 use crate::state::QueryState::{BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{Query, QueryEvent, QueryState};
@@ -78,30 +78,30 @@
 /// looked at.
 #[rustfmt::skip]
 pub(crate) const TABLE: &[Row] = &[
-    //  from              on                  when                         to             action
-    row(&[Pending],       Ready,              Broker::is_quarantined,      Finished,      Broker::give_up),
-    row(&[Pending],       Ready,              Broker::needs_load_reports,  Pending,       Broker::probe_replicas),
-    row(&[Pending],       Ready,              Broker::awaits_load_reports, Pending,       nothing),
-    row(&[Pending],       Ready,              Broker::is_unlikely,         Finished,      Broker::give_up),
-    record(&[Pending],    Ready,              Broker::may_wait,            Broker::record_class_yield),
-    row(&[Pending],       Ready,              Broker::has_to_wait,         Pending,       Broker::wait),
-    record(&[Pending],    Ready,              always,                      Broker::record_class_yield),
-    row(&[Pending],       Ready,              Broker::exceeds_limit,       Finished,      Broker::reject),
-    row(&[Pending],       Ready,              always,                      InFlight,      Broker::send),
-    row(&[BetweenPhases], Ready,              always,                      InFlight,      Broker::send),
-    row(&[InFlight],      ResponseReceived,   Broker::awaits_canary,       InFlight,      Broker::send),
-    row(&[InFlight],      ResponseReceived,   Broker::is_settled,          Responded,     Broker::respond),
-    row(&[InFlight],      ShardRequestFailed, Broker::is_settled,          Responded,     Broker::respond),
-    row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,      InFlight,      Broker::send),
-    row(&[InFlight],      ShardRequestFailed, Broker::is_hopeless,         Finished,      Broker::give_up),
-    row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,      PastObjective, nothing),
-    row(&[InFlight],      ObjectiveNear,      always,                      Finished,      Broker::give_up),
-    row(&[PastObjective], ResponseReceived,   Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(&[PastObjective], ShardRequestFailed, Broker::is_late_useless,     Finished,      Broker::give_up),
-    row(&[Responded],     ResponseSent,       Broker::has_phase_to_come,   BetweenPhases, Broker::end_phase),
-    row(&[Responded],     ResponseSent,       always,                      Finished,      nothing),
-    row(OPEN,             DeadlineNear,       Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(OPEN,             DeadlineNear,       always,                      Finished,      Broker::give_up),
-    row(OPEN,             ClientLeft,         always,                      Finished,      nothing),
+    //  from              on                  when                             to             action
+    row(&[Pending],       Reevaluate,         Broker::is_quarantined,          Finished,      Broker::give_up),
+    row(&[Pending],       Reevaluate,         Broker::needs_load_reports,      Pending,       Broker::probe_replicas),
+    row(&[Pending],       Reevaluate,         Broker::awaits_load_reports,     Pending,       nothing),
+    row(&[Pending],       Reevaluate,         Broker::is_unlikely_to_complete, Finished,      Broker::give_up),
+    record(&[Pending],    Reevaluate,         Broker::may_wait,                Broker::record_class_yield),
+    row(&[Pending],       Reevaluate,         Broker::must_wait,               Pending,       Broker::enqueue),
+    record(&[Pending],    Reevaluate,         always,                          Broker::record_class_yield),
+    row(&[Pending],       Reevaluate,         Broker::exceeds_limit,           Finished,      Broker::reject),
+    row(&[Pending],       Reevaluate,         always,                          InFlight,      Broker::send),
+    row(&[BetweenPhases], Reevaluate,         always,                          InFlight,      Broker::send),
+    row(&[InFlight],      ResponseReceived,   Broker::awaits_canary,           InFlight,      Broker::send),
+    row(&[InFlight],      ResponseReceived,   Broker::is_response_due,         Responded,     Broker::respond),
+    row(&[InFlight],      ShardRequestFailed, Broker::is_response_due,         Responded,     Broker::respond),
+    row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,          InFlight,      Broker::send),
+    row(&[InFlight],      ShardRequestFailed, Broker::misses_min_coverage,     Finished,      Broker::give_up),
+    row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,          PastObjective, nothing),
+    row(&[InFlight],      ObjectiveNear,      always,                          Finished,      Broker::give_up),
+    row(&[PastObjective], ResponseReceived,   Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(&[PastObjective], ShardRequestFailed, Broker::is_late_useless,         Finished,      Broker::give_up),
+    row(&[Responded],     ResponseSent,       Broker::has_next_phase,          BetweenPhases, Broker::end_phase),
+    row(&[Responded],     ResponseSent,       always,                          Finished,      nothing),
+    row(OPEN,             DeadlineNear,       Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(OPEN,             DeadlineNear,       always,                          Finished,      Broker::give_up),
+    row(OPEN,             ClientLeft,         always,                          Finished,      nothing),
 ];
--- a/crates/routing/src/policy/query_times.rs
+++ b/crates/routing/src/policy/query_times.rs
@@ -37,14 +37,14 @@
     /// The times of a query that arrives now. The latency objective grows with the work that the query is
     /// expected to be, and never passes the class's deadline or what the client will wait.
     pub(crate) fn times(&self, policy: &ClassPolicy) -> QueryTimes {
-        let stretched = policy.latency_objective + self.work.times(policy.objective_stretch);
+        let stretched = policy.latency_objective + self.work.mul_f64(policy.objective_stretch);
         let latency_objective = stretched.min(policy.deadline).min(self.time_left);
         let margin =
-            policy.latency_objective.times(OBJECTIVE_MARGIN) + self.turn_period.times(OBJECTIVE_TURNS);
+            policy.latency_objective.mul_f64(OBJECTIVE_MARGIN) + self.turn_period.mul_f64(OBJECTIVE_TURNS);
         QueryTimes {
             latency_objective,
             objective_at: self.now + latency_objective - margin,
-            deadline_at: self.now + self.time_left - self.turn_period.times(DEADLINE_TURNS),
+            deadline_at: self.now + self.time_left - self.turn_period.mul_f64(DEADLINE_TURNS),
         }
     }
 }
@@ -62,5 +62,5 @@
 
 /// When the first phase of a query with two must give its response.
 pub(crate) fn first_phase_ends_at(objective_at: Timestamp, latency_objective: TimeSpan) -> Timestamp {
-    objective_at - latency_objective.times(SECOND_PHASE_SHARE)
+    objective_at - latency_objective.mul_f64(SECOND_PHASE_SHARE)
 }
--- a/crates/routing/src/policy/quota.rs
+++ b/crates/routing/src/policy/quota.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// The span over which queries are counted, decaying by a factor of e.
-const SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// A tenant without a quota is forgotten at a change of the configuration once this many queries are left of
 /// its count.
--- a/crates/routing/src/policy/reach.rs
+++ b/crates/routing/src/policy/reach.rs
@@ -44,5 +44,5 @@
     now: Timestamp,
     objective_at: Timestamp,
 ) -> bool {
-    shortest_wait.is_none_or(|wait| now + wait.times(LATENESS_RATIO) > objective_at)
+    shortest_wait.is_none_or(|wait| now + wait.mul_f64(LATENESS_RATIO) > objective_at)
 }
--- a/crates/routing/src/policy/reconfiguration.rs
+++ b/crates/routing/src/policy/reconfiguration.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// The shortest latency objective of a configuration without classes.
-const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan::from_seconds(5);
+const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan::from_secs(5);
 
 /// A configuration with what decisions read of it.
 pub(crate) fn derive_config(config: BrokerConfig) -> EffectiveConfig {
--- a/crates/routing/src/policy/reconfiguration/tests.rs
+++ b/crates/routing/src/policy/reconfiguration/tests.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 fn rules(warm_up: i64, overload_window: i64, budget_window: i64) -> BrokerConfig {
-    let retry_budget = RetryBudget { floor: 1.0, share: 0.1, window: TimeSpan(budget_window) };
+    let retry_budget = RetryBudget { min_retries: 1.0, ratio: 0.1, window: TimeSpan(budget_window) };
     let rules = SafetyRules {
         warm_up_period: TimeSpan(warm_up),
         overload_window: TimeSpan(overload_window),
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -18,12 +18,12 @@
 const DEFAULT_SHARE: f64 = 0.25;
 
 /// Without a stated budget: the window over which retries are counted.
-const DEFAULT_WINDOW: TimeSpan = TimeSpan::from_seconds(5);
+const DEFAULT_WINDOW: TimeSpan = TimeSpan::from_secs(5);
 
 /// The budget of a broker for which none is stated: as many retries as a shard request may have attempts, and
 /// a share of the queries and shard requests that were accepted.
 pub(crate) fn default_budget(limits: &RequestLimits) -> RetryBudget {
-    RetryBudget { floor: limits.max_attempts.into(), share: DEFAULT_SHARE, window: DEFAULT_WINDOW }
+    RetryBudget { min_retries: limits.max_attempts.into(), ratio: DEFAULT_SHARE, window: DEFAULT_WINDOW }
 }
 
 /// An attempt beyond a shard request's first.
@@ -64,7 +64,7 @@
         let window_start = now - budget.window;
         let accepted = self.accepted_since(window_start + send_delay) as f64;
         let retried = self.retried_since(window_start - send_delay);
-        (retried + 1) as f64 <= budget.floor + budget.share * accepted
+        (retried + 1) as f64 <= budget.min_retries + budget.ratio * accepted
     }
 
     /// Drops what no window reaches back to, the longest being `max_window`.
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 const NOW: Timestamp = Timestamp(1_000_000);
-const BUDGET: RetryBudget = RetryBudget { floor: 2.0, share: 0.1, window: TimeSpan(10_000) };
+const BUDGET: RetryBudget = RetryBudget { min_retries: 2.0, ratio: 0.1, window: TimeSpan(10_000) };
 
 fn attempt(number: u16) -> AttemptId {
     AttemptId { shard_request: ShardRequestId(1), number: AttemptNumber(number) }
@@ -68,5 +68,5 @@
 fn without_a_stated_budget_retries_are_a_quarter() {
     let limits = RequestLimits { max_attempts: 3, ..RequestLimits::default() };
     let budget = default_budget(&limits);
-    assert_eq!((budget.floor, budget.share, budget.window), (3.0, 0.25, TimeSpan(50_000)));
+    assert_eq!((budget.min_retries, budget.ratio, budget.window), (3.0, 0.25, TimeSpan(50_000)));
 }
--- a/crates/routing/src/policy/send_delay.rs
+++ b/crates/routing/src/policy/send_delay.rs
@@ -14,5 +14,5 @@
 /// window or run a second time. Windows are therefore kept with this much slack; the cost is a few retries
 /// less.
 pub(crate) fn max_send_delay(config: &BrokerConfig) -> TimeSpan {
-    config.period.times(TURNS) + config.send_lag
+    config.period.mul_f64(TURNS) + config.send_lag
 }
--- a/crates/routing/src/policy/shard_request_state/tests.rs
+++ b/crates/routing/src/policy/shard_request_state/tests.rs
@@ -1,7 +1,7 @@
 //! What becomes of a shard request.
 
 use super::{EndedAttempt, state_after};
-use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalShortage, NotSent, Succeeded};
+use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalResourceExhausted, NotSent, Succeeded};
 use crate::state::ShardRequestState::{self, Failed, Received};
 use crate::state::{QueryState, ShardRequestState as State};
 use rstest::rstest;
@@ -26,7 +26,7 @@
 )]
 #[case::was_taken_back(EndedAttempt { outcome: NotSent, ..ERRORED }, true, Failed)]
 #[case::was_cancelled_to_be_made_again(EndedAttempt { outcome: Cancelled, ..ERRORED }, true, State::Queued)]
-#[case::this_machine_lacked_something(EndedAttempt { outcome: LocalShortage, ..ERRORED }, true, State::Queued)]
+#[case::this_machine_lacked_something(EndedAttempt { outcome: LocalResourceExhausted, ..ERRORED }, true, State::Queued)]
 #[case::past_the_objective(EndedAttempt { query_state: QueryState::PastObjective, ..ERRORED }, true, Failed)]
 fn next_states(#[case] ended: EndedAttempt, #[case] may_retry: bool, #[case] expected: ShardRequestState) {
     assert_eq!(state_after(ended, || may_retry), expected);
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -144,7 +144,7 @@
     /// How far the node has warmed up, from 0; 1 and above: it is warm.
     fn warmth(&self) -> f64 {
         let age = (self.now - self.started_at).max(TimeSpan::ZERO);
-        age.over(self.rules.warm_up_period)
+        age.ratio_to(self.rules.warm_up_period)
     }
 
     /// What a node that does one shard request at a time bears in a window, in tenths of a millisecond of
@@ -152,7 +152,7 @@
     fn capacity(&self, warmth: f64) -> f64 {
         let initial = self.rules.initial_capacity_share;
         let capacity_share = initial + (1.0 - initial) * warmth;
-        let work = self.rules.overload_window.times(self.rules.overload_factor * capacity_share);
+        let work = self.rules.overload_window.mul_f64(self.rules.overload_factor * capacity_share);
         work.0.max(1) as f64
     }
 
@@ -166,7 +166,7 @@
     /// Draws for this shard request alone: it is sent with such a probability that of the `expected` ones
     /// that would go to the node by even shares, as many do as it may have.
     fn is_drawn(&self, steady: f64, expected: f64) -> bool {
-        let allowed = self.demand.span.over(self.rules.overload_window) * steady;
+        let allowed = self.demand.span.ratio_to(self.rules.overload_window) * steady;
         self.draw(self.shard_request.0) < allowed / expected
     }
 
@@ -174,7 +174,7 @@
     fn has_earned(&self, steady: f64, cost_since_start: f64) -> bool {
         let since_known = self.now - self.start_known_at;
         let first_fill = self.draw(self.start_known_at.0 as u64);
-        let earned = since_known.over(self.rules.overload_window) * steady + first_fill;
+        let earned = since_known.ratio_to(self.rules.overload_window) * steady + first_fill;
         earned - cost_since_start / self.cost >= 1.0
     }
 
--- a/crates/routing/src/state/node.rs
+++ b/crates/routing/src/state/node.rs
@@ -102,20 +102,20 @@
     /// Smooths a latency in, the newest counting for this share.
     pub(crate) fn record_latency(&mut self, now: Timestamp, latency: TimeSpan, newest_share: f64) {
         let smoothed = self.latency.unwrap_or(latency);
-        self.latency = Some(smoothed + (latency - smoothed).times(newest_share));
+        self.latency = Some(smoothed + (latency - smoothed).mul_f64(newest_share));
         self.latency_sampled_at = now;
     }
 
     /// Its smoothed latency, faded toward the average with the time since it was sampled.
-    pub(crate) fn faded_latency(&self, now: Timestamp, average: TimeSpan, span: TimeSpan) -> TimeSpan {
+    pub(crate) fn decayed_latency(&self, now: Timestamp, average: TimeSpan, span: TimeSpan) -> TimeSpan {
         self.latency.map_or(average, |latency| {
-            let age = (now - self.latency_sampled_at).over(span);
-            average + (latency - average).times((-age).exp())
+            let age = (now - self.latency_sampled_at).ratio_to(span);
+            average + (latency - average).mul_f64((-age).exp())
         })
     }
 
     /// How long it has answered nothing since its oldest batch in flight was sent.
-    pub(crate) fn silence(&self, now: Timestamp) -> TimeSpan {
+    pub(crate) fn unresponsive_for(&self, now: Timestamp) -> TimeSpan {
         let oldest = self.batches.values().next();
         oldest.map_or(TimeSpan::ZERO, |batch| now - batch.sent_at.max(self.last_success_at))
     }
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -119,7 +119,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryEvent {
     /// It is to be looked at: its shard requests are known, a load report came, or it has waited.
-    Ready,
+    Reevaluate,
     ResponseReceived,
     ShardRequestFailed,
     ObjectiveNear,
@@ -234,7 +234,7 @@
         attempts.all(|attempt| matches!(attempt.execution, Execution::NotExecuted | Execution::Unsent))
     }
 
-    pub(crate) fn has_phase_to_come(&self) -> bool {
+    pub(crate) fn has_next_phase(&self) -> bool {
         self.policy.has_second_phase && !self.in_second_phase
     }
 
--- a/crates/routing/src/statistics.rs
+++ b/crates/routing/src/statistics.rs
@@ -14,7 +14,7 @@
 impl DecayingCounter {
     /// The count now, decayed by a factor of e for each `span` that has passed.
     pub(crate) fn read(&self, now: Timestamp, span: TimeSpan) -> f64 {
-        self.count * (-(now - self.updated_at).over(span)).exp()
+        self.count * (-(now - self.updated_at).ratio_to(span)).exp()
     }
 
     /// Adds to the count.
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -21,7 +21,7 @@
     pub const ZERO: TimeSpan = TimeSpan(0);
 
     /// So many seconds.
-    pub const fn from_seconds(seconds: i64) -> TimeSpan {
+    pub const fn from_secs(seconds: i64) -> TimeSpan {
         TimeSpan(seconds * TENTHS_PER_SECOND)
     }
 
@@ -36,12 +36,12 @@
     }
 
     /// This span times a ratio.
-    pub fn times(self, ratio: f64) -> TimeSpan {
+    pub fn mul_f64(self, ratio: f64) -> TimeSpan {
         TimeSpan((self.0 as f64 * ratio) as i64)
     }
 
     /// This span as a ratio of another; an empty other counts as the smallest span.
-    pub fn over(self, other: TimeSpan) -> f64 {
+    pub fn ratio_to(self, other: TimeSpan) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
--- a/crates/routing/tests/random_inputs.rs
+++ b/crates/routing/tests/random_inputs.rs
@@ -89,7 +89,7 @@
     AttemptOutcome::ConnectionLost,
     AttemptOutcome::Cancelled,
     AttemptOutcome::NotSent,
-    AttemptOutcome::LocalShortage,
+    AttemptOutcome::LocalResourceExhausted,
 ];
 
 fn attempt_end(rng: &mut Rng, sent: &[(ShardRequestId, NodeId)]) -> Option<Input> {
--- a/crates/routing/tests/scenarios/configuration.rs
+++ b/crates/routing/tests/scenarios/configuration.rs
@@ -110,8 +110,8 @@
 
     fn set_retry_budget(&mut self, words: &Words) {
         let budget = RetryBudget {
-            floor: value(words, "floor", 0.0),
-            share: value(words, "ratio", 0.0),
+            min_retries: value(words, "floor", 0.0),
+            ratio: value(words, "ratio", 0.0),
             window: span(words, "window", 1000.0),
         };
         self.config.rules.retry_budget = Some(budget);
--- a/crates/routing/tests/scenarios/events.rs
+++ b/crates/routing/tests/scenarios/events.rs
@@ -155,7 +155,7 @@
         "connection-lost" => AttemptOutcome::ConnectionLost,
         "cancelled" => AttemptOutcome::Cancelled,
         "not-sent" => AttemptOutcome::NotSent,
-        "local-shortage" => AttemptOutcome::LocalShortage,
+        "local-shortage" => AttemptOutcome::LocalResourceExhausted,
         other => panic!("`{other}` is no outcome"),
     }
 }
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -179,7 +179,7 @@
         max_attempts: limits.max_attempts,
         allow_hedging: limits.second_copies,
         allow_cancel: limits.may_cancel,
-        retry_after: limits.retry_after,
+        send_retry_after: limits.retry_after,
         max_retry_after: TimeSpan::from_ms(limits.max_retry_after_ms),
     }
 }
@@ -193,8 +193,8 @@
         endpoint_list_max_age: TimeSpan::from_ms(rules.ask_within_ms),
         drain_grace: TimeSpan::from_ms(rules.stop_sending_within_ms),
         retry_budget: rules.budget_window_ms.map(|window_ms| RetryBudget {
-            floor: rules.extra_floor.unwrap_or(0.0),
-            share: rules.resend_ratio.unwrap_or(0.0),
+            min_retries: rules.extra_floor.unwrap_or(0.0),
+            ratio: rules.resend_ratio.unwrap_or(0.0),
             window: TimeSpan::from_ms(window_ms),
         }),
     }
