--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -10,7 +10,7 @@
 pub struct AdmissionConfig {
     /// The share of shard requests refused as overloaded or timed out, or of queries that the broker
     /// rejected, above which there is overload. Over 0, under 1.
-    pub overload_level: f64,
+    pub overload_threshold: f64,
     /// The span over which losses, requested shard requests and retries are counted; a step is a tenth of it.
     /// 100 ms at least.
     pub window: TimeSpan,
@@ -39,7 +39,7 @@
     /// The defaults of the operator's keys, as `docs/operate-admission.md` states them.
     fn default() -> AdmissionConfig {
         AdmissionConfig {
-            overload_level: 0.1,
+            overload_threshold: 0.1,
             window: TimeSpan(50_000),
             decrease_factor: 0.8,
             increase_ratio: 0.1,
@@ -98,7 +98,7 @@
         let is_open_ratio = |value: f64| value > 0.0 && value < 1.0;
         let is_increase = self.increase_ratio > 0.0 && self.increase_ratio <= 1.0;
         [
-            check("level", self.overload_level, is_open_ratio(self.overload_level), "over 0 and under 1"),
+            check("level", self.overload_threshold, is_open_ratio(self.overload_threshold), "over 0 and under 1"),
             check("window_ms", self.window.as_ms(), self.window >= TimeSpan(1000), "100 at least"),
             check("decrease", self.decrease_factor, is_open_ratio(self.decrease_factor), "over 0 and under 1"),
             check("increase", self.increase_ratio, is_increase, "over 0, 1 at most"),
--- a/crates/admission-control/src/config/tests.rs
+++ b/crates/admission-control/src/config/tests.rs
@@ -10,9 +10,9 @@
 }
 
 #[rstest]
-#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = 0.0)]
-#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = 1.0)]
-#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_level = f64::NAN)]
+#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_threshold = 0.0)]
+#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_threshold = 1.0)]
+#[case("level", "over 0 and under 1", |config: &mut AdmissionConfig| config.overload_threshold = f64::NAN)]
 #[case("window_ms", "100 at least", |config: &mut AdmissionConfig| config.window = TimeSpan(999))]
 #[case("decrease", "over 0 and under 1", |config: &mut AdmissionConfig| config.decrease_factor = 0.0)]
 #[case("decrease", "over 0 and under 1", |config: &mut AdmissionConfig| config.decrease_factor = 1.0)]
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -154,7 +154,10 @@
 
     fn observe_load(&self) -> ObservedLoad {
         ObservedLoad {
-            is_overloaded: is_overloaded(&self.load.overload_inputs(self.now), self.config.overload_level),
+            is_overloaded: is_overloaded(
+                &self.load.overload_inputs(self.now),
+                self.config.overload_threshold,
+            ),
             requested_per_second: self.tenants.requested(self.now) / self.observed_s(),
         }
     }
@@ -174,7 +177,7 @@
     }
 
     fn change_rate(&mut self, rate_change: RateChange) {
-        let min_rate = min_rate(self.config.overload_level, self.config.window);
+        let min_rate = min_rate(self.config.overload_threshold, self.config.window);
         match rate_change {
             RateChange::Keep => {}
             RateChange::Start => {
--- a/crates/admission-control/tests/controller/main.rs
+++ b/crates/admission-control/tests/controller/main.rs
@@ -14,7 +14,7 @@
 #[rstest]
 fn invalid_values_are_named_all_at_once() {
     let invalid = AdmissionConfig {
-        overload_level: 1.5,
+        overload_threshold: 1.5,
         decrease_factor: 0.0,
         max_tenants: 0,
         ..AdmissionConfig::default()
--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -262,7 +262,7 @@
                 return self.publish_endpoint(node).await;
             }
             PlannedNodeEvent::Stop => self.stop_node(node).await?,
-            PlannedNodeEvent::SlowDown(share) => self.nodes.models[node].slow_down(share),
+            PlannedNodeEvent::SlowDown(share) => self.nodes.models[node].set_speed(share),
         }
         self.settle().await
     }
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -9,7 +9,7 @@
 use crate::simulation::tests::planned;
 use crate::simulation::{RoutingPolicy, SimulationConfig};
 use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig, RetryBudget};
-use node_emulator::{Cancel, JobId, PeerEvent, ReceivedEvent, ShardRequest};
+use node_emulator::{CancelPolicy, JobId, PeerEvent, ReceivedEvent, ShardRequest};
 use routing::Timestamp;
 use rstest::rstest;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
         placement_groups: 3,
         cores: 4,
         warm_jobs: None,
-        cancel: Cancel::All,
+        cancel: CancelPolicy::DropAll,
     }
 }
 
@@ -163,6 +163,7 @@
 }
 
 fn received_batch() -> ReceivedEvent {
-    let shard_request = ShardRequest { id: "r0.1".into(), shard: 1, list: "d=1".into(), text: String::new() };
+    let shard_request =
+        ShardRequest { id: "r0.1".into(), shard: 1, parameters: "d=1".into(), text: String::new() };
     ReceivedEvent { node: 0, connection: 0, event: PeerEvent::Batch(vec![shard_request]) }
 }
--- a/crates/broker-bench/src/overload_benchmark.rs
+++ b/crates/broker-bench/src/overload_benchmark.rs
@@ -7,7 +7,7 @@
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use cluster_trace::plan::{ClassSpec, CountRange, Plan, Planner, ReplayConfig};
 use cluster_trace::{RowOutcome, TraceReader, find_layout};
-use node_emulator::Cancel;
+use node_emulator::CancelPolicy;
 use rayon::prelude::*;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -162,7 +162,7 @@
         placement_groups: (size.nodes / NODES_PER_PLACEMENT_GROUP).max(MIN_PLACEMENT_GROUPS),
         cores: 4,
         warm_jobs: None,
-        cancel: Cancel::All,
+        cancel: CancelPolicy::DropAll,
     };
     Ok(Simulation::new(plan(size, seed, load)?, &replay_config(size, seed, load), config).run(|_, _| true))
 }
--- a/crates/broker-bench/src/scenario_day.rs
+++ b/crates/broker-bench/src/scenario_day.rs
@@ -7,7 +7,7 @@
 use crate::traffic::{self, NODE_CORES};
 use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig};
 use fault_scenarios::{CancelBehavior, ClusterSize, FaultAction, NodeTransition, Scenario, ScheduledAction};
-use node_emulator::Cancel;
+use node_emulator::CancelPolicy;
 use routing::TimeSpan;
 use thiserror::Error;
 
@@ -59,9 +59,9 @@
         let (near, far) = (TimeSpan::from_ms(scenario.near_ms), TimeSpan::from_ms(scenario.far_ms));
         let injector = FaultInjector::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
-            CancelBehavior::DropsAll => Cancel::All,
-            CancelBehavior::DropsWaiting => Cancel::Waiting,
-            CancelBehavior::DropsNothing => Cancel::Nothing,
+            CancelBehavior::DropsAll => CancelPolicy::DropAll,
+            CancelBehavior::DropsWaiting => CancelPolicy::DropQueued,
+            CancelBehavior::DropsNothing => CancelPolicy::DropNone,
         };
         let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
         let cores = NODE_CORES;
--- a/crates/broker-bench/src/simulation/config.rs
+++ b/crates/broker-bench/src/simulation/config.rs
@@ -2,7 +2,7 @@
 
 use crate::fault_injector::FaultInjector;
 use fault_scenarios::{ClientBehavior, ScheduledAction};
-use node_emulator::Cancel;
+use node_emulator::CancelPolicy;
 use std::fmt;
 
 /// What a simulated broker decides by. The former names of the values (`module`, `door`) are still accepted.
@@ -61,7 +61,7 @@
     /// After how many jobs a started node is warm; none: it warms up with time.
     pub warm_jobs: Option<u32>,
     /// What a node does with work that is cancelled.
-    pub cancel: Cancel,
+    pub cancel: CancelPolicy,
 }
 
 /// The faults of a day, and what its clients do.
--- a/crates/broker-bench/src/simulation/faults.rs
+++ b/crates/broker-bench/src/simulation/faults.rs
@@ -33,7 +33,7 @@
                 NodeTransition::Starts => self.start_node(node),
                 NodeTransition::Unchanged => {}
             },
-            FaultEffect::SetSpeed { node, speed_factor } => self.nodes[node].slow_down(speed_factor),
+            FaultEffect::SetSpeed { node, speed_factor } => self.nodes[node].set_speed(speed_factor),
             FaultEffect::BeginPauses { node } => {
                 let cycle = self.injector.active_faults[node].longest_pause();
                 let interval = cycle.map_or(TimeSpan::ZERO, |cycle| cycle.interval);
@@ -65,7 +65,7 @@
         if faults.condition() == NodeCondition::Ready && !faults.is_unresponsive() {
             let speed_factor = faults.speed_factor();
             self.nodes[node].start(self.now);
-            self.nodes[node].slow_down(speed_factor);
+            self.nodes[node].set_speed(speed_factor);
             self.schedule_publication(node, ENDPOINT_LIST_DELAY);
         }
     }
--- a/crates/broker-bench/src/simulation/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -7,7 +7,7 @@
     ClassIdempotency, ClassSpec, CountRange, Plan, PlanEntry, PlanEvent, PlannedNodeEvent,
     PlannedShardRequest, ReplayConfig, RetryBudget,
 };
-use node_emulator::Cancel;
+use node_emulator::CancelPolicy;
 use routing::Timestamp;
 use rstest::rstest;
 
@@ -58,7 +58,7 @@
         placement_groups: 4,
         cores: 4,
         warm_jobs: None,
-        cancel: Cancel::All,
+        cancel: CancelPolicy::DropAll,
     }
 }
 
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -10,7 +10,7 @@
 use clap::Args;
 use cluster_trace::plan::Plan;
 use indicatif::{ProgressBar, ProgressStyle};
-use node_emulator::Cancel;
+use node_emulator::CancelPolicy;
 use routing::Timestamp;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -79,7 +79,7 @@
             placement_groups: self.placement_groups.clamp(1, self.plan.nodes.max(1)),
             cores: self.cores.max(1),
             warm_jobs: None,
-            cancel: Cancel::All,
+            cancel: CancelPolicy::DropAll,
         }
     }
 
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -19,7 +19,7 @@
             .map(|shard_request| (&shard_request.id[..], shard_request.shard, &shard_request.text[..]))
             .collect();
         assert_eq!(received, [("9b1f.3", 3, "a\n\"ü\" é"), ("9b1f.9", 9, "a\n\"ü\" é")]);
-        let wait: u64 = shard_requests[0].list.strip_prefix("d=").unwrap().parse().unwrap();
+        let wait: u64 = shard_requests[0].parameters.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((1..9000).contains(&wait), "{wait}");
         cluster.nodes[0].respond(connection, "9b1f.9", 'S', "plain").await;
         cluster.nodes[0].respond(connection, "9b1f.3", 'S', "\"quoted\"\\ü\n").await;
@@ -136,7 +136,11 @@
         sleep_ms(300).await;
         client.write(rest).await;
         let (node, connection, shard_requests) = cluster.next_batch().await;
-        assert!(shard_requests[0].list[2..].parse::<u64>().unwrap() <= 400, "{}", shard_requests[0].list);
+        assert!(
+            shard_requests[0].parameters[2..].parse::<u64>().unwrap() <= 400,
+            "{}",
+            shard_requests[0].parameters
+        );
         let reply = client.reply().await.unwrap();
         assert!(began.elapsed() < Duration::from_millis(750), "{:?}", began.elapsed());
         assert_eq!(reply.status, 503);
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -151,9 +151,9 @@
                     self.nodes[node].restart();
                 }
                 _ => {
-                    self.discovery.set_silent(true);
+                    self.discovery.set_unresponsive(true);
                     sleep_ms(rng.u64(50..800)).await;
-                    self.discovery.set_silent(false);
+                    self.discovery.set_unresponsive(false);
                 }
             }
         }
--- a/crates/node-emulator/src/discovery_catalog.rs
+++ b/crates/node-emulator/src/discovery_catalog.rs
@@ -35,8 +35,8 @@
     /// Requests that wait for a change after the newest revision.
     waiting_requests: Cell<usize>,
     /// Nothing is answered for now.
-    is_silent: Cell<bool>,
-    spoke_again: Notify,
+    is_unresponsive: Cell<bool>,
+    resumed: Notify,
     bytes_sent: Cell<usize>,
 }
 
@@ -86,9 +86,9 @@
     }
 
     /// Falls silent, or speaks again: requests that came meanwhile are answered then.
-    pub fn set_silent(&self, is_silent: bool) {
-        self.list.is_silent.set(is_silent);
-        self.list.spoke_again.notify_waiters();
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.list.is_unresponsive.set(is_unresponsive);
+        self.list.resumed.notify_waiters();
     }
 
     /// How many bytes its responses came to.
@@ -106,8 +106,8 @@
     let mut stream = BufReader::new(stream);
     while let Some(head) = read_head(&mut stream).await {
         let body = list.answer(request_path(&head)).await;
-        while list.is_silent.get() {
-            list.spoke_again.notified().await;
+        while list.is_unresponsive.get() {
+            list.resumed.notified().await;
         }
         let response = ok_response(&body.to_string());
         list.bytes_sent.set(list.bytes_sent.get() + response.len());
--- a/crates/node-emulator/src/emulated_node.rs
+++ b/crates/node-emulator/src/emulated_node.rs
@@ -2,7 +2,7 @@
 
 use crate::job::{Job, JobId, SubmitOutcome};
 use crate::load_report::LoadReport;
-use crate::node_spec::{Cancel, NodeSpec};
+use crate::node_spec::{CancelPolicy, NodeSpec};
 use crate::node_state::{LifecycleEvent, NodeState};
 use routing::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -102,7 +102,7 @@
     }
 
     /// From now on it has this share of its full speed; running jobs keep the speed that they started with.
-    pub fn slow_down(&mut self, speed: f64) {
+    pub fn set_speed(&mut self, speed: f64) {
         self.speed = speed.clamp(MIN_SPEED, 1.0);
     }
 
@@ -226,7 +226,9 @@
     /// Whether it is gone by that.
     pub fn cancel(&mut self, now: Timestamp, job: JobId) -> bool {
         let is_running = self.completion_times.contains_key(&job);
-        if self.spec.cancel == Cancel::Nothing || is_running && self.spec.cancel == Cancel::Waiting {
+        if self.spec.cancel == CancelPolicy::DropNone
+            || is_running && self.spec.cancel == CancelPolicy::DropQueued
+        {
             return false;
         }
         if let Some(completion) = self.completion_times.remove(&job) {
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -38,7 +38,7 @@
 pub use load_report::LoadReport;
 pub use node_event::{EventSender, PeerEvent, ReceivedEvent, ShardRequest};
 pub use node_server::{NodeServer, ReceivedShardRequest, WorkFunction};
-pub use node_spec::{Cancel, NodeSpec};
+pub use node_spec::{CancelPolicy, NodeSpec};
 pub use node_state::NodeState;
 pub use scripted_discovery::ScriptedDiscovery;
 pub use scripted_node::ScriptedNode;
--- a/crates/node-emulator/src/node_event.rs
+++ b/crates/node-emulator/src/node_event.rs
@@ -12,7 +12,7 @@
     /// The shard.
     pub shard: u32,
     /// The third field of its line, as it came.
-    pub list: String,
+    pub parameters: String,
     /// The query's text.
     pub text: String,
 }
@@ -66,8 +66,8 @@
     let mut shard_requests = Vec::new();
     while !rest.is_empty() {
         let (entry, after) = split_first_entry(rest)?;
-        let (id, list) = (entry.id.to_owned(), entry.list.to_owned());
-        shard_requests.push(ShardRequest { id, shard: entry.shard, list, text: text(entry.text)? });
+        let (id, parameters) = (entry.id.to_owned(), entry.parameters.to_owned());
+        shard_requests.push(ShardRequest { id, shard: entry.shard, parameters, text: text(entry.text)? });
         rest = after;
     }
     Some(shard_requests)
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -127,9 +127,9 @@
         self.shared.lock().node.drain();
     }
 
-    /// As [`EmulatedNode::slow_down`].
-    pub fn slow_down(&self, speed: f64) {
-        self.shared.lock().node.slow_down(speed);
+    /// As [`EmulatedNode::set_speed`].
+    pub fn set_speed(&self, speed: f64) {
+        self.shared.lock().node.set_speed(speed);
     }
 
     /// Its load at this moment.
--- a/crates/node-emulator/src/node_spec.rs
+++ b/crates/node-emulator/src/node_spec.rs
@@ -20,20 +20,20 @@
     /// So many completed jobs warm it up, however long that takes; none: time does.
     pub warm_up_jobs: Option<u32>,
     /// What a cancelled job costs.
-    pub cancel: Cancel,
+    pub cancel: CancelPolicy,
 }
 
 /// What a job that is cancelled costs from then on. `fault_scenarios::CancelBehavior` is the same in a scenario's
 /// text: neither package depends on the other, and the bench translates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cancel {
+pub enum CancelPolicy {
     /// Nothing, wherever it was.
     #[default]
-    All,
+    DropAll,
     /// A waiting job is dropped; a running one goes on to its end.
-    Waiting,
+    DropQueued,
     /// Both go on, for nobody.
-    Nothing,
+    DropNone,
 }
 
 impl Default for NodeSpec {
@@ -46,7 +46,7 @@
             overload_factor: 3.0,
             overload_window: TimeSpan(10_000),
             warm_up_jobs: None,
-            cancel: Cancel::All,
+            cancel: CancelPolicy::DropAll,
         }
     }
 }
--- a/crates/node-emulator/tests/model.rs
+++ b/crates/node-emulator/tests/model.rs
@@ -1,6 +1,6 @@
 //! The model of a node, moment by moment.
 
-use node_emulator::{Cancel, EmulatedNode, JobId, LoadReport, NodeSpec, NodeState, SubmitOutcome};
+use node_emulator::{CancelPolicy, EmulatedNode, JobId, LoadReport, NodeSpec, NodeState, SubmitOutcome};
 use routing::Timestamp;
 use rstest::rstest;
 
@@ -98,7 +98,7 @@
             && !node.cancel(Timestamp(10), job(3))
     );
     assert_eq!(node.load(Timestamp(10)), LoadReport { queued: 0, completed_per_s: 0, in_flight: 2 });
-    node.slow_down(0.5);
+    node.set_speed(0.5);
     node.cancel(Timestamp(20), job(1));
     node.submit(Timestamp(20), job(7), 10_000);
     assert!(
@@ -125,10 +125,10 @@
 
 /// A cancelled job costs nothing more, or a running one goes on, or all do.
 #[rstest]
-#[case(Cancel::All, 0)]
-#[case(Cancel::Waiting, 1)]
-#[case(Cancel::Nothing, 2)]
-fn cancelled_work_goes_on(#[case] cancel: Cancel, #[case] completed: usize) {
+#[case(CancelPolicy::DropAll, 0)]
+#[case(CancelPolicy::DropQueued, 1)]
+#[case(CancelPolicy::DropNone, 2)]
+fn cancelled_work_goes_on(#[case] cancel: CancelPolicy, #[case] completed: usize) {
     let mut node = EmulatedNode::new(NodeSpec { cores: 1, cancel, ..NodeSpec::default() }, None);
     node.submit(Timestamp(0), JobId(1), 1000);
     node.submit(Timestamp(0), JobId(2), 1000);
--- a/crates/operator-config/src/admission_section.rs
+++ b/crates/operator-config/src/admission_section.rs
@@ -35,7 +35,7 @@
     let number = |name: &str| values.number(ADMISSION, name);
     let duration = |name: &str| TimeSpan::from_ms(number(name));
     AdmissionConfig {
-        overload_level: number("level"),
+        overload_threshold: number("level"),
         window: duration("window_ms"),
         decrease_factor: number("decrease"),
         increase_ratio: number("increase"),
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -53,7 +53,7 @@
     };
     assert_eq!(config.rollout, Some(rollout));
     let admission = AdmissionConfig {
-        overload_level: 0.1,
+        overload_threshold: 0.1,
         window: seconds(5),
         decrease_factor: 0.8,
         increase_ratio: 0.1,
