--- a/crates/broker/src/config_rollout/status_command.rs
+++ b/crates/broker/src/config_rollout/status_command.rs
@@ -49,7 +49,7 @@
         json!({"number": number.parse::<u64>().ok(), "reason": reason, "at": at})
     });
     let line = json!({"name": status.name, "installation": status.installation, "number": status.number,
-        "digest": status.digest, "since": status.since, "standing": status.standing,
+        "digest": status.digest, "since": status.since, "standing": status.rollout_state,
         "confirmed": status.confirmed, "unproven": status.unproven, "last_refusal": rejection});
     println!("{line}");
 }
@@ -57,7 +57,7 @@
 /// Prints a line for each field.
 fn print_lines(status: &BrokerStatus) {
     println!("broker         {} of {}", status.name, status.installation);
-    println!("runs           version {}, {}", status.number, status.standing);
+    println!("runs           version {}, {}", status.number, status.rollout_state);
     println!("digest         {}", status.digest);
     println!("since          {:.3} (Unix time)", status.since);
     println!("confirmed      version {}", status.confirmed);
--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -47,9 +47,9 @@
     let faults = FaultPlan {
         seed,
         drop_ratio: 0.5,
-        repeat_ratio: 0.3,
+        duplicate_ratio: 0.3,
         reorder_ratio: 0.3,
-        garble_ratio: 0.2,
+        corrupt_ratio: 0.2,
         max_delay: Duration::from_millis(30),
     };
     let service = XdsTestServer::start(ANY_PORT, faults).unwrap();
@@ -70,7 +70,7 @@
         publish_versions(&service, progress);
         let all = || brokers.iter().all(|broker| broker.status().number == LAST);
         wait_until("all run the newest", all);
-        let confirmed = || brokers.iter().all(|broker| broker.status().standing != "on trial");
+        let confirmed = || brokers.iter().all(|broker| broker.status().rollout_state != "on trial");
         wait_until("the probations are over", confirmed);
         progress.is_over.store(true, Ordering::Relaxed);
     });
@@ -127,7 +127,7 @@
         requests.iter().any(|request| request.rejection.is_some()),
         "nothing was rejected, though much was invalid"
     );
-    assert!(service.streams() > 3, "no stream was ever dropped");
+    assert!(service.stream_count() > 3, "no stream was ever dropped");
     let answers = requests.iter().filter(|request| !request.nonce.is_empty());
     let mut nonces: Vec<_> = answers.map(|request| &request.nonce).collect();
     let all = nonces.len();
@@ -152,7 +152,7 @@
     service.publish(1, INSTALLATION, &text(1));
     wait_until("the first is confirmed", || {
         assert_eq!(client.send_query("lookup", 2).status, 200);
-        broker.status().standing == "confirmed"
+        broker.status().rollout_state == "confirmed"
     });
     // Placement groups that no node is in: each lookup waits, and is rejected.
     let mut bad = document(2);
@@ -164,7 +164,7 @@
     assert!(failed >= 30, "{failed} failed, 30 are the least to judge by");
     let status = broker.status();
     let RejectionStatus { number, reason, .. } = status.last_rejection.clone().unwrap();
-    assert_eq!((&number[..], &status.standing[..]), ("2", "confirmed"), "{status:?}");
+    assert_eq!((&number[..], &status.rollout_state[..]), ("2", "confirmed"), "{status:?}");
     assert!(reason.contains(" queries failed in "), "{reason}");
     let withdrawn = broker.wait_for_log("version withdrawn");
     assert_eq!((&withdrawn["number"], &withdrawn["runs"]), (&json!(2), &json!(1)));
@@ -214,10 +214,10 @@
     broker.kill();
     let mut broker = start(&service);
     let status = broker.status();
-    assert_eq!((status.number, &status.standing[..], status.confirmed), (7, "confirmed", 7));
+    assert_eq!((status.number, &status.rollout_state[..], status.confirmed), (7, "confirmed", 7));
     assert_eq!(Client::new("c", broker.listens).probe(7), Some(7));
     // The service is back with its state lost: a lower number takes no effect, a higher one does.
-    service.forget_versions();
+    service.clear_versions();
     service.restart().unwrap();
     service.publish(6, INSTALLATION, &text(6));
     wait_until("the sixth is rejected", || {
@@ -232,7 +232,7 @@
     std::fs::write(&kept, &whole[..whole.len() / 2]).unwrap();
     service.stop();
     let broker = start(&service);
-    assert_eq!((broker.status().number, &broker.status().standing[..]), (0, "own file"));
+    assert_eq!((broker.status().number, &broker.status().rollout_state[..]), (0, "own file"));
     assert!(broker.log.iter().any(|line| line.contains(": corrupt: ")), "{:#?}", broker.log);
 }
 
@@ -254,14 +254,14 @@
     };
     let mut broker = start();
     service.publish(1, INSTALLATION, &text(1));
-    wait_until("the first is on probation", || broker.status().standing == "on trial");
+    wait_until("the first is on probation", || broker.status().rollout_state == "on trial");
     broker.kill();
     let mut broker = start();
     wait_until("the first is on probation again", || broker.status().number == 1);
     let mut client = Client::new("c", broker.listens);
     wait_until("the first is confirmed", || {
         assert_eq!(client.send_query("lookup", 2).status, 200);
-        broker.status().standing == "confirmed"
+        broker.status().rollout_state == "confirmed"
     });
     let mut bad = document(2);
     (bad["Domain"]["Cells"], bad["Services"][0]["OnTimeMs"]) = (json!(3), json!(60.0));
--- a/crates/config-rollout-client/src/status_query.rs
+++ b/crates/config-rollout-client/src/status_query.rs
@@ -24,7 +24,7 @@
     /// Since when it runs: Unix time, in seconds.
     pub since: f64,
     /// Whether it is on probation, confirmed, ...; `docs/operate-control.md` lists the values.
-    pub standing: String,
+    pub rollout_state: String,
     /// The number of the version that was confirmed last.
     pub confirmed: u64,
     /// Why its probation ended without a verdict, if it did.
@@ -98,7 +98,7 @@
         number: version.version_info.parse().ok()?,
         digest: fields.get("digest").cloned().unwrap_or_default(),
         since: unix_seconds(version.last_updated),
-        standing: fields.get("standing").cloned().unwrap_or_default(),
+        rollout_state: fields.get("standing").cloned().unwrap_or_default(),
         confirmed: fields.get("confirmed").and_then(|number| number.parse().ok()).unwrap_or(0),
         unproven: fields.get("unproven").cloned(),
         last_rejection: version.error_state.map(|state| RejectionStatus {
--- a/crates/xds-test-server/src/discovery_service.rs
+++ b/crates/xds-test-server/src/discovery_service.rs
@@ -104,7 +104,7 @@
         if self.last_sent == Some(number) || number == 0 {
             return Ok(());
         }
-        let FaultPlan { drop_ratio, repeat_ratio, reorder_ratio, garble_ratio, max_delay, .. } =
+        let FaultPlan { drop_ratio, duplicate_ratio, reorder_ratio, corrupt_ratio, max_delay, .. } =
             self.shared.faults;
         if !max_delay.is_zero() {
             sleep(max_delay.mul_f64(self.rng.f64())).await;
@@ -117,12 +117,12 @@
         {
             self.send(response(&older, self.next_nonce()), 1).await?;
         }
-        if self.rng.f64() < garble_ratio
+        if self.rng.f64() < corrupt_ratio
             && let Some(version) = &version
         {
             self.send(garbled(response(version, self.next_nonce())), 1).await?;
         }
-        let times = if self.rng.f64() < repeat_ratio { 2 } else { 1 };
+        let times = if self.rng.f64() < duplicate_ratio { 2 } else { 1 };
         self.last_sent = Some(number);
         if let Some(version) = version {
             self.send(response(&version, self.next_nonce()), times).await?;
--- a/crates/xds-test-server/src/fault_plan.rs
+++ b/crates/xds-test-server/src/fault_plan.rs
@@ -10,11 +10,11 @@
     /// The stream is dropped in place of a response, or right behind it.
     pub drop_ratio: f64,
     /// A response is sent once more under its nonce.
-    pub repeat_ratio: f64,
+    pub duplicate_ratio: f64,
     /// An older version goes ahead of the newest.
     pub reorder_ratio: f64,
     /// An unreadable response goes ahead of the newest version.
-    pub garble_ratio: f64,
+    pub corrupt_ratio: f64,
     /// The longest that a response is held back; how long is drawn.
     pub max_delay: Duration,
 }
--- a/crates/xds-test-server/src/main.rs
+++ b/crates/xds-test-server/src/main.rs
@@ -106,7 +106,7 @@
 async fn run_command(server: &mut XdsTestServer, words: &[&str]) -> Result<(), ServerError> {
     match words {
         ["drop"] => server.drop_streams(),
-        ["forget"] => server.forget_versions(),
+        ["forget"] => server.clear_versions(),
         ["vanish", seconds] => {
             let seconds = seconds.parse::<f64>().unwrap_or(DEFAULT_STOP_SECONDS).clamp(0.0, MAX_STOP_SECONDS);
             server.stop();
--- a/crates/xds-test-server/src/server.rs
+++ b/crates/xds-test-server/src/server.rs
@@ -79,7 +79,7 @@
     }
 
     /// Forgets every version, as a service that has lost its state.
-    pub fn forget_versions(&self) {
+    pub fn clear_versions(&self) {
         self.shared.history().versions.clear();
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// How many streams there have been.
-    pub fn streams(&self) -> u64 {
+    pub fn stream_count(&self) -> u64 {
         self.shared.history().streams
     }
 }
