--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -104,6 +104,6 @@
     let no_environment = |_: &str| None;
     let mut startup_config =
         StartupConfig::read(text.to_string().as_bytes(), no_environment).map_err(NoFigure::Settings)?;
-    startup_config.since = Some(UNIX_START);
+    startup_config.clock_start = Some(UNIX_START);
     Ok(startup_config)
 }
--- a/crates/broker/src/codec/from_node.rs
+++ b/crates/broker/src/codec/inbound_frame.rs
@@ -17,7 +17,7 @@
 
 /// A frame from a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FromNode {
+pub enum InboundFrame {
     /// How a shard request ended.
     Response {
         /// The id of the shard request.
@@ -59,10 +59,10 @@
 }
 
 impl Decoder for FrameDecoder {
-    type Item = FromNode;
+    type Item = InboundFrame;
     type Error = FrameError;
 
-    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<FromNode>, FrameError> {
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<InboundFrame>, FrameError> {
         let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*prefix) as usize;
         // Checked before memory is reserved for it: the length is whatever the peer wrote.
@@ -79,19 +79,19 @@
 }
 
 /// Decodes one whole frame, which has at least the letter of its kind.
-fn decode_frame(mut frame: Bytes) -> Result<FromNode, FrameError> {
+fn decode_frame(mut frame: Bytes) -> Result<InboundFrame, FrameError> {
     match frame.get_u8() {
-        PONG => Ok(FromNode::Pong),
-        LOAD_REPORT => Ok(FromNode::LoadReport((&frame[..] != NO_REPORT).then_some(frame))),
+        PONG => Ok(InboundFrame::Pong),
+        LOAD_REPORT => Ok(InboundFrame::LoadReport((&frame[..] != NO_REPORT).then_some(frame))),
         RESPONSE => decode_response(frame).ok_or(FrameError::InvalidResponse),
-        PROTOCOL_ERROR => Ok(FromNode::ProtocolError(String::from_utf8_lossy(&frame).into_owned())),
+        PROTOCOL_ERROR => Ok(InboundFrame::ProtocolError(String::from_utf8_lossy(&frame).into_owned())),
         other => Err(FrameError::UnknownKind(other)),
     }
 }
 
 /// Reads `ID END SCORE REPORT`, a line feed, and the value. No decision reads the report: one that can't be
 /// read does not invalidate the value that it came with.
-fn decode_response(mut body: Bytes) -> Option<FromNode> {
+fn decode_response(mut body: Bytes) -> Option<InboundFrame> {
     let header_length = body.iter().position(|byte| *byte == b'\n')?;
     let header = body.split_to(header_length);
     body.advance(1);
@@ -105,5 +105,5 @@
     };
     // A value is passed on within JSON, which holds text only.
     std::str::from_utf8(&body).ok()?;
-    Some(FromNode::Response { id: header.slice_ref(id), outcome, value: body })
+    Some(InboundFrame::Response { id: header.slice_ref(id), outcome, value: body })
 }
--- a/crates/broker/src/codec/mod.rs
+++ b/crates/broker/src/codec/mod.rs
@@ -1,15 +1,15 @@
 //! The frames between the broker and a node: a length in four bytes, a letter for the kind, the body. The protocol's
 //! letters and headers become the code's terms here, and nowhere else.
 //!
-//! [`ToNode`] is encoded, [`FromNode`] decoded by a [`FrameDecoder`].
+//! [`OutboundFrame`] is encoded, [`InboundFrame`] decoded by a [`FrameDecoder`].
 
-mod from_node;
+mod inbound_frame;
 mod load_report;
-mod to_node;
+mod outbound_frame;
 
-pub use from_node::{FrameDecoder, FrameError, FromNode};
+pub use inbound_frame::{FrameDecoder, FrameError, InboundFrame};
 pub use load_report::read_load_report;
-pub use to_node::{ShardRequestMessage, ToNode};
+pub use outbound_frame::{OutboundFrame, ShardRequestMessage};
 
 /// Bytes of the length that precedes each frame: little endian, not counting itself.
 const LENGTH_BYTES: usize = 4;
--- a/crates/broker/src/codec/to_node.rs
+++ b/crates/broker/src/codec/outbound_frame.rs
@@ -24,7 +24,7 @@
 
 /// A frame to a node.
 #[derive(Clone, Debug)]
-pub enum ToNode {
+pub enum OutboundFrame {
     /// Shard requests to execute.
     Batch(Vec<ShardRequestMessage>),
     /// The shard request of this id needs no response any more.
@@ -33,19 +33,19 @@
     Probe,
 }
 
-impl ToNode {
+impl OutboundFrame {
     /// Whether this is a batch without shard requests, which is not written.
     pub fn is_empty_batch(&self) -> bool {
-        matches!(self, ToNode::Batch(shard_requests) if shard_requests.is_empty())
+        matches!(self, OutboundFrame::Batch(shard_requests) if shard_requests.is_empty())
     }
 
     /// The ids of the shard requests that this frame asks a node to execute.
     pub fn shard_request_ids(&self) -> Vec<Bytes> {
         match self {
-            ToNode::Batch(shard_requests) => {
+            OutboundFrame::Batch(shard_requests) => {
                 shard_requests.iter().map(|shard_request| shard_request.id.clone()).collect()
             }
-            ToNode::Cancel(_) | ToNode::Probe => Vec::new(),
+            OutboundFrame::Cancel(_) | OutboundFrame::Probe => Vec::new(),
         }
     }
 
@@ -55,12 +55,12 @@
         let start = buffer.len();
         buffer.put_u32_le(0);
         match self {
-            ToNode::Batch(shard_requests) => {
+            OutboundFrame::Batch(shard_requests) => {
                 buffer.put_u8(BATCH);
                 shard_requests.iter().for_each(|shard_request| shard_request.encode(now, buffer));
             }
-            ToNode::Probe => buffer.put_u8(PROBE),
-            ToNode::Cancel(id) => {
+            OutboundFrame::Probe => buffer.put_u8(PROBE),
+            OutboundFrame::Cancel(id) => {
                 buffer.put_u8(CANCEL);
                 buffer.put_slice(id);
             }
--- a/crates/broker/src/codec/tests.rs
+++ b/crates/broker/src/codec/tests.rs
@@ -1,6 +1,6 @@
 //! Frames that come in pieces, and bytes that are no frame.
 
-use super::{FrameDecoder, FromNode};
+use super::{FrameDecoder, InboundFrame};
 use bytes::{BufMut, Bytes, BytesMut};
 use routing::AttemptOutcome;
 use rstest::rstest;
@@ -21,12 +21,12 @@
     }
     let response = |id: &'static str, outcome, value: &'static str| {
         let (id, value) = (Bytes::from_static(id.as_bytes()), Bytes::from_static(value.as_bytes()));
-        FromNode::Response { id, outcome, value }
+        InboundFrame::Response { id, outcome, value }
     };
     let expected = [
         response("q.3", AttemptOutcome::Succeeded, "v\n5"),
         response("q.4", AttemptOutcome::Overloaded, ""),
-        FromNode::LoadReport(Some(Bytes::from_static(b"-"))),
+        InboundFrame::LoadReport(Some(Bytes::from_static(b"-"))),
     ];
     assert_eq!(decoded, expected);
 }
--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// The system refuses the thread or its runtime.
-    pub fn begin(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
+    pub fn start(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         let PreparedRollout { client_config, restored, start_config, status_listener } = self;
         let status_address = status_listener.as_ref().map(TcpListener::local_addr).transpose()?;
         let status = PublishedStatus::new(&client_config, restored.running.version);
--- a/crates/broker/src/config_rollout_disabled.rs
+++ b/crates/broker/src/config_rollout_disabled.rs
@@ -33,7 +33,7 @@
 
 impl PreparedRollout {
     /// Can't be called, as there is no value to call it on.
-    pub fn begin(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
+    pub fn start(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         match self.never {}
     }
 }
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -123,7 +123,7 @@
         loop {
             let is_patient = !requests.has_patient();
             let time_limit =
-                if is_patient { self.limits.patient_list_timeout } else { self.limits.list_timeout };
+                if is_patient { self.limits.long_list_timeout } else { self.limits.list_timeout };
             requests.push(self.request(url, time_limit), is_patient);
             let answered = match self.limits.retry_schedule() {
                 RetrySchedule::FixedInterval(interval) => timeout(interval, requests.answered()).await.ok(),
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -57,7 +57,7 @@
 mod tests;
 
 pub use handles::{AcceptedQuery, ReservedMemory};
-pub use query::{AdmissionError, QueryOutcome, QueryRequest, RequestedShard, ShardResponse};
+pub use query::{QueryOutcome, QueryRequest, RequestedShard, ShardResponse, SubmitError};
 
 use crate::config_epoch::ConfigEpoch;
 use crate::limits::Limits;
--- a/crates/broker/src/engine/query.rs
+++ b/crates/broker/src/engine/query.rs
@@ -63,7 +63,7 @@
 
 /// Why a query was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AdmissionError {
+pub enum SubmitError {
     /// The bound on open queries or on held memory is reached, or the broker is shutting down.
     #[error("as much is held as may be")]
     Overloaded,
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -2,7 +2,7 @@
 
 use super::memory_budget::MemoryBudget;
 use super::open_query::{OpenQuery, OpenShardRequest};
-use super::{AdmissionError, QueryOutcome, QueryRequest, ShardResponse};
+use super::{QueryOutcome, QueryRequest, ShardResponse, SubmitError};
 use crate::config_epoch::ConfigEpoch;
 use crate::node_pool::AttemptId;
 use bytes::Bytes;
@@ -112,9 +112,9 @@
         request: &QueryRequest,
         epoch: Rc<ConfigEpoch>,
         times: QueryTimes,
-    ) -> Result<OpenedQuery, AdmissionError> {
+    ) -> Result<OpenedQuery, SubmitError> {
         if !self.wire_ids.insert(request.id.clone()) {
-            return Err(AdmissionError::DuplicateId);
+            return Err(SubmitError::DuplicateId);
         }
         let held_bytes = held_bytes(request);
         self.memory.reserve(held_bytes);
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -1,9 +1,7 @@
 //! The engine's interface for front ends: queries are accepted, abandoned and failed here.
 
 use super::query_table::{OpenedQuery, QueryTimes, RemovedQuery};
-use super::{
-    AcceptedQuery, AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard, ReservedMemory,
-};
+use super::{AcceptedQuery, Engine, QueryOutcome, QueryRequest, RequestedShard, ReservedMemory, SubmitError};
 use routing::{AttemptOutcome, GroupId, Input, NewQuery, NewShardRequest, QueryId, TimeSpan};
 use std::rc::Rc;
 
@@ -12,9 +10,9 @@
     ///
     /// # Errors
     ///
-    /// [`AdmissionError::Overloaded`] at a bound on open queries, shard requests or memory, or once the broker shuts
-    /// down; [`AdmissionError::DuplicateId`] while a query of the same id is open.
-    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, AdmissionError> {
+    /// [`SubmitError::Overloaded`] at a bound on open queries, shard requests or memory, or once the broker shuts
+    /// down; [`SubmitError::DuplicateId`] while a query of the same id is open.
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, SubmitError> {
         let epoch = self.epoch();
         let mut queries = self.queries.borrow_mut();
         if !queries.has_capacity_for(&request, epoch.max_open) {
@@ -22,7 +20,7 @@
                 counts.ended += 1;
                 counts.not_accepted += 1;
             });
-            return Err(AdmissionError::Overloaded);
+            return Err(SubmitError::Overloaded);
         }
         let objective_at = self.clock.now() + epoch.latency_objective(request.class, request.work);
         let times = QueryTimes { objective_at, deadline: self.clock.to_timestamp(request.deadline) };
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -1,6 +1,6 @@
 //! An attempt and the end of its query in one turn; what a broker that shuts down accepts.
 
-use super::{AdmissionError, Engine, QueryOutcome, QueryRequest, RequestedShard};
+use super::{Engine, QueryOutcome, QueryRequest, RequestedShard, SubmitError};
 use crate::limits::{Limits, Machine};
 use bytes::Bytes;
 use routing::{
@@ -68,6 +68,6 @@
         let open = engine.submit(query_request("a")).unwrap();
         assert_eq!(engine.fail_open_queries(), 1);
         assert!(matches!(open.outcome().await, QueryOutcome::Failed));
-        assert!(matches!(engine.submit(query_request("b")), Err(AdmissionError::Overloaded)));
+        assert!(matches!(engine.submit(query_request("b")), Err(SubmitError::Overloaded)));
     });
 }
--- a/crates/broker/src/http_server/routes.rs
+++ b/crates/broker/src/http_server/routes.rs
@@ -3,7 +3,7 @@
 
 use super::HttpServer;
 use super::connection::Connection;
-use crate::query_handler::{RequestError, plain, rejected};
+use crate::query_handler::{RequestError, rejection_response, text_response};
 use actix_http::header::{ALLOW, HeaderValue};
 use actix_http::{ConnectionType, Method, Payload, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -19,11 +19,11 @@
     /// Responds to one request, and decides whether its connection closes with the response.
     pub(super) async fn respond(&self, mut request: Request) -> Response<Bytes> {
         let Some(connection) = request.conn_data::<Rc<Connection>>().cloned() else {
-            return plain(StatusCode::INTERNAL_SERVER_ERROR, "a connection that is not known\n");
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "a connection that is not known\n");
         };
         if connection.is_closing() {
             // It was pipelined behind the last request that this connection answers: no response could follow.
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "the connection ends\n");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "the connection ends\n");
             response.head_mut().set_connection_type(ConnectionType::Close);
             return response;
         }
@@ -62,8 +62,8 @@
             return self.respond_to_query(request, connection, arrived).await;
         }
         match self.query_handler.engine.can_serve() {
-            true => plain(StatusCode::OK, "ready\n"),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE, "no node is known yet\n"),
+            true => text_response(StatusCode::OK, "ready\n"),
+            false => text_response(StatusCode::SERVICE_UNAVAILABLE, "no node is known yet\n"),
         }
     }
 
@@ -84,7 +84,7 @@
         arrived: Instant,
     ) -> Response<Bytes> {
         if connection.is_surplus {
-            return rejected(self.query_handler.engine.epoch().retry_after);
+            return rejection_response(self.query_handler.engine.epoch().retry_after);
         }
         let complete_body = || connection.complete_body();
         let response = self.query_handler.handle(request, arrived, complete_body).await;
--- a/crates/broker/src/limits/discovery_limits.rs
+++ b/crates/broker/src/limits/discovery_limits.rs
@@ -22,7 +22,7 @@
     /// A request for the complete list is given up after this.
     pub list_timeout: Duration,
     /// One such request is waited for this long, beside others.
-    pub patient_list_timeout: Duration,
+    pub long_list_timeout: Duration,
     /// The broker counts as notified of a change of the endpoint list after this, whether discovery was reached or
     /// not.
     pub assumed_notified_after: TimeSpan,
@@ -43,7 +43,7 @@
             watch_slack: discovery_backoff::WATCH_SLACK,
             list_retry_interval,
             list_timeout: discovery_backoff::list_timeout(kind, list_retry_interval),
-            patient_list_timeout: discovery_backoff::PATIENT_LIST_TIMEOUT,
+            long_list_timeout: discovery_backoff::PATIENT_LIST_TIMEOUT,
             assumed_notified_after: TimeSpan::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
         }
     }
--- a/crates/broker/src/node_pool/cancellation.rs
+++ b/crates/broker/src/node_pool/cancellation.rs
@@ -3,7 +3,7 @@
 use super::attempt::AttemptId;
 use super::connection::WriteProgress;
 use super::{AttemptRoute, NodePool};
-use crate::codec::ToNode;
+use crate::codec::OutboundFrame;
 use routing::{AttemptOutcome, NodeId};
 
 impl NodePool {
@@ -18,7 +18,7 @@
         if self.cancel_unwritten(attempt, outcome_unwritten) {
             return;
         }
-        connection.enqueue(ToNode::Cancel(wire_id.clone()));
+        connection.enqueue(OutboundFrame::Cancel(wire_id.clone()));
         let cancelled = connection.remove(&wire_id);
         if cancelled.is_some_and(|request| request.progress == WriteProgress::Partial) {
             connection.abort.notify_one();
--- a/crates/broker/src/node_pool/connection.rs
+++ b/crates/broker/src/node_pool/connection.rs
@@ -3,7 +3,7 @@
 use super::attempt::AttemptId;
 use super::cancelled_requests::CancelledRequests;
 use super::connection_state::ConnectionState;
-use crate::codec::ToNode;
+use crate::codec::OutboundFrame;
 use bytes::Bytes;
 use routing::{AttemptOutcome, NodeId};
 use std::cell::{Cell, RefCell};
@@ -53,7 +53,7 @@
     /// By the shard request's id on the wire.
     in_flight: RefCell<HashMap<Bytes, InFlightRequest>>,
     /// Frames of which nothing is written yet.
-    write_queue: RefCell<VecDeque<ToNode>>,
+    write_queue: RefCell<VecDeque<OutboundFrame>>,
     /// The response that waits for what follows it.
     unconfirmed_response: RefCell<Option<UnconfirmedResponse>>,
     /// Cancelled shard requests to which a response may still come.
@@ -238,30 +238,30 @@
     }
 
     /// Queues a frame, and wakes the writer.
-    pub fn enqueue(&self, frame: ToNode) {
+    pub fn enqueue(&self, frame: OutboundFrame) {
         self.write_queue.borrow_mut().push_back(frame);
         self.write_ready.notify_one();
     }
 
     /// Takes the next frame to write.
-    pub fn dequeue(&self) -> Option<ToNode> {
+    pub fn dequeue(&self) -> Option<OutboundFrame> {
         self.write_queue.borrow_mut().pop_front()
     }
 
     /// Puts a frame back at the head of the queue: nothing of it could be written.
-    pub fn requeue(&self, frame: ToNode) {
+    pub fn requeue(&self, frame: OutboundFrame) {
         self.write_queue.borrow_mut().push_front(frame);
     }
 
     /// Takes all frames of which nothing is written.
-    pub fn take_queue(&self) -> VecDeque<ToNode> {
+    pub fn take_queue(&self) -> VecDeque<OutboundFrame> {
         self.write_queue.take()
     }
 
     /// Removes a shard request from the batches that wait to be written.
     pub fn remove_from_queue(&self, wire_id: &Bytes) {
         for queued in self.write_queue.borrow_mut().iter_mut() {
-            if let ToNode::Batch(shard_requests) = queued {
+            if let OutboundFrame::Batch(shard_requests) = queued {
                 shard_requests.retain(|shard_request| shard_request.id != *wire_id);
             }
         }
--- a/crates/broker/src/node_pool/connection_task.rs
+++ b/crates/broker/src/node_pool/connection_task.rs
@@ -4,7 +4,7 @@
 use super::reader::{ConnectionEnd, ConnectionReader};
 use super::writer::ConnectionWriter;
 use super::{AttemptToSend, NodePool};
-use crate::codec::{ShardRequestMessage, ToNode};
+use crate::codec::{OutboundFrame, ShardRequestMessage};
 use crate::io_errors::is_local_shortage;
 use routing::AttemptOutcome;
 use std::io;
@@ -99,7 +99,7 @@
             return;
         }
         for frame in self.connection.take_queue() {
-            let ToNode::Batch(shard_requests) = frame else { continue };
+            let OutboundFrame::Batch(shard_requests) = frame else { continue };
             let batch: Vec<AttemptToSend> = shard_requests
                 .into_iter()
                 .filter_map(|shard_request| self.take_over(shard_request))
--- a/crates/broker/src/node_pool/reader.rs
+++ b/crates/broker/src/node_pool/reader.rs
@@ -2,7 +2,7 @@
 
 use super::NodePool;
 use super::connection::{NodeConnection, UnconfirmedResponse};
-use crate::codec::{FrameDecoder, FrameError, FromNode, is_text};
+use crate::codec::{FrameDecoder, FrameError, InboundFrame, is_text};
 use crate::interrupt_safe::InterruptSafe;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -24,7 +24,7 @@
 }
 
 /// A frame, an error in place of one, or the end of the stream.
-type NextFrame = Option<Result<FromNode, FrameError>>;
+type NextFrame = Option<Result<InboundFrame, FrameError>>;
 
 /// A frame was begun and not completed in time.
 struct StalledFrame;
@@ -94,10 +94,10 @@
     fn handle(&self, frame: NextFrame) -> ControlFlow<ConnectionEnd> {
         let node = self.connection.address;
         match frame {
-            Some(Ok(FromNode::Response { id, outcome, value })) => self.on_response(id, outcome, value),
-            Some(Ok(FromNode::LoadReport(report))) => self.on_load_report(report),
-            Some(Ok(FromNode::Pong)) => Continue(()),
-            Some(Ok(FromNode::ProtocolError(reason))) => {
+            Some(Ok(InboundFrame::Response { id, outcome, value })) => self.on_response(id, outcome, value),
+            Some(Ok(InboundFrame::LoadReport(report))) => self.on_load_report(report),
+            Some(Ok(InboundFrame::Pong)) => Continue(()),
+            Some(Ok(InboundFrame::ProtocolError(reason))) => {
                 warn!(%node, reason, "connection closed by the node: protocol error");
                 Break(ConnectionEnd::InvalidData)
             }
--- a/crates/broker/src/node_pool/sending.rs
+++ b/crates/broker/src/node_pool/sending.rs
@@ -3,7 +3,7 @@
 use super::attempt::{AttemptEnd, AttemptId, AttemptToSend};
 use super::connection::NodeConnection;
 use super::{AttemptRoute, NodePool};
-use crate::codec::ToNode;
+use crate::codec::OutboundFrame;
 use bytes::Bytes;
 use routing::{AttemptOutcome, NodeId};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
             self.enter(&connection, attempt, shard_request.id.clone());
             shard_requests.push(shard_request);
         }
-        connection.enqueue(ToNode::Batch(shard_requests));
+        connection.enqueue(OutboundFrame::Batch(shard_requests));
     }
 
     /// Ends attempts for which there is no connection; they were never in flight.
@@ -52,6 +52,6 @@
     pub fn probe(self: &Rc<Self>, node: NodeId) {
         let Some(connection) = self.connection_for(node, 0) else { return self.end_probe(node, None) };
         connection.add_pending_probe();
-        connection.enqueue(ToNode::Probe);
+        connection.enqueue(OutboundFrame::Probe);
     }
 }
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -2,7 +2,7 @@
 
 use super::NodePool;
 use super::connection::NodeConnection;
-use crate::codec::ToNode;
+use crate::codec::OutboundFrame;
 use crate::io_errors::retry_interrupted;
 use crate::socket_peek::has_peer_closed;
 use bytes::{Buf, Bytes, BytesMut};
@@ -55,7 +55,7 @@
     }
 
     /// Writes one frame, without the shard requests that have no time left.
-    async fn write_frame(&mut self, mut frame: ToNode) -> ControlFlow<()> {
+    async fn write_frame(&mut self, mut frame: OutboundFrame) -> ControlFlow<()> {
         let now = Instant::now();
         self.end_expired(&mut frame, now);
         if frame.is_empty_batch() {
@@ -114,8 +114,8 @@
 
     /// Removes the shard requests that have no time left from a batch: nobody would wait for their responses. They end
     /// as not sent, which says nothing of the node.
-    fn end_expired(&self, frame: &mut ToNode, now: Instant) {
-        let ToNode::Batch(shard_requests) = frame else { return };
+    fn end_expired(&self, frame: &mut OutboundFrame, now: Instant) {
+        let OutboundFrame::Batch(shard_requests) = frame else { return };
         shard_requests.retain(|shard_request| {
             let has_time_left = shard_request.time_left_ms(now) > 0;
             if let Some(attempt) = self.connection.attempt_of(&shard_request.id).filter(|_| !has_time_left) {
@@ -127,7 +127,7 @@
 
     /// Writes the first bytes of a frame, which says how much time is left from `now` on. `false`: the peer accepts
     /// nothing at the moment, and the frame is back in the queue.
-    fn begin_frame(&mut self, frame: ToNode, now: Instant) -> ControlFlow<(), bool> {
+    fn begin_frame(&mut self, frame: OutboundFrame, now: Instant) -> ControlFlow<(), bool> {
         self.buffer.clear();
         frame.encode(now, &mut self.buffer);
         match retry_interrupted(|| self.stream.try_write(&self.buffer)) {
--- a/crates/broker/src/query_handler.rs
+++ b/crates/broker/src/query_handler.rs
@@ -27,10 +27,10 @@
 
 pub use rejected_requests::{RejectedRequestCount, RejectedRequests};
 pub use request_error::RequestError;
-pub use responses::{plain, rejected};
+pub use responses::{rejection_response, text_response};
 
 use crate::config_epoch::ConfigEpoch;
-use crate::engine::{AdmissionError, Engine, QueryOutcome};
+use crate::engine::{Engine, QueryOutcome, SubmitError};
 use crate::limits::Limits;
 use actix_http::{HttpMessage, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -68,7 +68,7 @@
     /// Counts an error of a request, and makes its response.
     pub fn reject(&self, error: RequestError) -> Response<Bytes> {
         self.rejected_requests.count(error);
-        responses::request_error(error)
+        responses::error_response(error)
     }
 
     /// Handles one query. An error is the client's.
@@ -80,7 +80,7 @@
     ) -> Result<Response<Bytes>, RequestError> {
         let length = self.body_length_to_reserve(&request)?;
         let Some(reserved_memory) = self.engine.reserve_memory(length) else {
-            return Ok(rejected(self.engine.epoch().retry_after));
+            return Ok(rejection_response(self.engine.epoch().retry_after));
         };
         let body = self.read_body_in_time(&mut request, arrived).await?;
         on_body_complete();
@@ -90,12 +90,12 @@
         // From here on the query itself counts what it holds.
         drop((reserved_memory, body));
         if !can_be_carried(&epoch, &request, query.class) {
-            return Ok(rejected(epoch.retry_after));
+            return Ok(rejection_response(epoch.retry_after));
         }
         let outcome = match self.engine.submit(query) {
             Ok(accepted) => accepted.outcome().await,
-            Err(AdmissionError::Overloaded) => QueryOutcome::Rejected { retry_after: epoch.retry_after },
-            Err(AdmissionError::DuplicateId) => return Err(RequestError::IdInUse),
+            Err(SubmitError::Overloaded) => QueryOutcome::Rejected { retry_after: epoch.retry_after },
+            Err(SubmitError::DuplicateId) => return Err(RequestError::IdInUse),
         };
         Ok(self.response_to(outcome))
     }
@@ -125,10 +125,10 @@
     fn response_to(&self, outcome: QueryOutcome) -> Response<Bytes> {
         match outcome {
             QueryOutcome::Response { complete, responses } => {
-                responses::shard_responses(complete, &responses, self.limits.requests.max_response_bytes)
+                responses::query_response(complete, &responses, self.limits.requests.max_response_bytes)
             }
-            QueryOutcome::Rejected { retry_after } => rejected(retry_after),
-            QueryOutcome::Failed => plain(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
+            QueryOutcome::Rejected { retry_after } => rejection_response(retry_after),
+            QueryOutcome::Failed => text_response(StatusCode::BAD_GATEWAY, "the retrieval failed\n"),
         }
     }
 }
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -11,7 +11,7 @@
 
 /// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent: the
 /// query is failed.
-pub(super) fn shard_responses(
+pub(super) fn query_response(
     is_complete: bool,
     responses: &[ShardResponse],
     max_length: usize,
@@ -21,7 +21,7 @@
     let body = serde_json::to_vec(&ResponseBody { is_complete, shard_responses }).ok();
     let Some(body) = body.filter(|body| body.len() <= max_length) else {
         warn!(max_length, "response too long, query failed");
-        return plain(StatusCode::BAD_GATEWAY, "the answer is too long\n");
+        return text_response(StatusCode::BAD_GATEWAY, "the answer is too long\n");
     };
     build(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
 }
@@ -33,7 +33,7 @@
 }
 
 /// The response to a rejected query, which may be sent again. `retry_after` zero: the response has no `Retry-After`.
-pub fn rejected(retry_after: TimeSpan) -> Response<Bytes> {
+pub fn rejection_response(retry_after: TimeSpan) -> Response<Bytes> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > TimeSpan::ZERO {
         response.insert_header((RETRY_AFTER, format!("{:.4}", retry_after.as_ms() / 1000.0)));
@@ -42,7 +42,7 @@
 }
 
 /// The response to a request with a client error.
-pub(super) fn request_error(error: RequestError) -> Response<Bytes> {
+pub(super) fn error_response(error: RequestError) -> Response<Bytes> {
     let status = error.status();
     let mut response = Response::build(status);
     if status == StatusCode::PAYLOAD_TOO_LARGE || status == StatusCode::REQUEST_TIMEOUT {
@@ -53,7 +53,7 @@
 }
 
 /// A response with a text for its body.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Bytes> {
+pub fn text_response(status: StatusCode, text: &'static str) -> Response<Bytes> {
     build(&mut Response::build(status), text)
 }
 
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -60,12 +60,17 @@
     let listens = listener.local_addr()?;
     let limits = Rc::new(config.limits);
     warn_of_second_phases(&config.broker_settings);
-    let engine =
-        Engine::new(config.broker_settings, config.seed, limits.clone(), config.since, operator.admission);
+    let engine = Engine::new(
+        config.broker_settings,
+        config.seed,
+        limits.clone(),
+        config.clock_start,
+        operator.admission,
+    );
     // Where discovery is a local agent, the broker counts as notified of every drain that the agent knows, from its
     // start on. The cached list may miss one, so nothing is sent by it: the broker waits for the agent's list. The cost
     // is that `/_health` is 503 until then.
-    if let Some(known) = config.known.filter(|_| limits.discovery.kind == DiscoveryKind::Shared) {
+    if let Some(known) = config.cached_endpoints.filter(|_| limits.discovery.kind == DiscoveryKind::Shared) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
     let query_handler = QueryHandler {
@@ -77,7 +82,7 @@
     actix_rt::spawn(engine.clone().run());
     let (discovery, discovery_changes) = watch::channel(config.discovery);
     actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.discovery.clone(), discovery_changes));
-    let status = follower.map(|follower| follower.begin(engine.clone())).transpose()?.flatten();
+    let status = follower.map(|follower| follower.start(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
     info!(broker = %config.name, listen_address = %listens, "serving");
     Ok(Running { listens, engine, discovery, status, http_server })
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -89,11 +89,11 @@
     /// The text of the settings that `broker_settings` was read from.
     pub settings: String,
     /// The endpoint list that this broker had last.
-    pub known: Option<NodeList>,
+    pub cached_endpoints: Option<NodeList>,
     /// The sizes, counts and times that follow from the machine and the settings.
     pub limits: Limits,
     /// The Unix time at which its clock starts; `None`: the system's. A simulation sets it.
-    pub since: Option<Timestamp>,
+    pub clock_start: Option<Timestamp>,
 }
 
 /// Where a broker's config file is: named on the command line, or by the environment.
@@ -196,9 +196,9 @@
             seed: u64::from_str_radix(&file.seed, 16).map_err(StartupError::Seed)?,
             broker_settings,
             settings: settings.to_owned(),
-            known: file.known,
+            cached_endpoints: file.known,
             limits,
-            since: None,
+            clock_start: None,
         })
     }
 }
