--- a/crates/routing/src/policy/canary.rs
+++ b/crates/routing/src/policy/canary.rs
@@ -17,7 +17,7 @@
 const MAX_FAILURE_RATE: f64 = 0.1;
 
 /// The time constant of the decaying failure counts.
-const SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// The minimum number of attempts that the failure rate is based on; fewer attempts count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
--- a/crates/routing/src/policy/completion_probability.rs
+++ b/crates/routing/src/policy/completion_probability.rs
@@ -19,7 +19,7 @@
 const MIN_PROBABILITY: f64 = 0.03;
 
 /// The window over which overload is counted.
-const WINDOW: TimeSpan = TimeSpan::from_seconds(5);
+const WINDOW: TimeSpan = TimeSpan::from_secs(5);
 
 /// The number of slices of the window.
 const SLICES: usize = 10;
--- a/crates/routing/src/policy/give_up.rs
+++ b/crates/routing/src/policy/give_up.rs
@@ -27,5 +27,5 @@
 /// Returns the time after which a rejected client may retry, or zero if clients are not given one. Queries
 /// that are in flight now have ended after the latency objective of the class.
 pub(crate) fn retry_after(limits: &RequestLimits, latency_objective: TimeSpan) -> TimeSpan {
-    if limits.retry_after { latency_objective.min(limits.max_retry_after) } else { TimeSpan::ZERO }
+    if limits.send_retry_after { latency_objective.min(limits.max_retry_after) } else { TimeSpan::ZERO }
 }
--- a/crates/routing/src/policy/give_up/tests.rs
+++ b/crates/routing/src/policy/give_up/tests.rs
@@ -29,7 +29,7 @@
     #[case] expected: i64,
 ) {
     let limits = RequestLimits {
-        retry_after: is_told,
+        send_retry_after: is_told,
         max_retry_after: TimeSpan(max_retry_after),
         ..RequestLimits::default()
     };
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -33,13 +33,13 @@
 const MIN_LOSS_RATIO_TO_NEW: f64 = 2.0;
 
 /// The time constant of the decaying loss counts.
-const LOSS_SPAN: TimeSpan = TimeSpan::from_seconds(30);
+const LOSS_SPAN: TimeSpan = TimeSpan::from_secs(30);
 
 /// The minimum number of attempts that a loss rate is based on; fewer attempts count as this many.
 const MIN_ATTEMPTS: f64 = 10.0;
 
 /// How long the idle period of a connection that was reset is retained.
-const RESET_RETENTION: TimeSpan = TimeSpan::from_seconds(30);
+const RESET_RETENTION: TimeSpan = TimeSpan::from_secs(30);
 
 /// A connection that is lost within this number of turns was closed before the attempt and not because of it.
 const MAX_RESET_TURNS: f64 = 2.0;
@@ -73,12 +73,12 @@
 
 /// Returns whether a connection with this idle period counts as idle.
 pub(crate) fn is_idle(idle_period: TimeSpan, shortest_objective: TimeSpan) -> bool {
-    idle_period >= shortest_objective.times(MIN_IDLE_SHARE)
+    idle_period >= shortest_objective.mul_f64(MIN_IDLE_SHARE)
 }
 
 /// Returns whether an attempt was reset so soon that its connection must have been closed while idle.
 pub(crate) fn was_reset_immediately(duration: TimeSpan, turn_period: TimeSpan) -> bool {
-    duration <= turn_period.times(MAX_RESET_TURNS)
+    duration <= turn_period.mul_f64(MAX_RESET_TURNS)
 }
 
 /// Returns whether an attempt after an idle period counts as lost: it failed, or it was cancelled after its
@@ -127,7 +127,7 @@
 
     /// Returns which kind of connection the first attempt after an idle period is sent on.
     pub(crate) fn choose(&self, attempt: AttemptAfterIdle) -> ConnectionUse {
-        let max_idle_period = attempt.shortest_objective.times(MAX_IDLE_SHARE_IF_MUST_SUCCEED);
+        let max_idle_period = attempt.shortest_objective.mul_f64(MAX_IDLE_SHARE_IF_MUST_SUCCEED);
         let is_too_risky = attempt.must_succeed && attempt.idle_period > max_idle_period;
         let is_known_to_fail = self.was_reset_after(attempt.idle_period, attempt.now)
             || self.reused_connections_fail(attempt.now);
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -19,7 +19,7 @@
 
 /// The time in which the deviation of a measurement from the average decays by a factor of e, so that a node
 /// that was slow once is tried again.
-const DECAY_TIME: TimeSpan = TimeSpan::from_seconds(5);
+const DECAY_TIME: TimeSpan = TimeSpan::from_secs(5);
 
 /// The expected latency before any measurement, as a share of the shortest latency objective.
 const INITIAL_SHARE: f64 = 0.125;
@@ -37,7 +37,7 @@
 /// Returns the mean latency of the measured ready nodes, or an initial guess if none has been measured yet;
 /// it is never zero.
 pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
-    let initial = shortest_objective.times(INITIAL_SHARE);
+    let initial = shortest_objective.mul_f64(INITIAL_SHARE);
     measured.unwrap_or(initial).max(TimeSpan(1))
 }
 
@@ -57,9 +57,9 @@
     /// at least the time for which the node has answered nothing while its oldest batch has been in flight.
     pub(crate) fn of(&self, node: &Node) -> TimeSpan {
         let zone = self.nodes.zone_mean_latency(node.zone, self.average, ZONE_PRIOR_NODES);
-        let is_zone_slow = zone > self.average.times(SLOW_ZONE_RATIO);
+        let is_zone_slow = zone > self.average.mul_f64(SLOW_ZONE_RATIO);
         let usual = if is_zone_slow { zone } else { self.average };
-        node.faded_latency(self.now, usual, DECAY_TIME).max(node.silence(self.now))
+        node.decayed_latency(self.now, usual, DECAY_TIME).max(node.unresponsive_for(self.now))
     }
 }
 
@@ -78,7 +78,7 @@
         return duration;
     }
     let doublings = f64::from(1 << consecutive_failures);
-    let penalty = average.times(doublings).min(latency_objective);
+    let penalty = average.mul_f64(doublings).min(latency_objective);
     duration.max(penalty)
 }
 
--- a/crates/routing/src/policy/pressure.rs
+++ b/crates/routing/src/policy/pressure.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 /// The window over which pressure is measured.
-pub(crate) const WINDOW: TimeSpan = TimeSpan::from_seconds(5);
+pub(crate) const WINDOW: TimeSpan = TimeSpan::from_secs(5);
 
 /// The number of slices of the window; the contents of the oldest slice expire together.
 const SLICES: usize = 10;
--- a/crates/routing/src/policy/quota.rs
+++ b/crates/routing/src/policy/quota.rs
@@ -14,7 +14,7 @@
 mod tests;
 
 /// The span over which queries are counted; a count decays by a factor of e per span.
-const SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// The counter of a tenant without a quota is removed at a configuration change once its decayed count is
 /// below this number of queries.
--- a/crates/routing/src/policy/reconfiguration.rs
+++ b/crates/routing/src/policy/reconfiguration.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// The shortest latency objective assumed for a configuration without classes.
-const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan::from_seconds(5);
+const DEFAULT_OBJECTIVE: TimeSpan = TimeSpan::from_secs(5);
 
 /// Returns the configuration together with the values that policies derive from it.
 pub(crate) fn derive_config(config: BrokerConfig) -> EffectiveConfig {
--- a/crates/routing/src/policy/send_delay.rs
+++ b/crates/routing/src/policy/send_delay.rs
@@ -14,5 +14,5 @@
 /// node after the window has ended; it would then count against a later window or be executed twice. Windows
 /// are therefore enforced with this delay as a safety margin, at the cost of slightly fewer retries.
 pub(crate) fn max_send_delay(config: &BrokerConfig) -> TimeSpan {
-    config.period.times(TURNS) + config.send_lag
+    config.period.mul_f64(TURNS) + config.send_lag
 }
--- a/crates/routing/src/policy/shard_request_state/tests.rs
+++ b/crates/routing/src/policy/shard_request_state/tests.rs
@@ -1,5 +1,5 @@
 use super::{EndedAttempt, state_after};
-use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalShortage, NotSent, Succeeded};
+use crate::inputs::AttemptOutcome::{Cancelled, Errored, LocalResourceExhausted, NotSent, Succeeded};
 use crate::state::ShardRequestState::{self, Failed, Received};
 use crate::state::{QueryState, ShardRequestState as State};
 use rstest::rstest;
@@ -24,7 +24,7 @@
 )]
 #[case::was_not_sent(EndedAttempt { outcome: NotSent, ..ERRORED }, true, Failed)]
 #[case::was_cancelled_for_a_retry(EndedAttempt { outcome: Cancelled, ..ERRORED }, true, State::Queued)]
-#[case::local_resource_shortage(EndedAttempt { outcome: LocalShortage, ..ERRORED }, true, State::Queued)]
+#[case::local_resource_shortage(EndedAttempt { outcome: LocalResourceExhausted, ..ERRORED }, true, State::Queued)]
 #[case::past_the_objective(EndedAttempt { query_state: QueryState::PastObjective, ..ERRORED }, true, Failed)]
 fn next_states(#[case] ended: EndedAttempt, #[case] may_retry: bool, #[case] expected: ShardRequestState) {
     assert_eq!(state_after(ended, || may_retry), expected);
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -147,7 +147,7 @@
     /// Returns the share of the warm-up period that has elapsed; the node is warm at 1 and above.
     fn warm_up_progress(&self) -> f64 {
         let age = (self.now - self.started_at).max(TimeSpan::ZERO);
-        age.over(self.rules.warm_up_period)
+        age.ratio_to(self.rules.warm_up_period)
     }
 
     /// Returns the work that the node can do within a window if it executes one shard request at a time, in
@@ -155,7 +155,7 @@
     fn capacity(&self, warm_up_progress: f64) -> f64 {
         let initial = self.rules.initial_capacity_share;
         let capacity_share = initial + (1.0 - initial) * warm_up_progress;
-        let work = self.rules.overload_window.times(self.rules.overload_factor * capacity_share);
+        let work = self.rules.overload_window.mul_f64(self.rules.overload_factor * capacity_share);
         work.0.max(1) as f64
     }
 
@@ -169,7 +169,7 @@
     /// Draws for this shard request independently. The probability is chosen so that of the `expected` shard
     /// requests that would go to the node in an even distribution, the allowed number is sent.
     fn is_sampled(&self, mean: f64, expected: f64) -> bool {
-        let allowed = self.demand.span.over(self.rules.overload_window) * mean;
+        let allowed = self.demand.span.ratio_to(self.rules.overload_window) * mean;
         self.random_fraction(self.shard_request.0) < allowed / expected
     }
 
@@ -178,7 +178,7 @@
     fn has_accumulated(&self, mean: f64, cost_since_start: f64) -> bool {
         let since_known = self.now - self.start_known_at;
         let initial_fill = self.random_fraction(self.start_known_at.0 as u64);
-        let accumulated = since_known.over(self.rules.overload_window) * mean + initial_fill;
+        let accumulated = since_known.ratio_to(self.rules.overload_window) * mean + initial_fill;
         accumulated - cost_since_start / self.cost >= 1.0
     }
 
