--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -61,8 +61,9 @@
 
     /// Returns whether the node has answered nothing for at least the hedge delay.
     pub(crate) fn is_unresponsive(&self) -> bool {
-        let silent_since = self.node.map_or(self.sent_at, |node| node.last_success_at.max(self.sent_at));
-        self.now - silent_since >= self.hedge_delay
+        let unresponsive_since =
+            self.node.map_or(self.sent_at, |node| node.last_success_at.max(self.sent_at));
+        self.now - unresponsive_since >= self.hedge_delay
     }
 
     /// Returns the expected latency of the response, measured from when the attempt was sent.
--- a/crates/routing/src/policy/hedging/tests.rs
+++ b/crates/routing/src/policy/hedging/tests.rs
@@ -17,7 +17,7 @@
 };
 
 /// An attempt that has been in flight for 3,000, whose node has answered nothing since before it was sent.
-const SILENT: AttemptProgress = AttemptProgress {
+const UNRESPONSIVE: AttemptProgress = AttemptProgress {
     now: Timestamp(4_000),
     sent_at: Timestamp(1_000),
     node: Some(NODE),
@@ -26,8 +26,10 @@
 };
 
 /// An attempt whose node keeps answering requests that were sent before it.
-const SLOW: AttemptProgress =
-    AttemptProgress { node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }), ..SILENT };
+const SLOW: AttemptProgress = AttemptProgress {
+    node: Some(NodeProgress { last_success_at: Timestamp(3_999), ..NODE }),
+    ..UNRESPONSIVE
+};
 
 /// An attempt whose node has answered an attempt that was sent more than an average latency later.
 const OVERTAKEN: AttemptProgress = AttemptProgress {
@@ -36,10 +38,10 @@
         newest_answered_sent_at: Timestamp(2_001),
         ..NODE
     }),
-    ..SILENT
+    ..UNRESPONSIVE
 };
 
-const UNKNOWN_NODE: AttemptProgress = AttemptProgress { node: None, ..SILENT };
+const UNKNOWN_NODE: AttemptProgress = AttemptProgress { node: None, ..UNRESPONSIVE };
 
 const HEDGE: ReplacementConditions = ReplacementConditions {
     allow_hedging: true,
@@ -56,26 +58,26 @@
     ReplacementConditions { allow_hedging: false, allow_cancel: true, ..HEDGE };
 
 #[rstest]
-#[case::silent(SILENT, HEDGE, true)]
+#[case::unresponsive(UNRESPONSIVE, HEDGE, true)]
 #[case::overtaken(OVERTAKEN, HEDGE, true)]
 #[case::slow_but_answering(SLOW, HEDGE, false)]
 #[case::node_is_no_longer_listed(UNKNOWN_NODE, HEDGE, true)]
-#[case::not_yet(AttemptProgress { hedge_delay: TimeSpan(3_001), ..SILENT }, HEDGE, false)]
-#[case::has_a_hedge(SILENT, ReplacementConditions { is_only_attempt: false, ..HEDGE }, false)]
-#[case::not_safe_to_retry(SILENT, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
-#[case::no_budget(SILENT, ReplacementConditions { has_retry_budget: false, ..HEDGE }, false)]
-#[case::no_alternative_replica(SILENT, ReplacementConditions { alternative_latency: None, ..HEDGE }, false)]
+#[case::not_yet(AttemptProgress { hedge_delay: TimeSpan(3_001), ..UNRESPONSIVE }, HEDGE, false)]
+#[case::has_a_hedge(UNRESPONSIVE, ReplacementConditions { is_only_attempt: false, ..HEDGE }, false)]
+#[case::not_safe_to_retry(UNRESPONSIVE, ReplacementConditions { may_retry: false, ..HEDGE }, false)]
+#[case::no_budget(UNRESPONSIVE, ReplacementConditions { has_retry_budget: false, ..HEDGE }, false)]
+#[case::no_alternative_replica(UNRESPONSIVE, ReplacementConditions { alternative_latency: None, ..HEDGE }, false)]
 #[case::alternative_is_slower(
-    SILENT,
+    UNRESPONSIVE,
     ReplacementConditions { alternative_latency: Some(TimeSpan(3_000)), ..HEDGE },
     false
 )]
 #[case::alternative_is_too_late(
-    SILENT,
+    UNRESPONSIVE,
     ReplacementConditions { objective_at: Timestamp(5_000), ..HEDGE },
     false
 )]
-#[case::neither_allowed(SILENT, ReplacementConditions { allow_hedging: false, ..HEDGE }, false)]
+#[case::neither_allowed(UNRESPONSIVE, ReplacementConditions { allow_hedging: false, ..HEDGE }, false)]
 fn hedged(
     #[case] attempt: AttemptProgress,
     #[case] conditions: ReplacementConditions,
@@ -88,8 +90,12 @@
 /// would be lost with it, although waiting might have succeeded.
 #[rstest]
 #[case::overtaken(OVERTAKEN, CANCEL, true)]
-#[case::silent_without_being_overtaken(SILENT, CANCEL, false)]
-#[case::unresponsive(SILENT, ReplacementConditions { is_connection_unresponsive: true, ..CANCEL }, true)]
+#[case::unresponsive_but_not_overtaken(UNRESPONSIVE, CANCEL, false)]
+#[case::unresponsive_connection(
+    UNRESPONSIVE,
+    ReplacementConditions { is_connection_unresponsive: true, ..CANCEL },
+    true
+)]
 #[case::no_budget(OVERTAKEN, ReplacementConditions { has_retry_budget: false, ..CANCEL }, false)]
 #[case::not_allowed(OVERTAKEN, ReplacementConditions { allow_cancel: false, ..CANCEL }, false)]
 fn cancelled(
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -86,12 +86,12 @@
 pub(crate) fn was_lost(
     is_node_failure: bool,
     outcome: AttemptOutcome,
-    node_was_silent: bool,
+    node_was_unresponsive: bool,
     duration: TimeSpan,
     average_latency: TimeSpan,
 ) -> bool {
     let is_late = duration > average_latency;
-    is_node_failure || outcome == AttemptOutcome::Cancelled && node_was_silent && is_late
+    is_node_failure || outcome == AttemptOutcome::Cancelled && node_was_unresponsive && is_late
 }
 
 impl IdleConnectionHistory {
--- a/crates/routing/src/policy/idle_connections/tests.rs
+++ b/crates/routing/src/policy/idle_connections/tests.rs
@@ -84,18 +84,21 @@
 #[rstest]
 #[case::failed(true, ConnectionLost, false, 1, true)]
 #[case::succeeded(false, Succeeded, true, 9, false)]
-#[case::cancelled_late_and_silent(false, Cancelled, true, 6, true)]
+#[case::cancelled_late_and_unresponsive(false, Cancelled, true, 6, true)]
 #[case::cancelled_early(false, Cancelled, true, 5, false)]
 #[case::cancelled_at_an_answering_node(false, Cancelled, false, 6, false)]
 fn lost_attempts(
     #[case] is_node_failure: bool,
     #[case] outcome: AttemptOutcome,
-    #[case] node_was_silent: bool,
+    #[case] node_was_unresponsive: bool,
     #[case] duration: i64,
     #[case] expected: bool,
 ) {
     let average = TimeSpan(5);
-    assert_eq!(was_lost(is_node_failure, outcome, node_was_silent, TimeSpan(duration), average), expected);
+    assert_eq!(
+        was_lost(is_node_failure, outcome, node_was_unresponsive, TimeSpan(duration), average),
+        expected
+    );
 }
 
 #[rstest]
--- a/crates/routing/src/policy/retry_budget.rs
+++ b/crates/routing/src/policy/retry_budget.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 /// The default number of retries per accepted query and shard request.
-const DEFAULT_SHARE: f64 = 0.25;
+const DEFAULT_RATIO: f64 = 0.25;
 
 /// The default window over which retries are counted.
 const DEFAULT_WINDOW: TimeSpan = TimeSpan::from_secs(5);
@@ -23,7 +23,7 @@
 /// Returns the retry budget of a broker for which none is configured: as many retries as a shard request may
 /// have attempts, plus a share of the accepted queries and shard requests.
 pub(crate) fn default_budget(limits: &RequestLimits) -> RetryBudget {
-    RetryBudget { min_retries: limits.max_attempts.into(), ratio: DEFAULT_SHARE, window: DEFAULT_WINDOW }
+    RetryBudget { min_retries: limits.max_attempts.into(), ratio: DEFAULT_RATIO, window: DEFAULT_WINDOW }
 }
 
 /// An attempt beyond the first of a shard request.
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -21,12 +21,16 @@
 }
 
 #[rstest]
-#[case::the_floor(0, 1, true)]
-#[case::the_floor_is_spent(0, 2, false)]
-#[case::a_share_of_accepted_requests(30, 4, true)]
-#[case::the_share_is_spent(30, 5, false)]
+#[case::min_retries(0, 1, true)]
+#[case::min_retries_are_spent(0, 2, false)]
+#[case::a_ratio_of_accepted_requests(30, 4, true)]
+#[case::the_ratio_is_spent(30, 5, false)]
 #[case::no_fraction_of_a_retry(39, 5, false)]
-fn the_budget_is_a_floor_and_a_share(#[case] accepted: usize, #[case] retries: u16, #[case] expected: bool) {
+fn the_budget_is_a_minimum_and_a_ratio(
+    #[case] accepted: usize,
+    #[case] retries: u16,
+    #[case] expected: bool,
+) {
     assert_eq!(history(NOW, accepted, retries).allows_retry(&BUDGET, NOW, TimeSpan::ZERO), expected);
 }
 
--- a/crates/routing/src/policy/shard_request_state/tests.rs
+++ b/crates/routing/src/policy/shard_request_state/tests.rs
@@ -24,7 +24,7 @@
 )]
 #[case::was_not_sent(EndedAttempt { outcome: NotSent, ..ERRORED }, true, Failed)]
 #[case::was_cancelled_for_a_retry(EndedAttempt { outcome: Cancelled, ..ERRORED }, true, State::Queued)]
-#[case::local_resource_shortage(EndedAttempt { outcome: LocalResourceExhausted, ..ERRORED }, true, State::Queued)]
+#[case::local_resource_exhausted(EndedAttempt { outcome: LocalResourceExhausted, ..ERRORED }, true, State::Queued)]
 #[case::past_the_objective(EndedAttempt { query_state: QueryState::PastObjective, ..ERRORED }, true, Failed)]
 fn next_states(#[case] ended: EndedAttempt, #[case] may_retry: bool, #[case] expected: ShardRequestState) {
     assert_eq!(state_after(ended, || may_retry), expected);
