--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -150,8 +150,8 @@
         age.ratio_to(self.rules.warm_up_period)
     }
 
-    /// Returns the work that the node can do within a window if it executes one shard request at a time, in
-    /// tenths of a millisecond.
+    /// Returns the work that the node can be sent within a window without collapsing, in tenths of a
+    /// millisecond. The node is assumed to execute one shard request at a time.
     fn capacity(&self, warm_up_progress: f64) -> f64 {
         let initial = self.rules.initial_capacity_share;
         let capacity_share = initial + (1.0 - initial) * warm_up_progress;
