--- a/crates/routing/src/broker/accept.rs
+++ b/crates/routing/src/broker/accept.rs
@@ -1,4 +1,4 @@
-//! Queries and shard requests as they come in.
+//! Acceptance of new queries, shard requests and load reports.
 
 use super::Broker;
 use crate::config::Tenant;
@@ -9,7 +9,7 @@
 use crate::state::{Query, Timer};
 
 impl Broker {
-    /// Accepts a query under the newest configuration; one of a class that this does not know is failed.
+    /// Accepts a query under the newest configuration. Fails a query whose class is not configured.
     pub(super) fn accept(&mut self, new: &NewQuery) {
         let now = self.state.now;
         let config = self.config.clone();
@@ -32,7 +32,7 @@
         self.state.queries.add(Query::accept(new, config, policy, within_quota, times));
     }
 
-    /// A tenant without a quota is always within it.
+    /// Returns whether the tenant of a query is within its quota. A tenant without a quota always is.
     fn is_within_quota(&self, new: &NewQuery) -> bool {
         let brokers = self.config.broker.brokers;
         let tenant: Option<&Tenant> = self.config.broker.tenants.get(&new.tenant);
@@ -41,13 +41,13 @@
         })
     }
 
-    /// Accepts a shard request of a query that has come.
+    /// Accepts a shard request of an open query.
     pub(super) fn accept_shard_request(&mut self, new: &NewShardRequest) {
         self.state.retries.record_accepted(self.state.now);
         self.state.queries.add_shard_request(new);
     }
 
-    /// Keeps a probe's result; queries that wait for load reports are looked at again.
+    /// Records the result of a probe and marks the queries that wait for load reports for evaluation.
     pub(super) fn probe_ended(&mut self, result: &ProbeResult) {
         let report = load_probe::read_report(self.state.now, result);
         self.state.nodes.update(result.node, |node| {
--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -1,5 +1,5 @@
-//! Whether a query is sent, waits, or is rejected. The guards and actions of the table in
-//! `policy::query_life` for queries that were not sent yet.
+//! Admission: whether a query is sent, waits, or is rejected. Contains the guards and actions of the table in
+//! `policy::query_life` for queries that have not been sent yet.
 
 use super::Broker;
 use crate::effects::Effect;
@@ -13,27 +13,27 @@
 
 /// Guards.
 impl Broker {
-    /// The same query was one of death a short while ago.
+    /// Returns whether a query with the same signature has recently been quarantined as a query of death.
     pub(crate) fn is_quarantined(&self, query: &Query) -> bool {
-        // The signature is only made where there is something to compare it with.
+        // Avoids building the signature while the quarantine is empty.
         !self.state.quarantine.is_empty()
             && self.state.quarantine.contains(&query.signature(), self.state.now)
     }
 
-    /// Its replicas are to be probed for their load first.
+    /// Returns whether replicas of the query must be probed for their load before it is sent.
     pub(crate) fn needs_load_reports(&self, query: &Query) -> bool {
         let may_probe = query.config.broker.load_by_probe && query.probed_at.is_none();
         may_probe && !self.replicas_to_probe(query).is_empty()
     }
 
-    /// Load reports of its replicas are on the way and may still come in time to choose by them.
+    /// Returns whether load reports of the replicas are outstanding and may still arrive early enough to be used.
     pub(crate) fn awaits_load_reports(&self, query: &Query) -> bool {
         let objective = query.policy.latency_objective;
         let may_wait = load_probe::may_wait(query.probed_at, self.state.now, objective);
-        may_wait && self.any_replica_owes_report(query)
+        may_wait && self.has_pending_probe(query)
     }
 
-    /// It needs all of its shard requests, and has hardly a chance to get them.
+    /// Returns whether the query needs all of its shard requests and they are unlikely to succeed together.
     pub(crate) fn is_unlikely_to_complete(&self, query: &Query) -> bool {
         let overload_rate = self.state.overload_rate.read(self.state.now);
         let max_attempts = query.config.broker.limits.max_attempts;
@@ -41,7 +41,7 @@
             && completion_chance::is_unlikely(overload_rate, max_attempts, query.shard_requests.len())
     }
 
-    /// It may wait for capacity.
+    /// Returns whether the query may wait for capacity.
     pub(crate) fn may_wait(&self, query: &Query) -> bool {
         let queue = &self.state.queries.admission_queue;
         let applicant = Applicant {
@@ -55,12 +55,12 @@
         applicant.may_wait()
     }
 
-    /// It may wait for capacity, and has to.
+    /// Returns whether the query exceeds the limit and may wait for capacity.
     pub(crate) fn must_wait(&self, query: &Query) -> bool {
         self.may_wait(query) && self.exceeds_limit(query)
     }
 
-    /// It exceeds what may be in flight, or can't reach its minimum coverage.
+    /// Returns whether the query exceeds the concurrency limit or cannot reach its minimum coverage.
     pub(crate) fn exceeds_limit(&self, query: &Query) -> bool {
         let needed = self.needed_shard_requests(query);
         let out_of_reach = query.shard_requests.iter().filter(|s| self.is_out_of_reach(query, s));
@@ -75,7 +75,7 @@
         request.exceeds_limit()
     }
 
-    /// The concurrency limit for a query, in shard requests.
+    /// Returns the concurrency limit for a query, in shard requests.
     fn limit_for(&self, query: &Query, class_yield: ClassYield) -> f64 {
         let quota_share = if query.within_quota { 1.0 } else { query.config.broker.over_quota_weight };
         let own_yield = class_yield.at_min_coverage;
@@ -88,7 +88,7 @@
         ClassYield::of(policy.priority_weight, policy.min_coverage, needed, query.shard_requests.len())
     }
 
-    /// How many shard requests its minimum coverage needs.
+    /// Returns the number of shard requests that the minimum coverage of the query needs.
     fn needed_shard_requests(&self, query: &Query) -> usize {
         self.select(query, true).len()
     }
@@ -99,22 +99,22 @@
         replicas.filter(|id| load_probe::needs_probe(&self.state.nodes[*id], now, objective)).collect()
     }
 
-    fn any_replica_owes_report(&self, query: &Query) -> bool {
-        let owes_report = |id: NodeId| self.state.nodes[id].probe_sent_at.is_some();
-        query.shard_requests.iter().any(|s| self.replicas(query, s, |_| true).any(owes_report))
+    fn has_pending_probe(&self, query: &Query) -> bool {
+        let is_probe_pending = |id: NodeId| self.state.nodes[id].probe_sent_at.is_some();
+        query.shard_requests.iter().any(|s| self.replicas(query, s, |_| true).any(is_probe_pending))
     }
 }
 
-/// Records and actions.
+/// Actions, including those that only record observations.
 impl Broker {
-    /// Remembers what a query's class yields, and whether the cutoff is active for it.
+    /// Records the yield of the query's class and whether the cutoff is active for the query.
     pub(crate) fn record_class_yield(&mut self, query: &Query) {
         self.record_cutoff(query);
         let class_yield = self.class_yield(query, self.needed_shard_requests(query));
         self.state.class_yields.record(query.class, class_yield);
     }
 
-    /// Probes its replicas for their load, and looks at it again when that takes too long.
+    /// Probes the replicas of the query for their load, and schedules an evaluation in case reports are late.
     pub(crate) fn probe_replicas(&mut self, query: &mut Query) {
         let now = self.state.now;
         for node in self.replicas_to_probe(query) {
@@ -126,7 +126,7 @@
         self.state.timers.schedule(now + max_wait, Timer::AdmissionCheck(query.id));
     }
 
-    /// Sends a probe; what the node reported before no longer counts.
+    /// Sends a probe and discards the previous load report of the node.
     fn probe(&mut self, id: NodeId) {
         let now = self.state.now;
         self.state.nodes.update(id, |node| {
@@ -136,13 +136,14 @@
         self.state.effects.push(Effect::Probe { node: id });
     }
 
-    /// Lets it wait in the admission queue.
+    /// Adds the query to the admission queue and schedules its next evaluation.
     pub(crate) fn enqueue(&mut self, query: &mut Query) {
         self.state.queries.admission_queue.insert(query.id);
         self.poll(query.policy.latency_objective, Timer::AdmissionCheck(query.id));
     }
 
-    /// Rejects it. What is rejected counts as overload, so that pressure rises and the cutoff sets in.
+    /// Rejects the query. The rejected shard requests count as overload, so that pressure rises and the cutoff
+    /// becomes active.
     pub(crate) fn reject(&mut self, query: &mut Query) {
         let needed = self.needed_shard_requests(query) as f64;
         self.state.pressure.record(self.state.now, query.within_quota, needed, needed);
--- a/crates/routing/src/broker/attempt_ended.rs
+++ b/crates/routing/src/broker/attempt_ended.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its query, its node and its connection.
+//! Processing of ended attempts: updates their query, their node and the statistics of connections and load.
 
 use super::Broker;
 use crate::inputs::{AttemptOutcome, AttemptResult};
@@ -15,13 +15,13 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl Broker {
-    /// An attempt has ended: what it tells is learned, and its query moves on.
+    /// Records the result of an attempt and advances its query.
     pub(super) fn attempt_ended(&mut self, result: &AttemptResult) {
         let meaning = result.outcome.meaning();
         let id = AttemptId { shard_request: result.shard_request, number: result.attempt };
         let attempt = self.state.queries.in_flight.remove(&id);
         if let Some(attempt) = &attempt {
-            self.learn(attempt, result, meaning);
+            self.record_outcome(attempt, result, meaning);
         }
         if meaning.execution == Execution::Unsent {
             self.state.retries.withdraw(id);
@@ -62,10 +62,10 @@
         state_after(ended, || self.may_retry(query, index, false))
     }
 
-    fn learn(&mut self, attempt: &InFlightAttempt, result: &AttemptResult, meaning: OutcomeMeaning) {
+    fn record_outcome(&mut self, attempt: &InFlightAttempt, result: &AttemptResult, meaning: OutcomeMeaning) {
         let now = self.state.now;
         if meaning.execution != Execution::Unsent {
-            self.learn_of_connection(attempt, result, meaning);
+            self.record_connection_outcome(attempt, result, meaning);
         }
         if result.outcome.tells_of_load() {
             let overloaded = f64::from(u8::from(meaning.is_overload));
@@ -77,7 +77,7 @@
         if result.outcome == AttemptOutcome::Succeeded {
             self.state.baselines.record(attempt.class, result.duration);
         }
-        self.learn_of_node(attempt, result, meaning);
+        self.record_node_outcome(attempt, result, meaning);
     }
 
     fn adapt_concurrency_limit(&mut self, attempt: &InFlightAttempt, duration: TimeSpan) {
@@ -90,8 +90,8 @@
         self.state.concurrency_limit.adapt(sample, self.config.broker.limits.max_open);
     }
 
-    /// Counts whether an attempt after an idle period was lost with its connection.
-    fn learn_of_connection(
+    /// Records whether an attempt after an idle period was lost together with its connection.
+    fn record_connection_outcome(
         &mut self,
         attempt: &InFlightAttempt,
         result: &AttemptResult,
@@ -118,8 +118,13 @@
         }
     }
 
-    /// Learns a node's latency, failures and successes.
-    fn learn_of_node(&mut self, attempt: &InFlightAttempt, result: &AttemptResult, meaning: OutcomeMeaning) {
+    /// Updates the latency, failures and successes of the attempt's node.
+    fn record_node_outcome(
+        &mut self,
+        attempt: &InFlightAttempt,
+        result: &AttemptResult,
+        meaning: OutcomeMeaning,
+    ) {
         let (now, average) = (self.state.now, self.average_latency());
         self.state.nodes.update(attempt.node, |node| {
             node.end_attempt_of(attempt.batch);
@@ -131,7 +136,7 @@
         });
     }
 
-    /// Counts an attempt in flight that is silent on a reused connection, once.
+    /// Counts an unresponsive attempt on a reused connection. Counts each attempt at most once.
     pub(super) fn record_unresponsive(&mut self, id: AttemptId) {
         let attempt = self.state.queries.in_flight.get_mut(&id);
         let Some(attempt) = attempt.filter(|attempt| attempt.on_reused_connection()) else { return };
@@ -141,7 +146,8 @@
         }
     }
 
-    /// An attempt in flight was counted as silent on a reused connection, and such connections fail.
+    /// Returns whether the attempt was counted as unresponsive on a reused connection and reused connections
+    /// currently fail.
     pub(super) fn is_connection_unresponsive(&self, id: AttemptId) -> bool {
         let attempt = self.state.queries.in_flight.get(&id);
         attempt.is_some_and(|attempt| attempt.counted_unresponsive)
--- a/crates/routing/src/broker/endpoints.rs
+++ b/crates/routing/src/broker/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: taking it in, and asking for it.
+//! Processing of endpoint lists, and requests for new ones.
 
 use super::Broker;
 use crate::effects::Effect;
@@ -7,7 +7,7 @@
 use crate::state::Timer;
 
 impl Broker {
-    /// Takes an endpoint list in.
+    /// Applies an endpoint list to the node table.
     pub(super) fn apply_endpoint_list(&mut self, list: &EndpointList) {
         let (now, has_list, wall_clock) =
             (self.state.now, self.state.endpoint_list.has_list, list.wall_clock);
@@ -17,7 +17,7 @@
         self.state.endpoint_list.record_list(list.kind);
     }
 
-    /// Watches the endpoint list, and asks once more later where nothing has come at all.
+    /// Requests the endpoint list if it is stale, and schedules another request in case discovery does not answer.
     pub(super) fn watch_endpoints(&mut self) {
         if self.state.endpoint_list.is_stale {
             self.state.effects.push(Effect::WatchEndpoints);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A call for the list failed: the next one comes later.
+    /// Records a failed request for the list and schedules the next one after a backoff.
     pub(super) fn endpoint_list_failed(&mut self) {
         let max_age = self.config.broker.rules.endpoint_list_max_age;
         let failures = self.state.endpoint_list.failures;
--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -1,5 +1,5 @@
-//! How queries end, and what their ends read of them. The guards and actions of the table in
-//! `policy::query_life` for queries that were sent.
+//! Completion of queries: responses, rejections and failures. Contains the guards and actions of the table in
+//! `policy::query_life` for queries that have been sent.
 
 use super::Broker;
 use crate::config::Idempotency;
@@ -12,42 +12,42 @@
 
 /// Guards.
 impl Broker {
-    /// Its other shard requests wait for the canary's response.
+    /// Returns whether the other shard requests of the query wait for the canary's response.
     pub(crate) fn awaits_canary(&self, query: &Query) -> bool {
         query.canary_in_flight
     }
 
-    /// A response is due now.
+    /// Returns whether to respond now.
     pub(crate) fn is_response_due(&self, query: &Query) -> bool {
         coverage::is_settled(query, self.state.now)
     }
 
-    /// What has been received is enough for a response.
+    /// Returns whether the received responses reach the minimum coverage.
     pub(crate) fn has_min_coverage(&self, query: &Query) -> bool {
         coverage::has_min_coverage(query)
     }
 
-    /// Unsent shard requests can make up for those that failed.
+    /// Returns whether unsent shard requests can replace the failed ones.
     pub(crate) fn can_substitute(&self, query: &Query) -> bool {
         coverage::can_substitute(query)
     }
 
-    /// The minimum coverage is missed whatever still comes in.
+    /// Returns whether the minimum coverage cannot be reached even if all shard requests in flight succeed.
     pub(crate) fn misses_min_coverage(&self, query: &Query) -> bool {
         coverage::is_hopeless(query)
     }
 
-    /// A response after the latency objective is worth waiting for.
+    /// Returns whether a response after the latency objective is worth waiting for.
     pub(crate) fn is_late_useful(&self, query: &Query) -> bool {
         coverage::is_late_useful(query)
     }
 
-    /// A response after the latency objective is no longer worth waiting for.
+    /// Returns whether a response after the latency objective is no longer worth waiting for.
     pub(crate) fn is_late_useless(&self, query: &Query) -> bool {
         !coverage::is_late_useful(query)
     }
 
-    /// A second phase follows.
+    /// Returns whether a second phase follows.
     pub(crate) fn has_next_phase(&self, query: &Query) -> bool {
         query.has_next_phase()
     }
@@ -55,21 +55,21 @@
 
 /// Actions.
 impl Broker {
-    /// Responds with what has been received.
+    /// Responds to the query with the shard responses received so far.
     pub(crate) fn respond(&mut self, query: &mut Query) {
         let complete = coverage::is_complete(query);
         self.state.effects.push(Effect::Respond { query: query.id, complete });
         query.first_phase_complete |= complete && !query.in_second_phase;
     }
 
-    /// Ends the first phase; its shard requests are forgotten.
+    /// Ends the first phase and removes its shard requests.
     pub(crate) fn end_phase(&mut self, query: &mut Query) {
         self.cancel_attempts(query);
-        self.state.queries.forget_first_phase(query);
+        self.state.queries.remove_first_phase(query);
         query.in_second_phase = true;
     }
 
-    /// Ends a query without a response.
+    /// Ends the query without a response: rejects it if it may safely be sent again, and fails it otherwise.
     pub(crate) fn give_up(&mut self, query: &mut Query) {
         if self.is_query_of_death(query) {
             self.quarantine(query);
@@ -95,15 +95,15 @@
         self.state.effects.push(Effect::Log(LogEvent::QueryQuarantined { lost_nodes }));
     }
 
-    /// Forgets a query that has finished.
-    pub(super) fn forget_query(&mut self, query: &Query) {
+    /// Removes the index entries, timers and attempts in flight of a finished query.
+    pub(super) fn remove_query(&mut self, query: &Query) {
         self.cancel_attempts(query);
-        self.state.queries.forget(query);
+        self.state.queries.remove_index_entries(query);
         self.state.timers.cancel(query.times.objective_at, Timer::Objective(query.id));
         self.state.timers.cancel(query.times.deadline_at, Timer::Deadline(query.id));
     }
 
-    /// Cancels what a query has in flight, where that is allowed.
+    /// Cancels the attempts in flight of a query, if its limits allow cancellation.
     fn cancel_attempts(&mut self, query: &Query) {
         if !query.config.broker.limits.allow_cancel {
             return;
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -1,14 +1,14 @@
-//! The broker's event loop. It takes in what has come, gathers the inputs of the rules in `policy`, calls
-//! them, and keeps what they decide as effects. A file for each step:
+//! Event loop of the broker. It handles inputs, collects the inputs of the rules in `policy`, calls the rules, and
+//! returns their decisions as effects. Each step has its own file:
 //!
-//! - `accept`: a query comes in and gets its times, its configuration and its place.
-//! - `admit`: whether it is sent, waits or is rejected.
-//! - `select`: which of its shard requests are sent.
-//! - `send`: attempts, retries and hedges.
-//! - `attempt_ended`: what the end of an attempt says of its query, node and connection.
-//! - `finish`: responses, rejections and failures.
-//! - `nodes`: what is known of nodes as the rules read it.
-//! - `endpoints`, `reconfigure`: the endpoint list, and changes of the configuration.
+//! - `accept`: accepts queries and determines their objective, deadline and configuration.
+//! - `admit`: decides whether a query is sent, waits or is rejected.
+//! - `select`: selects the shard requests to send.
+//! - `send`: sends attempts, retries and hedges.
+//! - `attempt_ended`: processes the results of attempts.
+//! - `finish`: responds to queries, rejects them or fails them.
+//! - `nodes`: provides the state of nodes to the rules.
+//! - `endpoints`, `reconfigure`: process endpoint lists and configuration changes.
 
 mod accept;
 mod admit;
@@ -34,11 +34,11 @@
 use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
-/// The routing decisions of one broker, made from nothing but what that broker was told.
+/// Routing state machine of one broker. Its decisions depend only on its configuration, its seed and its inputs.
 ///
-/// Make it with [`Broker::start`], give [`Broker::turn`] all that has come in, and carry out what comes back.
+/// Create it with [`Broker::start`], pass new inputs to [`Broker::turn`], and carry out the returned effects.
 pub struct Broker {
-    /// The configuration under which queries are accepted now; each keeps its own to its end.
+    /// Configuration for new queries. Each open query keeps the one under which it was accepted.
     config: Arc<EffectiveConfig>,
     rng: fastrand::Rng,
     seed: u64,
@@ -46,8 +46,8 @@
 }
 
 impl Broker {
-    /// A broker that has just started and knows nothing but its configuration. `seed` is where its chance
-    /// comes from, `now` the moment by the clock of all later turns.
+    /// Creates a broker without nodes or queries. All its random numbers derive from `seed`, and `now` must come
+    /// from the clock that all later turns use.
     pub fn start(config: BrokerConfig, seed: u64, now: Timestamp) -> Broker {
         let limit = ConcurrencyLimit::initial(config.limits.max_open);
         let mut state = BrokerState::new(now, seed, limit);
@@ -57,8 +57,8 @@
         Broker { config: Arc::new(derive_config(config)), rng: fastrand::Rng::with_seed(seed), seed, state }
     }
 
-    /// Takes in all that has come since the last turn, in order, and tells what to do at this same moment, in
-    /// order.
+    /// Handles the inputs since the last turn, in order, and fires the timers that are due. Returns the effects
+    /// that the front end must carry out now, in order.
     pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         self.begin_turn(now);
         for input in inputs {
@@ -87,7 +87,7 @@
         let max_window = windows.max().unwrap_or_default();
         let send_delay = self.max_send_delay();
         self.state.retries.forget(now, max_window, send_delay);
-        // Remembered for as long as the retry budget remembers what was accepted.
+        // Kept for as long as the retry budget keeps accepted requests.
         self.state.recent_shard_requests.forget_before(now - max_window + send_delay);
     }
 
@@ -112,14 +112,14 @@
             Timer::Deadline(id) => self.advance(id, QueryEvent::DeadlineNear),
             Timer::AttemptCheck(attempt) => self.check_attempt(attempt),
             Timer::Resend(shard_request) => self.state.queries.to_send.push(shard_request),
-            // Looked at as after a response: what has come may be enough now.
+            // Evaluated as after a response, because the responses received so far may be sufficient now.
             Timer::FirstPhaseEnd(id) => self.advance(id, QueryEvent::ResponseReceived),
             Timer::AdmissionCheck(id) => self.advance(id, QueryEvent::Reevaluate),
             Timer::WatchEndpoints => self.watch_endpoints(),
         }
     }
 
-    /// Takes a query through the rows of [`TABLE`] that an event calls for.
+    /// Applies the rows of [`TABLE`] that match an event to a query.
     fn advance(&mut self, id: QueryId, event: QueryEvent) {
         let Some(mut query) = self.state.queries.take(id) else { return };
         for row in TABLE {
@@ -136,7 +136,7 @@
             }
         }
         match query.state {
-            QueryState::Finished => self.forget_query(&query),
+            QueryState::Finished => self.remove_query(&query),
             QueryState::Responded => {
                 self.state.queries.put(query);
                 self.advance(id, QueryEvent::ResponseSent);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Sends the queued shard requests; those of one turn to one node share a batch.
+    /// Sends the queued shard requests. Those of the same turn to the same node share a batch.
     fn send_queued(&mut self) {
         let queries = &mut self.state.queries;
         self.state.in_flight_this_turn = (queries.in_flight.len() + queries.to_send.len()) as f64;
@@ -165,18 +165,19 @@
         self.state.nodes.close_batches();
     }
 
-    /// The newest configuration, and older ones that still bind: what may be done is what all of them allow.
+    /// Returns the newest configuration and the former ones that still apply. An action is permitted only if all
+    /// of them allow it.
     fn binding_configs(&self) -> impl Iterator<Item = &EffectiveConfig> {
         let superseded = self.state.superseded_configs.iter().map(|superseded| &*superseded.config);
         std::iter::once(&*self.config).chain(superseded)
     }
 
-    /// The longest way of an attempt to its node.
+    /// Returns the maximum time from a decision to send an attempt to its arrival at the node.
     fn max_send_delay(&self) -> TimeSpan {
         max_send_delay(&self.config.broker)
     }
 
-    /// Schedules a timer for the next look at something that waits.
+    /// Schedules `timer` after the polling interval for `latency_objective`.
     fn poll(&mut self, latency_objective: TimeSpan, timer: Timer) {
         let at = self.state.now + polling::interval(latency_objective);
         self.state.timers.schedule(at, timer);
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -1,4 +1,4 @@
-//! What is known of nodes, as the rules read it.
+//! State of nodes in the form that the rules use.
 
 use super::Broker;
 use crate::effective_config::EffectiveConfig;
@@ -12,18 +12,18 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl Broker {
-    /// The smoothed latency over all nodes, or a guess before any was measured.
+    /// Returns the mean smoothed latency of the ready nodes, or an initial estimate if none has been measured.
     pub(super) fn average_latency(&self) -> TimeSpan {
         average_latency(self.state.mean_latency, self.config.shortest_objective)
     }
 
-    /// Estimates nodes' latencies now.
+    /// Returns an estimator of the current latencies of nodes.
     pub(super) fn latencies(&self) -> LatencyEstimate<'_> {
         LatencyEstimate { nodes: &self.state.nodes, now: self.state.now, average: self.average_latency() }
     }
 
-    /// The ready nodes that hold a shard request's shard and are usable, as far as this broker chooses among
-    /// them.
+    /// Returns the usable ready nodes that hold the shard of a shard request, limited to the replicas among which
+    /// this broker chooses.
     pub(super) fn replicas<'a>(
         &'a self,
         query: &'a Query,
@@ -34,7 +34,7 @@
         self.state.nodes.replicas(groups, query.config.max_group_replicas, is_usable)
     }
 
-    /// Chooses the replica that a shard request goes to.
+    /// Chooses the replica for the next attempt of a shard request, or returns `None` if none may receive it.
     pub(super) fn choose_replica(&mut self, query: &Query, index: usize) -> Option<NodeId> {
         let shard_request = &query.shard_requests[index];
         let is_usable = |id| !shard_request.is_in_flight_at(id) && self.may_receive(id, shard_request);
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Whether a node is warming up, by the longest period of the configurations that bind.
+    /// Returns whether a node is warming up, by the longest period of all configurations that apply.
     pub(super) fn is_warming_up(&self, id: NodeId) -> bool {
         let periods = self.binding_configs().map(|config| config.broker.rules.warm_up_period);
         let warm_up_period = periods.max().unwrap_or_default();
         slow_start::is_warming_up(self.state.nodes[id].started_at, self.state.now, warm_up_period)
     }
 
-    /// Whether a node may receive a shard request, under every configuration that binds.
+    /// Returns whether slow start allows a node to receive a shard request, under all configurations that apply.
     pub(super) fn may_receive(&self, id: NodeId, shard_request: &ShardRequest) -> bool {
         !self.is_warming_up(id)
             || self.binding_configs().all(|config| self.slow_start_allows(config, id, shard_request))
@@ -91,8 +91,9 @@
         })
     }
 
-    /// The connection that an attempt goes out on, where it is the first after an idle period of its node or
-    /// shares its batch with that. Where idle connections are not trusted, they are closed.
+    /// Chooses the connection of an attempt that is the first after an idle period of its node, or that shares a
+    /// batch with such an attempt. Returns `None` for other attempts. Closes the idle connections of the node if
+    /// they are not to be reused.
     pub(super) fn choose_connection(
         &mut self,
         id: NodeId,
--- a/crates/routing/src/broker/reconfigure.rs
+++ b/crates/routing/src/broker/reconfigure.rs
@@ -1,4 +1,4 @@
-//! A new configuration while queries are open.
+//! Configuration changes while queries are open.
 
 use super::Broker;
 use crate::config::BrokerConfig;
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 impl Broker {
-    /// Puts a configuration in force for queries that are accepted from now on. The one before binds on
-    /// beside it for a while.
+    /// Applies a configuration to queries that are accepted from now on. The rules of the previous configuration
+    /// also apply until its binding period ends.
     pub(super) fn reconfigure(&mut self, config: BrokerConfig) {
         let old = std::mem::replace(&mut self.config, Arc::new(derive_config(config)));
         let now = self.state.now;
--- a/crates/routing/src/broker/select.rs
+++ b/crates/routing/src/broker/select.rs
@@ -1,4 +1,4 @@
-//! Which shard requests of a query are sent.
+//! Selection of the shard requests to send.
 
 use super::Broker;
 use crate::effects::Effect;
@@ -7,8 +7,8 @@
 use crate::state::{Query, ShardRequest, ShardRequestState};
 
 impl Broker {
-    /// Queues what the cutoff leaves and the concurrency limit has room for; while nodes fail, a canary
-    /// request first.
+    /// Queues the shard requests that the cutoff and the concurrency limit allow. While nodes fail, queues only a
+    /// canary request at first.
     pub(crate) fn send(&mut self, query: &mut Query) {
         self.record_cutoff(query);
         query.canary_in_flight = self.wants_canary(query);
@@ -35,13 +35,13 @@
         cutoff::limit_to_capacity(query, selected, in_flight, limit)
     }
 
-    /// Queues a shard request to be sent at the end of this turn.
+    /// Queues a shard request to be sent at the end of the current turn.
     pub(super) fn queue(&mut self, query: &mut Query, index: usize) {
         self.state.recent_shard_requests.record(self.state.now);
         self.state.queries.queue(&mut query.shard_requests[index]);
     }
 
-    /// The indices of the shard requests to send, in the order of sending.
+    /// Returns the indices of the shard requests to send, in sending order.
     pub(super) fn select(&self, query: &Query, min_coverage_only: bool) -> Vec<usize> {
         let base = cutoff::base(self.pressure_for(query));
         cutoff::select_shard_requests(query, base, min_coverage_only, |shard_request| {
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Whether no replica can answer a shard request in time.
+    /// Returns whether no replica can answer a shard request in time.
     pub(super) fn is_out_of_reach(&self, query: &Query, shard_request: &ShardRequest) -> bool {
         let in_flight = self.state.queries.in_flight.len();
         let ignores_failures = reach::ignores_failures(query.probed_at.is_some(), in_flight);
@@ -66,7 +66,7 @@
         self.state.pressure.for_query(self.state.now, query.within_quota)
     }
 
-    /// Remembers whether the cutoff is active for a query that is decided on, and logs when that changes.
+    /// Records whether the cutoff is active for a query, and logs a change.
     pub(super) fn record_cutoff(&mut self, query: &Query) {
         let pressure = self.pressure_for(query);
         let is_active = cutoff::is_active(pressure);
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -1,5 +1,4 @@
-//! Attempts: sending queued shard requests, looking at attempts that are silent, and the conditions of
-//! another attempt.
+//! Sending of attempts, checks of attempts without a response, and conditions for further attempts.
 
 use super::Broker;
 use crate::effective_config::ClassPolicy;
@@ -18,8 +17,8 @@
 
 /// Sending.
 impl Broker {
-    /// Sends a queued shard request, or leaves it queued while no replica may have it or the retry budget is
-    /// spent. It fails where another attempt is no longer harmless, or its query brings nodes down.
+    /// Sends a queued shard request. Leaves it queued while no replica may receive it or the retry budget is
+    /// exhausted. Fails it if another attempt is not permitted or its query makes nodes fail.
     pub(super) fn send_attempt(&mut self, query: &mut Query, index: usize) {
         let is_retry = query.shard_requests[index].was_attempted();
         let in_flight_weight = query.weight_in(&[ShardRequestState::InFlight]);
@@ -29,7 +28,8 @@
             return;
         }
         let may_send = hold == RetryHold::Free && (!is_retry || self.has_retry_budget());
-        // Drawn also where it may not be sent, so that the chance of later decisions does not depend on that.
+        // Chosen even if nothing may be sent, so that the number of random draws, and with it later decisions, does
+        // not depend on `may_send`.
         let replica = self.choose_replica(query, index);
         match replica.filter(|_| may_send) {
             Some(node) => self.send_to(query, index, node),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A shard request with another attempt in flight goes on waiting for that.
+    /// Moves a shard request that is not sent now to `state`, or back to `InFlight` if another attempt is in flight.
     fn leave_unsent(&mut self, query: &mut Query, index: usize, state: ShardRequestState) {
         let shard_request = &mut query.shard_requests[index];
         let is_in_flight = shard_request.attempts_in_flight() > 0;
@@ -57,7 +57,7 @@
         self.state.timers.schedule(check_at, Timer::AttemptCheck(attempt));
     }
 
-    /// Enters an attempt in its node's batch, in its shard request and in the retry budget.
+    /// Records an attempt in the batch of its node, in its shard request and in the retry budget.
     fn record_attempt(&mut self, query: &mut Query, index: usize, node: NodeId) -> AttemptId {
         let now = self.state.now;
         let connection = self.choose_connection(node, !query.allows_partial());
@@ -86,26 +86,26 @@
     }
 }
 
-/// Another attempt.
+/// Retries and hedges.
 impl Broker {
-    /// How long an attempt may be silent before another is considered.
+    /// Returns the time without a response after which another attempt is considered.
     fn hedge_delay(&self, latency_objective: TimeSpan) -> TimeSpan {
         hedge_delay(self.average_latency(), latency_objective)
     }
 
-    /// Looks at an attempt that has been in flight for the hedge delay, and again until it ends or is
-    /// replaced.
+    /// Checks whether to replace an attempt that has been in flight for the hedge delay. The check repeats until
+    /// the attempt ends or is replaced.
     pub(super) fn check_attempt(&mut self, id: AttemptId) {
         let Some((mut query, index)) = self.state.queries.take_by_shard_request(id.shard_request) else {
             return;
         };
         if query.state == QueryState::InFlight && query.shard_requests[index].awaits(id.number) {
-            self.replace_if_lost(&mut query, index, id);
+            self.replace_if_unresponsive(&mut query, index, id);
         }
         self.state.queries.put(query);
     }
 
-    fn replace_if_lost(&mut self, query: &mut Query, index: usize, id: AttemptId) {
+    fn replace_if_unresponsive(&mut self, query: &mut Query, index: usize, id: AttemptId) {
         let attempt = self.silent_attempt(query, index, id);
         if attempt.is_silent() {
             self.record_unresponsive(id);
@@ -114,7 +114,7 @@
         let conditions = self.replacement_conditions(query, index, id, other);
         if !should_replace(&attempt, conditions) {
             self.poll(query.times.latency_objective, Timer::AttemptCheck(id));
-            // The canary has had its time: the others no longer wait for it.
+            // The canary has used its hedge delay, so the other shard requests no longer wait for it.
             if query.canary_in_flight {
                 self.send(query);
             }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The conditions under which an attempt is replaced by one at another replica.
+    /// Returns the conditions that decide whether an attempt is replaced by one at another replica.
     fn replacement_conditions(
         &self,
         query: &Query,
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Whether another attempt of a shard request is harmless and within the limit of attempts. `is_hedge`:
-    /// an attempt may still be in flight.
+    /// Returns whether another attempt of a shard request is harmless and within the attempt limit. With
+    /// `with_in_flight`, attempts in flight count as possibly executed.
     pub(super) fn may_retry(&self, query: &Query, index: usize, with_in_flight: bool) -> bool {
         let shard_request = &query.shard_requests[index];
         let first_executed_at = shard_request.earliest_execution(with_in_flight);
@@ -176,7 +176,7 @@
             && policies.all(|policy| is_repeat_harmless(policy, first_executed_at, arrives_at))
     }
 
-    /// The policies of its class that bind a query.
+    /// Returns the class policies that apply to a query.
     pub(super) fn binding_policies<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = &'a ClassPolicy> {
         let current = self.config.classes.get(&query.class).map(|policy| &**policy);
         idempotency::binding_policies(&query.policy, current)
@@ -191,14 +191,14 @@
         }
     }
 
-    /// Whether the retry budget covers one more attempt, under every configuration that binds.
+    /// Returns whether the retry budgets of all configurations that apply allow one more attempt.
     fn has_retry_budget(&self) -> bool {
         let (now, send_delay) = (self.state.now, self.max_send_delay());
         self.binding_configs()
             .all(|config| self.state.retries.allows_retry(&config.retry_budget, now, send_delay))
     }
 
-    /// Whether a query brings down the nodes that execute it.
+    /// Returns whether a query appears to make the nodes that execute it fail.
     pub(super) fn is_query_of_death(&self, query: &Query) -> bool {
         is_query_of_death(query.lost_nodes.len(), query.weight_in(&[ShardRequestState::Received]))
     }
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,103 +1,106 @@
-//! The configuration of a broker: how the service is to be served.
+//! Configuration of a broker: request classes, tenants, shard layout, limits and safety rules.
 
 use crate::ids::{ClassId, PlacementGroupId, ShardId, TenantId, ZoneId};
 use crate::time::TimeSpan;
 use std::collections::BTreeMap;
 
-/// Everything that a broker is configured with, at its start and anew with
-/// [`Input::Config`](crate::Input::Config). A configuration itself never changes: a query keeps the one under
-/// which it was accepted. Ids of classes and tenants stay with what they name for as long as the broker runs:
-/// one that is dropped from a configuration leaves a gap.
+/// Complete configuration of a broker, passed to [`Broker::start`](crate::Broker::start) and replaced by
+/// [`Input::Config`](crate::Input::Config).
+///
+/// A query keeps the configuration under which it was accepted. The id of a class or a tenant refers to the same
+/// class or tenant for the lifetime of the broker; the id of a removed one is not reused.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerConfig {
-    /// How many brokers serve together.
+    /// Number of brokers that share the load, including this one.
     pub brokers: u32,
-    /// The zone of this broker.
+    /// Zone in which this broker runs.
     pub zone: ZoneId,
-    /// The least time between two turns.
+    /// Minimum time between two turns.
     pub period: TimeSpan,
-    /// The longest that an attempt may take from its turn to its node.
+    /// Maximum time between the turn that sends an attempt and its arrival at the node.
     pub send_lag: TimeSpan,
-    /// The request classes.
+    /// Request classes that this broker accepts; queries of other classes fail.
     pub classes: BTreeMap<ClassId, RequestClass>,
-    /// The tenants that have a quota.
+    /// Tenants that have a quota; queries of other tenants are not limited by one.
     pub tenants: BTreeMap<TenantId, Tenant>,
-    /// A query beyond its tenant's quota is worth this share of its priority weight.
+    /// Factor that is applied to the priority weight of a query whose tenant exceeds its quota.
     pub over_quota_weight: f64,
-    /// Which nodes hold which shard.
+    /// Assignment of shards to placement groups.
     pub layout: ShardLayout,
-    /// Bounds on what is open and sent.
+    /// Limits on open requests, attempts and rejections.
     pub limits: RequestLimits,
-    /// Rules that must hold.
+    /// Safety rules for sending requests to nodes.
     pub rules: SafetyRules,
-    /// Endpoint lists come only to those who watch them.
+    /// Whether the broker has to request endpoint lists with
+    /// [`Effect::WatchEndpoints`](crate::Effect::WatchEndpoints); otherwise it receives them unrequested.
     pub watch_on_request: bool,
-    /// Nodes may be probed, and report their load only then.
+    /// Whether nodes report their load only in response to a probe.
     pub load_by_probe: bool,
-    /// What a query that fails after its latency objective costs, as a share of its priority weight.
+    /// Cost of a query that fails after its latency objective, as a fraction of its priority weight.
     pub late_failure_cost: f64,
 }
 
-/// A kind of query.
+/// Latency, coverage and idempotency requirements of one kind of query.
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
-    /// A response within this time is on time.
+    /// Time within which a response counts as on time.
     pub latency_objective: TimeSpan,
-    /// Extra time, as a multiple of the work that a query is expected to be.
+    /// Factor by which the expected work of a query extends its latency objective.
     pub objective_stretch: f64,
-    /// A response after this time is useless.
+    /// Time after which a response has no value.
     pub deadline: TimeSpan,
-    /// What a query served on time is worth, beside those of other classes.
+    /// Value of a query that is served on time, relative to queries of other classes.
     pub priority_weight: f64,
-    /// The share of the priority weight that a response after the latency objective is worth.
+    /// Fraction of the priority weight that remains for a response after the latency objective.
     pub late_weight_share: f64,
-    /// The least weight that a response may cover, from 0 to 1.
+    /// Minimum coverage of a response, from 0 to 1.
     pub min_coverage: f64,
-    /// The weight from which a response is complete, from 0 to 1.
+    /// Coverage from which a response counts as complete, from 0 to 1.
     pub complete_coverage: f64,
-    /// Shard requests of a second phase, asked for after the first response; 0: there is none.
+    /// Number of shard requests in the second phase, which follows the first response; 0 if the class has one
+    /// phase.
     pub second_phase_shard_requests: u32,
-    /// What a second execution of a shard request would do.
+    /// Whether a shard request may be executed more than once.
     pub idempotency: Idempotency,
-    /// With an idempotency key: how long repeats are dropped, from the first attempt that may have been
-    /// executed.
+    /// Period during which a node discards repeats of a request with an idempotency key, from the first attempt
+    /// that may have been executed. Other requests ignore this field.
     pub dedup_window: TimeSpan,
 }
 
-/// What a second execution of a shard request would do.
+/// Effect of executing a shard request more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be executed again.
+    /// Repeated execution is harmless.
     #[default]
     Idempotent,
-    /// It carries a key by which repeats are dropped, for a time.
+    /// The request carries a key by which nodes discard repeats for [`RequestClass::dedup_window`].
     IdempotencyKey,
-    /// It must never be executed twice.
+    /// The request must not be executed twice.
     AtMostOnce,
 }
 
-/// One who shares the service with others.
+/// Limits of one tenant of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Queries a second, over all brokers, that it may send.
+    /// Number of queries per second that the tenant may send to all brokers together.
     pub quota_per_s: f64,
 }
 
-/// Which nodes hold which shard: a shard is held by the nodes of some placement groups in a row.
+/// Assignment of shards to placement groups. Each shard is held by the nodes of several consecutive groups.
 #[derive(Clone, Debug, Default)]
 pub struct ShardLayout {
-    /// How many placement groups there are.
+    /// Number of placement groups.
     pub placement_groups: u32,
-    /// How many of them, in a row, hold a shard.
+    /// Number of consecutive placement groups that hold a shard.
     pub replica_groups: u32,
-    /// How many shards there are.
+    /// Number of shards.
     pub shards: u32,
-    /// The most shard requests that share a batch.
+    /// Maximum number of shard requests in a batch.
     pub max_batch_size: u32,
 }
 
 impl ShardLayout {
-    /// The placement groups whose nodes hold a shard.
+    /// Returns the placement groups whose nodes hold `shard`.
     pub fn groups_of(&self, shard: ShardId) -> impl Iterator<Item = PlacementGroupId> + '_ {
         let groups = self.placement_groups.max(1);
         let offsets = 0..self.replica_groups.min(groups);
@@ -105,49 +108,50 @@
     }
 }
 
-/// Bounds on what is open and sent.
+/// Limits on open requests, attempts and rejections.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLimits {
-    /// The most queries and shard requests that may be open at once.
+    /// Maximum number of queries and shard requests that are open at the same time.
     pub max_open: u32,
-    /// The most attempts for one shard request.
+    /// Maximum number of attempts for one shard request.
     pub max_attempts: u32,
-    /// A shard request may have two attempts in flight at once.
+    /// Whether a shard request may have two attempts in flight at the same time.
     pub allow_hedging: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub allow_cancel: bool,
-    /// Rejected clients are told when to come back, `max_retry_after` at the most.
+    /// Whether rejections tell the client how long to wait before it retries.
     pub send_retry_after: bool,
-    /// See `send_retry_after`.
+    /// Maximum wait that a rejection states; ignored unless `send_retry_after` is set.
     pub max_retry_after: TimeSpan,
 }
 
-/// Rules that must hold.
+/// Safety rules for sending requests to nodes. The broker always respects them.
 #[derive(Clone, Debug, Default)]
 pub struct SafetyRules {
-    /// A node starts with this share of its capacity, or more.
+    /// Minimum fraction of its full capacity that a node has when it starts, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// It has warmed up no later than this after its start.
+    /// Maximum time from the start of a node until it has its full capacity.
     pub warm_up_period: TimeSpan,
-    /// Sent more than this multiple of what it can do...
+    /// Multiple of its current capacity that a node may receive while it warms up; a higher load for
+    /// `overload_window` makes it collapse.
     pub overload_factor: f64,
-    /// ...for this long, a node that warms up collapses.
+    /// Time for which a node that warms up withstands a load above `overload_factor`.
     pub overload_window: TimeSpan,
-    /// Without a live endpoint list, what was listed this long ago counts as known.
+    /// Age up to which the nodes of the last endpoint list count as known while no newer list arrives.
     pub endpoint_list_max_age: TimeSpan,
-    /// Nothing new goes to a node later than this after it was told to drain, or to be removed.
+    /// Time after a node is listed as draining or removed within which the broker must stop sending to it.
     pub drain_grace: TimeSpan,
-    /// The budget for attempts beyond a shard request's first; none is stated: the broker has one of its own.
+    /// Budget for retries and hedges; the broker uses a default one if this is `None`.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// A budget for attempts beyond a shard request's first, retries and hedges alike.
+/// Limit on attempts beyond the first of each shard request, counting both retries and hedges.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// So many are allowed in any window.
+    /// Number of retries that any window allows regardless of the load.
     pub min_retries: f64,
-    /// So many more for each query and shard request that was accepted in it.
+    /// Number of additional retries per query and shard request that was accepted in the window.
     pub ratio: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: TimeSpan,
 }
--- a/crates/routing/src/effective_config.rs
+++ b/crates/routing/src/effective_config.rs
@@ -1,4 +1,4 @@
-//! A configuration with what decisions read of it, worked out once.
+//! Configuration together with the values that are derived from it once.
 
 use crate::config::{BrokerConfig, Idempotency, RequestClass, RetryBudget};
 use crate::ids::ClassId;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What decisions read of a request class.
+/// Request class with the derived values that decisions use.
 #[derive(Debug)]
 pub(crate) struct ClassPolicy {
-    /// The latency objective, or the deadline if that is sooner.
+    /// Latency objective, capped at the deadline.
     pub(crate) latency_objective: TimeSpan,
     pub(crate) objective_stretch: f64,
     pub(crate) deadline: TimeSpan,
-    /// How long after its objective an attempt may still be of use.
+    /// Time after the objective during which a response still has value.
     pub(crate) useful_after_objective: TimeSpan,
-    /// The share of its weight that a response after the objective is worth.
+    /// Fraction of the priority weight that remains for a response after the objective.
     pub(crate) late_weight_share: f64,
     pub(crate) min_coverage: f64,
     pub(crate) complete_coverage: f64,
@@ -44,21 +44,22 @@
     }
 }
 
-/// A broker's configuration and what is derived from it.
+/// Configuration of a broker and the values derived from it.
 #[derive(Debug, Default)]
 pub(crate) struct EffectiveConfig {
     pub(crate) broker: BrokerConfig,
     pub(crate) classes: BTreeMap<ClassId, Arc<ClassPolicy>>,
-    /// The stated budget, or the broker's own where none is stated.
+    /// Configured retry budget, or the default one if none is configured.
     pub(crate) retry_budget: RetryBudget,
-    /// The shortest latency objective of all classes.
+    /// Shortest latency objective of all classes.
     pub(crate) shortest_objective: TimeSpan,
-    /// How many replicas of one placement group a broker chooses among.
+    /// Maximum number of replicas of one placement group among which the broker chooses.
     pub(crate) max_group_replicas: usize,
 }
 
 impl EffectiveConfig {
-    /// Derives it; the budget counts where none is stated, the objective where there is no class.
+    /// Derives the effective configuration. `default_budget` applies if `broker` has no retry budget, and
+    /// `default_objective` if it has no class.
     pub(crate) fn derive(
         broker: BrokerConfig,
         default_budget: RetryBudget,
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -1,64 +1,64 @@
-//! What a broker does.
+//! Effects that a broker requests from its front end.
 
 use crate::ids::{AttemptNumber, NodeId, QueryId, ShardRequestId};
 use crate::log_event::LogEvent;
 use crate::time::TimeSpan;
 
-/// One thing to do; the effects of a turn are carried out in their order.
+/// Action that the front end carries out for a broker. The effects of a turn are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a shard request to a node. Those of one turn to one node share a batch.
+    /// Sends a shard request to a node. Shard requests of the same turn to the same node share a batch.
     Send {
-        /// The shard request; its attempts are numbered in the order of sending.
+        /// Shard request to send. Each `Send` is a new attempt, and attempts are numbered from 0.
         shard_request: ShardRequestId,
-        /// The node.
+        /// Node that receives the attempt.
         node: NodeId,
-        /// After this the attempt ends as timed out.
+        /// Time after which the attempt ends with [`AttemptOutcome::TimedOut`](crate::AttemptOutcome::TimedOut).
         timeout: TimeSpan,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt that is in flight.
     Cancel {
-        /// The shard request that it is for.
+        /// Shard request of the attempt.
         shard_request: ShardRequestId,
-        /// Its number among that one's attempts.
+        /// Number of the attempt within its shard request.
         attempt: AttemptNumber,
     },
-    /// Respond with what has been received.
+    /// Responds to a query with the shard responses received so far.
     Respond {
-        /// The query.
+        /// Query to respond to.
         query: QueryId,
-        /// The response covers enough to count as complete.
+        /// Whether the response reaches the coverage that counts as complete.
         complete: bool,
     },
-    /// Reject a query: sending it again is harmless.
+    /// Rejects a query. The client may safely send the query again.
     Reject {
-        /// The query.
+        /// Query to reject.
         query: QueryId,
-        /// When its client may come back; zero: it is not told.
+        /// Wait before the client retries, or zero if the rejection does not state one.
         retry_after: TimeSpan,
     },
-    /// End a query without a response: it may have been executed.
+    /// Ends a query without a response. The query may have been executed.
     Fail {
-        /// The query.
+        /// Query to end.
         query: QueryId,
     },
-    /// Close this broker's idle connections to a node.
+    /// Closes the idle connections of this broker to a node.
     CloseIdle {
-        /// The node.
+        /// Node to which the connections lead.
         node: NodeId,
     },
-    /// Ask a node for its load.
+    /// Requests a load report from a node.
     Probe {
-        /// The node.
+        /// Node to probe.
         node: NodeId,
     },
-    /// Give the broker a turn with [`Input::Woken`](crate::Input::Woken) after this time.
+    /// Requests a turn with [`Input::Woken`](crate::Input::Woken) at a later time.
     Wake {
-        /// From this turn on.
+        /// Time from this turn to the requested one.
         after: TimeSpan,
     },
-    /// Watch the endpoint list from now on.
+    /// Requests the endpoint list and all its later updates.
     WatchEndpoints,
-    /// Write to the log.
+    /// Writes an event to the log.
     Log(LogEvent),
 }
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -1,37 +1,37 @@
-//! Ids. Each kind is a type of its own; no decision reads anything from a value.
+//! Identifiers. Each kind has its own type. The values are opaque, so no decision depends on their meaning.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// The id's value.
+            /// Opaque value of the identifier.
             pub $inner,
         );
     )*};
 }
 
 ids! {
-    /// A query.
+    /// Identifier of a query, unique among the open queries of a broker.
     QueryId(u64);
-    /// A shard request.
+    /// Identifier of a shard request, unique among the open shard requests of a broker.
     ShardRequestId(u64);
-    /// What ties shard requests to their query when they are handed over.
+    /// Key that associates new shard requests with their query. It is unrelated to placement groups.
     GroupId(u32);
-    /// An attempt of a shard request: 0 for the first, counted up in the order of sending.
+    /// Number of an attempt within its shard request: 0 for the first one, then in the order of sending.
     AttemptNumber(u16);
-    /// A batch that carries one or more attempts to one node.
+    /// Identifier of a batch, which carries one or more attempts to one node.
     BatchId(u64);
-    /// A node: its address and port.
+    /// Identifier of a node, derived from its address and port.
     NodeId(u64);
-    /// A shard of the data.
+    /// Identifier of a shard of the data.
     ShardId(u32);
-    /// A group of nodes that hold the same shards.
+    /// Identifier of a placement group, whose nodes hold the same shards.
     PlacementGroupId(u32);
-    /// A request class.
+    /// Identifier of a request class.
     ClassId(u16);
-    /// A tenant.
+    /// Identifier of a tenant.
     TenantId(u32);
-    /// A zone.
+    /// Identifier of a zone.
     ZoneId(u16);
 }
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What a broker is told.
+//! Inputs of a broker.
 
 use crate::config::BrokerConfig;
 use crate::ids::{
@@ -8,176 +8,180 @@
 use crate::time::{TimeSpan, WallClockTime};
 use std::sync::Arc;
 
-/// One thing that a broker is told. A front end gives a turn all that has come in, in the order in which it
-/// came.
+/// Event that a front end reports to a broker. A turn receives all events since the previous one, in the order
+/// of their arrival.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Nodes, as discovery lists them.
+    /// Endpoint list that was received from discovery.
     EndpointList(EndpointList),
-    /// A call for the endpoint list failed, or its watch broke off; the last list still holds.
+    /// A request for the endpoint list failed, or its watch ended. The last list stays in use.
     EndpointListFailed,
-    /// A new configuration. Queries accepted from now on are served by it, open ones keep theirs. The period,
-    /// the zone and `send_lag` must stay as they were at the start.
+    /// New configuration for queries that are accepted from now on; open queries keep theirs. The period, the
+    /// zone and `send_lag` must equal those of the initial configuration.
     Config(Box<BrokerConfig>),
-    /// A query has come; its shard requests follow in the same turn.
+    /// New query. Its shard requests follow in the same turn.
     Query(NewQuery),
-    /// A shard request of a query that came in this turn, or that waits for its second phase.
+    /// Shard request of a query that arrived in this turn or that waits for its second phase.
     ShardRequest(NewShardRequest),
-    /// The response to an attempt has begun to arrive: the shard request is bound to that attempt.
+    /// The response to an attempt has started to arrive. The shard request then no longer accepts the response
+    /// of another attempt.
     ResponseStarted(ShardRequestId),
-    /// An attempt has ended; each attempt ends once.
+    /// An attempt has ended. The front end reports this exactly once per attempt.
     AttemptEnded(AttemptResult),
-    /// The client has left, or stopped waiting.
+    /// The client of a query has disconnected or stopped waiting.
     ClientLeft(QueryId),
-    /// A wake-up that was asked for.
+    /// The time that [`Effect::Wake`](crate::Effect::Wake) requested has come.
     Woken,
-    /// A probe has ended.
+    /// A probe that [`Effect::Probe`](crate::Effect::Probe) requested has ended.
     ProbeEnded(ProbeResult),
-    /// Something that no decision reads.
+    /// Event that the broker does not use.
     Ignored,
 }
 
-/// Nodes as discovery lists them.
+/// Endpoint list that was received from discovery.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// What the list covers.
+    /// Scope of the list.
     pub kind: EndpointListKind,
-    /// What the wall clock showed as the list came, by which the nodes' start times were taken. It may be
-    /// stepped at any time.
+    /// Wall-clock time at which the list arrived, used to interpret the start times of its nodes. The wall clock
+    /// may be stepped at any time.
     pub wall_clock: WallClockTime,
-    /// The nodes; shared, as many brokers of a simulation may hold one list.
+    /// Listed nodes. They are shared because many brokers of a simulation may hold the same list.
     pub entries: Arc<[Endpoint]>,
 }
 
-/// What an endpoint list covers.
+/// Scope of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// The nodes that changed.
+    /// Only the nodes that have changed.
     Delta,
-    /// All nodes: one that is not on it is removed.
+    /// All nodes. A node that is not listed has been removed.
     Snapshot,
-    /// All nodes as this broker last knew them, possibly out of date.
+    /// All nodes that this broker knew when it last stored the list, which may be out of date.
     Cached,
 }
 
 /// One node of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// The zone that it is in.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// The placement group that it belongs to.
+    /// Placement group of the node.
     pub placement_group: PlacementGroupId,
-    /// Whether it may be sent to.
+    /// Whether the node accepts new shard requests.
     pub state: EndpointState,
-    /// When its process last started, by the wall clock of its machine; none: long ago.
+    /// Start time of the node's process by the wall clock of its machine, or `None` if the process started long
+    /// ago.
     pub started_at: Option<WallClockTime>,
 }
 
-/// What discovery says of a node.
+/// State of a node as reported by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may be sent to.
+    /// The node accepts new shard requests.
     Ready,
-    /// It finishes what it has, and gets nothing new.
+    /// The node finishes its open shard requests and must not receive new ones.
     Draining,
-    /// It is not there any more.
+    /// The node has left the cluster.
     #[default]
     Removed,
 }
 
-/// A query as it comes in.
+/// Query that a client has sent to this broker.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
-    /// Names the query from now on.
+    /// Identifier by which later inputs and effects refer to the query.
     pub id: QueryId,
-    /// Ties its shard requests to it.
+    /// Key that the shard requests of the query carry.
     pub group: GroupId,
-    /// Its request class.
+    /// Request class of the query.
     pub class: ClassId,
-    /// Who sent it.
+    /// Tenant that sent the query.
     pub tenant: TenantId,
-    /// How long its client will wait.
+    /// Time for which the client waits for a response.
     pub time_left: TimeSpan,
-    /// The work of all its shard requests, roughly, where that is told; else zero.
+    /// Estimated execution time of all shard requests together, or zero if the client did not state one.
     pub work: TimeSpan,
-    /// How often its client sent it before, where that is told; else 0.
+    /// Number of times that the client has sent the query before, or 0 if the client did not state it.
     pub client_attempt: u32,
-    /// Only what its minimum coverage needs is to be sent: admission control holds its tenant to a share.
+    /// Whether to send only the shard requests that the minimum coverage needs. Admission control sets this to
+    /// hold the tenant to its share.
     pub min_coverage_only: bool,
 }
 
-/// A shard request as it comes in.
+/// Part of a new query that reads one shard.
 #[derive(Clone, Debug)]
 pub struct NewShardRequest {
-    /// Names the shard request from now on.
+    /// Identifier by which later inputs and effects refer to the shard request.
     pub id: ShardRequestId,
-    /// The group of its query.
+    /// Key of the query to which the shard request belongs.
     pub group: GroupId,
-    /// The shard that it asks.
+    /// Shard that the request reads.
     pub shard: ShardId,
-    /// Its share of the query's value, from 0 to 1; those of a query add up to 1.
+    /// Fraction of the query's value, from 0 to 1. The weights of a query add up to 1.
     pub weight: f64,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The shard request that it was for.
+    /// Shard request of the attempt.
     pub shard_request: ShardRequestId,
-    /// Its number among the attempts of that shard request.
+    /// Number of the attempt within its shard request.
     pub attempt: AttemptNumber,
-    /// The node that it went to.
+    /// Node to which the attempt was sent.
     pub node: NodeId,
-    /// What came of it.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The time from its turn to its end.
+    /// Time from the turn that sent the attempt to its end.
     pub duration: TimeSpan,
 }
 
-/// What came of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node responded.
+    /// The node responded without an error.
     Succeeded,
     /// The node responded with an error.
     Errored,
-    /// The node refused it unseen.
+    /// The node rejected the attempt without executing it, because of its load.
     Overloaded,
-    /// No response came in its time.
+    /// The node did not respond within the timeout.
     TimedOut,
-    /// The node can't have executed it: no connection came up, or its frame was not written completely.
+    /// No connection could be established, or the frame was not written completely, so the node cannot have
+    /// executed the attempt.
     ConnectFailed,
-    /// The connection was lost while it was in flight.
+    /// The connection was lost while the attempt was in flight.
     ConnectionLost,
-    /// It was cancelled while it was in flight.
+    /// The attempt was cancelled after it had been sent.
     Cancelled,
-    /// It was cancelled before anything was sent.
+    /// The attempt was cancelled before any of it had been sent.
     NotSent,
-    /// It could not be sent for want of something on this broker's own machine: a descriptor, a port, memory.
-    /// That says nothing of the node.
+    /// The attempt could not be sent because the machine of this broker lacked a resource, such as a file
+    /// descriptor, a port or memory. The outcome does not count against the node.
     LocalResourceExhausted,
 }
 
-/// What came of a probe.
+/// Result of a probe for load.
 #[derive(Clone, Debug)]
 pub struct ProbeResult {
-    /// The node that was probed.
+    /// Probed node.
     pub node: NodeId,
-    /// The node responded; else the probe failed or timed out.
+    /// Whether the node responded; `false` if the probe failed or timed out.
     pub is_valid: bool,
-    /// The node's load report; empty where none came.
+    /// Load report of the node, empty if it sent none.
     pub report: Vec<(LoadMetric, f64)>,
 }
 
-/// A figure of a load report.
+/// Metric of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Shard requests that wait at the node.
+    /// Number of shard requests that are queued at the node.
     QueueLength,
-    /// Shard requests that it serves a second.
+    /// Number of shard requests that the node serves per second.
     ServiceRate,
-    /// One that no decision reads.
+    /// Metric that the broker does not use.
     Ignored,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,11 @@
-//! The routing decisions of a broker that reads many shards for one query: which replica gets a shard
-//! request, whether to retry or hedge it, what to leave unsent under pressure, what to reject, when to
+//! Routing decisions of a broker that reads many shards for one query: which replica receives a shard request,
+//! when to retry or hedge it, which shard requests to skip under pressure, which queries to reject, and when to
 //! respond.
 //!
-//! A front end (a program that owns sockets, or a simulator's wire) makes one [`Broker`] from a
-//! [`BrokerConfig`], a seed and the time, then hands it all that has come in with [`Broker::turn`] and
-//! carries out the [`Effect`]s that come back, in their order. The library does no I/O and reads no clock;
-//! chance comes from the seed alone.
+//! A front end (a server that owns sockets, or a simulator adapter) creates a [`Broker`] from a
+//! [`BrokerConfig`], a seed and the current time. It passes all new inputs to [`Broker::turn`] and carries out
+//! the returned [`Effect`]s in order. The library performs no I/O and reads no clock, and all its random numbers
+//! derive from the seed, so the same inputs always produce the same effects.
 //!
 //! ```
 //! use routing::{Broker, BrokerConfig, Input, Timestamp};
@@ -14,9 +14,12 @@
 //! assert!(broker.turn(Timestamp(50), &[Input::Woken]).is_empty());
 //! ```
 //!
-//! Where to read: `policy` has every decision, a file for each rule; `policy/query_life.rs` the states of a
-//! query and what moves it from one to the next. `broker` is the event loop that gathers the rules' inputs and
-//! calls them; `state` is what a broker remembers.
+//! # Modules
+//!
+//! - `policy` contains the decisions, one file per rule. `policy/query_life.rs` defines the state machine of a
+//!   query.
+//! - `broker` is the event loop: it collects the inputs of the rules and calls them.
+//! - `state` holds the data that a broker keeps between turns.
 
 #![warn(missing_docs)]
 
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -1,32 +1,33 @@
-//! What the decisions have to say to whoever operates the broker.
+//! Events that the broker reports to its operators.
 
 use std::fmt;
 
-/// A change worth a line in the log. The front end decides how it is written: `shard-broker` logs it with
-/// structured fields, a simulator's wire takes the text that [`fmt::Display`] gives.
+/// Event for the broker's log. The front end chooses the format: `shard-broker` logs structured fields, and the
+/// simulator adapter sends the text of the [`fmt::Display`] implementation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Pressure passed the design's threshold: light shard requests stay unsent from now on.
+    /// Pressure has risen above the threshold, so shard requests of low weight are no longer sent.
     CutoffActivated {
-        /// The share of recent attempts that overload has cost, from 0 to 1.
+        /// Fraction of recent attempts that failed because of overload, from 0 to 1.
         pressure: f64,
     },
-    /// Pressure fell to the threshold or below it: all shard requests are sent again.
+    /// Pressure has fallen to the threshold or below, so all shard requests are sent again.
     CutoffDeactivated {
-        /// The share of recent attempts that overload has cost, from 0 to 1.
+        /// Fraction of recent attempts that failed because of overload, from 0 to 1.
         pressure: f64,
     },
-    /// A query brought several nodes down and was quarantined: the same query is rejected for one deadline.
+    /// A query made several nodes fail, so queries with the same signature are rejected for the deadline of
+    /// its class.
     QueryQuarantined {
-        /// How many nodes dropped their connection while they executed it.
+        /// Number of nodes that dropped the connection while they executed the query.
         lost_nodes: usize,
     },
-    /// Admission control found the nodes overloaded and limits the rate from now on.
+    /// Admission control has detected overloaded nodes and now limits the admitted rate.
     AdmissionOverloaded {
-        /// Shard requests that are admitted each second.
+        /// Number of shard requests that are admitted per second.
         admitted_per_s: f64,
     },
-    /// Admission control admits everything again.
+    /// Admission control has lifted its limit on the admitted rate.
     AdmissionNormal,
 }
 
--- a/crates/routing/src/state/attempt.rs
+++ b/crates/routing/src/state/attempt.rs
@@ -1,22 +1,22 @@
-//! State of one attempt to have a shard request executed by a node.
+//! State of an attempt, which is one try to have a shard request executed by a node.
 
 use crate::ids::{AttemptNumber, BatchId, ClassId, NodeId, ShardRequestId};
 use crate::time::{TimeSpan, Timestamp};
 
-/// What is known of an attempt's execution.
+/// Whether the node has executed an attempt, as far as the broker knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Execution {
-    /// Its outcome is not known yet.
+    /// The outcome of the attempt is not known yet.
     InFlight,
-    /// The node has not executed it.
+    /// The node has not executed the attempt.
     NotExecuted,
-    /// The node has executed it, or may have.
+    /// The node has executed the attempt or may have executed it.
     MaybeExecuted,
-    /// It never left the broker, and does not count against the retry budget.
+    /// The attempt never left the broker and does not count against the retry budget.
     Unsent,
 }
 
-/// One send of a shard request to a node.
+/// Attempt to have a shard request executed by a node.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) node: NodeId,
@@ -24,49 +24,49 @@
     pub(crate) execution: Execution,
 }
 
-/// Names an attempt: its shard request, and its number there.
+/// Identifier of an attempt: its shard request and its number within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) shard_request: ShardRequestId,
     pub(crate) number: AttemptNumber,
 }
 
-/// Whether a connection that was idle is used again.
+/// Kind of connection that carries the first attempt after an idle period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
     Reused,
     New,
 }
 
-/// The connection that the first attempt after an idle period goes out on.
+/// Connection that carries the first attempt after an idle period.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionAfterIdle {
     pub(crate) usage: ConnectionUse,
     pub(crate) idle_period: TimeSpan,
 }
 
-/// What is kept of an attempt until its outcome is known, also past its query's end.
+/// Data of an attempt that is kept until its outcome is known, even if its query ends earlier.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) node: NodeId,
     pub(crate) batch: BatchId,
-    /// The query's tenant was within its quota.
+    /// Whether the tenant of the query was within its quota.
     pub(crate) within_quota: bool,
     pub(crate) class: ClassId,
-    /// The latency objective of its class.
+    /// Latency objective of the query's class.
     pub(crate) latency_objective: TimeSpan,
-    /// Shard requests in flight after the turn in which it was sent.
+    /// Number of shard requests in flight after the turn that sent the attempt.
     pub(crate) in_flight_at_send: f64,
-    /// These used much of the concurrency limit of that moment.
+    /// Whether `in_flight_at_send` was a large part of the concurrency limit at that time.
     pub(crate) limit_was_used: bool,
-    /// Its batch was the first after an idle period of its node's connections.
+    /// Connection of the batch, if the batch was the first after an idle period of the node.
     pub(crate) after_idle: Option<ConnectionAfterIdle>,
-    /// It was counted as lost while it is still in flight.
+    /// Whether the attempt has been counted as unresponsive while it is still in flight.
     pub(crate) counted_unresponsive: bool,
 }
 
 impl InFlightAttempt {
-    /// It went out on a connection that had been idle.
+    /// Returns whether the attempt was sent on a reused connection that had been idle.
     pub(crate) fn on_reused_connection(&self) -> bool {
         self.after_idle.is_some_and(|connection| connection.usage == ConnectionUse::Reused)
     }
--- a/crates/routing/src/state/broker_state.rs
+++ b/crates/routing/src/state/broker_state.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the broker.
+//! State that exists for the lifetime of the broker.
 
 use super::endpoint_list_status::EndpointListStatus;
 use super::node_table::NodeTable;
@@ -20,19 +20,19 @@
 use crate::time::{TimeSpan, Timestamp};
 use std::sync::Arc;
 
-/// A configuration that is no longer the newest, and until when it still binds.
+/// Former configuration whose rules still apply until `binds_until`.
 #[derive(Debug)]
 pub(crate) struct SupersededConfig {
     pub(crate) binds_until: Timestamp,
     pub(crate) config: Arc<EffectiveConfig>,
 }
 
-/// All state of a broker.
+/// State that a broker keeps between turns.
 #[derive(Debug)]
 pub(crate) struct BrokerState {
-    /// The time of this turn.
+    /// Time of the current turn.
     pub(crate) now: Timestamp,
-    /// What this turn does.
+    /// Effects of the current turn so far.
     pub(crate) effects: Vec<Effect>,
     pub(crate) timers: Timers,
     pub(crate) nodes: NodeTable,
@@ -40,15 +40,15 @@
     pub(crate) queries: QueryTable,
     pub(crate) superseded_configs: Vec<SupersededConfig>,
 
-    /// The mean latency of the ready nodes that were measured, as of the beginning of this turn; none before
-    /// any was.
+    /// Mean latency of the ready nodes with a measured latency, as of the start of the current turn. `None` if no
+    /// ready node has one.
     pub(crate) mean_latency: Option<TimeSpan>,
-    /// The cutoff leaves light shard requests unsent.
+    /// Whether shard requests of low weight are currently left unsent.
     pub(crate) is_cutoff_active: bool,
-    /// Shard requests in flight or to be sent at the end of this turn.
+    /// Number of shard requests that are in flight or queued at the end of the current turn.
     pub(crate) in_flight_this_turn: f64,
 
-    // What the rules of `policy` remember, each of its own.
+    // State of the rules in `policy`. Each field belongs to one rule.
     pub(crate) baselines: ClassBaselines,
     pub(crate) class_yields: ClassYields,
     pub(crate) concurrency_limit: ConcurrencyLimit,
@@ -63,7 +63,7 @@
 }
 
 impl BrokerState {
-    /// The state of a broker that has just started. `seed` draws the replicas that it chooses among.
+    /// Creates the initial state. `seed` determines which replicas of a large placement group the broker uses.
     pub(crate) fn new(now: Timestamp, seed: u64, concurrency_limit: ConcurrencyLimit) -> BrokerState {
         BrokerState {
             now,
--- a/crates/routing/src/state/endpoint_list_status.rs
+++ b/crates/routing/src/state/endpoint_list_status.rs
@@ -1,15 +1,15 @@
-//! How well the broker is informed of its nodes.
+//! State of the endpoint list watch.
 
 use crate::inputs::EndpointListKind;
 
-/// The state of the watch of the endpoint list.
+/// State of the endpoint list watch.
 #[derive(Debug)]
 pub(crate) struct EndpointListStatus {
-    /// Discovery has given a list since the start; a cached one does not count.
+    /// Whether discovery has sent a list since the broker started. A cached list does not count.
     pub(crate) has_list: bool,
-    /// Nothing was heard from discovery since the list was last asked for.
+    /// Whether discovery has sent nothing since the last request for the list.
     pub(crate) is_stale: bool,
-    /// Failed calls since the last list.
+    /// Number of failed requests since the last list.
     pub(crate) failures: u32,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl EndpointListStatus {
-    /// A list has come in.
+    /// Records that a list has arrived.
     pub(crate) fn record_list(&mut self, kind: EndpointListKind) {
         if kind != EndpointListKind::Cached {
             self.has_list = true;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A call for the list has failed.
+    /// Records that a request for the list has failed.
     pub(crate) fn record_failure(&mut self) {
         self.is_stale = true;
         self.failures += 1;
--- a/crates/routing/src/state/mod.rs
+++ b/crates/routing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a broker remembers, grouped by how long it lives: an attempt, a query with its shard requests, a
-//! node, the broker. State, bookkeeping and look-ups only; every decision is in `policy`.
+//! State that a broker keeps between turns, grouped by lifetime: attempts, queries with their shard requests,
+//! nodes, and the broker itself. This module stores and looks up state; every decision is in `policy`.
 
 mod attempt;
 mod broker_state;
--- a/crates/routing/src/state/node.rs
+++ b/crates/routing/src/state/node.rs
@@ -1,4 +1,4 @@
-//! State of one node.
+//! State of a node.
 
 use super::attempt::ConnectionAfterIdle;
 use crate::ids::{BatchId, ClassId, PlacementGroupId, ZoneId};
@@ -6,79 +6,80 @@
 use crate::time::{TimeSpan, Timestamp, WallClockTime};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A batch that is in flight at a node.
+/// Batch that is in flight at a node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Batch {
     pub(crate) sent_at: Timestamp,
     pub(crate) in_flight: u32,
 }
 
-/// The batch of this turn, which more shard requests may join.
+/// Batch of the current turn, to which more shard requests may be added.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenBatch {
     pub(crate) id: BatchId,
     pub(crate) shard_requests: u32,
 }
 
-/// An attempt that went to a node while it was warming up.
+/// Attempt that was sent to a node while the node was warming up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartAttempt {
     pub(crate) sent_at: Timestamp,
     pub(crate) class: ClassId,
 }
 
-/// A load report, as far as a node tells these figures.
+/// Load report of a node. A metric that the node does not report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadReport {
     pub(crate) received_at: Timestamp,
-    /// The probe was answered.
+    /// Whether the node answered the probe.
     pub(crate) is_valid: bool,
-    /// Shard requests that wait at the node.
+    /// Number of shard requests that are queued at the node.
     pub(crate) queue_length: Option<f64>,
-    /// Shard requests served a second.
+    /// Number of shard requests that the node serves per second.
     pub(crate) service_rate: Option<f64>,
 }
 
-/// What is known of a node.
+/// State of a node as known to this broker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Node {
     pub(crate) zone: ZoneId,
     pub(crate) placement_group: PlacementGroupId,
     pub(crate) state: EndpointState,
-    /// The start time that the endpoint list gave last: it tells one process from the next, and nothing else.
+    /// Start time in the last endpoint list that stated one. It only distinguishes processes of the same node.
     pub(crate) listed_start: Option<WallClockTime>,
-    /// When its process is taken to have started, by this broker's own clock; none: long ago.
+    /// Assumed start time of the node's process on this broker's clock, or `None` if the process started long
+    /// ago.
     pub(crate) started_at: Option<Timestamp>,
-    /// When this broker learned of that start.
+    /// Time at which this broker learned of that start.
     pub(crate) start_known_at: Timestamp,
-    /// Smoothed latency of its attempts; none before the first.
+    /// Smoothed latency of the attempts at this node, or `None` before the first sample.
     pub(crate) latency: Option<TimeSpan>,
     pub(crate) latency_sampled_at: Timestamp,
-    /// When it last answered an attempt with success.
+    /// Time at which an attempt at this node last succeeded.
     pub(crate) last_success_at: Timestamp,
-    /// When the newest attempt that it answered was sent.
+    /// Send time of the most recently sent attempt that has succeeded.
     pub(crate) newest_answered_sent_at: Timestamp,
     pub(crate) consecutive_failures: u32,
     pub(crate) failed_at: Timestamp,
     pub(crate) batches: BTreeMap<BatchId, Batch>,
-    /// When the probe was sent that it has not answered yet.
+    /// Send time of the outstanding probe, if there is one.
     pub(crate) probe_sent_at: Option<Timestamp>,
-    /// Its last load report; none while a probe is out.
+    /// Last load report, or `None` while a probe is outstanding.
     pub(crate) load: Option<LoadReport>,
     pub(crate) open_batch: Option<OpenBatch>,
-    /// The connection of the open batch, where that came after an idle period.
+    /// Connection of the open batch, if the batch is the first after an idle period.
     pub(crate) connection: Option<ConnectionAfterIdle>,
     pub(crate) slow_start_attempts: VecDeque<SlowStartAttempt>,
 }
 
 impl Node {
-    /// Classes of the attempts that went to it while it was warming up, from then on.
+    /// Returns the classes of the attempts that were sent at or after `from` while the node was warming up.
     pub(crate) fn slow_start_sent_since(&self, from: Timestamp) -> impl Iterator<Item = ClassId> + '_ {
         let recent = self.slow_start_attempts.iter().rev().take_while(move |sent| sent.sent_at >= from);
         recent.map(|sent| sent.class)
     }
 
-    /// An attempt of this batch has come to its end.
+    /// Records the end of an attempt of `batch` and removes batches without attempts in flight.
     pub(crate) fn end_attempt_of(&mut self, batch: BatchId) {
         if let Some(batch) = self.batches.get_mut(&batch) {
             batch.in_flight -= 1;
@@ -86,27 +87,28 @@
         self.batches.retain(|_, batch| batch.in_flight > 0);
     }
 
-    /// Counts a failure, up to so many in a row.
+    /// Counts a failure. The number of consecutive failures saturates at `max_consecutive`.
     pub(crate) fn count_failure(&mut self, now: Timestamp, max_consecutive: u32) {
         self.consecutive_failures = (self.consecutive_failures + 1).min(max_consecutive);
         self.failed_at = now;
     }
 
-    /// An attempt that was sent then has succeeded.
+    /// Records the success of an attempt that was sent at `sent_at`.
     pub(crate) fn record_success(&mut self, now: Timestamp, sent_at: Timestamp) {
         self.consecutive_failures = 0;
         self.last_success_at = now;
         self.newest_answered_sent_at = self.newest_answered_sent_at.max(sent_at);
     }
 
-    /// Smooths a latency in, the newest counting for this share.
+    /// Adds a sample to the smoothed latency, in which it has the weight `newest_share`.
     pub(crate) fn record_latency(&mut self, now: Timestamp, latency: TimeSpan, newest_share: f64) {
         let smoothed = self.latency.unwrap_or(latency);
         self.latency = Some(smoothed + (latency - smoothed).mul_f64(newest_share));
         self.latency_sampled_at = now;
     }
 
-    /// Its smoothed latency, faded toward the average with the time since it was sampled.
+    /// Returns the smoothed latency, decayed toward `average` with the time since the last sample. `span` is the
+    /// time constant of the decay.
     pub(crate) fn decayed_latency(&self, now: Timestamp, average: TimeSpan, span: TimeSpan) -> TimeSpan {
         self.latency.map_or(average, |latency| {
             let age = (now - self.latency_sampled_at).ratio_to(span);
@@ -114,20 +116,21 @@
         })
     }
 
-    /// How long it has answered nothing since its oldest batch in flight was sent.
+    /// Returns the time since the last success or since the oldest batch in flight was sent, whichever is shorter.
+    /// Returns zero if nothing is in flight.
     pub(crate) fn unresponsive_for(&self, now: Timestamp) -> TimeSpan {
         let oldest = self.batches.values().next();
         oldest.map_or(TimeSpan::ZERO, |batch| now - batch.sent_at.max(self.last_success_at))
     }
 
-    /// Its process looks as if it had gone down: takes it to start no sooner than now.
+    /// Assumes that the process of the node has failed and starts again, at `now` or later.
     pub(crate) fn assume_started(&mut self, now: Timestamp) {
         self.started_at = self.started_at.max(Some(now));
         self.start_known_at = now;
     }
 
-    /// A new process has taken its place: nothing known of the old one holds.
-    pub(crate) fn forget_process(&mut self) {
+    /// Resets the state that belongs to the previous process of the node.
+    pub(crate) fn reset_process_state(&mut self) {
         self.latency = None;
         self.consecutive_failures = 0;
         self.load = None;
--- a/crates/routing/src/state/node_table.rs
+++ b/crates/routing/src/state/node_table.rs
@@ -1,4 +1,4 @@
-//! All nodes that the broker knows, with sums over the ready ones.
+//! Table of all known nodes, with aggregates over the ready ones.
 
 use super::attempt::ConnectionAfterIdle;
 use super::node::{Batch, Node, OpenBatch, SlowStartAttempt};
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// Over the ready nodes of a zone whose latency is known: how many, and the sum of their latencies.
+/// Number of the ready nodes of a zone with a measured latency, and the sum of their latencies.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneLatency {
     nodes: usize,
     sum: i64,
 }
 
-/// What a node adds to the sums over ready nodes.
+/// Contribution of a node to the aggregates over ready nodes.
 struct Contribution {
     ready: usize,
     measured: usize,
@@ -35,25 +35,25 @@
     }
 }
 
-/// An attempt that joins a batch to its node.
+/// Properties of an attempt that is added to a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchedAttempt {
     pub(crate) max_batch_size: u32,
-    /// Its class, where the node is warming up.
+    /// Class of the attempt if the node is warming up, otherwise `None`.
     pub(crate) slow_start_class: Option<ClassId>,
     pub(crate) connection: Option<ConnectionAfterIdle>,
 }
 
-/// The nodes by id.
+/// Table of all known nodes by id.
 #[derive(Debug)]
 pub(crate) struct NodeTable {
     nodes: BTreeMap<NodeId, Node>,
-    /// The ready nodes of each placement group.
+    /// Ready nodes of each placement group.
     replicas_by_group: BTreeMap<PlacementGroupId, ReplicaGroup>,
-    /// Seeds the order in which this broker takes the replicas of a large group.
+    /// Seed of the order in which this broker uses the replicas of a large placement group.
     subset_seed: u64,
     ready: usize,
-    /// Ready nodes whose latency is known, and the sum of their latencies.
+    /// Number of ready nodes with a measured latency, whose latencies add up to `latency_sum`.
     measured: usize,
     latency_sum: TimeSpan,
     zones: BTreeMap<ZoneId, ZoneLatency>,
@@ -70,7 +70,7 @@
 }
 
 impl NodeTable {
-    /// A table without nodes.
+    /// Creates an empty table.
     pub(crate) fn new(subset_seed: u64) -> NodeTable {
         NodeTable {
             nodes: BTreeMap::new(),
@@ -85,22 +85,23 @@
         }
     }
 
-    /// A node, if it is known.
+    /// Returns a node, or `None` if it is unknown.
     pub(crate) fn get(&self, id: NodeId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
-    /// How many nodes are ready.
+    /// Returns the number of ready nodes.
     pub(crate) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// The mean of the smoothed latencies of the ready nodes; none before any was measured.
+    /// Returns the mean of the smoothed latencies of the ready nodes, or `None` if none has been measured.
     pub(crate) fn mean_latency(&self) -> Option<TimeSpan> {
         (self.measured > 0).then(|| TimeSpan(self.latency_sum.0 / self.measured as i64))
     }
 
-    /// The mean latency over a zone's measured nodes together with `prior_nodes` at `prior_latency`.
+    /// Returns the mean latency over the measured nodes of a zone and `prior_nodes` additional nodes with the
+    /// latency `prior_latency`.
     pub(crate) fn zone_mean_latency(
         &self,
         zone: ZoneId,
@@ -112,7 +113,7 @@
         TimeSpan((sum / (known.nodes as f64 + prior_nodes)) as i64)
     }
 
-    /// The ready nodes of some placement groups that are usable, at most so many of each group.
+    /// Returns the usable ready nodes of several placement groups, at most `max_per_group` of each group.
     pub(crate) fn replicas<'a>(
         &'a self,
         groups: impl Iterator<Item = PlacementGroupId> + 'a,
@@ -126,13 +127,14 @@
         })
     }
 
-    /// Changes a node, if it is known, and keeps the sums over the ready ones.
+    /// Applies `change` to a node, if it is known, and updates the aggregates over the ready nodes. Removes the node
+    /// if it is listed as removed and has nothing in flight.
     pub(crate) fn update(&mut self, id: NodeId, change: impl FnOnce(&mut Node)) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
         let (group_before, zone_before, before) = (node.placement_group, node.zone, Contribution::of(node));
         change(node);
         let (group, zone, after) = (node.placement_group, node.zone, Contribution::of(node));
-        let is_forgotten = node.state == EndpointState::Removed && node.batches.is_empty();
+        let is_removable = node.state == EndpointState::Removed && node.batches.is_empty();
         self.move_contribution(zone_before, &before, zone, &after);
         let has_moved = group_before != group;
         if before.ready == 1 && (after.ready == 0 || has_moved) {
@@ -141,7 +143,7 @@
         }
         if after.ready == 1 && (before.ready == 0 || has_moved) {
             self.replicas_by_group.entry(group).or_default().insert(self.subset_seed, id);
-        } else if is_forgotten {
+        } else if is_removable {
             self.nodes.remove(&id);
         }
     }
@@ -164,7 +166,7 @@
         entered.sum += after.latency;
     }
 
-    /// Puts an attempt into this turn's batch to its node, or into a new one where that is full.
+    /// Adds an attempt to the open batch of its node, or to a new batch if there is none or it is full.
     pub(crate) fn join_batch(&mut self, now: Timestamp, id: NodeId, attempt: BatchedAttempt) -> BatchId {
         let node = self.nodes.entry(id).or_default();
         let open = node.open_batch.filter(|batch| batch.shard_requests < attempt.max_batch_size);
@@ -185,7 +187,7 @@
         batch.id
     }
 
-    /// The turn's batches leave; what is sent later travels in others.
+    /// Closes the batches of the current turn, so that later attempts start new ones.
     pub(crate) fn close_batches(&mut self) {
         for id in self.with_open_batch.drain(..) {
             if let Some(node) = self.nodes.get_mut(&id) {
@@ -194,9 +196,8 @@
         }
     }
 
-    /// Takes an endpoint list in. `presumed_start` tells when a process is taken to have started, by the
-    /// start time that the list gives. Where a new process runs under an old id, nothing known of the old one
-    /// holds.
+    /// Applies an endpoint list. `presumed_start` converts a listed start time to one on this broker's clock. If
+    /// a new process runs under a known id, the state of the previous process is reset.
     pub(crate) fn apply_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -213,14 +214,15 @@
             }
         }
         for endpoint in restarted {
-            self.update(endpoint.node, Node::forget_process);
+            self.update(endpoint.node, Node::reset_process_state);
         }
     }
 
-    /// Takes in what the list says of a node; tells whether its process is another than the one known. Any
-    /// other start time means another process, also an earlier one: after a machine's clock was set back, a
-    /// later process has an earlier start time, and read as the old one it would keep that one's age and be
-    /// sent full load while cold.
+    /// Applies one entry of an endpoint list and returns whether the node runs a new process.
+    ///
+    /// Any change of the listed start time means a new process, even a change to an earlier time. After the clock
+    /// of a machine is set back, a later process has an earlier start time. If it were taken for the previous
+    /// process, it would inherit that process's age and receive full load while it is cold.
     fn apply_endpoint(
         &mut self,
         now: Timestamp,
@@ -243,7 +245,7 @@
         is_another
     }
 
-    /// What a list of all nodes does not name is removed.
+    /// Marks all nodes as removed that a complete list does not contain.
     fn remove_unlisted(&mut self, list: &EndpointList) {
         let listed: BTreeSet<NodeId> = list.entries.iter().map(|endpoint| endpoint.node).collect();
         let unlisted: Vec<NodeId> = self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -1,4 +1,4 @@
-//! State of one query and its shard requests.
+//! State of a query and its shard requests.
 
 use super::attempt::{Attempt, AttemptId, Execution};
 use crate::effective_config::{ClassPolicy, EffectiveConfig};
@@ -8,30 +8,30 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The state of a shard request.
+/// State of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ShardRequestState {
-    /// Nothing was sent, or is meant to be.
+    /// The shard request has not been sent and is not queued.
     Unsent,
-    /// To be sent this turn, or waiting for a node that may have it.
+    /// The shard request is sent in this turn, or waits until a node may receive it or a retry is allowed.
     Queued,
     InFlight,
-    /// Its response is in.
+    /// The response has been received.
     Received,
     Failed,
 }
 
-/// The part of a query that goes to one shard.
+/// Part of a query that reads one shard.
 #[derive(Clone, Debug)]
 pub(crate) struct ShardRequest {
     pub(crate) id: ShardRequestId,
-    /// Its query's.
+    /// Request class of the query.
     pub(crate) class: ClassId,
     pub(crate) shard: ShardId,
-    /// Its share of the query's value.
+    /// Fraction of the query's value, from 0 to 1.
     pub(crate) weight: f64,
     pub(crate) state: ShardRequestState,
-    /// Its response has begun to arrive, so that it is bound to one attempt.
+    /// Whether a response has started to arrive. The response of no other attempt is accepted from then on.
     pub(crate) response_started: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -49,34 +49,35 @@
         }
     }
 
-    /// How many of its attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 
-    /// Whether one of its attempts went out, or may still.
+    /// Returns whether any attempt has left the broker or may still leave it.
     pub(crate) fn was_attempted(&self) -> bool {
         self.attempts_made() > 0
     }
 
-    /// How many of its attempts went out, or may still.
+    /// Returns the number of attempts that have left the broker or may still leave it.
     pub(crate) fn attempts_made(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.execution != Execution::Unsent).count()
     }
 
-    /// An attempt at this node is in flight.
+    /// Returns whether an attempt at `node` is in flight.
     pub(crate) fn is_in_flight_at(&self, node: NodeId) -> bool {
         self.attempts.iter().any(|attempt| attempt.node == node && attempt.execution == Execution::InFlight)
     }
 
-    /// Waits for this attempt, of whose response nothing has come.
+    /// Returns whether `attempt` is in flight and no response to the shard request has started to arrive.
     pub(crate) fn awaits(&self, attempt: AttemptNumber) -> bool {
         let attempt = self.attempts.get(usize::from(attempt.0));
         let is_in_flight = attempt.is_some_and(|attempt| attempt.execution == Execution::InFlight);
         self.state == ShardRequestState::InFlight && !self.response_started && is_in_flight
     }
 
-    /// When the first attempt was sent that was executed, or may be; with those in flight, or without.
+    /// Returns the send time of the first attempt that may have been executed. Includes the attempts in flight if
+    /// `with_in_flight` is set.
     pub(crate) fn earliest_execution(&self, with_in_flight: bool) -> Option<Timestamp> {
         let may_execute = self.attempts.iter().filter(|attempt| match attempt.execution {
             Execution::MaybeExecuted => true,
@@ -86,39 +87,39 @@
         may_execute.map(|attempt| attempt.sent_at).min()
     }
 
-    /// Notes what became of an attempt.
+    /// Records whether an attempt has been executed.
     pub(crate) fn set_execution(&mut self, attempt: AttemptNumber, execution: Execution) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(attempt.0)) {
             attempt.execution = execution;
         }
     }
 
-    /// This node was tried.
+    /// Returns whether any attempt was sent to `node`.
     pub(crate) fn has_tried(&self, node: NodeId) -> bool {
         self.attempts.iter().any(|attempt| attempt.node == node)
     }
 }
 
-/// The state of a query.
+/// State of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryState {
-    /// Accepted, nothing sent.
+    /// The query has been accepted and nothing has been sent.
     Pending,
     /// Shard requests are in flight or queued.
     InFlight,
-    /// Past its latency objective: nothing more is sent.
+    /// The latency objective has passed and no further shard requests are sent.
     PastObjective,
-    /// A response has been given.
+    /// A response has been sent.
     Responded,
-    /// Waits for the shard requests of its second phase.
+    /// The query waits for the shard requests of its second phase.
     BetweenPhases,
     Finished,
 }
 
-/// What moves a query on.
+/// Event that may change the state of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryEvent {
-    /// It is to be looked at: its shard requests are known, a load report came, or it has waited.
+    /// The shard requests have arrived, a load report has arrived, or a waiting period has ended.
     Reevaluate,
     ResponseReceived,
     ShardRequestFailed,
@@ -128,56 +129,56 @@
     ClientLeft,
 }
 
-/// The class and the set of shards: all that routing knows of what a query asks. Two queries with different
-/// texts for the same shards are the same query here.
+/// Class and shards of a query, which is all that routing knows about its contents. Queries with different texts
+/// for the same shards have the same signature.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QuerySignature {
     class: ClassId,
     shards: BTreeSet<ShardId>,
 }
 
-/// The times of a query.
+/// Latency objective and deadline of a query.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueryTimes {
-    /// The latency objective of its class, stretched by the work that was told, at most the deadline and what
-    /// the client waits.
+    /// Latency objective of the class, extended by the stated work and capped at the deadline and at the time for
+    /// which the client waits.
     pub(crate) latency_objective: TimeSpan,
-    /// When a response has to leave to be on time.
+    /// Time at which a response must leave the broker to be on time.
     pub(crate) objective_at: Timestamp,
-    /// When a response has to leave to reach the client before it stops waiting; the class's deadline has no
-    /// part in it.
+    /// Time at which a response must leave the broker to reach the client before the client stops waiting. It does
+    /// not depend on the deadline of the class.
     pub(crate) deadline_at: Timestamp,
 }
 
-/// A query and its shard requests, in the order of their ranks.
+/// Query with its shard requests, which are ordered by rank.
 #[derive(Clone, Debug)]
 pub(crate) struct Query {
     pub(crate) id: QueryId,
     pub(crate) group: GroupId,
     pub(crate) class: ClassId,
-    /// The configuration under which it was accepted, to its end.
+    /// Configuration under which the query was accepted. It applies until the query ends.
     pub(crate) config: Arc<EffectiveConfig>,
     pub(crate) policy: Arc<ClassPolicy>,
-    /// Its tenant was within its quota when it was accepted.
+    /// Whether the tenant was within its quota when the query was accepted.
     pub(crate) within_quota: bool,
     pub(crate) state: QueryState,
     pub(crate) times: QueryTimes,
     pub(crate) in_second_phase: bool,
-    /// The first phase's response was complete.
+    /// Whether the response of the first phase was complete.
     pub(crate) first_phase_complete: bool,
-    /// Nodes that dropped the connection under an attempt of it.
+    /// Nodes that dropped the connection during an attempt of this query.
     pub(crate) lost_nodes: BTreeSet<NodeId>,
-    /// Only its canary request is in flight, the others wait for that.
+    /// Whether the other shard requests wait for the result of the canary request.
     pub(crate) canary_in_flight: bool,
-    /// Only what its minimum coverage needs is sent.
+    /// Whether to send only the shard requests that the minimum coverage needs.
     pub(crate) min_coverage_only: bool,
-    /// When its replicas were probed for their load.
+    /// Time at which the replicas were probed for their load, or `None` if they were not.
     pub(crate) probed_at: Option<Timestamp>,
     pub(crate) shard_requests: Vec<ShardRequest>,
 }
 
 impl Query {
-    /// A query as it is accepted, before its shard requests are known.
+    /// Creates an accepted query without shard requests.
     pub(crate) fn accept(
         new: &NewQuery,
         config: Arc<EffectiveConfig>,
@@ -209,13 +210,13 @@
         QuerySignature { class: self.class, shards }
     }
 
-    /// The weight of the shard requests in these states.
+    /// Returns the total weight of the shard requests in any of `states`.
     pub(crate) fn weight_in(&self, states: &[ShardRequestState]) -> f64 {
         self.shard_requests.iter().filter(|s| states.contains(&s.state)).map(|s| s.weight).sum()
     }
 
-    /// Its attempts in flight that can be cancelled: a shard request whose response has begun to arrive keeps
-    /// its own.
+    /// Returns the attempts in flight that may be cancelled. Attempts of a shard request whose response has started
+    /// to arrive are excluded.
     pub(crate) fn cancellable_attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
         let cancellable = self.shard_requests.iter().filter(|s| !s.response_started);
         cancellable.flat_map(|shard_request| {
@@ -228,7 +229,7 @@
         })
     }
 
-    /// None of its attempts was executed, or can still be.
+    /// Returns whether no attempt has been executed and none may still be.
     pub(crate) fn was_never_executed(&self) -> bool {
         let mut attempts = self.shard_requests.iter().flat_map(|shard_request| &shard_request.attempts);
         attempts.all(|attempt| matches!(attempt.execution, Execution::NotExecuted | Execution::Unsent))
@@ -238,7 +239,7 @@
         self.policy.has_second_phase && !self.in_second_phase
     }
 
-    /// Its class takes responses that are not complete.
+    /// Returns whether the class accepts responses that are not complete.
     pub(crate) fn allows_partial(&self) -> bool {
         self.policy.min_coverage < self.policy.complete_coverage
     }
--- a/crates/routing/src/state/query_table.rs
+++ b/crates/routing/src/state/query_table.rs
@@ -1,4 +1,4 @@
-//! Open queries with their shard requests, and the attempts in flight.
+//! Table of open queries with their shard requests, and of attempts in flight.
 
 use super::attempt::{Attempt, AttemptId, Execution, InFlightAttempt};
 use super::query::{Query, QueryState, ShardRequest, ShardRequestState};
@@ -7,57 +7,58 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a shard request is found.
+/// Location of a shard request in the table.
 #[derive(Clone, Copy, Debug)]
-struct ShardRequestPlace {
+struct ShardRequestLocation {
     query: QueryId,
-    /// In the query's list.
+    /// Index in [`Query::shard_requests`].
     index: usize,
 }
 
-/// The queries by id, and what is looked up beside them.
+/// Table of open queries by id, with the indexes and queues that refer to them.
 #[derive(Debug, Default)]
 pub(crate) struct QueryTable {
     queries: BTreeMap<QueryId, Query>,
     by_group: BTreeMap<GroupId, QueryId>,
-    shard_requests: BTreeMap<ShardRequestId, ShardRequestPlace>,
-    /// Attempts in flight; one may outlive its query.
+    shard_requests: BTreeMap<ShardRequestId, ShardRequestLocation>,
+    /// Attempts in flight. An attempt may outlive its query.
     pub(crate) in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Queries that got shard requests, or news that they wait for, in this turn.
+    /// Queries that received shard requests or load reports in the current turn.
     pub(crate) updated: BTreeSet<QueryId>,
-    /// Queries that wait for capacity under the concurrency limit.
+    /// Queries that wait for the concurrency limit to allow them.
     pub(crate) admission_queue: BTreeSet<QueryId>,
     /// Queries that wait for load reports of their replicas.
     pub(crate) awaiting_load: BTreeSet<QueryId>,
-    /// Shard requests to be sent this turn, in order.
+    /// Shard requests to send in the current turn, in order.
     pub(crate) to_send: Vec<ShardRequestId>,
 }
 
 impl QueryTable {
-    /// Adds a query that was just accepted.
+    /// Adds a newly accepted query.
     pub(crate) fn add(&mut self, query: Query) {
         self.by_group.insert(query.group, query.id);
         self.updated.insert(query.id);
         self.put(query);
     }
 
-    /// Takes a query out to change it; it is put back with [`QueryTable::put`].
+    /// Removes a query so that it can be changed. The caller returns it with [`QueryTable::put`].
     pub(crate) fn take(&mut self, id: QueryId) -> Option<Query> {
         self.queries.remove(&id)
     }
 
-    /// Takes the query of a shard request out, with the shard request's index in it.
+    /// Removes the query of a shard request so that it can be changed, and returns it with the index of the shard
+    /// request.
     ///
-    /// Front ends may use an id again before the first use has ended. A place can then point into another
-    /// query, where the index holds another shard request or none: such a place is not followed.
+    /// A front end may reuse an id while its first use is still open. The stored location can then refer to another
+    /// query, at whose index there is a different shard request or none. Returns `None` for such a location.
     pub(crate) fn take_by_shard_request(&mut self, shard_request: ShardRequestId) -> Option<(Query, usize)> {
-        let place = *self.shard_requests.get(&shard_request)?;
-        let query = self.queries.get(&place.query)?;
-        query.shard_requests.get(place.index).filter(|found| found.id == shard_request)?;
-        Some((self.queries.remove(&place.query)?, place.index))
+        let location = *self.shard_requests.get(&shard_request)?;
+        let query = self.queries.get(&location.query)?;
+        query.shard_requests.get(location.index).filter(|found| found.id == shard_request)?;
+        Some((self.queries.remove(&location.query)?, location.index))
     }
 
-    /// Puts a query back that was taken out to be changed.
+    /// Returns a query to the table after a change.
     pub(crate) fn put(&mut self, query: Query) {
         if query.state != QueryState::Pending {
             self.admission_queue.remove(&query.id);
@@ -66,8 +67,8 @@
         self.queries.insert(query.id, query);
     }
 
-    /// Forgets a finished query that was taken out.
-    pub(crate) fn forget(&mut self, query: &Query) {
+    /// Removes the index entries of a finished query that was taken from the table.
+    pub(crate) fn remove_index_entries(&mut self, query: &Query) {
         for shard_request in &query.shard_requests {
             self.shard_requests.remove(&shard_request.id);
         }
@@ -76,15 +77,15 @@
         self.awaiting_load.remove(&query.id);
     }
 
-    /// Forgets the shard requests of a query's first phase.
-    pub(crate) fn forget_first_phase(&mut self, query: &mut Query) {
+    /// Removes the shard requests of the first phase of a query.
+    pub(crate) fn remove_first_phase(&mut self, query: &mut Query) {
         query.lost_nodes.clear();
         for shard_request in query.shard_requests.drain(..) {
             self.shard_requests.remove(&shard_request.id);
         }
     }
 
-    /// Adds a shard request to the query of its group.
+    /// Adds a shard request to the query with the same group. Ignores it if there is no such query.
     pub(crate) fn add_shard_request(&mut self, new: &NewShardRequest) {
         let Some(id) = self.by_group.get(&new.group) else { return };
         let Some(query) = self.queries.get_mut(id) else { return };
@@ -92,22 +93,22 @@
         query.shard_requests.push(ShardRequest::new(new, query.class));
     }
 
-    /// Puts a query's shard requests in the order of their ranks: by weight, then by id.
+    /// Sorts the shard requests of a query by rank: by descending weight, then by id.
     pub(crate) fn rank_shard_requests(&mut self, id: QueryId) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         query.shard_requests.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
         for (index, shard_request) in query.shard_requests.iter().enumerate() {
-            self.shard_requests.insert(shard_request.id, ShardRequestPlace { query: id, index });
+            self.shard_requests.insert(shard_request.id, ShardRequestLocation { query: id, index });
         }
     }
 
-    /// Queues a shard request to be sent this turn.
+    /// Queues a shard request to be sent in the current turn.
     pub(crate) fn queue(&mut self, shard_request: &mut ShardRequest) {
         shard_request.state = ShardRequestState::Queued;
         self.to_send.push(shard_request.id);
     }
 
-    /// Enters an attempt that is sent this turn.
+    /// Records an attempt that is sent in the current turn.
     pub(crate) fn record_attempt(
         &mut self,
         now: Timestamp,
@@ -123,11 +124,12 @@
         id
     }
 
-    /// A response has begun to arrive: the shard request is bound to that attempt.
+    /// Records that a response to a shard request has started to arrive. The response of no other attempt is
+    /// accepted from then on.
     pub(crate) fn mark_response_started(&mut self, shard_request: ShardRequestId) {
-        let Some(place) = self.shard_requests.get(&shard_request) else { return };
-        let query = self.queries.get_mut(&place.query);
-        if let Some(found) = query.and_then(|query| query.shard_requests.get_mut(place.index)) {
+        let Some(location) = self.shard_requests.get(&shard_request) else { return };
+        let query = self.queries.get_mut(&location.query);
+        if let Some(found) = query.and_then(|query| query.shard_requests.get_mut(location.index)) {
             found.response_started = true;
         }
     }
--- a/crates/routing/src/statistics.rs
+++ b/crates/routing/src/statistics.rs
@@ -1,46 +1,48 @@
-//! Statistics over time, without decisions: what is counted, and over which span, is for whoever counts.
+//! Statistics over time. Callers choose the events and the time span; this module makes no decisions.
 
 use crate::time::{TimeSpan, Timestamp};
 
-/// A count that decays exponentially.
+/// Exponentially decaying counter.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingCounter {
-    /// The count as it was at `updated_at`.
+    /// Count at the time `updated_at`.
     pub(crate) count: f64,
-    /// When something was last added.
+    /// Time of the last addition.
     pub(crate) updated_at: Timestamp,
 }
 
 impl DecayingCounter {
-    /// The count now, decayed by a factor of e for each `span` that has passed.
+    /// Returns the count at `now`, decayed by a factor of e for each `span` since the last addition.
     pub(crate) fn read(&self, now: Timestamp, span: TimeSpan) -> f64 {
         self.count * (-(now - self.updated_at).ratio_to(span)).exp()
     }
 
-    /// Adds to the count.
+    /// Adds `amount` to the count after decaying it to `now`.
     pub(crate) fn add(&mut self, now: Timestamp, span: TimeSpan, amount: f64) {
         self.count = self.read(now, span) + amount;
         self.updated_at = now;
     }
 }
 
-/// What one slice of a [`SlidingWindow`] has counted.
+/// Event counts of a [`SlidingWindow`] or of one of its slices.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowCounts {
-    /// Events of the kind that is watched for.
+    /// Number of events of the kind that the window measures.
     pub marked: f64,
-    /// All events.
+    /// Number of all events, including the marked ones.
     pub total: f64,
 }
 
-/// A share of events within a span, counted in `SLICES` slices of it: what a slice holds is forgotten when
-/// the span has passed it. A quotient of two exponentially decaying counts would not decay while few events
-/// come in, so a burst would keep it high long after its end; a window forgets the burst.
+/// Fraction of marked events within a time span that is divided into `SLICES` slices. The counts of a slice are
+/// dropped once the span has passed it.
+///
+/// The ratio of two exponentially decaying counters does not decay while few events arrive, so it stays high long
+/// after a burst has ended. A sliding window drops the burst.
 #[derive(Clone, Copy, Debug)]
 pub struct SlidingWindow<const SLICES: usize> {
     slices: [WindowCounts; SLICES],
     newest: usize,
-    newest_began_at: Timestamp,
+    newest_started_at: Timestamp,
 }
 
 impl<const SLICES: usize> Default for SlidingWindow<SLICES> {
@@ -48,26 +50,26 @@
         SlidingWindow {
             slices: [WindowCounts::default(); SLICES],
             newest: 0,
-            newest_began_at: Timestamp::ZERO,
+            newest_started_at: Timestamp::ZERO,
         }
     }
 }
 
 impl<const SLICES: usize> SlidingWindow<SLICES> {
-    /// Moves on to the slice of `now`, clearing those that the span has passed.
+    /// Advances to the slice that contains `now` and clears the slices that the span has passed.
     fn advance(&mut self, now: Timestamp, span: TimeSpan) {
         let slice = TimeSpan((span.0 / SLICES as i64).max(1));
-        let steps = ((now - self.newest_began_at).0 / slice.0).clamp(0, SLICES as i64) as usize;
+        let steps = ((now - self.newest_started_at).0 / slice.0).clamp(0, SLICES as i64) as usize;
         for _ in 0..steps {
             self.newest = (self.newest + 1) % SLICES;
             self.slices[self.newest] = WindowCounts::default();
         }
         if steps > 0 {
-            self.newest_began_at = Timestamp(now.0 - (now.0 - self.newest_began_at.0) % slice.0);
+            self.newest_started_at = Timestamp(now.0 - (now.0 - self.newest_started_at.0) % slice.0);
         }
     }
 
-    /// Counts events: `marked` of the kind that is watched for, `total` of any.
+    /// Counts `total` events, of which `marked` are marked.
     pub fn count(&mut self, now: Timestamp, span: TimeSpan, marked: f64, total: f64) {
         self.advance(now, span);
         let slice = &mut self.slices[self.newest];
@@ -75,13 +77,13 @@
         slice.total += total;
     }
 
-    /// The marked share of all events, or of `min_total` where fewer were counted.
+    /// Returns the number of marked events divided by that of all events, or by `min_total` if that is larger.
     pub fn share(&self, now: Timestamp, span: TimeSpan, min_total: f64) -> f64 {
         let sums = self.sums(now, span);
         sums.marked / f64::max(sums.total, min_total)
     }
 
-    /// What was counted within the span.
+    /// Returns the counts within the span before `now`.
     pub fn sums(&self, now: Timestamp, span: TimeSpan) -> WindowCounts {
         let mut window = *self;
         window.advance(now, span);
@@ -93,7 +95,7 @@
     }
 }
 
-/// The share of losses of late, by exponentially decaying counts.
+/// Recent fraction of losses, measured with two exponentially decaying counters.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LossRatio {
     lost: DecayingCounter,
@@ -101,29 +103,29 @@
 }
 
 impl LossRatio {
-    /// Counts `lost` losses out of `total` events.
+    /// Counts `total` events, of which `lost` were losses.
     pub(crate) fn count(&mut self, now: Timestamp, span: TimeSpan, lost: f64, total: f64) {
         self.lost.add(now, span, lost);
         self.total.add(now, span, total);
     }
 
-    /// The lost share of all, or of `min_total` where fewer were counted.
+    /// Returns the number of losses divided by the number of events, or by `min_total` if that is larger.
     pub(crate) fn share(&self, now: Timestamp, span: TimeSpan, min_total: f64) -> f64 {
         self.lost.read(now, span) / self.total.read(now, span).max(min_total)
     }
 }
 
-/// How long something takes when nothing slows it: the lowest that its running mean ever was.
+/// Latency without queueing, estimated as the lowest value of the running mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BaselineLatency {
     samples: f64,
     mean: f64,
-    /// None until enough samples were taken.
+    /// Lowest running mean so far, or `None` until `min_samples` samples have been recorded.
     pub(crate) lowest_mean: Option<TimeSpan>,
 }
 
 impl BaselineLatency {
-    /// Takes in a latency; the mean counts once `min_samples` were taken, and is over as many.
+    /// Records a latency. The running mean covers about `min_samples` samples and is used from that number on.
     pub(crate) fn record(&mut self, latency: TimeSpan, min_samples: f64) {
         self.samples = (self.samples + 1.0).min(min_samples);
         self.mean += (latency.0 as f64 - self.mean) / self.samples;
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -1,46 +1,45 @@
-//! Moments and spans, in whole tenths of a millisecond. Moments of different clocks are different types, so
-//! that the compiler refuses a sum or a difference that means nothing.
+//! Points in time and time spans in whole tenths of a millisecond. Each clock has its own type, so that the
+//! compiler rejects arithmetic between different clocks.
 
 use std::ops::{Add, AddAssign, Sub};
 
-/// Tenths of a millisecond in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 
-/// Tenths of a millisecond in a second.
 const TENTHS_PER_SECOND: i64 = 10_000;
 
-/// A span of time, in tenths of a millisecond. Sums and differences saturate.
+/// Signed time span in tenths of a millisecond. Addition and subtraction saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeSpan(
-    /// Tenths of a millisecond.
+    /// Length in tenths of a millisecond.
     pub i64,
 );
 
 impl TimeSpan {
-    /// No time.
+    /// Time span of zero length.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
-    /// So many seconds.
+    /// Creates a time span of `seconds` seconds.
     pub const fn from_secs(seconds: i64) -> TimeSpan {
         TimeSpan(seconds * TENTHS_PER_SECOND)
     }
 
-    /// Whole tenths of so many milliseconds, rounded down; not-a-number is zero.
+    /// Creates a time span of `ms` milliseconds, rounded down to whole tenths. Returns zero if `ms` is not a number.
     pub fn from_ms(ms: f64) -> TimeSpan {
         TimeSpan((ms * TENTHS_PER_MS).floor() as i64)
     }
 
-    /// As milliseconds.
+    /// Returns the length in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / TENTHS_PER_MS
     }
 
-    /// This span times a ratio.
+    /// Multiplies this span by `ratio` and truncates the product toward zero.
     pub fn mul_f64(self, ratio: f64) -> TimeSpan {
         TimeSpan((self.0 as f64 * ratio) as i64)
     }
 
-    /// This span as a ratio of another; an empty other counts as the smallest span.
+    /// Returns the length of this span divided by that of `other`. If `other` is not positive, divides by the
+    /// smallest positive span.
     pub fn ratio_to(self, other: TimeSpan) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
@@ -71,21 +70,21 @@
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// Tenths of a millisecond since the clock's beginning.
+            /// Tenths of a millisecond since the epoch of the clock.
             pub i64,
         );
 
         impl $name {
-            /// The beginning of the clock.
+            /// Epoch of the clock.
             pub const ZERO: $name = $name(0);
 
-            /// The moment so many milliseconds after the clock's beginning, rounded down; not-a-number is the
-            /// beginning.
+            /// Returns the time `ms` milliseconds after the epoch, rounded down to whole tenths of a
+            /// millisecond. Returns the epoch if `ms` is not a number.
             pub fn from_ms(ms: f64) -> $name {
                 $name(TimeSpan::from_ms(ms).0)
             }
 
-            /// Milliseconds since the clock's beginning.
+            /// Returns the number of milliseconds since the epoch.
             pub fn as_ms(self) -> f64 {
                 TimeSpan(self.0).as_ms()
             }
@@ -121,9 +120,9 @@
 }
 
 clocks! {
-    /// A moment on the monotonic clock that a broker's turns are given by.
+    /// Time on the monotonic clock that a broker's turns use.
     Timestamp;
-    /// A moment on a machine's wall clock. Wall clocks may be set forward or back at any time, and those of
-    /// two machines differ.
+    /// Time on the wall clock of a machine. A wall clock may be stepped forward or back at any time, and the wall
+    /// clocks of two machines differ.
     WallClockTime;
 }
