--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -11,7 +11,7 @@
 use crate::state::{Query, Timer};
 use std::collections::BTreeSet;
 
-/// Guards.
+/// Guards for pending queries.
 impl Broker {
     /// Returns whether a query with the same signature has recently been quarantined as a query of death.
     pub(crate) fn is_quarantined(&self, query: &Query) -> bool {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Actions, including those that only record observations.
+/// Actions and records for pending queries.
 impl Broker {
     /// Records the yield of the query's class and whether the cutoff is active for the query.
     pub(crate) fn record_class_yield(&mut self, query: &Query) {
--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -10,7 +10,7 @@
 use crate::policy::give_up::{Ending, ending, retry_after};
 use crate::state::{Query, Timer};
 
-/// Guards.
+/// Guards for queries that have been sent.
 impl Broker {
     /// Returns whether the other shard requests of the query wait for the canary's response.
     pub(crate) fn awaits_canary(&self, query: &Query) -> bool {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Actions.
+/// Actions that end a query or its first phase.
 impl Broker {
     /// Responds to the query with the shard responses received so far.
     pub(crate) fn respond(&mut self, query: &mut Query) {
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Applies the rows of [`TABLE`] that match an event to a query.
+    /// Applies the matching rows of [`TABLE`] to a query, in order, up to the first one that moves the query.
     fn advance(&mut self, id: QueryId, event: QueryEvent) {
         let Some(mut query) = self.state.queries.take(id) else { return };
         for row in TABLE {
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -15,7 +15,7 @@
 use crate::state::{ShardRequestState, Timer};
 use crate::time::TimeSpan;
 
-/// Sending.
+/// Sending of attempts.
 impl Broker {
     /// Sends a queued shard request. Leaves it queued while no replica may receive it or the retry budget is
     /// exhausted. Fails it if another attempt is not permitted or its query makes nodes fail.
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -61,7 +61,7 @@
     Cached,
 }
 
-/// One node of an endpoint list.
+/// Entry of an endpoint list, which describes one node.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Identifier of the node.
@@ -133,13 +133,13 @@
     pub attempt: AttemptNumber,
     /// Node to which the attempt was sent.
     pub node: NodeId,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// Time from the turn that sent the attempt to its end.
     pub duration: TimeSpan,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The node responded without an error.
--- a/crates/routing/src/state/query.rs
+++ b/crates/routing/src/state/query.rs
@@ -105,7 +105,7 @@
 pub(crate) enum QueryState {
     /// The query has been accepted and nothing has been sent.
     Pending,
-    /// Shard requests are in flight or queued.
+    /// The query has shard requests in flight or queued.
     InFlight,
     /// The latency objective has passed and no further shard requests are sent.
     PastObjective,
--- a/crates/simulator-adapter/src/broker_host.rs
+++ b/crates/simulator-adapter/src/broker_host.rs
@@ -1,4 +1,4 @@
-//! The brokers of this process: gives each its inputs of a batch, and collects its effects.
+//! Hosting of several brokers: passes the inputs of a batch to each broker and collects the effects.
 
 use crate::wire::{Batch, BatchEvent, Reply};
 use routing::{
@@ -8,25 +8,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What in a batch contradicts what came before.
+/// Error in a batch that is inconsistent with the preceding ones.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
-    /// An event names a broker that was not started, or was stopped.
-    #[error("an event for broker {0}, which is not running")]
+    /// An event names a broker that has not been started or has been stopped.
+    #[error("event for broker {0}, which is not running")]
     UnknownBroker(u16),
-    /// An endpoint list's form is none of the wire's.
-    #[error("list form {0} is unknown")]
-    UnknownListForm(u8),
-    /// An event names an endpoint list that no record held.
-    #[error("list {0} never came")]
+    /// The kind code of an endpoint list is not part of the protocol.
+    #[error("unknown endpoint list kind {0}, expected 0 to 3")]
+    UnknownListKind(u8),
+    /// An event names an endpoint list whose contents have not been received.
+    #[error("event refers to endpoint list {0}, whose contents have not been received")]
     MissingList(u16),
 }
 
-/// A broker, or why it could not start.
+/// Running broker, or the reason why it could not start.
 enum HostedBroker {
     Running {
         broker: Box<Broker>,
-        /// What the values of a load report are, in their order.
+        /// Metrics of a load report, in the order of its values.
         load_metrics: Vec<LoadMetric>,
     },
     Failed {
@@ -34,10 +34,10 @@
     },
 }
 
-/// The inputs of a batch by broker; a broker that has just started has an entry without inputs.
+/// Inputs of a batch by broker number. A broker that started in this batch has an entry even without inputs.
 type BrokerInputs = BTreeMap<u16, Vec<Input>>;
 
-/// The brokers of this process by number, and the endpoint lists that they may be sent.
+/// Brokers of this process by number, and the endpoint lists that events may refer to.
 #[derive(Default)]
 pub struct BrokerHost {
     brokers: BTreeMap<u16, HostedBroker>,
@@ -45,7 +45,7 @@
 }
 
 impl BrokerHost {
-    /// Handles one batch: one turn for each broker that it names.
+    /// Handles one batch, which gives one turn to each broker that it names.
     pub fn handle(&mut self, batch: Batch) -> Result<Reply, BatchError> {
         let mut inputs = BrokerInputs::new();
         for event in batch.events {
@@ -72,8 +72,8 @@
             BatchEvent::ListContents { number, endpoints } => {
                 self.endpoint_lists.insert(number, endpoints.into());
             }
-            BatchEvent::ListArrived { broker, number, form } => {
-                let input = self.list_input(now, number, form)?;
+            BatchEvent::ListArrived { broker, number, kind_code } => {
+                let input = self.list_input(now, number, kind_code)?;
                 self.add_input(inputs, broker, input)?;
             }
             BatchEvent::ProbeEnded { broker, node, is_healthy, load_values } => {
@@ -109,13 +109,13 @@
         Ok(())
     }
 
-    fn list_input(&self, now: Timestamp, number: u16, form: u8) -> Result<Input, BatchError> {
-        let kind = match form {
+    fn list_input(&self, now: Timestamp, number: u16, kind_code: u8) -> Result<Input, BatchError> {
+        let kind = match kind_code {
             0 => EndpointListKind::Delta,
             1 => EndpointListKind::Snapshot,
             2 => EndpointListKind::Cached,
             3 => return Ok(Input::EndpointListFailed),
-            other => return Err(BatchError::UnknownListForm(other)),
+            other => return Err(BatchError::UnknownListKind(other)),
         };
         let entries = self.endpoint_lists.get(&number).ok_or(BatchError::MissingList(number))?.clone();
         Ok(Input::EndpointList(EndpointList { kind, wall_clock: WallClockTime(now.0), entries }))
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts brokers on the simulator's binary wire: reads batches on standard input and answers each on standard
-//! output, until the input ends.
+//! Adapter that runs brokers inside the simulator. Reads batches of events from standard input and writes one reply
+//! for each to standard output, until the input ends.
 
 mod broker_host;
 mod serve;
--- a/crates/simulator-adapter/src/serve.rs
+++ b/crates/simulator-adapter/src/serve.rs
@@ -1,30 +1,31 @@
-//! The loop from batch to reply.
+//! Main loop: reads batches and writes replies.
 
 use crate::broker_host::{BatchError, BrokerHost};
 use crate::wire::{self, DecodeError, HEADER_BYTES};
 use std::io::{self, Read, Write};
 
-/// Why serving ended before the input did.
+/// Error that ends the main loop before the end of the input.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The input can't be read, or the output not written.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The input ends within a header, after so many of its bytes.
-    #[error("the input ends at byte {0} of a frame's header")]
-    HeaderCutShort(usize),
-    /// The input ends within a frame, after so many of its bytes.
-    #[error("the input ends at byte {0} of a frame")]
-    FrameCutShort(usize),
-    /// A frame can't be decoded.
+    /// The input ended within a frame header, of which this many bytes were read.
+    #[error("input truncated after {0} bytes of a frame header")]
+    TruncatedHeader(usize),
+    /// The input ended within a frame, of which this many bytes were read, including the header.
+    #[error("input truncated after {0} bytes of a frame")]
+    TruncatedFrame(usize),
+    /// A frame could not be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// A batch contradicts what came before.
+    /// A batch is inconsistent with the preceding ones.
     #[error(transparent)]
     Batch(#[from] BatchError),
 }
 
-/// Answers each batch of the input, until that ends between two.
+/// Reads batches from `input` and writes a reply for each to `output`. Returns when the input ends after a complete
+/// batch.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = BrokerHost::default();
     let mut header = [0; HEADER_BYTES];
@@ -35,14 +36,14 @@
             return Ok(());
         }
         if header_read < header.len() {
-            return Err(ServeError::HeaderCutShort(header_read));
+            return Err(ServeError::TruncatedHeader(header_read));
         }
         let (now, length) = wire::decode_header(&header);
         body.clear();
-        // Grows with what comes, not with what the length field claims.
+        // Allocates as bytes arrive instead of trusting the length field.
         let body_read = input.by_ref().take(length as u64).read_to_end(&mut body)?;
         if body_read < length {
-            return Err(ServeError::FrameCutShort(HEADER_BYTES + body_read));
+            return Err(ServeError::TruncatedFrame(HEADER_BYTES + body_read));
         }
         let reply = host.handle(wire::decode_body(now, &body)?)?;
         output.write_all(&reply.frame())?;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Fills the buffer as far as the input goes; how many bytes that were.
+/// Reads until the buffer is full or the input ends, and returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! The wire's frames, valid and invalid.
+//! Decoding and encoding of valid and invalid frames.
 
 use crate::broker_host::BrokerHost;
 use crate::serve::{ServeError, serve};
@@ -40,7 +40,7 @@
 }
 
 #[rstest]
-fn decodes_the_examples() {
+fn decodes_valid_records() {
     let header: [u8; HEADER_BYTES] = bytes("00000000206ec040 50000000").try_into().unwrap();
     assert_eq!(decode_header(&header), (Timestamp(84_122), 80));
     let batch =
@@ -53,7 +53,7 @@
         BatchEvent::Input { input: Input::Woken, .. },
     ] = &batch.events[..]
     else {
-        panic!("{:?}", batch.events)
+        panic!("unexpected events: {:?}", batch.events)
     };
     assert_eq!(
         (shard_request.id, shard_request.shard, shard_request.weight),
@@ -90,16 +90,20 @@
 }
 
 #[rstest]
-#[case("00", "field cut short", HEADER_BYTES)]
-#[case("01000000 63", "event code 99 is unknown", 16)]
-#[case("01000000 12 0300 c4", "field cut short", 19)]
-#[case("01000000 10 0300 0700000000000000 ffffffff 7b", "count of 4294967295 overruns", 31)]
-#[case("01000000 1a 0000 ffffffff", "field cut short", 23)]
-#[case("ffffffff", "field cut short", 16)]
-#[case("00000000 16", "1 bytes are left over", 16)]
-fn names_what_is_invalid(#[case] body: &str, #[case] expected: &str, #[case] expected_at: usize) {
+#[case("00", "truncated field", HEADER_BYTES)]
+#[case("01000000 63", "unknown event code 99", 16)]
+#[case("01000000 12 0300 c4", "truncated field", 19)]
+#[case("01000000 10 0300 0700000000000000 ffffffff 7b", "length of 4294967295 bytes exceeds", 31)]
+#[case("01000000 1a 0000 ffffffff", "truncated field", 23)]
+#[case("ffffffff", "truncated field", 16)]
+#[case("00000000 16", "1 trailing bytes", 16)]
+fn reports_kind_and_position_of_errors(
+    #[case] body: &str,
+    #[case] expected: &str,
+    #[case] expected_at: usize,
+) {
     let Err(DecodeError { kind, at }) = decode_body(Timestamp(0), &bytes(body)) else {
-        panic!("it was decoded")
+        panic!("an invalid body was decoded")
     };
     let text = kind.to_string();
     assert!(text.starts_with(expected), "{text}");
@@ -115,10 +119,10 @@
     assert!(matches!(serve(&input[..], &mut output), Ok(())));
     assert_eq!(output[..8], bytes("04000000 00000000"));
     let mut error_of = |input: &[u8]| -> ServeError { serve(input, &mut output).unwrap_err() };
-    assert_eq!(error_of(&frame(&[])[..9]).to_string(), "the input ends at byte 9 of a frame's header");
-    assert_eq!(error_of(&frame(&[])[..14]).to_string(), "the input ends at byte 14 of a frame");
+    assert_eq!(error_of(&frame(&[])[..9]).to_string(), "input truncated after 9 bytes of a frame header");
+    assert_eq!(error_of(&frame(&[])[..14]).to_string(), "input truncated after 14 bytes of a frame");
     let unknown_broker = error_of(&frame(&[woken])).to_string();
-    assert_eq!(unknown_broker, "an event for broker 3, which is not running");
+    assert_eq!(unknown_broker, "event for broker 3, which is not running");
 }
 
 #[rstest]
@@ -126,9 +130,9 @@
 #[case(&SETTINGS.replace("Ranges", "Rages"), "missing field `Ranges`")]
 #[case(&SETTINGS.replace("deduplicated", "doubtful"), "`Effect` is `doubtful`")]
 #[case(&SETTINGS.replace("\"MinShare\": [0.4]", "\"MinShare\": []"), "`MinShare` is too short")]
-fn names_the_invalid_setting(#[case] text: &str, #[case] expected: &str) {
+fn reports_the_invalid_setting(#[case] text: &str, #[case] expected: &str) {
     assert!(settings::read(text.as_bytes()).unwrap_err().to_string().contains(expected));
     let batch = decode_body(Timestamp(0), &body(&[&start(text)])).unwrap();
     let reply = BrokerHost::default().handle(batch).unwrap().frame();
-    assert_eq!(reply[8..11], bytes("59 0300"), "the broker can't go on");
+    assert_eq!(reply[8..11], bytes("59 0300"), "a broker with invalid settings must be reported as failed");
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: batches of events come in, replies with effects go out; all numbers are
-//! little-endian.
+//! Binary protocol of the simulator. The adapter receives batches of events and sends replies with effects. All
+//! numbers are little-endian.
 
 mod codes;
 mod decode;
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -1,53 +1,53 @@
-//! The codes of the records, one byte at the start of each.
+//! Codes of the records. Each record starts with a one-byte code.
 
 /// Codes of the records of a batch.
 pub mod event {
-    /// A broker starts, with a seed and its settings text.
+    /// Starts a broker with a seed and the text of its settings.
     pub const START: u8 = 16;
-    /// An endpoint list reached a broker; its contents came in a `LIST_CONTENTS` record.
+    /// Reports that an endpoint list reached a broker. A `LIST_CONTENTS` record has sent its contents.
     pub const LIST_ARRIVED: u8 = 17;
-    /// A query, or one of its shard requests, reached a broker.
+    /// Reports that a query or one of its shard requests reached a broker.
     pub const QUERY: u8 = 18;
-    /// The response to an attempt began.
+    /// Reports that the response to an attempt has started to arrive.
     pub const RESPONSE_STARTED: u8 = 19;
-    /// An attempt ended.
+    /// Reports that an attempt has ended.
     pub const ATTEMPT_ENDED: u8 = 20;
-    /// The client of a query left.
+    /// Reports that the client of a query has disconnected.
     pub const CLIENT_LEFT: u8 = 21;
-    /// The time of a wake-up came.
+    /// Reports that the time of a requested wake-up has come.
     pub const WOKEN: u8 = 22;
-    /// A probe for load ended.
+    /// Reports that a probe for load has ended.
     pub const PROBE_ENDED: u8 = 23;
-    /// A message of another broker; ignored here.
+    /// Carries a message of another broker, which the adapter ignores.
     pub const PEER_MESSAGE: u8 = 24;
-    /// A broker stops.
+    /// Stops a broker.
     pub const STOP: u8 = 25;
-    /// The contents of an endpoint list, for all brokers of the process.
+    /// Carries the contents of an endpoint list, which all brokers of the process share.
     pub const LIST_CONTENTS: u8 = 26;
 }
 
 /// Codes of the records of a reply.
 pub mod effect {
-    /// Send a shard request to a node.
+    /// Sends a shard request to a node.
     pub const SEND: u8 = 80;
-    /// Reject a query.
+    /// Rejects a query, with the wait before a retry.
     pub const REJECT: u8 = 81;
-    /// Fail a query.
+    /// Ends a query without a response.
     pub const FAIL: u8 = 82;
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     pub const CANCEL: u8 = 83;
-    /// Wake the broker after a time.
+    /// Requests a `WOKEN` event after a time.
     pub const WAKE: u8 = 84;
-    /// Probe a node for its load.
+    /// Requests a load report from a node.
     pub const PROBE: u8 = 85;
-    /// Close idle connections to a node.
+    /// Closes the idle connections to a node.
     pub const CLOSE_IDLE: u8 = 86;
-    /// Write a log line.
+    /// Writes a line to the log.
     pub const LOG: u8 = 88;
-    /// The broker can't go on.
+    /// Reports that the broker has failed and why.
     pub const BROKER_FAILED: u8 = 89;
-    /// Watch the endpoint list.
+    /// Requests the endpoint list and its updates.
     pub const WATCH_ENDPOINTS: u8 = 90;
-    /// Respond to a query.
+    /// Responds to a query.
     pub const RESPOND: u8 = 92;
 }
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Reads batches of events.
+//! Decoding of batches.
 
 use crate::wire::codes::event;
 use bytes::{Buf, TryGetError};
@@ -8,88 +8,88 @@
     Timestamp, WallClockTime, ZoneId,
 };
 
-/// Bytes of a batch's header: the clock (8) and the length of what follows (4).
+/// Length of a batch header in bytes: the clock (8) and the length of the body (4).
 pub const HEADER_BYTES: usize = 12;
 
-/// The flag of a query that has a hint of its work.
-const HAS_WORK_HINT: u8 = 1;
+/// Flag of a query record that contains an estimate of the query's work.
+const HAS_WORK_ESTIMATE: u8 = 1;
 
-/// Why a frame could not be read, and at which of its bytes.
+/// Decoding error and its position in the frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{kind} at byte {at} of the frame")]
 pub struct DecodeError {
-    /// What is wrong there.
+    /// Kind of the error.
     pub kind: DecodeErrorKind,
-    /// The byte, counted from the start of the header.
+    /// Offset of the invalid byte from the start of the header.
     pub at: usize,
 }
 
-/// What is wrong with a frame.
+/// Kind of a decoding error.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeErrorKind {
     /// The frame ends within a field.
-    #[error("field cut short ({0})")]
-    FieldCutShort(TryGetError),
-    /// A count of bytes is larger than the rest of the frame.
-    #[error("count of {0} overruns the frame")]
-    CountOverruns(usize),
-    /// A record's code is none of the wire's.
-    #[error("event code {0} is unknown")]
+    #[error("truncated field ({0})")]
+    TruncatedField(TryGetError),
+    /// The length of a field is larger than the rest of the frame.
+    #[error("length of {0} bytes exceeds the rest of the frame")]
+    LengthExceedsFrame(usize),
+    /// The code of a record is not part of the protocol.
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// An endpoint's state is none of the wire's.
-    #[error("standing {0} is unknown")]
+    /// The state of an endpoint is not part of the protocol.
+    #[error("unknown endpoint state {0}, expected 0 to 2")]
     UnknownEndpointState(u8),
-    /// An attempt's outcome is none of the wire's.
-    #[error("outcome {0} is unknown")]
+    /// The outcome of an attempt is not part of the protocol.
+    #[error("unknown outcome {0}, expected 0 to 7")]
     UnknownOutcome(u16),
     /// Bytes follow the last record.
-    #[error("{0} bytes are left over")]
-    BytesLeftOver(usize),
+    #[error("{0} trailing bytes after the last record")]
+    TrailingBytes(usize),
 }
 
-/// The records of a batch, and the clock that it came with.
+/// Batch of events, with the time at which they happened.
 pub struct Batch {
-    /// The simulator's clock.
+    /// Time on the simulator's clock.
     pub now: Timestamp,
-    /// The records in their order.
+    /// Events in the order of their records.
     pub events: Vec<BatchEvent>,
 }
 
-/// One record of a batch. A broker is named by its number.
+/// Event of a batch. Brokers are identified by number.
 #[derive(Debug)]
 pub enum BatchEvent {
-    /// A broker starts.
+    /// A broker starts, with a seed and the text of its settings.
     Start { broker: u16, seed: u64, settings: Vec<u8> },
     /// A broker stops.
     Stop { broker: u16 },
     /// The contents of an endpoint list.
     ListContents { number: u16, endpoints: Vec<Endpoint> },
-    /// An endpoint list reached a broker.
-    ListArrived { broker: u16, number: u16, form: u8 },
-    /// A probe for load ended; the values are in the order of the settings' metrics.
+    /// An endpoint list has reached a broker.
+    ListArrived { broker: u16, number: u16, kind_code: u8 },
+    /// A probe for load has ended. The values are in the order of the metrics in the settings.
     ProbeEnded { broker: u16, node: NodeId, is_healthy: bool, load_values: Vec<f32> },
-    /// Anything else that reaches a broker.
+    /// Any other input of a broker.
     Input { broker: u16, input: Input },
 }
 
-/// Reads a header: the clock, and how many bytes follow.
+/// Decodes a header into the time and the length of the body in bytes.
 pub fn decode_header(header: &[u8; HEADER_BYTES]) -> (Timestamp, usize) {
     let mut rest = &header[..];
     (Timestamp::from_ms(rest.get_f64_le()), rest.get_u32_le() as usize)
 }
 
-/// Reads what follows a header.
+/// Decodes the body of a batch. `now` is the time in the header.
 pub fn decode_body(now: Timestamp, body: &[u8]) -> Result<Batch, DecodeError> {
     let mut reader = Reader { rest: body, body_length: body.len() };
     let count = reader.u32()?;
     let events = (0..count).map(|_| reader.event()).collect::<Result<_, _>>()?;
     if !reader.rest.is_empty() {
-        return Err(reader.error_here(DecodeErrorKind::BytesLeftOver(reader.rest.len())));
+        return Err(reader.error_here(DecodeErrorKind::TrailingBytes(reader.rest.len())));
     }
     Ok(Batch { now, events })
 }
 
-/// A reader over one body.
+/// Reader of the body of a batch.
 struct Reader<'a> {
     rest: &'a [u8],
     body_length: usize,
@@ -99,12 +99,12 @@
     ($($name:ident $get:ident $kind:ty;)*) => {$(
         fn $name(&mut self) -> Result<$kind, DecodeError> {
             let at = self.position();
-            self.rest.$get().map_err(|error| DecodeError { kind: DecodeErrorKind::FieldCutShort(error), at })
+            self.rest.$get().map_err(|error| DecodeError { kind: DecodeErrorKind::TruncatedField(error), at })
         }
     )*};
 }
 
-/// Fields.
+/// Methods that read one field.
 impl<'a> Reader<'a> {
     numbers! {
         u8 try_get_u8 u8;
@@ -115,7 +115,7 @@
         f64 try_get_f64_le f64;
     }
 
-    /// The next byte's place in the frame.
+    /// Returns the offset of the next byte from the start of the header.
     fn position(&self) -> usize {
         HEADER_BYTES + self.body_length - self.rest.len()
     }
@@ -128,7 +128,7 @@
         self.f64().map(TimeSpan::from_ms)
     }
 
-    /// An address (4 bytes) and a port (2).
+    /// Reads an address (4 bytes) and a port (2 bytes).
     fn node(&mut self) -> Result<NodeId, DecodeError> {
         let (address, port) = (self.u32()?, self.u16()?);
         Ok(NodeId(u64::from(address) | u64::from(port) << 32))
@@ -136,7 +136,7 @@
 
     fn bytes(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
         let Some((head, tail)) = self.rest.split_at_checked(count) else {
-            return Err(self.error_here(DecodeErrorKind::CountOverruns(count)));
+            return Err(self.error_here(DecodeErrorKind::LengthExceedsFrame(count)));
         };
         self.rest = tail;
         Ok(head)
@@ -183,7 +183,7 @@
     }
 }
 
-/// Records.
+/// Methods that read one record.
 impl Reader<'_> {
     fn event(&mut self) -> Result<BatchEvent, DecodeError> {
         let at = self.position();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// An event of one broker; none: the code is none of theirs.
+    /// Reads an event of one broker. Returns `None` if `code` is not the code of such an event.
     fn broker_event(&mut self, code: u8, broker: u16) -> Option<Result<BatchEvent, DecodeError>> {
         let input = match code {
             event::START => return Some(self.start(broker)),
@@ -234,9 +234,9 @@
     }
 
     fn list_arrived(&mut self, broker: u16) -> Result<BatchEvent, DecodeError> {
-        let (number, form) = (self.u16()?, self.u8()?);
+        let (number, kind_code) = (self.u16()?, self.u8()?);
         let _version = self.u32()?;
-        Ok(BatchEvent::ListArrived { broker, number, form })
+        Ok(BatchEvent::ListArrived { broker, number, kind_code })
     }
 
     fn probe_ended(&mut self, broker: u16) -> Result<BatchEvent, DecodeError> {
@@ -266,14 +266,15 @@
         Ok(Input::Ignored)
     }
 
-    /// One record for both: a query has a negative shard, and its shard requests follow with the same group.
+    /// Reads a query or a shard request, which share a record type. A query has a negative shard, and its shard
+    /// requests follow with the same group.
     fn query_or_shard_request(&mut self) -> Result<Input, DecodeError> {
         let (id, class, tenant) = (self.u64()?, ClassId(self.u16()?), TenantId(self.u32()?));
         let _key = self.u64()?;
-        let (time_left, work_hint) = (self.duration()?, self.duration()?);
+        let (time_left, work_estimate) = (self.duration()?, self.duration()?);
         let group = GroupId(self.f32()?.to_bits());
         let (shard, weight) = (self.f32()?, self.f32()?);
-        let has_work_hint = self.u8()? & HAS_WORK_HINT == HAS_WORK_HINT;
+        let has_work_estimate = self.u8()? & HAS_WORK_ESTIMATE == HAS_WORK_ESTIMATE;
         if shard < 0.0 {
             return Ok(Input::Query(NewQuery {
                 id: QueryId(id),
@@ -281,7 +282,7 @@
                 class,
                 tenant,
                 time_left,
-                work: if has_work_hint { work_hint } else { TimeSpan::ZERO },
+                work: if has_work_estimate { work_estimate } else { TimeSpan::ZERO },
                 client_attempt: 0,
                 min_coverage_only: false,
             }));
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -1,19 +1,19 @@
-//! Writes replies.
+//! Encoding of replies.
 
 use crate::wire::codes::effect as code;
 use bytes::BufMut;
 use routing::{Effect, NodeId};
 
-/// Bytes of a reply's length field and its count of records.
+/// Length of a reply's header in bytes: its length field (4) and its record count (4).
 const REPLY_HEADER_BYTES: usize = 8;
 
-/// Bytes of a count of records, which the length field includes.
+/// Length of the record count in bytes, which the length field includes.
 const COUNT_BYTES: u32 = 4;
 
-/// What the broker names its wake-ups: it has one at a time.
+/// Id of all wake-ups. A constant is sufficient, because a broker requests one at a time.
 const WAKE_ID: u64 = 0;
 
-/// A reply as it grows.
+/// Reply under construction.
 #[derive(Default)]
 pub struct Reply {
     record_count: u32,
@@ -21,13 +21,13 @@
 }
 
 impl Reply {
-    /// Adds that a broker can't go on.
+    /// Adds a record which reports that a broker has failed.
     pub fn add_failure(&mut self, broker: u16, reason: &str) {
         self.start_record(code::BROKER_FAILED, broker);
         self.put_text(reason);
     }
 
-    /// Adds an effect of a broker.
+    /// Adds a record with an effect of a broker.
     pub fn add_effect(&mut self, broker: u16, effect: &Effect) {
         self.start_record(effect_code(effect), broker);
         match effect {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The whole reply with its length.
+    /// Returns the complete frame, including its length field.
     pub fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.records.len());
         frame.put_u32_le(COUNT_BYTES + self.records.len() as u32);
@@ -79,7 +79,7 @@
         self.records.put_u16_le((node.0 >> 32) as u16);
     }
 
-    /// A text after its length; what its length field can't count is cut off.
+    /// Writes a text with its length. Truncates the text to the maximum that the length field can hold.
     fn put_text(&mut self, text: &str) {
         let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.records.put_u16_le(bytes.len() as u16);
--- a/crates/simulator-adapter/tests/random_replies/cluster.rs
+++ b/crates/simulator-adapter/tests/random_replies/cluster.rs
@@ -1,27 +1,27 @@
-//! Clients, nodes and discovery around one broker, at random by a seed. They react to what the broker does: what it
-//! sends comes to an end, what it rejects may come again.
+//! Random clients, nodes and discovery around one broker, derived from a seed. They react to the effects of the
+//! broker: each sent attempt ends, and a rejected query may be sent again.
 
 use crate::wire::{Address, Batch, Effect, EndedAttempt, EndpointRecord, Outcome, QueryRecord};
 use std::collections::BTreeMap;
 
-/// The broker's number on the wire.
+/// Number of the broker in the protocol.
 const BROKER: u16 = 3;
 const PLACEMENT_GROUPS: u16 = 3;
 const SHARDS: u32 = 12;
-/// Shard requests of a second phase, by class.
+/// Number of shard requests in the second phase, by class.
 const SECOND_PHASE_SHARD_REQUESTS: [u64; 3] = [2, 12, 1];
-/// How long a node keeps an idle connection, in milliseconds.
+/// Time for which a node keeps an idle connection, in milliseconds.
 const IDLE_CONNECTION_MS: f64 = 400.0;
-/// Forms of an endpoint list on the wire.
-const LIST_OF_CHANGES: u8 = 0;
-const LIST_OF_ALL: u8 = 1;
+/// Codes of endpoint list kinds in the protocol.
+const DELTA_LIST: u8 = 0;
+const SNAPSHOT_LIST: u8 = 1;
 const LIST_FAILED: u8 = 3;
-/// States of an endpoint on the wire.
+/// Codes of endpoint states in the protocol.
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
 const REMOVED: u8 = 0;
 
-/// What is to happen at a time.
+/// Scheduled event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     QueryArrives,
@@ -32,7 +32,7 @@
     AttemptEnds { attempt: usize, outcome: Outcome },
     ProbeEnds { node: usize },
     Woken,
-    ListArrives { form: u8 },
+    ListArrives { kind_code: u8 },
     FaultOccurs,
     NodeRecovers { node: usize },
     NodeRemoved { node: usize },
@@ -46,7 +46,7 @@
     started_at_ms: f64,
     latency_ms: f64,
     is_up: bool,
-    /// It answers nothing, and its connections stay up.
+    /// Whether the node stops responding while its connections stay open.
     is_silent: bool,
     in_flight: u32,
     last_used_ms: Option<f64>,
@@ -55,14 +55,14 @@
 struct Query {
     class: u16,
     first_shard: u32,
-    /// Nodes that execute it crash.
+    /// Whether the nodes that execute the query crash.
     is_query_of_death: bool,
     is_in_second_phase: bool,
 }
 
 struct ShardRequest {
     query: u64,
-    /// Indices of its attempts, by their numbers.
+    /// Indices in [`Cluster::attempts`], by attempt number.
     attempts: Vec<usize>,
 }
 
@@ -77,7 +77,7 @@
 pub struct Cluster {
     rng: fastrand::Rng,
     now_ms: f64,
-    /// By time in microseconds, then in the order of scheduling.
+    /// Scheduled events by time in microseconds, then by the order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
     scheduled: u64,
     nodes: Vec<Node>,
@@ -87,13 +87,14 @@
     queries_per_s: f64,
     batch: Batch,
     last_list: u16,
-    /// Attempts after a failed one, and attempts beside one in flight, at the same shard request.
+    /// Number of attempts, beyond the first, that were sent while no other of the shard request was in flight.
     pub retries: usize,
+    /// Number of attempts that were sent while another of the shard request was in flight.
     pub hedges: usize,
 }
 
 impl Cluster {
-    /// A cluster whose broker starts in the first batch.
+    /// Creates a cluster whose broker starts in the first batch.
     pub fn new(seed: u64) -> Cluster {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut batch = Batch::default();
@@ -115,13 +116,13 @@
             retries: 0,
             hedges: 0,
         };
-        cluster.schedule(0.0, Event::ListArrives { form: LIST_OF_ALL });
+        cluster.schedule(0.0, Event::ListArrives { kind_code: SNAPSHOT_LIST });
         cluster.schedule(5.0, Event::QueryArrives);
         cluster.schedule(300.0, Event::FaultOccurs);
         cluster
     }
 
-    /// The next batch: all that happens up to the next turn.
+    /// Returns the next batch, which contains all events up to the next turn.
     pub fn next_batch(&mut self) -> Vec<u8> {
         let turn_ms = [0.5, 2.0, 5.0, 10.0][self.rng.usize(..4)];
         let first_ms = self.events.keys().next().map_or(self.now_ms, |(at_us, _)| *at_us as f64 / 1000.0);
@@ -136,7 +137,7 @@
         std::mem::take(&mut self.batch).frame(self.now_ms)
     }
 
-    /// Takes in what the broker does.
+    /// Applies an effect of the broker.
     pub fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Send { shard_request, node, timeout_ms } => {
@@ -165,8 +166,8 @@
                 self.nodes[node].last_used_ms = None;
             }
             Effect::WatchEndpoints => {
-                let form = if self.rng.f64() < 0.4 { LIST_FAILED } else { LIST_OF_ALL };
-                self.schedule_within(50.0, Event::ListArrives { form });
+                let kind_code = if self.rng.f64() < 0.4 { LIST_FAILED } else { SNAPSHOT_LIST };
+                self.schedule_within(50.0, Event::ListArrives { kind_code });
             }
             Effect::Reject { .. } | Effect::Respond { .. } | Effect::Fail { .. } | Effect::Log => {}
         }
@@ -178,14 +179,14 @@
         self.events.insert((at_us, self.scheduled), event);
     }
 
-    /// At a random time up to `max_ms` from now.
+    /// Schedules an event at a random time up to `max_ms` from now.
     fn schedule_within(&mut self, max_ms: f64, event: Event) {
         let after_ms = self.rng.f64() * max_ms;
         self.schedule(after_ms, event);
     }
 
     fn node_at(&self, address: Address) -> usize {
-        self.nodes.iter().position(|node| node.address == address).expect("a node of the list")
+        self.nodes.iter().position(|node| node.address == address).expect("the broker named an unlisted node")
     }
 
     fn handle(&mut self, event: Event) {
@@ -212,7 +213,7 @@
                 self.batch.probe_ended(BROKER, address, is_up && !is_silent, &load_values);
             }
             Event::Woken => self.batch.woken(BROKER),
-            Event::ListArrives { form } => self.send_list(form),
+            Event::ListArrives { kind_code } => self.send_list(kind_code),
             Event::FaultOccurs => {
                 let until_next_ms = 50.0 + self.rng.f64() * 600.0;
                 self.schedule(until_next_ms, Event::FaultOccurs);
@@ -221,7 +222,7 @@
             Event::NodeRecovers { node } => self.recover_node(node),
             Event::NodeRemoved { node } => {
                 (self.nodes[node].state, self.nodes[node].is_up) = (REMOVED, false);
-                self.schedule_within(100.0, Event::ListArrives { form: LIST_OF_CHANGES });
+                self.schedule_within(100.0, Event::ListArrives { kind_code: DELTA_LIST });
             }
         }
     }
@@ -231,7 +232,7 @@
         let is_query_of_death = self.rng.f64() < 0.01;
         self.queries.push(Query { class, first_shard, is_query_of_death, is_in_second_phase: false });
         let time_left_ms = [300.0, 1000.0][self.rng.usize(..2)];
-        let work_hint_ms = self.rng.bool().then(|| self.rng.f64() * 40.0);
+        let work_estimate_ms = self.rng.bool().then(|| self.rng.f64() * 40.0);
         self.batch.query(
             BROKER,
             &QueryRecord {
@@ -239,7 +240,7 @@
                 class,
                 tenant: self.rng.u32(..3),
                 time_left_ms,
-                work_hint_ms,
+                work_estimate_ms,
                 group: query as f32,
                 shard: -1.0,
                 weight: 0.0,
@@ -247,7 +248,7 @@
         );
         let count = [1, 2, 4, 8][self.rng.usize(..4)];
         for rank in 0..count {
-            // Halved with each rank, and the last as much as the one before: together 1.
+            // The weight halves with each rank, and the last two ranks have equal weights, so that the sum is 1.
             let weight = 0.5_f32.powi((rank + 1).min(count - 1));
             self.send_shard_request(query, (first_shard + rank as u32) % SHARDS, weight);
         }
@@ -275,7 +276,7 @@
                 class: 0,
                 tenant: 0,
                 time_left_ms: 0.0,
-                work_hint_ms: None,
+                work_estimate_ms: None,
                 group: query as f32,
                 shard: shard as f32,
                 weight,
@@ -324,11 +325,11 @@
         self.batch.attempt_ended(BROKER, &EndedAttempt { shard_request, number, node, outcome, duration_ms });
     }
 
-    fn send_list(&mut self, form: u8) {
+    fn send_list(&mut self, kind_code: u8) {
         let endpoints: Vec<EndpointRecord> = self.nodes.iter().map(Node::endpoint).collect();
         self.last_list += 1;
         self.batch.list_contents(self.last_list, &endpoints);
-        self.batch.list_arrived(BROKER, self.last_list, form);
+        self.batch.list_arrived(BROKER, self.last_list, kind_code);
     }
 
     fn cause_fault(&mut self) {
@@ -347,7 +348,7 @@
             }
             3 if self.nodes[node].is_up => {
                 self.nodes[node].state = DRAINING;
-                self.schedule_within(50.0, Event::ListArrives { form: LIST_OF_CHANGES });
+                self.schedule_within(50.0, Event::ListArrives { kind_code: DELTA_LIST });
                 self.schedule(600.0, Event::NodeRemoved { node });
                 self.schedule(1500.0, Event::NodeRecovers { node });
             }
@@ -356,7 +357,7 @@
         }
     }
 
-    /// The node's process ends: what it has is lost.
+    /// Ends the process of a node, so that all of its open attempts are lost.
     fn crash(&mut self, node: usize) {
         self.nodes[node].is_up = false;
         let lost = self.attempts.iter().enumerate().filter(|(_, a)| a.is_open && a.node == node);
@@ -373,7 +374,7 @@
             node.started_at_ms = self.now_ms;
         }
         (node.is_up, node.is_silent, node.state) = (true, false, READY);
-        self.schedule_within(100.0, Event::ListArrives { form: LIST_OF_CHANGES });
+        self.schedule_within(100.0, Event::ListArrives { kind_code: DELTA_LIST });
     }
 }
 
@@ -403,7 +404,8 @@
         }
     }
 
-    /// What comes of an attempt on a connection that was idle this long; timed out: it is never answered.
+    /// Returns the outcome of an attempt on a connection that was idle for `idle_ms`. `TimedOut` means that the node
+    /// never responds.
     fn outcome(&self, idle_ms: f64, is_query_of_death: bool, rng: &mut fastrand::Rng) -> Outcome {
         let chance = rng.f64();
         match self {
@@ -419,7 +421,7 @@
     }
 }
 
-/// A broker's settings: three classes, one of each idempotency; limits and rules at random.
+/// Returns the settings of a broker with one class of each idempotency and random limits and rules.
 fn settings(rng: &mut fastrand::Rng) -> String {
     let mut flag = || rng.bool();
     let (may_hedge, may_cancel, may_retry_after, by_probe) = (flag(), flag(), flag(), flag());
--- a/crates/simulator-adapter/tests/random_replies/main.rs
+++ b/crates/simulator-adapter/tests/random_replies/main.rs
@@ -1,9 +1,10 @@
-//! Decisions change by accident: a rule is rewritten, and a clause or the order of two random draws is lost. No
-//! single case shows it, and the service gets worse by a little. So the adapter, as a process, is driven by random
-//! clients, nodes and faults, and the bytes of all its replies have to be the same as before.
+//! Guards against accidental changes of routing decisions, such as a condition or the order of two random draws
+//! that is lost when a rule is rewritten. Such a change degrades the service slightly, and no single case detects
+//! it. The test runs the adapter as a process with random clients, nodes and faults, and compares a digest of all
+//! reply bytes with a stored one.
 //!
-//! The digest is of the decisions as they were when it was stored. A change that means to change decisions stores a
-//! new one, and says so; a change of names or structure must not.
+//! A commit that intends to change decisions updates the stored digest and states so. A refactoring must not change
+//! it.
 
 mod cluster;
 mod wire;
@@ -18,10 +19,10 @@
 const SEEDS: u64 = 40;
 const BATCHES: usize = 600;
 const MIN_OF_EACH_KIND: usize = 20;
-/// BLAKE3 of all replies, their length fields included, one seed after the other.
+/// BLAKE3 digest of all replies including their length fields, in the order of the seeds.
 const REPLIES_DIGEST: &str = "5ce52f11d5a1a8d5ea876d195ea9909b573092e1b4cf2b1870ad8fdcc4e6d1f8";
 
-/// The adapter as the simulator runs it.
+/// Adapter process, run as the simulator runs it.
 struct Adapter {
     process: Child,
     input: ChildStdin,
@@ -36,7 +37,7 @@
         Adapter { process, input, output }
     }
 
-    /// The reply to a batch, with its length field.
+    /// Sends a batch and returns the reply with its length field.
     fn exchange(&mut self, batch: &[u8]) -> Vec<u8> {
         self.input.write_all(batch).unwrap();
         self.input.flush().unwrap();
@@ -55,7 +56,7 @@
 }
 
 #[rstest]
-fn replies_are_the_same_as_before() {
+fn replies_match_stored_digest() {
     let mut hasher = blake3::Hasher::new();
     let mut counts = BTreeMap::<&str, usize>::new();
     for seed in 1..=SEEDS {
@@ -72,10 +73,10 @@
         *counts.entry("hedge").or_default() += cluster.hedges;
         adapter.end();
     }
-    // A digest of replies in which little happens would hold nothing.
+    // Without a minimum of each kind, the digest would not cover the decisions.
     let is_rare = |kind: &&&str| counts.get(**kind).is_none_or(|count| *count < MIN_OF_EACH_KIND);
     let rare: Vec<&&str> = KINDS.iter().filter(is_rare).collect();
-    assert!(rare.is_empty(), "hardly any {rare:?}: {counts:?}");
+    assert!(rare.is_empty(), "expected at least {MIN_OF_EACH_KIND} of each of {rare:?}, got {counts:?}");
     assert_eq!(hasher.finalize().to_hex().as_str(), REPLIES_DIGEST, "{counts:?}");
 }
 
--- a/crates/simulator-adapter/tests/random_replies/wire.rs
+++ b/crates/simulator-adapter/tests/random_replies/wire.rs
@@ -1,38 +1,38 @@
-//! The wire as the simulator speaks it: writes batches and reads replies. Written apart from the adapter's own
-//! codec, so that a mistake there shows here.
+//! Simulator side of the protocol: writes batches and reads replies. It is independent of the adapter's codec, so
+//! that the test detects errors in that codec.
 
-/// The records of one batch.
+/// Batch under construction.
 #[derive(Default)]
 pub struct Batch {
     count: u32,
     records: Vec<u8>,
 }
 
-/// A node's address on the wire.
+/// Address of a node in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Address {
     pub host: u32,
     pub port: u16,
 }
 
-/// A query's record and that of a shard request differ in `shard` alone, which is negative for a query.
+/// Record of a query or of a shard request. `shard` is negative for a query.
 pub struct QueryRecord {
     pub id: u64,
     pub class: u16,
     pub tenant: u32,
     pub time_left_ms: f64,
-    pub work_hint_ms: Option<f64>,
+    pub work_estimate_ms: Option<f64>,
     pub group: f32,
     pub shard: f32,
     pub weight: f32,
 }
 
-/// One node of an endpoint list.
+/// Node of an endpoint list.
 pub struct EndpointRecord {
     pub address: Address,
     pub zone: u16,
     pub placement_group: u16,
-    /// 0 removed, 1 ready, 2 draining.
+    /// State code: 0 is removed, 1 is ready, and 2 is draining.
     pub state: u8,
     pub started_at_ms: f64,
 }
@@ -67,19 +67,20 @@
         }
     }
 
-    /// `form`: 0 those that changed, 1 all, 2 as last stored, 3 the call for the list failed.
-    pub fn list_arrived(&mut self, broker: u16, number: u16, form: u8) {
+    /// Adds the arrival of an endpoint list. `kind_code` is 0 for a delta, 1 for a snapshot, 2 for a cached list, and
+    /// 3 for a failed request.
+    pub fn list_arrived(&mut self, broker: u16, number: u16, kind_code: u8) {
         self.record(17).bytes(&broker.to_le_bytes()).bytes(&number.to_le_bytes());
-        self.bytes(&[form]).bytes(&0_u32.to_le_bytes());
+        self.bytes(&[kind_code]).bytes(&0_u32.to_le_bytes());
     }
 
     pub fn query(&mut self, broker: u16, query: &QueryRecord) {
         self.record(18).bytes(&broker.to_le_bytes()).bytes(&query.id.to_le_bytes());
         self.bytes(&query.class.to_le_bytes()).bytes(&query.tenant.to_le_bytes()).bytes(&[0; 8]);
         self.bytes(&query.time_left_ms.to_le_bytes());
-        self.bytes(&query.work_hint_ms.unwrap_or(0.0).to_le_bytes());
+        self.bytes(&query.work_estimate_ms.unwrap_or(0.0).to_le_bytes());
         self.bytes(&query.group.to_le_bytes()).bytes(&query.shard.to_le_bytes());
-        self.bytes(&query.weight.to_le_bytes()).bytes(&[u8::from(query.work_hint_ms.is_some())]);
+        self.bytes(&query.weight.to_le_bytes()).bytes(&[u8::from(query.work_estimate_ms.is_some())]);
     }
 
     pub fn response_started(&mut self, broker: u16, shard_request: u64, node: Address, attempt: u16) {
@@ -91,7 +92,7 @@
         self.record(20).bytes(&broker.to_le_bytes()).bytes(&ended.shard_request.to_le_bytes());
         self.bytes(&ended.number.to_le_bytes()).address(ended.node);
         self.bytes(&(ended.outcome as u16).to_le_bytes()).bytes(&ended.duration_ms.to_le_bytes());
-        // Whether the connection is closed, and how many load values follow.
+        // The flag for a closed connection, and the number of load values.
         self.bytes(&[0, 0]);
     }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// What came of an attempt; the numbers are those of the wire.
+/// Outcome of an attempt. The discriminants are the codes of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Errored = 0,
@@ -139,7 +140,7 @@
     pub duration_ms: f64,
 }
 
-/// A record of a reply.
+/// Effect in a record of a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     Send { shard_request: u64, node: Address, timeout_ms: f64 },
@@ -154,12 +155,12 @@
     Respond { query: u64 },
 }
 
-/// Reads the records of a reply, after its length field.
+/// Reads the records of a reply. `body` excludes the length field.
 pub fn read_reply(body: &[u8]) -> Vec<Effect> {
     let mut reader = Reader { rest: body };
     let count = u32::from_le_bytes(reader.take());
     let effects = (0..count).map(|_| reader.effect()).collect();
-    assert!(reader.rest.is_empty(), "bytes are left over in a reply");
+    assert!(reader.rest.is_empty(), "a reply has bytes after its last record");
     effects
 }
 
@@ -169,7 +170,7 @@
 
 impl Reader<'_> {
     fn take<const COUNT: usize>(&mut self) -> [u8; COUNT] {
-        let (head, tail) = self.rest.split_first_chunk().expect("a reply is cut short");
+        let (head, tail) = self.rest.split_first_chunk().expect("a reply is truncated");
         self.rest = tail;
         *head
     }
@@ -216,7 +217,7 @@
                 let (query, [_complete]) = (self.id(), self.take());
                 Effect::Respond { query }
             }
-            other => panic!("effect code {other}"),
+            other => panic!("unknown effect code {other}"),
         }
     }
 }
