--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -32,7 +32,7 @@
         coverage::can_substitute(query)
     }
 
-    /// Returns whether the minimum coverage cannot be reached even if all shard requests in flight succeed.
+    /// Returns whether the minimum coverage is missed even if all shard requests in flight or queued succeed.
     pub(crate) fn misses_min_coverage(&self, query: &Query) -> bool {
         coverage::is_hopeless(query)
     }
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -12,9 +12,9 @@
 }
 
 ids! {
-    /// Identifier of a query, unique among the open queries of a broker.
+    /// Identifier of a query, chosen by the front end.
     QueryId(u64);
-    /// Identifier of a shard request, unique among the open shard requests of a broker.
+    /// Identifier of a shard request, chosen by the front end.
     ShardRequestId(u64);
     /// Key that associates new shard requests with their query. It is unrelated to placement groups.
     GroupId(u32);
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -12,16 +12,16 @@
 /// of their arrival.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Endpoint list that was received from discovery.
+    /// An endpoint list has arrived from discovery.
     EndpointList(EndpointList),
     /// A request for the endpoint list failed, or its watch ended. The last list stays in use.
     EndpointListFailed,
-    /// New configuration for queries that are accepted from now on; open queries keep theirs. The period, the
-    /// zone and `send_lag` must equal those of the initial configuration.
+    /// The configuration has changed. It applies to queries that are accepted from now on; open queries keep
+    /// theirs. The period, the zone and `send_lag` must equal those of the initial configuration.
     Config(Box<BrokerConfig>),
-    /// New query. Its shard requests follow in the same turn.
+    /// A query has arrived. Its shard requests follow in the same turn.
     Query(NewQuery),
-    /// Shard request of a query that arrived in this turn or that waits for its second phase.
+    /// A shard request has arrived for a query that arrived in this turn or that waits for its second phase.
     ShardRequest(NewShardRequest),
     /// The response to an attempt has started to arrive. The shard request then no longer accepts the response
     /// of another attempt.
@@ -34,7 +34,7 @@
     Woken,
     /// A probe that [`Effect::Probe`](crate::Effect::Probe) requested has ended.
     ProbeEnded(ProbeResult),
-    /// Event that the broker does not use.
+    /// An event has occurred that the broker does not use.
     Ignored,
 }
 
--- a/crates/routing/src/state/query_table.rs
+++ b/crates/routing/src/state/query_table.rs
@@ -41,7 +41,7 @@
         self.put(query);
     }
 
-    /// Removes a query so that it can be changed. The caller returns it with [`QueryTable::put`].
+    /// Removes a query so that it can be changed. The caller puts it back with [`QueryTable::put`].
     pub(crate) fn take(&mut self, id: QueryId) -> Option<Query> {
         self.queries.remove(&id)
     }
@@ -58,7 +58,8 @@
         Some((self.queries.remove(&location.query)?, location.index))
     }
 
-    /// Returns a query to the table after a change.
+    /// Puts a query back into the table after a change. A query that is no longer pending leaves the queues of
+    /// waiting queries.
     pub(crate) fn put(&mut self, query: Query) {
         if query.state != QueryState::Pending {
             self.admission_queue.remove(&query.id);
