--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -1,5 +1,5 @@
 //! Completion of queries: responses, rejections and failures. Contains the guards and actions of the table in
-//! `policy::query_life` for queries that have been sent.
+//! `policy::query_lifecycle` for queries that have been sent.
 
 use super::Broker;
 use crate::config::Idempotency;
@@ -34,7 +34,7 @@
 
     /// Returns whether the minimum coverage is missed even if all shard requests in flight or queued succeed.
     pub(crate) fn misses_min_coverage(&self, query: &Query) -> bool {
-        coverage::is_hopeless(query)
+        coverage::is_unsatisfiable(query)
     }
 
     /// Returns whether a response after the latency objective is worth waiting for.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! # Modules
 //!
-//! - `policy` contains the decisions, one file per rule. `policy/query_life.rs` defines the state machine of a
+//! - `policy` contains the decisions, one file per rule. `policy/query_lifecycle.rs` defines the state machine of a
 //!   query.
 //! - `broker` is the event loop: it collects the inputs of the rules and calls them.
 //! - `state` holds the data that a broker keeps between turns.
