--- a/crates/quota-lease/src/lease_config.rs
+++ b/crates/quota-lease/src/lease_config.rs
@@ -1,21 +1,22 @@
-//! What the brokers of a fleet agree on about one budget.
+//! The configuration of a leased budget, which is the same on all brokers of a fleet.
 
 use routing::TimeSpan;
 
-/// A budget, and how it is lent. Times are of each process's own clock.
+/// The configuration of a budget that brokers share by leases. All durations are measured by the clock of the process
+/// that uses them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseConfig {
-    /// Units that all brokers together may spend in any window.
+    /// The number of units that all brokers together may spend in any window.
     pub total_units: u32,
-    /// How many brokers share the budget.
+    /// The number of brokers that share the budget.
     pub brokers: u32,
-    /// Over which time spent units count.
+    /// The time for which spent units count against the budget.
     pub window: TimeSpan,
-    /// How long a lease may be spent, from when it was requested.
+    /// The time for which the units of a lease may be spent, from when the lease was requested.
     pub lease_duration: TimeSpan,
-    /// Any two clocks differ by one part in so many at the most; 100 or more.
+    /// The bound on clock drift: the rates of any two clocks differ by at most 1 in `drift_divisor`. 100 or more.
     pub drift_divisor: u32,
-    /// The most leases lent, and the most requested or held; one more is not entered.
+    /// The maximum number of leases lent, and of leases requested or held. Further leases are not recorded.
     pub max_leases: usize,
 }
 
--- a/crates/quota-lease/src/lease_state.rs
+++ b/crates/quota-lease/src/lease_state.rs
@@ -1,4 +1,4 @@
-//! The states of a lease at its lender and at its borrower, and the table of their transitions.
+//! The state machine of a lease, at its lender and at its borrower.
 
 use LeaseEvent::{GrantReceived, NotNeeded, ReleaseReceived, RequestReceived};
 use LeaseState::{CoolingDown, Granted, Held, Requested};
@@ -6,38 +6,38 @@
 /// The state of a lease at its lender or at its borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum LeaseState {
-    /// Lender: the units are set aside, and may be spent by the borrower.
+    /// At the lender: the units are reserved and may be spent by the borrower.
     Granted,
-    /// Lender: given back, but what the borrower spent still counts for a window.
+    /// At the lender: the lease was released, but units that the borrower spent still count for a window.
     CoolingDown,
-    /// Borrower: no grant has come yet.
+    /// At the borrower: the lease was requested and no grant has been received.
     Requested,
-    /// Borrower: the units may be spent.
+    /// At the borrower: the units may be spent.
     Held,
 }
 
-/// What moves a lease from one state to another.
+/// An event that may change the state of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseEvent {
-    /// Lender: a request came.
+    /// The lender received a request.
     RequestReceived,
-    /// Borrower: a grant came.
+    /// The borrower received a grant.
     GrantReceived,
-    /// Lender: the lease was given back.
+    /// The lender received the release of the lease.
     ReleaseReceived,
-    /// Borrower: the units are not needed any more.
+    /// The borrower no longer needs the units.
     NotNeeded,
 }
 
-/// A transition; a state of none is a lease that there is not.
+/// A transition from one state to the next. `None` means that the lease does not exist.
 struct Transition {
     state: Option<LeaseState>,
     event: LeaseEvent,
     next: Option<LeaseState>,
 }
 
-/// An event that has no row for a state changes nothing. A lease's end is no event: a lease past its end is
-/// treated as none, wherever it is looked at.
+/// The transition table. An event without a row for the current state is ignored. Expiry is not an event: every
+/// reader treats an expired lease as absent.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
     Transition { state: None,             event: RequestReceived, next: Some(Granted) },
@@ -48,7 +48,7 @@
     Transition { state: Some(Held),       event: NotNeeded,       next: None },
 ];
 
-/// The transition that an event causes, as the state after it; none where the event changes nothing.
+/// Returns the state that follows an event, where `Some(None)` removes the lease, or `None` if the event is ignored.
 pub(crate) fn next_state(state: Option<LeaseState>, event: LeaseEvent) -> Option<Option<LeaseState>> {
     let transition = TRANSITIONS.iter().find(|row| row.state == state && row.event == event)?;
     Some(transition.next)
--- a/crates/quota-lease/src/leased_budget.rs
+++ b/crates/quota-lease/src/leased_budget.rs
@@ -1,53 +1,54 @@
-//! One broker's share of a budget, what it lent and what it borrowed.
+//! One broker's share of a budget, with the units that it has lent and borrowed.
 
 use crate::lease_state::{LeaseEvent, LeaseState, next_state};
 use crate::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseMessage, LeaseNumber, Message};
 use routing::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Of its share a broker lends one part in so many at the most, and has the rest whatever happened to it.
+/// A broker lends at most `1 / LENDABLE_DIVISOR` of its share. The rest is available to it even if it does not know,
+/// after a restart, how much was lent.
 const LENDABLE_DIVISOR: u32 = 2;
 
-/// The units of a lease and the time of its end, by the own clock.
+/// The state, units and expiry of a lease, by the clock of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Lease {
     state: LeaseState,
     units: u32,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// What a lender knows a lease by.
+/// The key by which a lender identifies a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct LentLeaseId {
     borrower: InstanceId,
     number: LeaseNumber,
 }
 
-/// A lease at its borrower.
+/// A lease as recorded by its borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct BorrowedLease {
     lender: BrokerId,
-    /// Which of the lender's processes, once it granted.
+    /// The process that granted the lease, or `None` until a grant is received.
     lender_incarnation: Option<Incarnation>,
     lease: Lease,
 }
 
 impl BorrowedLease {
-    /// Whether its units may be spent. A lease counts by its end at the moment of spending: a process that
-    /// was stopped for a while spends nothing of an old one.
+    /// Returns whether the units may be spent. The expiry is compared with the time of spending, so that a process
+    /// that was suspended for a while spends no units of an expired lease.
     fn is_held(&self, now: Timestamp) -> bool {
-        self.lease.state == LeaseState::Held && self.lease.until > now
+        self.lease.state == LeaseState::Held && self.lease.expires_at > now
     }
 }
 
-/// Units that were spent at one time.
+/// Units spent at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Spending {
     at: Timestamp,
     units: u32,
 }
 
-/// A broker's part of one budget.
+/// One broker's part of a budget that a fleet of brokers shares by leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeasedBudget {
     config: LeaseConfig,
@@ -55,14 +56,15 @@
     started_at: Timestamp,
     lent: BTreeMap<LentLeaseId, Lease>,
     borrowed: BTreeMap<LeaseNumber, BorrowedLease>,
-    /// The number of the lease requested last.
+    /// The number of the lease that was requested last.
     last_requested: LeaseNumber,
-    /// What was spent within a window, oldest first.
+    /// The units spent within the window, oldest first.
     spent: VecDeque<Spending>,
 }
 
 impl LeasedBudget {
-    /// The budget of a process that starts now.
+    /// Creates the budget of a process that starts at `now`. It has no units until a window has passed, with a margin
+    /// for clock drift, as an earlier process of the same broker may have spent them.
     pub fn start(config: LeaseConfig, instance: InstanceId, now: Timestamp) -> LeasedBudget {
         LeasedBudget {
             config,
@@ -75,18 +77,18 @@
         }
     }
 
-    /// A duration by one clock, lengthened by what another clock may differ over it.
+    /// Returns a duration extended by the drift that another clock may have over it.
     fn with_drift(&self, duration: TimeSpan) -> TimeSpan {
         duration + TimeSpan(3 * duration.0 / i64::from(self.config.drift_divisor.max(3)) + 1)
     }
 
-    /// For so long what was spent by another process at some moment still counts.
+    /// Returns the time for which units spent by another process may still count.
     fn cool_down(&self) -> TimeSpan {
         self.with_drift(self.config.window)
     }
 
-    /// For how long a lender sets units aside: longer than its borrower may spend them, and for the window in
-    /// which that still counts.
+    /// Returns the time for which a lender reserves the units of a lease: until its borrower can no longer spend
+    /// them, and for the window in which spent units still count.
     fn lending_duration(&self) -> TimeSpan {
         self.with_drift(self.config.lease_duration) + self.cool_down()
     }
@@ -95,9 +97,9 @@
         self.config.total_units / self.config.brokers.max(1)
     }
 
-    /// How much of its share is its own now. Guards against a process that does not know what the one before
-    /// it, as the same broker, has spent and lent: for a window it has nothing, and then the half that is
-    /// never lent, until all that may have been lent is over.
+    /// Returns the units of its share that this process may use. A new process does not know which units an earlier
+    /// process of the same broker spent and lent. It therefore has none for a window, and then only the half that
+    /// is never lent, until all leases that may have been granted before it have expired.
     fn own_units(&self, now: Timestamp) -> u32 {
         let never_lent = self.share() - self.share() / LENDABLE_DIVISOR;
         match now - self.started_at {
@@ -108,7 +110,7 @@
     }
 
     fn lent_units(&self, now: Timestamp) -> u32 {
-        self.lent.values().filter(|lease| lease.until > now).map(|lease| lease.units).sum()
+        self.lent.values().filter(|lease| lease.expires_at > now).map(|lease| lease.units).sum()
     }
 
     fn borrowed_units(&self, now: Timestamp) -> u32 {
@@ -121,13 +123,13 @@
         recent.map(|spending| spending.units).sum()
     }
 
-    /// Units that may be spent now.
+    /// Returns the number of units that may be spent at `now`.
     pub fn available_units(&self, now: Timestamp) -> u32 {
         let budget = self.own_units(now).saturating_sub(self.lent_units(now)) + self.borrowed_units(now);
         budget.saturating_sub(self.recently_spent_units(now))
     }
 
-    /// Spends so many units, if they are available; whether they were.
+    /// Spends `units` if that many are available, and returns whether they were.
     pub fn try_spend(&mut self, now: Timestamp, units: u32) -> bool {
         self.remove_expired(now);
         let is_available = units <= self.available_units(now);
@@ -137,27 +139,29 @@
         is_available
     }
 
-    /// Requests units of another broker's share; none where as many leases are open as may be.
+    /// Creates a lease for units of another broker's share and returns the request to send. Returns `None` if `units`
+    /// is 0, if the lender is this broker, or if the maximum number of leases is requested or held.
     pub fn request_lease(&mut self, now: Timestamp, lender: BrokerId, units: u32) -> Option<Message> {
         self.remove_expired(now);
         if units == 0 || lender == self.instance.broker || self.borrowed.len() >= self.config.max_leases {
             return None;
         }
         self.last_requested.0 += 1;
-        // Counted from before the lender can have set the units aside.
-        let until = now + self.config.lease_duration;
-        let lease = Lease { state: LeaseState::Requested, units, until };
+        // The lease starts before the lender can have reserved the units, so it expires here first.
+        let expires_at = now + self.config.lease_duration;
+        let lease = Lease { state: LeaseState::Requested, units, expires_at };
         self.borrowed.insert(self.last_requested, BorrowedLease { lender, lender_incarnation: None, lease });
         Some(self.message(lender, None, self.last_requested, LeaseMessage::Request(units)))
     }
 
-    /// Leases that may be spent or given back now.
+    /// Returns the leases whose units may be spent at `now`. They can be released.
     pub fn held_leases(&self, now: Timestamp) -> impl Iterator<Item = LeaseNumber> + '_ {
         let held = self.borrowed.iter().filter(move |(_, borrowed)| borrowed.is_held(now));
         held.map(|(number, _)| *number)
     }
 
-    /// Gives a lease back before its end. It is removed first, so that nothing more is spent of it.
+    /// Releases a lease before it expires and returns the release to send, or `None` if the lease is unknown or was
+    /// never granted. The lease is removed first, so that none of its units are spent after the release is sent.
     pub fn release_lease(&mut self, number: LeaseNumber) -> Option<Message> {
         let borrowed = self.borrowed.get(&number).copied()?;
         if next_state(Some(borrowed.lease.state), LeaseEvent::NotNeeded)?.is_none() {
@@ -167,7 +171,7 @@
         Some(self.message(borrowed.lender, Some(incarnation), number, LeaseMessage::Release))
     }
 
-    /// Handles a message, late or duplicated as it may be; the answer to it, if there is one.
+    /// Handles a message, which may be delayed or duplicated, and returns the reply to send, if any.
     pub fn handle_message(&mut self, now: Timestamp, message: &Message) -> Option<Message> {
         self.remove_expired(now);
         if !self.is_addressed_by(message) {
@@ -189,8 +193,8 @@
         let id = LentLeaseId { borrower: message.from, number: message.lease };
         let known = self.lent.get(&id).copied();
         let state = next_state(known.map(|lease| lease.state), LeaseEvent::RequestReceived)??;
-        let until = now + self.lending_duration();
-        let lease = known.unwrap_or(Lease { state, units: units.min(self.lendable_units(now)), until });
+        let expires_at = now + self.lending_duration();
+        let lease = known.unwrap_or(Lease { state, units: units.min(self.lendable_units(now)), expires_at });
         if lease.units == 0 || known.is_none() && self.lent.len() >= self.config.max_leases {
             return None;
         }
@@ -199,8 +203,8 @@
         Some(self.message(broker, Some(incarnation), message.lease, LeaseMessage::Grant(lease.units)))
     }
 
-    /// Units that may be lent now: of the own share, not of a borrowed one; only what was not spent within a
-    /// window, and never the half that is kept.
+    /// Returns the number of units that may be lent at `now`. Only units of the own share are lent, not borrowed
+    /// ones, only if they were not spent within the window, and never the half of the share that is kept.
     fn lendable_units(&self, now: Timestamp) -> u32 {
         if self.own_units(now) != self.share() {
             return 0;
@@ -224,7 +228,7 @@
         let cool_down = self.cool_down();
         let lease = self.lent.get_mut(&LentLeaseId { borrower: message.from, number: message.lease })?;
         lease.state = next_state(Some(lease.state), LeaseEvent::ReleaseReceived)??;
-        lease.until = lease.until.min(now + cool_down);
+        lease.expires_at = lease.expires_at.min(now + cool_down);
         None
     }
 
@@ -238,10 +242,10 @@
         Message { from: self.instance, to, to_incarnation, lease, content }
     }
 
-    /// Removes leases past their end, and what was spent longer than a window ago.
+    /// Removes expired leases, and units spent longer than a window ago.
     fn remove_expired(&mut self, now: Timestamp) {
-        self.lent.retain(|_, lease| lease.until > now);
-        self.borrowed.retain(|_, borrowed| borrowed.lease.until > now);
+        self.lent.retain(|_, lease| lease.expires_at > now);
+        self.borrowed.retain(|_, borrowed| borrowed.lease.expires_at > now);
         let window = self.config.window;
         while self.spent.pop_front_if(|spending| now - spending.at > window).is_some() {}
     }
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,21 +1,21 @@
-//! What the brokers of a fleet share: shares of one bounded budget, lent by leases ([`LeasedBudget`]). There
-//! is no clock, no socket and no randomness in it: the caller passes the time of its own process, and carries
-//! the messages.
+//! A bounded budget that the brokers of a fleet share by leases ([`LeasedBudget`]). The crate has no clock, no
+//! sockets and no randomness: the caller passes the time of its own process and transmits the messages.
 //!
-//! Each of `brokers` owns an even share of `total_units` a window, and may lend a part of it that it has not
-//! spent lately. A broker that receives nothing has its own share, less what it lent until those leases are
-//! over. What all spend in any window is never more than the total: not with messages lost, late, duplicated
-//! or out of order, nor with processes killed, stopped and continued, or restarted.
+//! Each of `brokers` brokers owns an even share of `total_units` per window and may lend a part of the share
+//! that it has not spent within the window. A broker that receives no messages keeps its own share, less the
+//! units that it has lent until those leases expire. All brokers together never spend more than the total in any
+//! window, even if messages are lost, delayed, duplicated or reordered, and if processes are killed, suspended
+//! and resumed, or restarted.
 //!
 //! | state of a lease | event | next state | action |
 //! | --- | --- | --- | --- |
-//! | - | lender: request received | granted | set the units aside, then send the grant |
-//! | granted | request received again | granted | send the same grant again, to the same end |
-//! | granted | release received | cooling down | the units are free again a window later |
-//! | granted, cooling down | its end | - | the units are free again |
+//! | - | lender: request received | granted | reserve the units, then send the grant |
+//! | granted | request received again | granted | resend the same grant, with the same expiry |
+//! | granted | release received | cooling down | the units become available a window later |
+//! | granted, cooling down | expiry | - | the units become available |
 //! | - | borrower: units needed | requested | send the request |
 //! | requested | grant received in time | held | the units may be spent |
-//! | requested, held | its end | - | - |
+//! | requested, held | expiry | - | - |
 //! | held | not needed | - | remove the lease, then send the release |
 //!
 //! ```
@@ -35,7 +35,7 @@
 //! };
 //! let mut borrower = LeasedBudget::start(config.clone(), instance(0, 7), Timestamp(0));
 //! let mut lender = LeasedBudget::start(config, instance(1, 8), Timestamp(0));
-//! let later = Timestamp(5000); // both have run for longer than a lease
+//! let later = Timestamp(5000); // both processes have run for longer than a lease
 //! assert_eq!(borrower.available_units(later), 4);
 //! let request = borrower.request_lease(later, BrokerId(1), 2).unwrap();
 //! let grant = lender.handle_message(later, &request).unwrap();
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -1,49 +1,50 @@
-//! The messages by which brokers lend each other units of a budget, and the ids in them.
+//! The messages by which brokers lend each other units of a budget, and the identifiers in them.
 
-/// A broker's number in its fleet; the same after a restart.
+/// The number of a broker in its fleet, which it keeps after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BrokerId(pub u16);
 
-/// A number drawn at start, which tells a process from the one before it under the same broker id.
+/// A number drawn when a process starts, which distinguishes the process from earlier ones with the same
+/// [`BrokerId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// One process of a broker.
+/// The identity of one process of a broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
-    /// The broker that the process runs as.
+    /// The broker as which the process runs.
     pub broker: BrokerId,
-    /// Which of the broker's processes.
+    /// Distinguishes the process from earlier processes of the broker.
     pub incarnation: Incarnation,
 }
 
-/// A lease's number, counted up by its borrower.
+/// The number of a lease, assigned by its borrower in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseNumber(pub u64);
 
-/// What a message says of a lease. Units are part of the budget's total.
+/// The content of a message about a lease. Units belong to the budget's total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseMessage {
-    /// The borrower asks for so many units.
+    /// Requests the given number of units. Sent by the borrower.
     Request(u32),
-    /// The lender lends so many units, no more than were requested.
+    /// Grants the given number of units, at most as many as were requested. Sent by the lender.
     Grant(u32),
-    /// The borrower gives the lease back before its end.
+    /// Returns the lease before it expires. Sent by the borrower.
     Release,
 }
 
-/// One message between brokers. A request goes to whichever process runs as the lender; a grant and a release
-/// go to one process.
+/// A message between brokers. A request is addressed to any process of the lender; a grant and a release are
+/// addressed to one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Message {
-    /// The process that sent it.
+    /// The process that sent the message.
     pub from: InstanceId,
-    /// The broker it is for.
+    /// The broker to which the message is addressed.
     pub to: BrokerId,
-    /// The process it is for; none: whichever runs as that broker.
+    /// The process to which the message is addressed, or `None` for any process of that broker.
     pub to_incarnation: Option<Incarnation>,
-    /// The lease, by its borrower's number.
+    /// The lease that the message is about, by the number that its borrower assigned.
     pub lease: LeaseNumber,
-    /// What is said of the lease.
+    /// The request, grant or release.
     pub content: LeaseMessage,
 }
--- a/crates/quota-lease/tests/model.rs
+++ b/crates/quota-lease/tests/model.rs
@@ -1,6 +1,6 @@
-//! A model check over every state of three brokers that lend each other units: messages lost, duplicated and
-//! out of order, processes that stop for a while or restart. The state machine that is checked is
-//! `LeasedBudget` itself. Stopped processes are covered, as no action of a broker has to happen.
+//! Model-checks three brokers that lend each other units: messages may be lost, duplicated and reordered, and
+//! processes may be suspended or restarted. The checked state machine is `LeasedBudget` itself. Suspended processes
+//! are covered because no broker is required to act.
 
 use quota_lease::{BrokerId, Incarnation, InstanceId, LeaseConfig, LeaseNumber, LeasedBudget, Message};
 use routing::{TimeSpan, Timestamp};
@@ -13,9 +13,9 @@
 const WITHIN_TOTAL: &str = "no more than the total is spent in any window";
 const LEASE_SPENT: &str = "a lease is spent";
 
-/// The bounds of one model check. Times are in ticks.
-struct Fleet {
-    /// How long a lease is by each broker's own configuration.
+/// The model, with the bounds of one check. Times are in ticks.
+struct LeaseModel {
+    /// The duration of a lease in each broker's configuration.
     lease_durations: [i64; BROKERS as usize],
     window: i64,
     max_requests: u32,
@@ -27,9 +27,9 @@
 struct State {
     now: i64,
     budgets: Vec<LeasedBudget>,
-    /// Whatever was sent may be delivered at any time, any number of times, or never.
+    /// All messages ever sent. Each may be delivered at any time, any number of times, or never.
     messages: BTreeSet<Message>,
-    /// Units spent at each of the last ticks.
+    /// The units spent in each tick of the last window.
     spent: Vec<u32>,
     requests: u32,
     restarts: u32,
@@ -45,7 +45,7 @@
     Restart { broker: usize },
 }
 
-impl Fleet {
+impl LeaseModel {
     fn leased_budget(&self, broker: usize, incarnation: u64, started_at: i64) -> LeasedBudget {
         let config = LeaseConfig {
             total_units: SHARE * u32::from(BROKERS),
@@ -64,13 +64,13 @@
         state.spent.push(0);
         let outside_window = state.spent.len().saturating_sub(self.window as usize + 1);
         state.spent.drain(..outside_window);
-        // What is over is removed, so that states which differ by it alone are one.
+        // Removes expired entries, so that states that differ only by them are equal.
         let now = Timestamp(state.now);
         state.budgets.iter_mut().for_each(|leased_budget| _ = leased_budget.try_spend(now, 0));
     }
 }
 
-impl Model for Fleet {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -128,7 +128,7 @@
         (next != *state).then_some(next)
     }
 
-    fn properties(&self) -> Vec<Property<Fleet>> {
+    fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
             Property::always(WITHIN_TOTAL, |_, state: &State| {
                 state.spent.iter().sum::<u32>() <= SHARE * u32::from(BROKERS)
@@ -142,8 +142,8 @@
     }
 }
 
-/// Configurations as they should be; then a planted fault, which the check finds: a lender whose configured
-/// lease is shorter than its borrower's.
+/// Checks valid configurations, and an invalid one whose violation the check must find: a lender configured with
+/// shorter leases than its borrower reuses units that the borrower may still spend.
 #[rstest]
 #[case::restart([2, 2, 2], 1, (1, 1, 6), true)]
 #[case::restart_under_a_long_lease([3, 3, 3], 0, (1, 1, 5), true)]
@@ -155,9 +155,9 @@
     #[case] (max_requests, max_restarts, last_tick): (u32, u32, i64),
     #[case] is_safe: bool,
 ) {
-    let fleet = Fleet { lease_durations, window, max_requests, max_restarts, last_tick };
-    let checker = fleet.checker().threads(2).spawn_dfs().join();
-    println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
+    let model = LeaseModel { lease_durations, window, max_requests, max_restarts, last_tick };
+    let checker = model.checker().threads(2).spawn_dfs().join();
+    println!("{} states, {} distinct", checker.state_count(), checker.unique_state_count());
     assert_eq!(checker.discovery(WITHIN_TOTAL).is_none(), is_safe);
     assert!(!is_safe || checker.discovery(LEASE_SPENT).is_some());
 }
