--- a/crates/node-emulator/src/discovery_catalog.rs
+++ b/crates/node-emulator/src/discovery_catalog.rs
@@ -1,4 +1,4 @@
-//! Discovery that keeps an endpoint list and lets brokers watch it.
+//! A discovery service that stores an endpoint list and lets brokers watch it.
 
 use crate::http_server::{ok_response, read_head, request_path};
 use serde_json::{Value, json};
@@ -13,15 +13,15 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Discovery that keeps an endpoint list, and holds a request that waits for changes until there are some, or
-/// its time is up. It lives on the thread that drives it, within a `LocalSet`.
+/// A discovery service that stores an endpoint list and supports long polling: a request that waits for changes is
+/// answered when the list changes or the wait times out. Requires a `LocalSet`, on whose thread the server runs.
 pub struct DiscoveryCatalog {
-    /// Where it listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
     list: Rc<WatchedList>,
 }
 
-/// An endpoint, and the revision that changed it last.
+/// An endpoint with the revision that last changed it.
 struct Entry {
     revision: u64,
     endpoint: Value,
@@ -32,15 +32,15 @@
     revision: Cell<u64>,
     entries: RefCell<BTreeMap<String, Entry>>,
     changed: Notify,
-    /// Requests that wait for a change after the newest revision.
+    /// The number of requests that wait for a revision after the latest one.
     waiting_requests: Cell<usize>,
-    /// Nothing is answered for now.
+    /// Whether responses are withheld.
     is_unresponsive: Cell<bool>,
     resumed: Notify,
     bytes_sent: Cell<usize>,
 }
 
-/// Counts a request for as long as it waits.
+/// Counts a waiting request until it is dropped.
 struct WaitingRequest<'a> {
     list: &'a WatchedList,
 }
@@ -59,17 +59,17 @@
 }
 
 impl DiscoveryCatalog {
-    /// Listens on a free port of loopback, with an empty list.
+    /// Starts the service on a free loopback port, with an empty list.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be bound.
     pub async fn start() -> io::Result<DiscoveryCatalog> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let (address, list) = (listener.local_addr()?, Rc::<WatchedList>::default());
         let served_list = list.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // A response is written in one piece and is to leave at once.
+                // Each response is written in one piece, so Nagle's algorithm would only delay it.
                 let _ = stream.set_nodelay(true);
                 spawn_local(serve(stream, served_list.clone()));
             }
@@ -77,7 +77,7 @@
         Ok(DiscoveryCatalog { address, list })
     }
 
-    /// Adds or replaces an endpoint.
+    /// Adds or replaces the endpoint with the given id, and notifies waiting requests.
     pub fn set(&self, id: &str, endpoint: Value) {
         let revision = self.list.revision.get() + 1;
         self.list.revision.set(revision);
@@ -85,18 +85,19 @@
         self.list.changed.notify_waiters();
     }
 
-    /// Falls silent, or speaks again: requests that came meanwhile are answered then.
+    /// Withholds all responses if `is_unresponsive` is `true`. Requests received meanwhile are answered once the
+    /// service is responsive again.
     pub fn set_unresponsive(&self, is_unresponsive: bool) {
         self.list.is_unresponsive.set(is_unresponsive);
         self.list.resumed.notify_waiters();
     }
 
-    /// How many bytes its responses came to.
+    /// Returns the total size of all responses, in bytes.
     pub fn bytes_sent(&self) -> usize {
         self.list.bytes_sent.get()
     }
 
-    /// Requests of brokers that have all there is, and wait for more.
+    /// Returns the number of requests from brokers that know the latest revision and wait for the next one.
     pub fn waiting_requests(&self) -> usize {
         self.list.waiting_requests.get()
     }
@@ -123,7 +124,7 @@
         let max_wait = Duration::from_millis(query_number(path, "wait_ms").unwrap_or(0));
         if after >= self.revision.get() {
             let _waiting = WaitingRequest::new(self);
-            // Changed, or its time is up: either way it is sent what there is.
+            // After a change and after a time-out alike, the response has the endpoints changed since `after`.
             let _ = tokio::time::timeout(max_wait, self.changed.notified()).await;
         }
         self.endpoints_after(after, false)
--- a/crates/node-emulator/src/emulated_node.rs
+++ b/crates/node-emulator/src/emulated_node.rs
@@ -1,4 +1,4 @@
-//! The model of a node.
+//! The model of a node: its queue, cores, warm-up, overload and lifecycle.
 
 use crate::job::{Job, JobId, SubmitOutcome};
 use crate::load_report::LoadReport;
@@ -9,34 +9,36 @@
 
 const SECOND: TimeSpan = TimeSpan(10_000);
 
-/// The least share of its speed to which a node can be slowed down.
+/// The minimum speed of a node, as a fraction of its full speed.
 const MIN_SPEED: f64 = 0.01;
 
-/// A node whose driver passes the time in.
+/// The model of a node. Each method that depends on the time receives it from the caller, which also has to call
+/// [`EmulatedNode::complete`] when jobs are due.
 #[derive(Clone, Debug)]
 pub struct EmulatedNode {
     spec: NodeSpec,
     state: NodeState,
-    /// When its process started; none: long ago.
+    /// The time when the process started, or `None` if the node was warm from the beginning.
     started_at: Option<Timestamp>,
-    /// The share of its full speed.
+    /// The current speed, as a fraction of the full speed.
     speed: f64,
     running: BTreeSet<(Timestamp, JobId)>,
     completion_times: BTreeMap<JobId, Timestamp>,
     queue: VecDeque<Job>,
-    /// Completions in the last second.
+    /// The times of the completions in the last second.
     recent_completions: VecDeque<Timestamp>,
-    /// Work sent to it over the overload window while it warms up, in microseconds.
+    /// The work received within the overload window during warm-up, in microseconds, with the times of receipt.
     recent_work: VecDeque<(Timestamp, u64)>,
     paused_until: Option<Timestamp>,
-    /// Jobs that completed since it started.
+    /// The number of jobs completed since the process started.
     completed_jobs: u32,
-    /// What was sent to it while warming up over the last window, of what makes it collapse.
+    /// The work received within the overload window during warm-up, as a fraction of the work above which the node
+    /// collapses.
     overload_ratio: f64,
 }
 
 impl EmulatedNode {
-    /// A node that runs. `started_at` none: since long ago, and warmed up.
+    /// Creates a ready node. With `started_at`, it warms up from that time; with `None`, it is warm.
     pub fn new(spec: NodeSpec, started_at: Option<Timestamp>) -> EmulatedNode {
         EmulatedNode {
             spec,
@@ -54,17 +56,17 @@
         }
     }
 
-    /// Whether it takes jobs.
+    /// Returns the lifecycle state, which determines whether the node accepts jobs.
     pub fn state(&self) -> NodeState {
         self.state
     }
 
-    /// When its process started; none: long ago.
+    /// Returns the time when the process started, or `None` if the node was warm from the beginning.
     pub fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
 
-    /// Moves it to its next state; whether anything changed.
+    /// Applies a lifecycle event, and returns whether it changed the state.
     fn handle(&mut self, event: LifecycleEvent) -> bool {
         let next = self.state.after(event);
         self.state = next.unwrap_or(self.state);
@@ -73,7 +75,8 @@
 
     // ---- lifecycle
 
-    /// Starts a new process under the same name, which has to warm up.
+    /// Starts a new process of a node that is down. It runs at full speed and has to warm up. Does nothing in other
+    /// states.
     pub fn start(&mut self, now: Timestamp) {
         if self.handle(LifecycleEvent::Start) {
             self.started_at = Some(now);
@@ -83,12 +86,12 @@
         }
     }
 
-    /// From now on it takes nothing new.
+    /// Starts draining: the node refuses new jobs and completes those that it has accepted.
     pub fn drain(&mut self) {
         self.handle(LifecycleEvent::Drain);
     }
 
-    /// Ends the process; the jobs that are lost by that, in the order of their ids.
+    /// Ends the process, and returns the lost jobs in ascending order of their ids.
     pub fn crash(&mut self) -> Vec<JobId> {
         if !self.handle(LifecycleEvent::Crash) {
             return Vec::new();
@@ -101,12 +104,14 @@
         lost
     }
 
-    /// From now on it has this share of its full speed; running jobs keep the speed that they started with.
+    /// Sets the speed, as a fraction of the full speed, clamped to 0.01 to 1. Running jobs keep the speed with which
+    /// they were started.
     pub fn set_speed(&mut self, speed: f64) {
         self.speed = speed.clamp(MIN_SPEED, 1.0);
     }
 
-    /// Pauses it until then: running jobs take so much longer, and no other starts.
+    /// Pauses the node from `now` until `until`. Running jobs complete later by the length of the pause, and no
+    /// other job starts before its end.
     pub fn pause(&mut self, now: Timestamp, until: Timestamp) {
         let paused_since = self.paused_until.filter(|paused_until| *paused_until > now).unwrap_or(now);
         if until > paused_since && self.state != NodeState::Down {
@@ -120,7 +125,7 @@
 
     // ---- capacity
 
-    /// The share of its full capacity that it has now.
+    /// Returns the current capacity as a fraction of the full capacity, from the speed and the progress of warm-up.
     pub fn capacity_ratio(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else { return self.speed };
         let progress = match self.spec.warm_up_jobs {
@@ -131,19 +136,20 @@
         self.speed * (initial + (1.0 - initial) * progress.min(1.0))
     }
 
-    /// Whether its process started less than the warm-up period ago.
+    /// Returns whether the process started less than the warm-up period ago.
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         self.started_at.is_some_and(|started_at| now - started_at < self.spec.warm_up_period)
     }
 
-    /// What was sent to it over the window, as of the last job that came while it warmed up: 1 is where it
-    /// collapses.
+    /// Returns the work received within the overload window, as a fraction of the work above which the node
+    /// collapses. The value is that of the last job received during warm-up.
     pub fn overload_ratio(&self) -> f64 {
         self.overload_ratio
     }
 
-    /// Counts work that was sent while it warms up; whether that is more over the window than it bears.
-    fn collapses_by(&mut self, now: Timestamp, work_us: u64) -> bool {
+    /// Records work received during warm-up, and returns whether the work within the overload window makes the node
+    /// collapse.
+    fn record_warm_up_work(&mut self, now: Timestamp, work_us: u64) -> bool {
         let window = self.spec.overload_window;
         while self.recent_work.pop_front_if(|(at, _)| *at < now - window).is_some() {}
         self.recent_work.push_back((now, work_us));
@@ -155,13 +161,14 @@
 
     // ---- jobs
 
-    /// Submits a job of so many microseconds at full speed.
+    /// Submits a job that takes `work_us` microseconds at full capacity.
     pub fn submit(&mut self, now: Timestamp, job: JobId, work_us: u64) -> SubmitOutcome {
         self.submit_counted_as(now, job, work_us, work_us)
     }
 
-    /// As [`EmulatedNode::submit`], for a job that counts as `counted_us` of work towards a collapse: that
-    /// rule counts a shard request by its class's mean work, as no broker can know more of it.
+    /// Submits a job as [`EmulatedNode::submit`] does, but counts it as `counted_us` microseconds towards a collapse.
+    /// The collapse rule counts a shard request by the mean work of its class, as a broker can't know its actual
+    /// work.
     pub fn submit_counted_as(
         &mut self,
         now: Timestamp,
@@ -172,8 +179,8 @@
         if self.state == NodeState::Down {
             return SubmitOutcome::Unreachable;
         }
-        // Every job that reaches it counts, refused ones too.
-        if self.is_warming_up(now) && self.collapses_by(now, counted_us) {
+        // Every job that reaches the node counts, including those that are refused.
+        if self.is_warming_up(now) && self.record_warm_up_work(now, counted_us) {
             return SubmitOutcome::Collapsed;
         }
         if self.state == NodeState::Draining {
@@ -205,12 +212,13 @@
         }
     }
 
-    /// When the next job completes.
+    /// Returns the time when the next job completes, or `None` if no job is running.
     pub fn next_completion(&self) -> Option<Timestamp> {
         self.running.first().map(|(completion, _)| *completion)
     }
 
-    /// Completes a job that is due, and starts the next in the queue; none: no job is due.
+    /// Completes the first job that is due, starts the next queued job, and returns the completed one. Returns `None`
+    /// if no job is due.
     pub fn complete(&mut self, now: Timestamp) -> Option<JobId> {
         self.running.first().filter(|(completion, _)| *completion <= now)?;
         let (_, job) = self.running.pop_first()?;
@@ -222,8 +230,7 @@
         Some(job)
     }
 
-    /// Cancels a job: a waiting one is dropped, a running one ended, as far as [`NodeSpec::cancel`] has it.
-    /// Whether it is gone by that.
+    /// Cancels a queued or running job as far as [`NodeSpec::cancel`] permits, and returns whether it was removed.
     pub fn cancel(&mut self, now: Timestamp, job: JobId) -> bool {
         let is_running = self.completion_times.contains_key(&job);
         if self.spec.cancel == CancelPolicy::DropNone
@@ -241,7 +248,7 @@
         self.queue.len() < queued_before
     }
 
-    /// Its load at this moment.
+    /// Returns the load at `now`.
     pub fn load(&self, now: Timestamp) -> LoadReport {
         let completed_per_s = self.recent_completions.iter().filter(|at| **at >= now - SECOND).count();
         let queued = self.queue.len();
--- a/crates/node-emulator/src/http_client.rs
+++ b/crates/node-emulator/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A client of a broker, and the requests that it sends.
+//! An HTTP client of a broker, and functions that format its requests.
 
 use crate::http_server::read_head;
 use serde_json::{Value, json};
@@ -7,42 +7,42 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// One connection to a broker.
+/// An HTTP connection to a broker.
 pub struct HttpClient {
     stream: BufReader<TcpStream>,
 }
 
-/// What a broker responded.
+/// An HTTP response of a broker.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The status line and headers, in lower case.
     pub head: String,
-    /// The body.
+    /// The body, decoded as UTF-8.
     pub body: String,
 }
 
 impl HttpClient {
-    /// Connects to an address.
+    /// Connects to the broker at `address`.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the connection can't be established.
     pub async fn connect(address: SocketAddr) -> io::Result<HttpClient> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(HttpClient { stream: BufReader::new(stream) })
     }
 
-    /// Writes a text as it is.
+    /// Writes `text` to the connection without changes, so that a test can also send invalid requests.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the write fails.
     pub async fn write(&mut self, text: &str) -> io::Result<()> {
         self.stream.get_mut().write_all(text.as_bytes()).await
     }
 
-    /// The next response; none: the broker closed the connection.
+    /// Reads the next response. Returns `None` if the broker closed the connection or the response is malformed.
     pub async fn read_response(&mut self) -> Option<HttpResponse> {
         let head = read_head(&mut self.stream).await?.to_lowercase();
         let length =
@@ -54,19 +54,19 @@
     }
 }
 
-/// A query's body: shards and weights.
+/// Formats the body of a query from its shards with their weights and its text.
 pub fn query_body(shards: &[(u32, f64)], text: &str) -> String {
     let slices: Vec<Value> =
         shards.iter().map(|(shard, weight)| json!({"slice": shard, "mass": weight})).collect();
     json!({"slices": slices, "filter": text}).to_string()
 }
 
-/// A query's request, of no tenant.
+/// Formats the HTTP request of a query without a tenant.
 pub fn query_request(id: &str, class: &str, time_left_ms: u64, body: &str) -> String {
     tenant_query_request(None, id, class, time_left_ms, body)
 }
 
-/// A query's request, of a tenant where one is given.
+/// Formats the HTTP request of a query, with a header for the tenant if one is given.
 pub fn tenant_query_request(
     tenant: Option<&str>,
     id: &str,
--- a/crates/node-emulator/src/job.rs
+++ b/crates/node-emulator/src/job.rs
@@ -1,29 +1,28 @@
-//! The jobs of a node.
+//! The jobs of a node and the outcomes of submitting them.
 
-/// One attempt of a shard request at this node.
+/// The id of a job, which is one attempt of a shard request at a node. It is assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(pub u64);
 
-/// What became of a job that was submitted.
+/// The outcome of submitting a job to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It runs.
+    /// The job started on a free core.
     Started,
-    /// It waits for a core.
+    /// The job waits in the queue for a core.
     Queued,
-    /// Refused unseen: the queue is full, or the node is draining.
+    /// The job was refused without being executed, as the queue is full or the node is draining.
     Refused,
-    /// There is no process.
+    /// The node is down.
     Unreachable,
-    /// By this job the node collapses: its driver is to crash it now.
+    /// The job overloads the node during warm-up. The caller has to crash the node.
     Collapsed,
 }
 
-/// A job that runs or waits.
+/// A running or queued job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
-    /// Its name.
     pub id: JobId,
-    /// Microseconds of work at full speed.
+    /// The duration at full capacity, in microseconds.
     pub work_us: u64,
 }
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -1,8 +1,10 @@
-//! An emulated node: cores, a bounded queue, service times, load reports, warm-up after a start, drain, crash
-//! and slowness. [`EmulatedNode`] has no clock, no sockets and no randomness: its driver passes the time in,
-//! and asks when a job completes. [`NodeServer`] drives it on a loopback socket, by frames as in the
-//! protocol. The scripted peers on loopback do only what a test has them do: [`ScriptedNode`],
-//! [`ScriptedDiscovery`], [`DiscoveryCatalog`], [`HttpClient`].
+//! Emulated nodes and scripted peers for tests and benchmarks of brokers.
+//!
+//! [`EmulatedNode`] models a node with cores, a bounded queue, service times, load reports, warm-up after a start,
+//! draining, crashes and reduced speed. It has no clock, no sockets and no randomness: the caller passes the time
+//! and asks when the next job completes. [`NodeServer`] runs the model on a loopback socket in real time, with the
+//! frames of the protocol. The peers [`ScriptedNode`], [`ScriptedDiscovery`], [`DiscoveryCatalog`] and
+//! [`HttpClient`] communicate over loopback and act only as instructed by a test.
 //!
 //! ```
 //! use routing::Timestamp;
--- a/crates/node-emulator/src/node_event.rs
+++ b/crates/node-emulator/src/node_event.rs
@@ -1,52 +1,52 @@
-//! What a scripted node receives from brokers, and how that is read from frames.
+//! The events that a scripted node receives from brokers, and their decoding from frames.
 
 use crate::frame::{BATCH, CANCEL, LOAD_PROBE, MAX_FRAME_BYTES, split_first_entry};
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
 
-/// A shard request as a batch carries it.
+/// A shard request decoded from a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardRequest {
-    /// The id that its response names.
+    /// The id, which the response has to repeat.
     pub id: String,
-    /// The shard.
+    /// The number of the shard.
     pub shard: u32,
-    /// The third field of its line, as it came.
+    /// The third field of the header line, such as `d=240`, as received.
     pub parameters: String,
-    /// The query's text.
+    /// The text of the query.
     pub text: String,
 }
 
-/// What came on one connection.
+/// An event on one connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent {
-    /// Shard requests.
+    /// A batch of shard requests was received.
     Batch(Vec<ShardRequest>),
-    /// The shard request of this id is cancelled.
+    /// A cancellation of the shard request with this id was received.
     Cancel(String),
-    /// A probe for load.
+    /// A load probe was received.
     LoadProbe,
-    /// A frame that is none of these and can't be used.
+    /// A frame of another kind, or a malformed one, was received.
     Unknown,
-    /// The connection is closed.
+    /// The connection was closed, or a frame on it was too long or truncated.
     Closed,
 }
 
-/// What came, and where.
+/// An event with the node and the connection on which it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedEvent {
-    /// Which node, by the index that its driver gave it.
+    /// The index of the node, as assigned by the test that started it.
     pub node: usize,
-    /// Which of the node's connections, in the order in which they were accepted.
+    /// The index of the connection among those of the node, in order of acceptance.
     pub connection: usize,
-    /// What came.
+    /// The received event.
     pub event: PeerEvent,
 }
 
-/// Where scripted nodes send what they receive.
+/// The channel to which scripted nodes send the events that they receive.
 pub type EventSender = mpsc::UnboundedSender<ReceivedEvent>;
 
-/// The next frame; none: the connection is closed, or its frame is too long or cut short.
+/// Reads the next frame. Returns `None` if the connection was closed, or the frame is too long or truncated.
 pub(crate) async fn read_event(from: &mut (impl AsyncReadExt + Unpin)) -> Option<PeerEvent> {
     let length = from.read_u32_le().await.ok()? as usize;
     if length > MAX_FRAME_BYTES {
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -1,8 +1,8 @@
-//! The model of a node on a loopback socket, with the frames of the protocol and in real time. It records what it
-//! received, so that a test can check the rules by that.
+//! A server that runs the model of a node on a loopback socket in real time, with the frames of the protocol. It
+//! records the received shard requests for the assertions of tests.
 //!
-//! One thread accepts connections, one completes jobs as they come due, and one serves each connection. They share
-//! one lock.
+//! One thread accepts connections, one completes jobs when they are due, and each connection has a thread of its own.
+//! All threads share one lock.
 
 mod connection;
 
@@ -20,41 +20,41 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Received shard requests are recorded up to this many.
+/// The maximum number of received shard requests that are recorded.
 const MAX_RECORDED: usize = 1_000_000;
 
-/// The thread that completes jobs looks again after this at the latest.
+/// The maximum time for which the thread that completes jobs waits before it checks for due jobs again.
 const MAX_COMPLETION_WAIT: Duration = Duration::from_millis(100);
 
-/// Added to a wait for a completion, so that the job is due when it ends.
+/// A margin added to each wait for a completion, so that the job is due when the wait ends.
 const COMPLETION_MARGIN_US: u64 = 50;
 
 const US_PER_TENTH: u64 = 100;
 
-/// The value of every response.
+/// The value in every response.
 const RESPONSE_VALUE: &[u8] = b"v";
 
-/// A shard request as its node received it.
+/// A shard request received by a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedShardRequest {
-    /// Its id.
+    /// The id that the broker assigned to the shard request.
     pub id: String,
-    /// Its shard.
+    /// The number of the shard.
     pub shard: u32,
-    /// Since the server was started.
+    /// The time of receipt, measured from the start of the server.
     pub at: Timestamp,
-    /// The node's state at that moment.
+    /// The state of the node at the time of receipt.
     pub state: NodeState,
 }
 
-/// Microseconds of work of a shard request, by its shard and its text.
+/// A function that returns the work of a shard request, in microseconds, for its shard and text.
 pub type WorkFunction = fn(u32, &[u8]) -> u64;
 
-/// An accepted connection, in the order in which they were accepted.
+/// The id of an accepted connection, in ascending order of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionId(u64);
 
-/// A shard request that the node has not finished.
+/// A shard request that the node has accepted and not completed.
 struct PendingRequest {
     connection: ConnectionId,
     id: String,
@@ -73,24 +73,24 @@
 
 struct Shared {
     state: Mutex<ServerState>,
-    /// Jobs were added or cancelled, or the server was stopped.
+    /// Notified when jobs were added or cancelled, and when the server is stopped.
     jobs_changed: Condvar,
     started_at: Instant,
     work: WorkFunction,
 }
 
-/// A node that serves on loopback, until this is dropped.
+/// An emulated node that serves on loopback until it is dropped.
 pub struct NodeServer {
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl NodeServer {
-    /// Listens on a free port, with threads of its own.
+    /// Starts a warm node on a free loopback port, with threads of its own.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be bound.
     pub fn start(spec: NodeSpec, work: WorkFunction) -> io::Result<NodeServer> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -111,34 +111,34 @@
         Ok(NodeServer { address, shared })
     }
 
-    /// Ends its process: connections are reset, and new ones are dropped.
+    /// Emulates a crash: open connections are shut down, and new ones are dropped.
     pub fn crash(&self) {
         self.shared.lock().crash();
     }
 
-    /// Starts it again under its address; it has to warm up.
+    /// Starts the node again at the same address. It has to warm up.
     pub fn restart(&self) {
         let now = self.shared.now();
         self.shared.lock().node.start(now);
     }
 
-    /// As [`EmulatedNode::drain`].
+    /// Starts draining, as [`EmulatedNode::drain`] does.
     pub fn drain(&self) {
         self.shared.lock().node.drain();
     }
 
-    /// As [`EmulatedNode::set_speed`].
+    /// Sets the speed, as [`EmulatedNode::set_speed`] does.
     pub fn set_speed(&self, speed: f64) {
         self.shared.lock().node.set_speed(speed);
     }
 
-    /// Its load at this moment.
+    /// Returns the current load.
     pub fn load(&self) -> LoadReport {
         let now = self.shared.now();
         self.shared.lock().node.load(now)
     }
 
-    /// Shard requests that it received, in their order.
+    /// Returns the received shard requests in order of receipt, at most 1,000,000.
     pub fn received(&self) -> Vec<ReceivedShardRequest> {
         self.shared.lock().received.clone()
     }
@@ -151,7 +151,7 @@
         state.crash();
         drop(state);
         self.shared.jobs_changed.notify_all();
-        // A connection wakes the accepting thread, which then sees that the server is stopped.
+        // A connection wakes the accepting thread, which then finds the server stopped and returns.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -172,7 +172,7 @@
         self.pending.clear();
         self.jobs.clear();
         for connection in std::mem::take(&mut self.connections).into_values() {
-            // Fails where the peer has closed it already, which is as good.
+            // Fails if the peer has already closed the connection, which has the same result.
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
@@ -183,8 +183,8 @@
     }
 }
 
-/// Accepts connections. Without a process they are dropped as they come: as near to a refusal as loopback allows
-/// while the address is kept.
+/// Accepts connections until the server is stopped. While the node is down, connections are dropped once accepted:
+/// they can't be refused while the listener keeps the address.
 fn accept(shared: &Arc<Shared>, listener: &TcpListener) {
     for stream in listener.incoming() {
         let mut state = shared.lock();
@@ -208,7 +208,7 @@
     }
 }
 
-/// Completes jobs as they come due.
+/// Completes jobs when they are due, until the server is stopped.
 fn complete_jobs(shared: &Shared) {
     let mut state = shared.lock();
     while !state.is_stopped {
--- a/crates/node-emulator/src/node_server/connection.rs
+++ b/crates/node-emulator/src/node_server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a broker to an emulated node: reads frames, and writes responses.
+//! A broker's connection to an emulated node: decodes frames and writes responses.
 
 use crate::frame::{
     BATCH, BatchEntry, CANCEL, LOAD_PROBE, LOAD_REPORT, MAX_FRAME_BYTES, OVERLOADED, PING, PONG, RESPONSE,
@@ -11,13 +11,13 @@
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
 
-/// The writing half, for all threads that respond.
+/// The write half of a connection, shared by all threads that write responses.
 pub(super) type Writer = Arc<Mutex<TcpStream>>;
 
-/// The score in every response; brokers do not read it.
+/// The score in every response, which brokers ignore.
 const SCORE: u32 = 1;
 
-/// Serves a connection until its broker closes it, or sends what can't be read.
+/// Serves a connection until the broker closes it or sends an invalid frame.
 pub(super) fn serve(shared: &Shared, connection: ConnectionId, stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let writer: Writer = Arc::new(Mutex::new(stream.try_clone()?));
@@ -44,7 +44,7 @@
     }
 }
 
-/// The next frame, of at least one byte; none: its length is not allowed.
+/// Reads the next frame, which has at least one byte. Returns `None` if its length is 0 or exceeds the maximum.
 fn read_frame(reader: &mut impl Read) -> io::Result<Option<Vec<u8>>> {
     let mut length = [0; 4];
     reader.read_exact(&mut length)?;
@@ -60,7 +60,7 @@
 fn write_frame(writer: &Writer, frame: &[u8]) {
     let mut writer = writer.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let length = (frame.len() as u32).to_le_bytes();
-    // Fails where the broker has closed its connection: it needs no response then.
+    // Fails if the broker has closed the connection, and then no response is needed.
     let _ = writer.write_all(&[&length[..], frame].concat());
 }
 
@@ -88,7 +88,7 @@
     let BatchEntry { id, shard, text, .. } = *entry;
     let now = shared.now();
     let mut state = shared.lock();
-    // A process that crashed may leave frames unread on its connections; the next one must not execute them.
+    // A crash may leave unread frames on the closed connections, which a restarted node must not execute.
     if !state.connections.contains_key(&connection) {
         return;
     }
--- a/crates/node-emulator/src/node_spec.rs
+++ b/crates/node-emulator/src/node_spec.rs
@@ -1,38 +1,40 @@
-//! What a node is made of.
+//! The specification of an emulated node.
 
 use routing::TimeSpan;
 
-/// The capacity of a node, how it warms up and what makes it collapse.
+/// The capacity of a node, its warm-up, and the load at which it collapses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSpec {
-    /// Jobs that run at once.
+    /// The maximum number of jobs that run concurrently.
     pub cores: usize,
-    /// Jobs that wait at the most; one more is refused.
+    /// The maximum number of queued jobs. Further jobs are refused.
     pub queue_capacity: usize,
-    /// Just started it has this share of its capacity...
+    /// The capacity of a node that has just started, as a fraction of the full capacity, 0 to 1.
     pub initial_capacity_share: f64,
-    /// ...and all of it after this; between, its share grows linearly.
+    /// The time after which a started node has its full capacity, which grows linearly until then.
     pub warm_up_period: TimeSpan,
-    /// Sent more than this multiple of its capacity while it warms up...
+    /// The multiple of its current capacity above which the work received within `overload_window` makes a node
+    /// collapse during warm-up.
     pub overload_factor: f64,
-    /// ...over this long, it collapses.
+    /// The time over which received work is summed for the collapse rule.
     pub overload_window: TimeSpan,
-    /// So many completed jobs warm it up, however long that takes; none: time does.
+    /// The number of completed jobs after which the node has its full capacity, or `None` if the capacity grows with
+    /// time, over `warm_up_period`.
     pub warm_up_jobs: Option<u32>,
-    /// What a cancelled job costs.
+    /// Determines which cancelled jobs the node drops.
     pub cancel: CancelPolicy,
 }
 
-/// What a job that is cancelled costs from then on. `fault_scenarios::CancelBehavior` is the same in a scenario's
-/// text: neither package depends on the other, and the bench translates.
+/// The jobs that a node drops on cancellation. `fault_scenarios::CancelBehavior` is the corresponding type of
+/// scenario files. Neither package depends on the other, so the benchmark converts between the two types.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CancelPolicy {
-    /// Nothing, wherever it was.
+    /// Drops queued and running jobs.
     #[default]
     DropAll,
-    /// A waiting job is dropped; a running one goes on to its end.
+    /// Drops queued jobs. Running jobs are executed to completion.
     DropQueued,
-    /// Both go on, for nobody.
+    /// Drops no job. Cancelled jobs are executed, although no response is needed.
     DropNone,
 }
 
--- a/crates/node-emulator/src/node_state.rs
+++ b/crates/node-emulator/src/node_state.rs
@@ -1,19 +1,19 @@
-//! The life of a node's process.
+//! The lifecycle of a node's process.
 
 use NodeState::{Down, Draining, Ready};
 
-/// Whether a node takes jobs.
+/// The lifecycle state of a node, which determines whether it accepts jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// Takes jobs.
+    /// The node accepts jobs.
     Ready,
-    /// Finishes what it has, takes nothing new.
+    /// The node completes the jobs that it has accepted and refuses new ones.
     Draining,
-    /// There is no process.
+    /// The node has no process.
     Down,
 }
 
-/// What moves a node from one state to another.
+/// An event that may change the state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LifecycleEvent {
     Start,
@@ -27,7 +27,7 @@
     next: NodeState,
 }
 
-/// An event that has no row for a state changes nothing.
+/// The transition table. An event without a row for the current state is ignored.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
     Transition { state: Down,     event: LifecycleEvent::Start, next: Ready },
@@ -37,7 +37,7 @@
 ];
 
 impl NodeState {
-    /// The state after an event; none where it changes nothing.
+    /// Returns the state that follows an event, or `None` if the event is ignored in this state.
     pub(crate) fn after(self, event: LifecycleEvent) -> Option<NodeState> {
         let applies = |transition: &&Transition| transition.state == self && transition.event == event;
         TRANSITIONS.iter().find(applies).map(|transition| transition.next)
--- a/crates/node-emulator/src/scripted_discovery.rs
+++ b/crates/node-emulator/src/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery whose responses a test gives one by one.
+//! A discovery service whose responses are supplied by a test.
 
 use crate::http_server::{ok_response, read_head, request_path};
 use std::cell::RefCell;
@@ -11,10 +11,10 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_local;
 
-/// Discovery that answers each request with the next response that it is given, or stays silent. It lives on
-/// the thread that drives it, within a `LocalSet`.
+/// A discovery service that answers each request with the next response supplied by the test, and leaves requests
+/// unanswered while there is none. Requires a `LocalSet`, on whose thread the server runs.
 pub struct ScriptedDiscovery {
-    /// Where it listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<String>,
     responses: Rc<ResponseQueue>,
@@ -39,10 +39,10 @@
 }
 
 impl ScriptedDiscovery {
-    /// Listens on a free port of loopback.
+    /// Starts the service on a free loopback port.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be bound.
     pub async fn start() -> io::Result<ScriptedDiscovery> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -57,13 +57,13 @@
         Ok(ScriptedDiscovery { address, requests, responses })
     }
 
-    /// Gives the next response.
+    /// Adds the body of the next response to the queue.
     pub fn respond(&self, body: impl ToString) {
         self.responses.bodies.borrow_mut().push_back(body.to_string());
         self.responses.added.notify_one();
     }
 
-    /// The path of the next request; none: the server is gone.
+    /// Waits for the next request and returns its path. Returns `None` once the server has ended.
     pub async fn next_request(&mut self) -> Option<String> {
         self.requests.recv().await
     }
--- a/crates/node-emulator/src/scripted_node.rs
+++ b/crates/node-emulator/src/scripted_node.rs
@@ -1,4 +1,4 @@
-//! A node whose frames a test reads and writes one by one.
+//! A node whose frames are read and written by a test.
 
 use crate::frame::{LOAD_REPORT, RESPONSE, encode_frame};
 use crate::node_event::{EventSender, PeerEvent, ReceivedEvent, read_event};
@@ -13,43 +13,43 @@
 
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// The score in every response; brokers do not read it.
+/// The score in every response, which brokers ignore.
 const SCORE: u32 = 77;
-/// The load that a response reports where the test gives none.
+/// The load in a response for which the test supplies none.
 const DEFAULT_LOAD: &str = "queue=3,qps=1.5";
 
-/// Connections in the order in which they were accepted; none: it is closed.
+/// The write halves of connections in order of acceptance, with `None` for closed ones.
 type Connections = Rc<RefCell<Vec<Option<OwnedWriteHalf>>>>;
 
-/// A node on loopback that sends what it receives to its driver, and writes what its driver has it write. It
-/// has no clock and no model, and lives on the thread that drives it, within a `LocalSet`.
+/// A node on loopback that reports each received frame as an event and writes only the frames that the test requests.
+/// It has no clock and no model of a node. Requires a `LocalSet`, on whose thread its tasks run.
 pub struct ScriptedNode {
-    /// Where it listens, or would.
+    /// The address of the node, which stays the same while it does not listen.
     pub address: SocketAddr,
     index: usize,
     events: EventSender,
     connections: Connections,
     readers: Rc<RefCell<Vec<JoinHandle<()>>>>,
     acceptor: Option<JoinHandle<()>>,
-    /// Holds the address while nobody listens there: connections are refused.
+    /// The bound socket that reserves the address while the node does not listen, so that connections are refused.
     reserved: Option<TcpSocket>,
 }
 
 impl ScriptedNode {
-    /// A node that listens; `index` names it in its events.
+    /// Starts a node on a free loopback port. Its events have `index` as their node.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be bound.
     pub async fn start(index: usize, events: EventSender) -> io::Result<ScriptedNode> {
         let mut node = ScriptedNode::reserve(index, events)?;
         node.listen()?;
         Ok(node)
     }
 
-    /// A node that has its address, and refuses connections.
+    /// Reserves an address for a node that refuses connections until [`ScriptedNode::listen`] is called.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be bound.
     pub fn reserve(index: usize, events: EventSender) -> io::Result<ScriptedNode> {
         let socket = reserve_address(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         Ok(ScriptedNode {
@@ -63,10 +63,10 @@
         })
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections. Does nothing if the node already does.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if it can't listen.
     pub fn listen(&mut self) -> io::Result<()> {
         let Some(socket) = self.reserved.take() else { return Ok(()) };
         let listener = socket.listen(LISTEN_BACKLOG)?;
@@ -76,14 +76,14 @@
         Ok(())
     }
 
-    /// Ends its process: connections end, and new ones are refused.
+    /// Closes all connections and refuses new ones, as a node does whose process has ended.
     ///
     /// # Errors
-    /// As of the socket.
+    /// Returns an error if the address can't be reserved again.
     pub async fn stop(&mut self) -> io::Result<()> {
         let Some(acceptor) = self.acceptor.take() else { return Ok(()) };
         acceptor.abort();
-        // The task is gone for sure when this ends, and its socket with it.
+        // Waits until the task has ended, so that its listening socket is closed.
         let _ = acceptor.await;
         self.connections.borrow_mut().iter_mut().for_each(|connection| *connection = None);
         for reader in self.readers.take() {
@@ -94,10 +94,10 @@
         Ok(())
     }
 
-    /// Writes bytes as they are, to a connection that may be closed.
+    /// Writes `bytes` to a connection without changes. Does nothing if the connection is closed.
     ///
     /// # Panics
-    /// Where there was never such a connection.
+    /// Panics if no connection with this index was accepted.
     pub async fn write(&self, connection: usize, bytes: &[u8]) {
         let Some(mut writer) = self.connections.borrow_mut()[connection].take() else { return };
         if writer.write_all(bytes).await.is_ok() {
@@ -105,12 +105,12 @@
         }
     }
 
-    /// Responds to a shard request, with outcome `S`, `E` or `B`.
+    /// Responds to the shard request `id` with outcome `S` (succeeded), `E` (error) or `B` (overloaded).
     pub async fn respond(&self, connection: usize, id: &str, outcome: char, value: &str) {
         self.respond_with_load(connection, id, outcome, DEFAULT_LOAD, value).await;
     }
 
-    /// As [`ScriptedNode::respond`], with a report of its load.
+    /// Responds to a shard request as [`ScriptedNode::respond`] does, with the given load report.
     pub async fn respond_with_load(
         &self,
         connection: usize,
@@ -123,7 +123,7 @@
         self.write(connection, &encode_frame(payload.as_bytes(), 0)).await;
     }
 
-    /// Answers a probe for load: a report, `-` for none, `E` for an error.
+    /// Answers a load probe with a load report, `-` for no report or `E` for an error.
     pub async fn send_load(&self, connection: usize, load: &str) {
         self.write(connection, &encode_frame(format!("{LOAD_REPORT}{load}").as_bytes(), 0)).await;
     }
@@ -131,7 +131,7 @@
     /// Closes a connection.
     ///
     /// # Panics
-    /// Where there was never such a connection.
+    /// Panics if no connection with this index was accepted.
     pub fn close(&self, connection: usize) {
         self.connections.borrow_mut()[connection] = None;
     }
@@ -152,7 +152,7 @@
     readers: Rc<RefCell<Vec<JoinHandle<()>>>>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        // What is written in one piece is to leave at once; without this it is delayed.
+        // Frames are written in one piece, and Nagle's algorithm would delay them.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         let connection = connections.borrow().len();
--- a/crates/node-emulator/tests/model.rs
+++ b/crates/node-emulator/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model of a node, moment by moment.
+//! Tests of the node model with explicit times.
 
 use node_emulator::{CancelPolicy, EmulatedNode, JobId, LoadReport, NodeSpec, NodeState, SubmitOutcome};
 use routing::Timestamp;
@@ -12,10 +12,9 @@
     JobId(id)
 }
 
-/// Two cores and two places in the queue: the fifth job is refused; as one completes, the first in the queue
-/// starts.
+/// With two cores and a queue of two, the fifth job is refused. When a job completes, the first queued job starts.
 #[rstest]
-fn queues_and_refuses() {
+fn jobs_are_queued_then_refused() {
     let mut node = EmulatedNode::new(spec(), None);
     let outcomes: Vec<SubmitOutcome> = (0..5).map(|id| node.submit(Timestamp(0), job(id), 10_000)).collect();
     assert_eq!(
@@ -41,31 +40,31 @@
     assert_eq!(node.load(Timestamp(20_000)).completed_per_s, 0);
 }
 
-/// Just started it has a fifth of its capacity, at half of the warm-up three fifths, then all.
+/// A node has a fifth of its capacity when it starts, three fifths halfway through warm-up, and all of it afterwards.
 #[rstest]
 #[case(0, 500)]
 #[case(85_000, 167)]
 #[case(170_000, 100)]
-fn warms_up(#[case] age: i64, #[case] duration: i64) {
+fn capacity_grows_linearly_during_warm_up(#[case] age: i64, #[case] duration: i64) {
     let mut node = EmulatedNode::new(spec(), Some(Timestamp(0)));
     node.submit(Timestamp(age), job(1), 10_000);
     assert_eq!(node.next_completion(), Some(Timestamp(age + duration)));
 }
 
 #[rstest]
-fn a_node_warming_up_collapses_where_a_warm_one_only_queues() {
+fn only_a_node_in_warm_up_collapses_under_overload() {
     let collapse = |started_at| {
         let mut node = EmulatedNode::new(NodeSpec { queue_capacity: 10_000, ..spec() }, started_at);
         (0..200)
             .map(|id| node.submit(Timestamp(id), job(id as u64), 10_000))
             .find(|outcome| *outcome == SubmitOutcome::Collapsed)
     };
-    // Two cores at a fifth bear 400 ms in the window, three times that are 1,200: the 121st is too much.
+    // Two cores at a fifth of their capacity do 400 ms of work in the window of one second. The node collapses above
+    // three times that, 1,200 ms, with the 121st job of 10 ms.
     assert_eq!((collapse(None), collapse(Some(Timestamp(0)))), (None, Some(SubmitOutcome::Collapsed)));
 }
 
-/// Draining it finishes what it has; a crash loses that, and it starts again under its name and has to warm
-/// up.
+/// A draining node completes accepted jobs, and a crash loses them. After a restart the node has to warm up.
 #[rstest]
 fn drains_crashes_and_restarts() {
     let mut node = EmulatedNode::new(spec(), None);
@@ -89,7 +88,7 @@
 }
 
 #[rstest]
-fn a_cancelled_job_frees_its_place() {
+fn a_cancelled_job_frees_its_core_or_queue_slot() {
     let mut node = EmulatedNode::new(spec(), None);
     (0..4).for_each(|id| _ = node.submit(Timestamp(0), job(id), 10_000));
     assert!(
@@ -103,13 +102,13 @@
     node.submit(Timestamp(20), job(7), 10_000);
     assert!(
         node.complete(Timestamp(110)).is_some() && node.next_completion() == Some(Timestamp(220)),
-        "half as fast"
+        "a job started at half speed takes twice as long"
     );
 }
 
-/// Warmed up by completed jobs, and by nothing else: an hour of waiting leaves its capacity as it was.
+/// With `warm_up_jobs`, only completed jobs warm up a node: an hour without jobs does not change its capacity.
 #[rstest]
-fn waiting_does_not_warm_up() {
+fn time_alone_does_not_warm_up_a_node_with_warm_up_jobs() {
     let spec = NodeSpec { cores: 1, warm_up_jobs: Some(4), ..NodeSpec::default() };
     let mut node = EmulatedNode::new(spec, None);
     node.crash();
@@ -123,12 +122,12 @@
     assert!((node.capacity_ratio(later) - 1.0).abs() < 1e-9);
 }
 
-/// A cancelled job costs nothing more, or a running one goes on, or all do.
+/// Depending on the policy, cancellation drops both jobs, only the queued one, or neither.
 #[rstest]
 #[case(CancelPolicy::DropAll, 0)]
 #[case(CancelPolicy::DropQueued, 1)]
 #[case(CancelPolicy::DropNone, 2)]
-fn cancelled_work_goes_on(#[case] cancel: CancelPolicy, #[case] completed: usize) {
+fn cancellation_follows_the_policy(#[case] cancel: CancelPolicy, #[case] completed: usize) {
     let mut node = EmulatedNode::new(NodeSpec { cores: 1, cancel, ..NodeSpec::default() }, None);
     node.submit(Timestamp(0), JobId(1), 1000);
     node.submit(Timestamp(0), JobId(2), 1000);
--- a/crates/node-emulator/tests/node_server.rs
+++ b/crates/node-emulator/tests/node_server.rs
@@ -1,4 +1,4 @@
-//! The node on a loopback socket, by its frames.
+//! Tests of the node server at the level of protocol frames.
 
 use node_emulator::{NodeServer, NodeSpec, NodeState};
 use rstest::rstest;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 fn start_node(cores: usize, queue_capacity: usize) -> NodeServer {
-    // A second for each shard request of shard 1, none to speak of for others.
+    // A shard request takes one second on shard 1, and a negligible time on other shards.
     NodeServer::start(NodeSpec { cores, queue_capacity, ..NodeSpec::default() }, |shard, _| {
         if shard == 1 { 1_000_000 } else { 100 }
     })
@@ -30,7 +30,7 @@
         self.stream.write_all(&[&(frame.len() as u32).to_le_bytes()[..], frame].concat()).unwrap();
     }
 
-    /// The next frame; none: the node closed the connection.
+    /// Reads the next frame. Returns `None` if the node closed the connection.
     fn read(&mut self) -> Option<String> {
         let mut length = [0; 4];
         self.stream.read_exact(&mut length).ok()?;
@@ -41,14 +41,14 @@
 }
 
 #[rstest]
-fn answers_batches_and_probes() {
+fn responds_to_batches_and_probes() {
     let node = start_node(4, 8);
     let mut connection = Connection::open(&node);
     connection.write("1q.3 3 d=240 2\nxyq.4 4 d=240 0\n");
-    let mut answers = [connection.read().unwrap(), connection.read().unwrap()];
-    answers.sort();
-    assert!(answers[0].starts_with("5q.3 S 1 queue=") && answers[0].ends_with("\nv"), "{answers:?}");
-    assert!(answers[1].starts_with("5q.4 S 1 queue="));
+    let mut responses = [connection.read().unwrap(), connection.read().unwrap()];
+    responses.sort();
+    assert!(responses[0].starts_with("5q.3 S 1 queue=") && responses[0].ends_with("\nv"), "{responses:?}");
+    assert!(responses[1].starts_with("5q.4 S 1 queue="));
     connection.write("3");
     assert_eq!(connection.read().unwrap(), "3S");
     connection.write("4");
@@ -58,7 +58,8 @@
     assert_eq!(received, [("q.3".to_owned(), 3, NodeState::Ready), ("q.4".to_owned(), 4, NodeState::Ready)]);
 }
 
-/// A full queue and a draining node refuse; a cancelled shard request frees its place and is not answered.
+/// A node refuses shard requests if its queue is full or it is draining. A cancelled shard request frees its place in
+/// the queue and is not answered.
 #[rstest]
 fn refuses_and_cancels() {
     let node = start_node(1, 1);
@@ -68,14 +69,14 @@
     connection.write("2b.1");
     node.drain();
     connection.write("1d.1 1 d=9 0\n");
-    let mut answers = [connection.read().unwrap(), connection.read().unwrap()];
-    answers.sort();
-    assert!(answers[0].starts_with("5a.1 S "), "what it had is finished: {answers:?}");
-    assert!(answers[1].starts_with("5d.1 B "), "{answers:?}");
+    let mut responses = [connection.read().unwrap(), connection.read().unwrap()];
+    responses.sort();
+    assert!(responses[0].starts_with("5a.1 S "), "the accepted shard request is completed: {responses:?}");
+    assert!(responses[1].starts_with("5d.1 B "), "{responses:?}");
     assert_eq!(node.received().last().unwrap().state, NodeState::Draining);
 }
 
-/// Crashed, its connections end, and new ones are dropped; restarted, it serves under its address.
+/// A crash ends the connections, and new ones are dropped. After a restart the node serves at the same address.
 #[rstest]
 fn crashes_and_restarts() {
     let node = start_node(1, 1);
--- a/crates/node-emulator/tests/theory.rs
+++ b/crates/node-emulator/tests/theory.rs
@@ -1,12 +1,14 @@
-//! The model node against theory: waits in M/M/c by Erlang's formula, and Little's law.
+//! Compares the node model with queueing theory: waiting times of an M/M/c queue by the Erlang C formula, and
+//! Little's law.
 
 use node_emulator::{EmulatedNode, JobId, NodeSpec, SubmitOutcome};
 use routing::Timestamp;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-/// Erlang's C, the probability to wait with so many cores at this load of each.
-fn wait_probability(cores: usize, load: f64) -> f64 {
+/// Returns the probability that a job has to wait, by the Erlang C formula, for a number of cores and the load per
+/// core.
+fn erlang_c(cores: usize, load: f64) -> f64 {
     let offered = load * cores as f64;
     let mut term = 1.0;
     let mut sum = 1.0;
@@ -18,8 +20,8 @@
     last / (sum + last)
 }
 
-/// Mean time in the system, mean number in it and rate of completions, of so many jobs; in tenths of a
-/// millisecond.
+/// Simulates the given number of jobs. Returns the mean time in the system, the mean number of jobs in it and the
+/// rate of completions, with times in tenths of a millisecond.
 fn simulate(cores: usize, load: f64, jobs: u64, seed: u64) -> (f64, f64, f64) {
     const MEAN: f64 = 10_000.0;
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -48,18 +50,18 @@
     (time_in_system / completed as f64, job_time / last, completed as f64 / last)
 }
 
-/// Mean time in the system within 2% of the closed form.
+/// The mean time in the system must be within 2% of the closed form, and the mean number within 0.5% of Little's law.
 #[rstest]
 #[case(1, 0.5)]
 #[case(1, 0.7)]
 #[case(4, 0.7)]
 #[case(8, 0.8)]
 fn waits_match_theory(#[case] cores: usize, #[case] load: f64) {
-    let expected = 10_000.0 * (1.0 + wait_probability(cores, load) / (cores as f64 * (1.0 - load)));
+    let expected = 10_000.0 * (1.0 + erlang_c(cores, load) / (cores as f64 * (1.0 - load)));
     let (mean_time, mean_number, rate) = simulate(cores, load, 600_000, 7);
     let error = (mean_time / expected - 1.0).abs();
-    assert!(error < 0.02, "{mean_time:.1} for {expected:.1}: {error:.4}");
-    // Little: the number in the system is the rate times the time in it.
-    let little = (mean_number / (rate * mean_time) - 1.0).abs();
-    assert!(little < 0.005, "number {mean_number:.3}, rate x time {:.3}", rate * mean_time);
+    assert!(error < 0.02, "mean time {mean_time:.1}, expected {expected:.1}, error {error:.4}");
+    // Little's law: the mean number in the system is the rate times the mean time in the system.
+    let relative_error = (mean_number / (rate * mean_time) - 1.0).abs();
+    assert!(relative_error < 0.005, "number {mean_number:.3}, rate x time {:.3}", rate * mean_time);
 }
