--- a/crates/admission-control/src/admitted_broker.rs
+++ b/crates/admission-control/src/admitted_broker.rs
@@ -1,23 +1,24 @@
-//! A broker behind its admission controller, driven as the broker alone is.
+//! A broker behind an admission controller, with the interface of the broker.
 
 use crate::controller::AdmissionController;
 use routing::{Broker, Effect, Input, Timestamp};
 
-/// A broker behind its admission controller.
+/// A broker behind an admission controller.
 pub struct AdmittedBroker {
-    /// Decides which queries reach the broker.
+    /// The controller, which decides which queries are passed to the broker.
     pub admission: AdmissionController,
-    /// Routes the queries that are admitted.
+    /// The broker, which routes the admitted queries.
     pub broker: Broker,
 }
 
 impl AdmittedBroker {
-    /// Puts the controller in front of the broker.
+    /// Places the controller in front of the broker.
     pub fn new(admission: AdmissionController, broker: Broker) -> AdmittedBroker {
         AdmittedBroker { admission, broker }
     }
 
-    /// As [`Broker::turn`]: the controller's rejections come first, then what the broker did with the rest.
+    /// Processes the inputs of a turn as [`Broker::turn`] does. Returns the effects of the controller, such as its
+    /// rejections, followed by those of the broker.
     pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         let filtered = self.admission.filter_inputs(now, inputs);
         let broker_effects = self.broker.turn(now, &filtered.inputs);
--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -1,42 +1,44 @@
-//! The operator's settings of admission control, their defaults and their bounds.
+//! The operator's configuration of admission control, with default values and bounds.
 
 use routing::TimeSpan;
 use thiserror::Error;
 
-/// The settings of admission control. The operator's keys have other names; [`AdmissionConfig::check`] and the
-/// section `[admission]` of the `operator-config` package link them, and `docs/operate-admission.md` explains
-/// them.
+/// The configuration of admission control. The operator's keys have different names, which are mapped to the fields
+/// by [`AdmissionConfig::check`] and by the section `[admission]` of the `operator-config` package, and are described
+/// in `docs/operate-admission.md`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// The share of shard requests refused as overloaded or timed out, or of queries that the broker
-    /// rejected, above which there is overload. Over 0, under 1.
+    /// The fraction of shard requests that are refused as overloaded or time out, or of queries that the broker
+    /// rejects, above which the controller detects overload. Greater than 0 and less than 1.
     pub overload_threshold: f64,
-    /// The span over which losses, requested shard requests and retries are counted; a step is a tenth of it.
-    /// 100 ms at least.
+    /// The window over which losses, requested shard requests and retries are counted. A step is a tenth of it. At
+    /// least 100 ms.
     pub window: TimeSpan,
-    /// While overloaded, the admitted rate is multiplied by this in a step above the level. Over 0, under 1.
+    /// The factor by which the admitted rate is multiplied in a step with overload. Greater than 0 and less than 1.
     pub decrease_factor: f64,
-    /// While overloaded, the admitted rate grows by this ratio in a step below the level. Over 0, 1 at most.
+    /// The ratio by which the admitted rate grows in a step of overloaded mode without overload. Greater than 0 and
+    /// at most 1.
     pub increase_ratio: f64,
-    /// The mode is normal again once the admitted rate is this many times the requested rate. 1 at least.
+    /// The multiple of the requested rate that the admitted rate has to reach to end overloaded mode. At least 1.
     pub recovery_headroom: f64,
-    /// A tenant's token bucket holds what its share gives in this span. 0 and up.
+    /// The time over which a tenant's share fills its token bucket, which determines the bucket's depth. At least 0.
     pub burst: TimeSpan,
-    /// While overloaded, the retries of a tenant that are admitted in a window for each of its admitted first
-    /// attempts. 0 and up.
+    /// The number of a tenant's retries that are admitted per window in overloaded mode, for each of its admitted
+    /// first attempts. At least 0.
     pub retry_ratio: f64,
-    /// Retries that are admitted beside those, in a window. 0 and up.
+    /// The number of a tenant's retries that are admitted per window in addition to those. At least 0.
     pub min_retries: f64,
-    /// The most tenants that have a quota and a retry budget each; all others share one of each. 1 at least.
+    /// The maximum number of tenants with a quota and a retry budget of their own. All other tenants share one quota
+    /// and one retry budget. At least 1.
     pub max_tenants: u32,
-    /// Whether, while overloaded, a query beyond its tenant's share is rejected or served at its minimum
-    /// coverage while other tenants request something. Off: only retries have a budget, and the broker's
-    /// cutoff falls on all tenants alike.
+    /// Whether overloaded mode enforces quotas: a query beyond its tenant's share is rejected, or served at its
+    /// minimum coverage, while other tenants send requests. If `false`, only retries are limited, and the broker's
+    /// cutoff applies to all tenants alike.
     pub enforce_quotas: bool,
 }
 
 impl Default for AdmissionConfig {
-    /// The defaults of the operator's keys, as `docs/operate-admission.md` states them.
+    /// Returns the default values of the operator's keys, as documented in `docs/operate-admission.md`.
     fn default() -> AdmissionConfig {
         AdmissionConfig {
             overload_threshold: 0.1,
@@ -53,19 +55,19 @@
     }
 }
 
-/// One setting whose value can't be used.
+/// The error for a setting whose value is out of bounds.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("`{key}` is {found}: {allowed}")]
 pub struct InvalidValue {
-    /// The operator's key.
+    /// The key of the setting in the operator's configuration.
     pub key: &'static str,
-    /// The value that it has.
+    /// The configured value.
     pub found: String,
-    /// The values that it may have.
+    /// A description of the allowed values.
     pub allowed: &'static str,
 }
 
-/// A numeric setting and whether its value lies within its bounds.
+/// The value of a numeric setting, and whether it is within its bounds.
 struct Check {
     key: &'static str,
     value: f64,
@@ -74,10 +76,10 @@
 }
 
 impl AdmissionConfig {
-    /// Checks every setting.
+    /// Checks that every setting is within its bounds.
     ///
     /// # Errors
-    /// All values that can't be used, at once.
+    /// Returns one error for each setting whose value is out of bounds.
     pub fn check(&self) -> Result<(), Vec<InvalidValue>> {
         let invalid_values: Vec<InvalidValue> = self
             .checks()
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -1,16 +1,16 @@
-//! The controller: follows the load in steps, and decides on each offered query. It gathers the inputs of the
-//! rules, calls them in order, and records what they decide; each rule is in a file of its own.
+//! The admission controller, which evaluates the load in steps and decides on each offered query. It collects the
+//! inputs of the rules, applies the rules in order and records their decisions. Each rule has a module of its own.
 //!
-//! Each step (a tenth of the window):
-//! 1. [`overload_detection`](crate::overload_detection): is there overload?
-//! 2. [`mode`](crate::mode): the next mode, and how the admitted rate changes.
-//! 3. [`adaptive_rate`](crate::adaptive_rate): the rate.
-//! 4. [`fair_share`](crate::fair_share): each tenant's share of it.
+//! In each step (a tenth of the window):
+//! 1. [`overload_detection`](crate::overload_detection) determines whether there is overload.
+//! 2. [`mode`](crate::mode) determines the next mode and the change of the admitted rate.
+//! 3. [`adaptive_rate`](crate::adaptive_rate) computes the rate.
+//! 4. [`fair_share`](crate::fair_share) divides the rate among the tenants.
 //!
-//! Each query, while overloaded:
-//! 1. [`retry_budget`](crate::retry_budget): is its tenant's budget for retries spent?
-//! 2. [`quota`](crate::quota): is it within its tenant's share?
-//! 3. [`retry_after`](crate::retry_after): when may a rejected one come back?
+//! For each query in overloaded mode:
+//! 1. [`retry_budget`](crate::retry_budget) rejects a retry that exceeds its tenant's budget.
+//! 2. [`quota`](crate::quota) determines how a query beyond its tenant's share is handled.
+//! 3. [`retry_after`](crate::retry_after) determines when the client of a rejected query may retry.
 
 use crate::adaptive_rate::{AdaptiveRate, initial_rate, min_rate};
 use crate::config::{AdmissionConfig, InvalidValue};
@@ -29,7 +29,7 @@
 use crate::window::{STEPS_PER_WINDOW, observed_seconds, step_length};
 use routing::{BrokerConfig, ClassId, Effect, Input, LogEvent, TenantId, TimeSpan, Timestamp};
 
-/// Admission control in front of one broker.
+/// An admission controller, which decides which queries are passed to one broker.
 pub struct AdmissionController {
     config: AdmissionConfig,
     broker_config: BrokerConfig,
@@ -39,12 +39,12 @@
     load: LoadStatistics,
     tenants: TenantTable,
     decision_counts: DecisionCounts,
-    /// When the first inputs came.
+    /// The time of the first turn, or of the turn in which the clock was last set back.
     started_at: Option<Timestamp>,
     last_step_at: Timestamp,
 }
 
-/// What all steps of a turn are judged by.
+/// The observed load on which all steps of a turn are based.
 #[derive(Clone, Copy)]
 struct ObservedLoad {
     is_overloaded: bool,
@@ -52,10 +52,10 @@
 }
 
 impl AdmissionController {
-    /// A controller in normal mode.
+    /// Creates a controller in normal mode.
     ///
     /// # Errors
-    /// All values of the configuration that can't be used.
+    /// Returns one error for each setting whose value is out of bounds.
     pub fn new(
         config: AdmissionConfig,
         broker_config: &BrokerConfig,
@@ -75,39 +75,39 @@
         })
     }
 
-    /// Whether all queries are admitted, or a limited rate.
+    /// Returns the current mode.
     pub fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Shard requests admitted a second while overloaded; 0 while all are admitted.
+    /// Returns the admitted rate in shard requests per second, or 0 in normal mode, which has no limit.
     pub fn rate(&self) -> f64 {
         self.rate.per_second()
     }
 
-    /// How many queries each decision fell on.
+    /// Returns the number of queries for each decision since the controller was created.
     pub fn decision_counts(&self) -> DecisionCounts {
         self.decision_counts
     }
 
-    /// Handles a turn's inputs before the broker does: counts what ended, takes the steps that are due, and
-    /// decides on the queries.
+    /// Processes the inputs of a turn before the broker does: records ended attempts, executes the steps that are due
+    /// and decides on the queries.
     pub fn filter_inputs(&mut self, now: Timestamp, inputs: &[Input]) -> FilteredTurn {
         self.set_time(now);
-        self.read_inputs(inputs);
+        self.record_inputs(inputs);
         let mode_change = self.advance_steps();
         let mut effects = Vec::from_iter(mode_change.map(Effect::Log));
-        let decisions = self.decide_all(&offered_queries(inputs), &mut effects);
+        let decisions = self.decide_queries(&offered_queries(inputs), &mut effects);
         let inputs = inputs.iter().filter_map(|input| decisions.filter_input(input)).collect();
         FilteredTurn { inputs, effects }
     }
 
-    /// Counts what the broker did in the same turn: its rejections count as overload.
+    /// Records the broker's effects of the same turn. Rejections by the broker are a signal of overload.
     pub fn record_effects(&mut self, effects: &[Effect]) {
         self.load.record_effects(self.now, effects);
     }
 
-    /// A clock that was set back starts the observation anew, from the time that it tells.
+    /// Sets the current time. If the clock was set back, the observation restarts from the new time.
     fn set_time(&mut self, now: Timestamp) {
         self.now = now;
         if self.started_at.is_none_or(|started_at| started_at > now) {
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Counts the attempts that ended, and applies a new configuration.
-    fn read_inputs(&mut self, inputs: &[Input]) {
+    /// Records ended attempts, and applies a new configuration.
+    fn record_inputs(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
                 Input::AttemptEnded(result) => self.load.record_result(self.now, result),
@@ -129,8 +129,8 @@
 
     // ---- steps
 
-    /// Takes each step that has passed since the last, a window's at most: the window holds nothing older to
-    /// judge by, and a turn after a long silence must not take long.
+    /// Executes the steps that are due, at most those of one window: the window has no older data, and a turn after a
+    /// long idle period must not take long. Returns the log event if the mode changed.
     fn advance_steps(&mut self) -> Option<LogEvent> {
         let step_length = step_length(self.config.window);
         let steps = ((self.now - self.last_step_at).0 / step_length.0).min(STEPS_PER_WINDOW);
@@ -140,12 +140,12 @@
         self.last_step_at = self.now;
         let previous_mode = self.mode;
         let observed = self.observe_load();
-        // All steps are judged by what is known now; at most the first can decrease the rate.
+        // All steps use the same observed load. At most the first can decrease the rate.
         for _ in 0..steps {
-            self.take_step(observed);
+            self.execute_step(observed);
         }
-        self.tenants.forget_idle(self.now);
-        // Nobody reads the shares in normal mode.
+        self.tenants.remove_idle(self.now);
+        // The shares are not used in normal mode.
         if self.mode == Mode::Overloaded {
             self.share_rate();
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    fn take_step(&mut self, observed: ObservedLoad) {
+    fn execute_step(&mut self, observed: ObservedLoad) {
         let admitted_per_second = self.rate.per_second();
         let requested_per_second = observed.requested_per_second;
         let min_headroom = self.config.recovery_headroom;
@@ -194,7 +194,7 @@
     fn share_rate(&mut self) {
         let weight = |tenant| tenant_weight(&self.broker_config, tenant);
         let demands = self.tenants.demands(self.now, self.observed_s(), weight);
-        // A tenant's demand may grow as fast as the rate itself does.
+        // A tenant's demand may grow as fast as the rate does.
         let headroom = self.config.increase_ratio;
         let shares = max_min_shares(self.rate.per_second(), headroom, demands);
         self.tenants.set_shares(shares);
@@ -207,7 +207,7 @@
 
     // ---- queries
 
-    fn decide_all(&mut self, offered: &[OfferedQuery], effects: &mut Vec<Effect>) -> TurnDecisions {
+    fn decide_queries(&mut self, offered: &[OfferedQuery], effects: &mut Vec<Effect>) -> TurnDecisions {
         let mut decisions = TurnDecisions::default();
         for query in offered {
             match self.decide(query) {
@@ -224,7 +224,7 @@
     }
 
     fn decide(&mut self, query: &OfferedQuery) -> Decision {
-        let tenant = self.tenants.counted_as(query.tenant);
+        let tenant = self.tenants.accounted_tenant(query.tenant);
         let (now, window) = (self.now, self.config.window);
         self.tenant(tenant).record_requested(now, window, f64::from(query.shard_requests));
         let decision = match self.mode {
@@ -235,7 +235,7 @@
         decision
     }
 
-    /// The rules of overloaded mode, in their order.
+    /// Applies the rules of overloaded mode in order.
     fn decide_overloaded(&mut self, tenant: TenantId, query: &OfferedQuery) -> Decision {
         let (now, window, burst) = (self.now, self.config.window, self.config.burst);
         let admitted_attempts = self.tenant(tenant).admitted_attempts(now, window);
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Whether queries of the class may be answered with less than complete coverage.
+    /// Returns whether queries of the class may be answered with less than complete coverage.
     fn allows_partial(&self, class: ClassId) -> bool {
         let class = self.broker_config.classes.get(&class);
         class.is_some_and(|class| class.min_coverage < class.complete_coverage)
--- a/crates/admission-control/src/decision.rs
+++ b/crates/admission-control/src/decision.rs
@@ -1,41 +1,40 @@
-//! What is decided on an offered query, and how often.
+//! The decisions on offered queries, and their counts.
 
-/// What is decided on a query.
+/// The controller's decision on a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Admitted with all of its shard requests.
+    /// The query is admitted with all of its shard requests.
     Admit,
-    /// Rejected: its tenant's retries are over their budget.
+    /// The query is rejected because it is a retry that exceeds its tenant's retry budget.
     RejectRetryBudget,
-    /// Rejected: it is beyond its tenant's share, and other tenants request something too.
+    /// The query is rejected because it is beyond its tenant's share while other tenants send requests.
     RejectQuota,
-    /// Beyond its tenant's share, but its class takes partial responses: admitted, to be served at its
-    /// minimum coverage only.
+    /// The query is admitted at its minimum coverage only. It is beyond its tenant's share, but its class allows
+    /// partial responses.
     AdmitAtMinCoverage,
 }
 
 impl Decision {
-    /// Whether the query does not reach the broker.
+    /// Returns whether the query is rejected, so that it is not passed to the broker.
     pub fn is_rejection(self) -> bool {
         matches!(self, Decision::RejectRetryBudget | Decision::RejectQuota)
     }
 }
 
-/// How many queries each decision fell on since the controller was started.
+/// The number of queries for each decision, since the controller was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounts {
-    /// Queries admitted with all of their shard requests.
+    /// The number of queries admitted with all of their shard requests.
     pub admitted: u64,
-    /// Queries rejected by a retry budget.
+    /// The number of retries rejected because they exceeded their tenant's retry budget.
     pub rejected_by_retry_budget: u64,
-    /// Queries rejected by a tenant's quota.
+    /// The number of queries rejected because they were beyond their tenant's share.
     pub rejected_by_quota: u64,
-    /// Queries admitted at their minimum coverage.
+    /// The number of queries admitted at their minimum coverage only.
     pub admitted_at_min_coverage: u64,
 }
 
 impl DecisionCounts {
-    /// Counts a decision.
     pub(crate) fn record(&mut self, decision: Decision) {
         let count = match decision {
             Decision::Admit => &mut self.admitted,
--- a/crates/admission-control/src/fair_share.rs
+++ b/crates/admission-control/src/fair_share.rs
@@ -1,44 +1,45 @@
-//! How the admitted rate is shared between tenants: max-min fairness by water-filling (Bertsekas and
-//! Gallager, 'Data Networks'), weighted by quotas.
+//! The division of the admitted rate among tenants by weighted max-min fairness, computed by water-filling
+//! (Bertsekas and Gallager, 'Data Networks'), with quotas as weights.
 //!
-//! Decided each step while overloaded. Without shares, the tenant that requests most gets most of the rate,
-//! and its storm trims everyone's queries.
+//! The shares are computed in each step of overloaded mode. Without shares, the tenant with the highest demand
+//! would receive most of the rate, and its surge would reduce the coverage of all tenants' queries.
 
 use routing::{BrokerConfig, TenantId};
 
-/// The weight of each tenant where no quotas are configured.
+/// The weight of each tenant if no quotas are configured.
 const EVEN_WEIGHT: f64 = 1.0;
 
-/// What a tenant requests.
+/// The demand of a tenant.
 pub(crate) struct Demand {
     pub tenant: TenantId,
-    /// Shard requests a second.
+    /// The requested rate, in shard requests per second.
     pub per_second: f64,
-    /// Relative to the weights of the other tenants.
+    /// The weight, relative to those of the other tenants. Greater than 0.
     pub weight: f64,
 }
 
-/// What a tenant gets.
+/// The share of a tenant in the admitted rate.
 pub(crate) struct Share {
     pub tenant: TenantId,
-    /// Shard requests a second.
+    /// The tenant's part of the rate, in shard requests per second.
     pub per_second: f64,
-    /// Less than it requests, with the headroom.
+    /// Whether the share is less than the tenant's demand with headroom.
     pub is_limited: bool,
 }
 
-/// Shares a rate, in shard requests a second, between tenants. In the order of their demand by weight, a
-/// tenant that requests less than its part of what is left gets what it requests and `headroom` (a ratio)
-/// more, so that its demand may grow until the next step; the rest is split among the others by weight.
+/// Divides a rate, in shard requests per second, among tenants. Tenants are processed in ascending order of demand by
+/// weight. A tenant whose demand is less than its weighted part of the remaining rate receives its demand, increased
+/// by `headroom` (a ratio) so that the demand may grow until the next step. The remaining rate is divided among the
+/// other tenants by weight.
 pub(crate) fn max_min_shares(per_second: f64, headroom: f64, mut demands: Vec<Demand>) -> Vec<Share> {
     let demand_by_weight = |demand: &Demand| demand.per_second / demand.weight;
-    // The sort is stable: tenants with the same demand stay in their order.
+    // The sort is stable, so that tenants with equal demand keep their order.
     demands.sort_by(|a, b| demand_by_weight(a).total_cmp(&demand_by_weight(b)));
     let mut remaining_rate = per_second;
     let mut remaining_weight = demands.iter().map(|demand| demand.weight).sum::<f64>();
     let mut shares = Vec::with_capacity(demands.len());
     for Demand { tenant, per_second, weight } in demands {
-        // The remainders can round to nothing, or just below, where weights differ by many orders of magnitude.
+        // The remainders can round to zero or slightly below if weights differ by many orders of magnitude.
         let even_share = remaining_rate * weight / remaining_weight.max(f64::MIN_POSITIVE);
         let wanted = per_second * (1.0 + headroom);
         let share = wanted.min(even_share);
@@ -49,8 +50,8 @@
     shares
 }
 
-/// A tenant's weight: its quota where one is configured, else the mean of those configured, else 1. Above
-/// zero, so that a demand can be divided by it.
+/// Returns the weight of a tenant: its quota if one is configured, otherwise the mean of the configured quotas, or 1
+/// if there are none. The weight is greater than 0, so that a demand can be divided by it.
 pub(crate) fn tenant_weight(broker_config: &BrokerConfig, tenant: TenantId) -> f64 {
     let quotas = &broker_config.tenants;
     if quotas.is_empty() {
--- a/crates/admission-control/src/filtered_turn.rs
+++ b/crates/admission-control/src/filtered_turn.rs
@@ -1,18 +1,18 @@
-//! What a turn's inputs come to, once the queries among them are decided on.
+//! The inputs of a turn after the decisions on its queries.
 
 use routing::{Effect, GroupId, Input, NewQuery, QueryId};
 use std::collections::BTreeSet;
 
-/// What the controller makes of a turn's inputs.
+/// The result of filtering the inputs of a turn.
 #[derive(Clone, Debug, Default)]
 pub struct FilteredTurn {
-    /// What the broker gets: all inputs but rejected queries and what belongs to them.
+    /// The inputs for the broker: all inputs except rejected queries and inputs that refer to them.
     pub inputs: Vec<Input>,
-    /// What is done at once: a log line where the mode changed, then rejections.
+    /// The effects of the controller: a log event if the mode changed, followed by rejections.
     pub effects: Vec<Effect>,
 }
 
-/// The queries of a turn that are not admitted as they are.
+/// The queries of a turn that are rejected or limited to their minimum coverage.
 #[derive(Default)]
 pub(crate) struct TurnDecisions {
     rejected: BTreeSet<QueryId>,
@@ -21,18 +21,18 @@
 }
 
 impl TurnDecisions {
-    /// The broker gets neither the query nor its shard requests.
+    /// Withholds the query and its shard requests from the broker.
     pub fn reject(&mut self, query: QueryId, group: GroupId) {
         self.rejected.insert(query);
         self.rejected_groups.insert(group);
     }
 
-    /// The broker gets the query, to be served at its minimum coverage.
+    /// Passes the query to the broker marked to be served at its minimum coverage only.
     pub fn limit_to_min_coverage(&mut self, query: QueryId) {
         self.at_min_coverage.insert(query);
     }
 
-    /// The input as the broker gets it; `None` where it belongs to a rejected query.
+    /// Returns the input for the broker, or `None` if the input belongs to a rejected query.
     pub fn filter_input(&self, input: &Input) -> Option<Input> {
         match input {
             Input::Query(query) if self.rejected.contains(&query.id) => None,
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,21 +1,23 @@
-//! Admission control in front of one broker: which queries are admitted when there is no capacity for all.
+//! Admission control in front of one broker. It determines which queries are admitted when the capacity is not
+//! sufficient for all.
 //!
-//! A program makes an [`AdmissionController`] from an [`AdmissionConfig`] and the broker's [`BrokerConfig`],
-//! and puts it with the [`Broker`] in an [`AdmittedBroker`]; it then calls [`AdmittedBroker::turn`] where it
-//! called [`Broker::turn`]. The controller sees every input before the broker does and every effect after. It
-//! delays nothing: each query is admitted or rejected in the same turn, with a time to retry after where the
-//! configuration allows one. No I/O, no clock: time comes in with each turn.
+//! A program creates an [`AdmissionController`] from an [`AdmissionConfig`] and the broker's [`BrokerConfig`],
+//! combines it with the [`Broker`] in an [`AdmittedBroker`], and calls [`AdmittedBroker::turn`] in place of
+//! [`Broker::turn`]. The controller processes every input before the broker does, and every effect after the
+//! broker. It does not delay queries: each is admitted or rejected in the same turn, and a rejection has a time
+//! to retry after if the configuration allows one. The crate performs no I/O and has no clock: the caller passes
+//! the time with each turn.
 //!
-//! The controller is in [`Mode::Normal`] until the share of shard requests lost to overloaded nodes, or the
-//! broker's own rejections, exceed the configured level. In [`Mode::Overloaded`] it admits a limited rate of
-//! shard requests, which it lowers while that lasts and raises while it does not. The rate is shared between
-//! tenants by max-min fairness, each with a token bucket, and retries have a budget by tenant.
-//! `docs/admission.md` gives the reasons.
+//! The controller is in [`Mode::Normal`] until the fraction of shard requests lost to overloaded nodes, or of
+//! queries rejected by the broker, exceeds the configured threshold. In [`Mode::Overloaded`] it admits a limited
+//! rate of shard requests, which it decreases while the threshold is exceeded and increases otherwise. The rate
+//! is divided among tenants by max-min fairness, with a token bucket and a retry budget for each tenant. The
+//! design is explained in `docs/admission.md`.
 //!
-//! Each rule is in a file of its name, as a function or a plain type whose arguments are all that it
-//! reads: `overload_detection`, `mode` (the table of modes), `adaptive_rate`, `fair_share`, `retry_budget`,
-//! `quota`, `retry_after`. The state that they read is counted in `load_statistics`, `tenants` and
-//! `token_bucket`. `controller` gathers their inputs and calls them; it is the place to start reading.
+//! Each rule has a module of its own and is a function or a plain type that reads only its arguments:
+//! `overload_detection`, `mode` (the transition table), `adaptive_rate`, `fair_share`, `retry_budget`, `quota`
+//! and `retry_after`. The state that they read is maintained in `load_statistics`, `tenants` and `token_bucket`.
+//! The module `controller` collects the inputs of the rules and calls them, and is the place to start reading.
 //!
 //! ```
 //! use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker};
--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -1,18 +1,18 @@
-//! Counts of what the nodes and the broker did within the window: losses, rejections, and the shard requests
-//! that were served. Counts only; what they mean is decided elsewhere.
+//! Counters of losses, rejections and served shard requests within the window. They are interpreted by other
+//! modules.
 
 use crate::overload_detection::OverloadInputs;
 use crate::window::Window;
 use routing::{AttemptOutcome, AttemptResult, Effect, TimeSpan, Timestamp};
 
-/// Losses are counted over this share of the window, so that a step is judged by what has just happened and
-/// not by what an earlier decrease has already answered.
+/// The time over which losses are counted, as a fraction of the window. It is shorter than the window so that a step
+/// is based on recent losses, and not on losses to which an earlier decrease has already responded.
 const LOSS_WINDOW_RATIO: f64 = 0.2;
 
-/// Counters of load over a sliding window.
+/// Counters of load over a sliding window. Each counter records marked events, their total, or both.
 pub(crate) struct LoadStatistics {
     window: TimeSpan,
-    /// Attempts lost to overload (`marked`), of all attempts that ended and tell of load (`total`).
+    /// Attempts lost to overload (`marked`), among all ended attempts that are indicative of load (`total`).
     losses: Window,
     /// Queries that the broker rejected (`marked`).
     broker_rejections: Window,
@@ -25,7 +25,7 @@
 }
 
 impl LoadStatistics {
-    /// Counters that have counted nothing.
+    /// Creates counters that are all zero.
     pub fn new(window: TimeSpan) -> LoadStatistics {
         LoadStatistics {
             window,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Counts an attempt that ended.
+    /// Records the result of an ended attempt.
     pub fn record_result(&mut self, now: Timestamp, result: &AttemptResult) {
         if result.outcome.tells_of_load() {
             let lost = if result.outcome.is_overload() { 1.0 } else { 0.0 };
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Counts what the broker did in a turn: the queries that it rejected and the attempts that it sent.
+    /// Records the queries that the broker rejected and the attempts that it sent in a turn.
     pub fn record_effects(&mut self, now: Timestamp, effects: &[Effect]) {
         let rejected = effects.iter().filter(|effect| matches!(effect, Effect::Reject { .. })).count();
         let sent = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
@@ -56,12 +56,12 @@
         self.sent.count(now, self.window, 0.0, sent as f64);
     }
 
-    /// Counts the shard requests of an admitted query.
+    /// Records the shard requests of an admitted query.
     pub fn record_admitted(&mut self, now: Timestamp, shard_requests: f64) {
         self.admitted.count(now, self.window, 0.0, shard_requests);
     }
 
-    /// The counts by which overload is judged.
+    /// Returns the counts from which overload is detected.
     pub fn overload_inputs(&self, now: Timestamp) -> OverloadInputs {
         let losses = self.losses.sums(now, self.loss_window());
         OverloadInputs {
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Admitted shard requests that the nodes served within the window: the attempts that succeeded, times
-    /// the shard requests admitted for each attempt sent. Under the broker's cutoff fewer attempts are sent
-    /// than shard requests are admitted.
+    /// Returns the number of admitted shard requests that the nodes served within the window. It is the number of
+    /// successful attempts, multiplied by the number of admitted shard requests per sent attempt, as the broker sends
+    /// fewer attempts than shard requests are admitted while its cutoff is active.
     pub fn served(&self, now: Timestamp) -> f64 {
         let succeeded = self.succeeded.sums(now, self.window).total;
         let sent = self.sent.sums(now, self.window).total;
--- a/crates/admission-control/src/mode.rs
+++ b/crates/admission-control/src/mode.rs
@@ -1,61 +1,61 @@
-//! The mode: whether all queries are admitted, or a limited rate of shard requests.
+//! The mode of the controller, which is to admit all queries or a limited rate of shard requests.
 //!
-//! [`next_step`] is the table of modes. It is read once a step (a tenth of the configured window) and
-//! decides which mode comes next and how the admitted rate changes. Whether there is overload is decided by
-//! [`overload_detection`](crate::overload_detection); what the changes come to, by
-//! [`adaptive_rate`](crate::adaptive_rate). A change of mode shows as a log line
+//! [`next_step`] is the transition table. It is evaluated once per step (a tenth of the configured window), and
+//! determines the next mode and the change of the admitted rate. Overload is detected by
+//! [`overload_detection`](crate::overload_detection), and rates are computed by
+//! [`adaptive_rate`](crate::adaptive_rate). Each change of mode is logged
 //! ([`mode_change`](crate::mode_change::mode_change)).
 
 use Mode::{Normal, Overloaded};
 
-/// Whether the controller admits all queries, or a limited rate.
+/// The mode of an admission controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// All queries are admitted.
+    /// The controller admits all queries.
     #[default]
     Normal,
-    /// A limited rate of shard requests is admitted, shared between tenants; retries have a budget.
+    /// The controller admits a limited rate of shard requests, divided among tenants, and limits their retries.
     Overloaded,
 }
 
-/// What a step is decided by.
+/// The inputs of a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepInputs {
-    /// Losses or rejections exceed the configured level.
+    /// Whether losses or rejections exceed the configured threshold.
     pub is_overloaded: bool,
-    /// The last decrease was long enough ago for its effect to show.
+    /// Whether the last decrease has had time to take effect.
     pub may_decrease: bool,
-    /// The admitted rate is well above the requested one.
+    /// Whether the admitted rate exceeds the requested rate by the configured headroom.
     pub has_headroom: bool,
 }
 
-/// How a step changes the admitted rate.
+/// The change of the admitted rate in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RateChange {
-    /// No limit yet, or the limit stays.
+    /// Leaves the limit as it is, or absent.
     Keep,
-    /// The limit starts, at the rate that the nodes have served.
+    /// Starts the limit at the rate that the nodes have served.
     Start,
-    /// Multiplicative decrease.
+    /// Decreases the rate multiplicatively.
     Decrease,
-    /// Increase towards the requested rate.
+    /// Increases the rate towards the requested rate.
     Increase,
-    /// The limit ends.
+    /// Removes the limit.
     Stop,
 }
 
-/// What a step decides.
+/// The outcome of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Step {
     pub next: Mode,
     pub rate_change: RateChange,
 }
 
-/// The step that follows from a mode and what was observed. The first row that applies is taken.
+/// Returns the step for a mode and the observed inputs, which is that of the first matching row.
 ///
-/// Overloaded mode ends only with headroom, not as soon as losses stop: losses stop because the rate is
-/// limited, so ending the limit on that alone would bring the overload back. The cost is that tenants are
-/// held to their shares for some steps after the cause is over.
+/// Overloaded mode ends only with headroom, not as soon as losses stop: losses stop because the rate is limited, so
+/// removing the limit for that reason alone would bring the overload back. The drawback is that tenants are limited
+/// to their shares for some steps after the cause of the overload has been removed.
 #[rustfmt::skip]
 pub(crate) fn next_step(mode: Mode, inputs: &StepInputs) -> Step {
     let step = |next, rate_change| Step { next, rate_change };
@@ -69,8 +69,8 @@
     }
 }
 
-/// Whether the admitted rate is at least `min_ratio` times the requested one (both in shard requests a
-/// second), so that it need not be limited any more.
+/// Returns whether the admitted rate is at least `min_ratio` times the requested rate (both in shard requests per
+/// second), so that the limit is no longer needed.
 pub(crate) fn has_headroom(admitted_per_second: f64, requested_per_second: f64, min_ratio: f64) -> bool {
     admitted_per_second >= min_ratio * requested_per_second
 }
--- a/crates/admission-control/src/mode_change.rs
+++ b/crates/admission-control/src/mode_change.rs
@@ -1,10 +1,10 @@
-//! The log event of a change of mode.
+//! The log event for a change of mode.
 
 use crate::mode::Mode;
 use routing::LogEvent;
 
-/// The event of a change between two modes, with the rate that is admitted from now on in shard requests a
-/// second; `None` where the mode is the same.
+/// Returns the log event for a change between two modes, or `None` if the mode is unchanged. `admitted_per_s` is the
+/// new admitted rate in shard requests per second.
 pub(crate) fn mode_change(previous: Mode, current: Mode, admitted_per_s: f64) -> Option<LogEvent> {
     match (previous, current) {
         (Mode::Normal, Mode::Overloaded) => Some(LogEvent::AdmissionOverloaded { admitted_per_s }),
--- a/crates/admission-control/src/offered_query.rs
+++ b/crates/admission-control/src/offered_query.rs
@@ -1,22 +1,22 @@
-//! A query as the controller sees it, for the turn in which it comes.
+//! The controller's view of a query, in the turn in which the query arrives.
 
 use routing::{ClassId, GroupId, Input, NewQuery, QueryId, TenantId};
 
-/// A query that is offered in this turn.
+/// A query offered in the current turn.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OfferedQuery {
     pub id: QueryId,
     pub group: GroupId,
     pub tenant: TenantId,
     pub class: ClassId,
-    /// How often the client sent it before: 0 is a first attempt, more is a retry.
+    /// The number of times that the client has sent the query before: 0 for a first attempt, greater for a retry.
     pub client_attempt: u32,
-    /// Its shard requests, as they come in the same turn.
+    /// The number of its shard requests, all of which arrive in the same turn.
     pub shard_requests: u32,
 }
 
 impl OfferedQuery {
-    /// The query before its shard requests are counted.
+    /// Creates the view of a query, whose shard requests have yet to be counted.
     fn new(query: &NewQuery) -> OfferedQuery {
         OfferedQuery {
             id: query.id,
@@ -28,22 +28,22 @@
         }
     }
 
-    /// Whether the client sent it before.
+    /// Returns whether the client has sent the query before.
     pub fn is_retry(&self) -> bool {
         self.client_attempt > 0
     }
 }
 
-/// The queries among a turn's inputs, in their order, each with its shard requests counted. A shard request
-/// belongs to the newest query of its group.
+/// Returns the queries among the inputs of a turn, in order, with the numbers of their shard requests. A shard
+/// request belongs to the latest query of its group.
 pub(crate) fn offered_queries(inputs: &[Input]) -> Vec<OfferedQuery> {
     let mut offered: Vec<OfferedQuery> = Vec::new();
     for input in inputs {
         match input {
             Input::Query(query) => offered.push(OfferedQuery::new(query)),
             Input::ShardRequest(shard_request) => {
-                let mut newest_first = offered.iter_mut().rev();
-                if let Some(query) = newest_first.find(|query| query.group == shard_request.group) {
+                let mut latest_first = offered.iter_mut().rev();
+                if let Some(query) = latest_first.find(|query| query.group == shard_request.group) {
                     query.shard_requests += 1;
                 }
             }
--- a/crates/admission-control/src/overload_detection.rs
+++ b/crates/admission-control/src/overload_detection.rs
@@ -1,33 +1,32 @@
-//! Whether there is overload.
+//! Overload detection.
 //!
-//! Decided once a step, from two counts: attempts that nodes refused as overloaded or that timed out, and
-//! queries that the broker itself rejected. Both are signals that the broker's own cutoff reads too, so
-//! that the controller and the broker agree on what overload is. The result shows as the mode: a log line
-//! when it changes.
+//! Overload is evaluated once per step from two counts: attempts that nodes refused as overloaded or that timed
+//! out, and queries that the broker rejected. The broker's cutoff uses the same signals, so that the controller
+//! and the broker agree on what overload is. The result determines the mode, whose changes are logged.
 
-/// What overload is judged by.
+/// The counts from which overload is detected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverloadInputs {
-    /// Attempts that ended as overloaded or timed out, over a fifth of the window.
+    /// The number of attempts that were refused as overloaded or timed out, in the last fifth of the window.
     pub lost_attempts: f64,
-    /// All attempts that ended and tell of load, over a fifth of the window.
+    /// The number of ended attempts that are indicative of load, in the last fifth of the window.
     pub ended_attempts: f64,
-    /// Queries that the broker rejected, over the window.
+    /// The number of queries that the broker rejected within the window.
     pub rejected_queries: f64,
-    /// Shard requests admitted, over the window.
+    /// The number of shard requests admitted within the window.
     pub admitted_shard_requests: f64,
 }
 
-/// Whether the share of lost attempts, or the rejected queries for each admitted shard request, exceed
-/// `level` (0 to 1).
+/// Returns whether the ratio of lost to ended attempts, or of rejected queries to admitted shard requests, exceeds
+/// `threshold` (0 to 1).
 ///
-/// Each share is taken of `1 / level` events at least. Otherwise a single loss among few events would be
-/// overload: after a quiet spell a broker would limit its rate on one time-out.
-pub(crate) fn is_overloaded(inputs: &OverloadInputs, level: f64) -> bool {
-    let min_events = 1.0 / level;
+/// The denominator of each ratio is at least `1 / threshold`. Otherwise a single loss among few events would count as
+/// overload, and after a period of low traffic a broker would limit its rate because of one time-out.
+pub(crate) fn is_overloaded(inputs: &OverloadInputs, threshold: f64) -> bool {
+    let min_events = 1.0 / threshold;
     let loss_ratio = inputs.lost_attempts / f64::max(inputs.ended_attempts, min_events);
     let rejection_ratio = inputs.rejected_queries / inputs.admitted_shard_requests.max(min_events);
-    loss_ratio > level || rejection_ratio > level
+    loss_ratio > threshold || rejection_ratio > threshold
 }
 
 #[cfg(test)]
--- a/crates/admission-control/src/quota.rs
+++ b/crates/admission-control/src/quota.rs
@@ -1,47 +1,48 @@
-//! The quota of a tenant: what becomes of a query that is beyond its tenant's share.
+//! The quota of a tenant, which determines how queries beyond the tenant's share are handled.
 //!
-//! Decided on each query while overloaded, once the retry budget has let it pass. The share is set each step
-//! by max-min fairness ([`fair_share`](crate::fair_share)); a token bucket
-//! ([`token_bucket`](crate::token_bucket)) holds it over bursts. The result shows in the counts of decisions
-//! ([`DecisionCounts`](crate::DecisionCounts)) and, for the client, as a rejection with a time to retry
-//! after, or as a partial response.
+//! The quota is checked for each query in overloaded mode that the retry budget admits. The share is set in each
+//! step by max-min fairness ([`fair_share`](crate::fair_share)) and enforced over bursts by a token bucket
+//! ([`token_bucket`](crate::token_bucket)). The outcome is counted in
+//! [`DecisionCounts`](crate::DecisionCounts). The client receives a rejection with a time to retry after, or a
+//! partial response.
 
-/// What the quota is judged by.
+/// The inputs of the quota check.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuotaInputs {
-    /// The tenant's share is less than it requests.
+    /// Whether the tenant's share is less than its demand.
     pub is_limited: bool,
-    /// The tenant's token bucket holds the query's shard requests, or all that it can hold.
+    /// Whether the tenant's token bucket has a token for each shard request of the query, or is full.
     pub bucket_covers: bool,
-    /// The query's class takes partial responses.
+    /// Whether the class of the query allows partial responses.
     pub allows_partial: bool,
-    /// Other tenants have requested something within the window.
+    /// Whether other tenants have sent requests within the window.
     pub has_other_tenants: bool,
-    /// The operator has quotas enforced.
+    /// Whether the configuration enforces quotas.
     pub is_enforced: bool,
 }
 
-/// What the quota decides on a query.
+/// The outcome of the quota check of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaDecision {
-    /// Admitted, for as many tokens as it has shard requests.
+    /// The query is admitted and takes one token for each of its shard requests.
     WithinQuota,
-    /// Admitted, for no tokens: beyond the share, but not held to it.
+    /// The query is admitted and takes no tokens. It is beyond the share, which does not apply to it.
     Exempt,
-    /// Admitted, to be served at its minimum coverage only.
+    /// The query is admitted at its minimum coverage only.
     MinCoverageOnly,
-    /// Rejected.
+    /// The query is rejected.
     Reject,
 }
 
-/// The quota's decision on a query.
+/// Checks a query against the quota of its tenant.
 ///
-/// - A tenant that gets all that it requests is not held to its bucket: its share is above its rate, and a
-///   burst of it costs the others nothing.
-/// - A tenant alone is not held to a share: there is nobody to protect, and the broker's cutoff, which
-///   trims the lightest shard requests first, serves more of its queries.
-/// - A query beyond the share is served at its minimum coverage where its class allows that: its heaviest
-///   shard requests earn most of its priority weight for a few attempts, a rejection earns nothing.
+/// - A tenant whose demand is met is not limited by its bucket: its share exceeds its rate, and a burst does not
+///   reduce the shares of others.
+/// - A tenant that is the only one is not limited by a share: there are no others to protect, and the broker's
+///   cutoff, which omits the shard requests of least weight first, serves more of its queries.
+/// - A query beyond the share is served at its minimum coverage if its class allows that: its shard requests of
+///   greatest weight contribute most of its priority weight with few attempts, whereas a rejection contributes
+///   nothing.
 pub(crate) fn check_quota(inputs: &QuotaInputs) -> QuotaDecision {
     if !inputs.is_limited || inputs.bucket_covers {
         return QuotaDecision::WithinQuota;
--- a/crates/admission-control/src/retry_after.rs
+++ b/crates/admission-control/src/retry_after.rs
@@ -1,18 +1,18 @@
-//! The time after which the client of a rejected query may send it again (`Retry-After`).
+//! The time after which the client of a rejected query may retry (`Retry-After`).
 
 use routing::{RequestLimits, TimeSpan};
 
-/// The time to retry after, as a share of the window: by then a decrease of the rate shows, and part of the
-/// retries that were counted against the budget have left the window.
+/// The time to retry after, as a fraction of the window. After that time a decrease of the rate has taken effect, and
+/// some of the retries that count against the budget have left the window.
 const RETRY_AFTER_WINDOW_RATIO: f64 = 0.5;
 
-/// When a rejected query may be sent again: after half the window, up to the configured maximum; zero (no
-/// time is sent) where the configuration does not allow one.
+/// Returns the time after which a rejected query may be sent again: half the window, limited to the configured
+/// maximum. Returns zero, which means that no time is sent, if the configuration does not allow one.
 pub(crate) fn retry_after(window: TimeSpan, limits: &RequestLimits) -> TimeSpan {
     if !limits.retry_after {
         return TimeSpan::ZERO;
     }
-    // Zero would mean that no time is sent.
+    // The result is at least 1, as zero means that no time is sent.
     window.times(RETRY_AFTER_WINDOW_RATIO).min(limits.max_retry_after).max(TimeSpan(1))
 }
 
--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -1,24 +1,24 @@
 //! The retry budget of a tenant.
 //!
-//! Decided on each retry while overloaded: whether it is admitted. A client that is rejected and sends its
-//! query again at once adds load exactly when there is no capacity to spare, and prolongs an overload after
-//! its cause is over (Huang et al., 'Metastable Failures in the Wild', OSDI 2022). A budget that follows the
-//! first attempts stops that, whatever the clients do; it is that of tower's `retry::budget` and of other
-//! proxies, counted by tenant. The cost is that some retries are rejected that could have been served.
+//! The budget determines whether a retry is admitted in overloaded mode. A rejected client that retries
+//! immediately adds load when there is no spare capacity, and prolongs an overload after its cause has been
+//! removed (Huang et al., 'Metastable Failures in the Wild', OSDI 2022). A budget proportional to the first
+//! attempts prevents this regardless of the clients' behavior. It works as tower's `retry::budget` and those of
+//! other proxies, for each tenant. The drawback is that some retries are rejected that could have been served.
 //!
-//! Retries are known only where the front end passes them on (`client_attempt`). A rejection shows as
-//! [`Decision::RejectRetryBudget`](crate::Decision::RejectRetryBudget) in the counts of decisions.
+//! Retries are recognized only if the front end reports them (`client_attempt`). Rejections are counted as
+//! [`Decision::RejectRetryBudget`](crate::Decision::RejectRetryBudget).
 
-/// How many retries a tenant may send within the window.
+/// The limit on the admitted retries of a tenant within the window.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
-    /// Retries for each admitted first attempt; 0 and up.
+    /// The number of retries allowed for each admitted first attempt. At least 0.
     pub ratio: f64,
-    /// Retries that are allowed beside those, however few first attempts there are; 0 and up.
+    /// The number of retries allowed in addition, regardless of the number of first attempts. At least 0.
     pub min_retries: f64,
 }
 
-/// The queries of a tenant that were admitted within the window.
+/// The numbers of a tenant's queries that were admitted within the window.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmittedAttempts {
     pub first_attempts: f64,
@@ -26,7 +26,7 @@
 }
 
 impl RetryBudget {
-    /// Whether one more retry exceeds the budget.
+    /// Returns whether one more retry would exceed the budget.
     pub fn is_exceeded(&self, admitted: AdmittedAttempts) -> bool {
         admitted.retries + 1.0 > self.min_retries + self.ratio * admitted.first_attempts
     }
--- a/crates/admission-control/src/tenants/tests.rs
+++ b/crates/admission-control/src/tenants/tests.rs
@@ -22,13 +22,13 @@
 #[rstest]
 fn new_tenants_of_a_full_table_are_counted_as_one() {
     let table = table(2, &[5, 6]);
-    assert_eq!(table.counted_as(TenantId(6)), TenantId(6));
-    assert_eq!(table.counted_as(TenantId(7)), OVERFLOW_TENANT);
+    assert_eq!(table.accounted_tenant(TenantId(6)), TenantId(6));
+    assert_eq!(table.accounted_tenant(TenantId(7)), OVERFLOW_TENANT);
 }
 
 #[rstest]
 fn a_table_with_room_counts_each_tenant_as_itself() {
-    assert_eq!(table(2, &[5]).counted_as(TenantId(7)), TenantId(7));
+    assert_eq!(table(2, &[5]).accounted_tenant(TenantId(7)), TenantId(7));
 }
 
 /// A tenant that is new while overloaded has no share yet: it starts with an even one and a full bucket.
@@ -56,10 +56,10 @@
 #[rstest]
 fn a_tenant_is_forgotten_once_the_window_has_passed_it() {
     let mut table = table(1, &[0]);
-    table.forget_idle(Timestamp(49_999));
-    assert_eq!(table.counted_as(TenantId(1)), OVERFLOW_TENANT);
-    table.forget_idle(Timestamp(0) + WINDOW);
-    assert_eq!(table.counted_as(TenantId(1)), TenantId(1));
+    table.remove_idle(Timestamp(49_999));
+    assert_eq!(table.accounted_tenant(TenantId(1)), OVERFLOW_TENANT);
+    table.remove_idle(Timestamp(0) + WINDOW);
+    assert_eq!(table.accounted_tenant(TenantId(1)), TenantId(1));
 }
 
 #[rstest]
--- a/crates/admission-control/src/window.rs
+++ b/crates/admission-control/src/window.rs
@@ -1,30 +1,30 @@
-//! The sliding window over which load, demand and retries are counted, and the steps in which it moves.
+//! The sliding window over which load, demand and retries are counted, and the steps of the controller.
 
 use routing::{SlidingWindow, TimeSpan};
 
-/// Slices of the configured window. What a slice has counted is forgotten as a whole once the window has
-/// passed it.
+/// The number of slices of the configured window. The counts of a slice are dropped together once it has left the
+/// window.
 const WINDOW_SLICES: usize = 10;
 
-/// Steps of the controller in one window: the mode is judged once for each slice.
+/// The number of steps of the controller in one window. The mode is evaluated once per slice.
 pub(crate) const STEPS_PER_WINDOW: i64 = WINDOW_SLICES as i64;
 
-/// Counts over the configured window.
+/// A counter over the configured window.
 pub(crate) type Window = SlidingWindow<WINDOW_SLICES>;
 
-/// A span in seconds.
+/// Converts a duration to seconds.
 pub(crate) fn seconds(span: TimeSpan) -> f64 {
     span.as_ms() / 1000.0
 }
 
-/// The time between two steps of the controller, at least a tenth of a millisecond.
+/// Returns the time between two steps of the controller, which is at least a tenth of a millisecond.
 pub(crate) fn step_length(window: TimeSpan) -> TimeSpan {
     TimeSpan((window.0 / STEPS_PER_WINDOW).max(1))
 }
 
-/// Seconds over which the window has counted, `since_start` after the first input: a controller that has
-/// just started has counted for less than a window. One step at least, so that a rate is never a count
-/// divided by nothing.
+/// Returns the number of seconds covered by the window at `since_start` after the first turn. A controller that has
+/// just started has counted for less than a window. The result is at least one step, so that a count is never divided
+/// by zero.
 pub(crate) fn observed_seconds(since_start: TimeSpan, window: TimeSpan) -> f64 {
     let observed_s = seconds(since_start.min(window));
     observed_s.max(seconds(window) / STEPS_PER_WINDOW as f64)
