--- a/crates/admission-control/src/config/tests.rs
+++ b/crates/admission-control/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of each setting, inclusive or not as the operators' page states them.
+//! Tests of the bounds of each setting, which are inclusive or exclusive as documented for operators.
 
 use super::AdmissionConfig;
 use routing::TimeSpan;
@@ -24,7 +24,7 @@
 #[case("retry_share", "0 and up", |config: &mut AdmissionConfig| config.retry_ratio = -0.1)]
 #[case("retry_floor", "0 and up", |config: &mut AdmissionConfig| config.min_retries = -0.1)]
 #[case("most_callers", "1 at least", |config: &mut AdmissionConfig| config.max_tenants = 0)]
-fn a_value_out_of_bounds_is_named_by_the_operators_key(
+fn an_error_has_the_operators_key_and_the_allowed_values(
     #[case] key: &str,
     #[case] allowed: &str,
     #[case] change: fn(&mut AdmissionConfig),
@@ -37,7 +37,7 @@
 }
 
 #[rstest]
-fn the_bounds_themselves_are_allowed() {
+fn inclusive_bounds_are_allowed() {
     let config = AdmissionConfig {
         window: TimeSpan(1000),
         increase_ratio: 1.0,
--- a/crates/admission-control/src/decision/tests.rs
+++ b/crates/admission-control/src/decision/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions and their counts.
+//! Tests of the counts of decisions.
 
 use super::{Decision, DecisionCounts};
 use rstest::rstest;
@@ -16,7 +16,7 @@
     DecisionCounts { rejected_by_retry_budget: 1, ..DecisionCounts::default() }
 )]
 #[case(Decision::RejectQuota, true, DecisionCounts { rejected_by_quota: 1, ..DecisionCounts::default() })]
-fn each_decision_has_a_count_of_its_own(
+fn each_decision_has_its_own_counter(
     #[case] decision: Decision,
     #[case] is_rejection: bool,
     #[case] expected: DecisionCounts,
--- a/crates/admission-control/src/fair_share/tests.rs
+++ b/crates/admission-control/src/fair_share/tests.rs
@@ -1,4 +1,4 @@
-//! How a rate is shared.
+//! Tests of the division of a rate among tenants, and of the tenants' weights.
 
 use super::{Demand, max_min_shares, tenant_weight};
 use routing::{BrokerConfig, Tenant, TenantId};
@@ -8,7 +8,7 @@
     Demand { tenant: TenantId(tenant), per_second, weight }
 }
 
-/// The shares by tenant, and who is limited.
+/// Returns the shares in order of tenants, and whether each is limited.
 fn shares(per_second: f64, headroom: f64, demands: Vec<Demand>) -> Vec<(u32, f64, bool)> {
     let mut shares: Vec<(u32, f64, bool)> = max_min_shares(per_second, headroom, demands)
         .into_iter()
@@ -18,9 +18,10 @@
     shares
 }
 
-/// One tenant storms: the quiet ones get what they request, the storming one what is left.
+/// The demand of one tenant exceeds the rate. The other tenants receive their demands, and that tenant the remaining
+/// rate.
 #[rstest]
-fn quiet_tenants_are_served_before_the_largest() {
+fn tenants_with_low_demand_are_not_limited() {
     let demands = vec![demand(0, 1000.0, 1.0), demand(1, 10.0, 1.0), demand(2, 20.0, 1.0)];
     assert_eq!(shares(100.0, 0.0, demands), [(0, 70.0, true), (1, 10.0, false), (2, 20.0, false)]);
     let demands = vec![demand(0, 10.0, 1.0), demand(1, 20.0, 1.0), demand(2, 1000.0, 1.0)];
@@ -28,30 +29,31 @@
 }
 
 #[rstest]
-fn tenants_that_all_request_more_get_even_shares() {
+fn tenants_that_all_exceed_their_shares_get_equal_shares() {
     let demands = vec![demand(0, 1000.0, 1.0), demand(1, 500.0, 1.0)];
     assert_eq!(shares(100.0, 0.0, demands), [(0, 50.0, true), (1, 50.0, true)]);
 }
 
 #[rstest]
-fn weights_divide_what_is_left() {
+fn the_remaining_rate_is_divided_by_weight() {
     let demands = vec![demand(0, 1000.0, 3.0), demand(1, 1000.0, 1.0), demand(2, 20.0, 4.0)];
     assert_eq!(shares(100.0, 0.0, demands), [(0, 60.0, true), (1, 20.0, true), (2, 20.0, false)]);
 }
 
-/// With a share of just its demand, a tenant whose demand grows would be limited at once.
+/// Without headroom, a tenant whose demand grows would be limited immediately.
 #[rstest]
-fn a_quiet_tenant_gets_headroom() {
+fn an_unlimited_tenant_gets_headroom() {
     let demands = vec![demand(0, 1000.0, 1.0), demand(1, 10.0, 1.0)];
     assert_eq!(shares(100.0, 0.5, demands), [(0, 85.0, true), (1, 15.0, false)]);
 }
 
-/// Quotas that differ by many orders of magnitude: the sum of the weights loses the small ones, and nothing of it is
-/// left once the large one is subtracted. A share must not become negative, or whatever a tenant requests.
+/// If quotas differ by many orders of magnitude, the small weights are lost in the sum of the weights, and the
+/// remaining weight is zero once the large one is subtracted. The small tenants' shares must neither become negative
+/// nor equal to any demand.
 #[rstest]
 #[case(1000.0, [100.0, 0.0, 0.0])]
 #[case(90.0, [90.0, 50.0, 0.0])]
-fn weights_that_round_away_give_no_absurd_shares(#[case] large: f64, #[case] expected: [f64; 3]) {
+fn shares_are_valid_if_small_weights_are_lost_to_rounding(#[case] large: f64, #[case] expected: [f64; 3]) {
     let demands = vec![demand(0, large, 1e16), demand(1, 50.0, 1.0), demand(2, 50.0, 1.0)];
     let shares = shares(100.0, 0.0, demands);
     assert_eq!(shares.into_iter().map(|(_, per_second, _)| per_second).collect::<Vec<_>>(), expected);
@@ -62,7 +64,7 @@
 #[case(&[4.0, 2.0], 0, 4.0)]
 #[case(&[4.0, 2.0], 7, 3.0)]
 #[case(&[0.0], 0, f64::MIN_POSITIVE)]
-fn a_weight_is_the_quota_or_the_mean_of_quotas(
+fn the_weight_is_the_quota_or_the_mean_of_quotas(
     #[case] quotas: &[f64],
     #[case] tenant: u32,
     #[case] expected: f64,
--- a/crates/admission-control/src/filtered_turn/tests.rs
+++ b/crates/admission-control/src/filtered_turn/tests.rs
@@ -1,4 +1,4 @@
-//! What of a turn's inputs reaches the broker.
+//! Tests of the inputs that are passed to the broker.
 
 use super::TurnDecisions;
 use routing::{
@@ -24,14 +24,15 @@
     Input::ShardRequest(NewShardRequest { id, group: GroupId(group), shard, weight: 1.0 })
 }
 
-/// What the broker gets of an input, to compare.
+/// Returns the debug text of an input as passed to the broker, as inputs can't be compared.
 fn filtered(decisions: &TurnDecisions, input: &Input) -> Option<String> {
     decisions.filter_input(input).map(|input| format!("{input:?}"))
 }
 
-/// Shard requests of a query that never came, or a client that left it, would be errors to the broker.
+/// Shard requests of an unknown query, or the departure of its client, would be errors for the broker, so they are
+/// withheld with a rejected query.
 #[rstest]
-fn nothing_of_a_rejected_query_reaches_the_broker() {
+fn all_inputs_of_a_rejected_query_are_withheld() {
     let mut decisions = TurnDecisions::default();
     decisions.reject(QueryId(1), GroupId(1));
     for input in [query(1, false), shard_request(1), Input::ClientLeft(QueryId(1))] {
@@ -43,7 +44,7 @@
 }
 
 #[rstest]
-fn a_query_at_its_minimum_coverage_is_marked_so() {
+fn a_query_limited_to_its_minimum_coverage_is_marked() {
     let mut decisions = TurnDecisions::default();
     decisions.limit_to_min_coverage(QueryId(1));
     let expected = [query(1, true), query(2, false), shard_request(1)];
--- a/crates/admission-control/src/load_statistics/tests.rs
+++ b/crates/admission-control/src/load_statistics/tests.rs
@@ -1,4 +1,4 @@
-//! What is counted as load, and over which span.
+//! Tests of the events that are counted as load, and of the windows over which they are counted.
 
 use super::LoadStatistics;
 use routing::{
@@ -27,8 +27,8 @@
     Effect::Reject { query: QueryId(1), retry_after: TimeSpan::ZERO }
 }
 
-/// Attempts that were cancelled or never sent say nothing of how nodes bear the load; an error of a node is
-/// an end, but no overload.
+/// Attempts that were cancelled or never sent do not indicate the load of nodes. An attempt that ended with an error
+/// of the node counts as ended, but not as lost.
 #[rstest]
 #[case(AttemptOutcome::Succeeded, 0.0, 1.0)]
 #[case(AttemptOutcome::Errored, 0.0, 1.0)]
@@ -36,7 +36,7 @@
 #[case(AttemptOutcome::TimedOut, 1.0, 1.0)]
 #[case(AttemptOutcome::Cancelled, 0.0, 0.0)]
 #[case(AttemptOutcome::NotSent, 0.0, 0.0)]
-fn only_outcomes_that_tell_of_load_count(
+fn only_outcomes_indicative_of_load_are_counted(
     #[case] outcome: AttemptOutcome,
     #[case] lost_attempts: f64,
     #[case] ended_attempts: f64,
@@ -47,10 +47,10 @@
     assert_eq!((inputs.lost_attempts, inputs.ended_attempts), (lost_attempts, ended_attempts));
 }
 
-/// A decrease of the rate answers the losses of one moment. If they were judged over the whole window they
-/// would be answered again and again for seconds.
+/// A decrease of the rate responds to recent losses. If losses were counted over the whole window, they would cause
+/// further decreases for seconds.
 #[rstest]
-fn losses_are_counted_over_a_fifth_of_the_window_and_rejections_over_all_of_it() {
+fn losses_are_counted_over_a_fifth_of_the_window_and_rejections_over_the_whole() {
     let mut load = LoadStatistics::new(WINDOW);
     load.record_result(Timestamp(0), &result(AttemptOutcome::TimedOut));
     load.record_effects(Timestamp(0), &[reject()]);
@@ -65,10 +65,10 @@
     assert_eq!(counts(50_000), (0.0, 0.0, 0.0));
 }
 
-/// Under the cutoff half of the shard requests stay unsent. The rate is in shard requests as admitted, so an
-/// attempt that succeeded stands for two.
+/// While the cutoff is active, half of the shard requests are not sent. The rate is measured in admitted shard
+/// requests, so each successful attempt represents two.
 #[rstest]
-fn served_shard_requests_are_those_that_attempts_stand_for() {
+fn served_shard_requests_are_scaled_from_sent_to_admitted() {
     let mut load = LoadStatistics::new(WINDOW);
     load.record_admitted(Timestamp(0), 40.0);
     load.record_effects(Timestamp(0), &vec![send(); 20]);
@@ -80,7 +80,7 @@
 }
 
 #[rstest]
-fn nothing_is_served_where_nothing_was_sent() {
+fn nothing_is_served_if_nothing_was_sent() {
     let load = LoadStatistics::new(WINDOW);
     assert_eq!(load.served(Timestamp(0)), 0.0);
 }
--- a/crates/admission-control/src/mode/tests.rs
+++ b/crates/admission-control/src/mode/tests.rs
@@ -1,4 +1,4 @@
-//! Each row of the table of modes.
+//! Tests of each row of the transition table, and of the headroom.
 
 use super::{Mode, RateChange, Step, StepInputs, has_headroom, next_step};
 use rstest::rstest;
@@ -6,7 +6,7 @@
 #[rstest]
 #[case(Mode::Normal, true, Mode::Overloaded, RateChange::Start)]
 #[case(Mode::Normal, false, Mode::Normal, RateChange::Keep)]
-fn normal_mode_follows_overload_alone(
+fn normal_mode_depends_only_on_overload(
     #[case] mode: Mode,
     #[case] is_overloaded: bool,
     #[case] next: Mode,
@@ -21,7 +21,7 @@
 #[rstest]
 #[case(true, RateChange::Decrease)]
 #[case(false, RateChange::Keep)]
-fn overload_decreases_the_rate_where_that_is_allowed(
+fn overload_decreases_the_rate_if_a_decrease_is_allowed(
     #[case] may_decrease: bool,
     #[case] rate_change: RateChange,
     #[values(true, false)] has_headroom: bool,
@@ -30,8 +30,8 @@
     assert_eq!(next_step(Mode::Overloaded, &inputs), Step { next: Mode::Overloaded, rate_change });
 }
 
-/// Losses stop as soon as the rate is limited. If the limit ended then, the load that caused them would be
-/// back at once, and the mode would alternate. It ends only when less is requested than admitted.
+/// Losses stop once the rate is limited. If the limit ended then, the load that caused them would return immediately
+/// and the mode would oscillate, so the limit ends only if less is requested than admitted.
 #[rstest]
 #[case(true, Mode::Normal, RateChange::Stop)]
 #[case(false, Mode::Overloaded, RateChange::Increase)]
--- a/crates/admission-control/src/mode_change/tests.rs
+++ b/crates/admission-control/src/mode_change/tests.rs
@@ -1,4 +1,4 @@
-//! The log lines of a change of mode. Operators search for these texts, so they stay as they are.
+//! Tests of the log lines for changes of mode. Operators search for these texts, so they must not change.
 
 use super::mode_change;
 use crate::mode::Mode;
@@ -7,7 +7,11 @@
 #[rstest]
 #[case(Mode::Normal, Mode::Overloaded, "admission overloaded: 41 shard requests a second admitted")]
 #[case(Mode::Overloaded, Mode::Normal, "admission normal: all admitted again")]
-fn a_change_has_a_stable_text(#[case] previous: Mode, #[case] current: Mode, #[case] expected: &str) {
+fn the_text_of_a_mode_change_is_stable(
+    #[case] previous: Mode,
+    #[case] current: Mode,
+    #[case] expected: &str,
+) {
     let change = mode_change(previous, current, 40.6).unwrap();
     assert_eq!(change.to_string(), expected);
 }
@@ -15,6 +19,6 @@
 #[rstest]
 #[case(Mode::Normal)]
 #[case(Mode::Overloaded)]
-fn the_same_mode_is_no_change(#[case] mode: Mode) {
+fn an_unchanged_mode_is_not_logged(#[case] mode: Mode) {
     assert_eq!(mode_change(mode, mode, 40.6), None);
 }
--- a/crates/admission-control/src/offered_query/tests.rs
+++ b/crates/admission-control/src/offered_query/tests.rs
@@ -1,4 +1,4 @@
-//! How queries and their shard requests are read from a turn's inputs.
+//! Tests of the extraction of queries and their shard requests from the inputs of a turn.
 
 use super::offered_queries;
 use routing::{
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn shard_requests_belong_to_the_newest_query_of_their_group() {
+fn shard_requests_belong_to_the_latest_query_of_their_group() {
     let inputs = [
         query(1, 7, 0),
         shard_request(7),
--- a/crates/admission-control/src/retry_after/tests.rs
+++ b/crates/admission-control/src/retry_after/tests.rs
@@ -1,4 +1,4 @@
-//! When a rejected query may be sent again.
+//! Tests of the time after which a rejected query may be sent again.
 
 use super::retry_after;
 use routing::{RequestLimits, TimeSpan};
@@ -9,7 +9,7 @@
 #[case(50_000, true, 10_000, 10_000)]
 #[case(50_000, true, 0, 1)]
 #[case(50_000, false, 60_000, 0)]
-fn half_a_window_up_to_the_configured_maximum(
+fn the_time_is_half_a_window_up_to_the_configured_maximum(
     #[case] window: i64,
     #[case] retry_after_allowed: bool,
     #[case] max_retry_after: i64,
--- a/crates/admission-control/src/retry_budget/tests.rs
+++ b/crates/admission-control/src/retry_budget/tests.rs
@@ -1,10 +1,10 @@
-//! What a retry budget allows.
+//! Tests of the retry budget.
 
 use super::{AdmittedAttempts, RetryBudget};
 use rstest::rstest;
 
-/// Clients that are rejected come back at once and keep an overload going after its cause is over. Their
-/// retries must stay a share of their first attempts.
+/// Rejected clients that retry immediately prolong an overload after its cause has been removed, so their retries are
+/// limited to a fraction of their first attempts, plus a minimum.
 #[rstest]
 #[case(0.0, 2.0, false)]
 #[case(0.0, 3.0, true)]
@@ -12,7 +12,7 @@
 #[case(10.0, 5.0, true)]
 #[case(100.0, 22.0, false)]
 #[case(100.0, 23.0, true)]
-fn a_budget_is_a_floor_and_a_share_of_first_attempts(
+fn the_budget_is_a_minimum_plus_a_ratio_of_first_attempts(
     #[case] first_attempts: f64,
     #[case] retries: f64,
     #[case] expected: bool,
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-fn a_budget_of_nothing_admits_no_retry() {
+fn an_empty_budget_admits_no_retry() {
     let budget = RetryBudget { ratio: 0.0, min_retries: 0.0 };
     assert!(budget.is_exceeded(AdmittedAttempts { first_attempts: 1000.0, retries: 0.0 }));
 }
--- a/crates/admission-control/src/tenants/tests.rs
+++ b/crates/admission-control/src/tenants/tests.rs
@@ -1,4 +1,4 @@
-//! The table of tenants: who is counted as whom, and for how long.
+//! Tests of the table of tenants: how tenants are counted, and when they are removed.
 
 use super::{OVERFLOW_TENANT, TenantTable};
 use crate::fair_share::Share;
@@ -18,7 +18,7 @@
     table
 }
 
-/// A client that makes up a tenant name for each query would use up the memory.
+/// A client that invents a tenant name for each query must not exhaust the memory.
 #[rstest]
 fn new_tenants_of_a_full_table_are_counted_as_one() {
     let table = table(2, &[5, 6]);
@@ -31,7 +31,8 @@
     assert_eq!(table(2, &[5]).accounted_tenant(TenantId(7)), TenantId(7));
 }
 
-/// A tenant that is new while overloaded has no share yet: it starts with an even one and a full bucket.
+/// A tenant that first sends requests in overloaded mode has no computed share, so it starts with an even share and a
+/// full bucket.
 #[rstest]
 fn a_new_tenant_starts_with_an_even_share() {
     let mut table = table(10, &[0]);
@@ -40,21 +41,21 @@
     assert!(!usage.is_limited);
     assert!(usage.bucket_covers(50.0, BURST));
     usage.take_tokens(0.5);
-    assert!(!usage.bucket_covers(50.0, BURST), "half of the rate, for a burst of a second");
+    assert!(!usage.bucket_covers(50.0, BURST), "the depth is half of the rate for a burst of one second");
 }
 
 #[rstest]
-fn only_other_tenants_that_request_something_count_as_others() {
+fn only_tenants_with_requests_count_as_others() {
     let mut table = table(10, &[0]);
     assert!(!table.has_others(TenantId(0), Timestamp(0)));
     assert!(table.has_others(TenantId(1), Timestamp(0)));
-    assert!(!table.has_others(TenantId(1), Timestamp(0) + WINDOW), "the window has passed it");
+    assert!(!table.has_others(TenantId(1), Timestamp(0) + WINDOW), "the requests have left the window");
     table.get_or_insert(TenantId(2), Timestamp(0), RATE);
-    assert!(!table.has_others(TenantId(0), Timestamp(0)), "a tenant that requested nothing");
+    assert!(!table.has_others(TenantId(0), Timestamp(0)), "a tenant without requests does not count");
 }
 
 #[rstest]
-fn a_tenant_is_forgotten_once_the_window_has_passed_it() {
+fn a_tenant_is_removed_once_its_requests_have_left_the_window() {
     let mut table = table(1, &[0]);
     table.remove_idle(Timestamp(49_999));
     assert_eq!(table.accounted_tenant(TenantId(1)), OVERFLOW_TENANT);
@@ -73,7 +74,7 @@
 }
 
 #[rstest]
-fn shares_are_given_to_their_tenants() {
+fn shares_are_set_by_tenant() {
     let mut table = table(10, &[0, 1]);
     table.set_shares(vec![Share { tenant: TenantId(1), per_second: 8.0, is_limited: true }]);
     assert!(!table.get_or_insert(TenantId(0), Timestamp(0), RATE).is_limited);
@@ -87,7 +88,7 @@
 }
 
 #[rstest]
-fn retries_and_first_attempts_are_counted_apart() {
+fn retries_and_first_attempts_are_counted_separately() {
     let mut table = table(10, &[0]);
     let usage = table.get_or_insert(TenantId(0), Timestamp(0), RATE);
     usage.record_admitted(Timestamp(0), WINDOW, false);
--- a/crates/admission-control/tests/controller/fixture.rs
+++ b/crates/admission-control/tests/controller/fixture.rs
@@ -1,10 +1,11 @@
-//! Queries, nodes and controllers for the tests.
+//! Queries, simulated nodes and controllers for the tests.
 
 use admission_control::{AdmissionConfig, AdmissionController, FilteredTurn, Mode};
 use routing::*;
 use std::collections::BTreeSet;
 
-/// One broker, two nodes, quotas as given; clients may be sent a time to retry after.
+/// Returns the configuration of one broker with two placement groups, the given quotas, and times to retry after
+/// allowed. Class 0 requires complete coverage, and class 1 allows partial responses.
 pub fn broker_config(quotas: &[f64]) -> BrokerConfig {
     let mut config = BrokerConfig { brokers: 1, period: TimeSpan(50), ..BrokerConfig::default() };
     config.layout = ShardLayout { placement_groups: 2, replica_groups: 1, shards: 2, max_batch_size: 1 };
@@ -31,19 +32,19 @@
     config
 }
 
-/// Makes queries with ids of their own, as inputs of a turn.
+/// Builds the inputs of queries with unique ids.
 #[derive(Default)]
-pub struct QueryMaker {
+pub struct QueryBuilder {
     pub last_id: u64,
 }
 
-impl QueryMaker {
-    /// A query of a tenant, sent by its client `client_attempt` times before.
+impl QueryBuilder {
+    /// Returns the inputs of a query of class 0, which its client has sent `client_attempt` times before.
     pub fn query(&mut self, tenant: u32, shard_requests: u32, client_attempt: u32) -> Vec<Input> {
         self.query_of_class(ClassId(0), tenant, shard_requests, client_attempt)
     }
 
-    /// The same, of a class.
+    /// Returns the inputs of a query of the given class, which its client has sent `client_attempt` times before.
     pub fn query_of_class(
         &mut self,
         class: ClassId,
@@ -89,8 +90,8 @@
     (0..count).map(|index| Input::AttemptEnded(result(index))).collect()
 }
 
-/// What a broker would send for admitted inputs: each shard request; of a query at its minimum coverage, the
-/// first.
+/// Returns the sends of a broker for the admitted inputs: one for each shard request, or only for the first of a
+/// query that is limited to its minimum coverage.
 pub fn sends(admitted: &[Input]) -> Vec<Effect> {
     let (mut at_min_coverage, mut already_sent) = (BTreeSet::new(), BTreeSet::new());
     let mut send = |input: &Input| match input {
@@ -129,8 +130,8 @@
     inputs.iter().filter_map(id_and_tenant).collect()
 }
 
-/// Nodes that finish a number of shard requests a step, of those admitted the step before, and refuse the rest as
-/// overloaded.
+/// Simulated nodes that serve a limited number of the shard requests sent in the previous step, and refuse the others
+/// as overloaded.
 pub struct Nodes {
     pub served_per_step: usize,
     pub in_flight: Vec<Effect>,
@@ -141,7 +142,8 @@
         Nodes { served_per_step, in_flight: Vec::new() }
     }
 
-    /// A step of half a second: the controller gets new inputs with what ended, and what it admits is sent.
+    /// Executes a step of half a second: the controller filters the new inputs together with the ended attempts, and
+    /// the admitted shard requests are sent.
     pub fn step(
         &mut self,
         admission: &mut AdmissionController,
@@ -160,11 +162,12 @@
     }
 }
 
-/// Overloads the controller by refusals: the tenants request twice what the nodes serve, for ten seconds.
+/// Brings the controller into overloaded mode: for ten seconds, the tenants request twice the capacity of the nodes.
+/// Returns the time of the next step.
 pub fn overload(
     admission: &mut AdmissionController,
     nodes: &mut Nodes,
-    queries: &mut QueryMaker,
+    queries: &mut QueryBuilder,
     tenants: &[u32],
 ) -> Timestamp {
     for step in 0..20 {
--- a/crates/admission-control/tests/controller/main.rs
+++ b/crates/admission-control/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! The admission controller's decisions, over turns; `src` has the tests of single rules.
+//! Tests of the admission controller over several turns. Tests of single rules are in `src`.
 
 mod fixture;
 mod modes;
@@ -10,9 +10,8 @@
 use routing::*;
 use rstest::rstest;
 
-/// All values that can't be used are named at once.
 #[rstest]
-fn invalid_values_are_named_all_at_once() {
+fn all_invalid_values_are_reported() {
     let invalid = AdmissionConfig {
         overload_threshold: 1.5,
         decrease_factor: 0.0,
@@ -24,24 +23,24 @@
     assert!(AdmissionController::new(invalid, &BrokerConfig::default()).is_err());
 }
 
-/// What was decided is counted by decision, for the broker's figures.
+/// Each decision is counted, for the broker's metrics.
 #[rstest]
 fn decisions_are_counted() {
     let mut admission = controller(AdmissionConfig { min_retries: 0.0, ..AdmissionConfig::default() });
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let before = admission.decision_counts();
-    // The budget has a fifth of 20 first attempts a tenant.
+    // The budget is a fifth of the 20 first attempts of each tenant.
     let retries: Vec<Input> = (0..40).flat_map(|_| queries.query(1, 0, 1)).collect();
     let retries_rejected = rejections(&nodes.step(&mut admission, now, retries).effects).len() as u64;
-    let storm: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 0)).collect();
-    let storm_rejected = rejections(&nodes.step(&mut admission, now, storm).effects).len() as u64;
+    let surge: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 0)).collect();
+    let surge_rejected = rejections(&nodes.step(&mut admission, now, surge).effects).len() as u64;
     let partial: Vec<Input> = (0..7).flat_map(|_| queries.query_of_class(ClassId(1), 0, 1, 0)).collect();
     assert!(rejections(&nodes.step(&mut admission, now, partial).effects).is_empty());
     let after = admission.decision_counts();
-    assert!(retries_rejected > 0 && storm_rejected > 0);
+    assert!(retries_rejected > 0 && surge_rejected > 0);
     assert_eq!(after.rejected_by_retry_budget - before.rejected_by_retry_budget, retries_rejected);
-    assert_eq!(after.rejected_by_quota - before.rejected_by_quota, storm_rejected);
+    assert_eq!(after.rejected_by_quota - before.rejected_by_quota, surge_rejected);
     assert_eq!(after.admitted_at_min_coverage - before.admitted_at_min_coverage, 7);
-    assert_eq!(after.admitted - before.admitted, 140 - retries_rejected - storm_rejected);
+    assert_eq!(after.admitted - before.admitted, 140 - retries_rejected - surge_rejected);
 }
--- a/crates/admission-control/tests/controller/modes.rs
+++ b/crates/admission-control/tests/controller/modes.rs
@@ -1,14 +1,13 @@
-//! When the mode changes, and at which rate.
+//! Tests of changes of mode, and of the admitted rate.
 
 use crate::fixture::*;
 use admission_control::{AdmissionConfig, AdmissionController, AdmittedBroker, FilteredTurn, Mode};
 use routing::*;
 use rstest::rstest;
 
-/// In normal mode the controller changes nothing: the broker behind it does what it does alone, to the
-/// effect.
+/// In normal mode the effects are exactly those of a broker without admission control.
 #[rstest]
-fn normal_mode_changes_nothing() {
+fn normal_mode_has_no_effects_of_its_own() {
     let config = broker_config(&[]);
     let endpoint_list = EndpointList {
         kind: EndpointListKind::Snapshot,
@@ -25,15 +24,15 @@
     };
     let admission = AdmissionController::new(AdmissionConfig::default(), &config).unwrap();
     let mut admitted = AdmittedBroker::new(admission, Broker::start(config.clone(), 3, Timestamp(0)));
-    let mut alone = Broker::start(config, 3, Timestamp(0));
-    let mut queries = QueryMaker::default();
+    let mut unprotected = Broker::start(config, 3, Timestamp(0));
+    let mut queries = QueryBuilder::default();
     let mut inputs = vec![Input::EndpointList(endpoint_list)];
     for at in 1..200 {
         inputs.extend(queries.query(at % 3, 2, at % 2));
         let (now, turn_inputs) = (Timestamp(i64::from(at) * 100), std::mem::take(&mut inputs));
         let effects = admitted.turn(now, &turn_inputs);
-        assert_eq!(effects, alone.turn(now, &turn_inputs), "at {now:?}");
-        // What was sent has succeeded by the next turn.
+        assert_eq!(effects, unprotected.turn(now, &turn_inputs), "at {now:?}");
+        // All sent attempts have succeeded by the next turn.
         for effect in effects {
             if let Effect::Send { shard_request, node, .. } = effect {
                 inputs.push(Input::AttemptEnded(AttemptResult {
@@ -49,12 +48,12 @@
     assert_eq!(admitted.admission.mode(), Mode::Normal);
 }
 
-/// Losses above the level make the mode overloaded; a rate of shard requests is admitted, and a log line says
-/// so.
+/// Losses above the threshold start overloaded mode: the rate of admitted shard requests is limited, and the change
+/// is logged.
 #[rstest]
-fn losses_above_the_level_limit_the_rate() {
+fn losses_above_the_threshold_limit_the_rate() {
     let mut admission = controller(AdmissionConfig::default());
-    let mut queries = QueryMaker::default();
+    let mut queries = QueryBuilder::default();
     let mut effects = Vec::new();
     for step in 0..20 {
         let outcome = if step < 10 { AttemptOutcome::Succeeded } else { AttemptOutcome::Overloaded };
@@ -71,11 +70,11 @@
     }));
 }
 
-/// Once less is requested than the nodes serve, the rate is raised, and the mode is normal again.
+/// Once the demand is below the capacity of the nodes, the rate increases until the mode is normal again.
 #[rstest]
-fn mode_is_normal_again_once_load_falls() {
+fn the_mode_returns_to_normal_once_load_falls() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let mut effects = Vec::new();
     for _ in 0..200 {
@@ -90,12 +89,12 @@
     assert_eq!(LogEvent::AdmissionNormal.to_string(), "admission normal: all admitted again");
 }
 
-/// Losses in turns of a few milliseconds, as a broker's are: the mode is judged once a step, not once a turn,
-/// and no turn may put the next step off.
+/// Turns are a few milliseconds apart, as those of a broker are. The mode is evaluated once per step and not once per
+/// turn, and turns must not postpone the next step.
 #[rstest]
-fn steps_are_taken_between_short_turns() {
+fn steps_are_executed_despite_short_turns() {
     let mut admission = controller(AdmissionConfig::default());
-    let mut queries = QueryMaker::default();
+    let mut queries = QueryBuilder::default();
     let mut overloaded_at = None;
     for turn in 0..400 {
         let mut inputs = queries.query(0, 1, 0);
@@ -105,17 +104,17 @@
             overloaded_at = overloaded_at.or(Some(turn * 50));
         }
     }
-    assert_eq!(overloaded_at, Some(5000), "at the first step");
+    assert_eq!(overloaded_at, Some(5000), "the mode changes in the first step");
 }
 
-/// A rate that grew with each turn would be back at the overload within milliseconds: it changes once a step,
-/// however many turns there are in it.
+/// A rate that increased in each turn would cause overload again within milliseconds, so the rate changes only once
+/// per step, regardless of the number of turns in the step.
 #[rstest]
-fn the_rate_changes_once_a_step() {
+fn the_rate_changes_once_per_step() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
-    // What was lost leaves the fifth of the window in which losses are judged.
+    // Waits until the losses have left the fifth of the window over which they are counted.
     for _ in 0..10 {
         now += TimeSpan(5000);
         nodes.step(&mut admission, now, queries.query(0, 20, 0));
@@ -127,13 +126,17 @@
         rates.push(admission.rate());
     }
     rates.dedup();
-    assert!(rates.len() <= 5, "four steps, {} rates", rates.len());
+    assert!(
+        rates.len() <= 5,
+        "expected at most one rate per step in four steps, found {} rates",
+        rates.len()
+    );
 }
 
-/// A broker starts in the middle of an overload. What its first turn brings is not judged before a step has
-/// passed: a rate that started at what the nodes served until then would be next to nothing.
+/// A broker may start during an overload. Losses in its first turn are not evaluated until a step has passed, as the
+/// rate would otherwise start at the number of shard requests served so far, which is close to zero.
 #[rstest]
-fn the_first_turn_takes_no_step() {
+fn the_first_turn_executes_no_step() {
     let mut admission = controller(AdmissionConfig::default());
     admission.filter_inputs(Timestamp(900_000), &attempts_ended(AttemptOutcome::Overloaded, 50));
     assert_eq!(admission.mode(), Mode::Normal);
@@ -141,12 +144,12 @@
     assert_eq!(admission.mode(), Mode::Overloaded);
 }
 
-/// Nodes that serve 40 shard requests a second, for two seconds, and are then overloaded: the rate when the
-/// limit starts, and the time at which it does.
+/// Overloads nodes that serve 40 shard requests per second, after two seconds within their capacity. Returns the rate
+/// at which the limit starts.
 fn initial_rate(first_turn: Timestamp) -> f64 {
     let mut admission = controller(AdmissionConfig::default());
     admission.filter_inputs(first_turn, &[Input::Woken]);
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     for step in 0..20 {
         let shard_requests = if step < 4 { 20 } else { 60 };
         nodes.step(&mut admission, Timestamp(step * 5000), queries.query(0, shard_requests, 0));
@@ -154,46 +157,47 @@
             return admission.rate();
         }
     }
-    panic!("never overloaded");
+    panic!("the controller did not become overloaded");
 }
 
-/// The limit starts at what the nodes have served a second, counted over the time since the broker started.
+/// The limit starts at the rate that the nodes have served, measured over the time since the broker started.
 #[rstest]
 fn the_limit_starts_at_the_served_rate() {
     let rate = initial_rate(Timestamp(0));
     assert!((30.0..50.0).contains(&rate), "{rate}");
 }
 
-/// The clock is set back while the broker runs. If the observed time went on from the old one, rates would be
-/// counts divided by the shortest time, many times too high: the observation starts anew.
+/// If the clock is set back while the broker runs, the observation must restart. Otherwise counts would be divided by
+/// the minimum observed time, and rates would be many times too high.
 #[rstest]
-fn a_clock_that_is_set_back_starts_the_observation_anew() {
+fn a_clock_that_is_set_back_restarts_the_observation() {
     assert_eq!(initial_rate(Timestamp(36_000_000)), initial_rate(Timestamp(0)));
 }
 
-/// Overload, back to normal, and overload again a few seconds later. In the first one a tenant was let through
-/// with a query far larger than its bucket, and owes tokens: it starts the second with a full bucket, as all do.
+/// An overload is followed by another one a few seconds later. In the first, a tenant was admitted with a query far
+/// larger than its bucket, so that its number of tokens is negative. Like all tenants, it must start the second
+/// overload with a full bucket.
 #[rstest]
-fn buckets_are_full_when_a_limit_starts() {
+fn buckets_are_full_when_the_limit_starts() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let is_admitted = |turn: &FilteredTurn| ids_and_tenants(&turn.inputs).iter().any(|(_, id)| *id == 0);
-    // Its bucket fills up meanwhile; then it is admitted, and owes.
-    let mut has_owed = false;
+    // The query of tenant 0 is admitted once its bucket is full, and the number of tokens is negative afterwards.
+    let mut was_admitted = false;
     for _ in 0..20 {
         now += TimeSpan(5000);
         let mut inputs = queries.query(0, 500, 0);
         inputs.extend(queries.query(1, 10, 0));
-        has_owed |= is_admitted(&nodes.step(&mut admission, now, inputs));
+        was_admitted |= is_admitted(&nodes.step(&mut admission, now, inputs));
     }
-    assert!(has_owed && admission.mode() == Mode::Overloaded);
+    assert!(was_admitted && admission.mode() == Mode::Overloaded);
     while admission.mode() == Mode::Overloaded {
         now += TimeSpan(5000);
         let mut inputs = queries.query(0, 1, 0);
         inputs.extend(queries.query(1, 1, 0));
         nodes.step(&mut admission, now, inputs);
-        assert!(now < Timestamp(600_000), "back to normal while it still owes");
+        assert!(now < Timestamp(600_000), "the mode did not return to normal while the tokens are negative");
     }
     loop {
         now += TimeSpan(5000);
@@ -201,7 +205,7 @@
         inputs.extend(queries.query(1, 10, 0));
         let turn = nodes.step(&mut admission, now, inputs);
         if admission.mode() == Mode::Overloaded {
-            assert!(is_admitted(&turn), "its bucket is full");
+            assert!(is_admitted(&turn), "the bucket of tenant 0 is not full");
             return;
         }
     }
--- a/crates/admission-control/tests/controller/quotas.rs
+++ b/crates/admission-control/tests/controller/quotas.rs
@@ -1,16 +1,16 @@
-//! Fair shares between tenants, and what becomes of queries beyond them.
+//! Tests of fair shares between tenants, and of queries beyond them.
 
 use crate::fixture::*;
 use admission_control::{AdmissionConfig, AdmissionController, Mode};
 use routing::*;
 use rstest::rstest;
 
-/// Nodes that serve 40 shard requests a second; one tenant requests 80, another 8. The second is admitted
-/// whole; the first is rejected for what is beyond its share, at once.
+/// The nodes serve 40 shard requests per second. One tenant requests 80, another 8. All queries of the second tenant
+/// are admitted, and queries of the first beyond its share are rejected immediately.
 #[rstest]
-fn the_largest_tenant_is_held_to_its_share() {
+fn the_largest_tenant_is_limited_to_its_share() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let (mut large_rejected, mut large_admitted) = (0, 0);
     let (mut small_admitted, mut small_offered) = (0, 0);
@@ -20,7 +20,7 @@
         inputs.extend(queries.query(1, 4, 0));
         let turn = nodes.step(&mut admission, now, inputs);
         if step < 20 {
-            // What each requested before is still in the window.
+            // The window still has the requests of the preceding overload.
             continue;
         }
         let admitted = ids_and_tenants(&turn.inputs);
@@ -30,20 +30,23 @@
         small_offered += 1;
     }
     assert_eq!(admission.mode(), Mode::Overloaded);
-    assert_eq!(small_admitted, small_offered, "the small tenant is admitted, within its share");
+    assert_eq!(
+        small_admitted, small_offered,
+        "all queries of the small tenant, which is within its share, are admitted"
+    );
     assert_eq!(small_offered, 20);
     assert!(
         large_rejected > 60 && large_admitted > 20,
-        "of the large tenant: rejected {large_rejected}, admitted {large_admitted}"
+        "queries of the large tenant: rejected {large_rejected}, admitted {large_admitted}"
     );
 }
 
-/// Where a class takes partial answers, what is beyond a share is served at its minimum coverage, not
-/// rejected: the heaviest shard requests earn most of its priority weight for a few attempts.
+/// If a class allows partial responses, queries beyond a share are served at their minimum coverage and not rejected:
+/// the shard requests of greatest weight contribute most of the priority weight with few attempts.
 #[rstest]
-fn beyond_its_share_a_partial_query_is_admitted_at_min_coverage() {
+fn a_partial_query_beyond_its_share_is_admitted_at_min_coverage() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let (mut rejected, mut at_min_coverage) = (0, 0);
     for step in 0..40 {
@@ -65,11 +68,11 @@
     );
 }
 
-/// A tenant alone is never rejected for its share: its excess is the broker's to cut.
+/// Queries of a single tenant are never rejected for exceeding its share: the broker's cutoff handles the excess.
 #[rstest]
-fn a_lone_tenant_is_not_rejected_for_its_share() {
+fn a_single_tenant_is_not_limited_to_its_share() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     for _ in 0..20 {
         now += TimeSpan(5000);
@@ -81,13 +84,13 @@
     assert_eq!(admission.mode(), Mode::Overloaded);
 }
 
-/// Configured quotas weigh: of two tenants that both request more than their share, the one with four times the
-/// quota gets about four times the shard requests.
+/// Shares are weighted by the configured quotas: of two tenants that both request more than their shares, the one
+/// with four times the quota is admitted with about four times the shard requests.
 #[rstest]
-fn quotas_weigh_the_shares() {
+fn shares_are_weighted_by_quotas() {
     let mut admission =
         AdmissionController::new(AdmissionConfig::default(), &broker_config(&[4.0, 1.0])).unwrap();
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let mut admitted = [0_usize; 2];
     for _ in 0..40 {
@@ -102,24 +105,24 @@
     assert!((2.5..6.0).contains(&ratio), "{admitted:?}");
 }
 
-/// Memory is bounded: past the most tenants, the rest share one.
+/// The number of tracked tenants is bounded: tenants beyond the maximum share one entry.
 #[rstest]
-fn tenants_past_the_most_share_one() {
+fn tenants_beyond_the_maximum_share_one_entry() {
     let mut admission = controller(AdmissionConfig { max_tenants: 3, ..AdmissionConfig::default() });
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0]);
     let inputs: Vec<Input> = (0..50).flat_map(|tenant| queries.query(tenant, 1, 0)).collect();
     let turn = admission.filter_inputs(now, &inputs);
     assert_eq!(query_ids(&turn.inputs).len() + rejections(&turn.effects).len(), 50);
 }
 
-/// An operator has quotas not enforced: a tenant that storms among others is not held to its share. Retries
-/// still have their budget.
+/// If quotas are not enforced, a tenant with excessive demand is not limited to its share, but retries are still
+/// limited by their budget.
 #[rstest]
 fn without_enforced_quotas_only_retries_are_rejected() {
     let config = AdmissionConfig { enforce_quotas: false, ..AdmissionConfig::default() };
     let mut admission = controller(config);
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let mut now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     for _ in 0..10 {
         now += TimeSpan(5000);
@@ -132,17 +135,17 @@
     assert!(!rejections(&nodes.step(&mut admission, now, inputs).effects).is_empty());
 }
 
-/// A tenant beyond its share sends a burst in one turn: what its bucket holds is admitted, and each admitted query
-/// takes its tokens, so that the rest, and one more at the same time, is rejected.
+/// A tenant beyond its share sends a burst in one turn. Each admitted query takes its tokens, so that the queries
+/// beyond the bucket's tokens are rejected, as is another query at the same time.
 #[rstest]
 fn an_admitted_query_takes_its_tokens() {
     let mut admission = controller(AdmissionConfig::default());
-    let (mut queries, mut nodes) = (QueryMaker::default(), Nodes::new(20));
+    let (mut queries, mut nodes) = (QueryBuilder::default(), Nodes::new(20));
     let now = overload(&mut admission, &mut nodes, &mut queries, &[0, 1]);
     let inputs: Vec<Input> = (0..100).flat_map(|_| queries.query(0, 1, 0)).collect();
     let turn = nodes.step(&mut admission, now, inputs);
     let admitted = query_ids(&turn.inputs).len();
-    assert!((1..40).contains(&admitted), "{admitted} of 100, where the nodes serve 40 a second");
+    assert!((1..40).contains(&admitted), "{admitted} of 100 admitted, while the nodes serve 40 per second");
     assert_eq!(rejections(&turn.effects).len(), 100 - admitted);
     let again = admission.filter_inputs(now, &queries.query(0, 1, 0));
     assert_eq!(rejections(&again.effects).len(), 1);
