--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -39,7 +39,7 @@
     load: LoadStatistics,
     tenants: TenantTable,
     decision_counts: DecisionCounts,
-    /// The time of the first turn, or of the turn in which the clock was last set back.
+    /// The start of the observation: the time of the first turn, unless the observation was restarted.
     started_at: Option<Timestamp>,
     last_step_at: Timestamp,
 }
@@ -107,7 +107,8 @@
         self.load.record_effects(self.now, effects);
     }
 
-    /// Sets the current time. If the clock was set back, the observation restarts from the new time.
+    /// Sets the current time. If the clock was set back to a time before the start of the observation, the
+    /// observation restarts at the new time.
     fn set_time(&mut self, now: Timestamp) {
         self.now = now;
         if self.started_at.is_none_or(|started_at| started_at > now) {
--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -1,10 +1,10 @@
 //! The retry budget of a tenant.
 //!
-//! The budget determines whether a retry is admitted in overloaded mode. A rejected client that retries
-//! immediately adds load when there is no spare capacity, and prolongs an overload after its cause has been
-//! removed (Huang et al., 'Metastable Failures in the Wild', OSDI 2022). A budget proportional to the first
-//! attempts prevents this regardless of the clients' behavior. It works as tower's `retry::budget` and those of
-//! other proxies, for each tenant. The drawback is that some retries are rejected that could have been served.
+//! The budget determines whether a retry is admitted in overloaded mode. A rejected client that retries immediately
+//! adds load when there is no spare capacity, and prolongs an overload after its cause has been removed (Huang et
+//! al., 'Metastable Failures in the Wild', OSDI 2022). A budget proportional to the first attempts prevents this
+//! regardless of the clients' behavior. The design is that of tower's `retry::budget` and of other proxies, applied
+//! to each tenant. The drawback is that some retries are rejected that could have been served.
 //!
 //! Retries are recognized only if the front end reports them (`client_attempt`). Rejections are counted as
 //! [`Decision::RejectRetryBudget`](crate::Decision::RejectRetryBudget).
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -29,7 +29,7 @@
 /// A margin added to each wait for a completion, so that the job is due when the wait ends.
 const COMPLETION_MARGIN_US: u64 = 50;
 
-const US_PER_TENTH: u64 = 100;
+const US_PER_TENTH_MS: u64 = 100;
 
 /// The value in every response.
 const RESPONSE_VALUE: &[u8] = b"v";
@@ -162,7 +162,7 @@
     }
 
     fn now(&self) -> Timestamp {
-        Timestamp((self.started_at.elapsed().as_micros() / u128::from(US_PER_TENTH)) as i64)
+        Timestamp((self.started_at.elapsed().as_micros() / u128::from(US_PER_TENTH_MS)) as i64)
     }
 }
 
@@ -221,8 +221,8 @@
             }
         }
         let wait = state.node.next_completion().map_or(MAX_COMPLETION_WAIT, |completion| {
-            let tenths = u64::try_from((completion - shared.now()).0).unwrap_or(0);
-            Duration::from_micros(tenths * US_PER_TENTH + COMPLETION_MARGIN_US)
+            let tenths_ms = u64::try_from((completion - shared.now()).0).unwrap_or(0);
+            Duration::from_micros(tenths_ms * US_PER_TENTH_MS + COMPLETION_MARGIN_US)
         });
         let waited = shared.jobs_changed.wait_timeout(state, wait.min(MAX_COMPLETION_WAIT));
         state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
--- a/crates/node-emulator/src/node_server/connection.rs
+++ b/crates/node-emulator/src/node_server/connection.rs
@@ -88,7 +88,7 @@
     let BatchEntry { id, shard, text, .. } = *entry;
     let now = shared.now();
     let mut state = shared.lock();
-    // A crash may leave unread frames on the closed connections, which a restarted node must not execute.
+    // A crash may leave unread frames on closed connections. A restarted node must not execute them.
     if !state.connections.contains_key(&connection) {
         return;
     }
