--- a/crates/admission-control/src/tenants.rs
+++ b/crates/admission-control/src/tenants.rs
@@ -8,7 +8,7 @@
 use routing::{TenantId, TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
-/// The tenant under which all tenants are counted that arrive when the table is full.
+/// The shared entry of all tenants that arrive while the table is full.
 const OVERFLOW_TENANT: TenantId = TenantId(u32::MAX);
 
 /// The usage of a tenant, which is kept while the tenant sends requests.
