--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -63,7 +63,7 @@
     /// limit, has had time to take effect. Otherwise losses among shard requests admitted before a decrease would
     /// cause further decreases, down to the minimum rate.
     pub fn may_decrease(&self, now: Timestamp, window: TimeSpan) -> bool {
-        now - self.decreased_at >= window.times(DECREASE_HOLD_RATIO)
+        now - self.decreased_at >= window.mul_f64(DECREASE_HOLD_RATIO)
     }
 
     /// Multiplies the rate by `factor` (0 to 1), with `min_per_second` as the lower bound.
--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -1,11 +1,11 @@
 //! Whether a query is sent, waits, or is rejected. The guards and actions of the table in
-//! `policy::query_life` for queries that were not sent yet.
+//! `policy::query_lifecycle` for queries that were not sent yet.
 
 use super::Broker;
 use crate::effects::Effect;
 use crate::ids::NodeId;
 use crate::policy::admission::AdmissionRequest;
-use crate::policy::admission_queue::Applicant;
+use crate::policy::admission_queue::QueueRequest;
 use crate::policy::class_yield::ClassYield;
 use crate::policy::{completion_chance, coverage, load_probe};
 use crate::state::{Query, Timer};
@@ -34,7 +34,7 @@
     }
 
     /// It needs all of its shard requests, and has hardly a chance to get them.
-    pub(crate) fn is_unlikely(&self, query: &Query) -> bool {
+    pub(crate) fn is_unlikely_to_complete(&self, query: &Query) -> bool {
         let overload_rate = self.state.overload_rate.read(self.state.now);
         let max_attempts = query.config.broker.limits.max_attempts;
         !query.allows_partial()
@@ -44,7 +44,7 @@
     /// It may wait for capacity.
     pub(crate) fn may_wait(&self, query: &Query) -> bool {
         let queue = &self.state.queries.admission_queue;
-        let applicant = Applicant {
+        let queue_request = QueueRequest {
             is_queued: queue.contains(&query.id),
             shard_requests: query.shard_requests.len(),
             queue_length: queue.len(),
@@ -52,19 +52,19 @@
             latency_objective: query.policy.latency_objective,
             time_left: query.times.objective_at - self.state.now,
         };
-        applicant.may_wait()
+        queue_request.may_wait()
     }
 
     /// It may wait for capacity, and has to.
-    pub(crate) fn has_to_wait(&self, query: &Query) -> bool {
+    pub(crate) fn must_wait(&self, query: &Query) -> bool {
         self.may_wait(query) && self.exceeds_limit(query)
     }
 
     /// It exceeds what may be in flight, or can't reach its minimum coverage.
     pub(crate) fn exceeds_limit(&self, query: &Query) -> bool {
         let needed = self.needed_shard_requests(query);
-        let out_of_reach = query.shard_requests.iter().filter(|s| self.is_out_of_reach(query, s));
-        let lost_weight: f64 = out_of_reach.map(|s| s.weight).sum();
+        let infeasible = query.shard_requests.iter().filter(|s| self.is_infeasible(query, s));
+        let lost_weight: f64 = infeasible.map(|s| s.weight).sum();
         let request = AdmissionRequest {
             in_flight: self.state.queries.in_flight.len(),
             needed,
@@ -137,7 +137,7 @@
     }
 
     /// Lets it wait in the admission queue.
-    pub(crate) fn wait(&mut self, query: &mut Query) {
+    pub(crate) fn enqueue(&mut self, query: &mut Query) {
         self.state.queries.admission_queue.insert(query.id);
         self.poll(query.policy.latency_objective, Timer::AdmissionCheck(query.id));
     }
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -46,13 +46,13 @@
 /// be waited for any longer because a second phase is to follow.
 pub(crate) fn is_settled(query: &Query, now: Timestamp) -> bool {
     let phase_ends_at = first_phase_ends_at(query.times.objective_at, query.policy.latency_objective);
-    let is_phase_over = query.has_phase_to_come() && now >= phase_ends_at;
+    let is_phase_over = query.has_next_phase() && now >= phase_ends_at;
     let has_ended = query.weight_in(&[ShardRequestState::Queued, ShardRequestState::InFlight]) == 0.0;
     has_min_coverage(query) && (is_complete(query) || has_ended || is_phase_over)
 }
 
 /// Whether the minimum coverage is missed even if everything in flight or queued comes in.
-pub(crate) fn is_hopeless(query: &Query) -> bool {
+pub(crate) fn is_unsatisfiable(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received};
     !covers_minimum(query, query.weight_in(&[Queued, InFlight, Received]))
 }
@@ -60,7 +60,7 @@
 /// Whether unsent shard requests can make up for those that failed.
 pub(crate) fn can_substitute(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received, Unsent};
-    is_hopeless(query) && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
+    is_unsatisfiable(query) && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
 }
 
 /// Whether a query is kept open past its latency objective: a late response earns more than a late failure
--- a/crates/routing/src/policy/quota.rs
+++ b/crates/routing/src/policy/quota.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// The span over which queries are counted, decaying by a factor of e.
-const SPAN: TimeSpan = TimeSpan::from_seconds(5);
+const SPAN: TimeSpan = TimeSpan::from_secs(5);
 
 /// A tenant without a quota is forgotten at a change of the configuration once this many queries are left of
 /// its count.
@@ -44,7 +44,7 @@
     }
 
     /// Forgets tenants that have been silent, but for those that `has_quota` says.
-    pub(crate) fn forget_idle(&mut self, now: Timestamp, has_quota: impl Fn(TenantId) -> bool) {
+    pub(crate) fn remove_idle(&mut self, now: Timestamp, has_quota: impl Fn(TenantId) -> bool) {
         self.0.retain(|tenant, rate| has_quota(*tenant) || rate.read(now, SPAN) >= FORGOTTEN_BELOW);
     }
 }
