--- a/crates/broker-bench/src/demo.rs
+++ b/crates/broker-bench/src/demo.rs
@@ -61,7 +61,7 @@
         brokers: 2,
         placement_groups: 4,
         cores: 4,
-        policy: RoutingPolicy::Module,
+        policy: RoutingPolicy::Product,
         loopback: true,
         report: Some(page.to_owned()),
         json: false,
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -179,7 +179,7 @@
     }
 
     /// A warming node has this share of the work that makes it collapse.
-    pub fn node_strained(&mut self, now: Timestamp, ratio: f64) {
+    pub fn warming_node_loaded(&mut self, now: Timestamp, ratio: f64) {
         self.record_approach(now, approach::LOAD_ON_WARMING_NODE, ratio);
     }
 
--- a/crates/broker-bench/src/invariants/tests.rs
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -46,8 +46,8 @@
     checker.query_sent(Timestamp(0), 0, 0, TimeSpan(1000), &[0.5, 0.5]);
     checker.shard_request_arrived(Timestamp(25), Timestamp(25), ShardRequestIndex(0), draining_since(0));
     checker.shard_request_arrived(Timestamp(30), Timestamp(30), ShardRequestIndex(0), draining_since(10));
-    checker.node_strained(Timestamp(40), 0.75);
-    checker.node_strained(Timestamp(50), 0.25);
+    checker.warming_node_loaded(Timestamp(40), 0.75);
+    checker.warming_node_loaded(Timestamp(50), 0.25);
     let closest: Vec<(u8, f64, Timestamp)> = checker
         .closest()
         .iter()
--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -1,9 +1,9 @@
 //! Clients of a day on sockets: they send queries to brokers by turns, and check what comes back.
 
 use crate::invariants::{QueryEnd, ShardRequestIndex};
-use crate::loopback::NoFigure;
-use crate::loopback::day::Day;
-use crate::results::QueryOrigin;
+use crate::loopback::LoopbackError;
+use crate::loopback::state::LoopbackRun;
+use crate::run_results::QueryOrigin;
 use crate::simulation::settings_text::tenant_name;
 use cluster_trace::plan::PlannedShardRequest;
 use node_emulator::{HttpClient, HttpResponse, query_body, tenant_query_request};
@@ -159,14 +159,14 @@
     Some(ClientReply { response, client })
 }
 
-impl Day {
+impl LoopbackRun {
     /// Sends a query to the broker whose turn it is.
     pub(super) async fn send_query(
         &mut self,
         class: usize,
         tenant: usize,
         shard_requests: Vec<PlannedShardRequest>,
-    ) -> Result<(), NoFigure> {
+    ) -> Result<(), LoopbackError> {
         let query = self.queries.len();
         let broker = query % self.brokers.len();
         let origin = QueryOrigin { class, tenant, sent_at: self.now };
--- a/crates/broker-bench/src/loopback/no_figure.rs
+++ b/crates/broker-bench/src/loopback/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a day on sockets has no figure.
 #[derive(Debug, Error)]
-pub enum NoFigure {
+pub enum LoopbackError {
     /// A socket could not be opened or used.
     #[error("sockets: {0}")]
     Io(#[from] io::Error),
@@ -18,7 +18,7 @@
     #[error(
         "the machine was too busy: at {at_ms} ms of the day the parties did not come to rest within {timeout_s} s ({pending})"
     )]
-    Busy {
+    SettleTimeout {
         /// The time of the day, in milliseconds.
         at_ms: f64,
         /// How long it was waited, by the machine's clock, in seconds.
--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -1,9 +1,9 @@
 //! Nodes of a day on sockets: a model decides, a scripted peer answers; and what discovery publishes of them.
 
 use crate::invariants::{PublishedState, ShardRequestIndex};
-use crate::loopback::NoFigure;
-use crate::loopback::day::{Day, UNIX_START};
+use crate::loopback::LoopbackError;
 use crate::loopback::quiescence::{WireId, parse_wire_id};
+use crate::loopback::state::{LoopbackRun, UNIX_START};
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment::{self, ENDPOINT_LIST_DELAY};
 use crate::simulation::settings_text::ZONE_NAME;
@@ -169,11 +169,11 @@
     }
 }
 
-impl Day {
+impl LoopbackRun {
     // Attempts.
 
     /// Completes the jobs that are due, by node.
-    pub(super) async fn complete_jobs(&mut self) -> Result<(), NoFigure> {
+    pub(super) async fn complete_jobs(&mut self) -> Result<(), LoopbackError> {
         for node in 0..self.nodes.models.len() {
             while let Some(id) = self.nodes.models[node].complete(self.now) {
                 let Some(RunningJob { key, shard_request }) = self.nodes.jobs.remove(id) else { continue };
@@ -188,7 +188,7 @@
     }
 
     /// An attempt reaches its node.
-    pub(super) async fn handle_attempt(&mut self, key: AttemptKey) -> Result<(), NoFigure> {
+    pub(super) async fn handle_attempt(&mut self, key: AttemptKey) -> Result<(), LoopbackError> {
         let node = key.connection.node;
         self.hasher.update(format!("{} {node} {}\n", self.now.0, key.id).as_bytes());
         self.results.record_attempt(self.now);
@@ -199,7 +199,7 @@
         let job = self.nodes.jobs.next_id();
         let outcome = self.nodes.models[node].submit(self.now, job, work_us);
         if self.nodes.models[node].is_warming_up(self.now) {
-            self.invariants.node_strained(self.now, self.nodes.models[node].overload_ratio());
+            self.invariants.warming_node_loaded(self.now, self.nodes.models[node].overload_ratio());
         }
         match outcome {
             SubmitOutcome::Started | SubmitOutcome::Queued => {
@@ -245,7 +245,7 @@
         &mut self,
         node: usize,
         event: PlannedNodeEvent,
-    ) -> Result<(), NoFigure> {
+    ) -> Result<(), LoopbackError> {
         match event {
             PlannedNodeEvent::StartWarm => {
                 self.nodes.models[node] = deployment::warm_node(&self.config);
@@ -268,7 +268,7 @@
     }
 
     /// The node's process stops, and its connections are lost; the endpoint list is late with it.
-    async fn stop_node(&mut self, node: usize) -> Result<(), NoFigure> {
+    async fn stop_node(&mut self, node: usize) -> Result<(), LoopbackError> {
         for job in self.nodes.models[node].crash() {
             self.nodes.jobs.remove(job);
         }
@@ -278,7 +278,7 @@
     }
 
     /// Discovery publishes the node's state.
-    pub(super) async fn publish_endpoint(&mut self, node: usize) -> Result<(), NoFigure> {
+    pub(super) async fn publish_endpoint(&mut self, node: usize) -> Result<(), LoopbackError> {
         let model = &self.nodes.models[node];
         let phase = match model.state() {
             NodeState::Ready => "ready",
--- a/crates/broker-bench/src/loopback/quiescence.rs
+++ b/crates/broker-bench/src/loopback/quiescence.rs
@@ -4,9 +4,9 @@
 //! have or have just received, and its watch of the endpoint list has to wait at discovery. Whatever is under
 //! way, in either direction, makes one of these differ.
 
-use crate::loopback::day::Day;
 use crate::loopback::nodes::{AttemptKey, ConnectionKey};
-use crate::loopback::{NoFigure, PendingWork};
+use crate::loopback::state::LoopbackRun;
+use crate::loopback::{LoopbackError, PendingWork};
 use node_emulator::{PeerEvent, ReceivedEvent, ShardRequest};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
 /// An attempt in flight: the node's address, and the shard request's id on the wire.
 type AttemptInFlight = (SocketAddr, Vec<u8>);
 
-impl Day {
+impl LoopbackRun {
     /// Waits until nothing is under way and handles what has arrived, until that leads to nothing more.
-    pub(super) async fn settle(&mut self) -> Result<(), NoFigure> {
+    pub(super) async fn settle(&mut self) -> Result<(), LoopbackError> {
         let give_up_at = Instant::now() + self.settle_timeout;
         loop {
             self.wait_until_idle(give_up_at).await?;
@@ -32,7 +32,7 @@
         }
     }
 
-    async fn wait_until_idle(&mut self, give_up_at: Instant) -> Result<(), NoFigure> {
+    async fn wait_until_idle(&mut self, give_up_at: Instant) -> Result<(), LoopbackError> {
         let mut idle_rounds = 0;
         loop {
             yield_now().await;
@@ -55,8 +55,12 @@
         }
     }
 
-    fn busy(&self, pending: PendingWork) -> NoFigure {
-        NoFigure::Busy { at_ms: self.now.as_ms(), timeout_s: self.settle_timeout.as_secs_f64(), pending }
+    fn busy(&self, pending: PendingWork) -> LoopbackError {
+        LoopbackError::SettleTimeout {
+            at_ms: self.now.as_ms(),
+            timeout_s: self.settle_timeout.as_secs_f64(),
+            pending,
+        }
     }
 
     /// What is under way, by the counts alone: cheap enough for each round.
@@ -124,7 +128,7 @@
 
     /// Handles what nodes received: by node, then connections by the first query that they brought, each in the
     /// order of arrival; then what clients received, by query.
-    async fn handle_arrivals(&mut self) -> Result<(), NoFigure> {
+    async fn handle_arrivals(&mut self) -> Result<(), LoopbackError> {
         for (connection, events) in group_by_connection(std::mem::take(&mut self.nodes.inbox)) {
             for event in events {
                 self.handle_peer_event(connection, event).await?;
@@ -140,7 +144,7 @@
         &mut self,
         connection: ConnectionKey,
         event: PeerEvent,
-    ) -> Result<(), NoFigure> {
+    ) -> Result<(), LoopbackError> {
         match event {
             PeerEvent::Batch(shard_requests) => {
                 for shard_request in shard_requests {
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -1,11 +1,11 @@
 //! Starts the parties of a day: discovery, nodes without a process, and brokers.
 
 use crate::invariants::InvariantChecker;
-use crate::loopback::NoFigure;
+use crate::loopback::LoopbackError;
 use crate::loopback::clients::Clients;
-use crate::loopback::day::{ClassOnWire, Day, UNIX_START};
 use crate::loopback::nodes::{Nodes, Publications};
-use crate::results::DayResults;
+use crate::loopback::state::{ClassOnWire, LoopbackRun, UNIX_START};
+use crate::run_results::RunResults;
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment;
 use crate::simulation::settings_text::settings_text;
@@ -25,20 +25,20 @@
 const BROKER_MEMORY_MB: u32 = 2048;
 const BROKER_SOCKETS: u32 = 16_384;
 
-impl Day {
+impl LoopbackRun {
     /// Starts the parties, and waits until every broker watches the endpoint list. The clock stands at 0.
     pub(super) async fn start(
         settle_timeout: Duration,
         plan: Plan,
         replay: &ReplayConfig,
         config: SimulationConfig,
-    ) -> Result<Day, NoFigure> {
+    ) -> Result<LoopbackRun, LoopbackError> {
         let catalog = DiscoveryCatalog::start().await?;
         let nodes = Nodes::reserve(replay.nodes, &config)?;
         let brokers = start_brokers(replay, &config, catalog.address).await?;
         let last_entry_at = Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64);
         let invariant_limits = deployment::invariant_limits(replay, INVARIANT_SLACK);
-        let mut day = Day {
+        let mut run = LoopbackRun {
             settle_timeout,
             now: Timestamp(0),
             last_entry_at,
@@ -53,12 +53,12 @@
             hasher: blake3::Hasher::new(),
             invariants: InvariantChecker::new(invariant_limits, brokers.len()),
             brokers,
-            results: DayResults::new(deployment::class_values(replay), replay.tenant_weights.len()),
+            results: RunResults::new(deployment::class_objectives(replay), replay.tenant_weights.len()),
             config,
         };
         keep_runtime_busy();
-        day.settle().await?;
-        Ok(day)
+        run.settle().await?;
+        Ok(run)
     }
 }
 
@@ -77,7 +77,7 @@
     replay: &ReplayConfig,
     config: &SimulationConfig,
     discovery: SocketAddr,
-) -> Result<Vec<Running>, NoFigure> {
+) -> Result<Vec<Running>, LoopbackError> {
     let mut brokers = Vec::new();
     for number in 0..config.brokers {
         let startup_config = startup_config(number, replay, config, discovery)?;
@@ -91,7 +91,7 @@
     replay: &ReplayConfig,
     config: &SimulationConfig,
     discovery: SocketAddr,
-) -> Result<StartupConfig, NoFigure> {
+) -> Result<StartupConfig, LoopbackError> {
     let seed = config.seed ^ u64::from(number).rotate_left(32);
     let text = json!({
         "name": format!("b{number}"),
@@ -103,7 +103,7 @@
     });
     let no_environment = |_: &str| None;
     let mut startup_config =
-        StartupConfig::read(text.to_string().as_bytes(), no_environment).map_err(NoFigure::Settings)?;
+        StartupConfig::read(text.to_string().as_bytes(), no_environment).map_err(LoopbackError::Settings)?;
     startup_config.clock_start = Some(UNIX_START);
     Ok(startup_config)
 }
--- a/crates/broker-bench/src/loopback/day.rs
+++ b/crates/broker-bench/src/loopback/state.rs
@@ -1,10 +1,10 @@
 //! The state of a day on sockets, and its clock.
 
 use crate::invariants::InvariantChecker;
-use crate::loopback::NoFigure;
+use crate::loopback::LoopbackError;
 use crate::loopback::clients::{Clients, Query};
 use crate::loopback::nodes::{Nodes, Publications};
-use crate::results::{DayResults, NodeCounts};
+use crate::run_results::{NodeCounts, RunResults};
 use crate::simulation::SimulationConfig;
 use broker::Running;
 use cluster_trace::plan::{ClassSpec, PlanEntry, PlanEvent};
@@ -39,7 +39,7 @@
 }
 
 /// A day on sockets.
-pub(super) struct Day {
+pub(super) struct LoopbackRun {
     /// How long the parties may take to become idle, by the machine's clock.
     pub(super) settle_timeout: Duration,
     pub(super) now: Timestamp,
@@ -59,20 +59,20 @@
     /// Over all that nodes and clients got, in its order.
     pub(super) hasher: blake3::Hasher,
     pub(super) invariants: InvariantChecker,
-    pub(super) results: DayResults,
+    pub(super) results: RunResults,
 }
 
-impl Day {
-    /// Plays to the end, or until `goes_on` says no.
+impl LoopbackRun {
+    /// Plays to the end, or until `should_continue` says no.
     pub(super) async fn run(
         &mut self,
-        mut goes_on: impl FnMut(Timestamp, Timestamp) -> bool,
-    ) -> Result<(), NoFigure> {
+        mut should_continue: impl FnMut(Timestamp, Timestamp) -> bool,
+    ) -> Result<(), LoopbackError> {
         let mut step = 0_u64;
         loop {
             self.handle_due().await?;
             if step.is_multiple_of(STEPS_PER_S) {
-                if !goes_on(self.now.min(self.last_entry_at), self.last_entry_at) {
+                if !should_continue(self.now.min(self.last_entry_at), self.last_entry_at) {
                     self.results.stopped_at = Some(self.now);
                     break;
                 }
@@ -92,7 +92,7 @@
 
     /// Handles what is due at this moment, one after the other: jobs that complete, by node; what discovery
     /// publishes; then the plan's entries.
-    pub(super) async fn handle_due(&mut self) -> Result<(), NoFigure> {
+    pub(super) async fn handle_due(&mut self) -> Result<(), LoopbackError> {
         self.complete_jobs().await?;
         while let Some(node) = self.publications.pop_due(self.now) {
             self.publish_endpoint(node).await?;
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -1,10 +1,10 @@
 //! Whole days on sockets: the same figures each time, and none rather than a wrong one.
 
 use crate::invariants::ShardRequestIndex;
-use crate::loopback::day::Day;
 use crate::loopback::nodes::{AttemptKey, ConnectionKey, RunningJob};
-use crate::loopback::{NoFigure, PendingWork, play, play_within};
-use crate::results::DayResults;
+use crate::loopback::state::LoopbackRun;
+use crate::loopback::{LoopbackError, PendingWork, run, run_with_timeout};
+use crate::run_results::RunResults;
 use crate::simulation::deployment::LATENCY_OBJECTIVE;
 use crate::simulation::tests::planned;
 use crate::simulation::{RoutingPolicy, SimulationConfig};
@@ -30,7 +30,7 @@
 fn config() -> SimulationConfig {
     SimulationConfig {
         brokers: 2,
-        policy: RoutingPolicy::Module,
+        policy: RoutingPolicy::Product,
         seed: 5,
         placement_groups: 3,
         cores: 4,
@@ -62,20 +62,20 @@
     plan(80, &events)
 }
 
-fn day(plan: Plan) -> DayResults {
-    play(plan, &replay_config(), config(), |_, _| true).unwrap()
+fn run_to_end(plan: Plan) -> RunResults {
+    run(plan, &replay_config(), config(), |_, _| true).unwrap()
 }
 
 /// Nodes stop, come back and drain under load. A day whose figures depended on how fast the kernel delivers
 /// would show it as another service share or another digest of what nodes and clients got, above all on a busy
 /// machine. Five runs have the same figures, one of them beside a busy loop on every core, and break no rule.
 #[rstest]
-fn the_same_day_on_sockets_each_time() {
-    let first = day(plan_with_faults());
+fn socket_runs_are_reproducible() {
+    let first = run_to_end(plan_with_faults());
     assert!(first.violations.is_empty() && first.service.share() > 0.5, "{}", first.json());
     assert!(first.attempts > first.queries && first.queries == 240, "{}", first.json());
     for _ in 0..3 {
-        assert_eq!(day(plan_with_faults()).json(), first.json());
+        assert_eq!(run_to_end(plan_with_faults()).json(), first.json());
     }
     let is_over = Arc::new(AtomicBool::new(false));
     let cores = std::thread::available_parallelism().map_or(4, usize::from);
@@ -88,23 +88,23 @@
         })
     };
     let busy_loops: Vec<_> = (0..cores).map(busy_loop).collect();
-    let beside_load = day(plan_with_faults());
+    let beside_load = run_to_end(plan_with_faults());
     is_over.store(true, Ordering::Relaxed);
     busy_loops.into_iter().for_each(|busy_loop| busy_loop.join().unwrap());
     assert_eq!(beside_load.json(), first.json());
 }
 
 #[rstest]
-fn serves_all_without_faults() {
-    let results = day(plan(60, &[]));
+fn serves_all_queries_without_faults() {
+    let results = run_to_end(plan(60, &[]));
     assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
 }
 
 /// Clients send more than the nodes can serve. What can't be served has to be rejected at once, not at its
 /// deadline, and the service share has to show what was not served.
 #[rstest]
-fn rejects_at_once_under_overload() {
-    let results = day(plan(500, &[]));
+fn rejects_early_under_overload() {
+    let results = run_to_end(plan(500, &[]));
     assert!(results.violations.is_empty() && results.rejected > 100, "{}", results.json());
     assert!(
         results.slowest_rejection < LATENCY_OBJECTIVE && results.service.share() < 0.95,
@@ -115,16 +115,16 @@
 
 /// The parties do not become idle in time: there is no figure, rather than a wrong one.
 #[rstest]
-fn says_when_there_is_no_figure() {
-    let none = play_within(Duration::ZERO, plan_with_faults(), &replay_config(), config(), |_, _| true);
-    assert!(matches!(none, Err(NoFigure::Busy { .. })), "{none:?}");
+fn settle_timeout_returns_an_error() {
+    let none = run_with_timeout(Duration::ZERO, plan_with_faults(), &replay_config(), config(), |_, _| true);
+    assert!(matches!(none, Err(LoopbackError::SettleTimeout { .. })), "{none:?}");
 }
 
 /// Broken off, it tells what was played as partial.
 #[rstest]
-fn tells_what_was_played_when_broken_off() {
+fn stopped_run_has_partial_results() {
     let results =
-        play(plan_with_faults(), &replay_config(), config(), |now, _| now < Timestamp(10_000)).unwrap();
+        run(plan_with_faults(), &replay_config(), config(), |now, _| now < Timestamp(10_000)).unwrap();
     assert_eq!(results.stopped_at, Some(Timestamp(10_000)));
     assert!(results.violations.is_empty() && results.queries < 120, "{}", results.json());
 }
@@ -133,24 +133,25 @@
 /// has, or has just received, and no broker. With such a gap a day would be the same only as long as the kernel is
 /// quick. Each gap is found by name, and the day is given up for it.
 #[rstest]
-#[case(|day: &mut Day| day.clients.waiting += 1, PendingWork::QueryOrResponse)]
-#[case(|day: &mut Day| _ = day.nodes.jobs.insert(JobId(9), running_job()), PendingWork::Attempt)]
-#[case(|day: &mut Day| day.nodes.inbox.push(received_batch()), PendingWork::Attempt)]
-fn the_clock_stands_while_anything_is_under_way(#[case] put: fn(&mut Day), #[case] expected: PendingWork) {
+#[case(|run: &mut LoopbackRun| run.clients.waiting += 1, PendingWork::QueryOrResponse)]
+#[case(|run: &mut LoopbackRun| _ = run.nodes.jobs.insert(JobId(9), running_job()), PendingWork::Attempt)]
+#[case(|run: &mut LoopbackRun| run.nodes.inbox.push(received_batch()), PendingWork::Attempt)]
+fn clock_stops_while_work_is_pending(#[case] put: fn(&mut LoopbackRun), #[case] expected: PendingWork) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     actix_rt::Runtime::from(runtime).block_on(async {
-        let mut day =
-            Day::start(Duration::from_secs(20), plan(60, &[]), &replay_config(), config()).await.unwrap();
-        day.handle_due().await.unwrap();
-        assert!(day.pending_work().is_none() && day.attempts_agree());
-        put(&mut day);
-        assert_eq!(day.pending_work(), Some(expected));
-        assert!(day.clients.waiting > 0 || !day.attempts_agree());
-        day.settle_timeout = Duration::from_millis(50);
-        let settled = day.settle().await;
+        let mut run = LoopbackRun::start(Duration::from_secs(20), plan(60, &[]), &replay_config(), config())
+            .await
+            .unwrap();
+        run.handle_due().await.unwrap();
+        assert!(run.pending_work().is_none() && run.attempts_agree());
+        put(&mut run);
+        assert_eq!(run.pending_work(), Some(expected));
+        assert!(run.clients.waiting > 0 || !run.attempts_agree());
+        run.settle_timeout = Duration::from_millis(50);
+        let settled = run.settle().await;
         assert!(
-            matches!(&settled, Err(NoFigure::Busy { pending, .. }) if *pending == expected),
+            matches!(&settled, Err(LoopbackError::SettleTimeout { pending, .. }) if *pending == expected),
             "{settled:?}"
         );
     });
--- a/crates/broker-bench/src/overload_benchmark.rs
+++ b/crates/broker-bench/src/overload_benchmark.rs
@@ -3,7 +3,7 @@
 //! are older than the terms of the code, and stay, as scripts read them.
 
 use crate::benchmark_error::BenchmarkError;
-use crate::results::DayResults;
+use crate::run_results::RunResults;
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use cluster_trace::plan::{ClassSpec, CountRange, Plan, Planner, ReplayConfig};
 use cluster_trace::{RowOutcome, TraceReader, find_layout};
@@ -39,7 +39,7 @@
 const BASE_LOAD: f64 = 0.4;
 const LOAD_FACTORS: [f64; 3] = [1.0, 2.0, 4.0];
 const PEAK_FACTOR: f64 = 3.0;
-const POLICIES: [RoutingPolicy; 3] = [RoutingPolicy::Module, RoutingPolicy::Design, RoutingPolicy::Random];
+const POLICIES: [RoutingPolicy; 3] = [RoutingPolicy::Product, RoutingPolicy::Design, RoutingPolicy::Random];
 /// At a load factor of 1 the product's service must not be less.
 const MIN_BASE_SERVICE: f64 = 0.95;
 /// The product may serve this much less than the best policy that breaks no rule.
@@ -153,7 +153,7 @@
     seed: u64,
     load_factor: f64,
     policy: RoutingPolicy,
-) -> Result<DayResults, BenchmarkError> {
+) -> Result<RunResults, BenchmarkError> {
     let load = BASE_LOAD * load_factor;
     let config = SimulationConfig {
         brokers: size.brokers,
@@ -184,7 +184,7 @@
         seed: u64,
     ) -> Result<SweepDay, BenchmarkError> {
         let size = OverloadSize { brokers, ..*size };
-        let day = simulate(&size, seed, load_factor, RoutingPolicy::Module)?;
+        let day = simulate(&size, seed, load_factor, RoutingPolicy::Product)?;
         let closest = day.closest.iter().find(|(rule, _)| rule.starts_with(WARMING_NODE_RULE));
         let keeps_rule = !day.violations.keys().any(|rule| rule.starts_with(WARMING_NODE_RULE));
         let ratio = closest.map_or(0.0, |(_, closest)| closest.ratio);
@@ -230,7 +230,7 @@
 struct OverloadDay {
     load_factor: f64,
     policy: RoutingPolicy,
-    results: DayResults,
+    results: RunResults,
 }
 
 impl OverloadDay {
@@ -327,7 +327,7 @@
         size.seconds,
         start.elapsed().as_secs_f64()
     );
-    let mut product_days = days.iter().filter(|day| day.policy == RoutingPolicy::Module);
+    let mut product_days = days.iter().filter(|day| day.policy == RoutingPolicy::Product);
     let passes = product_days.all(|day| keeps_bounds(day, &days)) && sweep.keeps_rule;
     let by_day: Map<String, Value> = days.iter().map(|day| (day.key(), day.json())).collect();
     let json = json!({
--- a/crates/broker-bench/src/overload_benchmark/tests.rs
+++ b/crates/broker-bench/src/overload_benchmark/tests.rs
@@ -9,7 +9,7 @@
 fn no_warming_node_collapses(#[values(1.0, 2.0, 4.0)] load_factor: f64, #[values(1, 4)] seed: u64) {
     let sweep = BrokerSweep { brokers: &[], seeds: 0 };
     let size = OverloadSize { nodes: 30, brokers: 12, seconds: 30, queries_per_s: 120.0, sweep };
-    let day = simulate(&size, seed, load_factor, RoutingPolicy::Module).unwrap();
+    let day = simulate(&size, seed, load_factor, RoutingPolicy::Product).unwrap();
     assert!(day.violations.is_empty(), "{:?}", day.violations);
     assert!(
         day.closest.keys().any(|rule| rule.starts_with(WARMING_NODE_RULE)),
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -1,7 +1,7 @@
 //! A day as one HTML page that needs no other file: figures, and plots of load, service, latency and nodes
 //! over time as SVG. The figures are written beside it as JSON.
 
-use crate::results::{DayResults, SecondResults, Service};
+use crate::run_results::{RunResults, SecondResults, Service};
 use plotters::prelude::{
     BLACK, ChartBuilder, Color, DrawingAreaErrorKind, IntoDrawingArea, LineSeries, RGBColor, SVGBackend,
     WHITE,
@@ -40,13 +40,13 @@
 /// # Errors
 ///
 /// A plot can't be drawn, or a file can't be written.
-pub fn write(path: &Path, results: &DayResults, figures: &Value, title: &str) -> Result<(), ReportError> {
+pub fn write(path: &Path, results: &RunResults, figures: &Value, title: &str) -> Result<(), ReportError> {
     std::fs::write(path, page(results, figures, title)?)?;
     std::fs::write(path.with_extension("json"), format!("{figures}\n"))?;
     Ok(())
 }
 
-fn page(results: &DayResults, figures: &Value, title: &str) -> Result<String, ReportError> {
+fn page(results: &RunResults, figures: &Value, title: &str) -> Result<String, ReportError> {
     let title = escape(title);
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
@@ -86,7 +86,7 @@
     table + "</table>"
 }
 
-fn figure_rows(results: &DayResults) -> Vec<Row> {
+fn figure_rows(results: &RunResults) -> Vec<Row> {
     let mut rows = service_rows(results);
     rows.extend([
         row("Worst 10 s", format!("{:.4}", results.worst_window())),
@@ -107,7 +107,7 @@
     rows
 }
 
-fn service_rows(results: &DayResults) -> Vec<Row> {
+fn service_rows(results: &RunResults) -> Vec<Row> {
     let all = "Service (priority weight responded within the latency objective / priority weight sent)";
     let mut rows = vec![row(all, service_text(&results.service))];
     for (class, service) in results.classes.iter().zip(&results.by_class) {
@@ -123,11 +123,11 @@
 }
 
 fn service_text(service: &Service) -> String {
-    service.share_if_asked().map_or("no queries".to_owned(), |share| format!("{share:.4}"))
+    service.share_if_any().map_or("no queries".to_owned(), |share| format!("{share:.4}"))
 }
 
 /// The rules that were broken, and how close each came to its limit.
-fn rules(results: &DayResults) -> String {
+fn rules(results: &RunResults) -> String {
     let mut html = String::new();
     if results.violations.is_empty() {
         html += "<p>No rule was broken, as seen by clients and nodes.</p>";
@@ -166,18 +166,18 @@
 /// A second's figure; none if there is none for it.
 type SecondFigure = fn(&SecondResults) -> Option<f64>;
 
-fn plots(results: &DayResults) -> Vec<Plot> {
+fn plots(results: &RunResults) -> Vec<Plot> {
     let curve = |name, color, figure: SecondFigure| {
         let point = |(at, second): (usize, &SecondResults)| Some((at as f64, figure(second)?));
         Curve { name, color, points: results.seconds.iter().enumerate().filter_map(point).collect() }
     };
     let queries = vec![
-        curve("sent", GRAY, |s| Some(f64::from(s.asked))),
+        curve("sent", GRAY, |s| Some(f64::from(s.sent))),
         curve("responded", GREEN, |s| Some(f64::from(s.responded))),
         curve("rejected", AMBER, |s| Some(f64::from(s.rejected))),
         curve("failed", RED, |s| Some(f64::from(s.failed))),
     ];
-    let service = vec![curve("service", GREEN, |s| s.service.share_if_asked())];
+    let service = vec![curve("service", GREEN, |s| s.service.share_if_any())];
     let latency =
         vec![curve("median", GREEN, |s| s.latency_ms(0.5)), curve("p99", AMBER, |s| s.latency_ms(0.99))];
     let attempts = vec![curve("attempts", GRAY, |s| Some(f64::from(s.attempts)))];
--- a/crates/broker-bench/src/results.rs
+++ b/crates/broker-bench/src/run_results.rs
@@ -10,20 +10,20 @@
 /// The priority weight of queries sent, and of those that got their response within the latency objective.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Service {
-    pub asked: f64,
+    pub offered: f64,
     /// Partial responses earn the share of the weight that they cover.
-    pub earned: f64,
+    pub served: f64,
 }
 
 impl Service {
-    /// The share that was earned; 1 without queries. [`Service::share_if_asked`] is for printing.
+    /// The share that was earned; 1 without queries. [`Service::share_if_any`] is for printing.
     pub fn share(&self) -> f64 {
-        if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
+        if self.offered > 0.0 { self.served / self.offered } else { 1.0 }
     }
 
     /// The share that was earned; none without queries.
-    pub fn share_if_asked(&self) -> Option<f64> {
-        (self.asked > 0.0).then(|| self.share())
+    pub fn share_if_any(&self) -> Option<f64> {
+        (self.offered > 0.0).then(|| self.share())
     }
 }
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SecondResults {
     pub service: Service,
-    pub asked: u32,
+    pub sent: u32,
     pub responded: u32,
     pub rejected: u32,
     pub failed: u32,
@@ -62,7 +62,7 @@
 
 /// What a query of a class is worth, and until when.
 #[derive(Clone, Debug)]
-pub struct ClassValue {
+pub struct ClassObjective {
     pub name: String,
     pub priority_weight: f64,
     pub latency_objective: TimeSpan,
@@ -78,8 +78,8 @@
 
 /// The results of a day.
 #[derive(Debug)]
-pub struct DayResults {
-    pub classes: Vec<ClassValue>,
+pub struct RunResults {
+    pub classes: Vec<ClassObjective>,
     pub service: Service,
     pub by_class: Vec<Service>,
     pub by_tenant: Vec<Service>,
@@ -116,9 +116,9 @@
 /// The length of the worst window, in seconds.
 const WINDOW_S: usize = 10;
 
-impl DayResults {
-    pub fn new(classes: Vec<ClassValue>, tenants: usize) -> DayResults {
-        DayResults {
+impl RunResults {
+    pub fn new(classes: Vec<ClassObjective>, tenants: usize) -> RunResults {
+        RunResults {
             service: Service::default(),
             by_class: vec![Service::default(); classes.len()],
             by_tenant: vec![Service::default(); tenants],
@@ -155,11 +155,11 @@
         let priority_weight = self.classes[origin.class].priority_weight;
         self.queries += 1;
         let second = self.second(origin.sent_at);
-        second.asked += 1;
-        second.service.asked += priority_weight;
-        self.service.asked += priority_weight;
-        self.by_class[origin.class].asked += priority_weight;
-        self.by_tenant[origin.tenant].asked += priority_weight;
+        second.sent += 1;
+        second.service.offered += priority_weight;
+        self.service.offered += priority_weight;
+        self.by_class[origin.class].offered += priority_weight;
+        self.by_tenant[origin.tenant].offered += priority_weight;
     }
 
     /// A response with this coverage reaches its client.
@@ -171,14 +171,14 @@
         let second = self.second(now);
         second.responded += 1;
         second.latencies.push(latency.0.max(0) as u32);
-        let ClassValue { priority_weight, latency_objective, .. } = self.classes[origin.class];
+        let ClassObjective { priority_weight, latency_objective, .. } = self.classes[origin.class];
         if latency <= latency_objective {
             // A partial response earns the share of the weight that it has.
-            let earned = priority_weight * coverage;
-            self.second(origin.sent_at).service.earned += earned;
-            self.service.earned += earned;
-            self.by_class[origin.class].earned += earned;
-            self.by_tenant[origin.tenant].earned += earned;
+            let served = priority_weight * coverage;
+            self.second(origin.sent_at).service.served += served;
+            self.service.served += served;
+            self.by_class[origin.class].served += served;
+            self.by_tenant[origin.tenant].served += served;
         }
     }
 
@@ -205,12 +205,12 @@
     pub fn worst_window(&self) -> f64 {
         let windows = self.seconds.chunks(WINDOW_S).map(|seconds| {
             seconds.iter().fold(Service::default(), |sum, s| Service {
-                asked: sum.asked + s.service.asked,
-                earned: sum.earned + s.service.earned,
+                offered: sum.offered + s.service.offered,
+                served: sum.served + s.service.served,
             })
         });
-        let mean = self.service.asked / self.seconds.len().div_ceil(WINDOW_S).max(1) as f64;
-        let full = windows.filter(|window| window.asked >= mean / 2.0);
+        let mean = self.service.offered / self.seconds.len().div_ceil(WINDOW_S).max(1) as f64;
+        let full = windows.filter(|window| window.offered >= mean / 2.0);
         full.map(|window| window.share()).fold(1.0, f64::min)
     }
 
@@ -241,7 +241,7 @@
             "nearest": self.closest_json(),
             "service": self.service.share(),
             "by_category": self.service_by_class_json(),
-            "by_caller": self.by_tenant.iter().map(Service::share_if_asked).collect::<Vec<_>>(),
+            "by_caller": self.by_tenant.iter().map(Service::share_if_any).collect::<Vec<_>>(),
             "worst_10_s": self.worst_window(),
             "retrievals": self.queries,
             "answered": self.responded,
@@ -268,7 +268,7 @@
 
     fn service_by_class_json(&self) -> Map<String, Value> {
         let by_class = self.classes.iter().zip(&self.by_class);
-        by_class.map(|(class, service)| (class.name.clone(), json!(service.share_if_asked()))).collect()
+        by_class.map(|(class, service)| (class.name.clone(), json!(service.share_if_any()))).collect()
     }
 
     /// How often each broken rule was broken, by rule.
--- a/crates/broker-bench/src/scenario_day.rs
+++ b/crates/broker-bench/src/scenario_run.rs
@@ -2,7 +2,7 @@
 //! scenario, size and seed give the same digest; the scenario's name has no part in it.
 
 use crate::fault_injector::{FaultEffect, FaultInjector};
-use crate::results::DayResults;
+use crate::run_results::RunResults;
 use crate::simulation::{FaultSchedule, RoutingPolicy, Simulation, SimulationConfig};
 use crate::traffic::{self, NODE_CORES};
 use cluster_trace::plan::{Plan, PlanEntry, PlanEvent, PlannedNodeEvent, ReplayConfig};
@@ -15,7 +15,7 @@
 const GROUP_NODES: u32 = 5;
 
 /// One day of a scenario.
-pub struct ScenarioDay<'a> {
+pub struct ScenarioRun<'a> {
     pub scenario: &'a Scenario,
     pub nodes: u32,
     pub brokers: u32,
@@ -25,7 +25,7 @@
 }
 
 /// Everything that a day is played with.
-struct DaySetup {
+struct RunSetup {
     actions: Vec<ScheduledAction>,
     replay: ReplayConfig,
     plan: Plan,
@@ -34,7 +34,7 @@
 }
 
 /// A day for sockets.
-pub struct SocketDay {
+pub struct SocketRun {
     pub plan: Plan,
     pub replay: ReplayConfig,
     pub config: SimulationConfig,
@@ -43,19 +43,19 @@
 /// A scenario has a fault that can't be played on sockets.
 #[derive(Debug, Error)]
 #[error("{scenario}: {action:?} is not played on sockets")]
-pub struct NotOnSockets {
+pub struct UnsupportedOnSockets {
     pub scenario: String,
     pub action: FaultAction,
 }
 
-impl ScenarioDay<'_> {
-    fn setup(&self) -> DaySetup {
-        let ScenarioDay { scenario, nodes, brokers, zones, seed, policy } = *self;
+impl ScenarioRun<'_> {
+    fn setup(&self) -> RunSetup {
+        let ScenarioRun { scenario, nodes, brokers, zones, seed, policy } = *self;
         let placement_groups = (nodes / GROUP_NODES).max(zones).max(1);
         let cluster = ClusterSize { nodes, zones, placement_groups, brokers };
         let actions = scenario.schedule(&cluster, seed);
         let replay = traffic::replay_config(nodes, scenario, seed);
-        let plan = traffic::plan_day(&replay, &actions, scenario.seconds);
+        let plan = traffic::build_plan(&replay, &actions, scenario.seconds);
         let (near, far) = (TimeSpan::from_ms(scenario.near_ms), TimeSpan::from_ms(scenario.far_ms));
         let injector = FaultInjector::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
@@ -66,12 +66,12 @@
         let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
         let cores = NODE_CORES;
         let config = SimulationConfig { brokers, policy, seed, placement_groups, cores, warm_jobs, cancel };
-        DaySetup { actions, replay, plan, config, injector }
+        RunSetup { actions, replay, plan, config, injector }
     }
 
     /// Plays the day in virtual time.
-    pub fn simulate(&self) -> DayResults {
-        let DaySetup { actions, replay, plan, config, injector } = self.setup();
+    pub fn simulate(&self) -> RunResults {
+        let RunSetup { actions, replay, plan, config, injector } = self.setup();
         let faults = FaultSchedule { injector, actions, clients: self.scenario.clients };
         Simulation::with_faults(plan, &replay, config, faults).run(|_, _| true)
     }
@@ -82,8 +82,8 @@
     /// # Errors
     ///
     /// The scenario has another fault, of networks, of discovery, or of nodes' responses.
-    pub fn for_sockets(&self) -> Result<SocketDay, NotOnSockets> {
-        let DaySetup { actions, replay, mut plan, config, mut injector } = self.setup();
+    pub fn to_socket_run(&self) -> Result<SocketRun, UnsupportedOnSockets> {
+        let RunSetup { actions, replay, mut plan, config, mut injector } = self.setup();
         for scheduled in &actions {
             let effect = match scheduled.action {
                 FaultAction::Outage { .. }
@@ -93,7 +93,7 @@
                 FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => None,
                 action => {
                     let scenario = self.scenario.name.clone();
-                    return Err(NotOnSockets { scenario, action });
+                    return Err(UnsupportedOnSockets { scenario, action });
                 }
             };
             if let Some(event) = effect.and_then(node_event) {
@@ -101,7 +101,7 @@
             }
         }
         plan.entries.sort_by_key(|entry| entry.at);
-        Ok(SocketDay { plan, replay, config })
+        Ok(SocketRun { plan, replay, config })
     }
 
     /// When the last fault is over, in whole seconds.
--- a/crates/broker-bench/src/scenario_day/tests.rs
+++ b/crates/broker-bench/src/scenario_run/tests.rs
@@ -1,6 +1,6 @@
-use super::{ScenarioDay, SocketDay};
-use crate::results::DayResults;
-use crate::scenario_figures::{MeanWithInterval, ScenarioFigures, recovery_seconds};
+use super::{ScenarioRun, SocketRun};
+use crate::run_results::RunResults;
+use crate::scenario_summary::{MeanWithInterval, ScenarioSummary, recovery_seconds};
 use crate::simulation::{RoutingPolicy, Simulation};
 use crate::socket_comparison::MAX_SERVICE_DIFFERENCE;
 use cluster_trace::plan::{PlanEvent, PlannedNodeEvent};
@@ -13,13 +13,13 @@
 }
 
 /// A day among 6 nodes and 3 brokers.
-fn small_day(scenario: &Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioDay<'_> {
-    ScenarioDay { scenario, nodes: 6, brokers: 3, zones: 3, seed, policy }
+fn small_day(scenario: &Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'_> {
+    ScenarioRun { scenario, nodes: 6, brokers: 3, zones: 3, seed, policy }
 }
 
 /// A day among 12 nodes and 6 brokers.
-fn medium_day(scenario: &Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioDay<'_> {
-    ScenarioDay { scenario, nodes: 12, brokers: 6, zones: 3, seed, policy }
+fn medium_day(scenario: &Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'_> {
+    ScenarioRun { scenario, nodes: 12, brokers: 6, zones: 3, seed, policy }
 }
 
 /// The same scenario and seed, the same digest; another seed or another policy, another.
@@ -27,9 +27,9 @@
 fn the_same_day_each_time() {
     let scenario = library_scenario("zone-outage-at-peak-load");
     let digest = |seed, policy| small_day(&scenario, seed, policy).simulate().digest;
-    let first = digest(1, RoutingPolicy::Module);
-    assert_eq!(digest(1, RoutingPolicy::Module), first);
-    assert_ne!(digest(2, RoutingPolicy::Module), first);
+    let first = digest(1, RoutingPolicy::Product);
+    assert_eq!(digest(1, RoutingPolicy::Product), first);
+    assert_ne!(digest(2, RoutingPolicy::Product), first);
     assert_ne!(digest(1, RoutingPolicy::Design), first);
 }
 
@@ -38,7 +38,7 @@
 fn a_former_name_gives_the_same_day() {
     let by_name = |name| {
         let scenario = library_scenario(name);
-        let results = small_day(&scenario, 1, RoutingPolicy::Module).simulate();
+        let results = small_day(&scenario, 1, RoutingPolicy::Product).simulate();
         (results.digest.clone(), results.json())
     };
     assert_eq!(by_name("hall-lost-at-the-rush"), by_name("zone-outage-at-peak-load"));
@@ -49,7 +49,7 @@
 fn keeps_the_rules_in_the_library() {
     LIBRARY.par_iter().for_each(|scenario| {
         let name = scenario.name;
-        let results = small_day(&library_scenario(name), 1, RoutingPolicy::Module).simulate();
+        let results = small_day(&library_scenario(name), 1, RoutingPolicy::Product).simulate();
         assert!(results.violations.is_empty(), "{name}: {}", results.json());
         assert!(results.queries > 500, "{name}");
     });
@@ -77,7 +77,7 @@
 #[case(3)]
 fn a_metastable_overload_ends_soon(#[case] seed: u64) {
     let scenario = library_scenario("metastable-overload");
-    let day = small_day(&scenario, seed, RoutingPolicy::Module);
+    let day = small_day(&scenario, seed, RoutingPolicy::Product);
     let results = day.simulate();
     let recovery = recovery_seconds(&results, day.faults_end());
     assert!(recovery.is_some_and(|seconds| seconds <= 8), "{recovery:?}: {}", results.json());
@@ -90,13 +90,13 @@
 fn a_noisy_neighbor_leaves_the_other_tenants_complete() {
     let scenario = library_scenario("noisy-neighbor");
     let quiet_tenants = |policy| {
-        let days: Vec<DayResults> =
+        let days: Vec<RunResults> =
             (1..=3).map(|seed| medium_day(&scenario, seed, policy).simulate()).collect();
         assert!(days.iter().all(|day| day.violations.is_empty()), "{policy:?}");
-        ScenarioFigures::of(&days, 35).by_tenant[1..].to_vec()
+        ScenarioSummary::of(&days, 35).by_tenant[1..].to_vec()
     };
     let admitted = quiet_tenants(RoutingPolicy::AdmissionController);
-    let alone = quiet_tenants(RoutingPolicy::Module);
+    let alone = quiet_tenants(RoutingPolicy::Product);
     assert!(admitted.iter().all(|share| *share >= 0.975), "behind admission control: {admitted:?}");
     assert!(alone.iter().all(|share| *share < 0.975), "without admission control: {alone:?}");
 }
@@ -110,7 +110,7 @@
         let days = (1..=3).map(|seed| medium_day(&scenario, seed, policy));
         days.map(|day| recovery_seconds(&day.simulate(), day.faults_end()).unwrap_or(60)).sum()
     };
-    let (admitted, alone) = (recovery(RoutingPolicy::AdmissionController), recovery(RoutingPolicy::Module));
+    let (admitted, alone) = (recovery(RoutingPolicy::AdmissionController), recovery(RoutingPolicy::Product));
     assert!(
         admitted < alone,
         "seconds to recovery, over three seeds: {admitted} behind admission control, {alone} without"
@@ -126,7 +126,7 @@
 fn response_times_reveal_a_gray_failure(#[case] name: &str) {
     let scenario = library_scenario(name);
     let service = |policy| medium_day(&scenario, 1, policy).simulate().service.share();
-    let (product, random) = (service(RoutingPolicy::Module), service(RoutingPolicy::Random));
+    let (product, random) = (service(RoutingPolicy::Product), service(RoutingPolicy::Random));
     assert!(product >= 0.99 && random < 0.9, "product {product}, at random {random}");
 }
 
@@ -140,15 +140,15 @@
     let text = "[scenario]\nseconds = 24\nload = 0.55\n[peak]\nwhat = storm\nat = 4\nfor = 14\nsize = 1.6\n\
         [north]\nwhat = lose\nat = 8\nfor = 6\nhall = 0\n";
     let scenario = Scenario::parse("short-zone-outage", text).unwrap();
-    let day = small_day(&scenario, 1, RoutingPolicy::Module);
-    let SocketDay { plan, replay, config } = day.for_sockets().unwrap();
+    let day = small_day(&scenario, 1, RoutingPolicy::Product);
+    let SocketRun { plan, replay, config } = day.to_socket_run().unwrap();
     assert!(
         plan.entries
             .iter()
             .any(|entry| matches!(entry.event, PlanEvent::Node { event: PlannedNodeEvent::Stop, .. }))
     );
     let virtual_day = Simulation::new(plan.clone(), &replay, config.clone()).run(|_, _| true);
-    let sockets = crate::loopback::play(plan, &replay, config, |_, _| true).unwrap();
+    let sockets = crate::loopback::run(plan, &replay, config, |_, _| true).unwrap();
     for results in [&virtual_day, &sockets] {
         assert!(results.violations.is_empty(), "{}", results.json());
         assert!(results.queries > 500);
@@ -166,7 +166,7 @@
 #[rstest]
 fn faults_that_sockets_cant_play_are_named() {
     let scenario = library_scenario("stale-endpoint-list");
-    let day = small_day(&scenario, 1, RoutingPolicy::Module);
-    let error = day.for_sockets().err().unwrap().to_string();
+    let day = small_day(&scenario, 1, RoutingPolicy::Product);
+    let error = day.to_socket_run().err().unwrap().to_string();
     assert!(error.contains("stale-endpoint-list") && error.contains("EndpointListDelay"), "{error}");
 }
--- a/crates/broker-bench/src/scenario_figures.rs
+++ b/crates/broker-bench/src/scenario_summary.rs
@@ -1,6 +1,6 @@
 //! Figures of a scenario over several days: means, confidence intervals, recovery.
 
-use crate::results::{DayResults, SecondResults};
+use crate::run_results::{RunResults, SecondResults};
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -34,19 +34,18 @@
 }
 
 /// Seconds from the end of the last fault until service has recovered; none if it has not in this day.
-pub fn recovery_seconds(results: &DayResults, faults_end: usize) -> Option<usize> {
-    let has_recovered = |second: &SecondResults| {
-        second.service.share_if_asked().is_none_or(|share| share >= RECOVERED_SERVICE)
-    };
+pub fn recovery_seconds(results: &RunResults, faults_end: usize) -> Option<usize> {
+    let has_recovered =
+        |second: &SecondResults| second.service.share_if_any().is_none_or(|share| share >= RECOVERED_SERVICE);
     let after = results.seconds.get(faults_end..)?;
-    let asked = after.iter().rposition(|second| second.asked > 0).map_or(0, |last| last + 1);
-    let mut windows = after[..asked].windows(RECOVERED_SECONDS.min(asked.max(1)));
+    let with_queries = after.iter().rposition(|second| second.sent > 0).map_or(0, |last| last + 1);
+    let mut windows = after[..with_queries].windows(RECOVERED_SECONDS.min(with_queries.max(1)));
     windows.position(|window| window.iter().all(has_recovered))
 }
 
 /// The figures of a scenario's days by one policy. Ratios and shares are means over the days.
 #[derive(Clone, Debug)]
-pub struct ScenarioFigures {
+pub struct ScenarioSummary {
     pub service: f64,
     /// Service of the worst ten seconds.
     pub worst_window: f64,
@@ -77,23 +76,23 @@
     pub at_s: f64,
 }
 
-impl ScenarioFigures {
+impl ScenarioSummary {
     /// Of days whose last fault ends at this second.
-    pub fn of(days: &[DayResults], faults_end: usize) -> ScenarioFigures {
+    pub fn of(runs: &[RunResults], faults_end: usize) -> ScenarioSummary {
         let per_query =
-            |count: fn(&DayResults) -> u64| mean(days, |day| count(day) as f64 / day.queries.max(1) as f64);
-        ScenarioFigures {
-            service: mean(days, |day| day.service.share()),
-            worst_window: mean(days, DayResults::worst_window),
-            worst_tenant: mean(days, worst_tenant_service),
-            by_tenant: mean_service_by_tenant(days),
-            rejected_per_query: per_query(|day| day.rejected),
-            attempts_per_query: per_query(|day| day.attempts),
-            client_attempts_per_query: per_query(|day| day.client_attempts),
-            recovery: days.iter().map(|day| recovery_seconds(day, faults_end)).collect(),
-            broken_rules: broken_rules(days),
-            closest: closest_rule(days),
-            digests: days.iter().map(|day| day.short_digest().to_owned()).collect(),
+            |count: fn(&RunResults) -> u64| mean(runs, |run| count(run) as f64 / run.queries.max(1) as f64);
+        ScenarioSummary {
+            service: mean(runs, |run| run.service.share()),
+            worst_window: mean(runs, RunResults::worst_window),
+            worst_tenant: mean(runs, worst_tenant_service),
+            by_tenant: mean_service_by_tenant(runs),
+            rejected_per_query: per_query(|run| run.rejected),
+            attempts_per_query: per_query(|run| run.attempts),
+            client_attempts_per_query: per_query(|run| run.client_attempts),
+            recovery: runs.iter().map(|run| recovery_seconds(run, faults_end)).collect(),
+            broken_rules: broken_rules(runs),
+            closest: closest_rule(runs),
+            digests: runs.iter().map(|run| run.short_digest().to_owned()).collect(),
         }
     }
 
@@ -127,26 +126,26 @@
     }
 }
 
-fn mean(days: &[DayResults], figure: impl Fn(&DayResults) -> f64) -> f64 {
-    days.iter().map(figure).sum::<f64>() / days.len().max(1) as f64
+fn mean(runs: &[RunResults], figure: impl Fn(&RunResults) -> f64) -> f64 {
+    runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
 }
 
-fn worst_tenant_service(day: &DayResults) -> f64 {
-    day.by_tenant.iter().filter_map(|service| service.share_if_asked()).fold(1.0, f64::min)
+fn worst_tenant_service(run: &RunResults) -> f64 {
+    run.by_tenant.iter().filter_map(|service| service.share_if_any()).fold(1.0, f64::min)
 }
 
-fn mean_service_by_tenant(days: &[DayResults]) -> Vec<f64> {
-    let tenants = days.iter().map(|day| day.by_tenant.len()).max().unwrap_or(0);
+fn mean_service_by_tenant(runs: &[RunResults]) -> Vec<f64> {
+    let tenants = runs.iter().map(|run| run.by_tenant.len()).max().unwrap_or(0);
     let mean = |tenant: usize| {
         let shares: Vec<f64> =
-            days.iter().filter_map(|day| day.by_tenant.get(tenant)?.share_if_asked()).collect();
+            runs.iter().filter_map(|run| run.by_tenant.get(tenant)?.share_if_any()).collect();
         shares.iter().sum::<f64>() / shares.len().max(1) as f64
     };
     (0..tenants).map(mean).collect()
 }
 
-fn broken_rules(days: &[DayResults]) -> Vec<&'static str> {
-    let mut broken: Vec<&str> = days.iter().flat_map(|day| day.violations.keys().copied()).collect();
+fn broken_rules(runs: &[RunResults]) -> Vec<&'static str> {
+    let mut broken: Vec<&str> = runs.iter().flat_map(|run| run.violations.keys().copied()).collect();
     broken.sort_unstable();
     broken.dedup();
     broken
@@ -154,8 +153,8 @@
 
 /// The rule that came closest to its limit. Rules 1 and 5 are left out: rule 1 is at its limit whenever a
 /// client waits until its deadline.
-fn closest_rule(days: &[DayResults]) -> Option<ClosestRule> {
-    let rules = days.iter().flat_map(|day| &day.closest);
+fn closest_rule(runs: &[RunResults]) -> Option<ClosestRule> {
+    let rules = runs.iter().flat_map(|run| &run.closest);
     let compared = rules.filter(|(rule, _)| !rule.starts_with('1') && !rule.starts_with('5'));
     let (rule, closest) = compared.max_by(|a, b| a.1.ratio.total_cmp(&b.1.ratio))?;
     Some(ClosestRule { rule, ratio: closest.ratio, at_s: closest.at.as_ms() / 1000.0 })
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -5,12 +5,12 @@
 //! argument or scenario; 3 no figure, as the machine was too busy.
 
 use crate::report::{self, ReportError};
-use crate::results::DayResults;
-use crate::scenario_day::ScenarioDay;
-use crate::scenario_figures::{ClosestRule, MeanWithInterval, SCENARIO_WIDTH, ScenarioFigures};
+use crate::run_results::RunResults;
 use crate::scenario_files::read_scenarios;
+use crate::scenario_run::ScenarioRun;
+use crate::scenario_summary::{ClosestRule, MeanWithInterval, SCENARIO_WIDTH, ScenarioSummary};
 use crate::simulation::RoutingPolicy;
-use crate::socket_comparison::{ComparisonError, DayComparison, MAX_SERVICE_DIFFERENCE};
+use crate::socket_comparison::{ComparisonError, MAX_SERVICE_DIFFERENCE, RunComparison};
 use clap::Args;
 use fault_scenarios::Scenario;
 use rayon::prelude::*;
@@ -20,7 +20,7 @@
 
 const EXIT_RULE_BROKEN: u8 = 1;
 const EXIT_WRONG_ARGUMENTS: u8 = 2;
-const EXIT_NO_FIGURE: u8 = 3;
+const EXIT_NO_RESULT: u8 = 3;
 
 /// Which days are played, by which policy.
 #[derive(Args, Clone)]
@@ -67,8 +67,8 @@
         (self.seed..self.seed + self.seeds.max(1)).collect()
     }
 
-    fn day<'a>(&self, scenario: &'a Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioDay<'a> {
-        ScenarioDay {
+    fn day<'a>(&self, scenario: &'a Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'a> {
+        ScenarioRun {
             scenario,
             nodes: self.nodes.max(1),
             brokers: self.brokers.max(1),
@@ -105,7 +105,7 @@
     }
     let keeps_rules = rows.iter().all(|row| row.figures.broken_rules.is_empty());
     // Only the product has to keep the rules; a baseline shows what happens without it.
-    let passes = keeps_rules || args.policy != RoutingPolicy::Module;
+    let passes = keeps_rules || args.policy != RoutingPolicy::Product;
     if passes { ExitCode::SUCCESS } else { ExitCode::from(EXIT_RULE_BROKEN) }
 }
 
@@ -115,7 +115,7 @@
 }
 
 /// The days of each scenario: all seeds by the policy, then all by the one that it is compared with.
-fn simulate_all(scenarios: &[Scenario], args: &SimulateArgs) -> Vec<DayResults> {
+fn simulate_all(scenarios: &[Scenario], args: &SimulateArgs) -> Vec<RunResults> {
     let policies: Vec<RoutingPolicy> = std::iter::once(args.policy).chain(args.against).collect();
     let seeds = args.seeds();
     let mut days = Vec::new();
@@ -130,7 +130,7 @@
 /// The results of a scenario.
 struct ScenarioRow<'a> {
     scenario: &'a Scenario,
-    figures: ScenarioFigures,
+    figures: ScenarioSummary,
     /// None if the policy is compared with no other.
     comparison: Option<PolicyComparison>,
 }
@@ -138,7 +138,7 @@
 /// The same days by another policy.
 struct PolicyComparison {
     against: RoutingPolicy,
-    figures: ScenarioFigures,
+    figures: ScenarioSummary,
     /// How much more service the first policy had.
     difference: MeanWithInterval,
 }
@@ -180,25 +180,25 @@
 
 fn scenario_rows<'a>(
     scenarios: &'a [Scenario],
-    days: &[DayResults],
+    days: &[RunResults],
     args: &SimulateArgs,
 ) -> Vec<ScenarioRow<'a>> {
     let policies = if args.against.is_some() { 2 } else { 1 };
     let seeds = args.seeds().len();
-    let row = |(scenario, days): (&'a Scenario, &[DayResults])| {
+    let row = |(scenario, days): (&'a Scenario, &[RunResults])| {
         let (own, compared) = days.split_at(seeds);
         let faults_end = args.day(scenario, 0, args.policy).faults_end();
         let comparison = args.against.map(|against| PolicyComparison {
             against,
-            figures: ScenarioFigures::of(compared, faults_end),
+            figures: ScenarioSummary::of(compared, faults_end),
             difference: service_difference(own, compared),
         });
-        ScenarioRow { scenario, figures: ScenarioFigures::of(own, faults_end), comparison }
+        ScenarioRow { scenario, figures: ScenarioSummary::of(own, faults_end), comparison }
     };
     scenarios.iter().zip(days.chunks(seeds * policies)).map(row).collect()
 }
 
-fn service_difference(own: &[DayResults], compared: &[DayResults]) -> MeanWithInterval {
+fn service_difference(own: &[RunResults], compared: &[RunResults]) -> MeanWithInterval {
     let pairs = own.iter().zip(compared);
     let differences: Vec<f64> = pairs.map(|(a, b)| a.service.share() - b.service.share()).collect();
     MeanWithInterval::of(&differences)
@@ -239,7 +239,7 @@
 
 fn write_report(
     path: &Path,
-    day: &DayResults,
+    day: &RunResults,
     scenario: &str,
     args: &SimulateArgs,
 ) -> Result<(), ReportError> {
@@ -250,12 +250,12 @@
 
 fn exit_code_of(error: &ComparisonError) -> u8 {
     match error {
-        ComparisonError::NotOnSockets(_) => EXIT_WRONG_ARGUMENTS,
-        ComparisonError::NoFigure { .. } => EXIT_NO_FIGURE,
+        ComparisonError::UnsupportedOnSockets(_) => EXIT_WRONG_ARGUMENTS,
+        ComparisonError::Loopback { .. } => EXIT_NO_RESULT,
     }
 }
 
-fn print_comparison(day: &DayComparison, scenario: &str, seed: u64) {
+fn print_comparison(day: &RunComparison, scenario: &str, seed: u64) {
     println!(
         "{scenario:<SCENARIO_WIDTH$} {seed:>5} {:>12.4} {:>9.4} {:>+10.4}  {}",
         day.virtual_time.service.share(),
@@ -265,7 +265,7 @@
     );
 }
 
-fn comparison_json(day: &DayComparison, scenario: &str, seed: u64) -> Value {
+fn comparison_json(day: &RunComparison, scenario: &str, seed: u64) -> Value {
     json!({
         "scenario": scenario,
         "seed": seed,
@@ -289,7 +289,7 @@
     let mut rows = Vec::new();
     for scenario in scenarios {
         for seed in args.seeds() {
-            let day = match DayComparison::play(&args.day(scenario, seed, args.policy)) {
+            let day = match RunComparison::run(&args.day(scenario, seed, args.policy)) {
                 Ok(day) => day,
                 Err(error) => return fail(&error, exit_code_of(&error)),
             };
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -15,22 +15,22 @@
 };
 
 /// What decides for a broker.
-enum Decider {
-    Module(Box<Broker>),
+enum RoutingEngine {
+    Product(Box<Broker>),
     Admitted(Box<AdmittedBroker>),
     Baseline(Box<Baseline>),
 }
 
-impl Decider {
-    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Timestamp) -> Decider {
-        let baseline = |policy| Decider::Baseline(Box::new(Baseline::new(policy, config, seed)));
-        let module = || Broker::start(config.clone(), seed, now);
+impl RoutingEngine {
+    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Timestamp) -> RoutingEngine {
+        let baseline = |policy| RoutingEngine::Baseline(Box::new(Baseline::new(policy, config, seed)));
+        let broker = || Broker::start(config.clone(), seed, now);
         match policy {
-            RoutingPolicy::Module => Decider::Module(Box::new(module())),
+            RoutingPolicy::Product => RoutingEngine::Product(Box::new(broker())),
             RoutingPolicy::AdmissionController => {
                 let controller = AdmissionController::new(AdmissionConfig::default(), config)
                     .unwrap_or_else(|_| unreachable!("the default admission configuration is valid"));
-                Decider::Admitted(Box::new(AdmittedBroker::new(controller, module())))
+                RoutingEngine::Admitted(Box::new(AdmittedBroker::new(controller, broker())))
             }
             RoutingPolicy::Random => baseline(BaselinePolicy::Random),
             RoutingPolicy::Design => baseline(BaselinePolicy::Design),
@@ -39,16 +39,16 @@
 
     fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         match self {
-            Decider::Module(module) => module.turn(now, inputs),
-            Decider::Admitted(admitted) => admitted.turn(now, inputs),
-            Decider::Baseline(baseline) => baseline.turn(now, inputs),
+            RoutingEngine::Product(broker) => broker.turn(now, inputs),
+            RoutingEngine::Admitted(admitted) => admitted.turn(now, inputs),
+            RoutingEngine::Baseline(baseline) => baseline.turn(now, inputs),
         }
     }
 }
 
 /// A broker and its turns.
 pub(super) struct SimulatedBroker {
-    decider: Decider,
+    engine: RoutingEngine,
     /// Inputs since its last turn.
     inputs: Vec<Input>,
     last_turn: Timestamp,
@@ -71,8 +71,8 @@
         seed: u64,
         now: Timestamp,
     ) -> SimulatedBroker {
-        let decider = Decider::new(policy, config, seed, now);
-        SimulatedBroker { decider, inputs: Vec::new(), last_turn: now, next_turn: None, wake_at: None }
+        let engine = RoutingEngine::new(policy, config, seed, now);
+        SimulatedBroker { engine, inputs: Vec::new(), last_turn: now, next_turn: None, wake_at: None }
     }
 }
 
@@ -102,10 +102,10 @@
         let mut inputs = std::mem::take(&mut state.inputs);
         self.update_time_left(&mut inputs);
         inputs.push(Input::Woken);
-        for effect in self.brokers[broker].decider.turn(now, &inputs) {
+        for effect in self.brokers[broker].engine.turn(now, &inputs) {
             let line = format!("{} {broker} {effect:?}\n", now.0);
             self.hasher.update(line.as_bytes());
-            self.carry_out(broker, effect);
+            self.apply_effect(broker, effect);
         }
         // An earlier turn may have taken the place of the one that a wake-up was scheduled for; the decider
         // requests a wake-up only once.
@@ -125,7 +125,7 @@
         }
     }
 
-    fn carry_out(&mut self, broker: usize, effect: Effect) {
+    fn apply_effect(&mut self, broker: usize, effect: Effect) {
         match effect {
             Effect::Send { shard_request, node, timeout } => {
                 self.send_attempt(broker, shard_request, node, timeout);
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of a simulation: they send queries, retry, and leave.
 
-use crate::results::QueryOrigin;
+use crate::run_results::QueryOrigin;
 use crate::simulation::Simulation;
 use crate::simulation::deployment::TURN_PERIOD;
 use crate::simulation::event::Event;
--- a/crates/broker-bench/src/simulation/config.rs
+++ b/crates/broker-bench/src/simulation/config.rs
@@ -10,7 +10,7 @@
 pub enum RoutingPolicy {
     /// The product's routing decisions.
     #[value(name = "product", alias = "module")]
-    Module,
+    Product,
     /// Each shard request to a replica drawn at random, once.
     Random,
     /// The design's ordinary path, without the exceptions that the product makes.
@@ -25,7 +25,7 @@
     /// The policy as JSON figures name it. Scripts read these words, so they stay.
     pub fn key(self) -> &'static str {
         match self {
-            RoutingPolicy::Module => "Module",
+            RoutingPolicy::Product => "Module",
             RoutingPolicy::Random => "Random",
             RoutingPolicy::Design => "Design",
             RoutingPolicy::AdmissionController => "Door",
@@ -37,7 +37,7 @@
     /// As the command line names it.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            RoutingPolicy::Module => "product",
+            RoutingPolicy::Product => "product",
             RoutingPolicy::Random => "random",
             RoutingPolicy::Design => "design",
             RoutingPolicy::AdmissionController => "admission-control",
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -2,7 +2,7 @@
 //! sockets. [`super::settings_text`] has the same for brokers that read a text.
 
 use crate::invariants::{ClassLimits, InvariantLimits};
-use crate::results::ClassValue;
+use crate::run_results::ClassObjective;
 use crate::simulation::config::SimulationConfig;
 use cluster_trace::plan::{ClassIdempotency, ClassSpec, ReplayConfig};
 use node_emulator::{EmulatedNode, NodeSpec, NodeState};
@@ -186,8 +186,8 @@
 }
 
 /// What queries of each class are worth.
-pub fn class_values(replay: &ReplayConfig) -> Vec<ClassValue> {
-    let value = |class: &ClassSpec| ClassValue {
+pub fn class_objectives(replay: &ReplayConfig) -> Vec<ClassObjective> {
+    let value = |class: &ClassSpec| ClassObjective {
         name: class.name.clone(),
         priority_weight: class.priority_weight,
         latency_objective: latency_objective_of(class),
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::fault_injector::MessageDirection;
 use crate::invariants::{PublishedState, ShardRequestIndex};
-use crate::results::NodeCounts;
+use crate::run_results::NodeCounts;
 use crate::simulation::Simulation;
 use crate::simulation::deployment::{self, ENDPOINT_LIST_DELAY, ONE_WAY_LATENCY};
 use crate::simulation::event::{AttemptKey, Event};
@@ -65,7 +65,7 @@
             false => self.nodes[node].submit_counted_as(self.now, job, work_us, warm_up_us),
         };
         if self.nodes[node].is_warming_up(self.now) {
-            self.invariants.node_strained(self.now, self.nodes[node].overload_ratio());
+            self.invariants.warming_node_loaded(self.now, self.nodes[node].overload_ratio());
         }
         let outcome = match submitted {
             SubmitOutcome::Started | SubmitOutcome::Queued => return self.accept_attempt(key, node, job),
--- a/crates/broker-bench/src/simulation/runner.rs
+++ b/crates/broker-bench/src/simulation/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::fault_injector::FaultInjector;
 use crate::invariants::{InvariantChecker, PublishedState};
-use crate::results::{DayResults, NodeCounts, QueryOrigin};
+use crate::run_results::{NodeCounts, QueryOrigin, RunResults};
 use crate::simulation::brokers::SimulatedBroker;
 use crate::simulation::config::{FaultSchedule, SimulationConfig};
 use crate::simulation::deployment::{self, ONE_WAY_LATENCY};
@@ -83,7 +83,7 @@
     pub(super) mean_work_us: Vec<u64>,
     pub(super) hasher: blake3::Hasher,
     pub(super) invariants: InvariantChecker,
-    pub(super) results: DayResults,
+    pub(super) results: RunResults,
 }
 
 impl Simulation {
@@ -144,14 +144,14 @@
             plan,
             hasher: blake3::Hasher::new(),
             invariants: InvariantChecker::new(limits, config.brokers as usize),
-            results: DayResults::new(deployment::class_values(replay), replay.tenant_weights.len()),
+            results: RunResults::new(deployment::class_objectives(replay), replay.tenant_weights.len()),
             config,
         };
-        simulation.schedule_day();
+        simulation.schedule_initial_events();
         simulation
     }
 
-    fn schedule_day(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for (index, entry) in self.plan.entries.iter().enumerate() {
             self.queue.schedule(Timestamp(entry.at as i64), Event::PlanEntry(index));
         }
@@ -161,10 +161,10 @@
         self.queue.schedule(Timestamp(0), Event::SecondEnds);
     }
 
-    /// Plays to the end, until nothing is to happen any more that can matter; or until `goes_on`, which gets
+    /// Plays to the end, until nothing is to happen any more that can matter; or until `should_continue`, which gets
     /// the time and the day's end, says no. It is called once for each second of the day. The results of a
     /// day that is broken off are marked as partial, and queries open then break no rule.
-    pub fn run(mut self, mut goes_on: impl FnMut(Timestamp, Timestamp) -> bool) -> DayResults {
+    pub fn run(mut self, mut should_continue: impl FnMut(Timestamp, Timestamp) -> bool) -> RunResults {
         let last = Timestamp(self.plan.entries.last().map_or(0, |entry| entry.at) as i64);
         while let Some((at, event)) = self.queue.pop() {
             if at > last + TIME_AFTER_LAST_ENTRY {
@@ -173,7 +173,7 @@
             self.now = at;
             self.results.events += 1;
             if event == Event::SecondEnds {
-                if !goes_on(at.min(last), last) {
+                if !should_continue(at.min(last), last) {
                     self.results.stopped_at = Some(at);
                     break;
                 }
@@ -185,7 +185,7 @@
         self.finish()
     }
 
-    fn finish(mut self) -> DayResults {
+    fn finish(mut self) -> RunResults {
         if self.results.stopped_at.is_none() {
             self.invariants.finish(self.now);
             self.invariants.check_conservation(self.now, &self.results.query_counts());
--- a/crates/broker-bench/src/simulation/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -1,6 +1,6 @@
 //! Days in virtual time: the rules hold under faults and overload, and each day is the same by its seed.
 
-use crate::results::DayResults;
+use crate::run_results::RunResults;
 use crate::simulation::deployment::LATENCY_OBJECTIVE;
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use cluster_trace::plan::{
@@ -84,20 +84,20 @@
     policy: RoutingPolicy,
     queries_per_s: u64,
     node_events: &[(u64, u32, PlannedNodeEvent)],
-) -> DayResults {
+) -> RunResults {
     Simulation::new(plan(queries_per_s, node_events), &replay_config(), config(policy)).run(|_, _| true)
 }
 
 #[rstest]
 fn the_same_plan_has_the_same_decisions() {
-    let (one, other) = (play(RoutingPolicy::Module, 100, &[]), play(RoutingPolicy::Module, 100, &[]));
+    let (one, other) = (play(RoutingPolicy::Product, 100, &[]), play(RoutingPolicy::Product, 100, &[]));
     assert_eq!(one.json(), other.json());
 }
 
 /// Within what the nodes can do all is served, and no rule is broken.
 #[rstest]
 fn serves_all_without_faults() {
-    let results = play(RoutingPolicy::Module, 100, &[]);
+    let results = play(RoutingPolicy::Product, 100, &[]);
     assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
     assert_eq!(results.responded, 1200);
 }
@@ -111,7 +111,7 @@
     let mut events: Vec<_> = lost.iter().map(|node| (40_000, *node, PlannedNodeEvent::Stop)).collect();
     events.extend(lost.iter().map(|node| (70_000, *node, PlannedNodeEvent::StartCold)));
     events.extend([(90_000, 1, PlannedNodeEvent::Drain), (110_000, 1, PlannedNodeEvent::Stop)]);
-    let results = play(RoutingPolicy::Module, 100, &events);
+    let results = play(RoutingPolicy::Product, 100, &events);
     assert!(results.violations.is_empty(), "{}", results.json());
     assert!(results.service.share() > 0.5, "{}", results.json());
 }
@@ -120,7 +120,7 @@
 /// than by replicas chosen at random.
 #[rstest]
 fn rejects_at_once_under_overload() {
-    let (module, random) = (play(RoutingPolicy::Module, 600, &[]), play(RoutingPolicy::Random, 600, &[]));
+    let (module, random) = (play(RoutingPolicy::Product, 600, &[]), play(RoutingPolicy::Random, 600, &[]));
     assert!(module.violations.is_empty(), "{}", module.json());
     assert!(
         module.rejected > 0 && module.service.share() > random.service.share(),
@@ -133,7 +133,7 @@
 /// Broken off, it tells what was played as partial, and holds nothing that was open against anybody.
 #[rstest]
 fn tells_what_was_played_when_broken_off() {
-    let results = Simulation::new(plan(100, &[]), &replay_config(), config(RoutingPolicy::Module))
+    let results = Simulation::new(plan(100, &[]), &replay_config(), config(RoutingPolicy::Product))
         .run(|now, _| now < Timestamp(50_000));
     assert_eq!(results.stopped_at, Some(Timestamp(50_000)));
     assert!(results.violations.is_empty() && results.queries < 500, "{}", results.json());
@@ -147,7 +147,7 @@
     let mut sudden = plan(250, &[]);
     let is_query = |entry: &PlanEntry| matches!(entry.event, PlanEvent::Query { .. });
     sudden.entries.iter_mut().filter(|entry| is_query(entry)).for_each(|entry| entry.at = 10_000);
-    let results = Simulation::new(sudden, &replay_config(), config(RoutingPolicy::Module)).run(|_, _| true);
+    let results = Simulation::new(sudden, &replay_config(), config(RoutingPolicy::Product)).run(|_, _| true);
     assert!(results.violations.is_empty() && results.queries == 3000, "{}", results.json());
     assert_eq!(results.responded + results.rejected + results.failed, 3000);
     assert!(results.rejected > 0 && results.slowest_rejection < LATENCY_OBJECTIVE, "{}", results.json());
@@ -188,7 +188,7 @@
     entries.sort_by_key(|entry| entry.at);
     let plan =
         Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 };
-    let config = SimulationConfig { brokers, placement_groups: 8, ..config(RoutingPolicy::Module) };
+    let config = SimulationConfig { brokers, placement_groups: 8, ..config(RoutingPolicy::Product) };
     let results =
         Simulation::new(plan, &ReplayConfig { nodes, shards, ..replay_config() }, config).run(|_, _| true);
     assert!(results.violations.is_empty() && results.service.share() > 0.6, "{}", results.json());
--- a/crates/broker-bench/src/simulation_benchmark.rs
+++ b/crates/broker-bench/src/simulation_benchmark.rs
@@ -4,12 +4,12 @@
 
 use crate::benchmark_error::BenchmarkError;
 use crate::process_memory::peak_memory_kb;
-use crate::results::DayResults;
-use crate::scenario_day::ScenarioDay;
-use crate::scenario_figures::{SCENARIO_WIDTH, ScenarioFigures};
+use crate::run_results::RunResults;
 use crate::scenario_files::read_library_scenario;
+use crate::scenario_run::ScenarioRun;
+use crate::scenario_summary::{SCENARIO_WIDTH, ScenarioSummary};
 use crate::simulation::RoutingPolicy;
-use crate::socket_comparison::DayComparison;
+use crate::socket_comparison::RunComparison;
 use fault_scenarios::{LIBRARY, LibraryScenario, Scenario};
 use rayon::prelude::*;
 use serde_json::{Value, json};
@@ -44,13 +44,13 @@
 /// How many times as much an event may cost at the large size: the cost is to be nearly linear in events.
 const MAX_COST_RATIO: f64 = 4.0;
 
-fn day(scenario: &Scenario, size: ClusterDimensions, seed: u64, policy: RoutingPolicy) -> ScenarioDay<'_> {
+fn day(scenario: &Scenario, size: ClusterDimensions, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'_> {
     let ClusterDimensions { nodes, brokers } = size;
-    ScenarioDay { scenario, nodes, brokers, zones: ZONES, seed, policy }
+    ScenarioRun { scenario, nodes, brokers, zones: ZONES, seed, policy }
 }
 
 /// The cost of one day on one thread.
-struct DayCost {
+struct RunCost {
     events: u64,
     events_per_s: f64,
     seconds: f64,
@@ -59,11 +59,11 @@
     peak_memory_kb: f64,
 }
 
-impl DayCost {
-    fn measure(size: ClusterDimensions) -> Result<DayCost, BenchmarkError> {
+impl RunCost {
+    fn measure(size: ClusterDimensions) -> Result<RunCost, BenchmarkError> {
         let scenario = read_library_scenario(LARGE_SCENARIO)?;
         let start = Instant::now();
-        let results = day(&scenario, size, FIRST_SEED, RoutingPolicy::Module).simulate();
+        let results = day(&scenario, size, FIRST_SEED, RoutingPolicy::Product).simulate();
         let seconds = start.elapsed().as_secs_f64();
         let events_per_s = results.events as f64 / seconds;
         println!(
@@ -74,7 +74,7 @@
             results.service.share()
         );
         let keeps_rules = results.violations.is_empty();
-        Ok(DayCost {
+        Ok(RunCost {
             events: results.events,
             events_per_s,
             seconds,
@@ -98,10 +98,10 @@
 /// The size of the day that is played in virtual time and on sockets.
 const COMPARED_SIZE: ClusterDimensions = ClusterDimensions { nodes: 12, brokers: 4 };
 
-fn compare_with_sockets(seed: u64) -> Result<DayComparison, BenchmarkError> {
+fn compare_with_sockets(seed: u64) -> Result<RunComparison, BenchmarkError> {
     let scenario = read_library_scenario(LARGE_SCENARIO)?;
     let start = Instant::now();
-    let comparison = DayComparison::play(&day(&scenario, COMPARED_SIZE, seed, RoutingPolicy::Module))?;
+    let comparison = RunComparison::run(&day(&scenario, COMPARED_SIZE, seed, RoutingPolicy::Product))?;
     println!(
         "{LARGE_SCENARIO}, {} nodes, {} brokers, seed {seed}: virtual time {:.4}, loopback sockets {:.4}, {:.1} s",
         COMPARED_SIZE.nodes,
@@ -113,7 +113,7 @@
     Ok(comparison)
 }
 
-fn comparison_json(comparison: &DayComparison) -> Value {
+fn comparison_json(comparison: &RunComparison) -> Value {
     json!({
         "virtual": comparison.virtual_time.service.share(),
         "sockets": comparison.sockets.service.share(),
@@ -125,10 +125,10 @@
 /// The figures of one scenario by each policy.
 struct ScenarioRow {
     name: &'static str,
-    product: ScenarioFigures,
-    design: ScenarioFigures,
+    product: ScenarioSummary,
+    design: ScenarioSummary,
     /// By the product behind admission control.
-    admitted: ScenarioFigures,
+    admitted: ScenarioSummary,
 }
 
 impl ScenarioRow {
@@ -140,12 +140,12 @@
         let scenario = read_library_scenario(name)?;
         let simulate = |policy| {
             let days = seeds.par_iter().map(|seed| day(&scenario, size, *seed, policy).simulate());
-            let days: Vec<DayResults> = days.collect();
-            ScenarioFigures::of(&days, day(&scenario, size, 0, policy).faults_end())
+            let days: Vec<RunResults> = days.collect();
+            ScenarioSummary::of(&days, day(&scenario, size, 0, policy).faults_end())
         };
         Ok(ScenarioRow {
             name,
-            product: simulate(RoutingPolicy::Module),
+            product: simulate(RoutingPolicy::Product),
             design: simulate(RoutingPolicy::Design),
             admitted: simulate(RoutingPolicy::AdmissionController),
         })
@@ -243,8 +243,8 @@
 /// Measures and prints; returns whether all bounds were kept.
 pub fn measure(sizes: &SimulationSizes) -> Result<bool, BenchmarkError> {
     let comparison = compare_with_sockets(FIRST_SEED)?;
-    let small = DayCost::measure(sizes.small)?;
-    let large = DayCost::measure(sizes.large)?;
+    let small = RunCost::measure(sizes.small)?;
+    let large = RunCost::measure(sizes.large)?;
     let seeds: Vec<u64> = (FIRST_SEED..FIRST_SEED + sizes.seeds).collect();
     let rows = measure_scenarios(sizes.small, &seeds)?;
     let means = MeanServices::of(&rows);
--- a/crates/broker-bench/src/socket_comparison.rs
+++ b/crates/broker-bench/src/socket_comparison.rs
@@ -1,8 +1,8 @@
 //! One day of a scenario in virtual time and on loopback sockets, from the same plan.
 
 use crate::loopback;
-use crate::results::DayResults;
-use crate::scenario_day::{NotOnSockets, ScenarioDay, SocketDay};
+use crate::run_results::RunResults;
+use crate::scenario_run::{ScenarioRun, SocketRun, UnsupportedOnSockets};
 use crate::simulation::Simulation;
 use thiserror::Error;
 
@@ -15,29 +15,30 @@
 #[derive(Debug, Error)]
 pub enum ComparisonError {
     #[error(transparent)]
-    NotOnSockets(#[from] NotOnSockets),
+    UnsupportedOnSockets(#[from] UnsupportedOnSockets),
     #[error("{scenario}: {source}")]
-    NoFigure { scenario: String, source: loopback::NoFigure },
+    Loopback { scenario: String, source: loopback::LoopbackError },
 }
 
 /// The results of a day in virtual time and on sockets.
-pub struct DayComparison {
-    pub virtual_time: DayResults,
-    pub sockets: DayResults,
+pub struct RunComparison {
+    pub virtual_time: RunResults,
+    pub sockets: RunResults,
 }
 
-impl DayComparison {
+impl RunComparison {
     /// Plays the day both ways.
     ///
     /// # Errors
     ///
     /// The scenario has a fault that sockets can't play, or the machine was too busy for a figure.
-    pub fn play(day: &ScenarioDay) -> Result<DayComparison, ComparisonError> {
-        let SocketDay { plan, replay, config } = day.for_sockets()?;
+    pub fn run(scenario_run: &ScenarioRun) -> Result<RunComparison, ComparisonError> {
+        let SocketRun { plan, replay, config } = scenario_run.to_socket_run()?;
         let virtual_time = Simulation::new(plan.clone(), &replay, config.clone()).run(|_, _| true);
-        let sockets = loopback::play(plan, &replay, config, |_, _| true)
-            .map_err(|source| ComparisonError::NoFigure { scenario: day.scenario.name.clone(), source })?;
-        Ok(DayComparison { virtual_time, sockets })
+        let sockets = loopback::run(plan, &replay, config, |_, _| true).map_err(|source| {
+            ComparisonError::Loopback { scenario: scenario_run.scenario.name.clone(), source }
+        })?;
+        Ok(RunComparison { virtual_time, sockets })
     }
 
     /// How much more service the day had on sockets.
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -3,7 +3,7 @@
 //! Exit codes: 0 no rule broken; 1 a rule was broken, or there is no plan; 2 a wrong argument, or a file that
 //! can't be opened; 3 no figure, as the machine was too busy; 4 interrupted.
 
-use crate::results::{DayResults, TENTHS_PER_S};
+use crate::run_results::{RunResults, TENTHS_PER_S};
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use crate::trace_plan::{PlanArgs, ReadPlan, read_plan};
 use crate::{loopback, report};
@@ -20,7 +20,7 @@
 
 const EXIT_RULE_BROKEN: u8 = 1;
 const EXIT_WRONG_ARGUMENTS: u8 = 2;
-const EXIT_NO_FIGURE: u8 = 3;
+const EXIT_NO_RESULT: u8 = 3;
 const EXIT_INTERRUPTED: u8 = 4;
 
 /// A figure that is printed, and its key in the JSON object.
@@ -114,7 +114,7 @@
 
 /// Plays a plan, and prints the results.
 pub fn run_plan(plan: Plan, rejected_rows: u64, args: &RunArgs) -> ExitCode {
-    if args.loopback && args.policy != RoutingPolicy::Module {
+    if args.loopback && args.policy != RoutingPolicy::Product {
         eprintln!(
             "broker-bench: brokers on loopback sockets always decide by the product: --loopback has no --policy"
         );
@@ -125,7 +125,7 @@
         Ok(results) => results,
         Err(error) => {
             eprintln!("broker-bench: no figure: {error}");
-            return ExitCode::from(EXIT_NO_FIGURE);
+            return ExitCode::from(EXIT_NO_RESULT);
         }
     };
     let mut figures = results.json();
@@ -148,23 +148,23 @@
     match results.stopped_at {
         Some(_) => ExitCode::from(EXIT_INTERRUPTED),
         // Only the product has to keep the rules; a baseline shows what happens without it.
-        None if results.violations.is_empty() || args.policy != RoutingPolicy::Module => ExitCode::SUCCESS,
+        None if results.violations.is_empty() || args.policy != RoutingPolicy::Product => ExitCode::SUCCESS,
         None => ExitCode::from(EXIT_RULE_BROKEN),
     }
 }
 
 /// Plays a plan to its end, or until the user interrupts it.
-fn play(plan: Plan, args: &RunArgs) -> Result<DayResults, loopback::NoFigure> {
+fn play(plan: Plan, args: &RunArgs) -> Result<RunResults, loopback::LoopbackError> {
     let (config, replay) = (args.simulation_config(), args.plan.replay_config());
     let is_interrupted = interrupt_flag();
     let bar = progress_bar(Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64));
-    let goes_on = |now: Timestamp, _| {
+    let should_continue = |now: Timestamp, _| {
         bar.set_position((now.0 / TENTHS_PER_S) as u64);
         !is_interrupted.load(Ordering::Relaxed)
     };
     let results = match args.loopback {
-        true => loopback::play(plan, &replay, config, goes_on),
-        false => Ok(Simulation::new(plan, &replay, config).run(goes_on)),
+        true => loopback::run(plan, &replay, config, should_continue),
+        false => Ok(Simulation::new(plan, &replay, config).run(should_continue)),
     };
     bar.finish_and_clear();
     results
@@ -185,7 +185,7 @@
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-fn print_results(results: &DayResults, figures: &Value, args: &RunArgs) {
+fn print_results(results: &RunResults, figures: &Value, args: &RunArgs) {
     println!("{}", args.title());
     if let Some(at) = results.stopped_at {
         println!(
--- a/crates/broker-bench/src/traffic.rs
+++ b/crates/broker-bench/src/traffic.rs
@@ -53,7 +53,7 @@
 }
 
 /// The plan of a day: all nodes are there and warm, and clients send queries for so many seconds.
-pub fn plan_day(replay: &ReplayConfig, actions: &[ScheduledAction], seconds: f64) -> Plan {
+pub fn build_plan(replay: &ReplayConfig, actions: &[ScheduledAction], seconds: f64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(replay.seed ^ RNG_STREAM);
     let traffic_actions: Vec<ScheduledAction> = actions.iter().copied().filter(changes_traffic).collect();
     let start = |node| {
