--- a/crates/broker-bench/src/fault_injector.rs
+++ b/crates/broker-bench/src/fault_injector.rs
@@ -1,43 +1,43 @@
-//! What the faults of a day add up to at a time: the state of nodes, networks and discovery, and what clients
-//! send. Decisions and state only; [`crate::simulation`] carries them out.
+//! Tracks the active faults of a run: the state of nodes, networks and discovery, and the traffic of clients. It
+//! holds state and takes decisions only; [`crate::simulation`] applies them.
 
 use fault_scenarios::{ActiveFaults, ClusterSize, Direction, FaultAction, NodeTransition};
 use routing::TimeSpan;
 
-/// What is to be done as a fault begins or ends.
+/// A change that the simulation has to apply as a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEffect {
-    /// The node's process changes.
+    /// The node's process starts, stops or drains.
     ChangeNode { node: usize, transition: NodeTransition },
-    /// The node works at this share of its speed.
+    /// The node works at this fraction of its speed.
     SetSpeed { node: usize, speed_factor: f64 },
-    /// The node's pauses begin.
+    /// The node's process begins to pause periodically.
     BeginPauses { node: usize },
-    /// The node answers nothing: what it has is lost, and nobody is notified.
-    Silence { node: usize },
-    /// The node starts again after it was silent.
-    EndSilence { node: usize },
-    /// Discovery publishes again.
+    /// The node stops answering: its jobs are lost, and no broker is notified.
+    BecomeUnresponsive { node: usize },
+    /// The node restarts after it was unresponsive.
+    BecomeResponsive { node: usize },
+    /// Discovery is up again and sends the endpoint list to all brokers.
     RepublishEndpoints,
-    /// The broker restarts without any state.
+    /// The broker restarts and loses its state.
     RestartBroker { broker: usize },
 }
 
-/// The direction of a message between a broker and a node.
+/// Direction of a message between a broker and a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageDirection {
     ToNode,
     FromNode,
 }
 
-/// Faults of the network between the brokers and one node, in one direction.
+/// Network faults between the brokers and one node, in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct NetworkFaults {
     partitions: u32,
     added_delay: TimeSpan,
 }
 
-/// Faults of the network between the brokers and one node.
+/// Network faults between the brokers and one node, in both directions.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeNetworkFaults {
     to_node: NetworkFaults,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Those of the directions that a fault affects.
+    /// Returns the faults of the directions that a fault affects.
     fn affected_by(&mut self, direction: Direction) -> impl Iterator<Item = &mut NetworkFaults> {
         let to_node = direction.includes_to_node().then_some(&mut self.to_node);
         let from_node = direction.includes_from_node().then_some(&mut self.from_node);
@@ -60,41 +60,41 @@
     }
 }
 
-/// Applies the scheduled faults of a day.
+/// Applies the scheduled faults of a run and answers questions about those that are active.
 pub struct FaultInjector {
     cluster: ClusterSize,
-    near_latency: TimeSpan,
-    far_latency: TimeSpan,
-    /// The active faults of each node.
+    intra_zone_latency: TimeSpan,
+    cross_zone_latency: TimeSpan,
+    /// Active faults, indexed by node.
     pub active_faults: Vec<ActiveFaults>,
-    /// By node.
+    /// Network faults, indexed by node.
     network_faults: Vec<NodeNetworkFaults>,
     endpoint_list_delay: TimeSpan,
     endpoint_list_outages: u32,
     query_of_death_share: f64,
-    /// The share of the queries that goes to one broker.
+    /// Share of the queries that go to [`SKEWED_BROKER`].
     skewed_share: f64,
     rng: fastrand::Rng,
 }
 
-/// Keeps the injector's random numbers apart from those of other parts with the same seed.
+/// XORed with the seed, so that the injector does not share random numbers with other generators of that seed.
 const RNG_STREAM: u64 = 0x3ea7;
-/// The broker that skewed traffic goes to.
+/// Index of the broker that receives skewed traffic.
 const SKEWED_BROKER: usize = 0;
 
 impl FaultInjector {
-    /// An injector without active faults; one-way latencies within a zone and between zones.
+    /// Returns an injector without active faults. The latencies are one-way, within a zone and between zones.
     pub fn new(
         cluster: ClusterSize,
-        near_latency: TimeSpan,
-        far_latency: TimeSpan,
+        intra_zone_latency: TimeSpan,
+        cross_zone_latency: TimeSpan,
         seed: u64,
     ) -> FaultInjector {
         let nodes = cluster.nodes as usize;
         FaultInjector {
             cluster,
-            near_latency,
-            far_latency,
+            intra_zone_latency,
+            cross_zone_latency,
             active_faults: vec![ActiveFaults::default(); nodes],
             network_faults: vec![NodeNetworkFaults::default(); nodes],
             endpoint_list_delay: TimeSpan::ZERO,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// How long a message takes; none: it is lost.
+    /// Returns the latency of a message, or `None` if a fault drops it.
     pub fn latency(&self, broker: usize, node: usize, direction: MessageDirection) -> Option<TimeSpan> {
         let faults = self.network_faults[node].in_direction(direction);
         if faults.partitions > 0 || self.active_faults[node].is_unresponsive() {
@@ -113,42 +113,42 @@
         }
         let broker_zone = broker as u32 % self.cluster.zones.max(1);
         let is_near = self.zone_of(node) == broker_zone;
-        Some(if is_near { self.near_latency } else { self.far_latency } + faults.added_delay)
+        Some(if is_near { self.intra_zone_latency } else { self.cross_zone_latency } + faults.added_delay)
     }
 
-    /// The zone of a node.
+    /// Returns the index of the node's zone.
     pub fn zone_of(&self, node: usize) -> u32 {
         self.cluster.zone_of(node as u32)
     }
 
-    /// How much later than usual discovery publishes; none: it publishes nothing.
+    /// Returns the additional delay of discovery, or `None` if discovery is down.
     pub fn endpoint_list_delay(&self) -> Option<TimeSpan> {
         (self.endpoint_list_outages == 0).then_some(self.endpoint_list_delay)
     }
 
-    /// Whether the node's next response is an error.
-    pub fn draws_error(&mut self, node: usize) -> bool {
+    /// Samples whether the node's next response is an error.
+    pub fn sample_error(&mut self, node: usize) -> bool {
         let share = self.active_faults[node].error_share();
         share > 0.0 && self.rng.f64() < share
     }
 
-    /// Whether the next query stops nodes.
-    pub fn draws_query_of_death(&mut self) -> bool {
+    /// Samples whether the next query is a query of death, which crashes the nodes that accept it.
+    pub fn sample_query_of_death(&mut self) -> bool {
         self.query_of_death_share > 0.0 && self.rng.f64() < self.query_of_death_share
     }
 
-    /// The broker, of so many, that gets the query of this index.
+    /// Returns the broker that receives the query at this index: round-robin, except for skewed traffic.
     pub fn pick_broker(&mut self, query: usize, brokers: usize) -> usize {
         let is_skewed = self.skewed_share > 0.0 && self.rng.f64() < self.skewed_share;
         if is_skewed { SKEWED_BROKER } else { query % brokers }
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive).
     pub fn random(&mut self) -> f64 {
         self.rng.f64()
     }
 
-    /// Applies what begins or ends; returns what is to be done about it.
+    /// Begins or ends a fault. Returns the change that the simulation has to apply, if there is one.
     pub fn apply(&mut self, action: FaultAction) -> Option<FaultEffect> {
         match action {
             FaultAction::EndpointListDelay { added, begins } => {
@@ -167,7 +167,7 @@
             FaultAction::RestartBroker { broker } => {
                 return Some(FaultEffect::RestartBroker { broker: broker as usize });
             }
-            // Queries are planned before the day begins.
+            // The traffic of a run is planned before it starts.
             FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. } => {}
             FaultAction::Partition { node, direction, begins } => {
                 for faults in self.network_faults[node as usize].affected_by(direction) {
@@ -223,8 +223,8 @@
         let was_unresponsive = faults.is_unresponsive();
         faults.set_unresponsive(begins);
         match (was_unresponsive, faults.is_unresponsive()) {
-            (false, true) => Some(FaultEffect::Silence { node }),
-            (true, false) => Some(FaultEffect::EndSilence { node }),
+            (false, true) => Some(FaultEffect::BecomeUnresponsive { node }),
+            (true, false) => Some(FaultEffect::BecomeResponsive { node }),
             _ => None,
         }
     }
--- a/crates/broker-bench/src/run_results.rs
+++ b/crates/broker-bench/src/run_results.rs
@@ -1,5 +1,5 @@
-//! The results of a day, played in virtual time or on sockets: service, latencies, and what happened second
-//! by second.
+//! The results of one run, in virtual time or on sockets: service, latencies and a time series of one entry per
+//! second.
 
 use crate::invariants::{ClosestApproach, QueryCounts, Violations};
 use hdrhistogram::Histogram;
@@ -7,27 +7,30 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// The priority weight of queries sent, and of those that got their response within the latency objective.
+/// The priority weight of all queries sent, and the part of it that was served within the latency objective.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Service {
+    /// Sum of the priority weights of all queries sent.
     pub offered: f64,
-    /// Partial responses earn the share of the weight that they cover.
+    /// Sum of the priority weights of responses within the latency objective. A partial response counts with its
+    /// coverage.
     pub served: f64,
 }
 
 impl Service {
-    /// The share that was earned; 1 without queries. [`Service::share_if_any`] is for printing.
+    /// Returns the served share of the offered weight, from 0 to 1; 1 if there were no queries. Use
+    /// [`Service::share_if_any`] for output.
     pub fn share(&self) -> f64 {
         if self.offered > 0.0 { self.served / self.offered } else { 1.0 }
     }
 
-    /// The share that was earned; none without queries.
+    /// Returns the served share of the offered weight, or `None` if there were no queries.
     pub fn share_if_any(&self) -> Option<f64> {
         (self.offered > 0.0).then(|| self.share())
     }
 }
 
-/// How many nodes are in which state.
+/// The number of nodes in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounts {
     pub warm: u32,
@@ -36,7 +39,8 @@
     pub down: u32,
 }
 
-/// One second of the day: queries that were sent in it, and those that ended in it.
+/// One second of a run. Queries and their service count in the second of sending, ends and latencies in the second
+/// of the end.
 #[derive(Clone, Debug, Default)]
 pub struct SecondResults {
     pub service: Service,
@@ -44,14 +48,16 @@
     pub responded: u32,
     pub rejected: u32,
     pub failed: u32,
+    /// Attempts that brokers sent to nodes.
     pub attempts: u32,
     /// Latencies of responses, in tenths of a millisecond.
     pub latencies: Vec<u32>,
+    /// Node states at the start of the second.
     pub nodes: NodeCounts,
 }
 
 impl SecondResults {
-    /// The latency that this share of the responses does not exceed, in milliseconds; none without responses.
+    /// Returns this quantile (0 to 1) of the latencies in milliseconds, or `None` if there were no responses.
     pub fn latency_ms(&self, quantile: f64) -> Option<f64> {
         let mut sorted = self.latencies.clone();
         sorted.sort_unstable();
@@ -60,7 +66,7 @@
     }
 }
 
-/// What a query of a class is worth, and until when.
+/// The priority weight of a request class, and its latency objective.
 #[derive(Clone, Debug)]
 pub struct ClassObjective {
     pub name: String,
@@ -68,7 +74,7 @@
     pub latency_objective: TimeSpan,
 }
 
-/// Where a query comes from, and when it was sent first.
+/// The class, tenant and first sending time of a query.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryOrigin {
     pub class: usize,
@@ -76,47 +82,51 @@
     pub sent_at: Timestamp,
 }
 
-/// The results of a day.
+/// The results of one run.
 #[derive(Debug)]
 pub struct RunResults {
     pub classes: Vec<ClassObjective>,
     pub service: Service,
     pub by_class: Vec<Service>,
     pub by_tenant: Vec<Service>,
+    /// One entry per second, from the start of the run.
     pub seconds: Vec<SecondResults>,
     /// Latencies of responses, in tenths of a millisecond.
     pub latency: Histogram<u64>,
+    /// Queries that clients sent, without their retries.
     pub queries: u64,
     pub responded: u64,
     pub rejected: u64,
     pub failed: u64,
+    /// Attempts that brokers sent to nodes.
     pub attempts: u64,
-    /// Clients that left before their response.
+    /// Queries whose clients left before the response.
     pub abandoned: u64,
-    /// How often clients sent queries, with their retries.
+    /// Queries that clients sent, including their retries. Counted in virtual time only.
     pub client_attempts: u64,
-    /// Events of the simulation, in virtual time.
+    /// Events that the simulation processed. Counted in virtual time only.
     pub events: u64,
     /// The longest time from a query to its rejection.
     pub slowest_rejection: TimeSpan,
-    /// Rules that were broken, and how often.
+    /// The violations of each broken rule, by the text of the violation.
     pub violations: BTreeMap<&'static str, Violations>,
-    /// How close each rule came to its limit.
+    /// The closest approach of each rule to its limit, by the text of the ratio.
     pub closest: BTreeMap<&'static str, ClosestApproach>,
-    /// BLAKE3 over all events in their order.
+    /// BLAKE3 over the brokers' effects in virtual time, or over the messages received on sockets, in order.
     pub digest: String,
-    /// When the day was stopped; none if it was played to its end.
+    /// When the run was stopped, or `None` if it ran to its end.
     pub stopped_at: Option<Timestamp>,
 }
 
-/// Tenths of a millisecond in a second.
-pub const TENTHS_PER_S: i64 = 10_000;
-/// Characters of a digest that are printed beside other figures.
-const SHORT_DIGEST_CHARS: usize = 16;
-/// The length of the worst window, in seconds.
+/// Tenths of a millisecond per second.
+pub const TENTHS_OF_MS_PER_S: i64 = 10_000;
+/// Number of characters of a digest that tables print.
+const SHORT_DIGEST_LEN: usize = 16;
+/// Length of the windows of [`RunResults::worst_window`], in seconds.
 const WINDOW_S: usize = 10;
 
 impl RunResults {
+    /// Returns the results of a run in which no query has been sent.
     pub fn new(classes: Vec<ClassObjective>, tenants: usize) -> RunResults {
         RunResults {
             service: Service::default(),
@@ -124,7 +134,8 @@
             by_tenant: vec![Service::default(); tenants],
             classes,
             seconds: Vec::new(),
-            latency: Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed")),
+            latency: Histogram::new(3)
+                .unwrap_or_else(|_| unreachable!("the histogram allows a precision of three digits")),
             queries: 0,
             responded: 0,
             rejected: 0,
@@ -141,16 +152,16 @@
         }
     }
 
-    /// The results of the second of this time.
+    /// Returns the entry of the second that contains this time, and creates missing entries up to it.
     pub fn second(&mut self, at: Timestamp) -> &mut SecondResults {
-        let no = (at.0.max(0) / TENTHS_PER_S) as usize;
-        if self.seconds.len() <= no {
-            self.seconds.resize(no + 1, SecondResults::default());
+        let index = (at.0.max(0) / TENTHS_OF_MS_PER_S) as usize;
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, SecondResults::default());
         }
-        &mut self.seconds[no]
+        &mut self.seconds[index]
     }
 
-    /// A client sends a query for the first time.
+    /// Counts a query as its client sends it for the first time.
     pub fn record_query(&mut self, origin: QueryOrigin) {
         let priority_weight = self.classes[origin.class].priority_weight;
         self.queries += 1;
@@ -162,18 +173,18 @@
         self.by_tenant[origin.tenant].offered += priority_weight;
     }
 
-    /// A response with this coverage reaches its client.
+    /// Counts a response with this coverage (0 to 1) as it reaches its client.
     pub fn record_response(&mut self, now: Timestamp, origin: QueryOrigin, coverage: f64) {
         let latency = now - origin.sent_at;
         self.responded += 1;
-        // A latency that the histogram can't hold is longer than any deadline.
+        // A latency outside the histogram's range would exceed every deadline.
         self.latency.record(latency.0.max(0) as u64).unwrap_or_default();
         let second = self.second(now);
         second.responded += 1;
         second.latencies.push(latency.0.max(0) as u32);
         let ClassObjective { priority_weight, latency_objective, .. } = self.classes[origin.class];
         if latency <= latency_objective {
-            // A partial response earns the share of the weight that it has.
+            // A partial response counts with its coverage.
             let served = priority_weight * coverage;
             self.second(origin.sent_at).service.served += served;
             self.service.served += served;
@@ -182,26 +193,27 @@
         }
     }
 
-    /// A client gets a rejection, and does not retry.
+    /// Counts a query whose client received a rejection and does not retry.
     pub fn record_rejection(&mut self, now: Timestamp, origin: QueryOrigin) {
         self.rejected += 1;
         self.second(now).rejected += 1;
         self.slowest_rejection = self.slowest_rejection.max(now - origin.sent_at);
     }
 
-    /// A client gets a failure, and does not retry.
+    /// Counts a query whose client received a failure and does not retry.
     pub fn record_failure(&mut self, now: Timestamp) {
         self.failed += 1;
         self.second(now).failed += 1;
     }
 
-    /// A broker sends an attempt.
+    /// Counts an attempt that a broker sent.
     pub fn record_attempt(&mut self, now: Timestamp) {
         self.attempts += 1;
         self.second(now).attempts += 1;
     }
 
-    /// The service of the worst ten seconds, of those with at least half of the mean priority weight.
+    /// Returns the served share of the worst window of 10 s, among windows with at least half of the mean offered
+    /// weight.
     pub fn worst_window(&self) -> f64 {
         let windows = self.seconds.chunks(WINDOW_S).map(|seconds| {
             seconds.iter().fold(Service::default(), |sum, s| Service {
@@ -214,17 +226,17 @@
         full.map(|window| window.share()).fold(1.0, f64::min)
     }
 
-    /// The latency that this share of the responses does not exceed, in milliseconds.
+    /// Returns this quantile (0 to 1) of the latencies of all responses, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 10.0
     }
 
-    /// The beginning of the digest: enough to tell days from each other.
+    /// Returns a prefix of the digest that is long enough to distinguish runs.
     pub fn short_digest(&self) -> &str {
-        &self.digest[..SHORT_DIGEST_CHARS]
+        &self.digest[..SHORT_DIGEST_LEN]
     }
 
-    /// How queries ended.
+    /// Returns the number of queries sent, and of each way in which they ended.
     pub fn query_counts(&self) -> QueryCounts {
         QueryCounts {
             sent: self.queries,
@@ -235,7 +247,7 @@
         }
     }
 
-    /// The figures as scripts read them. The keys are older than the terms of the code, and stay.
+    /// Returns the results as JSON. The keys are read by scripts and keep their older names.
     pub fn json(&self) -> Value {
         json!({
             "nearest": self.closest_json(),
@@ -259,7 +271,7 @@
         })
     }
 
-    /// Each rule's closest approach to its limit, by rule.
+    /// Returns the closest approach of each rule to its limit.
     fn closest_json(&self) -> Map<String, Value> {
         let approach =
             |closest: &ClosestApproach| json!({"ratio": closest.ratio, "at_s": closest.at.as_ms() / 1000.0});
@@ -271,7 +283,7 @@
         by_class.map(|(class, service)| (class.name.clone(), json!(service.share_if_any()))).collect()
     }
 
-    /// How often each broken rule was broken, by rule.
+    /// Returns the number of violations of each broken rule.
     fn violations_json(&self) -> Map<String, Value> {
         let violations = self.violations.iter();
         violations.map(|(rule, violations)| ((*rule).to_owned(), json!(violations.count))).collect()
--- a/crates/broker-bench/src/scenario_run.rs
+++ b/crates/broker-bench/src/scenario_run.rs
@@ -1,5 +1,5 @@
-//! One day of a scenario: its setup, and how it is played in virtual time or prepared for sockets. The same
-//! scenario, size and seed give the same digest; the scenario's name has no part in it.
+//! Sets up one run of a scenario, simulates it in virtual time or prepares it for sockets. The same scenario, size
+//! and seed give the same digest, under any name of the scenario.
 
 use crate::fault_injector::{FaultEffect, FaultInjector};
 use crate::run_results::RunResults;
@@ -11,10 +11,10 @@
 use routing::TimeSpan;
 use thiserror::Error;
 
-/// Nodes of a placement group.
-const GROUP_NODES: u32 = 5;
+/// Number of nodes per placement group.
+const NODES_PER_PLACEMENT_GROUP: u32 = 5;
 
-/// One day of a scenario.
+/// One run of a scenario.
 pub struct ScenarioRun<'a> {
     pub scenario: &'a Scenario,
     pub nodes: u32,
@@ -24,7 +24,7 @@
     pub policy: RoutingPolicy,
 }
 
-/// Everything that a day is played with.
+/// The generated inputs of a run.
 struct RunSetup {
     actions: Vec<ScheduledAction>,
     replay: ReplayConfig,
@@ -33,16 +33,16 @@
     injector: FaultInjector,
 }
 
-/// A day for sockets.
+/// A run for sockets, whose plan contains the faults as node events.
 pub struct SocketRun {
     pub plan: Plan,
     pub replay: ReplayConfig,
     pub config: SimulationConfig,
 }
 
-/// A scenario has a fault that can't be played on sockets.
+/// A scenario has a fault that is not supported on sockets.
 #[derive(Debug, Error)]
-#[error("{scenario}: {action:?} is not played on sockets")]
+#[error("{scenario}: {action:?} is not supported on sockets")]
 pub struct UnsupportedOnSockets {
     pub scenario: String,
     pub action: FaultAction,
@@ -51,7 +51,7 @@
 impl ScenarioRun<'_> {
     fn setup(&self) -> RunSetup {
         let ScenarioRun { scenario, nodes, brokers, zones, seed, policy } = *self;
-        let placement_groups = (nodes / GROUP_NODES).max(zones).max(1);
+        let placement_groups = (nodes / NODES_PER_PLACEMENT_GROUP).max(zones).max(1);
         let cluster = ClusterSize { nodes, zones, placement_groups, brokers };
         let actions = scenario.schedule(&cluster, seed);
         let replay = traffic::replay_config(nodes, scenario, seed);
@@ -69,19 +69,19 @@
         RunSetup { actions, replay, plan, config, injector }
     }
 
-    /// Plays the day in virtual time.
+    /// Simulates the run in virtual time.
     pub fn simulate(&self) -> RunResults {
         let RunSetup { actions, replay, plan, config, injector } = self.setup();
         let faults = FaultSchedule { injector, actions, clients: self.scenario.clients };
         Simulation::with_faults(plan, &replay, config, faults).run(|_, _| true)
     }
 
-    /// The same day with its faults as node events of the plan, which sockets can play as virtual time does:
-    /// nodes that crash, drain, restart, or are slow, and the queries, with surges.
+    /// Returns the run with its faults as node events of the plan, so that virtual time and sockets can execute the
+    /// same plan. Nodes that crash, drain, restart or are slow can be expressed so, as can surges of queries.
     ///
     /// # Errors
     ///
-    /// The scenario has another fault, of networks, of discovery, or of nodes' responses.
+    /// Returns an error if the scenario has any other fault, such as of networks, discovery or nodes' responses.
     pub fn to_socket_run(&self) -> Result<SocketRun, UnsupportedOnSockets> {
         let RunSetup { actions, replay, mut plan, config, mut injector } = self.setup();
         for scheduled in &actions {
@@ -104,14 +104,14 @@
         Ok(SocketRun { plan, replay, config })
     }
 
-    /// When the last fault is over, in whole seconds.
+    /// Returns the time at which the last fault ends, in seconds from the start of the run, rounded up.
     pub fn faults_end(&self) -> usize {
         let ends = self.scenario.faults.iter().map(|fault| fault.start_s + fault.duration_s);
         ends.fold(0.0, f64::max).min(self.scenario.seconds).ceil() as usize
     }
 }
 
-/// The plan's event for what a fault does to a node.
+/// Returns the plan's event for a change of a node, or `None` if there is no such event.
 fn node_event(effect: FaultEffect) -> Option<PlanEvent> {
     let (node, event) = match effect {
         FaultEffect::ChangeNode { node, transition } => match transition {
--- a/crates/broker-bench/src/scenario_summary.rs
+++ b/crates/broker-bench/src/scenario_summary.rs
@@ -1,31 +1,32 @@
-//! Figures of a scenario over several days: means, confidence intervals, recovery.
+//! Summarizes several runs of a scenario: means, confidence intervals and recovery times.
 
 use crate::run_results::{RunResults, SecondResults};
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Width of the column with the scenarios' names, in all tables.
+/// Width of the column of scenario names in all tables, in characters.
 pub const SCENARIO_WIDTH: usize = 34;
-/// Service at which a second counts as recovered.
+/// Served share from which on a second counts as recovered.
 const RECOVERED_SERVICE: f64 = 0.95;
-/// Recovered seconds in succession that make a recovery.
+/// Number of consecutive recovered seconds that make a recovery.
 const RECOVERED_SECONDS: usize = 3;
-/// The upper quantile of a two-sided interval of 95%.
+/// Upper quantile of a two-sided 95% confidence interval.
 const UPPER_QUANTILE: f64 = 0.975;
 
-/// A mean, and half of its 95% confidence interval; none for a single figure, which has no spread.
+/// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MeanWithInterval {
     pub mean: f64,
+    /// Half of the interval's width, or `None` for a single value, which has no variance.
     pub half_interval: Option<f64>,
 }
 
 impl MeanWithInterval {
-    /// By Student's distribution, for few figures.
-    pub fn of(figures: &[f64]) -> MeanWithInterval {
-        let count = figures.len() as f64;
-        let mean = figures.iter().sum::<f64>() / count.max(1.0);
-        let squares = figures.iter().map(|figure| (figure - mean).powi(2)).sum::<f64>();
+    /// Computes the mean and its interval by Student's t-distribution, as there are few values.
+    pub fn of(values: &[f64]) -> MeanWithInterval {
+        let count = values.len() as f64;
+        let mean = values.iter().sum::<f64>() / count.max(1.0);
+        let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
         let deviation = (squares / (count - 1.0)).sqrt();
         let student = StudentsT::new(0.0, 1.0, count - 1.0).ok();
         let factor = student.map(|student| student.inverse_cdf(UPPER_QUANTILE));
@@ -33,7 +34,8 @@
     }
 }
 
-/// Seconds from the end of the last fault until service has recovered; none if it has not in this day.
+/// Returns the seconds from `faults_end`, the second at which the last fault ends, until service has recovered, or
+/// `None` if it does not recover within the run.
 pub fn recovery_seconds(results: &RunResults, faults_end: usize) -> Option<usize> {
     let has_recovered =
         |second: &SecondResults| second.service.share_if_any().is_none_or(|share| share >= RECOVERED_SERVICE);
@@ -43,41 +45,43 @@
     windows.position(|window| window.iter().all(has_recovered))
 }
 
-/// The figures of a scenario's days by one policy. Ratios and shares are means over the days.
+/// The results of a scenario under one policy. Ratios and shares are means over the runs.
 #[derive(Clone, Debug)]
 pub struct ScenarioSummary {
+    /// Served share of the offered weight.
     pub service: f64,
-    /// Service of the worst ten seconds.
+    /// Served share of the worst window of 10 s; see [`RunResults::worst_window`].
     pub worst_window: f64,
-    /// Service of the tenant that was served worst.
+    /// Served share of the tenant with the lowest one.
     pub worst_tenant: f64,
+    /// Served share of each tenant.
     pub by_tenant: Vec<f64>,
     pub rejected_per_query: f64,
     pub attempts_per_query: f64,
-    /// How often clients sent a query, with their retries.
+    /// Sendings per query by its client, including retries.
     pub client_attempts_per_query: f64,
-    /// Each day's recovery, as of [`recovery_seconds`].
+    /// The recovery time of each run, from [`recovery_seconds`].
     pub recovery: Vec<Option<usize>>,
-    /// The rules that were broken on any day, in their order.
+    /// The rules that were broken in any run, sorted.
     pub broken_rules: Vec<&'static str>,
     /// The rule that came closest to its limit.
     pub closest: Option<ClosestRule>,
-    /// The beginning of each day's digest.
+    /// The shortened digest of each run.
     pub digests: Vec<String>,
 }
 
-/// A rule, and how close it came to its limit.
+/// A rule and its closest approach to its limit.
 #[derive(Clone, Debug)]
 pub struct ClosestRule {
     pub rule: &'static str,
-    /// 1 is the limit.
+    /// Fraction of the limit that was reached; 1 is the limit.
     pub ratio: f64,
-    /// Seconds of the day.
+    /// Time of the approach, in seconds from the start of the run.
     pub at_s: f64,
 }
 
 impl ScenarioSummary {
-    /// Of days whose last fault ends at this second.
+    /// Summarizes runs whose last fault ends at the second `faults_end`.
     pub fn of(runs: &[RunResults], faults_end: usize) -> ScenarioSummary {
         let per_query =
             |count: fn(&RunResults) -> u64| mean(runs, |run| count(run) as f64 / run.queries.max(1) as f64);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// The figures as scripts read them. The keys are older than the terms of the code, and stay.
+    /// Returns the summary as JSON. The keys are read by scripts and keep their older names.
     pub fn json(&self) -> Value {
         json!({
             "service": self.service,
@@ -113,7 +117,7 @@
         })
     }
 
-    /// Each day's recovery in seconds, as it is printed; `-`: not on that day.
+    /// Returns the recovery times in seconds, separated by spaces; `-` stands for a run that did not recover.
     pub fn recovery_text(&self) -> String {
         let text = |seconds: &Option<usize>| seconds.map_or("-".to_owned(), |seconds| seconds.to_string());
         self.recovery.iter().map(text).collect::<Vec<_>>().join(" ")
@@ -126,8 +130,8 @@
     }
 }
 
-fn mean(runs: &[RunResults], figure: impl Fn(&RunResults) -> f64) -> f64 {
-    runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
+fn mean(runs: &[RunResults], value: impl Fn(&RunResults) -> f64) -> f64 {
+    runs.iter().map(value).sum::<f64>() / runs.len().max(1) as f64
 }
 
 fn worst_tenant_service(run: &RunResults) -> f64 {
@@ -151,7 +155,7 @@
     broken
 }
 
-/// The rule that came closest to its limit. Rules 1 and 5 are left out: rule 1 is at its limit whenever a
+/// Returns the rule that came closest to its limit. Rules 1 and 5 are left out: rule 1 is at its limit whenever a
 /// client waits until its deadline.
 fn closest_rule(runs: &[RunResults]) -> Option<ClosestRule> {
     let rules = runs.iter().flat_map(|run| &run.closest);
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -1,8 +1,7 @@
-//! The command `simulate`: plays the days of scenarios in virtual time, and prints the results. All figures
-//! are simulated.
+//! The command `simulate`: runs scenarios in virtual time and prints the results. All figures are simulated.
 //!
-//! Exit codes: 0 no rule was broken; 1 the product broke one, or a day on sockets differs too much; 2 a wrong
-//! argument or scenario; 3 no figure, as the machine was too busy.
+//! Exit codes: 0 if no rule was broken; 1 if the product broke a rule or a run on sockets differs too much; 2 if an
+//! argument or a scenario is invalid; 3 if a run on sockets failed, as on a machine that is too busy.
 
 use crate::report::{self, ReportError};
 use crate::run_results::RunResults;
@@ -22,42 +21,44 @@
 const EXIT_WRONG_ARGUMENTS: u8 = 2;
 const EXIT_NO_RESULT: u8 = 3;
 
-/// Which days are played, by which policy.
+/// Arguments of the command `simulate`.
 #[derive(Args, Clone)]
 pub struct SimulateArgs {
-    /// A scenario of the library (see `--list`), a file of your own, or `all`.
+    /// A scenario of the library (see `--list`), the path of a scenario file, or `all`.
     #[arg(default_value = "all")]
     scenario: String,
-    /// List the scenarios of the library, and what each is about.
+    /// List the scenarios of the library with their descriptions.
     #[arg(long)]
     list: bool,
+    /// Number of nodes.
     #[arg(long, alias = "hosts", default_value_t = 60)]
     nodes: u32,
+    /// Number of brokers.
     #[arg(long, default_value_t = 30)]
     brokers: u32,
+    /// Number of zones.
     #[arg(long, alias = "halls", default_value_t = 3)]
     zones: u32,
-    /// How many days, with seeds from `--seed` on.
+    /// Number of runs per scenario, with consecutive seeds from `--seed` on.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
+    /// Seed of the first run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// What the brokers decide by.
+    /// The routing policy of the brokers.
     #[arg(long, alias = "mind", value_name = "POLICY", default_value = "product")]
     policy: RoutingPolicy,
-    /// Play the same days by this policy too, and print the difference in service with its 95% confidence
-    /// interval.
+    /// Repeat the runs with this policy, and print the difference in service with its 95% confidence interval.
     #[arg(long, value_name = "POLICY")]
     against: Option<RoutingPolicy>,
-    /// Print one JSON object for scripts.
+    /// Print the results as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Write a page of plots of the first seed's day.
+    /// Write an HTML page with plots of the first seed's run.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Play each day twice from the same plan, in virtual time and on loopback sockets (real brokers, model
-    /// nodes), and print the difference. Only scenarios of crashes, drains, rolling restarts, slow nodes and
-    /// traffic surges can be played so.
+    /// Run each plan twice, in virtual time and on loopback sockets (real brokers, node models), and print the
+    /// difference. Only scenarios of crashes, drains, rolling restarts, slow nodes and traffic surges are supported.
     #[arg(long)]
     loopback: bool,
 }
@@ -67,7 +68,7 @@
         (self.seed..self.seed + self.seeds.max(1)).collect()
     }
 
-    fn day<'a>(&self, scenario: &'a Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'a> {
+    fn scenario_run<'a>(&self, scenario: &'a Scenario, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'a> {
         ScenarioRun {
             scenario,
             nodes: self.nodes.max(1),
@@ -79,7 +80,7 @@
     }
 }
 
-/// Runs the command.
+/// Runs the command and returns the exit code of the process.
 pub fn run(args: &SimulateArgs) -> ExitCode {
     let scenarios = match read_scenarios(&args.scenario) {
         Ok(scenarios) => scenarios,
@@ -94,17 +95,17 @@
     if args.loopback {
         return compare_with_sockets(&scenarios, args);
     }
-    let days = simulate_all(&scenarios, args);
-    let mut rows = scenario_rows(&scenarios, &days, args);
+    let runs = simulate_all(&scenarios, args);
+    let mut rows = scenario_rows(&scenarios, &runs, args);
     rows.sort_by(|a, b| a.figures.service.total_cmp(&b.figures.service));
     print_results(&rows, args);
-    if let (Some(path), Some(day)) = (&args.report, days.first())
-        && let Err(error) = write_report(path, day, &scenarios[0].name, args)
+    if let (Some(path), Some(run)) = (&args.report, runs.first())
+        && let Err(error) = write_report(path, run, &scenarios[0].name, args)
     {
         return fail(&format!("{}: {error}", path.display()), EXIT_WRONG_ARGUMENTS);
     }
     let keeps_rules = rows.iter().all(|row| row.figures.broken_rules.is_empty());
-    // Only the product has to keep the rules; a baseline shows what happens without it.
+    // Only the product has to keep the rules; the other policies are for comparison.
     let passes = keeps_rules || args.policy != RoutingPolicy::Product;
     if passes { ExitCode::SUCCESS } else { ExitCode::from(EXIT_RULE_BROKEN) }
 }
@@ -114,37 +115,38 @@
     ExitCode::from(code)
 }
 
-/// The days of each scenario: all seeds by the policy, then all by the one that it is compared with.
+/// Returns the results of each scenario: of all seeds with the policy, then of all seeds with the compared policy, if
+/// there is one.
 fn simulate_all(scenarios: &[Scenario], args: &SimulateArgs) -> Vec<RunResults> {
     let policies: Vec<RoutingPolicy> = std::iter::once(args.policy).chain(args.against).collect();
     let seeds = args.seeds();
-    let mut days = Vec::new();
+    let mut runs = Vec::new();
     for scenario in scenarios {
         for policy in &policies {
-            days.extend(seeds.iter().map(|seed| args.day(scenario, *seed, *policy)));
+            runs.extend(seeds.iter().map(|seed| args.scenario_run(scenario, *seed, *policy)));
         }
     }
-    days.into_par_iter().map(|day| day.simulate()).collect()
+    runs.into_par_iter().map(|run| run.simulate()).collect()
 }
 
-/// The results of a scenario.
+/// A scenario and its results.
 struct ScenarioRow<'a> {
     scenario: &'a Scenario,
     figures: ScenarioSummary,
-    /// None if the policy is compared with no other.
+    /// The comparison with another policy, or `None` if there is none.
     comparison: Option<PolicyComparison>,
 }
 
-/// The same days by another policy.
+/// The results of the same scenario and seeds with another policy.
 struct PolicyComparison {
     against: RoutingPolicy,
     figures: ScenarioSummary,
-    /// How much more service the first policy had.
+    /// Served share of the first policy minus that of the other one.
     difference: MeanWithInterval,
 }
 
 impl ScenarioRow<'_> {
-    /// The row as scripts read it. The keys are older than the terms of the code, and stay.
+    /// Returns the row as JSON. The keys are read by scripts and keep their older names.
     fn json(&self) -> Value {
         let mut row = self.figures.json();
         row["scenario"] = json!(self.scenario.name);
@@ -180,14 +182,14 @@
 
 fn scenario_rows<'a>(
     scenarios: &'a [Scenario],
-    days: &[RunResults],
+    runs: &[RunResults],
     args: &SimulateArgs,
 ) -> Vec<ScenarioRow<'a>> {
     let policies = if args.against.is_some() { 2 } else { 1 };
     let seeds = args.seeds().len();
-    let row = |(scenario, days): (&'a Scenario, &[RunResults])| {
-        let (own, compared) = days.split_at(seeds);
-        let faults_end = args.day(scenario, 0, args.policy).faults_end();
+    let row = |(scenario, runs): (&'a Scenario, &[RunResults])| {
+        let (own, compared) = runs.split_at(seeds);
+        let faults_end = args.scenario_run(scenario, 0, args.policy).faults_end();
         let comparison = args.against.map(|against| PolicyComparison {
             against,
             figures: ScenarioSummary::of(compared, faults_end),
@@ -195,7 +197,7 @@
         });
         ScenarioRow { scenario, figures: ScenarioSummary::of(own, faults_end), comparison }
     };
-    scenarios.iter().zip(days.chunks(seeds * policies)).map(row).collect()
+    scenarios.iter().zip(runs.chunks(seeds * policies)).map(row).collect()
 }
 
 fn service_difference(own: &[RunResults], compared: &[RunResults]) -> MeanWithInterval {
@@ -225,7 +227,7 @@
     rows.iter().for_each(ScenarioRow::print);
 }
 
-/// The results for scripts. Their keys are older than the terms of the code, and stay.
+/// Returns all results as JSON. The keys are read by scripts and keep their older names.
 fn results_json(rows: &[ScenarioRow], args: &SimulateArgs) -> Value {
     let rows: Vec<Value> = rows.iter().map(ScenarioRow::json).collect();
     let size = json!({
@@ -239,13 +241,13 @@
 
 fn write_report(
     path: &Path,
-    day: &RunResults,
+    run: &RunResults,
     scenario: &str,
     args: &SimulateArgs,
 ) -> Result<(), ReportError> {
     let (nodes, brokers, seed) = (args.nodes.max(1), args.brokers.max(1), args.seed);
     let title = format!("simulated: {scenario}, {nodes} nodes, {brokers} brokers, seed {seed}");
-    report::write(path, day, &day.json(), &title)
+    report::write(path, run, &run.json(), &title)
 }
 
 fn exit_code_of(error: &ComparisonError) -> u8 {
@@ -255,27 +257,27 @@
     }
 }
 
-fn print_comparison(day: &RunComparison, scenario: &str, seed: u64) {
+fn print_comparison(run: &RunComparison, scenario: &str, seed: u64) {
     println!(
         "{scenario:<SCENARIO_WIDTH$} {seed:>5} {:>12.4} {:>9.4} {:>+10.4}  {}",
-        day.virtual_time.service.share(),
-        day.sockets.service.share(),
-        day.difference(),
-        day.broken_rules().join("; ")
+        run.virtual_time.service.share(),
+        run.sockets.service.share(),
+        run.difference(),
+        run.broken_rules().join("; ")
     );
 }
 
-fn comparison_json(day: &RunComparison, scenario: &str, seed: u64) -> Value {
+fn comparison_json(run: &RunComparison, scenario: &str, seed: u64) -> Value {
     json!({
         "scenario": scenario,
         "seed": seed,
-        "virtual": day.virtual_time.json(),
-        "sockets": day.sockets.json(),
-        "apart": day.difference(),
+        "virtual": run.virtual_time.json(),
+        "sockets": run.sockets.json(),
+        "apart": run.difference(),
     })
 }
 
-/// Plays each scenario's days in virtual time and on loopback sockets.
+/// Runs each scenario in virtual time and on loopback sockets, and prints the differences.
 fn compare_with_sockets(scenarios: &[Scenario], args: &SimulateArgs) -> ExitCode {
     let (nodes, brokers) = (args.nodes.max(1), args.brokers.max(1));
     println!(
@@ -289,13 +291,13 @@
     let mut rows = Vec::new();
     for scenario in scenarios {
         for seed in args.seeds() {
-            let day = match RunComparison::run(&args.day(scenario, seed, args.policy)) {
-                Ok(day) => day,
+            let run = match RunComparison::run(&args.scenario_run(scenario, seed, args.policy)) {
+                Ok(run) => run,
                 Err(error) => return fail(&error, exit_code_of(&error)),
             };
-            passes &= day.broken_rules().is_empty() && day.is_within_margin();
-            print_comparison(&day, &scenario.name, seed);
-            rows.push(comparison_json(&day, &scenario.name, seed));
+            passes &= run.broken_rules().is_empty() && run.is_within_margin();
+            print_comparison(&run, &scenario.name, seed);
+            rows.push(comparison_json(&run, &scenario.name, seed));
         }
     }
     if args.json {
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -1,4 +1,4 @@
-//! Brokers of a simulation: they collect inputs, take turns, and their effects are carried out.
+//! Simulated brokers: collects their inputs, schedules their turns and applies their effects.
 
 use crate::baseline::{Baseline, BaselinePolicy};
 use crate::fault_injector::MessageDirection;
@@ -14,7 +14,7 @@
     ShardRequestId, TimeSpan, Timestamp,
 };
 
-/// What decides for a broker.
+/// The implementation of a broker's routing decisions.
 enum RoutingEngine {
     Product(Box<Broker>),
     Admitted(Box<AdmittedBroker>),
@@ -46,25 +46,25 @@
     }
 }
 
-/// A broker and its turns.
+/// A broker with the state of its turns.
 pub(super) struct SimulatedBroker {
     engine: RoutingEngine,
-    /// Inputs since its last turn.
+    /// Inputs received since the last turn.
     inputs: Vec<Input>,
     last_turn: Timestamp,
     next_turn: Option<Timestamp>,
-    /// The earliest wake-up that was requested and has not come.
+    /// The earliest requested wake-up that is still to come.
     wake_at: Option<Timestamp>,
 }
 
 impl SimulatedBroker {
-    /// A broker as the day begins; it may take its first turn at once.
+    /// Returns a broker at the start of a run. Its first turn may be taken at time 0.
     pub(super) fn first(policy: RoutingPolicy, config: &BrokerConfig, seed: u64) -> SimulatedBroker {
         let last_turn = Timestamp(-TURN_PERIOD.0);
         SimulatedBroker { last_turn, ..SimulatedBroker::restarted(policy, config, seed, Timestamp(0)) }
     }
 
-    /// A broker without any state.
+    /// Returns a broker that has just been restarted and has lost its state.
     pub(super) fn restarted(
         policy: RoutingPolicy,
         config: &BrokerConfig,
@@ -77,7 +77,7 @@
 }
 
 impl Simulation {
-    /// Hands an input to a broker for its next turn.
+    /// Queues an input for a broker's next turn and schedules that turn.
     pub(super) fn notify_broker(&mut self, broker: usize, input: Input) {
         self.brokers[broker].inputs.push(input);
         let due = self.now.max(self.brokers[broker].last_turn + TURN_PERIOD);
@@ -91,6 +91,7 @@
         }
     }
 
+    /// Takes a broker's turn, unless the turn was rescheduled to another time.
     pub(super) fn take_turn(&mut self, broker: usize) {
         let now = self.now;
         let state = &mut self.brokers[broker];
@@ -107,20 +108,20 @@
             self.hasher.update(line.as_bytes());
             self.apply_effect(broker, effect);
         }
-        // An earlier turn may have taken the place of the one that a wake-up was scheduled for; the decider
-        // requests a wake-up only once.
+        // An earlier turn may have replaced the one that was scheduled for a wake-up, and the engine requests each
+        // wake-up only once.
         if let Some(at) = self.brokers[broker].wake_at {
             self.schedule_turn(broker, at);
         }
     }
 
-    /// Queries have waited for this turn: sets what is left of their time now.
+    /// Sets the time left of new queries as of now, as they have waited for this turn.
     fn update_time_left(&self, inputs: &mut [Input]) {
         for input in inputs {
             if let Input::Query(new) = input {
                 let query = self.queries.get(new.id.0 as usize);
-                let until = query.map_or(self.now, |query| self.requests[query.request].until);
-                new.time_left = (until - self.now).max(TimeSpan::ZERO);
+                let deadline_at = query.map_or(self.now, |query| self.requests[query.request].deadline_at);
+                new.time_left = (deadline_at - self.now).max(TimeSpan::ZERO);
             }
         }
     }
@@ -147,7 +148,7 @@
                 let state = &mut self.brokers[broker];
                 state.wake_at = Some(state.wake_at.map_or(at, |earlier| earlier.min(at)));
             }
-            // Simulated nodes report no load by probes, and brokers are configured for that.
+            // Simulated nodes do not answer load probes, and the brokers' configuration has probing off.
             Effect::Probe { .. } | Effect::CloseIdle { .. } | Effect::WatchEndpoints | Effect::Log(_) => {}
         }
     }
@@ -174,7 +175,7 @@
         if let Some(latency) = node.and_then(latency) {
             self.schedule(self.now + latency, Event::CancelArrives(key));
         }
-        // For its broker a cancelled attempt has ended at once.
+        // To its broker a cancelled attempt has ended at once.
         self.handle_result(key, AttemptOutcome::Cancelled);
     }
 
@@ -185,7 +186,7 @@
         answered.map(ShardRequestIndex).collect()
     }
 
-    /// The first result of an attempt reaches its broker; later ones are dropped.
+    /// Passes an attempt's first result to its broker and drops later ones.
     pub(super) fn handle_result(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(shard_request) = self.shard_requests.get_mut(key.shard_request.0 as usize) else { return };
         let attempt = shard_request.attempts.get_mut(key.attempt.0 as usize);
@@ -201,9 +202,9 @@
     fn end_query(&mut self, broker: usize, id: QueryId, end: &QueryEnd, retry_after: TimeSpan) {
         let own_query = self.queries.get_mut(id.0 as usize).filter(|query| query.broker == broker);
         let ended = own_query.map(|query| (query.request, std::mem::take(&mut query.is_open)));
-        // An unknown query, or one of another broker, breaks a rule.
+        // An index out of range makes the checker record a violation for an unknown query or one of another broker.
         let index = if ended.is_some() { id.0 as usize } else { usize::MAX };
-        // A client that has left gets nothing of it.
+        // The client has left or the broker was restarted, so that nobody receives the response.
         if ended.is_some_and(|(_, was_open)| !was_open) && self.invariants.is_released(index) {
             return;
         }
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a simulation: they send queries, retry, and leave.
+//! Simulated clients: sends queries, retries them and cancels those of impatient clients.
 
 use crate::run_results::QueryOrigin;
 use crate::simulation::Simulation;
@@ -10,12 +10,13 @@
     ClassId, GroupId, Input, NewQuery, NewShardRequest, QueryId, ShardId, ShardRequestId, TenantId, TimeSpan,
 };
 
-/// The share of its time after which an impatient client leaves.
+/// Share of its time left after which an impatient client leaves.
 const IMPATIENT_TIME_SHARE: f64 = 0.5;
-/// A backoff is doubled so often at most.
+/// Upper bound of the doublings of a client's backoff, which keeps the shift within 32 bits.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Simulation {
+    /// Creates the client request of a planned query and sends it for the first time.
     pub(super) fn send_query(
         &mut self,
         class: usize,
@@ -24,12 +25,12 @@
     ) {
         let origin = QueryOrigin { class, tenant, sent_at: self.now };
         self.results.record_query(origin);
-        let until = self.now + self.deadlines[class];
-        let is_query_of_death = self.injector.draws_query_of_death();
+        let deadline_at = self.now + self.deadlines[class];
+        let is_query_of_death = self.injector.sample_query_of_death();
         let client_attempts = 0;
         self.requests.push(ClientRequest {
             origin,
-            until,
+            deadline_at,
             shard_requests,
             client_attempts,
             is_query_of_death,
@@ -37,13 +38,13 @@
         self.send_request(self.requests.len() - 1);
     }
 
-    /// Sends a query for a request, for the first time or again.
+    /// Sends a query for a client request, for the first time or as a retry.
     pub(super) fn send_request(&mut self, request: usize) {
         let index = self.queries.len();
         let broker = self.injector.pick_broker(index, self.brokers.len());
-        let ClientRequest { origin, until, ref shard_requests, ref mut client_attempts, .. } =
+        let ClientRequest { origin, deadline_at, ref shard_requests, ref mut client_attempts, .. } =
             self.requests[request];
-        let (shard_requests, time_left) = (shard_requests.clone(), until - self.now);
+        let (shard_requests, time_left) = (shard_requests.clone(), deadline_at - self.now);
         let client_attempt = *client_attempts;
         *client_attempts += 1;
         let weights: Vec<f64> = shard_requests.iter().map(|planned| planned.weight).collect();
@@ -79,6 +80,7 @@
         }
     }
 
+    /// Cancels a query whose client leaves, unless it has ended already.
     pub(super) fn leave_query(&mut self, index: usize) {
         let Some(query) = self.queries.get_mut(index).filter(|query| query.is_open) else { return };
         query.is_open = false;
@@ -88,23 +90,23 @@
         self.notify_broker(broker, Input::ClientLeft(QueryId(index as u64)));
     }
 
-    /// A query was rejected: its client retries it as long as it may, or gives up.
+    /// Handles a rejection at the client, which retries the request or counts it as rejected.
     pub(super) fn handle_rejection(&mut self, request: usize, retry_after: TimeSpan) {
         if !self.schedule_retry(request, retry_after) {
             self.results.record_rejection(self.now, self.requests[request].origin);
         }
     }
 
-    /// A query failed, or its broker was restarted: its client retries it as long as it may, or gives up.
+    /// Handles a failure or a broker's restart at the client, which retries the request or counts it as failed.
     pub(super) fn handle_failure(&mut self, request: usize) {
         if !self.schedule_retry(request, TimeSpan::ZERO) {
             self.results.record_failure(self.now);
         }
     }
 
-    /// Whether the client retries.
+    /// Schedules a retry after a jittered backoff. Returns false if no retries or no time are left.
     fn schedule_retry(&mut self, request: usize, retry_after: TimeSpan) -> bool {
-        let ClientRequest { until, client_attempts, .. } = self.requests[request];
+        let ClientRequest { deadline_at, client_attempts, .. } = self.requests[request];
         if client_attempts > self.client_behavior.retries {
             return false;
         }
@@ -114,7 +116,7 @@
         if self.injector.random() < self.client_behavior.retry_after_share {
             wait = wait.max(retry_after);
         }
-        let has_time = self.now + wait + TURN_PERIOD < until;
+        let has_time = self.now + wait + TURN_PERIOD < deadline_at;
         if has_time {
             self.schedule(self.now + wait.max(TimeSpan(1)), Event::ClientRetries(request));
         }
--- a/crates/broker-bench/src/simulation/config.rs
+++ b/crates/broker-bench/src/simulation/config.rs
@@ -1,19 +1,19 @@
-//! What a simulation is made of, beside its plan.
+//! The configuration of a simulation: policy, size and faults.
 
 use crate::fault_injector::FaultInjector;
 use fault_scenarios::{ClientBehavior, ScheduledAction};
 use node_emulator::CancelPolicy;
 use std::fmt;
 
-/// What a simulated broker decides by. The former names of the values (`module`, `door`) are still accepted.
+/// The routing policy of simulated brokers. The former names of the values (`module`, `door`) are still accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum RoutingPolicy {
     /// The product's routing decisions.
     #[value(name = "product", alias = "module")]
     Product,
-    /// Each shard request to a replica drawn at random, once.
+    /// A single attempt at each shard request, at a random replica.
     Random,
-    /// The design's ordinary path, without the exceptions that the product makes.
+    /// The ordinary path of the design, without the product's exceptions from it.
     Design,
     /// The product's routing decisions behind admission control: quotas of tenants, an adaptive rate, a retry
     /// budget.
@@ -22,7 +22,7 @@
 }
 
 impl RoutingPolicy {
-    /// The policy as JSON figures name it. Scripts read these words, so they stay.
+    /// Returns the name of the policy in JSON results, which scripts read. It differs from the command line's.
     pub fn key(self) -> &'static str {
         match self {
             RoutingPolicy::Product => "Module",
@@ -34,7 +34,7 @@
 }
 
 impl fmt::Display for RoutingPolicy {
-    /// As the command line names it.
+    /// Writes the name of the policy on the command line.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             RoutingPolicy::Product => "product",
@@ -45,31 +45,31 @@
     }
 }
 
-/// What a simulation is made of, beside its plan.
+/// The configuration of a simulation, without its plan.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// How many brokers there are.
+    /// Number of brokers, at least 1.
     pub brokers: u32,
-    /// What they decide by.
+    /// The routing policy of all brokers.
     pub policy: RoutingPolicy,
-    /// Where all random numbers of the day come from.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// How many placement groups the nodes are in, by turns.
+    /// Number of placement groups; nodes are assigned to them round-robin.
     pub placement_groups: u32,
-    /// Cores of a node.
+    /// Number of cores of each node.
     pub cores: usize,
-    /// After how many jobs a started node is warm; none: it warms up with time.
+    /// Number of jobs after which a started node is warm, or `None` if it warms up over time.
     pub warm_jobs: Option<u32>,
-    /// What a node does with work that is cancelled.
+    /// How nodes treat cancelled jobs.
     pub cancel: CancelPolicy,
 }
 
-/// The faults of a day, and what its clients do.
+/// The faults of a run and the behavior of its clients.
 pub struct FaultSchedule {
-    /// Applies them.
+    /// The injector that applies the actions.
     pub injector: FaultInjector,
-    /// In the order of their times.
+    /// Beginnings and ends of faults, ordered by time.
     pub actions: Vec<ScheduledAction>,
-    /// What clients do with the responses they get.
+    /// How clients retry and when they leave.
     pub clients: ClientBehavior,
 }
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -1,5 +1,5 @@
-//! What a replay's configuration means for brokers, nodes and the checked rules: the same in virtual time and on
-//! sockets. [`super::settings_text`] has the same for brokers that read a text.
+//! Derives the configuration of brokers, nodes and the invariant checker from a replay's configuration, for virtual
+//! time and for sockets. [`super::settings_text`] builds the equivalent settings document for brokers on sockets.
 
 use crate::invariants::{ClassLimits, InvariantLimits};
 use crate::run_results::ClassObjective;
@@ -12,28 +12,29 @@
 };
 use std::collections::BTreeMap;
 
-/// How long a message takes through the network.
+/// Network latency of a message.
 pub const ONE_WAY_LATENCY: TimeSpan = TimeSpan(5);
-/// The least time between two turns of a broker.
+/// Shortest time between two turns of a broker.
 pub const TURN_PERIOD: TimeSpan = TimeSpan(50);
-/// How late the endpoint list is with nodes that start or stop.
+/// Delay from the start or stop of a node to its publication in the endpoint list.
 pub const ENDPOINT_LIST_DELAY: TimeSpan = TimeSpan(10_000);
-/// The latency objective of all classes, and the longest time after which a rejected client may retry.
+/// Upper bound of the latency objective of all classes, and of the `retry_after` of a rejection.
 pub const LATENCY_OBJECTIVE: TimeSpan = TimeSpan(20_000);
-/// How long an attempt may still go to a node that was published as draining or removed.
+/// Grace period in which attempts may still be sent to a node that was published as draining or removed.
 pub(super) const DRAIN_GRACE: TimeSpan = TimeSpan(2500);
-/// An endpoint list that is older is asked for again.
+/// Age from which on a broker requests the endpoint list again.
 pub(super) const ENDPOINT_LIST_MAX_AGE: TimeSpan = TimeSpan(100_000);
-/// Queries that a broker has open at the most.
+/// Upper bound of the open queries of a broker.
 pub(super) const MAX_OPEN_QUERIES: u32 = 2000;
-/// Attempts at one shard request.
+/// Upper bound of the attempts at one shard request.
 pub(super) const MAX_ATTEMPTS: u32 = 3;
-/// What a query beyond its tenant's quota is worth to brokers; the service figure counts all alike.
+/// Factor on the priority weight of a query over its tenant's quota, as brokers see it. Service counts the full
+/// weight of all queries.
 pub(super) const OVER_QUOTA_WEIGHT: f64 = 0.1;
-/// How many placement groups hold a shard.
+/// Number of placement groups that hold a shard.
 pub(super) const REPLICA_GROUPS: u32 = 2;
 
-/// The idempotency of a class, and its deduplication window.
+/// Returns the idempotency and the deduplication window of a class.
 pub(super) fn idempotency_of(idempotency: ClassIdempotency) -> (Idempotency, TimeSpan) {
     match idempotency {
         ClassIdempotency::Idempotent => (Idempotency::Idempotent, TimeSpan::ZERO),
@@ -58,7 +59,7 @@
     Some(RetryBudget { min_retries: budget.floor, ratio: budget.ratio, window })
 }
 
-/// The quota of each tenant, in queries a second; empty where there are none.
+/// Returns the quota of each tenant in queries per second, or an empty list if there are no quotas.
 pub(super) fn tenant_quotas(replay: &ReplayConfig) -> Vec<f64> {
     let total: f64 = replay.tenant_weights.iter().sum();
     let shares =
@@ -66,7 +67,7 @@
     replay.quota_per_s.map(shares).unwrap_or_default()
 }
 
-/// How a node is built.
+/// Returns the parameters of a node's model.
 pub(super) fn node_spec(config: &SimulationConfig) -> NodeSpec {
     NodeSpec {
         cores: config.cores,
@@ -76,19 +77,19 @@
     }
 }
 
-/// A node that is warm already.
+/// Returns a running node that has warmed up.
 pub fn warm_node(config: &SimulationConfig) -> EmulatedNode {
     EmulatedNode::new(node_spec(config), None)
 }
 
-/// A node without a process.
+/// Returns a node whose process is not running.
 pub fn stopped_node(config: &SimulationConfig) -> EmulatedNode {
     let mut node = warm_node(config);
     node.crash();
     node
 }
 
-/// The state that discovery publishes.
+/// Returns the state that discovery publishes for a node's state.
 pub fn endpoint_state(state: NodeState) -> EndpointState {
     match state {
         NodeState::Ready => EndpointState::Ready,
@@ -97,7 +98,7 @@
     }
 }
 
-/// What brokers in virtual time are configured with.
+/// Returns the configuration of brokers in virtual time.
 pub fn broker_config(replay: &ReplayConfig, config: &SimulationConfig) -> BrokerConfig {
     BrokerConfig {
         brokers: config.brokers,
@@ -170,7 +171,7 @@
     }
 }
 
-/// What the checked rules allow; `slack` is how much later than it was done something may be observed.
+/// Returns the limits of the invariant checker; `slack` is the longest delay from an event to its observation.
 pub fn invariant_limits(replay: &ReplayConfig, slack: TimeSpan) -> InvariantLimits {
     let limits = |class: &ClassSpec| {
         let (idempotency, dedup_window) = idempotency_of(class.idempotency);
@@ -185,7 +186,7 @@
     InvariantLimits { classes, retry_budget: retry_budget(replay), grace: DRAIN_GRACE, slack }
 }
 
-/// What queries of each class are worth.
+/// Returns the priority weight and latency objective of each class.
 pub fn class_objectives(replay: &ReplayConfig) -> Vec<ClassObjective> {
     let value = |class: &ClassSpec| ClassObjective {
         name: class.name.clone(),
--- a/crates/broker-bench/src/simulation/event.rs
+++ b/crates/broker-bench/src/simulation/event.rs
@@ -1,10 +1,10 @@
-//! Events of a simulation, in the order of their times.
+//! The events of a simulation and the queue that orders them by time.
 
 use routing::{AttemptNumber, AttemptOutcome, ShardRequestId, Timestamp};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// An attempt of one broker.
+/// Identifies an attempt of one broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) broker: usize,
@@ -12,40 +12,40 @@
     pub(super) attempt: AttemptNumber,
 }
 
-/// What happens at a time.
+/// An event of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Event {
-    /// An entry of the plan, by its index.
+    /// The plan's entry at this index is due.
     PlanEntry(usize),
-    /// A scheduled fault begins or ends, by its index.
+    /// The fault action at this index is due.
     FaultAction(usize),
-    /// A broker takes its turn.
+    /// A turn of a broker is due.
     BrokerTurn(usize),
     /// An attempt reaches a node.
     AttemptArrives { key: AttemptKey, node: usize },
     /// A cancellation reaches the attempt's node.
     CancelArrives(AttemptKey),
-    /// A node may have finished a job.
-    NodeFinishes(usize),
+    /// A job of a node may have completed.
+    JobMayComplete(usize),
     /// An attempt's result reaches its broker.
     ResultArrives { key: AttemptKey, outcome: AttemptOutcome },
-    /// An attempt's timeout is over.
+    /// An attempt's timeout expires.
     AttemptTimesOut(AttemptKey),
     /// Discovery publishes the state of a node.
     EndpointPublished { node: usize },
-    /// A node's process pauses, and will again.
+    /// A node's process pauses; the next pause is scheduled then.
     NodePauses(usize),
-    /// A node that a query stopped comes back.
-    NodeRecovers(usize),
-    /// A client sends its query again, by its request's index.
+    /// The outage of a node that a query of death crashed ends.
+    OutageEnds(usize),
+    /// A client retries the request at this index.
     ClientRetries(usize),
-    /// A client gives up, by its query's index.
+    /// The client of the query at this index leaves.
     ClientLeaves(usize),
-    /// A second of the day is over.
-    SecondEnds,
+    /// A second of the run begins: its node states are recorded.
+    SecondBegins,
 }
 
-/// An event in the queue. Events of the same time happen in the order in which they were scheduled.
+/// A queued event. Events of the same time are processed in the order in which they were scheduled.
 struct ScheduledEvent {
     at: Timestamp,
     sequence: u64,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Events that are to happen.
+/// A priority queue of future events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
--- a/crates/broker-bench/src/simulation/faults.rs
+++ b/crates/broker-bench/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a simulation: carries out what the fault injector decides.
+//! Applies the effects of the fault injector to a simulation.
 
 use crate::fault_injector::FaultEffect;
 use crate::simulation::Simulation;
@@ -9,7 +9,7 @@
 use fault_scenarios::{NodeCondition, NodeTransition};
 use routing::TimeSpan;
 
-/// How late the endpoint list is with a node that became unresponsive.
+/// Delay from the time at which a node becomes unresponsive to its removal from the endpoint list.
 const UNRESPONSIVE_LIST_DELAY: TimeSpan = TimeSpan(60_000);
 
 impl Simulation {
@@ -19,8 +19,8 @@
         }
     }
 
-    /// A node that a query stopped comes back, unless another fault holds it down.
-    pub(super) fn recover_node(&mut self, node: usize) {
+    /// Ends the outage of a node that a query of death crashed. The node starts unless another fault keeps it down.
+    pub(super) fn end_query_of_death_outage(&mut self, node: usize) {
         let transition = self.injector.active_faults[node].end_outage();
         self.apply_fault(FaultEffect::ChangeNode { node, transition });
     }
@@ -40,8 +40,8 @@
                 let first = interval.mul_f64(self.injector.random());
                 self.schedule(self.now + first, Event::NodePauses(node));
             }
-            FaultEffect::Silence { node } => self.silence_node(node),
-            FaultEffect::EndSilence { node } => self.start_node(node),
+            FaultEffect::BecomeUnresponsive { node } => self.make_unresponsive(node),
+            FaultEffect::BecomeResponsive { node } => self.start_node(node),
             FaultEffect::RepublishEndpoints => {
                 (0..self.brokers.len()).for_each(|broker| self.send_endpoint_snapshot(broker));
             }
@@ -49,17 +49,17 @@
         }
     }
 
-    /// What the node has is lost, and its brokers are not notified.
-    fn silence_node(&mut self, node: usize) {
+    /// Drops the node's jobs without notifying their brokers.
+    fn make_unresponsive(&mut self, node: usize) {
         for job in self.nodes[node].crash() {
             if let Some(running) = self.jobs.remove(&job) {
-                self.job_of.remove(&running.key);
+                self.job_by_attempt.remove(&running.key);
             }
         }
         self.schedule_publication(node, UNRESPONSIVE_LIST_DELAY);
     }
 
-    /// Starts a new process, unless another fault still holds the node down.
+    /// Starts the node's process, unless another fault keeps it down.
     fn start_node(&mut self, node: usize) {
         let faults = &self.injector.active_faults[node];
         if faults.condition() == NodeCondition::Ready && !faults.is_unresponsive() {
@@ -70,15 +70,16 @@
         }
     }
 
+    /// Pauses a node's process and schedules the next pause, unless the fault has ended.
     pub(super) fn pause_node(&mut self, node: usize) {
         let Some(cycle) = self.injector.active_faults[node].longest_pause() else { return };
         self.nodes[node].pause(self.now, self.now + cycle.pause);
-        self.schedule_finish(node);
+        self.schedule_completion(node);
         self.schedule(self.now + cycle.interval.max(TimeSpan(1)), Event::NodePauses(node));
     }
 
-    /// Restarts a broker without any state: its clients get no response from it, and it gets no result of its
-    /// attempts.
+    /// Restarts a broker, which loses its state: its clients get no response to open queries, and it receives no
+    /// results of its attempts.
     fn restart_broker(&mut self, broker: usize) {
         let seed = self.config.seed ^ (broker as u64).rotate_left(32) ^ self.now.0 as u64;
         self.brokers[broker] =
--- a/crates/broker-bench/src/simulation/mod.rs
+++ b/crates/broker-bench/src/simulation/mod.rs
@@ -1,7 +1,9 @@
-//! Plays a plan in virtual time: brokers with the product's own routing decisions, unchanged, or a baseline;
-//! model nodes; an endpoint list that is late as discovery is; and scheduled faults. The rules are checked by
-//! what nodes and clients got, not by what brokers say. One thread and one event queue: the same plan and
-//! seed give the same decisions, to the byte.
+//! Runs a plan in virtual time, as a discrete-event simulation.
+//!
+//! Brokers take the product's routing decisions, with its unmodified code, or those of a baseline. Nodes are models,
+//! the endpoint list has the delay of discovery, and faults are scheduled. Invariants are checked on the messages
+//! that nodes and clients receive, not on reports of the brokers. There is one thread and one event queue, so that
+//! the same plan and seed give byte-identical decisions.
 
 mod brokers;
 mod clients;
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes of a simulation: they accept and finish attempts, start and stop, and are published by discovery.
+//! Simulated nodes: accepts and completes attempts, starts and stops nodes, and publishes their endpoints.
 
 use crate::fault_injector::MessageDirection;
 use crate::invariants::{PublishedState, ShardRequestIndex};
@@ -14,7 +14,7 @@
     TimeSpan, Timestamp, WallClockTime, ZoneId,
 };
 
-/// How long a node is down that a query stopped.
+/// Duration of a node's outage after a query of death.
 const QUERY_OF_DEATH_OUTAGE: TimeSpan = TimeSpan(30_000);
 
 impl Simulation {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// The node's process stops, and its connections are lost; the endpoint list is late with it.
+    /// Crashes the node's process: its attempts end as lost connections, and discovery publishes that later.
     pub(super) fn stop_node(&mut self, node: usize) {
         for job in self.nodes[node].crash() {
             if let Some(RunningAttempt { key, .. }) = self.jobs.remove(&job) {
-                self.job_of.remove(&key);
+                self.job_by_attempt.remove(&key);
                 self.send_result(key, node, AttemptOutcome::ConnectionLost);
             }
         }
@@ -50,6 +50,7 @@
 
     // Attempts.
 
+    /// Submits an attempt that has reached a node, and sends the result if the node does not accept it.
     pub(super) fn handle_attempt(&mut self, key: AttemptKey, node: usize) {
         let index = ShardRequestIndex(key.shard_request.0 as usize);
         let shard_request = &self.shard_requests[index.0];
@@ -84,35 +85,34 @@
         let index = ShardRequestIndex(key.shard_request.0 as usize);
         self.invariants.shard_request_accepted(self.now, index);
         self.jobs.insert(job, RunningAttempt { key, node });
-        self.job_of.insert(key, job);
+        self.job_by_attempt.insert(key, job);
         if self.request_of(index).is_some_and(|request| request.is_query_of_death) {
             self.injector.active_faults[node].begin_outage();
-            self.schedule(self.now + QUERY_OF_DEATH_OUTAGE, Event::NodeRecovers(node));
+            self.schedule(self.now + QUERY_OF_DEATH_OUTAGE, Event::OutageEnds(node));
             self.stop_node(node);
         } else {
-            self.schedule_finish(node);
+            self.schedule_completion(node);
         }
     }
 
     pub(super) fn handle_cancel(&mut self, key: AttemptKey) {
-        let Some(job) = self.job_of.remove(&key) else { return };
+        let Some(job) = self.job_by_attempt.remove(&key) else { return };
         if let Some(RunningAttempt { node, .. }) = self.jobs.remove(&job) {
             self.nodes[node].cancel(self.now, job);
-            self.schedule_finish(node);
+            self.schedule_completion(node);
         }
     }
 
-    /// Finishes the jobs of a node that are done. An event for a time that is not scheduled any more is
-    /// ignored.
-    pub(super) fn handle_finish(&mut self, node: usize) {
-        if self.next_finish[node] != Some(self.now) {
+    /// Completes the jobs of a node that are due. An event whose time was rescheduled is ignored.
+    pub(super) fn handle_completion(&mut self, node: usize) {
+        if self.scheduled_completions[node] != Some(self.now) {
             return;
         }
-        self.next_finish[node] = None;
+        self.scheduled_completions[node] = None;
         while let Some(job) = self.nodes[node].complete(self.now) {
             let Some(RunningAttempt { key, .. }) = self.jobs.remove(&job) else { continue };
-            self.job_of.remove(&key);
-            if self.injector.draws_error(node) {
+            self.job_by_attempt.remove(&key);
+            if self.injector.sample_error(node) {
                 self.send_result(key, node, AttemptOutcome::Errored);
             } else {
                 let index = ShardRequestIndex(key.shard_request.0 as usize);
@@ -120,19 +120,19 @@
                 self.send_result(key, node, AttemptOutcome::Succeeded);
             }
         }
-        self.schedule_finish(node);
+        self.schedule_completion(node);
     }
 
-    pub(super) fn schedule_finish(&mut self, node: usize) {
+    pub(super) fn schedule_completion(&mut self, node: usize) {
         if let Some(at) = self.nodes[node].next_completion()
-            && self.next_finish[node] != Some(at)
+            && self.scheduled_completions[node] != Some(at)
         {
-            self.next_finish[node] = Some(at);
-            self.schedule(at, Event::NodeFinishes(node));
+            self.scheduled_completions[node] = Some(at);
+            self.schedule(at, Event::JobMayComplete(node));
         }
     }
 
-    /// A result is sent to its broker, and may be lost on its way.
+    /// Sends a result to its broker, unless a network fault drops it.
     fn send_result(&mut self, key: AttemptKey, node: usize, outcome: AttemptOutcome) {
         if let Some(latency) = self.injector.latency(key.broker, node, MessageDirection::FromNode) {
             self.schedule(self.now + latency, Event::ResultArrives { key, outcome });
@@ -144,14 +144,14 @@
         self.queries.get(query).map(|query| &self.requests[query.request])
     }
 
-    /// What a shard request counts for on a warming node, in microseconds of work.
+    /// Returns the work that a shard request counts for on a warming node, in microseconds: the mean of its class.
     fn warm_up_work_us(&self, index: ShardRequestIndex) -> u64 {
         self.request_of(index).map_or(0, |request| self.mean_work_us[request.origin.class])
     }
 
     // Discovery.
 
-    /// Discovery will publish the node's state, unless it publishes nothing now.
+    /// Schedules the publication of a node's state, unless discovery is down.
     pub(super) fn schedule_publication(&mut self, node: usize, delay: TimeSpan) {
         if let Some(added) = self.injector.endpoint_list_delay() {
             self.schedule(self.now + delay + added, Event::EndpointPublished { node });
@@ -168,6 +168,7 @@
         }
     }
 
+    /// Sends the node's state to all brokers, unless discovery is down.
     pub(super) fn publish_endpoint(&mut self, node: usize) {
         if self.injector.endpoint_list_delay().is_none() {
             return;
@@ -182,6 +183,7 @@
         }
     }
 
+    /// Sends the current state of all nodes to a broker.
     pub(super) fn send_endpoint_snapshot(&mut self, broker: usize) {
         let all = (0..self.nodes.len()).map(|node| self.endpoint(node));
         let entries: Vec<Endpoint> =
@@ -202,7 +204,7 @@
 }
 
 impl NodeCounts {
-    /// Counts nodes by their states at this time.
+    /// Counts nodes by their state at this time.
     pub fn of(nodes: &[EmulatedNode], now: Timestamp) -> NodeCounts {
         let mut counts = NodeCounts::default();
         for node in nodes {
@@ -218,7 +220,7 @@
     }
 }
 
-/// What the wall clock of every machine shows: in a simulation they all go right.
+/// Returns the wall-clock time, which is the virtual time: all simulated clocks agree.
 fn wall_clock(now: Timestamp) -> WallClockTime {
     WallClockTime(now.0)
 }
--- a/crates/broker-bench/src/simulation/runner.rs
+++ b/crates/broker-bench/src/simulation/runner.rs
@@ -15,14 +15,14 @@
 use std::ops::Range;
 
 const SECOND: TimeSpan = TimeSpan(10_000);
-/// How long a day goes on after its last entry: longer than any deadline.
+/// Time that a run continues after the plan's last entry: longer than any deadline.
 const TIME_AFTER_LAST_ENTRY: TimeSpan = TimeSpan(200_000);
 
-/// An attempt, as the network knows it.
+/// An attempt that a broker has sent.
 pub(super) struct Attempt {
     pub(super) node: usize,
     pub(super) sent_at: Timestamp,
-    /// Its broker has not got its result.
+    /// Whether the broker still waits for the result.
     pub(super) is_open: bool,
 }
 
@@ -32,7 +32,7 @@
     pub(super) has_response: bool,
 }
 
-/// One sending of a request, to one broker.
+/// A query that was sent to a broker: one sending of a client request.
 pub(super) struct Query {
     pub(super) broker: usize,
     pub(super) request: usize,
@@ -40,22 +40,22 @@
     pub(super) is_open: bool,
 }
 
-/// What a client wants: it may send a query for it more than once.
+/// A client's request, for which it sends one query and possibly retries.
 pub(super) struct ClientRequest {
     pub(super) origin: QueryOrigin,
-    pub(super) until: Timestamp,
+    pub(super) deadline_at: Timestamp,
     pub(super) shard_requests: Vec<PlannedShardRequest>,
     pub(super) client_attempts: u32,
     pub(super) is_query_of_death: bool,
 }
 
-/// A job on a node.
+/// The attempt that a node's job executes.
 pub(super) struct RunningAttempt {
     pub(super) key: AttemptKey,
     pub(super) node: usize,
 }
 
-/// A day in virtual time.
+/// A run in virtual time.
 pub struct Simulation {
     pub(super) now: Timestamp,
     pub(super) queue: EventQueue,
@@ -63,13 +63,13 @@
     pub(super) config: SimulationConfig,
     pub(super) brokers: Vec<SimulatedBroker>,
     pub(super) nodes: Vec<EmulatedNode>,
-    /// When each node finishes its next job, as far as that is scheduled.
-    pub(super) next_finish: Vec<Option<Timestamp>>,
+    /// The time of each node's scheduled [`Event::JobMayComplete`]. Events for other times are ignored.
+    pub(super) scheduled_completions: Vec<Option<Timestamp>>,
     pub(super) published: Vec<PublishedState>,
     pub(super) jobs: BTreeMap<JobId, RunningAttempt>,
-    pub(super) job_of: BTreeMap<AttemptKey, JobId>,
+    pub(super) job_by_attempt: BTreeMap<AttemptKey, JobId>,
     pub(super) last_job: u64,
-    /// By their ids, which count up from 0.
+    /// Indexed by [`routing::ShardRequestId`].
     pub(super) shard_requests: Vec<ShardRequest>,
     pub(super) queries: Vec<Query>,
     pub(super) requests: Vec<ClientRequest>,
@@ -77,9 +77,9 @@
     pub(super) fault_actions: Vec<ScheduledAction>,
     pub(super) client_behavior: ClientBehavior,
     pub(super) broker_config: BrokerConfig,
-    /// By class.
+    /// Indexed by class.
     pub(super) deadlines: Vec<TimeSpan>,
-    /// Mean work of a shard request, by class: what one counts for on a warming node.
+    /// Mean work of a shard request, indexed by class: the work that it counts for on a warming node.
     pub(super) mean_work_us: Vec<u64>,
     pub(super) hasher: blake3::Hasher,
     pub(super) invariants: InvariantChecker,
@@ -87,7 +87,7 @@
 }
 
 impl Simulation {
-    /// A day without faults: the same latency everywhere, clients that never retry.
+    /// Returns a run without faults: all messages have the same latency, and clients never retry.
     pub fn new(plan: Plan, replay: &ReplayConfig, config: SimulationConfig) -> Simulation {
         let cluster = ClusterSize {
             nodes: replay.nodes,
@@ -111,7 +111,7 @@
         )
     }
 
-    /// A day with faults, and with clients that may retry.
+    /// Returns a run with faults, and with clients that may retry.
     pub fn with_faults(
         plan: Plan,
         replay: &ReplayConfig,
@@ -125,12 +125,12 @@
         let mut simulation = Simulation {
             now: Timestamp(0),
             queue: EventQueue::default(),
-            brokers: first_brokers(&config, &broker_config),
-            next_finish: vec![None; nodes.len()],
+            brokers: start_brokers(&config, &broker_config),
+            scheduled_completions: vec![None; nodes.len()],
             published: vec![removed; nodes.len()],
             nodes,
             jobs: BTreeMap::new(),
-            job_of: BTreeMap::new(),
+            job_by_attempt: BTreeMap::new(),
             last_job: 0,
             shard_requests: Vec::new(),
             queries: Vec::new(),
@@ -158,12 +158,14 @@
         for (index, scheduled) in self.fault_actions.iter().enumerate() {
             self.queue.schedule(scheduled.at, Event::FaultAction(index));
         }
-        self.queue.schedule(Timestamp(0), Event::SecondEnds);
+        self.queue.schedule(Timestamp(0), Event::SecondBegins);
     }
 
-    /// Plays to the end, until nothing is to happen any more that can matter; or until `should_continue`, which gets
-    /// the time and the day's end, says no. It is called once for each second of the day. The results of a
-    /// day that is broken off are marked as partial, and queries open then break no rule.
+    /// Runs until no events are left or the time after the plan's last entry has passed, or until `should_continue`
+    /// returns false.
+    ///
+    /// `should_continue` is called once per second with the virtual time and the time of the last entry. The results
+    /// of a run that it stops are marked as partial, and queries that are open then violate no rule.
     pub fn run(mut self, mut should_continue: impl FnMut(Timestamp, Timestamp) -> bool) -> RunResults {
         let last = Timestamp(self.plan.entries.last().map_or(0, |entry| entry.at) as i64);
         while let Some((at, event)) = self.queue.pop() {
@@ -172,12 +174,12 @@
             }
             self.now = at;
             self.results.events += 1;
-            if event == Event::SecondEnds {
+            if event == Event::SecondBegins {
                 if !should_continue(at.min(last), last) {
                     self.results.stopped_at = Some(at);
                     break;
                 }
-                self.end_second(last);
+                self.begin_second(last);
             } else {
                 self.handle(event);
             }
@@ -200,12 +202,12 @@
         self.queue.schedule(at, event);
     }
 
-    /// Records the state of the nodes, once a second as long as anything is planned.
-    fn end_second(&mut self, last: Timestamp) {
+    /// Records the node states and schedules the next second, up to the plan's last entry.
+    fn begin_second(&mut self, last: Timestamp) {
         let counts = NodeCounts::of(&self.nodes, self.now);
         self.results.second(self.now).nodes = counts;
         if self.now < last {
-            self.schedule(self.now + SECOND, Event::SecondEnds);
+            self.schedule(self.now + SECOND, Event::SecondBegins);
         }
     }
 
@@ -221,26 +223,26 @@
             Event::BrokerTurn(broker) => self.take_turn(broker),
             Event::AttemptArrives { key, node } => self.handle_attempt(key, node),
             Event::CancelArrives(key) => self.handle_cancel(key),
-            Event::NodeFinishes(node) => self.handle_finish(node),
+            Event::JobMayComplete(node) => self.handle_completion(node),
             Event::ResultArrives { key, outcome } => self.handle_result(key, outcome),
             Event::AttemptTimesOut(key) => self.handle_result(key, AttemptOutcome::TimedOut),
             Event::EndpointPublished { node } => self.publish_endpoint(node),
             Event::NodePauses(node) => self.pause_node(node),
-            Event::NodeRecovers(node) => self.recover_node(node),
+            Event::OutageEnds(node) => self.end_query_of_death_outage(node),
             Event::ClientRetries(request) => self.send_request(request),
             Event::ClientLeaves(query) => self.leave_query(query),
-            Event::SecondEnds => {}
+            Event::SecondBegins => {}
         }
     }
 }
 
-fn first_brokers(config: &SimulationConfig, broker_config: &BrokerConfig) -> Vec<SimulatedBroker> {
+fn start_brokers(config: &SimulationConfig, broker_config: &BrokerConfig) -> Vec<SimulatedBroker> {
     let seed = |number: u32| config.seed ^ u64::from(number).rotate_left(32);
     let start = |number| SimulatedBroker::first(config.policy, broker_config, seed(number));
     (0..config.brokers).map(start).collect()
 }
 
-/// Mean work of a shard request, by class.
+/// Returns the mean work of a shard request of each class, in microseconds.
 fn mean_work_us(plan: &Plan, classes: usize) -> Vec<u64> {
     let (mut work_us, mut counts) = (vec![0; classes], vec![0; classes]);
     for entry in &plan.entries {
--- a/crates/broker-bench/src/simulation/settings_text.rs
+++ b/crates/broker-bench/src/simulation/settings_text.rs
@@ -1,4 +1,4 @@
-//! The deployment of [`super::deployment`] as a settings text, for brokers on sockets.
+//! Builds the settings document that configures brokers on sockets like those of [`super::deployment`].
 
 use crate::simulation::config::SimulationConfig;
 use crate::simulation::deployment::{
@@ -9,19 +9,19 @@
 use routing::{Idempotency, TimeSpan};
 use serde_json::{Value, json};
 
-/// The name of the only zone.
+/// Name of the only zone.
 pub const ZONE_NAME: &str = "zone-0";
-/// Limits of a connection to a node.
+/// Limits of a broker's connection to a node.
 const CONNECTION_IDLE_TIMEOUT: TimeSpan = TimeSpan(6_000_000);
 const CONNECT_TIMEOUT: TimeSpan = TimeSpan(10_000);
 const STREAMS_PER_CONNECTION: u32 = 64;
 
-/// A tenant's name on the wire.
+/// Returns the name by which clients and brokers identify the tenant at this index.
 pub fn tenant_name(index: usize) -> String {
     format!("u{index}")
 }
 
-/// The settings text of brokers on sockets, which says the same as [`super::deployment::broker_config`].
+/// Returns the settings of brokers on sockets, equivalent to [`super::deployment::broker_config`].
 pub fn settings_text(replay: &ReplayConfig, config: &SimulationConfig) -> Value {
     let services: Vec<Value> = replay.classes.iter().map(service_settings).collect();
     let tenant = |(index, quota): (usize, f64)| json!({"Name": tenant_name(index), "QuotaRps": quota});
@@ -52,7 +52,7 @@
     })
 }
 
-/// A request class, under its key `Services`.
+/// Returns the entry of a request class in `Services`.
 fn service_settings(class: &ClassSpec) -> Value {
     let (idempotency, dedup_window) = idempotency_of(class.idempotency);
     let effect = match idempotency {
--- a/crates/broker-bench/src/simulation/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! Days in virtual time: the rules hold under faults and overload, and each day is the same by its seed.
+//! Tests runs in virtual time: invariants hold under faults and overload, and runs are reproducible.
 
 use crate::run_results::RunResults;
 use crate::simulation::deployment::LATENCY_OBJECTIVE;
@@ -11,7 +11,7 @@
 use routing::Timestamp;
 use rstest::rstest;
 
-/// Four kinds of classes, eight nodes, a small retry budget.
+/// Returns a configuration with classes of each idempotency, eight nodes and a small retry budget.
 pub fn replay_config() -> ReplayConfig {
     let class = |name: &str, (min, max), priority_weight, min_coverage, idempotency| ClassSpec {
         priority_weight,
@@ -45,7 +45,7 @@
     }
 }
 
-/// One of four shard requests of equal weight.
+/// Returns one of four shard requests of equal weight.
 pub fn planned(shard: u32, work_us: u64) -> PlannedShardRequest {
     PlannedShardRequest { shard, weight: 0.25, work_us }
 }
@@ -66,7 +66,7 @@
     PlanEntry { at, event: PlanEvent::Node { node, event } }
 }
 
-/// Twelve seconds of queries, of four shard requests of 20 ms each; and these events of nodes.
+/// Returns a plan of twelve seconds of queries with four shard requests of 20 ms each, and these node events.
 fn plan(queries_per_s: u64, node_events: &[(u64, u32, PlannedNodeEvent)]) -> Plan {
     let start = |node| node_event(0, node, PlannedNodeEvent::StartWarm);
     let mut entries: Vec<PlanEntry> = (0..8).map(start).collect();
@@ -80,7 +80,7 @@
     Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
 
-fn play(
+fn run(
     policy: RoutingPolicy,
     queries_per_s: u64,
     node_events: &[(u64, u32, PlannedNodeEvent)],
@@ -89,50 +89,50 @@
 }
 
 #[rstest]
-fn the_same_plan_has_the_same_decisions() {
-    let (one, other) = (play(RoutingPolicy::Product, 100, &[]), play(RoutingPolicy::Product, 100, &[]));
-    assert_eq!(one.json(), other.json());
+fn runs_are_reproducible() {
+    let (first, second) = (run(RoutingPolicy::Product, 100, &[]), run(RoutingPolicy::Product, 100, &[]));
+    assert_eq!(first.json(), second.json());
 }
 
-/// Within what the nodes can do all is served, and no rule is broken.
+/// Guards against queries lost or cut while the load is within the nodes' capacity.
 #[rstest]
-fn serves_all_without_faults() {
-    let results = play(RoutingPolicy::Product, 100, &[]);
+fn serves_all_queries_without_faults() {
+    let results = run(RoutingPolicy::Product, 100, &[]);
     assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
     assert_eq!(results.responded, 1200);
 }
 
-/// Half of the nodes stop at once and come back with a warm-up to do, then another one drains. Retries and the
-/// load of the lost half could bring down the rest or the warming nodes, or be sent past their end; no rule may
-/// be broken, and at least half of the day is served.
+/// Half of the nodes crash at once and restart cold, then another one drains. Retries and the load of the lost
+/// half could make the remaining or the warming nodes collapse, or reach nodes past their grace period. No rule
+/// may be broken, and at least half of the weight is served.
 #[rstest]
-fn keeps_the_rules_when_half_is_lost() {
+fn keeps_invariants_when_half_of_the_nodes_crash() {
     let lost = [0, 2, 4, 6];
     let mut events: Vec<_> = lost.iter().map(|node| (40_000, *node, PlannedNodeEvent::Stop)).collect();
     events.extend(lost.iter().map(|node| (70_000, *node, PlannedNodeEvent::StartCold)));
     events.extend([(90_000, 1, PlannedNodeEvent::Drain), (110_000, 1, PlannedNodeEvent::Stop)]);
-    let results = play(RoutingPolicy::Product, 100, &events);
+    let results = run(RoutingPolicy::Product, 100, &events);
     assert!(results.violations.is_empty(), "{}", results.json());
     assert!(results.service.share() > 0.5, "{}", results.json());
 }
 
-/// Clients send more than the nodes can serve. What can't be served has to be rejected, and more has to be served
-/// than by replicas chosen at random.
+/// Clients send more than the nodes can serve. The excess must be rejected, and service must exceed that of replicas
+/// chosen at random.
 #[rstest]
-fn rejects_at_once_under_overload() {
-    let (module, random) = (play(RoutingPolicy::Product, 600, &[]), play(RoutingPolicy::Random, 600, &[]));
-    assert!(module.violations.is_empty(), "{}", module.json());
+fn rejects_under_overload() {
+    let (product, random) = (run(RoutingPolicy::Product, 600, &[]), run(RoutingPolicy::Random, 600, &[]));
+    assert!(product.violations.is_empty(), "{}", product.json());
     assert!(
-        module.rejected > 0 && module.service.share() > random.service.share(),
+        product.rejected > 0 && product.service.share() > random.service.share(),
         "{} {}",
-        module.json(),
+        product.json(),
         random.json()
     );
 }
 
-/// Broken off, it tells what was played as partial, and holds nothing that was open against anybody.
+/// A run that is stopped early must mark its results as partial and must not report its open queries as lost.
 #[rstest]
-fn tells_what_was_played_when_broken_off() {
+fn stopped_run_has_partial_results() {
     let results = Simulation::new(plan(100, &[]), &replay_config(), config(RoutingPolicy::Product))
         .run(|now, _| now < Timestamp(50_000));
     assert_eq!(results.stopped_at, Some(Timestamp(50_000)));
@@ -140,24 +140,24 @@
     assert_eq!(results.json()["partial"], serde_json::json!(true));
 }
 
-/// Thousands of queries arrive at one moment. Queues would outgrow every deadline; each query has to get its
-/// response, and what can't be served has to be rejected at once.
+/// Thousands of queries arrive at one moment, so that queues would exceed every deadline. Each query must get a
+/// response, and the excess must be rejected before the latency objective.
 #[rstest]
-fn answers_thousands_sent_at_one_moment() {
-    let mut sudden = plan(250, &[]);
+fn answers_a_burst_of_thousands_of_queries() {
+    let mut burst = plan(250, &[]);
     let is_query = |entry: &PlanEntry| matches!(entry.event, PlanEvent::Query { .. });
-    sudden.entries.iter_mut().filter(|entry| is_query(entry)).for_each(|entry| entry.at = 10_000);
-    let results = Simulation::new(sudden, &replay_config(), config(RoutingPolicy::Product)).run(|_, _| true);
+    burst.entries.iter_mut().filter(|entry| is_query(entry)).for_each(|entry| entry.at = 10_000);
+    let results = Simulation::new(burst, &replay_config(), config(RoutingPolicy::Product)).run(|_, _| true);
     assert!(results.violations.is_empty() && results.queries == 3000, "{}", results.json());
     assert_eq!(results.responded + results.rejected + results.failed, 3000);
     assert!(results.rejected > 0 && results.slowest_rejection < LATENCY_OBJECTIVE, "{}", results.json());
 }
 
-/// A baseline breaks a rule that the product keeps: the checker can find a violation.
+/// Guards against a checker that finds nothing: the random baseline breaks a rule that the product keeps.
 #[rstest]
-fn the_checker_finds_violations() {
+fn checker_finds_violations_of_a_baseline() {
     let lost: Vec<_> = [0, 2, 4, 6].map(|node| (40_000, node, PlannedNodeEvent::Stop)).to_vec();
-    let results = play(RoutingPolicy::Random, 100, &lost);
+    let results = run(RoutingPolicy::Random, 100, &lost);
     assert!(
         results.violations.keys().any(|rule| rule.starts_with("2: at-most-once, rejected")),
         "{}",
@@ -165,14 +165,14 @@
     );
 }
 
-/// A quarter of forty nodes stops and comes back at once, under brokers that share nothing. Each broker alone sends
-/// little to a warming node, but all of them together could bring it down: without the random draw that decides
-/// whether a broker sends its first attempt, all ten collapse under thirty brokers. None may, at any number.
+/// A quarter of forty nodes crashes and restarts at the same time, under brokers that share no state. Each broker
+/// sends little to a warming node, but the sum could make it collapse: without the random draw that decides whether
+/// a broker sends its first attempt, all ten collapse under thirty brokers. None may collapse at any number.
 #[rstest]
 #[case(3)]
 #[case(30)]
 #[case(300)]
-fn no_warming_node_collapses_at_any_size(#[case] brokers: u32) {
+fn no_warming_node_collapses_with_any_number_of_brokers(#[case] brokers: u32) {
     let (nodes, shards) = (40, 32);
     let lost = || (0..nodes).step_by(4);
     let start = |node| node_event(0, node, PlannedNodeEvent::StartWarm);
--- a/crates/broker-bench/src/simulation_benchmark.rs
+++ b/crates/broker-bench/src/simulation_benchmark.rs
@@ -1,6 +1,6 @@
-//! `measure simulation`: what the simulation costs by size, what brokers do in every scenario of the library,
-//! and one scenario in virtual time beside loopback sockets. Keys of its JSON are older than the terms of the
-//! code, and stay, as scripts read them.
+//! The benchmark `measure simulation`: measures the cost of the simulation at two sizes, the service of each policy
+//! in all scenarios of the library, and the difference of one scenario between virtual time and loopback sockets. The
+//! keys of its JSON are read by scripts and keep their older names.
 
 use crate::benchmark_error::BenchmarkError;
 use crate::process_memory::peak_memory_kb;
@@ -15,47 +15,53 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// Nodes and brokers of a day.
+/// Number of nodes and brokers of a run.
 #[derive(Clone, Copy)]
 pub struct ClusterDimensions {
     pub nodes: u32,
     pub brokers: u32,
 }
 
-/// How large the benchmark is.
+/// The size of the benchmark.
 pub struct SimulationSizes {
-    /// For the days of every scenario.
+    /// Size of the runs of every scenario.
     pub small: ClusterDimensions,
-    /// For one large day.
+    /// Size of the one large run.
     pub large: ClusterDimensions,
-    /// Days of every scenario.
+    /// Number of runs of every scenario.
     pub seeds: u64,
 }
 
-/// The scenario of the large day.
+/// Scenario of the large run.
 const LARGE_SCENARIO: &str = "zone-outage-at-peak-load";
 const ZONES: u32 = 3;
-/// Seeds from here on are for measuring; constants are tuned on the seeds below.
+/// First seed of measurements. Lower seeds are for tuning constants, so that results are not fitted to the seeds.
 const FIRST_SEED: u64 = 101;
-/// The product's service in the worst scenario, on average over seeds, must not be less.
+/// Lower bound of the product's service in its worst scenario, averaged over seeds.
 const MIN_WORST_SERVICE: f64 = 0.90;
-/// Events a second on one thread. Below this, large days take too long to be played before a release.
+/// Lower bound of the events per second on one thread. Below it, large runs take too long to be part of a release.
 const MIN_EVENTS_PER_S: f64 = 100_000.0;
-/// How many times as much an event may cost at the large size: the cost is to be nearly linear in events.
+/// Upper bound of the cost per event at the large size relative to the small one: cost has to be nearly linear in
+/// events.
 const MAX_COST_RATIO: f64 = 4.0;
 
-fn day(scenario: &Scenario, size: ClusterDimensions, seed: u64, policy: RoutingPolicy) -> ScenarioRun<'_> {
+fn scenario_run(
+    scenario: &Scenario,
+    size: ClusterDimensions,
+    seed: u64,
+    policy: RoutingPolicy,
+) -> ScenarioRun<'_> {
     let ClusterDimensions { nodes, brokers } = size;
     ScenarioRun { scenario, nodes, brokers, zones: ZONES, seed, policy }
 }
 
-/// The cost of one day on one thread.
+/// The cost of one run on one thread.
 struct RunCost {
     events: u64,
     events_per_s: f64,
     seconds: f64,
     keeps_rules: bool,
-    /// Peak memory of the process after the day.
+    /// Peak memory of the process after the run, in kilobytes.
     peak_memory_kb: f64,
 }
 
@@ -63,7 +69,7 @@
     fn measure(size: ClusterDimensions) -> Result<RunCost, BenchmarkError> {
         let scenario = read_library_scenario(LARGE_SCENARIO)?;
         let start = Instant::now();
-        let results = day(&scenario, size, FIRST_SEED, RoutingPolicy::Product).simulate();
+        let results = scenario_run(&scenario, size, FIRST_SEED, RoutingPolicy::Product).simulate();
         let seconds = start.elapsed().as_secs_f64();
         let events_per_s = results.events as f64 / seconds;
         println!(
@@ -95,13 +101,14 @@
     }
 }
 
-/// The size of the day that is played in virtual time and on sockets.
+/// Size of the run that compares virtual time with sockets.
 const COMPARED_SIZE: ClusterDimensions = ClusterDimensions { nodes: 12, brokers: 4 };
 
 fn compare_with_sockets(seed: u64) -> Result<RunComparison, BenchmarkError> {
     let scenario = read_library_scenario(LARGE_SCENARIO)?;
     let start = Instant::now();
-    let comparison = RunComparison::run(&day(&scenario, COMPARED_SIZE, seed, RoutingPolicy::Product))?;
+    let comparison =
+        RunComparison::run(&scenario_run(&scenario, COMPARED_SIZE, seed, RoutingPolicy::Product))?;
     println!(
         "{LARGE_SCENARIO}, {} nodes, {} brokers, seed {seed}: virtual time {:.4}, loopback sockets {:.4}, {:.1} s",
         COMPARED_SIZE.nodes,
@@ -122,12 +129,12 @@
     })
 }
 
-/// The figures of one scenario by each policy.
+/// The results of one scenario with each policy.
 struct ScenarioRow {
     name: &'static str,
     product: ScenarioSummary,
     design: ScenarioSummary,
-    /// By the product behind admission control.
+    /// Results of the product with admission control.
     admitted: ScenarioSummary,
 }
 
@@ -139,9 +146,9 @@
     ) -> Result<ScenarioRow, BenchmarkError> {
         let scenario = read_library_scenario(name)?;
         let simulate = |policy| {
-            let days = seeds.par_iter().map(|seed| day(&scenario, size, *seed, policy).simulate());
-            let days: Vec<RunResults> = days.collect();
-            ScenarioSummary::of(&days, day(&scenario, size, 0, policy).faults_end())
+            let runs = seeds.par_iter().map(|seed| scenario_run(&scenario, size, *seed, policy).simulate());
+            let runs: Vec<RunResults> = runs.collect();
+            ScenarioSummary::of(&runs, scenario_run(&scenario, size, 0, policy).faults_end())
         };
         Ok(ScenarioRow {
             name,
@@ -151,7 +158,7 @@
         })
     }
 
-    /// The rules that the product broke, alone or behind admission control.
+    /// Returns the rules that the product broke, with or without admission control.
     fn broken_rules(&self) -> Vec<&'static str> {
         let rules = self.product.broken_rules.iter().chain(&self.admitted.broken_rules);
         let mut broken: Vec<&'static str> = rules.copied().collect();
@@ -198,7 +205,7 @@
     shares.iter().map(|share| format!("{share:.3}")).collect::<Vec<_>>().join(" ")
 }
 
-/// The figures of all scenarios, the worst first.
+/// Returns the results of all scenarios, ordered by the product's service, lowest first.
 fn measure_scenarios(size: ClusterDimensions, seeds: &[u64]) -> Result<Vec<ScenarioRow>, BenchmarkError> {
     let library = LIBRARY.par_iter();
     let rows = library.map(|LibraryScenario { name, .. }| ScenarioRow::measure(name, size, seeds));
@@ -207,7 +214,7 @@
     Ok(rows)
 }
 
-/// Service of each policy, the mean over scenarios.
+/// Mean service of each policy over all scenarios.
 struct MeanServices {
     product: f64,
     design: f64,
@@ -240,7 +247,7 @@
     );
 }
 
-/// Measures and prints; returns whether all bounds were kept.
+/// Measures and prints the results. Returns whether all bounds were met and no rule was broken.
 pub fn measure(sizes: &SimulationSizes) -> Result<bool, BenchmarkError> {
     let comparison = compare_with_sockets(FIRST_SEED)?;
     let small = RunCost::measure(sizes.small)?;
--- a/crates/broker-bench/src/socket_comparison.rs
+++ b/crates/broker-bench/src/socket_comparison.rs
@@ -1,4 +1,4 @@
-//! One day of a scenario in virtual time and on loopback sockets, from the same plan.
+//! Compares a scenario run in virtual time with a run of the same plan on loopback sockets.
 
 use crate::loopback;
 use crate::run_results::RunResults;
@@ -6,12 +6,12 @@
 use crate::simulation::Simulation;
 use thiserror::Error;
 
-/// The largest difference in service between a day on sockets and the same day in virtual time. It allows for
-/// what the HTTP server adds (frames, connections, a turn's wait for its period), and for the paused clock of
-/// whole milliseconds, which rounds times that virtual time has in tenths.
+/// Largest accepted difference in service between a run on sockets and the same run in virtual time. It covers the
+/// overhead of the HTTP server (frames, connections, a turn's wait for its period) and the paused clock, which
+/// rounds to whole milliseconds what virtual time has in tenths.
 pub const MAX_SERVICE_DIFFERENCE: f64 = 0.02;
 
-/// Why a day can't be compared.
+/// An error of a run that was to be compared.
 #[derive(Debug, Error)]
 pub enum ComparisonError {
     #[error(transparent)]
@@ -20,18 +20,18 @@
     Loopback { scenario: String, source: loopback::LoopbackError },
 }
 
-/// The results of a day in virtual time and on sockets.
+/// The results of one plan in virtual time and on sockets.
 pub struct RunComparison {
     pub virtual_time: RunResults,
     pub sockets: RunResults,
 }
 
 impl RunComparison {
-    /// Plays the day both ways.
+    /// Runs the scenario in virtual time, then on sockets.
     ///
     /// # Errors
     ///
-    /// The scenario has a fault that sockets can't play, or the machine was too busy for a figure.
+    /// Returns an error if the scenario has a fault that is not supported on sockets, or if the run on sockets fails.
     pub fn run(scenario_run: &ScenarioRun) -> Result<RunComparison, ComparisonError> {
         let SocketRun { plan, replay, config } = scenario_run.to_socket_run()?;
         let virtual_time = Simulation::new(plan.clone(), &replay, config.clone()).run(|_, _| true);
@@ -41,17 +41,17 @@
         Ok(RunComparison { virtual_time, sockets })
     }
 
-    /// How much more service the day had on sockets.
+    /// Returns the served share on sockets minus that in virtual time.
     pub fn difference(&self) -> f64 {
         self.sockets.service.share() - self.virtual_time.service.share()
     }
 
-    /// Whether the services differ by no more than [`MAX_SERVICE_DIFFERENCE`].
+    /// Returns whether the served shares differ by at most [`MAX_SERVICE_DIFFERENCE`].
     pub fn is_within_margin(&self) -> bool {
         self.difference().abs() <= MAX_SERVICE_DIFFERENCE
     }
 
-    /// The rules that were broken, in virtual time or on sockets.
+    /// Returns the rules that were broken in virtual time, followed by those broken on sockets.
     pub fn broken_rules(&self) -> Vec<&'static str> {
         self.virtual_time.violations.keys().chain(self.sockets.violations.keys()).copied().collect()
     }
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -3,7 +3,7 @@
 //! Exit codes: 0 no rule broken; 1 a rule was broken, or there is no plan; 2 a wrong argument, or a file that
 //! can't be opened; 3 no figure, as the machine was too busy; 4 interrupted.
 
-use crate::run_results::{RunResults, TENTHS_PER_S};
+use crate::run_results::{RunResults, TENTHS_OF_MS_PER_S};
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use crate::trace_plan::{PlanArgs, ReadPlan, read_plan};
 use crate::{loopback, report};
@@ -159,7 +159,7 @@
     let is_interrupted = interrupt_flag();
     let bar = progress_bar(Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64));
     let should_continue = |now: Timestamp, _| {
-        bar.set_position((now.0 / TENTHS_PER_S) as u64);
+        bar.set_position((now.0 / TENTHS_OF_MS_PER_S) as u64);
         !is_interrupted.load(Ordering::Relaxed)
     };
     let results = match args.loopback {
@@ -180,7 +180,7 @@
 
 /// A progress bar on standard error, if that is a terminal; it moves once for each second of the day.
 fn progress_bar(last: Timestamp) -> ProgressBar {
-    let bar = ProgressBar::new((last.0 / TENTHS_PER_S).max(1) as u64);
+    let bar = ProgressBar::new((last.0 / TENTHS_OF_MS_PER_S).max(1) as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} s of the day, {elapsed} {msg}");
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
--- a/crates/broker-bench/src/traffic.rs
+++ b/crates/broker-bench/src/traffic.rs
@@ -1,5 +1,5 @@
-//! The queries of a scripted day: random arrivals at the rate that offers the scenario's load, more of them
-//! while traffic surges.
+//! Generates the queries of a scenario run: random arrivals at the rate that offers the scenario's load, at a
+//! higher rate during traffic surges.
 
 use cluster_trace::plan::{
     ClassSpec, CountRange, Plan, PlanEntry, PlanEvent, PlannedNodeEvent, PlannedShardRequest, ReplayConfig,
@@ -9,21 +9,21 @@
 
 /// Cores of a node.
 pub const NODE_CORES: usize = 4;
-/// Mean work of a shard request, in milliseconds.
+/// Mean work of a shard request, in milliseconds of one core.
 const MEAN_WORK_MS: f64 = 40.0;
-/// The least work of a shard request, in microseconds.
+/// Lower bound of a shard request's work, in microseconds.
 const MIN_WORK_US: u64 = 100;
-/// The share of the queries that are reports; the others are lookups.
+/// Share of the queries that are of the class `report`; the others are of the class `lookup`.
 const REPORT_SHARE: f64 = 0.25;
 const REPORT_SHARD_REQUESTS: CountRange = CountRange { min: 8, max: 24 };
 const LOOKUP_SHARD_REQUESTS: CountRange = CountRange { min: 1, max: 4 };
-/// When the first query may be sent, in seconds: brokers have the endpoint list by then.
+/// Earliest time of a query, in seconds. Brokers have received the endpoint list by then.
 const FIRST_QUERY_S: f64 = 0.2;
-const TENTHS_PER_S: f64 = 10_000.0;
-/// Keeps the random numbers of traffic apart from those of other parts with the same seed.
+const TENTHS_OF_MS_PER_S: f64 = 10_000.0;
+/// XORed with the seed, so that traffic does not share random numbers with other generators of that seed.
 const RNG_STREAM: u64 = 0xa5c;
 
-/// The classes, shards and tenants of a scripted day.
+/// Returns the classes, shards and tenants of a scenario run on this many nodes.
 pub fn replay_config(nodes: u32, scenario: &Scenario, seed: u64) -> ReplayConfig {
     ReplayConfig {
         seed,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The plan of a day: all nodes are there and warm, and clients send queries for so many seconds.
+/// Returns a plan in which all nodes start warm at time 0 and clients send queries until `seconds` have passed.
 pub fn build_plan(replay: &ReplayConfig, actions: &[ScheduledAction], seconds: f64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(replay.seed ^ RNG_STREAM);
     let traffic_actions: Vec<ScheduledAction> = actions.iter().copied().filter(changes_traffic).collect();
@@ -64,13 +64,13 @@
     let mut at_s = FIRST_QUERY_S;
     loop {
         let now = Timestamp::from_ms(at_s * 1000.0);
-        let demand = Demand::at(now, &traffic_actions, replay.tenant_weights.len());
-        at_s += draw_exponential(&mut rng) / (mean_queries_per_s(replay) * demand.mean_factor());
+        let deviation = TrafficDeviation::at(now, &traffic_actions, replay.tenant_weights.len());
+        at_s += sample_exponential(&mut rng) / (mean_queries_per_s(replay) * deviation.mean_factor());
         if at_s >= seconds {
             break;
         }
-        let event = draw_query(&mut rng, replay, &demand);
-        entries.push(PlanEntry { at: (at_s * TENTHS_PER_S) as u64, event });
+        let event = sample_query(&mut rng, replay, &deviation);
+        entries.push(PlanEntry { at: (at_s * TENTHS_OF_MS_PER_S) as u64, event });
     }
     Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
@@ -79,7 +79,7 @@
     matches!(scheduled.action, FaultAction::TrafficSurge { .. } | FaultAction::HeavyQueries { .. })
 }
 
-/// Queries a second that offer the load, without a surge.
+/// Returns the queries per second that offer the configured load outside surges.
 fn mean_queries_per_s(replay: &ReplayConfig) -> f64 {
     let mean = |range: CountRange| f64::from(range.min + range.max) / 2.0;
     let shard_requests =
@@ -87,22 +87,22 @@
     replay.load * f64::from(replay.nodes) * replay.node_ms_per_s / (shard_requests * MEAN_WORK_MS)
 }
 
-/// What clients ask for at a time, compared with a day without faults.
-struct Demand {
-    /// How many times as many queries each tenant sends.
+/// The deviation of the traffic at one time from that of a run without faults.
+struct TrafficDeviation {
+    /// Factor on the query rate, by tenant.
     tenant_factors: Vec<f64>,
     heavy_share: f64,
     heavy_work_factor: f64,
 }
 
-impl Demand {
-    fn at(now: Timestamp, actions: &[ScheduledAction], tenants: usize) -> Demand {
-        let mut demand =
-            Demand { tenant_factors: vec![1.0; tenants], heavy_share: 0.0, heavy_work_factor: 1.0 };
+impl TrafficDeviation {
+    fn at(now: Timestamp, actions: &[ScheduledAction], tenants: usize) -> TrafficDeviation {
+        let mut deviation =
+            TrafficDeviation { tenant_factors: vec![1.0; tenants], heavy_share: 0.0, heavy_work_factor: 1.0 };
         for scheduled in actions.iter().take_while(|scheduled| scheduled.at <= now) {
-            demand.apply(scheduled.action);
+            deviation.apply(scheduled.action);
         }
-        demand
+        deviation
     }
 
     fn apply(&mut self, action: FaultAction) {
@@ -127,9 +127,9 @@
         self.tenant_factors.iter().sum::<f64>() / self.tenant_factors.len() as f64
     }
 
-    /// The tenant of the next query. With a single tenant no random number is drawn, so that such days do not
-    /// depend on there being tenants.
-    fn draw_tenant(&self, rng: &mut fastrand::Rng) -> usize {
+    /// Samples the tenant of the next query in proportion to the tenants' factors. With a single tenant no random
+    /// number is used, so that the existence of tenants does not change such a run.
+    fn sample_tenant(&self, rng: &mut fastrand::Rng) -> usize {
         if self.tenant_factors.len() < 2 {
             return 0;
         }
@@ -143,16 +143,16 @@
     }
 }
 
-fn draw_query(rng: &mut fastrand::Rng, replay: &ReplayConfig, demand: &Demand) -> PlanEvent {
+fn sample_query(rng: &mut fastrand::Rng, replay: &ReplayConfig, deviation: &TrafficDeviation) -> PlanEvent {
     let class = usize::from(rng.f64() >= REPORT_SHARE);
     let ClassSpec { shard_requests: range, weight_skew, .. } = replay.classes[class];
     let count = rng.u32(range.min..=range.max);
     let raw: Vec<f64> = (1..=count).map(|rank| f64::from(rank).powf(-weight_skew)).collect();
     let total: f64 = raw.iter().sum();
     let first_shard = rng.u32(..replay.shards);
-    let work_factor = if rng.f64() < demand.heavy_share { demand.heavy_work_factor } else { 1.0 };
+    let work_factor = if rng.f64() < deviation.heavy_share { deviation.heavy_work_factor } else { 1.0 };
     let shard_request = |(offset, weight): (u32, f64)| {
-        let work_us = (draw_exponential(rng) * MEAN_WORK_MS * work_factor * 1000.0) as u64;
+        let work_us = (sample_exponential(rng) * MEAN_WORK_MS * work_factor * 1000.0) as u64;
         PlannedShardRequest {
             shard: (first_shard + offset) % replay.shards,
             weight: weight / total,
@@ -160,10 +160,10 @@
         }
     };
     let shard_requests = (0..).zip(raw).map(shard_request).collect();
-    PlanEvent::Query { class, tenant: demand.draw_tenant(rng), shard_requests }
+    PlanEvent::Query { class, tenant: deviation.sample_tenant(rng), shard_requests }
 }
 
-/// An exponentially distributed number with mean 1.
-fn draw_exponential(rng: &mut fastrand::Rng) -> f64 {
+/// Samples the exponential distribution with mean 1.
+fn sample_exponential(rng: &mut fastrand::Rng) -> f64 {
     -(1.0 - rng.f64()).ln()
 }
