--- a/crates/broker-bench/src/baseline.rs
+++ b/crates/broker-bench/src/baseline.rs
@@ -1,7 +1,7 @@
-//! The routing that the product is compared with: each shard request to a replica drawn at random; or the design's
-//! ordinary path alone, without the exceptions that `docs/design.md` lists (no retries, no hedging, no admission
-//! control, no outlier ejection, no slow start). A baseline gets the inputs and gives the effects of
-//! [`routing::Broker`], and is no part of the product.
+//! Baseline routing policies that the product is compared with: random choice of replicas, or the design's ordinary
+//! path alone, without the exceptions that `docs/design.md` lists (no retries, no hedging, no admission control, no
+//! outlier ejection, no slow start). A baseline has the inputs and effects of [`routing::Broker`]. It is not part of
+//! the product.
 
 use routing::{
     AttemptOutcome, AttemptResult, BrokerConfig, ClassId, Effect, EndpointList, EndpointState, GroupId,
@@ -10,37 +10,36 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The design's score under which a shard request of a partial response stays unsent.
+/// Score below which the design's cutoff leaves a shard request unsent, in classes that allow partial responses.
 const MIN_SCORE: f64 = 0.0001;
-/// The overload ratio from which on light shard requests stay unsent.
+/// Overload ratio above which the base B rises, so that the cutoff leaves out light shard requests.
 const CUTOFF_OVERLOAD_RATIO: f64 = 0.1;
-/// The base B, as the overload ratio goes from the cutoff's to 1.
+/// Range of the base B as the overload ratio rises from [`CUTOFF_OVERLOAD_RATIO`] to 1.
 const MIN_BASE: f64 = 1.0;
 const MAX_BASE: f64 = 10.0;
-/// Attempts count for the overload ratio with a weight that decays by this time constant, in tenths of a
-/// millisecond.
+/// Time constant of the exponential decay of attempts in the overload ratio, in tenths of a millisecond.
 const OVERLOAD_TIME_CONSTANT: f64 = 50_000.0;
-/// The weight of the newest latency in a node's smoothed latency.
+/// Weight of the newest latency in a node's exponentially smoothed latency.
 const NEWEST_LATENCY_WEIGHT: f64 = 0.25;
-/// How much the weights of a query may differ from 1 in sum, by rounding.
+/// Tolerance for rounding in the sum of a query's weights.
 const WEIGHT_ROUNDING: f64 = 0.00005;
-/// The latency of all nodes while none was measured: all are alike then.
-const UNKNOWN_LATENCY: f64 = 1.0;
-/// Responses leave this many turns before they are due.
-const MARGIN_TURNS: f64 = 4.0;
+/// Latency that is assumed for all nodes while none was measured. Its value has no effect, as only the order counts.
+const DEFAULT_LATENCY: f64 = 1.0;
+/// Number of turns before the latency objective or the deadline at which responses are sent.
+const RESPONSE_MARGIN_TURNS: f64 = 4.0;
 
-/// How a baseline chooses replicas.
+/// The policy by which a baseline chooses replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselinePolicy {
-    /// At random.
+    /// Uniformly at random.
     Random,
-    /// The design's ordinary path: the shortest expected wait, and the cutoff under overload.
+    /// By the design's ordinary path: the shortest expected wait, and the cutoff under overload.
     Design,
 }
 
 struct Node {
     placement_group: PlacementGroupId,
-    /// Smoothed, in tenths of a millisecond; none before the first result.
+    /// Smoothed latency in tenths of a millisecond, or `None` before the first result.
     latency: Option<f64>,
     in_flight: u32,
 }
@@ -55,15 +54,15 @@
 enum ShardRequestState {
     Pending,
     Received,
-    /// Unsent, or its attempt did not succeed.
+    /// The shard request stays unsent, or its attempt did not succeed.
     Failed,
 }
 
 struct OpenQuery {
     class: ClassId,
-    /// When a response has to leave to be on time.
+    /// Time at which a response has to be sent to meet the latency objective.
     objective_at: Timestamp,
-    /// When a response has to leave to be of any use.
+    /// Time at which a response has to be sent to meet the deadline.
     deadline_at: Timestamp,
     shard_requests: Vec<ShardRequest>,
 }
@@ -79,7 +78,7 @@
     }
 }
 
-/// The share of the attempts that ended as overloaded or timed out; older ones count for less.
+/// The share of the attempts that ended as overloaded or timed out, with exponential decay.
 #[derive(Default)]
 struct OverloadRatio {
     overloaded: f64,
@@ -89,9 +88,9 @@
 
 impl OverloadRatio {
     fn decay(&mut self, now: Timestamp) {
-        let kept = (-((now - self.updated_at).0 as f64) / OVERLOAD_TIME_CONSTANT).exp();
-        self.overloaded *= kept;
-        self.total *= kept;
+        let decay_factor = (-((now - self.updated_at).0 as f64) / OVERLOAD_TIME_CONSTANT).exp();
+        self.overloaded *= decay_factor;
+        self.total *= decay_factor;
         self.updated_at = now;
     }
 
@@ -107,7 +106,7 @@
     }
 }
 
-/// A broker that decides by a baseline.
+/// A broker that routes by a baseline policy.
 pub struct Baseline {
     policy: BaselinePolicy,
     rng: fastrand::Rng,
@@ -122,7 +121,7 @@
 }
 
 impl Baseline {
-    /// A broker that has just started. `seed` is where its random numbers come from.
+    /// Returns a broker that has just started, whose random numbers are generated from `seed`.
     pub fn new(policy: BaselinePolicy, broker_config: &BrokerConfig, seed: u64) -> Baseline {
         Baseline {
             policy,
@@ -138,7 +137,7 @@
         }
     }
 
-    /// As [`routing::Broker::turn`].
+    /// Handles inputs and returns effects, like [`routing::Broker::turn`]. Inputs that no baseline uses are ignored.
     pub fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut new_queries = Vec::new();
@@ -175,7 +174,7 @@
 
     fn accept(&mut self, new: &NewQuery, now: Timestamp, effects: &mut Vec<Effect>) {
         self.groups.insert(new.group, new.id);
-        let margin = self.period.mul_f64(MARGIN_TURNS);
+        let margin = self.period.mul_f64(RESPONSE_MARGIN_TURNS);
         let class = self.classes.get(&new.class);
         let latency_objective = class.map_or(TimeSpan::ZERO, |class| class.latency_objective);
         let objective_at = now + latency_objective - margin;
@@ -196,14 +195,14 @@
         }
     }
 
-    /// The design's base B: a shard request's score is its weight x B^-rank.
+    /// Returns the design's base B under the current overload ratio. A shard request's score is its weight x B^-rank.
     fn base(&mut self, now: Timestamp) -> f64 {
         let overload = self.overload_ratio.ratio(now);
         let excess = (overload - CUTOFF_OVERLOAD_RATIO) / (1.0 - CUTOFF_OVERLOAD_RATIO);
         MIN_BASE + (MAX_BASE - MIN_BASE) * excess.max(0.0)
     }
 
-    /// Sends a query's shard requests, but for those that the design's cutoff leaves out.
+    /// Sends a query's shard requests, except for those that the design's cutoff leaves out.
     fn send(&mut self, id: QueryId, now: Timestamp, effects: &mut Vec<Effect>) {
         let base = self.base(now);
         let Some(mut query) = self.open_queries.remove(&id) else { return };
@@ -238,23 +237,23 @@
         if replicas.is_empty() {
             return None;
         }
-        let drawn = self.rng.usize(..replicas.len());
+        let start = self.rng.usize(..replicas.len());
         if self.policy == BaselinePolicy::Random {
-            return Some(replicas[drawn].0);
+            return Some(replicas[start].0);
         }
         let average_latency = self.average_latency();
         let expected_wait =
             |node: &Node| node.latency.unwrap_or(average_latency) * f64::from(node.in_flight + 1);
-        // Of equal ones the first from a drawn one on is chosen.
-        let in_drawn_order = replicas[drawn..].iter().chain(&replicas[..drawn]);
-        let fastest = in_drawn_order.min_by(|a, b| expected_wait(a.1).total_cmp(&expected_wait(b.1)));
+        // Ties are broken by a random starting point.
+        let from_start = replicas[start..].iter().chain(&replicas[..start]);
+        let fastest = from_start.min_by(|a, b| expected_wait(a.1).total_cmp(&expected_wait(b.1)));
         fastest.map(|(id, _)| *id)
     }
 
-    /// Over the nodes whose latency is known.
+    /// Returns the average over the nodes whose latency is known.
     fn average_latency(&self) -> f64 {
         let known: Vec<f64> = self.nodes.values().filter_map(|node| node.latency).collect();
-        if known.is_empty() { UNKNOWN_LATENCY } else { known.iter().sum::<f64>() / known.len() as f64 }
+        if known.is_empty() { DEFAULT_LATENCY } else { known.iter().sum::<f64>() / known.len() as f64 }
     }
 
     fn record_result(&mut self, result: &AttemptResult, now: Timestamp) {
@@ -278,7 +277,8 @@
         }
     }
 
-    /// Ends the queries whose shard requests have all ended, or whose time is over.
+    /// Ends the queries whose shard requests have all ended, whose deadline is reached, or whose latency objective is
+    /// reached with the minimum coverage.
     fn respond_or_reject(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         let mut ended = Vec::new();
         for (id, query) in &self.open_queries {
--- a/crates/broker-bench/src/baseline/tests.rs
+++ b/crates/broker-bench/src/baseline/tests.rs
@@ -1,4 +1,4 @@
-//! What the baselines choose, and what the cutoff leaves out.
+//! Tests which replicas the baselines choose, what the cutoff leaves out, and when queries end.
 
 use crate::baseline::{Baseline, BaselinePolicy};
 use routing::{
@@ -9,7 +9,7 @@
 };
 use rstest::rstest;
 
-/// One placement group that holds all shards, and one class that takes partial responses.
+/// Returns a configuration with one placement group that holds all shards, and a class that allows partial responses.
 fn broker_config() -> BrokerConfig {
     let class = RequestClass {
         latency_objective: TimeSpan(10_000),
@@ -41,8 +41,8 @@
     baseline
 }
 
-/// A query with a shard request of each of these weights; the shard requests' ids are ten times the query's, and
-/// on.
+/// Returns the inputs of a query with shard requests of these weights. The shard requests' ids count up from ten
+/// times the query's.
 fn query(number: u64, weights: &[f64]) -> Vec<Input> {
     let group = GroupId(number as u32);
     let query = Input::Query(NewQuery {
@@ -80,13 +80,13 @@
     effects.iter().filter_map(send).collect()
 }
 
-/// The design sends to the node with the shortest expected wait: latency times the shard requests there.
+/// The design must choose the node with the shortest expected wait, its latency times its attempts in flight.
 #[rstest]
 fn the_design_chooses_the_shortest_wait() {
     let mut baseline = baseline(BaselinePolicy::Design, 2);
     let first = sent(&baseline.turn(Timestamp(50), &query(1, &[0.5, 0.5])));
     assert_eq!(first.len(), 2);
-    assert_ne!(first[0].1, first[1].1, "both nodes are alike, and one has a shard request already");
+    assert_ne!(first[0].1, first[1].1, "both nodes have the same latency, and one has an attempt in flight");
     let latency_of = |node| if node == 0 { TimeSpan(1000) } else { TimeSpan(100) };
     let results: Vec<Input> = first
         .iter()
@@ -94,18 +94,21 @@
         .collect();
     baseline.turn(Timestamp(1100), &results);
     let second = sent(&baseline.turn(Timestamp(1150), &query(2, &[0.25; 4])));
-    assert!(second.iter().all(|(_, node)| *node == 1), "node 0 takes ten times as long: {second:?}");
+    assert!(
+        second.iter().all(|(_, node)| *node == 1),
+        "node 0 has ten times the latency of node 1: {second:?}"
+    );
 }
 
-/// Under overload the design leaves out shard requests of little weight; at random all are sent.
+/// Under overload the design must leave out shard requests of little weight, and the random policy must send all.
 #[rstest]
 #[case(BaselinePolicy::Design, 1)]
 #[case(BaselinePolicy::Random, 2)]
-fn the_cutoff_is_the_designs(#[case] policy: BaselinePolicy, #[case] expected: usize) {
+fn only_the_design_has_a_cutoff(#[case] policy: BaselinePolicy, #[case] expected: usize) {
     let mut baseline = baseline(policy, 2);
     let weights = [0.9995, 0.0005];
     let before = sent(&baseline.turn(Timestamp(50), &query(1, &weights)));
-    assert_eq!(before.len(), 2, "without overload all are sent");
+    assert_eq!(before.len(), 2, "all shard requests are sent without overload");
     let overloaded: Vec<Input> = before
         .iter()
         .map(|(id, node)| result(*id, *node, AttemptOutcome::Overloaded, TimeSpan(10)))
@@ -115,12 +118,12 @@
         effects.contains(&Effect::Reject { query: QueryId(1), retry_after: TimeSpan::ZERO }),
         "{effects:?}"
     );
-    // With a base of 10 the light one scores 0.00005, under the design's least.
+    // With a base B of 10 the light one has a score of 0.00005, below the design's minimum.
     assert_eq!(sent(&baseline.turn(Timestamp(150), &query(2, &weights))).len(), expected);
 }
 
-/// It responds when all has ended or the objective is near, with what has been received; at the deadline a query
-/// without its minimum coverage is rejected.
+/// A query with its minimum coverage must get a partial response near the latency objective; one without it must
+/// be rejected near the deadline.
 #[rstest]
 fn responds_by_the_objective_and_rejects_by_the_deadline() {
     let mut baseline = baseline(BaselinePolicy::Random, 1);
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -1,14 +1,14 @@
-//! The six rules of the service, checked by what clients and nodes got, never by what a broker says. No I/O:
-//! whoever plays a day (in virtual time, or on sockets) reports what happened and when.
+//! Checks the six invariants ("rules") of the service on the messages that clients and nodes receive, never on
+//! reports of a broker. The checker does no I/O: the run, in virtual time or on sockets, reports events and times.
 //!
 //! | rule | what is checked |
 //! | --- | --- |
 //! | 1 | final responses as they reach clients, and shard requests that reach nodes after them |
-//! | 2 | shard requests that reach nodes again after one of them may have been executed; rejections of such |
-//! | 3 | shard requests that reach a node past the grace period after discovery published its end |
+//! | 2 | shard requests that reach nodes again after they may have been executed, and rejections of their queries |
+//! | 3 | shard requests that reach a node past the grace period after it was published as draining or removed |
 //! | 4 | warming nodes that collapsed |
-//! | 5 | responses compared with what nodes answered for them |
-//! | 6 | shard requests that reach nodes again, in any window, compared with what was sent in it |
+//! | 5 | responses, compared with the answers of the nodes |
+//! | 6 | shard requests that reach nodes again in any window, compared with those that brokers accepted in it |
 
 mod retry_window;
 mod rules;
@@ -19,91 +19,91 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What the rules allow for one class.
+/// The limits of the rules for one request class.
 #[derive(Clone, Debug)]
 pub struct ClassLimits {
-    /// The longest time from a query to its final response.
+    /// Longest time from a query to its final response.
     pub deadline: TimeSpan,
-    /// The least share of a query's weight that a response may cover.
+    /// Minimum coverage of a response, from 0 to 1.
     pub min_coverage: f64,
-    /// What a second execution of a shard request would do.
+    /// Whether, and under which condition, a shard request may be executed twice.
     pub idempotency: Idempotency,
-    /// How long nodes drop a repeat under one idempotency key.
+    /// Time in which nodes deduplicate repeats under one idempotency key.
     pub dedup_window: TimeSpan,
 }
 
-/// What the rules allow.
+/// The limits of the rules.
 #[derive(Clone, Debug)]
 pub struct InvariantLimits {
-    /// By class.
+    /// Limits of the classes, indexed by class.
     pub classes: Vec<ClassLimits>,
-    /// None: any number of retries is allowed.
+    /// The retry budget of each broker, or `None` if retries are unlimited.
     pub retry_budget: Option<RetryBudget>,
-    /// How long a shard request may still be sent to a node whose end was published.
+    /// Time in which shard requests may still be sent to a node that was published as draining or removed.
     pub grace: TimeSpan,
-    /// How much later than it was done something may be observed.
+    /// Longest delay from an event to its observation.
     pub slack: TimeSpan,
 }
 
-/// A shard request, counted up over all queries of the day.
+/// The number of a shard request among those of all queries of the run, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ShardRequestIndex(pub usize);
 
-/// What discovery published last of a node, and when.
+/// The state of a node that discovery published last, and the time of publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedState {
-    /// The published state.
+    /// The state of the node.
     pub state: EndpointState,
-    /// When it was published.
+    /// Time of publication.
     pub at: Timestamp,
 }
 
-/// How a query ended for its client.
+/// The end of a query as its client observes it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryEnd {
-    /// With a response that counts these shard requests.
+    /// The client received a response that contains answers.
     Responded {
-        /// The response says that it is complete.
+        /// Whether the response is marked as complete.
         complete: bool,
-        /// The shard requests whose answers are in it.
+        /// The shard requests whose answers the response contains.
         counted: Vec<ShardRequestIndex>,
     },
-    /// Without a response; the client may send it again.
+    /// The client received a rejection and may send the query again.
     Rejected,
-    /// Without a response; it may have been executed.
+    /// The client received a failure or nothing; the query may have been executed.
     Failed,
 }
 
-/// How many queries ended in which way.
+/// The number of queries, and of each way in which they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueryCounts {
-    /// All queries.
+    /// Queries that clients sent.
     pub sent: u64,
-    /// Those that ended with a response.
+    /// Queries that ended with a response.
     pub responded: u64,
-    /// Those that were rejected.
+    /// Queries that ended with a rejection.
     pub rejected: u64,
-    /// Those that failed.
+    /// Queries that ended with a failure.
     pub failed: u64,
-    /// Clients that left before the end.
+    /// Queries whose clients left before the end.
     pub abandoned: u64,
 }
 
-/// How often a rule was broken in one way, and when first.
+/// The violations of a rule in one way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violations {
-    /// How often.
+    /// Number of violations, at least 1.
     pub count: u64,
-    /// The time of the first.
+    /// Time of the first violation.
     pub first_at: Timestamp,
 }
 
-/// How near a rule came to its limit: 1 is the limit; and when.
+/// The closest approach of a rule to its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClosestApproach {
-    /// What was measured, divided by the limit.
+    /// Measured value divided by its limit; 1 is the limit.
     pub ratio: f64,
-    /// When that was.
+    /// Time of the measurement.
     pub at: Timestamp,
 }
 
@@ -111,11 +111,11 @@
 struct ShardRequest {
     query: usize,
     weight: f64,
-    /// How often it reached a node.
+    /// Number of times that it reached a node.
     arrivals: u32,
-    /// When a node first accepted it, so that it may have been executed.
+    /// Time at which a node first accepted it. From then on it may have been executed.
     accepted_at: Option<Timestamp>,
-    /// When a node first answered it.
+    /// Time at which a node first answered it.
     answered_at: Option<Timestamp>,
 }
 
@@ -123,15 +123,15 @@
 struct Query {
     broker: usize,
     class: usize,
-    /// No broker owes it a response any more: its client has left, or its broker was restarted.
+    /// Whether no response is required any more, as the client has left or the broker was restarted.
     is_released: bool,
-    /// When its client's time is over.
-    until: Timestamp,
+    /// Time at which the client's deadline expires.
+    deadline_at: Timestamp,
     shard_requests: Range<usize>,
     ended_at: Option<Timestamp>,
 }
 
-/// Checks the rules.
+/// Checks the rules during one run.
 pub struct InvariantChecker {
     closest: BTreeMap<&'static str, ClosestApproach>,
     limits: InvariantLimits,
@@ -141,11 +141,11 @@
     violations: BTreeMap<&'static str, Violations>,
 }
 
-/// How much the weights of a query may differ from 1 in sum, by rounding.
+/// Tolerance for rounding in sums of weights.
 const WEIGHT_ROUNDING: f64 = 0.0001;
 
 impl InvariantChecker {
-    /// A checker of a day with this many brokers, in which nothing has happened.
+    /// Returns a checker for a run with this many brokers, before its first event.
     pub fn new(limits: InvariantLimits, brokers: usize) -> InvariantChecker {
         InvariantChecker {
             closest: BTreeMap::new(),
@@ -157,12 +157,12 @@
         }
     }
 
-    /// The broken rules.
+    /// Returns the violations so far, by the text of the violation.
     pub fn violations(&self) -> &BTreeMap<&'static str, Violations> {
         &self.violations
     }
 
-    /// How near each rule came to its limit, where anything came near it at all.
+    /// Returns the closest approach of each rule to its limit, for rules with any measurement.
     pub fn closest(&self) -> &BTreeMap<&'static str, ClosestApproach> {
         &self.closest
     }
@@ -178,18 +178,18 @@
         self.violations.entry(rule).or_insert(Violations { count: 0, first_at: now }).count += 1;
     }
 
-    /// A warming node has this share of the work that makes it collapse.
+    /// Records the load of a warming node; at a ratio of 1 it collapses.
     pub fn warming_node_loaded(&mut self, now: Timestamp, ratio: f64) {
         self.record_approach(now, approach::LOAD_ON_WARMING_NODE, ratio);
     }
 
-    /// A warming node collapsed.
+    /// Records the collapse of a warming node.
     pub fn node_collapsed(&mut self, now: Timestamp) {
         self.record_violation(now, violation::WARMING_NODE_COLLAPSED);
     }
 
-    /// A query is sent to a broker; returns its first shard request, the others follow. `time_left` is its
-    /// client's.
+    /// Records a query that a client sends to a broker with this time left, and the weights of its shard requests.
+    /// Returns the index of the first shard request; the others follow.
     pub fn query_sent(
         &mut self,
         now: Timestamp,
@@ -209,14 +209,15 @@
         self.shard_requests.extend(weights.iter().map(shard_request));
         let shard_requests = first..self.shard_requests.len();
         let accepted = 1 + shard_requests.len();
-        let until = now + time_left.min(self.limits.classes[class].deadline);
+        let deadline_at = now + time_left.min(self.limits.classes[class].deadline);
         let (ended_at, is_released) = (None, false);
-        self.queries.push(Query { broker, class, until, shard_requests, ended_at, is_released });
+        self.queries.push(Query { broker, class, deadline_at, shard_requests, ended_at, is_released });
         self.retry_windows[broker].record_accepted(now, accepted);
         ShardRequestIndex(first)
     }
 
-    /// A shard request reaches a node. `sent_at`: when it left its broker, where that is known.
+    /// Records a shard request that reaches a node. `sent_at` is the time at which it left its broker, or `now` if
+    /// that is unknown; `published` is the node's published state.
     pub fn shard_request_arrived(
         &mut self,
         now: Timestamp,
@@ -266,8 +267,7 @@
         }
     }
 
-    /// Each retry ends a window. A check only at the ends of fixed windows would miss those that lie across
-    /// two.
+    /// Checks the window that ends with this retry. Fixed windows would miss an excess that spans two of them.
     fn check_retry_budget(&mut self, now: Timestamp, broker: usize) {
         let Some(budget) = &self.limits.retry_budget else { return };
         let retry_use = self.retry_windows[broker].record_retry(now, budget, self.limits.slack);
@@ -277,27 +277,29 @@
         }
     }
 
-    /// A node accepted a shard request: from now on it may have been executed.
+    /// Records that a node accepted a shard request: from now on it may have been executed.
     pub fn shard_request_accepted(&mut self, now: Timestamp, index: ShardRequestIndex) {
         if let Some(shard_request) = self.shard_requests.get_mut(index.0) {
             shard_request.accepted_at.get_or_insert(now);
         }
     }
 
-    /// A node answered a shard request.
+    /// Records that a node answered a shard request.
     pub fn shard_request_answered(&mut self, now: Timestamp, index: ShardRequestIndex) {
         if let Some(shard_request) = self.shard_requests.get_mut(index.0) {
             shard_request.answered_at.get_or_insert(now);
         }
     }
 
-    /// A query's end reaches its client; returns the weight that its response has. None: it had ended before.
+    /// Records the end of a query at its client. Returns the coverage of its response (0 without a response), or
+    /// `None` if the query is unknown or has ended before.
     pub fn query_ended(&mut self, now: Timestamp, query: usize, end: &QueryEnd) -> Option<f64> {
-        let Some(Query { class, until, ended_at, shard_requests, .. }) = self.queries.get_mut(query) else {
+        let Some(Query { class, deadline_at, ended_at, shard_requests, .. }) = self.queries.get_mut(query)
+        else {
             self.record_violation(now, violation::UNKNOWN_QUERY);
             return None;
         };
-        let (class, until, shard_requests) = (*class, *until, shard_requests.clone());
+        let (class, deadline_at, shard_requests) = (*class, *deadline_at, shard_requests.clone());
         let had_ended = ended_at.is_some();
         ended_at.get_or_insert(now);
         if had_ended {
@@ -305,9 +307,9 @@
             return None;
         }
         let ClassLimits { deadline, min_coverage, idempotency, .. } = self.limits.classes[class];
-        let time_used = 1.0 - (until - now).ratio_to(deadline);
+        let time_used = 1.0 - (deadline_at - now).ratio_to(deadline);
         self.record_approach(now, approach::TIME_TO_RESPONSE, time_used);
-        if now > until + self.limits.slack {
+        if now > deadline_at + self.limits.slack {
             self.record_violation(now, violation::RESPONSE_TOO_LATE);
         }
         let mut own_requests = self.shard_requests[shard_requests.clone()].iter();
@@ -321,7 +323,7 @@
         Some(coverage.min(1.0))
     }
 
-    /// The share of the query's weight that a response has.
+    /// Checks the shard requests that a response counts. Returns its coverage.
     fn check_counted(&mut self, now: Timestamp, own: &Range<usize>, counted: &[ShardRequestIndex]) -> f64 {
         let mut distinct: Vec<ShardRequestIndex> = counted.to_vec();
         distinct.sort();
@@ -352,8 +354,8 @@
         }
     }
 
-    /// A query's client has left, or its broker was restarted: nobody owes it a response. A broker that lives
-    /// on may send nothing more of it.
+    /// Records that no response to a query is required any more, as its client has left or its broker was restarted.
+    /// The query ends here: a running broker must not send further attempts for it.
     pub fn release_query(&mut self, now: Timestamp, query: usize) {
         if let Some(query) = self.queries.get_mut(query) {
             query.ended_at.get_or_insert(now);
@@ -361,19 +363,19 @@
         }
     }
 
-    /// Whether nobody owes a query's client a response any more.
+    /// Returns whether [`InvariantChecker::release_query`] was called for the query.
     pub fn is_released(&self, query: usize) -> bool {
         self.queries.get(query).is_some_and(|query| query.is_released)
     }
 
-    /// Sent = responded + rejected + failed + abandoned, in each day that was played to its end.
+    /// Checks that sent = responded + rejected + failed + abandoned, which holds in each run that was not stopped.
     pub fn check_conservation(&mut self, now: Timestamp, counts: &QueryCounts) {
         if counts.sent != counts.responded + counts.rejected + counts.failed + counts.abandoned {
             self.record_violation(now, violation::COUNTS_DIFFER);
         }
     }
 
-    /// The day is over: a query without a final response by now has none.
+    /// Records a violation for each query without a final response at the end of the run.
     pub fn finish(&mut self, now: Timestamp) {
         let lost = self.queries.iter().filter(|query| query.ended_at.is_none()).count();
         for _ in 0..lost {
--- a/crates/broker-bench/src/invariants/retry_window.rs
+++ b/crates/broker-bench/src/invariants/retry_window.rs
@@ -1,16 +1,16 @@
-//! What one broker was sent and what it retried, over the window of a retry budget.
+//! Counts the accepted requests and the retries of one broker over the window of a retry budget.
 
 use routing::{RetryBudget, TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// What one broker was sent and what it retried, for as long as a budget's window.
+/// The times of one broker's accepted requests and retries within the window of a retry budget.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryWindow {
     accepted: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
 }
 
-/// Retries in a window, and how many the budget allows.
+/// The number of retries in a window and the number that the budget allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RetryUse {
     retries: f64,
@@ -18,7 +18,7 @@
 }
 
 impl RetryUse {
-    /// What was used of the budget: 1 is its limit. A budget of less than one retry counts as one.
+    /// Returns the used fraction of the budget; 1 is the limit. A budget of less than one retry counts as one.
     pub(super) fn ratio(&self) -> f64 {
         self.retries / self.allowed.max(1.0)
     }
@@ -29,13 +29,13 @@
 }
 
 impl RetryWindow {
-    /// A broker is sent queries and shard requests, this many together.
+    /// Records that the broker received this many requests: a query and its shard requests.
     pub(super) fn record_accepted(&mut self, now: Timestamp, count: usize) {
         self.accepted.extend(std::iter::repeat_n(now, count));
     }
 
-    /// An attempt beyond a shard request's first reaches a node. What was accepted counts for `slack` longer, as a
-    /// retry may be observed so much later than it was sent.
+    /// Records an attempt beyond a shard request's first. Accepted requests count for `slack` longer than the window,
+    /// as a retry may be observed that much later than it was sent.
     pub(super) fn record_retry(&mut self, now: Timestamp, budget: &RetryBudget, slack: TimeSpan) -> RetryUse {
         self.retries.push_back(now);
         while self.retries.pop_front_if(|at| *at < now - budget.window).is_some() {}
--- a/crates/broker-bench/src/invariants/tests.rs
+++ b/crates/broker-bench/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule: what breaks it, and what does not.
+//! Tests for each rule which events violate it and which do not.
 
 use crate::invariants::{
     ClassLimits, InvariantChecker, InvariantLimits, PublishedState, QueryCounts, QueryEnd, ShardRequestIndex,
@@ -29,7 +29,7 @@
     InvariantChecker::new(limits, 1)
 }
 
-/// A day in which a query was lost breaks a rule.
+/// Guards against lost queries that go unnoticed: the counts of queries sent and ended must agree.
 #[rstest]
 #[case(2, 0)]
 #[case(3, 1)]
@@ -41,7 +41,7 @@
 }
 
 #[rstest]
-fn reports_how_near_a_rule_came() {
+fn reports_the_closest_approach() {
     let mut checker = checker();
     checker.query_sent(Timestamp(0), 0, 0, TimeSpan(1000), &[0.5, 0.5]);
     checker.shard_request_arrived(Timestamp(25), Timestamp(25), ShardRequestIndex(0), draining_since(0));
@@ -56,10 +56,11 @@
     assert_eq!(closest, [(3, 0.5, Timestamp(25)), (4, 0.75, Timestamp(40)), (6, 0.4, Timestamp(30))]);
 }
 
-/// What happens to one query of two shard requests of equal weight, one step a word: `a0` shard request 0
-/// arrives at a node, `t0` it is accepted, `m0` answered; `d0` it arrives at a node published as draining; `A01`
-/// the client gets a complete response of 0 and 1; `P0` a partial one; `D` it is rejected, `S` failed; `F` a node
-/// collapses; `C` the day ends; a number moves the clock to that time. Then the rule that is broken, if any.
+/// Each case is a sequence of events of one query with two shard requests of equal weight, and the violated rule, if
+/// any. `a0`: shard request 0 arrives at a node; `d0`: it arrives at a node published as draining; `t0`: it is
+/// accepted; `m0`: it is answered; `A01`: the client gets a complete response with 0 and 1; `P0`: it gets a partial
+/// response with 0; `D`: the query is rejected; `S`: it fails; `F`: a node collapses; `C`: the run ends; a number
+/// sets the clock to that time.
 #[rstest]
 #[case(0, "a0 t0 m0 a1 t1 m1 A01", "")]
 #[case(0, "a0 t0 m0 P0 C", "")]
--- a/crates/broker-bench/src/loopback.rs
+++ b/crates/broker-bench/src/loopback.rs
@@ -1,15 +1,15 @@
-//! Plays a plan on loopback sockets: brokers as they are, model nodes behind scripted peers, discovery and
-//! clients, all in one process and on one thread.
+//! Runs a plan on loopback sockets: unmodified brokers, node models behind scripted servers, discovery and clients,
+//! all in one process and on one thread.
 //!
-//! Sockets and clocks are not deterministic; the day is the same in each run for two reasons:
+//! Sockets and clocks are not deterministic. Two measures make a run reproducible all the same:
 //!
-//! - There is one clock, tokio's, and it is paused. It moves on by a millisecond, and only when every party is
-//!   idle ([`quiescence`]). Idle is not guessed from a wait: the counts of brokers, nodes, discovery and clients
-//!   have to agree, and any message under way makes them differ.
-//! - What has arrived is then handled one by one, in a stated order, and the parties become idle after each.
+//! - There is one clock, tokio's, and it is paused. It advances by a millisecond, and only when all parties are
+//!   idle ([`quiescence`]). Idleness is not inferred from a wait: the counts of brokers, nodes, discovery and clients
+//!   have to agree, and any message in flight makes them differ.
+//! - Received messages are then handled one by one in a defined order, and the parties become idle after each.
 //!
-//! A machine that is too busy makes this slow, never different: past a limit there is no figure at all
-//! ([`LoopbackError`]).
+//! A busy machine makes a run slower but does not change its results. Past a timeout the run fails with
+//! [`LoopbackError::SettleTimeout`].
 
 mod clients;
 mod error;
@@ -27,14 +27,15 @@
 use state::LoopbackRun;
 use std::time::Duration;
 
-/// How long the parties may take to become idle, by the machine's clock, before the day is given up.
+/// Longest time that the parties may take to become idle, on the machine's clock, before the run fails.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Plays a plan. `should_continue` gets the time and the day's end once for each second of the day; where it says no, the
-/// day is broken off, and its results are marked as partial.
+/// Runs a plan. `should_continue` is called once per second of the run with its time and the time of the last entry;
+/// if it returns false, the run stops and its results are marked as partial.
 ///
 /// # Errors
-/// Says why there is no figure; see [`LoopbackError`].
+///
+/// Returns an error if a socket fails, if a broker does not start, or if the parties do not become idle in time.
 pub fn run(
     plan: Plan,
     replay: &ReplayConfig,
@@ -51,7 +52,8 @@
     config: SimulationConfig,
     should_continue: impl FnMut(Timestamp, Timestamp) -> bool,
 ) -> Result<RunResults, LoopbackError> {
-    // Paused from its first moment: what is left of a millisecond would else differ from run to run.
+    // The clock is paused from the start: otherwise the fraction of a millisecond at the pause would differ between
+    // runs.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
     let runtime = actix_rt::Runtime::from(runtime);
     runtime.block_on(async {
--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a day on sockets: they send queries to brokers by turns, and check what comes back.
+//! Clients of a run on sockets: sends queries to brokers round-robin and checks the responses.
 
 use crate::invariants::{QueryEnd, ShardRequestIndex};
 use crate::loopback::LoopbackError;
@@ -14,55 +14,55 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// A client's connection that was idle for this long is not used again: the broker might be closing it.
+/// Idle time after which a client's connection is not reused, as the broker may be closing it.
 const MAX_CONNECTION_IDLE: TimeSpan = TimeSpan(200_000);
-/// The text of every query.
+/// Query text, which node models ignore.
 const QUERY_TEXT: &str = "x";
 
 const STATUS_OK: u16 = 200;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// A query, and what a response to it has to hold.
+/// A query that was sent, and the shard requests that its response may contain.
 pub(super) struct Query {
     broker: usize,
     origin: QueryOrigin,
-    /// The index of its first shard request; the others follow.
-    pub(super) first: usize,
+    /// Index of the first shard request in the invariant checker; the others follow.
+    pub(super) first_shard_request: usize,
     pub(super) shard_requests: Vec<PlannedShardRequest>,
 }
 
 impl Query {
-    /// Which of its shard requests asks this shard.
+    /// Returns the position of the query's shard request for this shard.
     pub(super) fn position_of(&self, shard: u32) -> Option<usize> {
         self.shard_requests.iter().position(|planned| planned.shard == shard)
     }
 
-    /// The shard request that an item of a response is of; none of this query where the value is not the one that
-    /// a node made for it.
-    fn counted(&self, query: usize, item: &ResponseItem) -> ShardRequestIndex {
-        let is_own = item.body == format!("vr{query}.{}", item.slice);
-        let position = self.position_of(item.slice).filter(|_| is_own);
-        ShardRequestIndex(position.map_or(usize::MAX, |position| self.first + position))
+    /// Returns the shard request that an item of a response answers, or an index out of range if the item's value is
+    /// not the one that a node generated for this query and shard.
+    fn answered_request(&self, query: usize, item: &ResponseItem) -> ShardRequestIndex {
+        let has_expected_value = item.body == format!("vr{query}.{}", item.slice);
+        let position = self.position_of(item.slice).filter(|_| has_expected_value);
+        ShardRequestIndex(position.map_or(usize::MAX, |position| self.first_shard_request + position))
     }
 
-    /// How a query ended, by its response; none: the connection broke off.
+    /// Returns how a query ended, by its response or, if the connection was lost, by `None`.
     fn end(&self, query: usize, response: Option<&HttpResponse>) -> QueryEnd {
         match response.map(|response| (response.status, &response.body)) {
             Some((STATUS_OK, body)) => match serde_json::from_str::<ResponseBody>(body) {
                 Ok(ResponseBody { entire, items }) => {
-                    let counted = items.iter().map(|item| self.counted(query, item)).collect();
+                    let counted = items.iter().map(|item| self.answered_request(query, item)).collect();
                     QueryEnd::Responded { complete: entire, counted }
                 }
                 Err(_) => QueryEnd::Responded { complete: false, counted: Vec::new() },
             },
             Some((STATUS_SERVICE_UNAVAILABLE, _)) => QueryEnd::Rejected,
-            // Any other status says nothing of whether it was executed.
+            // With any other status the query may have been executed.
             _ => QueryEnd::Failed,
         }
     }
 }
 
-/// A response's body; fields have the names of the wire.
+/// The body of a response, with the field names of the JSON.
 #[derive(Deserialize)]
 struct ResponseBody {
     entire: bool,
@@ -75,13 +75,13 @@
     body: String,
 }
 
-/// A response, and the connection that it came on.
+/// A response and the connection that it was received on.
 pub(super) struct ClientReply {
     response: HttpResponse,
     client: HttpClient,
 }
 
-/// What a client got for a query; no reply: the connection broke off.
+/// The result of an HTTP exchange. The reply is `None` if the connection was lost.
 struct FinishedQuery {
     query: usize,
     reply: Option<ClientReply>,
@@ -92,15 +92,15 @@
     client: HttpClient,
 }
 
-/// The clients' connections, and what they wait for.
+/// The clients' idle connections and pending responses.
 pub(super) struct Clients {
-    /// By broker.
+    /// Idle connections, indexed by broker.
     idle: Vec<Vec<IdleConnection>>,
-    /// Queries whose responses have not come.
+    /// Number of queries that wait for a response.
     pub(super) waiting: usize,
     finished_sender: mpsc::UnboundedSender<FinishedQuery>,
     finished: mpsc::UnboundedReceiver<FinishedQuery>,
-    /// Received, and not handled yet, by query.
+    /// Replies that were received and are not handled yet, by query.
     pub(super) replies: BTreeMap<usize, Option<ClientReply>>,
 }
 
@@ -111,7 +111,7 @@
         Clients { idle, waiting: 0, finished_sender, finished, replies: BTreeMap::new() }
     }
 
-    /// Takes in what has been received.
+    /// Moves received replies to `replies`.
     pub(super) fn receive_replies(&mut self) {
         while let Ok(FinishedQuery { query, reply }) = self.finished.try_recv() {
             self.waiting -= 1;
@@ -123,9 +123,9 @@
         std::mem::take(&mut self.replies)
     }
 
-    /// A connection to a broker that was used a short time ago. The newest one is tried: where even that has been
-    /// idle for too long, all have.
-    fn take_idle(&mut self, broker: usize, now: Timestamp) -> Option<HttpClient> {
+    /// Takes the most recently used connection to a broker, or returns `None` if it has been idle for too long. In
+    /// that case all others have been, too, and are dropped.
+    fn pop_idle(&mut self, broker: usize, now: Timestamp) -> Option<HttpClient> {
         let newest = self.idle[broker].pop().filter(|idle| now - idle.since < MAX_CONNECTION_IDLE);
         if newest.is_none() {
             self.idle[broker].clear();
@@ -133,17 +133,17 @@
         newest.map(|idle| idle.client)
     }
 
-    fn put_idle(&mut self, broker: usize, now: Timestamp, client: HttpClient) {
+    fn push_idle(&mut self, broker: usize, now: Timestamp, client: HttpClient) {
         self.idle[broker].push(IdleConnection { since: now, client });
     }
 
-    /// Sends a request on a connection, or on a new one where there is none.
+    /// Sends a request on this connection, or on a new one if it is `None`.
     fn send(&mut self, query: usize, connection: Option<HttpClient>, broker: SocketAddr, request: String) {
         self.waiting += 1;
         let sender = self.finished_sender.clone();
         spawn_local(async move {
             let reply = exchange(connection, broker, &request).await;
-            // Nobody receives it where the day was given up.
+            // The receiver is gone if the run has failed.
             let _ = sender.send(FinishedQuery { query, reply });
         });
     }
@@ -160,7 +160,7 @@
 }
 
 impl LoopbackRun {
-    /// Sends a query to the broker whose turn it is.
+    /// Sends a query to the next broker in round-robin order.
     pub(super) async fn send_query(
         &mut self,
         class: usize,
@@ -173,11 +173,11 @@
         self.results.record_query(origin);
         let weights: Vec<f64> = shard_requests.iter().map(|planned| planned.weight).collect();
         let time_left = self.classes[class].deadline();
-        let ShardRequestIndex(first) =
+        let ShardRequestIndex(first_shard_request) =
             self.invariants.query_sent(self.now, broker, class, time_left, &weights);
         let request = self.http_request(query, origin, &shard_requests);
-        self.queries.push(Query { broker, origin, first, shard_requests });
-        let connection = self.clients.take_idle(broker, self.now);
+        self.queries.push(Query { broker, origin, first_shard_request, shard_requests });
+        let connection = self.clients.pop_idle(broker, self.now);
         self.clients.send(query, connection, self.brokers[broker].listens, request);
         self.settle().await
     }
@@ -196,7 +196,7 @@
         tenant_query_request(tenant.as_deref(), &id, &class.name, u64::from(class.deadline_ms), &body)
     }
 
-    /// A query's end reaches its client.
+    /// Records the end of a query at its client.
     pub(super) fn end_query(&mut self, index: usize, reply: Option<ClientReply>) {
         let query = &self.queries[index];
         let (broker, origin) = (query.broker, query.origin);
@@ -205,7 +205,7 @@
         let status = response.map_or(0, |response| response.status);
         self.hasher.update(format!("{} r{index} {status} {end:?}\n", self.now.0).as_bytes());
         if let Some(ClientReply { client, .. }) = reply {
-            self.clients.put_idle(broker, self.now, client);
+            self.clients.push_idle(broker, self.now, client);
         }
         let Some(coverage) = self.invariants.query_ended(self.now, index, &end) else { return };
         match end {
--- a/crates/broker-bench/src/loopback/error.rs
+++ b/crates/broker-bench/src/loopback/error.rs
@@ -1,44 +1,44 @@
-//! Why a day on sockets has no figure.
+//! Errors of a run on sockets.
 
 use broker::StartupError;
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Why a day on sockets has no figure.
+/// An error that ends a run on sockets without results.
 #[derive(Debug, Error)]
 pub enum LoopbackError {
     /// A socket could not be opened or used.
-    #[error("sockets: {0}")]
+    #[error("socket error: {0}")]
     Io(#[from] io::Error),
-    /// A broker does not start from its settings.
-    #[error("the brokers' settings: {0}")]
+    /// A broker did not start with its settings.
+    #[error("broker can't start with the generated settings: {0}")]
     Settings(#[source] StartupError),
-    /// The parties did not become idle in time.
+    /// The parties did not become idle within the timeout, as on a machine that is too busy.
     #[error(
-        "the machine was too busy: at {at_ms} ms of the day the parties did not come to rest within {timeout_s} s ({pending})"
+        "at {at_ms} ms of the run, brokers, nodes and clients were not idle within {timeout_s} s; pending: {pending}; the machine may be too busy"
     )]
     SettleTimeout {
-        /// The time of the day, in milliseconds.
+        /// Time of the run, in milliseconds.
         at_ms: f64,
-        /// How long it was waited, by the machine's clock, in seconds.
+        /// The timeout on the machine's clock, in seconds.
         timeout_s: f64,
-        /// What was still under way.
+        /// The kind of work that was still pending.
         pending: PendingWork,
     },
 }
 
-/// What is under way between the parties.
+/// A kind of work that is pending between the parties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingWork {
-    /// Between clients and brokers.
+    /// A query or a response is in flight between a client and a broker.
     QueryOrResponse,
-    /// Between brokers and nodes: an attempt, its result, or its cancellation.
+    /// An attempt, its result or its cancellation is in flight between a broker and a node.
     Attempt,
-    /// Between brokers and discovery.
+    /// A broker's watch of the endpoint list is not waiting at discovery.
     EndpointListUpdate,
-    /// Nothing is under way by the counts, and yet brokers and nodes do not have the same attempts in flight.
-    DifferentAttempts,
+    /// The counts agree, but brokers and nodes differ in the attempts in flight.
+    AttemptMismatch,
 }
 
 impl fmt::Display for PendingWork {
@@ -47,7 +47,7 @@
             PendingWork::QueryOrResponse => "a query or a response",
             PendingWork::Attempt => "an attempt, a result or a cancellation",
             PendingWork::EndpointListUpdate => "an update of the endpoint list",
-            PendingWork::DifferentAttempts => "brokers and nodes differ in the attempts in flight",
+            PendingWork::AttemptMismatch => "different attempts in flight at brokers and nodes",
         })
     }
 }
--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes of a day on sockets: a model decides, a scripted peer answers; and what discovery publishes of them.
+//! Nodes of a run on sockets: a model decides, a scripted server responds, and discovery publishes the state.
 
 use crate::invariants::{PublishedState, ShardRequestIndex};
 use crate::loopback::LoopbackError;
@@ -15,11 +15,11 @@
 use std::io;
 use tokio::sync::mpsc;
 
-/// Outcomes of an attempt, as nodes send them.
+/// Outcomes of an attempt in the nodes' protocol.
 const SUCCEEDED: char = 'S';
 const OVERLOADED: char = 'B';
 
-/// A connection of a broker to a node.
+/// Identifies a connection of a broker to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionKey {
     pub(super) node: usize,
@@ -32,21 +32,21 @@
     }
 }
 
-/// An attempt as its node knows it.
+/// Identifies an attempt at its node. A newer attempt at the shard request on the same connection has the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) connection: ConnectionKey,
-    /// The shard request's id on the wire.
+    /// The shard request's id in the nodes' protocol.
     pub(super) id: String,
 }
 
-/// An attempt that a node has accepted and not finished.
+/// An attempt that a node has accepted and not completed.
 pub(super) struct RunningJob {
     pub(super) key: AttemptKey,
     pub(super) shard_request: ShardRequestIndex,
 }
 
-/// The jobs of all nodes.
+/// The jobs of all nodes, by id and by attempt.
 #[derive(Default)]
 pub(super) struct RunningJobs {
     by_id: BTreeMap<JobId, RunningJob>,
@@ -76,8 +76,8 @@
         JobId(self.last_id)
     }
 
-    /// Adds a job; returns the one whose place it takes, an earlier attempt at the same shard request on the same
-    /// connection.
+    /// Adds a job. Returns the job that it replaces, if there is one: an earlier attempt at the same shard request on
+    /// the same connection.
     pub(super) fn insert(&mut self, id: JobId, job: RunningJob) -> Option<JobId> {
         let replaced = self.by_attempt.insert(job.key.clone(), id);
         if let Some(replaced) = &replaced {
@@ -100,19 +100,19 @@
     }
 }
 
-/// All nodes, by their index.
+/// All nodes, indexed by node.
 pub(super) struct Nodes {
-    /// Their sockets.
+    /// The nodes' sockets.
     pub(super) servers: Vec<ScriptedNode>,
     pub(super) models: Vec<EmulatedNode>,
     events: mpsc::UnboundedReceiver<ReceivedEvent>,
-    /// Received, and not handled yet.
+    /// Events that were received and are not handled yet.
     pub(super) inbox: Vec<ReceivedEvent>,
     pub(super) jobs: RunningJobs,
 }
 
 impl Nodes {
-    /// Nodes with addresses and without a process: connections to them are refused.
+    /// Reserves addresses for nodes whose processes are not running; connections to them are refused.
     pub(super) fn reserve(count: u32, config: &SimulationConfig) -> io::Result<Nodes> {
         let (sender, events) = mpsc::unbounded_channel();
         let servers = (0..count as usize).map(|index| ScriptedNode::reserve(index, sender.clone()));
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Moves what has been received to the inbox.
+    /// Moves received events to the inbox.
     pub(super) fn receive_events(&mut self) {
         while let Ok(received) = self.events.try_recv() {
             self.inbox.push(received);
@@ -139,11 +139,11 @@
     }
 }
 
-/// What discovery publishes of nodes.
+/// The published state of the nodes, and scheduled publications.
 pub(super) struct Publications {
-    /// What is to be published, in the order of the times.
+    /// Publications to come, ordered by time.
     scheduled: VecDeque<ScheduledPublication>,
-    /// What was published last of each node.
+    /// The state that was published last, indexed by node.
     published: Vec<PublishedState>,
 }
 
@@ -153,13 +153,13 @@
 }
 
 impl Publications {
-    /// Nothing has been published of so many nodes.
-    pub(super) fn of_removed(nodes: usize) -> Publications {
+    /// Returns publications in which all nodes are removed.
+    pub(super) fn all_removed(nodes: usize) -> Publications {
         let removed = PublishedState { state: EndpointState::Removed, at: Timestamp(0) };
         Publications { scheduled: VecDeque::new(), published: vec![removed; nodes] }
     }
 
-    /// All are scheduled with the same delay, so that the last is the latest.
+    /// Schedules a publication. All have the same delay, so that appending keeps the order by time.
     fn schedule(&mut self, at: Timestamp, node: usize) {
         self.scheduled.push_back(ScheduledPublication { at, node });
     }
@@ -172,13 +172,13 @@
 impl LoopbackRun {
     // Attempts.
 
-    /// Completes the jobs that are due, by node.
+    /// Completes the jobs that are due, in the order of the nodes.
     pub(super) async fn complete_jobs(&mut self) -> Result<(), LoopbackError> {
         for node in 0..self.nodes.models.len() {
             while let Some(id) = self.nodes.models[node].complete(self.now) {
                 let Some(RunningJob { key, shard_request }) = self.nodes.jobs.remove(id) else { continue };
                 self.invariants.shard_request_answered(self.now, shard_request);
-                // The value names the shard request: a client can tell it from that of any other.
+                // The value contains the shard request's id, so that the client can check that it is the right one.
                 let value = format!("v{}", key.id);
                 self.nodes.respond(&key, SUCCEEDED, self.now, &value).await;
                 self.settle().await?;
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// An attempt reaches its node.
+    /// Submits an attempt that has reached its node, and responds if the node does not accept it.
     pub(super) async fn handle_attempt(&mut self, key: AttemptKey) -> Result<(), LoopbackError> {
         let node = key.connection.node;
         self.hasher.update(format!("{} {node} {}\n", self.now.0, key.id).as_bytes());
@@ -206,7 +206,7 @@
                 self.accept_attempt(job, RunningJob { key, shard_request });
             }
             SubmitOutcome::Refused => self.nodes.respond(&key, OVERLOADED, self.now, "").await,
-            // The node stopped while the attempt was under way.
+            // The node stopped while the attempt was in flight.
             SubmitOutcome::Unreachable => {}
             SubmitOutcome::Collapsed => {
                 self.invariants.node_collapsed(self.now);
@@ -219,7 +219,7 @@
     fn accept_attempt(&mut self, id: JobId, job: RunningJob) {
         self.invariants.shard_request_accepted(self.now, job.shard_request);
         let node = job.key.connection.node;
-        // Of two attempts at one shard request on one connection the broker waits for the newer alone.
+        // Of two attempts at one shard request on one connection, the broker waits only for the newer one.
         if let Some(replaced) = self.nodes.jobs.insert(id, job) {
             self.nodes.models[node].cancel(self.now, replaced);
         }
@@ -231,15 +231,15 @@
         }
     }
 
-    /// The shard request of an id on the wire, and its work in microseconds.
+    /// Returns the shard request with this id in the nodes' protocol, and its work in microseconds.
     fn shard_request_of(&self, id: &str) -> Option<(ShardRequestIndex, u64)> {
         let WireId { query, shard } = parse_wire_id(id)?;
         let query = self.queries.get(query)?;
         let index = query.position_of(shard)?;
-        Some((ShardRequestIndex(query.first + index), query.shard_requests[index].work_us))
+        Some((ShardRequestIndex(query.first_shard_request + index), query.shard_requests[index].work_us))
     }
 
-    // Starts and ends.
+    // Node state.
 
     pub(super) async fn handle_node_event(
         &mut self,
@@ -267,7 +267,7 @@
         self.settle().await
     }
 
-    /// The node's process stops, and its connections are lost; the endpoint list is late with it.
+    /// Crashes the node's process: its connections are lost, and discovery publishes that after its delay.
     async fn stop_node(&mut self, node: usize) -> Result<(), LoopbackError> {
         for job in self.nodes.models[node].crash() {
             self.nodes.jobs.remove(job);
@@ -277,7 +277,7 @@
         Ok(())
     }
 
-    /// Discovery publishes the node's state.
+    /// Publishes the node's state in discovery.
     pub(super) async fn publish_endpoint(&mut self, node: usize) -> Result<(), LoopbackError> {
         let model = &self.nodes.models[node];
         let phase = match model.state() {
--- a/crates/broker-bench/src/loopback/quiescence.rs
+++ b/crates/broker-bench/src/loopback/quiescence.rs
@@ -1,8 +1,8 @@
-//! Finds out when no party has anything under way, and then handles what has arrived.
+//! Detects that all parties are idle, then handles the received messages.
 //!
-//! Each broker's open queries have to be those that clients wait for, its attempts in flight those that nodes
-//! have or have just received, and its watch of the endpoint list has to wait at discovery. Whatever is under
-//! way, in either direction, makes one of these differ.
+//! The parties are idle if the brokers' open queries are those that clients wait for, if their attempts in flight
+//! are those that nodes execute or have just received, and if every broker's watch of the endpoint list waits at
+//! discovery. Any message in flight, in either direction, makes one of these differ.
 
 use crate::loopback::nodes::{AttemptKey, ConnectionKey};
 use crate::loopback::state::LoopbackRun;
@@ -13,18 +13,19 @@
 use std::time::Instant;
 use tokio::task::yield_now;
 
-/// Rounds of all tasks with nothing under way, after which what was received has gone through every channel.
+/// Number of consecutive rounds of all tasks without pending work after which every received message has passed
+/// through its channels.
 const IDLE_ROUNDS: u32 = 6;
 
-/// An attempt in flight: the node's address, and the shard request's id on the wire.
+/// An attempt in flight: the node's address and the shard request's id in the nodes' protocol.
 type AttemptInFlight = (SocketAddr, Vec<u8>);
 
 impl LoopbackRun {
-    /// Waits until nothing is under way and handles what has arrived, until that leads to nothing more.
+    /// Waits until the parties are idle and handles the received messages, until there are none.
     pub(super) async fn settle(&mut self) -> Result<(), LoopbackError> {
-        let give_up_at = Instant::now() + self.settle_timeout;
+        let timeout_at = Instant::now() + self.settle_timeout;
         loop {
-            self.wait_until_idle(give_up_at).await?;
+            self.wait_until_idle(timeout_at).await?;
             if self.nodes.inbox.is_empty() && self.clients.replies.is_empty() {
                 return Ok(());
             }
@@ -32,7 +33,7 @@
         }
     }
 
-    async fn wait_until_idle(&mut self, give_up_at: Instant) -> Result<(), LoopbackError> {
+    async fn wait_until_idle(&mut self, timeout_at: Instant) -> Result<(), LoopbackError> {
         let mut idle_rounds = 0;
         loop {
             yield_now().await;
@@ -41,21 +42,21 @@
             let mut pending = self.pending_work();
             idle_rounds = if pending.is_none() { idle_rounds + 1 } else { 0 };
             if idle_rounds == IDLE_ROUNDS {
-                if self.attempts_agree() {
+                if self.attempts_match() {
                     return Ok(());
                 }
-                pending = Some(PendingWork::DifferentAttempts);
+                pending = Some(PendingWork::AttemptMismatch);
                 idle_rounds = 0;
             }
             if let Some(pending) = pending
-                && Instant::now() > give_up_at
+                && Instant::now() > timeout_at
             {
-                return Err(self.busy(pending));
+                return Err(self.settle_timeout_error(pending));
             }
         }
     }
 
-    fn busy(&self, pending: PendingWork) -> LoopbackError {
+    fn settle_timeout_error(&self, pending: PendingWork) -> LoopbackError {
         LoopbackError::SettleTimeout {
             at_ms: self.now.as_ms(),
             timeout_s: self.settle_timeout.as_secs_f64(),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// What is under way, by the counts alone: cheap enough for each round.
+    /// Returns the kind of pending work by comparing counts only, which is cheap enough for each round.
     pub(super) fn pending_work(&self) -> Option<PendingWork> {
         let open_queries: usize = self.brokers.iter().map(|broker| broker.engine.open_queries()).sum();
         if open_queries != self.clients.waiting {
@@ -74,12 +75,12 @@
         if in_flight != at_nodes - self.cancelled_requests().count() {
             return Some(PendingWork::Attempt);
         }
-        let has_all_watches = self.catalog.waiting_requests() >= self.brokers.len();
-        (!has_all_watches).then_some(PendingWork::EndpointListUpdate)
+        let all_watches_wait = self.catalog.waiting_requests() >= self.brokers.len();
+        (!all_watches_wait).then_some(PendingWork::EndpointListUpdate)
     }
 
-    /// Whether the attempts that brokers have in flight are those that nodes have or have just received.
-    pub(super) fn attempts_agree(&self) -> bool {
+    /// Returns whether the attempts in flight at brokers are those that nodes execute or have just received.
+    pub(super) fn attempts_match(&self) -> bool {
         let of_brokers = self.brokers.iter().flat_map(|broker| broker.engine.attempts_in_flight());
         let mut of_brokers: Vec<AttemptInFlight> =
             of_brokers.map(|(address, id)| (address, id.to_vec())).collect();
@@ -87,7 +88,7 @@
         of_brokers == self.attempts_at_nodes()
     }
 
-    /// In order.
+    /// Returns the attempts that nodes execute or have just received, sorted.
     fn attempts_at_nodes(&self) -> Vec<AttemptInFlight> {
         let attempt = |node: usize, id: &str| (self.nodes.servers[node].address, id.as_bytes().to_vec());
         let accepted = self.nodes.jobs.attempts().map(|key| attempt(key.connection.node, &key.id));
@@ -102,7 +103,7 @@
         attempts
     }
 
-    /// Shard requests that nodes have received and that are not handled yet, with their nodes.
+    /// Returns the shard requests in the inbox with their nodes.
     fn arrived_requests(&self) -> impl Iterator<Item = (usize, &ShardRequest)> {
         self.nodes.inbox.iter().flat_map(|received| {
             let requests = match &received.event {
@@ -113,21 +114,21 @@
         })
     }
 
-    /// Cancellations that nodes have received and that are not handled yet, of attempts that the node has or
-    /// received before: nodes, and ids on the wire.
+    /// Returns the nodes and shard request ids of the cancellations in the inbox, of those whose attempt the node
+    /// executes or received before.
     fn cancelled_requests(&self) -> impl Iterator<Item = (usize, &str)> {
         self.nodes.inbox.iter().enumerate().filter_map(|(index, received)| {
             let PeerEvent::Cancel(id) = &received.event else { return None };
             let connection = ConnectionKey::of(received);
             let key = AttemptKey { connection, id: id.clone() };
             let earlier = &self.nodes.inbox[..index];
-            let is_known = self.nodes.jobs.contains(&key) || earlier.iter().any(|e| brings(e, &key));
+            let is_known =
+                self.nodes.jobs.contains(&key) || earlier.iter().any(|e| contains_attempt(e, &key));
             is_known.then_some((received.node, &id[..]))
         })
     }
 
-    /// Handles what nodes received: by node, then connections by the first query that they brought, each in the
-    /// order of arrival; then what clients received, by query.
+    /// Handles the nodes' events in the order of [`group_by_connection`], then the clients' replies by query.
     async fn handle_arrivals(&mut self) -> Result<(), LoopbackError> {
         for (connection, events) in group_by_connection(std::mem::take(&mut self.nodes.inbox)) {
             for event in events {
@@ -158,15 +159,15 @@
     }
 }
 
-/// Whether this event brings this attempt.
-fn brings(received: &ReceivedEvent, key: &AttemptKey) -> bool {
+/// Returns whether this event is a batch that contains this attempt.
+fn contains_attempt(received: &ReceivedEvent, key: &AttemptKey) -> bool {
     let PeerEvent::Batch(shard_requests) = &received.event else { return false };
     let has_id = || shard_requests.iter().any(|shard_request| shard_request.id == key.id);
     ConnectionKey::of(received) == key.connection && has_id()
 }
 
-/// The events of each connection in the order of arrival. The order of connections does not depend on when the
-/// kernel delivered what: by node, then by the first query that they are about.
+/// Groups events by connection, each in the order of arrival. Connections are ordered by node, then by the lowest
+/// query of their events, so that the order does not depend on the kernel's delivery times.
 fn group_by_connection(inbox: Vec<ReceivedEvent>) -> Vec<(ConnectionKey, Vec<PeerEvent>)> {
     let mut by_connection: BTreeMap<ConnectionKey, Vec<PeerEvent>> = BTreeMap::new();
     for received in inbox {
@@ -174,13 +175,13 @@
     }
     let mut groups: Vec<_> = by_connection.into_iter().collect();
     groups.sort_by_cached_key(|(key, events)| {
-        (key.node, events.iter().filter_map(first_query).min(), key.connection)
+        (key.node, events.iter().filter_map(lowest_query).min(), key.connection)
     });
     groups
 }
 
-/// The first query that an event is about.
-fn first_query(event: &PeerEvent) -> Option<usize> {
+/// Returns the lowest query index of an event.
+fn lowest_query(event: &PeerEvent) -> Option<usize> {
     match event {
         PeerEvent::Batch(shard_requests) => {
             let ids = shard_requests.iter().filter_map(|shard_request| parse_wire_id(&shard_request.id));
@@ -191,7 +192,7 @@
     }
 }
 
-/// What a shard request's id on the wire says.
+/// The parsed id of a shard request in the nodes' protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WireId {
     /// The query's index.
@@ -199,7 +200,7 @@
     pub(super) shard: u32,
 }
 
-/// Reads `r17.3`: query 17, shard 3.
+/// Parses an id such as `r17.3`: query 17, shard 3.
 pub(super) fn parse_wire_id(id: &str) -> Option<WireId> {
     let (query, shard) = id.strip_prefix('r')?.split_once('.')?;
     Some(WireId { query: query.parse().ok()?, shard: shard.parse().ok()? })
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -1,10 +1,10 @@
-//! Starts the parties of a day: discovery, nodes without a process, and brokers.
+//! Starts the parties of a run: discovery, stopped nodes and brokers.
 
 use crate::invariants::InvariantChecker;
 use crate::loopback::LoopbackError;
 use crate::loopback::clients::Clients;
 use crate::loopback::nodes::{Nodes, Publications};
-use crate::loopback::state::{ClassOnWire, LoopbackRun, UNIX_START};
+use crate::loopback::state::{HttpClass, LoopbackRun, UNIX_START};
 use crate::run_results::RunResults;
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment;
@@ -18,15 +18,15 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, yield_now};
 
-/// How much later than it was done something may be observed on sockets.
+/// Longest delay from an event to its observation on sockets.
 const INVARIANT_SLACK: TimeSpan = TimeSpan(500);
-/// Limits of each broker: as much as a day may need, so that no connection is closed for want of room.
+/// Resource limits of each broker: large enough for any run, so that no connection is closed for lack of room.
 const BROKER_CORES: f64 = 1.0;
 const BROKER_MEMORY_MB: u32 = 2048;
 const BROKER_SOCKETS: u32 = 16_384;
 
 impl LoopbackRun {
-    /// Starts the parties, and waits until every broker watches the endpoint list. The clock stands at 0.
+    /// Starts the parties and waits until every broker watches the endpoint list. The time of the run is then 0.
     pub(super) async fn start(
         settle_timeout: Duration,
         plan: Plan,
@@ -43,9 +43,9 @@
             now: Timestamp(0),
             last_entry_at,
             plan: plan.entries.into(),
-            classes: replay.classes.iter().map(ClassOnWire::of).collect(),
+            classes: replay.classes.iter().map(HttpClass::of).collect(),
             has_quotas: replay.quota_per_s.is_some(),
-            publications: Publications::of_removed(replay.nodes as usize),
+            publications: Publications::all_removed(replay.nodes as usize),
             catalog,
             nodes,
             clients: Clients::new(brokers.len()),
@@ -62,9 +62,8 @@
     }
 }
 
-/// A runtime that has nothing to do but wait for a socket would, as its clock is paused, move that clock on to
-/// the next timer by itself, and time-outs would fire at once. A task that never waits prevents that; it costs
-/// one core.
+/// Spawns a task that is always runnable. With a paused clock, a runtime that only waits for sockets would advance
+/// the clock to the next timer by itself, and time-outs would fire at once. The task costs one core.
 fn keep_runtime_busy() {
     spawn_local(async {
         loop {
--- a/crates/broker-bench/src/loopback/state.rs
+++ b/crates/broker-bench/src/loopback/state.rs
@@ -1,4 +1,4 @@
-//! The state of a day on sockets, and its clock.
+//! The state of a run on sockets, and the loop that advances its clock.
 
 use crate::invariants::InvariantChecker;
 use crate::loopback::LoopbackError;
@@ -13,24 +13,24 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The step of the clock: the least that tokio's timers know.
+/// Step of the clock: the resolution of tokio's timers.
 const CLOCK_STEP: TimeSpan = TimeSpan(10);
 const CLOCK_STEP_DURATION: Duration = Duration::from_millis(1);
 const STEPS_PER_S: u64 = 1000;
-/// How long a day goes on after its last entry at the most: longer than any deadline.
+/// Longest time that a run continues after its last entry: longer than any deadline.
 const TIME_AFTER_LAST_ENTRY: TimeSpan = TimeSpan(200_000);
-/// The brokers' clock starts here, in Unix time: the same in each run.
+/// Unix time at which the brokers' clock starts, the same in each run.
 pub(super) const UNIX_START: Timestamp = Timestamp(17_000_000_000_000);
 
-/// A request class as clients name it.
-pub(super) struct ClassOnWire {
+/// The name of a request class in HTTP requests, and its deadline.
+pub(super) struct HttpClass {
     pub(super) name: String,
     pub(super) deadline_ms: u32,
 }
 
-impl ClassOnWire {
-    pub(super) fn of(class: &ClassSpec) -> ClassOnWire {
-        ClassOnWire { name: class.name.clone(), deadline_ms: class.deadline_ms }
+impl HttpClass {
+    pub(super) fn of(class: &ClassSpec) -> HttpClass {
+        HttpClass { name: class.name.clone(), deadline_ms: class.deadline_ms }
     }
 
     pub(super) fn deadline(&self) -> TimeSpan {
@@ -38,17 +38,17 @@
     }
 }
 
-/// A day on sockets.
+/// A run on sockets.
 pub(super) struct LoopbackRun {
-    /// How long the parties may take to become idle, by the machine's clock.
+    /// Longest time that the parties may take to become idle, on the machine's clock.
     pub(super) settle_timeout: Duration,
     pub(super) now: Timestamp,
     pub(super) last_entry_at: Timestamp,
-    /// The entries to come.
+    /// The entries that are not due yet.
     pub(super) plan: VecDeque<PlanEntry>,
     pub(super) config: SimulationConfig,
-    pub(super) classes: Vec<ClassOnWire>,
-    /// Tenants have quotas, so that brokers know them by name.
+    pub(super) classes: Vec<HttpClass>,
+    /// Whether tenants have quotas. Clients send the tenant's name only then.
     pub(super) has_quotas: bool,
     pub(super) catalog: DiscoveryCatalog,
     pub(super) publications: Publications,
@@ -56,14 +56,14 @@
     pub(super) brokers: Vec<Running>,
     pub(super) clients: Clients,
     pub(super) queries: Vec<Query>,
-    /// Over all that nodes and clients got, in its order.
+    /// Digest of everything that nodes and clients received, in order.
     pub(super) hasher: blake3::Hasher,
     pub(super) invariants: InvariantChecker,
     pub(super) results: RunResults,
 }
 
 impl LoopbackRun {
-    /// Plays to the end, or until `should_continue` says no.
+    /// Runs to the end, or until `should_continue` returns false.
     pub(super) async fn run(
         &mut self,
         mut should_continue: impl FnMut(Timestamp, Timestamp) -> bool,
@@ -90,8 +90,8 @@
         Ok(())
     }
 
-    /// Handles what is due at this moment, one after the other: jobs that complete, by node; what discovery
-    /// publishes; then the plan's entries.
+    /// Handles what is due at the current time, in this order: jobs that complete, by node; publications of
+    /// discovery; entries of the plan.
     pub(super) async fn handle_due(&mut self) -> Result<(), LoopbackError> {
         self.complete_jobs().await?;
         while let Some(node) = self.publications.pop_due(self.now) {
@@ -121,7 +121,7 @@
     }
 
     fn finish(&mut self) {
-        // Queries that are open when a day is broken off break no rule.
+        // Queries that are open when a run is stopped violate no rule.
         if self.results.stopped_at.is_none() {
             self.invariants.finish(self.now);
         }
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -1,4 +1,4 @@
-//! Whole days on sockets: the same figures each time, and none rather than a wrong one.
+//! Tests complete runs on sockets: they are reproducible, and a run that is disturbed fails.
 
 use crate::invariants::ShardRequestIndex;
 use crate::loopback::nodes::{AttemptKey, ConnectionKey, RunningJob};
@@ -39,7 +39,7 @@
     }
 }
 
-/// Three seconds of queries, of four shard requests of 20 ms each; and these events of nodes.
+/// Returns a plan of three seconds of queries with four shard requests of 20 ms each, and these node events.
 fn plan(queries_per_s: u64, events: &[(u64, u32, PlannedNodeEvent)]) -> Plan {
     let node_event = |at, node, event| PlanEntry { at, event: PlanEvent::Node { node, event } };
     let start = |node| node_event(0, node, PlannedNodeEvent::StartWarm);
@@ -54,7 +54,7 @@
     Plan { entries, unsampled_rows: 0, unmapped_machine_rows: 0, running_at_start: 0, ms_per_unit: 1.0 }
 }
 
-/// Half of the nodes stop at once and come back with a warm-up to do; another one drains.
+/// Returns a plan in which half of the nodes crash at once and restart cold, and another one drains.
 fn plan_with_faults() -> Plan {
     let mut events: Vec<_> = [0, 2, 4].map(|node| (8_000, node, PlannedNodeEvent::Stop)).to_vec();
     events.extend([0, 2, 4].map(|node| (14_000, node, PlannedNodeEvent::StartCold)));
@@ -66,9 +66,9 @@
     run(plan, &replay_config(), config(), |_, _| true).unwrap()
 }
 
-/// Nodes stop, come back and drain under load. A day whose figures depended on how fast the kernel delivers
-/// would show it as another service share or another digest of what nodes and clients got, above all on a busy
-/// machine. Five runs have the same figures, one of them beside a busy loop on every core, and break no rule.
+/// Guards against results that depend on the kernel's delivery times, which would show as different service or a
+/// different digest of the received messages, above all on a busy machine. Five runs with crashes, restarts and a
+/// drain under load must have the same results, one of them beside a busy loop on every core, and break no rule.
 #[rstest]
 fn socket_runs_are_reproducible() {
     let first = run_to_end(plan_with_faults());
@@ -88,10 +88,10 @@
         })
     };
     let busy_loops: Vec<_> = (0..cores).map(busy_loop).collect();
-    let beside_load = run_to_end(plan_with_faults());
+    let under_load = run_to_end(plan_with_faults());
     is_over.store(true, Ordering::Relaxed);
     busy_loops.into_iter().for_each(|busy_loop| busy_loop.join().unwrap());
-    assert_eq!(beside_load.json(), first.json());
+    assert_eq!(under_load.json(), first.json());
 }
 
 #[rstest]
@@ -100,8 +100,8 @@
     assert!(results.service.share() > 0.99 && results.violations.is_empty(), "{}", results.json());
 }
 
-/// Clients send more than the nodes can serve. What can't be served has to be rejected at once, not at its
-/// deadline, and the service share has to show what was not served.
+/// Clients send more than the nodes can serve. The excess must be rejected before the latency objective, not at the
+/// deadline, and service must show the loss.
 #[rstest]
 fn rejects_early_under_overload() {
     let results = run_to_end(plan(500, &[]));
@@ -113,14 +113,15 @@
     );
 }
 
-/// The parties do not become idle in time: there is no figure, rather than a wrong one.
+/// Guards against wrong results of parties that do not become idle in time: the run must fail.
 #[rstest]
 fn settle_timeout_returns_an_error() {
-    let none = run_with_timeout(Duration::ZERO, plan_with_faults(), &replay_config(), config(), |_, _| true);
-    assert!(matches!(none, Err(LoopbackError::SettleTimeout { .. })), "{none:?}");
+    let result =
+        run_with_timeout(Duration::ZERO, plan_with_faults(), &replay_config(), config(), |_, _| true);
+    assert!(matches!(result, Err(LoopbackError::SettleTimeout { .. })), "{result:?}");
 }
 
-/// Broken off, it tells what was played as partial.
+/// A run that is stopped early must mark its results as partial.
 #[rstest]
 fn stopped_run_has_partial_results() {
     let results =
@@ -129,14 +130,17 @@
     assert!(results.violations.is_empty() && results.queries < 120, "{}", results.json());
 }
 
-/// The clock must not move on while anything is under way: a query that no broker has, or an attempt that a node
-/// has, or has just received, and no broker. With such a gap a day would be the same only as long as the kernel is
-/// quick. Each gap is found by name, and the day is given up for it.
+/// The clock must not advance while a query is unknown to the brokers, or an attempt that a node executes or has just
+/// received is: runs would be reproducible only as long as the kernel delivers quickly. Each kind of pending work
+/// must be detected, and the run must fail with it.
 #[rstest]
 #[case(|run: &mut LoopbackRun| run.clients.waiting += 1, PendingWork::QueryOrResponse)]
 #[case(|run: &mut LoopbackRun| _ = run.nodes.jobs.insert(JobId(9), running_job()), PendingWork::Attempt)]
 #[case(|run: &mut LoopbackRun| run.nodes.inbox.push(received_batch()), PendingWork::Attempt)]
-fn clock_stops_while_work_is_pending(#[case] put: fn(&mut LoopbackRun), #[case] expected: PendingWork) {
+fn clock_stops_while_work_is_pending(
+    #[case] add_pending: fn(&mut LoopbackRun),
+    #[case] expected: PendingWork,
+) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     actix_rt::Runtime::from(runtime).block_on(async {
@@ -144,10 +148,10 @@
             .await
             .unwrap();
         run.handle_due().await.unwrap();
-        assert!(run.pending_work().is_none() && run.attempts_agree());
-        put(&mut run);
+        assert!(run.pending_work().is_none() && run.attempts_match());
+        add_pending(&mut run);
         assert_eq!(run.pending_work(), Some(expected));
-        assert!(run.clients.waiting > 0 || !run.attempts_agree());
+        assert!(run.clients.waiting > 0 || !run.attempts_match());
         run.settle_timeout = Duration::from_millis(50);
         let settled = run.settle().await;
         assert!(
