--- a/crates/broker-bench/src/fault_injector.rs
+++ b/crates/broker-bench/src/fault_injector.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns a random number from 0 (inclusive) to 1 (exclusive).
-    pub fn random(&mut self) -> f64 {
+    pub fn sample_uniform(&mut self) -> f64 {
         self.rng.f64()
     }
 
--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -130,9 +130,9 @@
     assert!(results.violations.is_empty() && results.queries < 120, "{}", results.json());
 }
 
-/// The clock must not advance while a query is unknown to the brokers, or an attempt that a node executes or has just
-/// received is: runs would be reproducible only as long as the kernel delivers quickly. Each kind of pending work
-/// must be detected, and the run must fail with it.
+/// Guards against a clock that advances while work is pending, which would make runs reproducible only as long as the
+/// kernel delivers quickly. The work is a query that no broker knows, or an attempt that a node executes or has just
+/// received and no broker knows. Each kind must be detected, and the run must fail with it.
 #[rstest]
 #[case(|run: &mut LoopbackRun| run.clients.waiting += 1, PendingWork::QueryOrResponse)]
 #[case(|run: &mut LoopbackRun| _ = run.nodes.jobs.insert(JobId(9), running_job()), PendingWork::Attempt)]
--- a/crates/broker-bench/src/run_results.rs
+++ b/crates/broker-bench/src/run_results.rs
@@ -106,7 +106,7 @@
     pub client_attempts: u64,
     /// Events that the simulation processed. Counted in virtual time only.
     pub events: u64,
-    /// The longest time from a query to its rejection.
+    /// Longest time from the first sending of a query to its rejection.
     pub slowest_rejection: TimeSpan,
     /// The violations of each broken rule, by the text of the violation.
     pub violations: BTreeMap<&'static str, Violations>,
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -97,14 +97,14 @@
     }
     let runs = simulate_all(&scenarios, args);
     let mut rows = scenario_rows(&scenarios, &runs, args);
-    rows.sort_by(|a, b| a.figures.service.total_cmp(&b.figures.service));
+    rows.sort_by(|a, b| a.summary.service.total_cmp(&b.summary.service));
     print_results(&rows, args);
     if let (Some(path), Some(run)) = (&args.report, runs.first())
         && let Err(error) = write_report(path, run, &scenarios[0].name, args)
     {
         return fail(&format!("{}: {error}", path.display()), EXIT_WRONG_ARGUMENTS);
     }
-    let keeps_rules = rows.iter().all(|row| row.figures.broken_rules.is_empty());
+    let keeps_rules = rows.iter().all(|row| row.summary.broken_rules.is_empty());
     // Only the product has to keep the rules; the other policies are for comparison.
     let passes = keeps_rules || args.policy != RoutingPolicy::Product;
     if passes { ExitCode::SUCCESS } else { ExitCode::from(EXIT_RULE_BROKEN) }
@@ -132,7 +132,7 @@
 /// A scenario and its results.
 struct ScenarioRow<'a> {
     scenario: &'a Scenario,
-    figures: ScenarioSummary,
+    summary: ScenarioSummary,
     /// The comparison with another policy, or `None` if there is none.
     comparison: Option<PolicyComparison>,
 }
@@ -140,7 +140,7 @@
 /// The results of the same scenario and seeds with another policy.
 struct PolicyComparison {
     against: RoutingPolicy,
-    figures: ScenarioSummary,
+    summary: ScenarioSummary,
     /// Served share of the first policy minus that of the other one.
     difference: MeanWithInterval,
 }
@@ -148,11 +148,11 @@
 impl ScenarioRow<'_> {
     /// Returns the row as JSON. The keys are read by scripts and keep their older names.
     fn json(&self) -> Value {
-        let mut row = self.figures.json();
+        let mut row = self.summary.json();
         row["scenario"] = json!(self.scenario.name);
         row["about"] = json!(self.scenario.about);
-        if let Some(PolicyComparison { figures, difference, .. }) = &self.comparison {
-            row["against"] = figures.json();
+        if let Some(PolicyComparison { summary, difference, .. }) = &self.comparison {
+            row["against"] = summary.json();
             row["better_by"] = json!({"mean": difference.mean, "half_span_95": difference.half_interval});
         }
         row
@@ -162,21 +162,21 @@
         print!(
             "{:<SCENARIO_WIDTH$} {:>7.4} {:>11.4} {:>13.4} {:>9.3} {:>19.2}  {:<12}",
             self.scenario.name,
-            self.figures.service,
-            self.figures.worst_window,
-            self.figures.worst_tenant,
-            self.figures.rejected_per_query,
-            self.figures.attempts_per_query,
-            self.figures.recovery_text()
+            self.summary.service,
+            self.summary.worst_window,
+            self.summary.worst_tenant,
+            self.summary.rejected_per_query,
+            self.summary.attempts_per_query,
+            self.summary.recovery_text()
         );
         if let Some(PolicyComparison { against, difference, .. }) = &self.comparison {
             let interval = difference.half_interval.map_or(String::new(), |half| format!(" +- {half:.4}"));
             print!("  {:+.4}{interval} compared with {against}", difference.mean);
-        } else if let Some(ClosestRule { rule, ratio, at_s }) = &self.figures.closest {
+        } else if let Some(ClosestRule { rule, ratio, at_s }) = &self.summary.closest {
             print!("  closest to a limit: {rule}: {ratio:.2} at {at_s:.1} s");
         }
         println!();
-        self.figures.broken_rules.iter().for_each(|rule| println!("    RULE BROKEN  {rule}"));
+        self.summary.broken_rules.iter().for_each(|rule| println!("    RULE BROKEN  {rule}"));
     }
 }
 
@@ -192,10 +192,10 @@
         let faults_end = args.scenario_run(scenario, 0, args.policy).faults_end();
         let comparison = args.against.map(|against| PolicyComparison {
             against,
-            figures: ScenarioSummary::of(compared, faults_end),
+            summary: ScenarioSummary::of(compared, faults_end),
             difference: service_difference(own, compared),
         });
-        ScenarioRow { scenario, figures: ScenarioSummary::of(own, faults_end), comparison }
+        ScenarioRow { scenario, summary: ScenarioSummary::of(own, faults_end), comparison }
     };
     scenarios.iter().zip(runs.chunks(seeds * policies)).map(row).collect()
 }
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -74,7 +74,7 @@
         self.queries.push(Query { broker, request, shard_requests, is_open: true });
         self.results.client_attempts += 1;
         let impatient_share = self.client_behavior.impatient_share;
-        if impatient_share > 0.0 && self.injector.random() < impatient_share {
+        if impatient_share > 0.0 && self.injector.sample_uniform() < impatient_share {
             let leaves_at = self.now + time_left.mul_f64(IMPATIENT_TIME_SHARE);
             self.schedule(leaves_at, Event::ClientLeaves(index));
         }
@@ -112,8 +112,8 @@
         }
         let doublings = (client_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let backoff_ms = self.client_behavior.backoff_ms * f64::from(1_u32 << doublings);
-        let mut wait = TimeSpan::from_ms(backoff_ms * (1.0 + self.injector.random()));
-        if self.injector.random() < self.client_behavior.retry_after_share {
+        let mut wait = TimeSpan::from_ms(backoff_ms * (1.0 + self.injector.sample_uniform()));
+        if self.injector.sample_uniform() < self.client_behavior.retry_after_share {
             wait = wait.max(retry_after);
         }
         let has_time = self.now + wait + TURN_PERIOD < deadline_at;
--- a/crates/broker-bench/src/simulation/faults.rs
+++ b/crates/broker-bench/src/simulation/faults.rs
@@ -37,7 +37,7 @@
             FaultEffect::BeginPauses { node } => {
                 let cycle = self.injector.active_faults[node].longest_pause();
                 let interval = cycle.map_or(TimeSpan::ZERO, |cycle| cycle.interval);
-                let first = interval.mul_f64(self.injector.random());
+                let first = interval.mul_f64(self.injector.sample_uniform());
                 self.schedule(self.now + first, Event::NodePauses(node));
             }
             FaultEffect::BecomeUnresponsive { node } => self.make_unresponsive(node),
--- a/crates/broker-bench/src/simulation_benchmark.rs
+++ b/crates/broker-bench/src/simulation_benchmark.rs
@@ -135,7 +135,7 @@
     product: ScenarioSummary,
     design: ScenarioSummary,
     /// Results of the product with admission control.
-    admitted: ScenarioSummary,
+    admission_control: ScenarioSummary,
 }
 
 impl ScenarioRow {
@@ -154,13 +154,13 @@
             name,
             product: simulate(RoutingPolicy::Product),
             design: simulate(RoutingPolicy::Design),
-            admitted: simulate(RoutingPolicy::AdmissionController),
+            admission_control: simulate(RoutingPolicy::AdmissionController),
         })
     }
 
     /// Returns the rules that the product broke, with or without admission control.
     fn broken_rules(&self) -> Vec<&'static str> {
-        let rules = self.product.broken_rules.iter().chain(&self.admitted.broken_rules);
+        let rules = self.product.broken_rules.iter().chain(&self.admission_control.broken_rules);
         let mut broken: Vec<&'static str> = rules.copied().collect();
         broken.sort_unstable();
         broken.dedup();
@@ -173,9 +173,9 @@
             self.name,
             self.product.service,
             self.design.service,
-            self.admitted.service,
+            self.admission_control.service,
             self.product.recovery_text(),
-            self.admitted.recovery_text(),
+            self.admission_control.recovery_text(),
             self.broken_rules().join("; ")
         );
     }
@@ -185,7 +185,7 @@
             "{}: service by tenant, product {}; admission control {}",
             self.name,
             list_shares(&self.product.by_tenant),
-            list_shares(&self.admitted.by_tenant)
+            list_shares(&self.admission_control.by_tenant)
         );
     }
 
@@ -193,10 +193,10 @@
         json!({
             "module": self.product.service,
             "design": self.design.service,
-            "door": self.admitted.service,
+            "door": self.admission_control.service,
             "recovers_s": self.product.recovery,
-            "door_recovers_s": self.admitted.recovery,
-            "callers": {"module": self.product.by_tenant, "door": self.admitted.by_tenant},
+            "door_recovers_s": self.admission_control.recovery,
+            "callers": {"module": self.product.by_tenant, "door": self.admission_control.by_tenant},
         })
     }
 }
@@ -218,7 +218,7 @@
 struct MeanServices {
     product: f64,
     design: f64,
-    admitted: f64,
+    admission_control: f64,
 }
 
 impl MeanServices {
@@ -229,7 +229,7 @@
         MeanServices {
             product: mean(|row| row.product.service),
             design: mean(|row| row.design.service),
-            admitted: mean(|row| row.admitted.service),
+            admission_control: mean(|row| row.admission_control.service),
         }
     }
 }
@@ -243,7 +243,7 @@
     rows.iter().filter(|row| row.product.by_tenant.len() > 1).for_each(ScenarioRow::print_tenants);
     println!(
         "mean over scenarios: product {:.4}, design alone {:.4}, admission control {:.4}",
-        means.product, means.design, means.admitted
+        means.product, means.design, means.admission_control
     );
 }
 
@@ -275,7 +275,7 @@
         "seeds": seeds,
         "tuned_on_seeds_below": FIRST_SEED,
         "worst": worst,
-        "means": {"module": means.product, "design": means.design, "door": means.admitted},
+        "means": {"module": means.product, "design": means.design, "door": means.admission_control},
         "hall_lost_both_ways": comparison_json(&comparison),
         "rules_kept": keeps_rules,
         "scenarios": scenarios,
--- a/crates/broker-bench/src/traffic.rs
+++ b/crates/broker-bench/src/traffic.rs
@@ -7,7 +7,7 @@
 use fault_scenarios::{FaultAction, Scenario, ScheduledAction};
 use routing::Timestamp;
 
-/// Cores of a node.
+/// Number of cores per node.
 pub const NODE_CORES: usize = 4;
 /// Mean work of a shard request, in milliseconds of one core.
 const MEAN_WORK_MS: f64 = 40.0;
