--- a/crates/config-rollout/src/controller.rs
+++ b/crates/config-rollout/src/controller.rs
@@ -1,5 +1,4 @@
-//! The three state machines together: each input goes to the one that it concerns, and what one decides is
-//! passed on to the others.
+//! Controller that passes each input to the state machine concerned, and the resulting decisions to the others.
 
 use crate::effects::Effect;
 use crate::inputs::{Input, Nonce, Offer, ServiceIndex, StreamId};
@@ -17,52 +16,52 @@
 use routing::Timestamp;
 use std::collections::VecDeque;
 
-/// How many nonces of one stream are remembered as answered.
+/// Number of answered nonces remembered for a stream.
 const MAX_ANSWERED_NONCES: usize = 64;
-/// How many samples of a probation are held in memory; the oldest are dropped first.
+/// Maximum number of samples kept for a probation; the oldest are dropped first.
 const MAX_PROBATION_SAMPLES: usize = 1024;
 
-/// Decides which version a broker runs.
+/// Decides which configuration version a broker runs.
 #[derive(Debug)]
 pub struct RolloutController {
     policy: RolloutPolicy,
     subscription: Subscription,
     history: VersionHistory,
-    /// Outcomes under settled versions.
+    /// Outcomes of queries under settled versions, from which the baseline of the next probation is computed.
     settled_outcomes: OutcomeWindow,
-    /// Outcomes under the version on probation; they join the settled ones when it is confirmed.
+    /// Outcomes under the version on probation, which are moved to `settled_outcomes` when it is confirmed.
     probation_outcomes: Vec<TimedSample>,
-    /// The running version's counts as given last.
+    /// The last sample of the running version, from which the next increment is computed.
     last_sample: Sample,
     probation: Option<Probation>,
-    /// Nonces that were answered on the stream, the newest last.
+    /// The answered nonces of the current stream, the newest last.
     answered: VecDeque<Nonce>,
 }
 
-/// What a broker runs, and how it came to.
+/// A snapshot of the state of the rollout, as published by the broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The running version.
+    /// The version that the broker runs.
     pub running: VersionId,
-    /// Since when it runs.
+    /// The time since which the broker has run the current contents.
     pub since: Timestamp,
-    /// Whether it is on probation.
+    /// Whether the running version is settled or on probation.
     pub state: RolloutState,
-    /// The probation is paused because nodes are failing.
+    /// Whether the probation is paused because nodes are failing.
     pub is_probation_paused: bool,
-    /// Why its probation ended without a verdict, if it did.
+    /// The reason why the probation of the running version ended without a verdict, or `None` if it did not.
     pub unproven: Option<UnprovenReason>,
-    /// The version that was confirmed last.
+    /// The version that was confirmed last, which is the target of a rollback.
     pub confirmed: VersionId,
-    /// The last version that was rejected or withdrawn.
+    /// The most recent rejection or withdrawal, or `None` if there has been none.
     pub last_rejection: Option<Rejection>,
-    /// The service whose stream is open.
+    /// The service to which a stream is open, or `None` if no stream is open.
     pub service: Option<ServiceIndex>,
 }
 
 impl RolloutController {
-    /// The controller of a broker with this stored state, which may subscribe to any of `services`
-    /// services.
+    /// Creates the controller of a broker with this persisted state. `services` is the number of configuration
+    /// services that it may subscribe to; `seed` determines the random waits and the first service.
     pub fn new(
         policy: RolloutPolicy,
         services: usize,
@@ -83,7 +82,7 @@
         }
     }
 
-    /// What the broker runs; it agrees with the effects returned so far.
+    /// Returns a snapshot of the rollout, which includes all effects returned so far.
     pub fn report(&self) -> Report {
         let is_paused = |probation: &Probation| probation.condition() == ProbationCondition::NodesFailing;
         Report {
@@ -98,28 +97,28 @@
         }
     }
 
-    /// The running version.
+    /// Returns the version that the broker runs.
     pub fn running(&self) -> VersionId {
         self.history.running()
     }
 
-    /// What must outlive the process.
+    /// Returns the state to persist across restarts.
     pub fn persisted_state(&self) -> PersistedState {
         self.history.persisted_state()
     }
 
-    /// The highest number accepted; it never falls.
+    /// Returns the highest number accepted so far, which never decreases.
     pub fn highest_accepted(&self) -> u64 {
         self.history.highest_accepted()
     }
 
-    /// Whether contents of this version would be applied. For the reader of a response: it need not check
-    /// the contents of a version that would be rejected anyway.
+    /// Returns whether a valid offer of this version would be applied. The contents of an offer that would not be
+    /// applied need not be validated.
     pub fn would_apply(&self, version: VersionId) -> bool {
         self.history.compare(&Offer::Valid(version)).event == VersionEvent::Newer
     }
 
-    /// Handles one input; the effects are to be carried out before the next.
+    /// Handles one input and returns the effects to carry out, in order, before the next input is handled.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         let due_before = self.subscription.next_due();
@@ -146,13 +145,13 @@
             Input::ResponseReceived { stream, nonce, offer } if self.subscription.is_current(stream) => {
                 self.handle_response(now, stream, nonce, &offer, effects);
             }
-            // Messages of streams that are over.
+            // Events of streams that have ended are ignored.
             Input::StreamOpened(_) | Input::StreamEnded { .. } | Input::ResponseReceived { .. } => {}
             Input::OutcomesCounted(sample) => self.handle_outcomes(now, sample, effects),
         }
     }
 
-    /// Each nonce of a stream gets one answer: a response repeated under an answered nonce is ignored.
+    /// Answers each nonce of a stream once, and ignores a response repeated under an answered nonce.
     fn handle_response(
         &mut self,
         now: Timestamp,
@@ -171,7 +170,7 @@
         }
         let comparison = self.history.compare(offer);
         self.history.handle_offer(now, &comparison, effects);
-        self.follow_version_change(now, comparison.event);
+        self.update_probation(now, comparison.event);
         let (running, rejection) = (self.history.running(), comparison.rejection);
         effects.push(Effect::Respond { stream, nonce, running, rejection });
         if matches!(comparison.event, VersionEvent::Older | VersionEvent::Forked) {
@@ -179,12 +178,12 @@
         }
     }
 
-    /// Starts or ends the probation as the offer just handled requires.
-    fn follow_version_change(&mut self, now: Timestamp, event: VersionEvent) {
+    /// Starts or ends a probation after an offer was handled.
+    fn update_probation(&mut self, now: Timestamp, event: VersionEvent) {
         match event {
             VersionEvent::Newer => {
-                // Outcomes under a version on probation are not settled: one that replaces another on probation
-                // is compared with what was before both.
+                // The outcomes of a version on probation are not settled. A version that replaces another one on
+                // probation is therefore compared with the outcomes before both.
                 self.probation = Some(Probation::new(self.policy.clone(), &self.settled_outcomes, now));
                 self.reset_counts();
             }
@@ -196,7 +195,7 @@
         }
     }
 
-    /// What was counted under another version does not count for this one.
+    /// Discards the counts of the previous version.
     fn reset_counts(&mut self) {
         self.last_sample = Sample::default();
         self.probation_outcomes.clear();
--- a/crates/config-rollout/src/effects.rs
+++ b/crates/config-rollout/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the [`RolloutController`](crate::RolloutController) requests of the program around it.
+//! Effects that the [`RolloutController`](crate::RolloutController) requests from the program.
 
 use crate::inputs::{Nonce, ServiceIndex, StreamId};
 use crate::rejection::RejectionReason;
@@ -6,113 +6,114 @@
 use crate::version::VersionId;
 use routing::Timestamp;
 
-/// One action. Effects are carried out in the order given, all of them before the next input is handled.
+/// An action for the program. Effects are carried out in the order given, and all of them before the next input is
+/// handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Open a stream to a configuration service, under this id.
+    /// Opens a stream to a configuration service.
     Connect {
-        /// Which service.
+        /// The service to connect to.
         service: ServiceIndex,
         /// The id of the new stream.
         stream: StreamId,
     },
-    /// Close the stream; nothing that still arrives on it counts.
+    /// Closes the stream. Events that still arrive on it are ignored.
     Disconnect {
         /// The stream to close.
         stream: StreamId,
     },
-    /// Ask for the installation's version.
+    /// Sends the first request on a stream, which subscribes to the versions of the installation.
     Subscribe {
         /// The stream that has just opened.
         stream: StreamId,
-        /// What the broker runs.
+        /// The version that the broker runs.
         running: VersionId,
     },
-    /// Acknowledge the response with this nonce, or reject it with a reason.
+    /// Acknowledges or rejects a response.
     Respond {
-        /// The stream that the response came on.
+        /// The stream on which the response arrived.
         stream: StreamId,
         /// The nonce of the response.
         nonce: Nonce,
-        /// What the broker runs.
+        /// The version that the broker runs.
         running: VersionId,
-        /// Why the response is rejected; `None` acknowledges it.
+        /// The reason for the rejection, or `None` to acknowledge the response.
         rejection: Option<RejectionReason>,
     },
-    /// Report, on the newest nonce of the stream, that a version accepted earlier is no longer run.
+    /// Reports to the service that a version accepted earlier was withdrawn. The report is sent as a rejection of the
+    /// newest nonce.
     ReportWithdrawal {
         /// The open stream.
         stream: StreamId,
-        /// The newest nonce that was answered on it.
+        /// The newest nonce that was answered on the stream.
         nonce: Nonce,
-        /// What the broker runs instead.
+        /// The version that the broker runs after the rollback.
         running: VersionId,
-        /// What the withdrawn version did.
+        /// The counts by which the withdrawn version failed.
         reason: ProbationFailure,
     },
-    /// Accept queries under this version from now on; it is the one that was last offered as valid.
+    /// Applies the version that was last offered as valid: new queries are accepted under it.
     Apply(VersionId),
-    /// The running contents have a new number.
+    /// Gives the running contents a new number.
     Renumber(VersionId),
-    /// Accept queries under this version, the last confirmed one, again.
+    /// Applies the version that was confirmed last again: new queries are accepted under it.
     RollBack(VersionId),
-    /// This version is confirmed: store its contents, for a roll-back and for a restart.
+    /// Stores the contents of the confirmed version, for rollbacks and restarts.
     StoreContents(VersionId),
-    /// Store the [`PersistedState`](crate::PersistedState) before the next effect is carried out.
+    /// Stores the [`PersistedState`](crate::PersistedState) before the next effect is carried out.
     StoreState,
-    /// Handle [`Input::TimerExpired`](crate::Input::TimerExpired) at this time.
+    /// Requests an [`Input::TimerExpired`](crate::Input::TimerExpired) at this time.
     WakeAt(Timestamp),
-    /// Write this event to the log.
+    /// Writes an event to the log.
     Log(LogEvent),
 }
 
-/// What is logged for an operator.
+/// An event to log for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A version was applied and is on probation.
     Applied(VersionId),
-    /// The running contents got a new number.
+    /// The running contents were given a new number.
     Renumbered(VersionId),
     /// A version passed its probation.
     Confirmed(VersionId),
-    /// A version's probation is over without a verdict; the version stays.
+    /// A probation ended without a verdict, and the version remains in use.
     Unproven {
-        /// The version.
+        /// The version that remains in use.
         version: VersionId,
-        /// Why there is no verdict.
+        /// The reason why there is no verdict.
         reason: UnprovenReason,
     },
     /// An offer was rejected.
     Rejected {
-        /// The offered number, where it could be read.
+        /// The offered number, or `None` if it could not be read.
         number: Option<u64>,
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectionReason,
     },
     /// A version failed its probation and was rolled back.
     Withdrawn {
         /// The version that failed.
         version: VersionId,
-        /// What runs instead.
+        /// The version that the broker runs after the rollback.
         running: VersionId,
-        /// What it did.
+        /// The counts by which the version failed.
         reason: ProbationFailure,
     },
-    /// The probation pauses: nodes are failing.
+    /// The probation was paused because nodes are failing.
     ProbationPaused {
         /// The version on probation.
         version: VersionId,
-        /// What shows that nodes are failing.
+        /// The counts that indicate failing nodes.
         reason: NodeLoss,
     },
-    /// A service responded.
+    /// A service responded for the first time, or again after it was unreachable.
     ServiceReached(ServiceIndex),
-    /// A service that had been reached, or was to be for the first time, can't be; logged once until it
-    /// can.
+    /// A service cannot be reached. This is logged once until the service responds.
     ServiceUnreachable {
-        /// Which service.
+        /// The service that is unreachable.
         service: ServiceIndex,
-        /// The transport's error.
+        /// The error reported by the transport.
         reason: String,
     },
 }
--- a/crates/config-rollout/src/inputs.rs
+++ b/crates/config-rollout/src/inputs.rs
@@ -1,62 +1,62 @@
-//! What the program around it gives the [`RolloutController`](crate::RolloutController) to handle.
+//! Inputs that the program passes to the [`RolloutController`](crate::RolloutController).
 
 use crate::sample::Sample;
 use crate::version::VersionId;
 
-/// An index into the list of configuration services.
+/// Index into the list of configuration services.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceIndex(pub usize);
 
-/// One stream to a service; each connection attempt has a new id.
+/// Identifier of a stream to a service. Each connection attempt has a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-/// A service's mark of one response, unique on its stream.
+/// Nonce of a response, which is unique on its stream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Nonce(pub String);
 
-/// What a response offered, once its contents were checked by the program that read it.
+/// The version offered by a response, after the program has validated its contents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It can be applied; the program holds its contents.
+    /// The version can be applied, and the program holds its contents.
     Valid(VersionId),
-    /// It can't be read or applied.
+    /// The version cannot be read or applied.
     Invalid {
-        /// The offered number, where it could be read.
+        /// The offered number, or `None` if it could not be read.
         number: Option<u64>,
-        /// All that is wrong, as the reader of the response words it.
+        /// All errors found, as worded by the reader of the response.
         reason: String,
     },
     /// The service has no version for this installation.
     Empty,
 }
 
-/// One thing that happened.
+/// An event that the controller handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The program starts.
+    /// The program has started.
     Start,
     /// The stream is open.
     StreamOpened(StreamId),
-    /// The stream has ended, or never opened.
+    /// The stream has ended, or the connection attempt failed.
     StreamEnded {
-        /// Which stream.
+        /// The stream that ended.
         stream: StreamId,
-        /// The transport's error.
+        /// The error reported by the transport.
         reason: String,
     },
     /// A response arrived.
     ResponseReceived {
-        /// The stream that it arrived on.
+        /// The stream on which the response arrived.
         stream: StreamId,
-        /// Its nonce.
+        /// The nonce of the response.
         nonce: Nonce,
-        /// What it offered.
+        /// The version that the response offered.
         offer: Offer,
     },
-    /// How queries accepted under the running version ended, counted since it was applied, and how many
-    /// nodes are ready. Given at a steady interval.
+    /// Cumulative outcomes of the queries accepted under the running version since it was applied, and the number of
+    /// ready nodes. The program passes this input at a fixed interval.
     OutcomesCounted(Sample),
-    /// A time requested by [`Effect::WakeAt`](crate::Effect::WakeAt) has come.
+    /// A time requested by [`Effect::WakeAt`](crate::Effect::WakeAt) was reached.
     TimerExpired,
 }
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,17 +1,18 @@
-//! Which version of its configuration a broker runs. Decisions only: no I/O, no clock, no sockets;
-//! randomness from a seed.
+//! Selects which configuration version a broker runs. This crate decides only: it performs no I/O, reads no clock,
+//! and draws random numbers from a seed.
 //!
-//! A program makes one [`RolloutController`] and gives it each [`Input`] with the current time; it carries
-//! out the [`Effect`]s that are returned, in their order, before the next input. What a broker reports is
-//! [`RolloutController::report`], which always agrees with the effects carried out last.
+//! The program creates one [`RolloutController`] and passes it each [`Input`] with the current time. It carries out
+//! the returned [`Effect`]s in order before it passes the next input. [`RolloutController::report`] returns the state
+//! that results from these effects.
 //!
-//! It consists of three state machines, each a table of state, event, next state and action, and a short
-//! loop:
-//! - [`subscription`]: the connection to a configuration service: `Idle`, `BackingOff`, `Connecting`,
-//!   `Open`;
-//! - [`version_history`]: what the broker runs, `Settled` or `OnProbation`; each offer is first compared with
-//!   what is known ([`offer_comparison`]);
-//! - [`probation`]: whether a version on probation makes queries fail: `Stable` or `NodesFailing`.
+//! The controller consists of three state machines. Each is a transition table of state, event, next state and
+//! action:
+//! - [`subscription`]: the connection to a configuration service, with the states `Idle`, `BackingOff`, `Connecting`
+//!   and `Open`;
+//! - [`version_history`]: the running version, `Settled` or `OnProbation`; each offer is first compared with the
+//!   known versions ([`offer_comparison`]);
+//! - [`probation`]: the detection of a version that makes queries fail, with the conditions `Stable` and
+//!   `NodesFailing`.
 //!
 //! ```
 //! use routing::Timestamp;
--- a/crates/config-rollout/src/offer_comparison.rs
+++ b/crates/config-rollout/src/offer_comparison.rs
@@ -1,8 +1,9 @@
-//! How an offered version compares with what a broker knows: the event that the table of
-//! [`VersionHistory`](crate::version_history::VersionHistory) is read by, and the reason of a rejection.
+//! Comparison of an offer with the known versions. The result is the event for the transition table of
+//! [`VersionHistory`](crate::version_history::VersionHistory) and the reason for a rejection.
 //!
-//! Nothing is changed by a comparison. Brokers of one installation must not drift apart, and a service may
-//! lose its state or fork: so a number never goes back, and a number never gets other contents.
+//! A comparison changes no state. All brokers of an installation must run the same contents under a number even if a
+//! service loses its state or forks. A broker therefore never accepts a lower number, or other contents under a known
+//! number.
 
 use crate::inputs::Offer;
 use crate::known_versions::{AcceptedNumbers, Withdrawal, WithdrawnContents};
@@ -10,33 +11,33 @@
 use crate::rollout_state::VersionEvent;
 use crate::version::VersionId;
 
-/// An offer, compared with what is known.
+/// Result of comparing an offer with the known versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
-    /// How it compares.
+    /// The event that the comparison results in.
     pub event: VersionEvent,
-    /// The offered number, where it could be read.
+    /// The offered number, or `None` if it could not be read or nothing was offered.
     pub number: Option<u64>,
-    /// The offered version, where it is valid.
+    /// The offered version, or `None` if the offer is not valid.
     pub version: Option<VersionId>,
-    /// Why it is rejected, if it is.
+    /// The reason for the rejection, or `None` if the offer is not rejected.
     pub rejection: Option<RejectionReason>,
 }
 
-/// What an offered version is compared with.
+/// The known versions with which an offer is compared.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ComparisonInputs<'a> {
-    /// The running version.
+    /// The version that the broker runs.
     pub running: VersionId,
     /// The version that was confirmed last.
     pub confirmed: VersionId,
-    /// The version on probation when the process ended, or now.
+    /// The version on probation, now or when the last process ended.
     pub on_probation: Option<VersionId>,
     pub accepted: &'a AcceptedNumbers,
     pub withdrawn: &'a WithdrawnContents,
 }
 
-/// Compares an offer with what is known.
+/// Compares an offer with the known versions.
 pub(crate) fn compare_offer(offer: &Offer, inputs: &ComparisonInputs) -> Comparison {
     match offer {
         Offer::Empty => {
@@ -53,8 +54,8 @@
     }
 }
 
-/// The first that applies. The order counts: withdrawn contents are reported as such under any number, and a
-/// fork as a fork even where its number is old.
+/// Returns the first matching event. The order matters: withdrawn contents are reported as withdrawn under any
+/// number, and a fork is reported as a fork even if its number is old.
 fn compare_version(version: VersionId, inputs: &ComparisonInputs) -> (VersionEvent, Option<RejectionReason>) {
     let VersionId { number, digest } = version;
     if version == inputs.running {
@@ -67,7 +68,8 @@
         return (VersionEvent::Forked, Some(RejectionReason::Forked { number, known, offered: digest }));
     }
     if inputs.on_probation == Some(version) {
-        // The process ended during this version's probation: it was accepted before, and is tried again.
+        // The process ended during the probation of this version, which was accepted before, so that it is applied
+        // again.
         return (VersionEvent::Newer, None);
     }
     let highest = inputs.accepted.highest();
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -1,29 +1,29 @@
-//! How queries ended before a version was applied: what its probation compares with.
+//! Outcomes of queries before a version was applied, which are the baseline of its probation.
 
 use crate::sample::Sample;
 use crate::wilson::score_interval;
 use routing::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// The window is compared in this many parts, of which the worst counts, so that a version does not fail for a
-/// fault which began shortly before it.
+/// Number of parts into which the window is divided. The worst part determines the baseline, so that a version does
+/// not fail because of a fault that began shortly before it was applied.
 const PARTS: usize = 4;
 
-/// What was counted up to a time.
+/// A sample with the time at which it was taken.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedSample {
     pub(crate) at: Timestamp,
     pub(crate) sample: Sample,
 }
 
-/// How queries ended within a span, one sample for each count.
+/// Sliding window of query outcomes, with one sample for each interval.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeWindow {
     samples: VecDeque<TimedSample>,
 }
 
 impl OutcomeWindow {
-    /// Adds what ended since the last count, and drops what is older than `span`.
+    /// Adds the outcomes since the last sample, and drops samples that are at least as old as `span`.
     pub fn record(&mut self, now: Timestamp, since_last: Sample, span: TimeSpan) {
         self.samples.push_back(TimedSample { at: now, sample: since_last });
         while self.samples.front().is_some_and(|oldest| oldest.at <= now - span) {
@@ -43,7 +43,7 @@
     }
 }
 
-/// How queries ended before the version.
+/// Outcomes of queries before a version was applied.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Baseline {
     pub(crate) ready_nodes: u64,
@@ -52,8 +52,8 @@
 }
 
 impl Baseline {
-    /// The upper bound of the share of queries that `count` counts; the worst part decides. `unknown` where
-    /// no part has `min_ended` queries.
+    /// Returns the upper bound of the share of queries selected by `count`, in the worst part of the window. Returns
+    /// `unknown` if no part has at least `min_ended` queries.
     pub(crate) fn upper_bound(&self, min_ended: u64, count: fn(Sample) -> u64, unknown: f64) -> f64 {
         let known = self.parts.iter().chain([&self.total]).filter(|part| part.ended >= min_ended);
         let bounds = known.map(|part| score_interval(count(*part), part.ended).upper);
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -1,34 +1,33 @@
-//! The times and counts that decide a rollout. All are settings of the operator; the defaults are stated
-//! here and on the operators' page.
+//! Parameters of a rollout. Operators can configure all of them; the defaults are defined here and listed in the
+//! operator documentation.
 
 use routing::TimeSpan;
 
-/// Times, budgets and bounds of subscription and probation.
+/// Timeouts, budgets and thresholds of the subscription and the probation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutPolicy {
-    /// The wait before a connection attempt is drawn from 0 to this; each failure in a row doubles the
-    /// upper bound, up to [`RolloutPolicy::max_backoff`].
+    /// Upper bound of the first backoff, which is drawn between zero and this bound. Each consecutive failure doubles
+    /// the bound, up to [`RolloutPolicy::max_backoff`].
     pub initial_backoff: TimeSpan,
-    /// The largest upper bound of a wait.
+    /// Maximum upper bound of the backoff.
     pub max_backoff: TimeSpan,
-    /// The most connection attempts in any [`RolloutPolicy::connect_window`].
+    /// Maximum number of connection attempts in any [`RolloutPolicy::connect_window`].
     pub max_connects: usize,
-    /// The window in which connection attempts are counted.
+    /// Length of the window in which connection attempts are counted.
     pub connect_window: TimeSpan,
-    /// A connection attempt that has not opened a stream, or brought no response on it, is given up after
-    /// this.
+    /// Time after which a connection attempt is aborted if no stream has opened, or no response has arrived on it.
     pub connect_timeout: TimeSpan,
-    /// A stream that was open for this long ends the row of failures.
+    /// Time after which an open stream counts as stable. The end of a stable stream resets the backoff.
     pub stable_stream_age: TimeSpan,
-    /// A service with an older or another history is avoided for this long while there are others.
+    /// Time for which a service with a conflicting history is avoided, provided that there is another service.
     pub suspect_duration: TimeSpan,
-    /// How long an applied version is on probation; the baseline that it is compared with is as long.
+    /// Minimum duration of a probation, and length of the window of earlier outcomes that is its baseline.
     pub probation_duration: TimeSpan,
-    /// A probation that could not be judged ends after this.
+    /// Maximum duration of a probation, after which it ends without a verdict.
     pub max_probation_duration: TimeSpan,
-    /// The least number of ended queries by which a version is judged.
+    /// Minimum number of ended queries for a verdict.
     pub min_ended_queries: u64,
-    /// By how much the share of failed queries (0 to 1) must exceed the usual share for a version to fail its
+    /// Amount by which the share of failed queries (0 to 1) must exceed the baseline for a version to fail its
     /// probation.
     pub failure_ratio_margin: f64,
 }
@@ -53,8 +52,8 @@
 }
 
 impl RolloutPolicy {
-    /// Lengthens the waits so that `brokers`, all cut off at once, reconnect at `connects_per_s` at the
-    /// most, on average over the first wait.
+    /// Lengthens the backoff so that `brokers` brokers that are disconnected at once reconnect at a rate of at most
+    /// `connects_per_s`, on average over the first backoff.
     pub fn spread_reconnects(mut self, brokers: u32, connects_per_s: f64) -> RolloutPolicy {
         let seconds = f64::from(brokers) / connects_per_s.max(0.001);
         self.initial_backoff = self.initial_backoff.max(TimeSpan((seconds * 10_000.0) as i64));
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -1,10 +1,12 @@
-//! Whether a version on probation makes queries fail. The share of queries that failed under it is compared
-//! with the share before, beyond noise (Wilson's score interval); while nodes are failing there is no
-//! verdict, because a zone that is lost in the same minute makes queries fail just as a bad version does.
+//! Probation of a version: detects whether a newly applied version makes queries fail.
 //!
-//! What it can't tell: a version that brings nodes down (it looks like failing nodes); a fault of tenants, or
-//! of the network to them, that began in the same span as the version; failures that are too rare for the
-//! traffic during the probation.
+//! The share of queries that fail under the version is compared with the share before it. Wilson score intervals
+//! account for noise. While nodes are failing no verdict is reached, because the loss of a zone in the same minute
+//! makes queries fail just as a bad version does.
+//!
+//! The probation cannot detect a version that brings nodes down, because this looks like failing nodes. It cannot
+//! distinguish a fault of tenants, or of the network to them, that began at the same time as the version. It misses
+//! failures that are too rare for the traffic during the probation.
 
 use crate::outcome_window::Baseline;
 pub use crate::outcome_window::OutcomeWindow;
@@ -18,28 +20,30 @@
 /// Whether nodes are failing while a version is on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbationCondition {
-    /// Nodes are as they were before the version.
+    /// No more nodes are failing than before the version was applied.
     Stable,
-    /// Nodes are failing; the probation is paused.
+    /// Nodes are failing, and the probation is paused.
     NodesFailing,
 }
 
-/// If fewer than this share of the nodes ready before are left, nodes are failing.
+/// Nodes are considered to be failing if the number of ready nodes falls below this fraction of the number before the
+/// version was applied.
 const MIN_READY_RATIO: f64 = 0.9;
-/// Where too few queries ended before to compare with, this share failing is taken for usual.
-const UNKNOWN_FAILURE_RATIO: f64 = 0.5;
+/// Baseline failure ratio that is assumed if too few queries ended before the version was applied.
+const DEFAULT_BASELINE_RATIO: f64 = 0.5;
 
-/// What one look at the counts shows.
+/// The counts at one evaluation of the probation.
 struct Observation {
     now: Timestamp,
-    /// Since counting last began, see `Probation::count_start`.
+    /// Counts since `Probation::count_start`.
     sample: Sample,
 }
 
 type Guard = fn(&Probation, &Observation) -> bool;
 type Action = fn(&mut Probation, &Observation) -> Verdict;
 
-/// In a condition, if the guard holds: the next condition, and the action that gives the verdict.
+/// A row of the transition table: applies if the condition matches and the guard holds. The action returns the
+/// verdict.
 struct Transition {
     condition: ProbationCondition,
     guard: Guard,
@@ -56,21 +60,21 @@
     Transition { condition, guard, next, action }
 }
 
-/// The first row that fits is taken.
+/// The transition table. The first matching row is taken.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
-    //  condition     guard                     next          action
-    row(Stable,       Probation::loses_nodes,   NodesFailing, Probation::pause),
-    row(Stable,       Probation::is_too_long,   Stable,       Probation::end_unproven),
-    row(NodesFailing, Probation::is_too_long,   Stable,       Probation::end_while_nodes_fail),
-    row(NodesFailing, Probation::loses_nodes,   NodesFailing, Probation::stay_pending),
-    row(NodesFailing, Probation::always,        Stable,       Probation::stay_pending),
-    row(Stable,       Probation::is_worse,      Stable,       Probation::fail),
-    row(Stable,       Probation::is_over,       Stable,       Probation::prove),
-    row(Stable,       Probation::always,        Stable,       Probation::stay_pending),
+    //  condition     guard                         next          action
+    row(Stable,       Probation::are_nodes_failing, NodesFailing, Probation::pause),
+    row(Stable,       Probation::has_timed_out,     Stable,       Probation::end_unproven),
+    row(NodesFailing, Probation::has_timed_out,     Stable,       Probation::end_with_nodes_failing),
+    row(NodesFailing, Probation::are_nodes_failing, NodesFailing, Probation::continue_pending),
+    row(NodesFailing, Probation::always,            Stable,       Probation::continue_pending),
+    row(Stable,       Probation::exceeds_baseline,  Stable,       Probation::fail),
+    row(Stable,       Probation::is_proven,         Stable,       Probation::prove),
+    row(Stable,       Probation::always,            Stable,       Probation::continue_pending),
 ];
 
-/// When counting began, and the counts at that time.
+/// The time at which counting began, and the cumulative counts at that time.
 #[derive(Clone, Copy, Debug)]
 struct CountStart {
     at: Timestamp,
@@ -83,24 +87,26 @@
     policy: RolloutPolicy,
     baseline: Baseline,
     started: Timestamp,
-    /// When counting last began: when the version was applied, or when nodes were last seen failing.
+    /// The start of counting: the time at which the version was applied, or at which nodes were last seen failing.
     count_start: CountStart,
     condition: ProbationCondition,
 }
 
 impl Probation {
-    /// The probation of a version that is applied now, compared with these outcomes before it.
+    /// Starts the probation of a version that is applied now. `outcomes` are the outcomes before it, which serve as
+    /// the baseline.
     pub fn new(policy: RolloutPolicy, outcomes: &OutcomeWindow, now: Timestamp) -> Probation {
         let count_start = CountStart { at: now, sample: Sample::default() };
         Probation { policy, baseline: outcomes.baseline(), started: now, count_start, condition: Stable }
     }
 
-    /// Whether nodes are failing.
+    /// Returns whether nodes are failing.
     pub fn condition(&self) -> ProbationCondition {
         self.condition
     }
 
-    /// Takes the first row of `TRANSITIONS` that fits; `sample` counts since the version was applied.
+    /// Takes the first matching transition and returns its verdict. `sample` holds cumulative counts since the
+    /// version was applied.
     pub fn judge(&mut self, now: Timestamp, sample: Sample) -> Verdict {
         let observation = Observation { now, sample: sample.since(self.count_start.sample) };
         let transition =
@@ -108,16 +114,16 @@
         let Some(transition) = transition else { return Verdict::Pending };
         self.condition = transition.next;
         if self.condition == NodesFailing {
-            // Neither queries nor time count while nodes are failing.
+            // Neither time nor queries count toward the probation while nodes are failing.
             self.count_start = CountStart { at: now, sample };
         }
         (transition.action)(self, &observation)
     }
 
-    /// The largest share of queries failing on healthy nodes that is usual.
-    fn usual_failure_ratio(&self) -> f64 {
+    /// Returns the upper bound of the share of queries that failed on healthy nodes before the version was applied.
+    fn baseline_failure_ratio(&self) -> f64 {
         let min_ended = self.policy.min_ended_queries;
-        self.baseline.upper_bound(min_ended, Sample::failed_on_healthy_nodes, UNKNOWN_FAILURE_RATIO)
+        self.baseline.upper_bound(min_ended, Sample::failed_on_healthy_nodes, DEFAULT_BASELINE_RATIO)
     }
 
     // ---- guards
@@ -126,43 +132,46 @@
         true
     }
 
-    /// Fewer nodes than before, or more queries that found theirs down.
-    fn loses_nodes(&self, observation: &Observation) -> bool {
+    /// Returns whether fewer nodes are ready, or more queries failed on nodes that were down, than before the
+    /// version.
+    fn are_nodes_failing(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, .. } = self.policy;
         let Sample { ended, failed_on_nodes, ready_nodes, .. } = observation.sample;
-        let usual = self.baseline.upper_bound(min_ended_queries, |sample| sample.failed_on_nodes, 0.0);
+        let baseline_ratio =
+            self.baseline.upper_bound(min_ended_queries, |sample| sample.failed_on_nodes, 0.0);
         let lower = score_interval(failed_on_nodes, ended).lower;
         (ready_nodes as f64) < self.baseline.ready_nodes as f64 * MIN_READY_RATIO
-            || lower > usual + failure_ratio_margin
+            || lower > baseline_ratio + failure_ratio_margin
     }
 
-    fn is_too_long(&self, observation: &Observation) -> bool {
+    fn has_timed_out(&self, observation: &Observation) -> bool {
         observation.now - self.started >= self.policy.max_probation_duration
     }
 
-    /// The share that failed on healthy nodes exceeds the usual one by more than noise and the margin.
-    fn is_worse(&self, observation: &Observation) -> bool {
+    /// Returns whether the share of queries that failed on healthy nodes exceeds the baseline by more than noise and
+    /// the margin.
+    fn exceeds_baseline(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, .. } = self.policy;
         let sample = observation.sample;
         let lower = score_interval(sample.failed_on_healthy_nodes(), sample.ended).lower;
-        sample.ended >= min_ended_queries && lower > self.usual_failure_ratio() + failure_ratio_margin
+        sample.ended >= min_ended_queries && lower > self.baseline_failure_ratio() + failure_ratio_margin
     }
 
-    /// There was enough time and there were enough queries, and no larger share failed than usual. While a
-    /// larger share failed, though not beyond noise, the version stays on probation.
-    fn is_over(&self, observation: &Observation) -> bool {
+    /// Returns whether enough time has passed, enough queries have ended, and no larger share failed than in the
+    /// baseline. A version under which a larger share failed, but within noise, stays on probation.
+    fn is_proven(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, probation_duration, .. } = self.policy;
         let sample = observation.sample;
-        let tolerated = (self.usual_failure_ratio() + failure_ratio_margin) * sample.ended as f64;
-        let looks_worse = sample.failed_on_healthy_nodes() as f64 > tolerated;
+        let max_failed = (self.baseline_failure_ratio() + failure_ratio_margin) * sample.ended as f64;
+        let is_above_baseline = sample.failed_on_healthy_nodes() as f64 > max_failed;
         observation.now - self.count_start.at >= probation_duration
             && sample.ended >= min_ended_queries
-            && !looks_worse
+            && !is_above_baseline
     }
 
     // ---- actions
 
-    fn stay_pending(&mut self, _: &Observation) -> Verdict {
+    fn continue_pending(&mut self, _: &Observation) -> Verdict {
         Verdict::Pending
     }
 
@@ -180,7 +189,7 @@
         })
     }
 
-    fn end_while_nodes_fail(&mut self, _: &Observation) -> Verdict {
+    fn end_with_nodes_failing(&mut self, _: &Observation) -> Verdict {
         Verdict::Unproven(UnprovenReason::NodesFailing)
     }
 
--- a/crates/config-rollout/src/rollout_state.rs
+++ b/crates/config-rollout/src/rollout_state.rs
@@ -1,34 +1,35 @@
-//! The two states of a rollout, and the events that move it from one to the other.
+//! States of a rollout, and the events that change them.
 
-/// Whether the running version is still on probation.
+/// Whether the running version is on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// The running version is confirmed, or is the broker's own file.
+    /// The running version is confirmed or is the broker's own file; no probation is in progress.
     Settled,
-    /// The running version was applied, and is observed until the verdict.
+    /// The running version was applied and is being observed until its verdict.
     OnProbation,
 }
 
-/// An offer as it compares with what is known, or the verdict of the probation.
+/// The result of comparing an offer with the known versions, or the verdict of a probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionEvent {
-    /// The offer can't be read or applied.
+    /// The offer cannot be read or applied.
     Invalid,
     /// The service has no version for the installation.
     Empty,
     /// The offered contents were withdrawn earlier.
     Withdrawn,
-    /// The offered number is known with other contents.
+    /// The offered number was accepted earlier with other contents.
     Forked,
-    /// The offered number is not above the highest that was accepted.
+    /// The offered number does not exceed the highest accepted number.
     Older,
-    /// The offered version is the running one.
+    /// The offered version is the running version.
     Unchanged,
-    /// A higher number with the contents that run.
+    /// The offer has a higher number and the running contents.
     Renumbered,
-    /// A higher number with the contents that were confirmed last, while others are on probation.
+    /// The offer has a higher number and the contents that were confirmed last, while other contents are on
+    /// probation.
     Reverted,
-    /// A higher number with other contents.
+    /// The offer has a higher number and other contents.
     Newer,
     /// The running version passed its probation.
     Proven,
@@ -36,6 +37,6 @@
     Unproven,
     /// The running version failed its probation.
     Failed,
-    /// The probation is paused.
+    /// The probation was paused because nodes are failing.
     Paused,
 }
--- a/crates/config-rollout/src/sample.rs
+++ b/crates/config-rollout/src/sample.rs
@@ -1,20 +1,20 @@
-//! Counts of how queries ended, the measure of a probation.
+//! Counts of query outcomes, which a probation evaluates.
 
-/// How queries of the running version ended, counted since it was applied.
+/// Cumulative outcomes of the queries of the running version since it was applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// Queries that ended.
+    /// The number of queries that ended.
     pub ended: u64,
-    /// Of these: late, failed, or rejected.
+    /// The number of ended queries that were late, failed or rejected.
     pub failed: u64,
-    /// Of the failed ones: those with an attempt that found its node down, or lost its connection.
+    /// The number of failed queries with an attempt whose node was down or whose connection was lost.
     pub failed_on_nodes: u64,
-    /// Nodes that are ready now.
+    /// The number of nodes that are currently ready.
     pub ready_nodes: u64,
 }
 
 impl Sample {
-    /// The sum of both counts, with the larger number of ready nodes.
+    /// Adds the counts of both samples, and takes the larger number of ready nodes.
     pub(crate) fn merge(self, other: Sample) -> Sample {
         Sample {
             ended: self.ended + other.ended,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What was counted after `earlier`.
+    /// Returns the counts added since `earlier`.
     pub(crate) fn since(self, earlier: Sample) -> Sample {
         Sample {
             ended: self.ended.saturating_sub(earlier.ended),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Queries that failed although their nodes were up.
+    /// Returns the number of queries that failed although their nodes were up.
     pub(crate) fn failed_on_healthy_nodes(self) -> u64 {
         self.failed.saturating_sub(self.failed_on_nodes)
     }
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -1,10 +1,10 @@
-//! The connection to a configuration service: when to connect, to which of several, when to give up.
+//! Connection to a configuration service: when to connect, which of several services to choose, and when to time out.
 //!
-//! Two failures shape the rules. A service that comes back is connected to by its whole fleet at once: the
-//! backoff is drawn with full jitter, so that the attempts spread. A service that accepts streams and drops
-//! them would be connected to in a tight loop, as no attempt fails: a budget bounds the attempts in any window. The
-//! cost is that a broker may learn of a new version some waits later. An unreachable service shows as one log
-//! event until it responds again.
+//! Two failures determine the rules. When a service recovers, its whole fleet of brokers reconnects at once; full
+//! jitter on the backoff spreads these attempts. A service that accepts streams and then drops them would be
+//! reconnected to in a tight loop, since no attempt fails; a budget therefore limits the number of attempts in any
+//! window. The drawback is that a broker may learn of a new version several backoff intervals later. An unreachable
+//! service is logged once until it responds again.
 
 use crate::effects::{Effect, LogEvent};
 use crate::inputs::{ServiceIndex, StreamId};
@@ -16,40 +16,40 @@
 use routing::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// The state of the one connection.
+/// State of the connection to the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscriptionState {
-    /// Not started.
+    /// The subscription has not been started.
     Idle,
-    /// Waiting before the next connection attempt.
+    /// The subscription is waiting before the next connection attempt.
     BackingOff,
-    /// A connection attempt is under way.
+    /// A connection attempt is in progress.
     Connecting,
     /// The stream is open.
     Open,
 }
 
-/// What changes the state.
+/// Event that may change the state of the subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscriptionEvent {
     /// The program started.
     Started,
-    /// A requested time has come.
+    /// A time requested by the subscription was reached.
     TimerExpired,
     /// The stream opened.
     StreamOpened,
-    /// A response arrived.
+    /// A response arrived on the open stream.
     ResponseReceived,
-    /// The stream ended, or never opened.
+    /// The stream ended, or the connection attempt failed.
     StreamEnded,
-    /// The service showed an older or another history.
+    /// The service offered an older number, or other contents under a known number.
     HistoryConflict,
 }
 
 type Guard = fn(&Subscription, Timestamp) -> bool;
 type Action = fn(&mut Subscription, Timestamp, &mut Vec<Effect>);
 
-/// In one of these states, on the event, if the guard holds: the next state, and what is done.
+/// A row of the transition table: applies if the state and the event match and the guard holds.
 struct Transition {
     states: &'static [SubscriptionState],
     event: SubscriptionEvent,
@@ -68,20 +68,20 @@
     Transition { states, event, guard, next, action }
 }
 
-/// The first row that fits is taken; where none fits, nothing happens.
+/// The transition table. The first matching row is taken; an event that matches no row is ignored.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
     //  states              event             guard                    next        action
     row(&[Idle],             Started,          Subscription::always,    Connecting, Subscription::connect),
     row(&[BackingOff],       TimerExpired,     Subscription::is_due,    Connecting, Subscription::connect),
     row(&[Connecting],       StreamOpened,     Subscription::always,    Open,       Subscription::record_open),
-    row(&[Connecting, Open], TimerExpired,     Subscription::is_due,    BackingOff, Subscription::give_up),
+    row(&[Connecting, Open], TimerExpired,     Subscription::is_due,    BackingOff, Subscription::time_out),
     row(&[Open],             ResponseReceived, Subscription::always,    Open,       Subscription::record_response),
     row(&[Connecting, Open], StreamEnded,      Subscription::always,    BackingOff, Subscription::back_off),
     row(&[Open],             HistoryConflict,  Subscription::has_other, BackingOff, Subscription::change_service),
 ];
 
-/// How often the bound of a wait is doubled at most, so that it does not overflow.
+/// Maximum number of times that the backoff bound is doubled, which prevents an overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,20 +98,21 @@
     state: SubscriptionState,
     stream: StreamId,
     service: ServiceIndex,
-    /// For each service, until when it is avoided because its history conflicts with the broker's.
-    suspect_until: Vec<Timestamp>,
-    /// Failed connection attempts in a row, and streams that ended before they were stable.
+    /// The time until which each service is avoided because its history conflicts with the broker's.
+    avoided_until: Vec<Timestamp>,
+    /// Consecutive failures: failed connection attempts, and streams that ended before they were stable.
     failures: u32,
-    /// The end of the wait, or the time by which a response must have arrived.
+    /// The end of the backoff, or the deadline for the first response. `None` once the service has responded.
     due: Option<Timestamp>,
     opened_at: Timestamp,
     recent_connects: VecDeque<Timestamp>,
-    /// What was logged last.
-    logged: Option<Reachability>,
+    /// The reachability that was logged last.
+    last_logged: Option<Reachability>,
 }
 
 impl Subscription {
-    /// A subscription to one of `services` services. The first is drawn, so that a fleet spreads over them.
+    /// Creates a subscription to one of `services` services. The first service is chosen at random, so that the
+    /// brokers of a fleet are spread over the services.
     pub fn new(policy: RolloutPolicy, services: usize, mut rng: fastrand::Rng) -> Subscription {
         let service = ServiceIndex(rng.usize(..services.max(1)));
         Subscription {
@@ -120,36 +121,36 @@
             state: Idle,
             stream: StreamId(0),
             service,
-            suspect_until: vec![Timestamp(i64::MIN); services.max(1)],
+            avoided_until: vec![Timestamp(i64::MIN); services.max(1)],
             failures: 0,
             due: None,
             opened_at: Timestamp::ZERO,
             recent_connects: VecDeque::new(),
-            logged: None,
+            last_logged: None,
         }
     }
 
-    /// The state of the connection.
+    /// Returns the state of the connection.
     pub fn state(&self) -> SubscriptionState {
         self.state
     }
 
-    /// The service of the current, or the next, stream.
+    /// Returns the service of the current stream, or of the next one while the subscription is backing off.
     pub fn service(&self) -> ServiceIndex {
         self.service
     }
 
-    /// Whether a message on this stream still counts.
+    /// Returns whether this is the current stream, so that its events are handled rather than ignored.
     pub fn is_current(&self, stream: StreamId) -> bool {
         stream == self.stream && matches!(self.state, Connecting | Open)
     }
 
-    /// The stream, while it is open.
+    /// Returns the id of the stream, or `None` if no stream is open.
     pub fn open_stream(&self) -> Option<StreamId> {
         (self.state == Open).then_some(self.stream)
     }
 
-    /// Takes the first row of `TRANSITIONS` that fits.
+    /// Takes the first matching transition and runs its action.
     pub fn handle(&mut self, now: Timestamp, event: SubscriptionEvent, effects: &mut Vec<Effect>) {
         let transition = TRANSITIONS
             .iter()
@@ -159,15 +160,15 @@
         (transition.action)(self, now, effects);
     }
 
-    /// Logs, once until it is reached again, that a service can't be reached, and why.
+    /// Logs that the service is unreachable, and why. Nothing is logged again until the service has responded.
     pub fn log_unreachable(&mut self, reason: &str, effects: &mut Vec<Effect>) {
-        if self.logged.replace(Reachability::Unreachable) != Some(Reachability::Unreachable) {
+        if self.last_logged.replace(Reachability::Unreachable) != Some(Reachability::Unreachable) {
             let (service, reason) = (self.service, reason.to_owned());
             effects.push(Effect::Log(LogEvent::ServiceUnreachable { service, reason }));
         }
     }
 
-    /// The next time at which something is due.
+    /// Returns the time at which [`SubscriptionEvent::TimerExpired`] is due, or `None` if no timer is set.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.due
     }
@@ -182,10 +183,11 @@
         self.due.is_some_and(|due| due <= now)
     }
 
-    /// There is another service that is not avoided.
+    /// Returns whether there is another service that is not being avoided.
     fn has_other(&self, now: Timestamp) -> bool {
-        let mut others = self.suspect_until.iter().enumerate().filter(|(index, _)| *index != self.service.0);
-        others.any(|(_, until)| *until <= now)
+        let mut alternatives =
+            self.avoided_until.iter().enumerate().filter(|(index, _)| *index != self.service.0);
+        alternatives.any(|(_, until)| *until <= now)
     }
 
     // ---- actions
@@ -204,58 +206,59 @@
         self.opened_at = now;
     }
 
-    /// The service responds: there is no time-out until the next connection attempt.
+    /// Clears the deadline: once the service has responded, an idle stream does not time out.
     fn record_response(&mut self, _: Timestamp, effects: &mut Vec<Effect>) {
         self.due = None;
-        if self.logged.replace(Reachability::Reached) != Some(Reachability::Reached) {
+        if self.last_logged.replace(Reachability::Reached) != Some(Reachability::Reached) {
             effects.push(Effect::Log(LogEvent::ServiceReached(self.service)));
         }
     }
 
-    /// No response came in time.
-    fn give_up(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
+    /// Closes a stream on which no response arrived within the connect timeout.
+    fn time_out(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
         self.log_unreachable("no response in time", effects);
         self.back_off(now, effects);
     }
 
-    /// The service has another history than the broker: another service is tried.
+    /// Disconnects from a service whose history conflicts with the broker's, and chooses another service.
     fn change_service(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
-        self.suspect_until[self.service.0] = now + self.policy.suspect_duration;
+        self.avoided_until[self.service.0] = now + self.policy.suspect_duration;
         self.back_off(now, effects);
     }
 
-    /// Full jitter: the wait is drawn from zero to a bound that doubles with each failure in a row. A
-    /// stream that was open for long ends the row, one that was dropped at once does not. The budget of
-    /// connection attempts in any window comes on top.
+    /// Schedules the next connection attempt. With full jitter, the backoff is drawn between zero and a bound that
+    /// doubles with each consecutive failure. A stream that was open for long enough resets the count of failures;
+    /// one that was dropped early does not. The attempt is delayed further if the budget of attempts is spent.
     fn back_off(&mut self, now: Timestamp, _: &mut Vec<Effect>) {
-        let was_stable =
+        let is_stable =
             self.opened_at > Timestamp::ZERO && now - self.opened_at >= self.policy.stable_stream_age;
-        self.failures = if was_stable { 0 } else { self.failures.saturating_add(1) };
+        self.failures = if is_stable { 0 } else { self.failures.saturating_add(1) };
         self.opened_at = Timestamp::ZERO;
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let bound = self.policy.initial_backoff.times(f64::from(1_u32 << doublings));
         let bound = bound.min(self.policy.max_backoff).max(TimeSpan(1));
-        let drawn = now + TimeSpan(self.rng.i64(0..=bound.0));
-        self.due = Some(drawn.max(self.budget_free_at().unwrap_or(drawn)));
+        let jittered = now + TimeSpan(self.rng.i64(0..=bound.0));
+        self.due = Some(jittered.max(self.next_budgeted_connect().unwrap_or(jittered)));
         self.choose_service(now);
     }
 
-    /// When the budget of connection attempts allows the next; `None`: at once.
-    fn budget_free_at(&self) -> Option<Timestamp> {
+    /// Returns the time at which the budget permits the next connection attempt, or `None` if it permits one
+    /// immediately.
+    fn next_budgeted_connect(&self) -> Option<Timestamp> {
         let is_spent = self.recent_connects.len() >= self.policy.max_connects;
         let oldest = self.recent_connects.front().filter(|_| is_spent)?;
         Some(*oldest + self.policy.connect_window + TimeSpan(1))
     }
 
-    /// The next service in order that is not avoided. There always is one: a service is left only while there is
-    /// another that is not avoided, and the current one is among those that follow, as the last.
+    /// Selects the next service in order that is not being avoided. There is always one: the broker leaves a service
+    /// only if another one is not being avoided, and the current service is the last candidate.
     fn choose_service(&mut self, now: Timestamp) {
-        let count = self.suspect_until.len();
+        let count = self.avoided_until.len();
         let mut following = (1..=count).map(|step| (self.service.0 + step) % count);
-        let trusted = following.find(|index| self.suspect_until[*index] <= now);
-        self.service = ServiceIndex(trusted.unwrap_or(self.service.0));
+        let available = following.find(|index| self.avoided_until[*index] <= now);
+        self.service = ServiceIndex(available.unwrap_or(self.service.0));
     }
 }
 
--- a/crates/config-rollout/src/verdict.rs
+++ b/crates/config-rollout/src/verdict.rs
@@ -1,39 +1,40 @@
-//! What a probation concludes, with the counts that it rests on. The texts are shown to operators and sent
-//! to the configuration service.
+//! Verdicts of a probation, with the counts that support them. The messages are shown to operators and sent to the
+//! configuration service.
 
 use routing::TimeSpan;
 use thiserror::Error;
 
-/// The conclusion of one look at the counts.
+/// The result of one evaluation of a probation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not decided yet.
+    /// No verdict has been reached.
     Pending,
-    /// The version passed.
+    /// The version passed its probation.
     Proven,
     /// The probation ended without a verdict.
     Unproven(UnprovenReason),
     /// The version makes queries fail.
     Failed(ProbationFailure),
-    /// The probation has just been paused.
+    /// The probation has just been paused because nodes are failing.
     Paused(NodeLoss),
 }
 
-/// Why a probation ended without a verdict.
+/// The reason why a probation ended without a verdict.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum UnprovenReason {
-    /// Too few queries ended to judge by.
+    /// Fewer queries ended than are needed for a verdict.
     #[error("{ended} queries ended, {required} are needed")]
     TooFewQueries {
-        /// Queries that ended.
+        /// The number of queries that ended under the version.
         ended: u64,
-        /// The least number to judge by.
+        /// The minimum number of queries for a verdict.
         required: u64,
     },
-    /// The counts pointed neither way for long enough.
+    /// The counts did not allow a verdict: the share of failed queries was higher than before but within noise, or
+    /// nodes failed intermittently.
     #[error("more queries failed than before, but not beyond noise, or nodes failed on and off")]
     Inconclusive,
-    /// Nodes were failing until the end.
+    /// Nodes were still failing when the maximum duration of the probation was reached.
     #[error("nodes were failing until the end")]
     NodesFailing,
 }
@@ -45,31 +46,31 @@
     observed.as_ms() / 1000.0
 )]
 pub struct ProbationFailure {
-    /// Queries that failed on healthy nodes under the version.
+    /// The number of queries that failed on healthy nodes under the version.
     pub failed: u64,
-    /// Queries that ended under the version.
+    /// The number of queries that ended under the version.
     pub ended: u64,
-    /// How long these were counted.
+    /// The duration over which `failed` and `ended` were counted.
     pub observed: TimeSpan,
-    /// Queries that failed on healthy nodes in the span before the version.
+    /// The number of queries that failed on healthy nodes in the baseline window before the version.
     pub failed_before: u64,
-    /// Queries that ended in the span before the version.
+    /// The number of queries that ended in the baseline window before the version.
     pub ended_before: u64,
 }
 
-/// The counts by which nodes are held to be failing.
+/// The counts that indicate failing nodes.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error(
     "nodes are failing ({ready} ready, {ready_before} before; \
      {failed_on_nodes} of {ended} queries found a node down)"
 )]
 pub struct NodeLoss {
-    /// Nodes that are ready.
+    /// The number of nodes that are ready.
     pub ready: u64,
-    /// Nodes that were ready before the version.
+    /// The number of nodes that were ready before the version was applied.
     pub ready_before: u64,
-    /// Queries that found a node down.
+    /// The number of failed queries with an attempt whose node was down or whose connection was lost.
     pub failed_on_nodes: u64,
-    /// Queries that ended.
+    /// The number of queries that ended.
     pub ended: u64,
 }
--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -1,23 +1,23 @@
-//! What identifies a version: its number and the digest of its contents.
+//! Version identifiers: a number and a digest of the contents.
 
 use std::fmt;
 
-/// BLAKE3 of a document's canonical bytes.
+/// BLAKE3 digest of the canonical bytes of a document.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of these canonical bytes.
+    /// Computes the digest of canonical bytes.
     pub fn of(canonical: &[u8]) -> Digest {
         Digest(*blake3::hash(canonical).as_bytes())
     }
 
-    /// From 64 hex digits; `None` where it is anything else.
+    /// Parses 64 hexadecimal digits. Returns `None` for any other input.
     pub fn parse(hex: &str) -> Option<Digest> {
         blake3::Hash::from_hex(hex).ok().map(|hash| Digest(*hash.as_bytes()))
     }
 
-    /// The first twelve digits, as logs show them.
+    /// Returns the first twelve hexadecimal digits, for logs and messages.
     pub fn short(&self) -> String {
         self.to_string()[..12].to_owned()
     }
@@ -35,12 +35,12 @@
     }
 }
 
-/// One version of an installation's configuration. Number 0 is a broker's own file.
+/// Identifier of one version of an installation's configuration. Number 0 stands for the broker's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionId {
-    /// Given by the service; higher is newer.
+    /// Number assigned by the service; a higher number is newer.
     pub number: u64,
-    /// Of the contents.
+    /// Digest of the contents.
     pub digest: Digest,
 }
 
--- a/crates/config-rollout/src/version_history.rs
+++ b/crates/config-rollout/src/version_history.rs
@@ -1,9 +1,10 @@
-//! What a broker runs, and how it got there: the table of rollout states, and what is done on each event.
+//! Version history of a broker: the state machine that applies, confirms, withdraws and rejects versions.
 //!
-//! An offer is compared with what is known ([`offer_comparison`](crate::offer_comparison)) and the probation
-//! gives its verdict ([`probation`](crate::probation)); either is an event, which the table turns into the
-//! next state and effects. An offer with a rejection reason is rejected, every other is acknowledged. Each
-//! change shows as a log event ([`LogEvent`]).
+//! The events are the result of comparing an offer with the known versions
+//! ([`offer_comparison`](crate::offer_comparison)) and the verdict of a probation ([`probation`](crate::probation)).
+//! A transition table maps the state and the event to the next state and an action, and the action emits effects. An
+//! offer is rejected if the comparison gave a rejection reason, and acknowledged otherwise. Each change is logged as
+//! a [`LogEvent`].
 
 use crate::effects::{Effect, LogEvent};
 use crate::inputs::Offer;
@@ -18,12 +19,12 @@
 use crate::version::VersionId;
 use routing::Timestamp;
 
-/// What an action needs of the offer or the verdict that caused it.
+/// Details of the offer or the verdict that caused an event, for the action of the transition.
 struct EventContext<'a> {
     now: Timestamp,
-    /// The offered number, or that of the running version.
+    /// The number of the offer, or of the running version if the event is a verdict.
     number: Option<u64>,
-    /// The offered version, or the running one.
+    /// The offered version, or the running version if the event is a verdict.
     version: Option<VersionId>,
     rejection: Option<&'a RejectionReason>,
     verdict: Option<&'a Verdict>,
@@ -31,11 +32,11 @@
 
 type Action = fn(&mut VersionHistory, &EventContext, &mut Vec<Effect>);
 
-/// In one of these states, on the event: the next state, and what is done.
+/// A row of the transition table: applies if the current state is in `states` and the event matches.
 struct Transition {
     states: &'static [RolloutState],
     event: VersionEvent,
-    /// `None`: the state stays as it is.
+    /// The next state, or `None` if the state does not change.
     next: Option<RolloutState>,
     action: Action,
 }
@@ -52,7 +53,7 @@
 const ANY: &[RolloutState] = &[Settled, OnProbation];
 const PROBATION: &[RolloutState] = &[OnProbation];
 
-/// The row that fits is taken; where none fits, nothing happens.
+/// The transition table. The first matching row is taken; an event that matches no row is ignored.
 #[rustfmt::skip]
 const TRANSITIONS: &[Transition] = &[
     //  states     event       next               action
@@ -60,8 +61,8 @@
     row(ANY,       Withdrawn,  None,              VersionHistory::reject),
     row(ANY,       Forked,     None,              VersionHistory::reject),
     row(ANY,       Older,      None,              VersionHistory::reject),
-    row(ANY,       Empty,      None,              VersionHistory::do_nothing),
-    row(ANY,       Unchanged,  None,              VersionHistory::do_nothing),
+    row(ANY,       Empty,      None,              VersionHistory::ignore),
+    row(ANY,       Unchanged,  None,              VersionHistory::ignore),
     row(ANY,       Renumbered, None,              VersionHistory::renumber),
     row(PROBATION, Reverted,   Some(Settled),     VersionHistory::revert),
     row(ANY,       Newer,      Some(OnProbation), VersionHistory::apply),
@@ -71,29 +72,29 @@
     row(PROBATION, Paused,     None,              VersionHistory::log_pause),
 ];
 
-/// A version during whose probation the process ended this often is not tried again. One end may have any
-/// cause.
+/// The number of times that the process may end during the probation of a version before the version is withdrawn. A
+/// single end may have any cause and does not withdraw the version.
 const MAX_UNFINISHED_RUNS: u32 = 3;
 
-/// The running version, and what is known of those before it.
+/// The running version and the versions that were accepted, confirmed or withdrawn before it.
 #[derive(Debug)]
 pub struct VersionHistory {
     running: VersionId,
     since: Timestamp,
     state: RolloutState,
-    /// The last one confirmed; what a roll-back goes to.
+    /// The version that was confirmed last, which is the target of a rollback.
     confirmed: VersionId,
     accepted: AcceptedNumbers,
     withdrawn: WithdrawnContents,
     last_rejection: Option<Rejection>,
-    /// The version on probation; after a restart, the one whose probation the last process did not finish.
+    /// The version on probation. After a restart, the version whose probation was interrupted.
     probation_attempt: Option<ProbationAttempt>,
-    /// The running version's probation ended without a verdict, and why.
+    /// The reason why the probation of the running version ended without a verdict, if it did.
     unproven: Option<UnprovenReason>,
 }
 
 impl VersionHistory {
-    /// The history of a broker that runs what it confirmed last: its own file, or what it stored earlier.
+    /// Creates the history of a broker that runs the persisted confirmed version or its own file.
     pub fn new(persisted: PersistedState, now: Timestamp) -> VersionHistory {
         let PersistedState { confirmed, highest_accepted, withdrawn, probation_attempt } = persisted;
         let mut history = VersionHistory {
@@ -107,16 +108,17 @@
             probation_attempt,
             unproven: None,
         };
-        history.withdraw_after_repeated_ends(now);
+        history.withdraw_after_repeated_crashes(now);
         history
     }
 
-    /// Withdraws a version during whose probation the process ended [`MAX_UNFINISHED_RUNS`] times. A version
-    /// that crashes the broker is never judged by its probation, and a broker that applied it after each
-    /// restart would serve nobody. The attempts are counted in the stored state, which is written before the
-    /// version is applied. It shows as the last rejection in the broker's status. The cost is that a harmless
-    /// version is withdrawn where something else ended the process that often.
-    fn withdraw_after_repeated_ends(&mut self, now: Timestamp) {
+    /// Withdraws a version during whose probation the process ended [`MAX_UNFINISHED_RUNS`] times.
+    ///
+    /// A version that crashes the broker does not live long enough to fail its probation, and a broker that applied
+    /// it after each restart would serve no queries. The attempts are counted in the persisted state, which is
+    /// written before the version is applied. The withdrawal is reported as the last rejection in the broker's
+    /// status. The drawback is that a harmless version is withdrawn if something else ended the process that often.
+    fn withdraw_after_repeated_crashes(&mut self, now: Timestamp) {
         let attempt = self.probation_attempt.filter(|attempt| attempt.unfinished_runs >= MAX_UNFINISHED_RUNS);
         let Some(ProbationAttempt { version, unfinished_runs }) = attempt else { return };
         let reason = RejectionReason::ProcessEnded { ends: unfinished_runs };
@@ -126,7 +128,7 @@
         self.last_rejection = Some(Rejection { number: Some(version.number), reason, at: now });
     }
 
-    /// What must outlive the process.
+    /// Returns the state to persist across restarts.
     pub fn persisted_state(&self) -> PersistedState {
         PersistedState {
             confirmed: self.confirmed,
@@ -136,42 +138,42 @@
         }
     }
 
-    /// The running version.
+    /// Returns the version that the broker runs.
     pub fn running(&self) -> VersionId {
         self.running
     }
 
-    /// Since when it runs.
+    /// Returns the time since which the broker has run the current contents.
     pub fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// Whether it is on probation.
+    /// Returns whether the running version is settled or on probation.
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// The version that was confirmed last.
+    /// Returns the version that was confirmed last, which is the target of a rollback.
     pub fn confirmed(&self) -> VersionId {
         self.confirmed
     }
 
-    /// The highest number accepted; it never falls.
+    /// Returns the highest number accepted so far, which never decreases.
     pub fn highest_accepted(&self) -> u64 {
         self.accepted.highest()
     }
 
-    /// The last version that was rejected or withdrawn.
+    /// Returns the most recent rejection or withdrawal, or `None` if there has been none.
     pub fn last_rejection(&self) -> Option<&Rejection> {
         self.last_rejection.as_ref()
     }
 
-    /// Why the running version's probation ended without a verdict, if it did.
+    /// Returns the reason why the probation of the running version ended without a verdict, or `None` if it did not.
     pub fn unproven(&self) -> Option<UnprovenReason> {
         self.unproven
     }
 
-    /// How an offer compares with what is known.
+    /// Compares an offer with the known versions, without changing the history.
     pub fn compare(&self, offer: &Offer) -> Comparison {
         let inputs = ComparisonInputs {
             running: self.running,
@@ -183,14 +185,14 @@
         compare_offer(offer, &inputs)
     }
 
-    /// Handles an offer that was compared just now.
+    /// Handles an offer, given the result of [`VersionHistory::compare`] for the current history.
     pub fn handle_offer(&mut self, now: Timestamp, comparison: &Comparison, effects: &mut Vec<Effect>) {
         let Comparison { event, number, version, ref rejection } = *comparison;
         let context = EventContext { now, number, version, rejection: rejection.as_ref(), verdict: None };
         self.handle(event, &context, effects);
     }
 
-    /// Handles the probation's verdict on the running version.
+    /// Handles the verdict of the probation on the running version.
     pub fn handle_verdict(&mut self, now: Timestamp, verdict: &Verdict, effects: &mut Vec<Effect>) {
         let event = match verdict {
             Verdict::Pending => return,
@@ -204,7 +206,7 @@
         self.handle(event, &context, effects);
     }
 
-    /// Takes the row of `TRANSITIONS` that fits.
+    /// Takes the first transition that matches the state and the event, and runs its action.
     fn handle(&mut self, event: VersionEvent, context: &EventContext, effects: &mut Vec<Effect>) {
         let mut rows = TRANSITIONS.iter();
         let transition = rows.find(|row| row.states.contains(&self.state) && row.event == event);
@@ -215,11 +217,11 @@
 
     // ---- actions
 
-    fn do_nothing(&mut self, _: &EventContext, _: &mut Vec<Effect>) {}
+    fn ignore(&mut self, _: &EventContext, _: &mut Vec<Effect>) {}
 
     fn reject(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let (number, Some(reason)) = (context.number, context.rejection.cloned()) else { return };
-        // Logged once while a service repeats itself.
+        // A rejection that repeats the last one is not logged again.
         let is_repeated = self
             .last_rejection
             .as_ref()
@@ -239,13 +241,15 @@
             .filter(|attempt| attempt.version == version)
             .map_or(0, |attempt| attempt.unfinished_runs);
         self.probation_attempt = Some(ProbationAttempt { version, unfinished_runs: earlier_runs + 1 });
-        // Stored before it is applied, so that one that ends the process is known after the restart.
+        // The attempt is persisted before the version is applied, so that it is counted even if the version ends the
+        // process.
         effects.push(Effect::StoreState);
         effects.push(Effect::Apply(version));
         effects.push(Effect::Log(LogEvent::Applied(version)));
     }
 
-    /// The same contents under a higher number: nothing is applied, and what was proven stays so.
+    /// Gives the running contents a higher number. Nothing is applied, and contents that were confirmed stay
+    /// confirmed.
     fn renumber(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
         self.accepted.accept(version);
@@ -258,7 +262,7 @@
         }
     }
 
-    /// An operator goes back: what was confirmed needs no second probation.
+    /// Handles an operator's return to the confirmed contents, which need no second probation.
     fn revert(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
         self.run(self.confirmed, context.now);
@@ -282,8 +286,8 @@
         effects.push(Effect::Log(LogEvent::Unproven { version: self.running, reason: *reason }));
     }
 
-    /// Rolls back to the last confirmed version. It needs no probation, and the contents that failed are
-    /// not applied again under any number, so that a broker can't alternate between the two.
+    /// Rolls back to the version that was confirmed last, which needs no probation. The failed contents are not
+    /// applied again under any number, so that a broker cannot alternate between the two versions.
     fn withdraw(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(Verdict::Failed(failure)) = context.verdict else { return };
         let (withdrawn, reason) = (self.running, RejectionReason::from(*failure));
@@ -302,7 +306,7 @@
         effects.push(Effect::Log(LogEvent::ProbationPaused { version: self.running, reason: *reason }));
     }
 
-    /// The running version is this one from now on.
+    /// Sets the running version and the time at which it started to run.
     fn run(&mut self, version: VersionId, now: Timestamp) {
         (self.running, self.since, self.unproven) = (version, now, None);
     }
--- a/crates/config-rollout/src/wilson.rs
+++ b/crates/config-rollout/src/wilson.rs
@@ -1,17 +1,18 @@
-//! Wilson's score interval of a share.
+//! Wilson score interval of a proportion.
 
-/// How many standard deviations wide an interval is on each side. A probation compares its counts each second,
-/// so that a narrower interval would fail harmless versions by chance.
+/// Half-width of the interval in standard deviations. A probation evaluates its counts every second, so that a
+/// narrower interval would fail harmless versions by chance.
 const DEVIATIONS: f64 = 4.0;
 
-/// The bounds of a share.
+/// Lower and upper bound of a proportion, each between 0 and 1.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Interval {
     pub(crate) lower: f64,
     pub(crate) upper: f64,
 }
 
-/// The interval of the true share where `hits` of `total` were observed; 0 to 1 where nothing was.
+/// Returns the score interval of the true proportion if `hits` of `total` were observed, or 0 to 1 if `total` is
+/// zero.
 pub(crate) fn score_interval(hits: u64, total: u64) -> Interval {
     if total == 0 {
         return Interval { lower: 0.0, upper: 1.0 };
