--- a/crates/config-rollout/src/known_versions/tests.rs
+++ b/crates/config-rollout/src/known_versions/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of what is remembered.
+//! Tests of the bounds on remembered versions.
 
 use super::{AcceptedNumbers, MAX_ACCEPTED_NUMBERS, MAX_WITHDRAWN_DIGESTS, WithdrawnContents};
 use crate::rejection::RejectionReason;
@@ -39,24 +39,24 @@
     assert_eq!(accepted.conflicting_digest(other_contents(6)), None);
 }
 
-/// A service that offers new numbers for ever would use up the memory.
+/// A service that offers new numbers indefinitely must not exhaust the memory of the broker.
 #[rstest]
-fn the_lowest_numbers_are_forgotten_first() {
+fn the_lowest_numbers_are_evicted_first() {
     let mut accepted = AcceptedNumbers::new(version(0), 0);
     let last = MAX_ACCEPTED_NUMBERS as u64;
     (1..=last).for_each(|number| accepted.accept(version(number)));
-    assert_eq!(accepted.conflicting_digest(other_contents(0)), None, "forgotten");
+    assert_eq!(accepted.conflicting_digest(other_contents(0)), None, "evicted");
     assert!(accepted.conflicting_digest(other_contents(1)).is_some());
     assert!(accepted.conflicting_digest(other_contents(last)).is_some());
 }
 
 #[rstest]
-fn the_lowest_withdrawn_versions_are_forgotten_first() {
+fn the_lowest_withdrawn_versions_are_evicted_first() {
     let mut withdrawn = WithdrawnContents::new(Vec::new());
     let reason = RejectionReason::ProcessEnded { ends: 3 };
     let last = MAX_WITHDRAWN_DIGESTS as u64;
     (0..=last).for_each(|number| withdrawn.withdraw(version(number), &reason));
-    assert!(withdrawn.get(version(0).digest).is_none(), "forgotten");
+    assert!(withdrawn.get(version(0).digest).is_none(), "evicted");
     assert!(withdrawn.get(version(1).digest).is_some());
     let newest = withdrawn.get(version(last).digest).unwrap();
     assert_eq!((newest.number, newest.reason.as_str()), (last, reason.to_string().as_str()));
--- a/crates/config-rollout/src/offer_comparison/tests.rs
+++ b/crates/config-rollout/src/offer_comparison/tests.rs
@@ -1,4 +1,4 @@
-//! Each way in which an offer compares, and the order of the checks.
+//! Tests of each result of a comparison, and of the order of the checks.
 
 use super::{ComparisonInputs, compare_offer};
 use crate::inputs::Offer;
@@ -12,8 +12,8 @@
     VersionId { number, digest: Digest::of(contents.as_bytes()) }
 }
 
-/// A broker that confirmed version 4, runs version 6 on probation, and withdrew version 5. Its last process
-/// ended while version 3 was on probation.
+/// Compares an offer for a broker that confirmed version 4, runs version 6 on probation and withdrew version 5. Its
+/// last process ended while version 3 was on probation.
 fn compare(number: u64, contents: &str) -> VersionEvent {
     let mut accepted = AcceptedNumbers::new(version(4, "confirmed"), 4);
     accepted.accept(version(5, "withdrawn"));
@@ -57,8 +57,8 @@
     assert_eq!(compare(number, contents), expected);
 }
 
-/// After a restart the highest accepted number is known without its contents. A service that offers other contents
-/// under just this number must not be followed.
+/// After a restart the highest accepted number is known without its contents. Other contents offered under exactly
+/// this number must be rejected.
 #[rstest]
 fn the_highest_number_itself_is_older() {
     let (own, accepted) = (version(4, "own"), AcceptedNumbers::new(version(4, "own"), 9));
@@ -74,8 +74,8 @@
     assert_eq!((compare(9), compare(10)), (VersionEvent::Older, VersionEvent::Newer));
 }
 
-/// The process ended while a version was on probation. The service offers it again, under a number that was
-/// accepted before: it is not older, but is applied again.
+/// The process ended while a version was on probation, and the service offers it again. Although its number was
+/// accepted before, it must be applied again rather than rejected as older.
 #[rstest]
 fn a_version_whose_probation_was_interrupted_is_applied_again() {
     assert_eq!(compare(3, "interrupted"), VersionEvent::Newer);
--- a/crates/config-rollout/src/outcome_window/tests.rs
+++ b/crates/config-rollout/src/outcome_window/tests.rs
@@ -1,4 +1,4 @@
-//! What is compared with, and how far back.
+//! Tests of the length of the window.
 
 use super::OutcomeWindow;
 use crate::sample::Sample;
@@ -11,7 +11,7 @@
     Sample { ended, failed: 0, failed_on_nodes: 0, ready_nodes: 10 }
 }
 
-/// A fault that is over must not count as usual for ever: what is as old as the span is dropped.
+/// A fault that has ended must not remain in the baseline, so samples as old as the span are dropped.
 #[rstest]
 #[case(99_999, 11)]
 #[case(100_000, 1)]
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -6,7 +6,7 @@
 /// Timeouts, budgets and thresholds of the subscription and the probation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutPolicy {
-    /// Upper bound of the first backoff, which is drawn between zero and this bound. Each consecutive failure doubles
+    /// Upper bound of the first backoff, which is drawn between 0 and this bound. Each consecutive failure doubles
     /// the bound, up to [`RolloutPolicy::max_backoff`].
     pub initial_backoff: TimeSpan,
     /// Maximum upper bound of the backoff.
--- a/crates/config-rollout/src/subscription/tests.rs
+++ b/crates/config-rollout/src/subscription/tests.rs
@@ -1,4 +1,4 @@
-//! Waits, budgets and the choice of a service.
+//! Tests of the backoff, the budget of connection attempts and the choice of a service.
 
 use super::SubscriptionEvent::{
     self, HistoryConflict, ResponseReceived, Started, StreamEnded, StreamOpened, TimerExpired,
@@ -20,36 +20,39 @@
     effects
 }
 
-/// Plays a service that refuses each connection attempt, and returns the times of the attempts.
-fn refused(subscription: &mut Subscription, connects: usize) -> Vec<i64> {
+/// Simulates a service that refuses each connection attempt, and returns the times of the attempts.
+fn refuse_connects(subscription: &mut Subscription, connects: usize) -> Vec<i64> {
     let mut at = vec![0];
     handle(subscription, 0, Started);
     while at.len() < connects {
         handle(subscription, at[at.len() - 1], StreamEnded);
         let due = subscription.next_due().unwrap().0;
-        assert!(handle(subscription, due - 1, TimerExpired).is_empty(), "sooner than due");
+        assert!(
+            handle(subscription, due - 1, TimerExpired).is_empty(),
+            "connected before the attempt was due"
+        );
         assert!(matches!(handle(subscription, due, TimerExpired)[..], [Effect::Connect { .. }]));
         at.push(due);
     }
     at
 }
 
-/// A service is down for long. If its brokers called it at a fixed interval they would overload it as it comes back:
-/// the waits between attempts grow, are drawn, and stay under a bound.
+/// A service is down for a long time. Brokers that reconnected at a fixed interval would overload it when it
+/// recovers, so the waits must grow, be random, and stay below a bound.
 #[rstest]
-fn waits_grow_with_jitter_to_a_bound() {
-    let connects = refused(&mut new_subscription(1), 60);
+fn backoff_grows_with_jitter_up_to_a_bound() {
+    let connects = refuse_connects(&mut new_subscription(1), 60);
     let waits: Vec<i64> = connects.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(waits.iter().all(|wait| *wait <= 600_000), "{waits:?}");
     assert!(waits[..3].iter().all(|wait| *wait <= 40_000), "{waits:?}");
-    let late = &waits[20..];
-    let mean = late.iter().sum::<i64>() / late.len() as i64;
-    assert!((200_000..400_000).contains(&mean), "half of the longest, drawn: {mean}");
+    let capped = &waits[20..];
+    let mean = capped.iter().sum::<i64>() / capped.len() as i64;
+    assert!((200_000..400_000).contains(&mean), "mean wait is not about half of the bound: {mean}");
 }
 
-/// A service that accepts each stream and drops it at once gets no more attempts than the budget.
+/// A service that accepts each stream and drops it at once must not receive more attempts than the budget permits.
 #[rstest]
-fn keeps_the_budget_of_connects() {
+fn connection_attempts_stay_within_the_budget() {
     let mut subscription = Subscription::new(
         RolloutPolicy {
             max_backoff: TimeSpan(10),
@@ -59,19 +62,19 @@
         1,
         fastrand::Rng::with_seed(5),
     );
-    let connects = refused(&mut subscription, 100);
+    let connects = refuse_connects(&mut subscription, 100);
     for (at, connect) in connects.iter().enumerate() {
         let recent = connects[..=at].iter().filter(|other| *connect - **other <= 600_000).count();
         assert!(recent <= 10, "{recent} attempts in the minute before {connect}");
     }
 }
 
-/// A service accepts streams and drops them soon after. A stream that was open for a moment must not reset the
-/// backoff, or the service would be called again at once; one that was stable does.
+/// A service accepts streams and drops them shortly afterwards. A stream that was open only briefly must not reset
+/// the backoff, or the broker would reconnect at once; a stable stream must reset it.
 #[rstest]
 #[case(10_000, 2)]
 #[case(400_000, 1)]
-fn only_a_stable_stream_ends_the_row_of_failures(#[case] open_for: i64, #[case] doublings: i64) {
+fn only_a_stable_stream_resets_the_backoff(#[case] open_for: i64, #[case] doublings: i64) {
     let mut waits = Vec::new();
     for seed in 0..200 {
         let mut subscription = Subscription::new(RolloutPolicy::default(), 1, fastrand::Rng::with_seed(seed));
@@ -86,14 +89,14 @@
     }
     let longest = waits.into_iter().max().unwrap();
     let bound = 10_000 << (doublings - 1);
-    assert!((bound * 9 / 10..=bound).contains(&longest), "{longest} of {bound}");
+    assert!((bound * 9 / 10..=bound).contains(&longest), "longest wait {longest}, bound {bound}");
 }
 
-/// A stream that never opens, or opens and brings no response, is given up in time.
+/// A connection attempt must time out if the stream never opens, or opens without a response.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn gives_up_without_a_response(#[case] opens: bool) {
+fn times_out_without_a_response(#[case] opens: bool) {
     let mut subscription = new_subscription(1);
     handle(&mut subscription, 0, Started);
     if opens {
@@ -108,17 +111,17 @@
     assert_eq!(subscription.state(), BackingOff);
 }
 
-/// A service shows another history. The broker changes to another service and avoids the first one for a while;
-/// where it is the only one, the broker stays connected.
+/// A service shows a conflicting history. The broker must change to another service and avoid the first one for a
+/// while, but must stay connected if there is no other service.
 #[rstest]
-fn passes_over_a_suspect_service() {
+fn avoids_a_service_with_a_conflicting_history() {
     let mut two = new_subscription(2);
     handle(&mut two, 0, Started);
     handle(&mut two, 1, StreamOpened);
     let first = two.service();
     assert!(matches!(handle(&mut two, 2, HistoryConflict)[..], [Effect::Disconnect { .. }]));
     assert_ne!(two.service(), first);
-    // The other fails; the suspect is avoided, and so the other is connected to again.
+    // The second service fails. The first is still avoided, so the broker reconnects to the second.
     let due = two.next_due().unwrap().0;
     handle(&mut two, due, TimerExpired);
     handle(&mut two, due, StreamEnded);
@@ -130,8 +133,8 @@
     assert_eq!(one.state(), Open);
 }
 
-/// A message of a stream that has ended arrives after the next connection attempt began. It must not be taken for
-/// one of the new stream.
+/// An event of a stream that has ended arrives after the next connection attempt began. It must not be taken for an
+/// event of the new stream.
 #[rstest]
 fn ignores_messages_of_an_old_stream() {
     let mut subscription = new_subscription(1);
@@ -144,8 +147,8 @@
     assert!(!subscription.is_current(old) && subscription.is_current(StreamId(2)));
 }
 
-/// A service is down after a stream was open for long. The attempts that follow are failures, though the last stream
-/// was stable: the backoff must grow, or the service would be called each second for as long as it is down.
+/// A service goes down after a stable stream. The backoff must grow with each failed attempt that follows, or the
+/// broker would call the service every second while it is down.
 #[rstest]
 fn the_backoff_grows_after_a_stable_stream() {
     let third_wait = |seed| {
@@ -163,11 +166,11 @@
         subscription.next_due().unwrap().0 - refused_at
     };
     let longest = (0..200).map(third_wait).max().unwrap();
-    assert!((36_000..=40_000).contains(&longest), "{longest} of 40,000");
+    assert!((36_000..=40_000).contains(&longest), "longest wait {longest}, bound 40,000");
 }
 
-/// A service has answered, and then has nothing new for hours. The time-out of the connection attempt must not end
-/// the open stream.
+/// A service has responded and then has nothing new to send for hours. The connect timeout must not close the open
+/// stream.
 #[rstest]
 fn an_answered_stream_stays_open() {
     let mut subscription = new_subscription(1);
--- a/crates/config-rollout/src/version_history/tests.rs
+++ b/crates/config-rollout/src/version_history/tests.rs
@@ -1,4 +1,4 @@
-//! What each event changes, and what is remembered of it.
+//! Tests of the state changes and effects of each event.
 
 use super::{MAX_UNFINISHED_RUNS, VersionHistory};
 use crate::effects::{Effect, LogEvent};
@@ -24,7 +24,7 @@
     VersionId { number, digest: Digest::of(contents.as_bytes()) }
 }
 
-/// A broker that runs its own file.
+/// Returns the history of a broker that runs its own file.
 fn own_file() -> VersionHistory {
     VersionHistory::new(PersistedState::of(version(0, "own")), NOW)
 }
@@ -46,17 +46,18 @@
     effects
 }
 
-/// A broker that was restarted after its process ended during the probation of version 7.
+/// Returns the history of a broker that was restarted after its process ended during the probation of version 7.
 fn restarted(unfinished_runs: u32) -> VersionHistory {
     let attempt = ProbationAttempt { version: version(7, "crashes"), unfinished_runs };
     let own = PersistedState::of(version(0, "own"));
     VersionHistory::new(PersistedState { probation_attempt: Some(attempt), ..own }, NOW)
 }
 
-/// A version crashes the process each time it is applied, before its probation can judge it. After three ends it is
-/// withdrawn at the start: the status names it, its number is taken, and its contents are not applied again.
+/// A version crashes the process each time it is applied, before its probation reaches a verdict. After three crashes
+/// the broker withdraws it at startup: it is the last rejection, its number is used up, and its contents are not
+/// applied again.
 #[rstest]
-fn a_version_that_ends_the_process_is_withdrawn() {
+fn a_version_that_crashes_the_process_is_withdrawn() {
     let mut history = restarted(MAX_UNFINISHED_RUNS);
     let state = history.persisted_state();
     assert_eq!((state.probation_attempt, state.highest_accepted, state.withdrawn.len()), (None, 7, 1));
@@ -64,13 +65,14 @@
     let reason = RejectionReason::ProcessEnded { ends: MAX_UNFINISHED_RUNS };
     assert_eq!((rejection.number, rejection.reason, rejection.at), (Some(7), reason, NOW));
     assert_eq!(history.compare(&Offer::Valid(version(8, "crashes"))).event, VersionEvent::Withdrawn);
-    offer_version(&mut history, 8, "mended");
-    assert_eq!(history.running(), version(8, "mended"));
+    offer_version(&mut history, 8, "fixed");
+    assert_eq!(history.running(), version(8, "fixed"));
 }
 
-/// One end, or two, may have any cause: the version is tried again, and its runs are counted on.
+/// One or two ends of the process may have any cause. The version is applied again, and the count of its unfinished
+/// runs continues.
 #[rstest]
-fn a_version_is_tried_again_after_fewer_ends() {
+fn a_version_is_applied_again_after_fewer_crashes() {
     let mut history = restarted(MAX_UNFINISHED_RUNS - 1);
     offer_version(&mut history, 7, "crashes");
     assert_eq!(history.running(), version(7, "crashes"));
@@ -78,7 +80,7 @@
     assert_eq!(attempt.unfinished_runs, MAX_UNFINISHED_RUNS);
 }
 
-/// The runs of one version must not count for the next.
+/// The unfinished runs of one version must not be counted for the next.
 #[rstest]
 fn unfinished_runs_are_counted_for_each_version() {
     let mut history = restarted(MAX_UNFINISHED_RUNS - 1);
@@ -87,8 +89,8 @@
     assert_eq!((attempt.version, attempt.unfinished_runs), (version(8, "other"), 1));
 }
 
-/// A service repeats an offer for hours. It is rejected each time, and logged once; another number, or another
-/// reason, is another event.
+/// A service repeats an offer for hours. The offer is rejected each time but logged once. Another number or another
+/// reason is logged again.
 #[rstest]
 #[case(1, "broken", 0)]
 #[case(2, "broken", 1)]
@@ -102,8 +104,8 @@
     assert_eq!(history.last_rejection().unwrap().number, Some(number));
 }
 
-/// A number that is given to contents on probation proves nothing of them: a roll-back still goes to the version
-/// that was confirmed.
+/// Contents on probation are given a new number, which does not confirm them. A rollback must still return to the
+/// version that was confirmed.
 #[rstest]
 fn renumbering_confirms_nothing() {
     let mut history = own_file();
@@ -111,7 +113,7 @@
     let effects = offer_version(&mut history, 2, "new");
     let renumbered =
         [Effect::Renumber(version(2, "new")), Effect::Log(LogEvent::Renumbered(version(2, "new")))];
-    assert_eq!(effects, renumbered, "nothing is stored");
+    assert_eq!(effects, renumbered, "nothing else must be stored");
     assert_eq!((history.running(), history.confirmed()), (version(2, "new"), version(0, "own")));
 }
 
@@ -123,8 +125,8 @@
     assert_eq!(history.confirmed(), version(1, "own"));
 }
 
-/// The probation of a version is over. If it stayed in the stored state as unfinished, three restarts later the
-/// broker would withdraw a version that was judged long ago.
+/// The probation of a version has ended. If the attempt stayed in the persisted state, the broker would withdraw the
+/// version after three restarts.
 #[rstest]
 #[case::proven(Verdict::Proven)]
 #[case::unproven(Verdict::Unproven(UnprovenReason::Inconclusive))]
@@ -137,9 +139,9 @@
     assert_eq!((history.persisted_state().probation_attempt, history.state()), (None, RolloutState::Settled));
 }
 
-/// The same where an operator goes back in the middle of a probation.
+/// An operator's return to the confirmed contents during a probation must also clear the attempt.
 #[rstest]
-fn going_back_ends_the_attempt() {
+fn a_revert_ends_the_attempt() {
     let mut history = own_file();
     offer_version(&mut history, 1, "new");
     offer_version(&mut history, 2, "own");
@@ -147,7 +149,7 @@
     assert_eq!(history.running(), version(2, "own"));
 }
 
-/// The status says why a version has no verdict, for as long as that version runs.
+/// The reason for a missing verdict must be reported for as long as the version runs.
 #[rstest]
 fn an_unproven_version_is_reported_until_another_runs() {
     let mut history = own_file();
@@ -160,8 +162,8 @@
     assert_eq!(history.unproven(), None);
 }
 
-/// The broker is killed right after a roll-back. The withdrawal must be in the stored state by then, or the version
-/// would be applied again after the restart.
+/// The broker is killed directly after a rollback. The withdrawal must be persisted by then, or the version would be
+/// applied again after the restart.
 #[rstest]
 fn a_withdrawal_is_stored_at_once() {
     let mut history = own_file();
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of versions, as the controller decides it: single cases, then random sequences.
+//! Tests of the lifecycle of versions as decided by the controller: single cases and random sequences.
 
 use config_rollout::{
     Digest, Effect, Input, LogEvent, Nonce, Offer, PersistedState, RolloutController, RolloutPolicy,
@@ -13,7 +13,7 @@
     VersionId { number, digest: Digest::of(contents.as_bytes()) }
 }
 
-/// A controller, and what the program around it would have done.
+/// A controller together with the state of a program that carries out its effects.
 struct Simulation {
     controller: RolloutController,
     now: i64,
@@ -37,7 +37,7 @@
         Simulation::with(services, PersistedState::of(version(0, "own")))
     }
 
-    /// A broker that was restarted with this stored state.
+    /// Creates a broker that was restarted with this persisted state.
     fn with(services: usize, persisted: PersistedState) -> Simulation {
         let own = persisted.confirmed;
         let mut simulation = Simulation {
@@ -66,7 +66,7 @@
         simulation
     }
 
-    /// A broker whose first stream is open.
+    /// Creates a broker whose first stream is open.
     fn connected(services: usize) -> Simulation {
         let mut simulation = Simulation::new(services);
         simulation.open();
@@ -90,7 +90,11 @@
         for effect in self.controller.handle(Timestamp(self.now), input) {
             self.carry_out(effect);
         }
-        assert_eq!(self.controller.report().running, self.applied, "the report is not what is applied");
+        assert_eq!(
+            self.controller.report().running,
+            self.applied,
+            "the report differs from the applied version"
+        );
     }
 
     fn carry_out(&mut self, effect: Effect) {
@@ -107,7 +111,7 @@
                 assert_eq!(
                     (stream, running),
                     (self.stream, self.applied),
-                    "a response on what is not applied"
+                    "the response names a version that is not applied"
                 );
                 *self.answers.entry((stream, nonce)).or_default() += 1;
                 self.rejections.extend(rejection.map(|reason| reason.to_string()));
@@ -122,7 +126,7 @@
                 self.applied = version;
             }
             Effect::RollBack(version) => {
-                assert_eq!(version, self.stored_contents, "only stored contents can be rolled back to");
+                assert_eq!(version, self.stored_contents, "rollback to contents that are not stored");
                 self.run(version);
             }
             Effect::StoreContents(version) => {
@@ -136,9 +140,13 @@
     }
 
     fn apply(&mut self, version: VersionId) {
-        assert_ne!(self.applied, version, "applied twice");
+        assert_ne!(self.applied, version, "the running version was applied again");
         let attempt = self.stored.as_ref().and_then(|state| state.probation_attempt);
-        assert_eq!(attempt.map(|attempt| attempt.version), Some(version), "not stored before");
+        assert_eq!(
+            attempt.map(|attempt| attempt.version),
+            Some(version),
+            "the attempt was not stored before the version was applied"
+        );
         self.run(version);
         self.applications.push(version);
     }
@@ -163,7 +171,7 @@
         self.open();
     }
 
-    /// `seconds` of 20 queries each, of which `failed` fail.
+    /// Serves 20 queries per second for `seconds` seconds, of which `failed` per second fail.
     fn serve_queries(&mut self, seconds: i64, failed: u64) {
         for _ in 0..seconds {
             self.now += 10_000;
@@ -193,9 +201,9 @@
     assert!(simulation.rejections.is_empty());
 }
 
-/// A service that lost its state or forked offers an older number, or other contents under a known one. If brokers
-/// followed it, they would run different configurations under one number. Each such offer is rejected with its
-/// reason, and what runs stays.
+/// A service that lost its state or forked offers an older number, or other contents under a known number. Brokers
+/// that followed it would run different configurations under one number. Each such offer must be rejected with its
+/// reason, and the running version must not change.
 #[rstest]
 #[case(3, "older", "version 3 is older than version 5, accepted before")]
 #[case(4, "known", "version 4 is older than version 5, accepted before")]
@@ -210,8 +218,8 @@
     assert_eq!((simulation.applied, simulation.applications.len()), (version(5, "five"), 2));
 }
 
-/// The stream is dropped after a version was applied and before it was acknowledged. The service sends the same
-/// version again: it is acknowledged, and not applied a second time.
+/// The stream is dropped after a version was applied and before the service received the acknowledgement. The service
+/// sends the version again, which must be acknowledged but not applied a second time.
 #[rstest]
 fn applies_once_although_the_acknowledgement_was_lost() {
     let mut simulation = Simulation::connected(1);
@@ -221,40 +229,42 @@
     assert_eq!((simulation.applications.len(), simulation.rejections.len()), (1, 0));
 }
 
-/// A response that is repeated under one nonce has one answer; on another stream the nonce is another.
+/// A response that is repeated under one nonce must be answered once.
 #[rstest]
 fn answers_each_nonce_once() {
     let mut simulation = Simulation::connected(1);
-    let again = Input::ResponseReceived {
+    let response = Input::ResponseReceived {
         stream: simulation.stream,
         nonce: Nonce("n".to_owned()),
         offer: Offer::Valid(version(1, "a")),
     };
-    simulation.handle(again.clone());
-    simulation.handle(again.clone());
+    simulation.handle(response.clone());
+    simulation.handle(response.clone());
     assert!(simulation.answers.values().all(|answers| *answers == 1));
     simulation.drop_stream();
-    // What still comes on the old stream is not answered at all.
+    // A response that arrives on the old stream is not answered.
     let before = simulation.answers.len();
-    simulation.handle(again);
+    simulation.handle(response);
     assert_eq!(simulation.answers.len(), before);
 }
 
-/// A rejection that crosses the next version on the wire: each has its own answer, and the newer is taken.
+/// The rejection of a version and the offer of the next version cross on the wire. Each response must have its own
+/// answer, and the newer version must be applied.
 #[rstest]
-fn a_rejection_may_cross_the_next_version() {
+fn a_rejection_may_cross_the_next_offer() {
     let mut simulation = Simulation::connected(1);
-    simulation.offer(Offer::Invalid { number: Some(1), reason: "least above whole".to_owned() });
+    simulation.offer(Offer::Invalid { number: Some(1), reason: "minimum exceeds total".to_owned() });
     simulation.offer_version(2, "b");
-    assert_eq!((simulation.answers.len(), simulation.last_rejection()), (2, "least above whole"));
+    assert_eq!((simulation.answers.len(), simulation.last_rejection()), (2, "minimum exceeds total"));
     assert_eq!(simulation.applied, version(2, "b"));
-    // The number of the broken one was never accepted, so it is no fork to mend it; it is older.
-    simulation.offer_version(1, "mended");
+    // The number of the invalid version was never accepted. Corrected contents under it are therefore not a fork, but
+    // older.
+    simulation.offer_version(1, "fixed");
     assert!(simulation.last_rejection().starts_with("version 1 is older"));
 }
 
-/// Seconds after it was applied queries fail: the last confirmed version is rolled back to, and these
-/// contents are not applied again under any number, so that the broker does not alternate.
+/// Queries fail within seconds after a version was applied. The broker must return to the last confirmed version, and
+/// must not apply the failed contents again under any number, so that it does not alternate.
 #[rstest]
 fn withdraws_a_failed_version_and_does_not_apply_it_again() {
     let mut simulation = Simulation::connected(1);
@@ -269,7 +279,7 @@
         simulation.offer_version(number, "bad");
         assert!(simulation.last_rejection().starts_with(expected), "{}", simulation.last_rejection());
     }
-    // Going back is a higher number with older contents.
+    // An operator returns to earlier contents by publishing them under a higher number.
     simulation.offer_version(4, "good");
     assert_eq!(
         (simulation.applied, simulation.controller.report().state),
@@ -280,8 +290,8 @@
     assert_eq!(simulation.stored_contents, version(5, "better"));
 }
 
-/// Two versions come one right after the other, and queries fail under the second. The first was never confirmed,
-/// so the broker rolls back past it, to the last confirmed version.
+/// Two versions are offered in quick succession, and queries fail under the second. The first was never confirmed, so
+/// the broker must return to the version confirmed before both.
 #[rstest]
 fn rolls_back_past_a_version_never_confirmed() {
     let mut simulation = Simulation::connected(1);
@@ -294,8 +304,8 @@
     assert_eq!(simulation.applied, version(1, "confirmed"));
 }
 
-/// The service is unreachable for an hour and comes back with a lower number, or another history. The running
-/// version stays all the while, one log event says so, and a higher number is applied again.
+/// The service is unreachable for an hour and then returns with a lower number or another history. The running
+/// version must not change, the outage must be logged once, and a higher number must be applied again.
 #[rstest]
 #[case(2, "b")]
 #[case(3, "other")]
@@ -316,7 +326,7 @@
     assert_eq!(simulation.applied, version(3, "c"));
     let logged =
         simulation.log.iter().filter(|event| matches!(event, LogEvent::ServiceUnreachable { .. })).count();
-    assert_eq!(logged, 1, "logged once");
+    assert_eq!(logged, 1, "the outage must be logged once");
     simulation.open();
     simulation.offer_version(number, contents);
     assert_eq!((simulation.applied, simulation.rejections.len()), (version(3, "c"), 1));
@@ -324,10 +334,10 @@
     assert_eq!(simulation.applied, version(4, "d"));
 }
 
-/// Two services disagree on the contents of a version. The broker rejects the offer of the one with the other
-/// history, and connects to the other service.
+/// Two services disagree on the contents of a version. The broker must reject the conflicting offer and connect to
+/// the other service.
 #[rstest]
-fn leaves_a_service_that_disagrees() {
+fn changes_service_on_a_fork() {
     let mut simulation = Simulation::connected(2);
     let first = simulation.controller.report().service;
     simulation.offer_version(1, "a");
@@ -338,10 +348,10 @@
     assert_eq!(simulation.applied, version(1, "a"));
 }
 
-/// A broker is restarted after it withdrew a version. Without the stored state it would apply the same contents
-/// again, or an older number: both are rejected.
+/// A broker is restarted after it withdrew a version. Without the persisted state it would apply the same contents or
+/// an older number; both must be rejected.
 #[rstest]
-fn remembers_after_a_restart() {
+fn persists_withdrawals_and_the_highest_number() {
     let mut simulation = Simulation::connected(1);
     simulation.offer_version(1, "good");
     simulation.serve_queries(121, 0);
@@ -356,31 +366,31 @@
     assert!(simulation.last_rejection().starts_with("version 4 is older than version 5"));
 }
 
-/// A version crashes the process before its probation can judge it, and a supervisor restarts the broker each
-/// time. The version is applied three times, and no more; the next one is applied.
+/// A version crashes the process before its probation reaches a verdict, and a supervisor restarts the broker each
+/// time. The version must be applied three times at most, and the next version must be applied.
 #[rstest]
-fn does_not_end_the_process_again_and_again() {
+fn stops_applying_a_version_that_crashes_the_process() {
     let mut persisted = PersistedState::of(version(0, "own"));
     for _ in 0..3 {
         let mut simulation = Simulation::with(1, persisted);
         simulation.open();
-        simulation.offer_version(2, "deadly");
-        assert_eq!(simulation.applied, version(2, "deadly"));
+        simulation.offer_version(2, "crashes");
+        assert_eq!(simulation.applied, version(2, "crashes"));
         persisted = simulation.stored.unwrap();
     }
     let mut simulation = Simulation::with(1, persisted);
     simulation.open();
-    simulation.offer_version(2, "deadly");
+    simulation.offer_version(2, "crashes");
     assert_eq!(simulation.applied, version(0, "own"));
     assert!(
         simulation.last_rejection().contains("the broker process ended 3 times while it was on probation")
     );
-    simulation.offer_version(3, "mended");
-    assert_eq!(simulation.applied, version(3, "mended"));
+    simulation.offer_version(3, "fixed");
+    assert_eq!(simulation.applied, version(3, "fixed"));
 }
 
-/// A service numbers the responses of each stream from the start. The same nonce on a new stream is another response,
-/// and must be answered, or the service would wait for ever.
+/// A service may start its nonces anew on each stream. A nonce repeated on a new stream belongs to another response
+/// and must be answered, or the service would wait indefinitely.
 #[rstest]
 fn answers_a_nonce_again_on_another_stream() {
     let mut simulation = Simulation::connected(1);
@@ -393,10 +403,10 @@
     }
 }
 
-/// A service that lost its state offers an older number. The broker connects to another service, as that one may not
-/// have lost it.
+/// A service that lost its state offers an older number. The broker must connect to another service, which may still
+/// have its state.
 #[rstest]
-fn leaves_a_service_that_offers_an_older_number() {
+fn changes_service_on_an_older_number() {
     let mut simulation = Simulation::connected(2);
     let first = simulation.controller.report().service;
     simulation.offer_version(5, "five");
@@ -406,14 +416,14 @@
     assert_ne!(simulation.controller.report().service, first);
 }
 
-/// An operator goes back in the middle of a probation, and queries fail for another reason afterwards. No version is
-/// on probation then, so none is withdrawn, and nothing is reported to the service.
+/// An operator returns to the confirmed contents during a probation, and queries fail afterwards for another reason.
+/// No version is on probation at that time, so none must be withdrawn and nothing reported to the service.
 #[rstest]
-fn going_back_ends_the_probation() {
+fn a_revert_ends_the_probation() {
     let mut simulation = Simulation::connected(1);
     simulation.offer_version(1, "good");
     simulation.serve_queries(121, 0);
-    simulation.offer_version(2, "doubtful");
+    simulation.offer_version(2, "on probation");
     simulation.serve_queries(5, 0);
     simulation.offer_version(3, "good");
     simulation.serve_queries(60, 20);
@@ -421,10 +431,10 @@
     assert!(simulation.rejections.is_empty(), "{:?}", simulation.rejections);
 }
 
-/// A version is confirmed, and the next one comes at once. The outcomes under the first are what the second is
-/// compared with: without them two fifths of failed queries would pass as usual.
+/// A version is confirmed, and the next one follows at once. Its baseline must be the outcomes under the first
+/// version; without a baseline, a failure ratio of two fifths would pass.
 #[rstest]
-fn a_confirmed_version_is_what_the_next_is_compared_with() {
+fn a_confirmed_version_is_the_baseline_of_the_next() {
     let mut simulation = Simulation::connected(1);
     simulation.offer_version(1, "good");
     simulation.serve_queries(61, 0);
@@ -434,10 +444,10 @@
     assert_eq!(simulation.applied, version(1, "good"));
 }
 
-/// Queries fail under two versions that come one right after the other. The second is compared with what was before
-/// both, not with the first, under which it would pass as usual.
+/// Queries fail under two versions in quick succession. The baseline of the second must be the outcomes before both;
+/// compared with the first version, it would pass.
 #[rstest]
-fn a_version_that_replaces_another_is_compared_with_what_was_before_both() {
+fn a_replaced_probation_does_not_change_the_baseline() {
     let mut simulation = Simulation::connected(1);
     simulation.offer_version(1, "good");
     simulation.serve_queries(121, 0);
@@ -471,8 +481,7 @@
     proptest::collection::vec(step, 1..60)
 }
 
-/// The same sequences in every run, unless PROPTEST_RNG_SEED names others; a failure prints what it failed
-/// with.
+/// Returns a fixed seed, or the one in `PROPTEST_RNG_SEED`. A failure prints the inputs that caused it.
 fn seed() -> proptest::test_runner::RngSeed {
     let configured = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
     proptest::test_runner::RngSeed::Fixed(configured.unwrap_or(1))
@@ -486,9 +495,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Over random sequences: the highest number never falls, each nonce has at most one response, the
-    /// report is what is applied (held at every input), and contents that were withdrawn are never applied
-    /// again.
+    /// Checks over random sequences that the highest number never decreases, that each nonce has at most one answer,
+    /// that the report always matches the applied version, and that withdrawn contents are never applied again.
     #[test]
     fn invariants_hold_over_random_sequences(steps in steps(), services in 1..3_usize) {
         let mut simulation = Simulation::connected(services);
