--- a/crates/config-rollout-client/src/client_config.rs
+++ b/crates/config-rollout-client/src/client_config.rs
@@ -1,27 +1,27 @@
-//! How one broker follows its configuration services.
+//! Configuration of the rollout client of one broker.
 
 use config_rollout::RolloutPolicy;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Which services a broker subscribes to, and how.
+/// Settings of the rollout client: the services to subscribe to, and the limits that apply.
 #[derive(Clone, Debug)]
 pub struct ClientConfig {
-    /// The broker's name, its xDS node id.
+    /// The name of the broker, which is sent as the xDS node id.
     pub name: String,
-    /// The installation whose versions it subscribes to.
+    /// The installation whose versions the broker subscribes to.
     pub installation: String,
-    /// The addresses of the services.
+    /// The addresses of the configuration services.
     pub services: Vec<SocketAddr>,
-    /// Times, budgets and bounds of the rollout.
+    /// Timeouts, budgets and thresholds of the rollout.
     pub policy: RolloutPolicy,
-    /// The most bytes of a document.
+    /// The maximum size of a document in bytes.
     pub max_document_bytes: usize,
-    /// Where the confirmed version is stored; `None`: nowhere.
+    /// The path of the state file, or `None` if no state is persisted.
     pub state_file: Option<PathBuf>,
-    /// How often the outcomes of queries are counted.
+    /// The interval at which the outcomes of queries are counted.
     pub count_interval: Duration,
-    /// The seed of waits and of the choice of the first service.
+    /// The seed for random waits and for the choice of the first service.
     pub seed: u64,
 }
--- a/crates/config-rollout-client/src/client_status.rs
+++ b/crates/config-rollout-client/src/client_status.rs
@@ -1,4 +1,4 @@
-//! The client status service (CSDS), served by the broker itself: what it runs.
+//! Client status discovery service (CSDS), through which a broker reports its running version.
 
 use crate::published_status::PublishedStatus;
 use crate::wire::TYPE_URL;
@@ -22,9 +22,9 @@
 use tonic::{Request, Response, Status, Streaming};
 use tracing::warn;
 
-/// How long one request may take.
+/// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Requests that one connection may have open.
+/// Maximum number of concurrent requests on a connection.
 const MAX_CONCURRENT_REQUESTS: usize = 16;
 
 struct StatusService {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Serves what the broker publishes of itself, until the listener fails.
+/// Serves the published status of the broker until the listener fails.
 pub async fn serve(status: Arc<PublishedStatus>, listener: TcpListener) {
     let service = ClientStatusDiscoveryServiceServer::new(StatusService { status });
     let served = Server::builder()
@@ -65,11 +65,11 @@
     }
 }
 
-/// The state's name in the node's metadata (`standing`). Scripts read these words, so they stay, also where the
-/// code has other terms: a trial is the probation.
-fn standing(report: &Report, running: VersionId) -> &'static str {
+/// Returns the value of the metadata field `standing`. Scripts match these texts, so they are stable even where they
+/// differ from the terms in the code: "on trial" means on probation.
+fn rollout_state_text(report: &Report, running: VersionId) -> &'static str {
     match report.state {
-        // The broker has applied another version than the controller has reported yet.
+        // The broker has applied a version that the controller has not yet reported.
         _ if report.running != running => "being applied",
         RolloutState::OnProbation if report.is_probation_paused => "on trial, in a pause",
         RolloutState::OnProbation => "on trial",
@@ -80,11 +80,12 @@
 }
 
 fn timestamp(at: routing::Timestamp) -> Timestamp {
-    let (seconds, rest) = (at.0.div_euclid(10_000), at.0.rem_euclid(10_000));
-    Timestamp { seconds, nanos: (rest * 100_000) as i32 }
+    let (seconds, tenths_of_ms) = (at.0.div_euclid(10_000), at.0.rem_euclid(10_000));
+    Timestamp { seconds, nanos: (tenths_of_ms * 100_000) as i32 }
 }
 
-/// All that the broker publishes. The running version is read last, and from where the broker itself sets it.
+/// Builds the response from the published status. The running version is read after the report, directly from the
+/// value that the broker updates when it applies a configuration.
 fn status_response(status: &PublishedStatus) -> ClientStatusResponse {
     let report = status.report.load_full();
     let running = **status.running.load();
@@ -112,7 +113,7 @@
 
 fn metadata(report: &Report, running: VersionId) -> Struct {
     let mut fields = vec![
-        ("standing", standing(report, running).to_owned()),
+        ("standing", rollout_state_text(report, running).to_owned()),
         ("digest", running.digest.to_string()),
         ("confirmed", report.confirmed.number.to_string()),
     ];
@@ -121,9 +122,9 @@
     Struct { fields: fields.into_iter().map(|(name, text)| (name.to_owned(), to_value(text))).collect() }
 }
 
-/// How far the broker and the service agree.
+/// Returns the synchronization state between the service and the broker.
 fn sync_status(report: &Report, running: VersionId) -> (ConfigStatus, ClientResourceStatus) {
-    // A rejection of what came after the running version is what the service and the broker differ by.
+    // The last rejection concerns a version newer than the running one, so the broker and the service disagree.
     let is_rejecting = report.last_rejection.as_ref().is_some_and(|last| last.at >= report.since);
     match report.service {
         _ if is_rejecting => (ConfigStatus::Error, ClientResourceStatus::Nacked),
--- a/crates/config-rollout-client/src/lib.rs
+++ b/crates/config-rollout-client/src/lib.rs
@@ -1,10 +1,10 @@
-//! Carries out what the `config-rollout` package decides, on one thread beside the broker: streams to
-//! configuration services over xDS, the last confirmed version in a file, and the client status service
-//! (CSDS).
+//! Carries out the decisions of the `config-rollout` crate on a separate thread of the broker. This crate maintains
+//! xDS streams to configuration services, persists the last confirmed version in a file, and serves the client status
+//! discovery service (CSDS).
 //!
-//! A broker makes a [`ClientConfig`] and gives [`run`] a [`ConfigReceiver`] that applies configurations;
-//! everything else is decided by `config_rollout::RolloutController`. What the broker runs can be read at any
-//! time from the [`PublishedStatus`], which [`serve_status`] serves to others.
+//! A broker creates a [`ClientConfig`] and passes [`run`] a [`ConfigReceiver`] that applies configurations. All
+//! decisions are made by `config_rollout::RolloutController`. The running version can be read at any time from the
+//! [`PublishedStatus`], which [`serve_status`] serves over CSDS.
 
 #![warn(missing_docs)]
 
--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -1,12 +1,12 @@
-//! The log lines of a rollout: one for each event, with a stable text and its variables as fields.
-//! `docs/operate-control.md` explains each to operators.
+//! Log events of a rollout. Each has a stable message, with its variables as fields. `docs/operate-control.md`
+//! describes them for operators.
 
 use config_rollout::{LogEvent, ServiceIndex, VersionId};
 use std::fmt::Display;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Writes one event; `services` are the addresses that a [`ServiceIndex`] points to.
+/// Logs one event. `services` holds the address for each [`ServiceIndex`].
 pub(crate) fn log_event(event: &LogEvent, services: &[SocketAddr]) {
     let address =
         |service: &ServiceIndex| services.get(service.0).map_or(String::new(), SocketAddr::to_string);
@@ -45,12 +45,12 @@
     }
 }
 
-/// The confirmed version is in the state file: a restart goes on with it.
+/// Logs that the confirmed version was stored in the state file, from which a restart continues.
 pub(crate) fn log_persisted(version: VersionId) {
     info!(number = version.number, digest = %version.digest, "version persisted");
 }
 
-/// The state file could not be written: a restart would go back to what was persisted before.
+/// Logs that the state file could not be written. A restart would continue from the state stored before.
 pub(crate) fn log_not_persisted(error: &dyn Display) {
     warn!(reason = %error, "state not persisted");
 }
--- a/crates/config-rollout-client/src/log/tests.rs
+++ b/crates/config-rollout-client/src/log/tests.rs
@@ -1,5 +1,5 @@
-//! The lines of each event. Operators search for their texts and scripts read their fields, so they stay as they are,
-//! and the operators' page lists each.
+//! Tests of the log lines of each event. Operators search for the messages and scripts read the fields, so both must
+//! stay stable and the operator documentation must list each message.
 
 use super::{log_event, log_not_persisted, log_persisted};
 use config_rollout::{
@@ -15,7 +15,7 @@
 
 const OPERATORS_PAGE: &str = include_str!("../../../../docs/operate-control.md");
 
-/// Collects what is logged.
+/// Collects the logged bytes.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The one line that this logs, without its time and target.
+/// Returns the single line logged by `write`, without its time and target.
 fn logged(write: impl FnOnce()) -> Value {
     let buffer = LogBuffer::default();
     let subscriber = tracing_subscriber::fmt()
--- a/crates/config-rollout-client/src/published_status.rs
+++ b/crates/config-rollout-client/src/published_status.rs
@@ -1,4 +1,4 @@
-//! What a broker publishes of itself, readable from any thread.
+//! Status of a broker that can be read from any thread.
 
 use crate::client_config::ClientConfig;
 use crate::clock::unix_now;
@@ -6,21 +6,21 @@
 use config_rollout::{PersistedState, Report, RolloutController, VersionId};
 use std::sync::Arc;
 
-/// What the broker runs, and what the controller reports beside that.
+/// The running version and the last report of the controller, shared with the status service.
 #[derive(Debug)]
 pub struct PublishedStatus {
-    /// The broker's name.
+    /// The name of the broker, which is its xDS node id.
     pub name: String,
-    /// Its installation.
+    /// The installation to which the broker belongs.
     pub installation: String,
-    /// Set in the same step in which the broker applies a configuration.
+    /// The running version, which is updated at the moment when the broker applies a configuration.
     pub running: ArcSwap<VersionId>,
-    /// The controller's last report.
+    /// The last report of the controller.
     pub report: ArcSwap<Report>,
 }
 
 impl PublishedStatus {
-    /// The status of a broker that starts with this version.
+    /// Creates the status of a broker that starts with this version.
     pub fn new(config: &ClientConfig, running: VersionId) -> Arc<PublishedStatus> {
         let controller = RolloutController::new(
             config.policy.clone(),
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -1,27 +1,27 @@
-//! The contents of the versions that the broker may need: the one that was offered last, the one that runs,
-//! and the one that was confirmed last. It turns documents into settings, and decides nothing.
+//! Contents of the versions that a broker may need: the last offered, the running and the last confirmed one. The
+//! cache converts documents to settings and makes no decisions.
 
 use crate::wire::Version;
 use config_rollout::VersionId;
 use settings::{BrokerSettings, Document, NameRegistry, Revised, ValidationError, revise};
 use std::fmt;
 
-/// How many errors of a document are listed; the others are counted.
+/// Maximum number of errors that are listed for a document; further errors are only counted.
 const MAX_LISTED_ERRORS: usize = 20;
 
-/// A version with its contents.
+/// A version with its document and the settings read from it.
 #[derive(Clone, Debug)]
 pub struct CachedVersion {
-    /// Its number and digest.
+    /// The number and digest of the version.
     pub version: VersionId,
-    /// As it was offered, so that its digest is the version's.
+    /// The document as it was offered. Its digest is that of the version.
     pub document: Document,
-    /// The settings that were read from the document.
+    /// The settings read from the document.
     pub broker_settings: BrokerSettings,
 }
 
 impl CachedVersion {
-    /// As it is sent and stored; `None` where it is the broker's own file.
+    /// Converts the version to the message that is sent and stored, or returns `None` if it is the broker's own file.
     pub(crate) fn to_wire(&self, installation: &str) -> Option<Version> {
         (self.version.number > 0).then(|| Version {
             number: self.version.number,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A document that a running broker can't apply, with all that is wrong with it.
+/// A document that a running broker cannot apply, with all validation errors.
 #[derive(Debug, thiserror::Error)]
 pub struct InvalidDocument {
     errors: Vec<ValidationError>,
@@ -57,12 +57,12 @@
     }
 }
 
-/// The contents of these versions.
+/// The contents of the offered, the running and the confirmed version.
 #[derive(Debug)]
 pub(crate) struct ResourceCache {
-    /// The broker's own document: what a version may not change while the process runs.
+    /// The broker's own document, which determines the settings that a version must not change at run time.
     own_document: Document,
-    /// The ids of all names of classes and tenants so far.
+    /// The ids assigned to all names of request classes and tenants so far.
     names: NameRegistry,
     offered: Option<CachedVersion>,
     pub(crate) running: CachedVersion,
@@ -70,23 +70,23 @@
 }
 
 impl ResourceCache {
-    /// The cache of a broker that runs this confirmed version.
+    /// Creates the cache of a broker that runs this confirmed version.
     pub(crate) fn new(own_document: Document, running: CachedVersion) -> ResourceCache {
         let names = running.broker_settings.names.clone();
         ResourceCache { own_document, names, offered: None, confirmed: running.clone(), running }
     }
 
-    /// Checks an offered document, and holds it until it is applied or another is offered.
+    /// Validates an offered document and keeps it until it is applied or another one is offered.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Returns all validation errors of the document.
     pub(crate) fn check(&mut self, version: VersionId, document: &Document) -> Result<(), InvalidDocument> {
         let Revised { broker_settings, .. } = revise(&self.own_document, &self.names, document)?;
         self.offered = Some(CachedVersion { version, document: document.clone(), broker_settings });
         Ok(())
     }
 
-    /// The offered version becomes the running one; `None` if it is not the one that was checked last.
+    /// Makes the offered version the running one. Returns `None` if it is not the version that was checked last.
     pub(crate) fn apply(&mut self, version: VersionId) -> Option<&CachedVersion> {
         let offered = self.offered.take().filter(|offered| offered.version == version)?;
         self.names = offered.broker_settings.names.clone();
@@ -94,19 +94,19 @@
         Some(&self.running)
     }
 
-    /// The running version gets another number.
+    /// Gives the running contents another number.
     pub(crate) fn renumber(&mut self, version: VersionId) {
         self.running.version = version;
     }
 
-    /// The confirmed version becomes the running one, with the ids that names have now.
+    /// Makes the confirmed version the running one again, with the ids that are currently assigned to names.
     pub(crate) fn roll_back(&mut self) -> &CachedVersion {
         self.running = self.confirmed.clone();
         self.running.broker_settings.names = self.names.clone();
         &self.running
     }
 
-    /// The running version is confirmed.
+    /// Makes the running version the confirmed one.
     pub(crate) fn confirm(&mut self) {
         self.confirmed = self.running.clone();
     }
--- a/crates/config-rollout-client/src/restore.rs
+++ b/crates/config-rollout-client/src/restore.rs
@@ -1,4 +1,4 @@
-//! What a broker starts from: its own settings, or the version that it stored.
+//! Restores the version that a broker runs at startup: the stored one, or its own settings.
 
 use crate::resource_cache::{CachedVersion, InvalidDocument};
 use crate::state_file::{self, StateFileError};
@@ -8,47 +8,49 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What a broker starts from.
+/// The state from which a broker starts.
 #[derive(Debug)]
 pub struct RestoredState {
     /// The broker's own document.
     pub own_document: Document,
-    /// The version that it starts with.
+    /// The version that the broker runs at startup.
     pub running: CachedVersion,
-    /// What outlived the last process.
+    /// The state that was persisted by the last process, or that of a new broker.
     pub persisted: PersistedState,
-    /// A state file whose version was not used.
+    /// The state file whose version was not used and the reason, or `None` if there was no error.
     pub unused_file: Option<UnusedStateFile>,
 }
 
-/// A state file whose version was not used, and why.
+/// A state file whose version was not used, with the reason.
 #[derive(Debug, Error)]
 #[error("{}: {reason}", path.display())]
 pub struct UnusedStateFile {
-    /// The file.
+    /// The path of the state file.
     pub path: PathBuf,
-    /// Why.
+    /// The error because of which the version was not used.
     #[source]
     pub reason: RestoreError,
 }
 
-/// Why the version of a state file is not used.
+/// The reason why the version in a state file is not used.
 #[derive(Debug, Error)]
 pub enum RestoreError {
-    /// The file can't be used.
+    /// The file cannot be read or decoded.
     #[error(transparent)]
     File(#[from] StateFileError),
-    /// The version is not intact, or for another installation.
+    /// The version is corrupt or is for another installation.
     #[error(transparent)]
     Version(#[from] InvalidVersion),
-    /// The version can't be applied by a broker with this own document.
+    /// The version cannot be applied by a broker with this own document.
     #[error(transparent)]
     Document(#[from] InvalidDocument),
 }
 
-/// The stored version, if there is a file, its version is intact and for this installation, and a broker with
-/// this own document can apply it; else the own document, as version 0. `max_document_bytes` bounds the stored
-/// document. A file whose version is not used is reported in [`RestoredState::unused_file`].
+/// Restores the stored version if the file is valid, the version is intact and for this installation, and a broker
+/// with this own document can apply it. Otherwise returns the own document as version 0.
+///
+/// `max_document_bytes` is the maximum size of the stored document. A file whose version is not used is reported in
+/// [`RestoredState::unused_file`].
 pub fn restore(
     own_document: Document,
     broker_settings: &BrokerSettings,
@@ -58,7 +60,7 @@
 ) -> RestoredState {
     let stored = match state_file.map(|path| state_file::read(path, max_document_bytes)) {
         Some(Ok(stored)) => Ok(Some(stored)),
-        None | Some(Err(StateFileError::Absent)) => Ok(None),
+        None | Some(Err(StateFileError::NotFound)) => Ok(None),
         Some(Err(error)) => Err(RestoreError::from(error)),
     };
     let (stored, mut error) = match stored {
@@ -69,18 +71,18 @@
     if let Some(version) = stored.as_ref().and_then(|stored| stored.version.as_ref()) {
         match restore_version(&own_document, broker_settings, version, installation, max_document_bytes) {
             Ok(restored) => running = restored,
-            // The numbers and withdrawn versions of the file still hold.
-            Err(unusable) => error = Some(unusable),
+            // The accepted number and the withdrawn versions of the file remain in force.
+            Err(restore_error) => error = Some(restore_error),
         }
     }
-    let fresh = || PersistedState::of(running.version);
-    let persisted = stored.as_ref().map_or_else(fresh, |stored| stored.to_persisted(running.version));
+    let initial = || PersistedState::of(running.version);
+    let persisted = stored.as_ref().map_or_else(initial, |stored| stored.to_persisted(running.version));
     let unused_file =
         state_file.zip(error).map(|(path, reason)| UnusedStateFile { path: path.into(), reason });
     RestoredState { own_document, running, persisted, unused_file }
 }
 
-/// The broker's own document, as version 0.
+/// Returns the broker's own document as version 0.
 fn own_version(own_document: &Document, broker_settings: &BrokerSettings) -> CachedVersion {
     let version = VersionId { number: 0, digest: Digest::of(&own_document.canonical()) };
     CachedVersion { version, document: own_document.clone(), broker_settings: broker_settings.clone() }
--- a/crates/config-rollout-client/src/rollout_client.rs
+++ b/crates/config-rollout-client/src/rollout_client.rs
@@ -1,7 +1,7 @@
-//! The loop that carries out what the controller decides: stream events, timers and counts in; effects out.
+//! Event loop that passes stream events, timers and query counts to the controller and carries out its effects.
 //!
-//! Effects are carried out one after another, and the loop waits until the broker has applied a configuration
-//! before it carries out the next. So no acknowledgement is sent for a version that is not applied yet.
+//! Effects are carried out one after another. The loop waits until the broker has applied a configuration before it
+//! carries out the next effect, so that a version is never acknowledged before it is applied.
 
 use crate::client_config::ClientConfig;
 use crate::clock::{Clock, duration_of};
@@ -24,14 +24,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-/// What a broker calls itself to the service.
+/// User agent name that is sent to the configuration service.
 const USER_AGENT: &str = "barleydrum";
-/// A state that could not be stored is stored again after this: a full disk or a failing sync may last.
+/// Delay before a failed write of the state is retried, since a full disk or a failing sync may persist.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How long the loop sleeps at most where no timer is set.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3600);
+/// Maximum sleep of the loop if no timer is set.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Follows the configuration services until the broker is gone.
+/// Follows the configuration services until the receiver reports that the broker has stopped.
 pub async fn run<R: ConfigReceiver>(
     config: ClientConfig,
     restored: RestoredState,
@@ -39,24 +39,24 @@
     status: Arc<PublishedStatus>,
 ) {
     let (events, mut stream_events) = mpsc::channel(QUEUE_CAPACITY);
-    let mut counting = interval(config.count_interval);
-    counting.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut count_timer = interval(config.count_interval);
+    count_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut client = RolloutClient::new(config, restored, receiver, status, events);
     client.handle(Input::Start).await;
     loop {
-        let wake_at = client.wake_at.unwrap_or_else(|| Instant::now() + LONGEST_SLEEP);
-        let store_at = client.store_again_at.unwrap_or_else(|| Instant::now() + LONGEST_SLEEP);
+        let wake_at = client.wake_at.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
+        let retry_at = client.store_retry_at.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
         tokio::select! {
             Some(event) = stream_events.recv() => client.handle_stream_event(event).await,
             () = sleep_until(wake_at) => {
                 client.wake_at = None;
                 client.handle(Input::TimerExpired).await;
             }
-            () = sleep_until(store_at) => {
-                client.store_again_at = None;
+            () = sleep_until(retry_at) => {
+                client.store_retry_at = None;
                 client.store_state().await;
             }
-            _ = counting.tick() => {
+            _ = count_timer.tick() => {
                 let Some(sample) = client.receiver.count_outcomes().await else { return };
                 client.handle(Input::OutcomesCounted(sample)).await;
             }
@@ -74,8 +74,8 @@
     events: mpsc::Sender<StreamEvent>,
     stream: Option<XdsStream>,
     wake_at: Option<Instant>,
-    /// When to try again to store the state, after that has failed.
-    store_again_at: Option<Instant>,
+    /// The time at which to retry storing the state, or `None` if the last write succeeded.
+    store_retry_at: Option<Instant>,
 }
 
 impl<R: ConfigReceiver> RolloutClient<R> {
@@ -105,7 +105,7 @@
             events,
             stream: None,
             wake_at: None,
-            store_again_at: None,
+            store_retry_at: None,
         }
     }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Reads a response, and checks its contents where they would be applied.
+    /// Reads a response, and validates the document if the offered version would be applied.
     fn read_offer(&mut self, response: &DiscoveryResponse) -> Offer {
         let ClientConfig { installation, max_document_bytes, .. } = &self.config;
         let VerifiedVersion { version, document } =
@@ -221,20 +221,20 @@
         }
     }
 
-    /// Stores the state, where there is a file for it, and returns whether it was stored; if not, that is tried
-    /// again after [`STORE_RETRY_DELAY`]. The file is written on a thread for blocking calls: a slow disk
-    /// delays neither the broker nor its status.
+    /// Stores the state if a state file is configured, and returns whether it was stored. A failed write is retried
+    /// after [`STORE_RETRY_DELAY`]. The file is written on a thread for blocking calls, so that a slow disk delays
+    /// neither the broker nor its status.
     async fn store_state(&mut self) -> bool {
         let Some(path) = self.config.state_file.clone() else { return false };
         let confirmed = self.cache.confirmed.to_wire(&self.config.installation);
         let state = state_file::StoredState::new(&self.controller.persisted_state(), confirmed);
         let written = tokio::task::spawn_blocking(move || state_file::write(&path, &state)).await;
-        // A write that panicked is a write that failed.
+        // A panic during the write is treated as a failed write.
         let result = written.map_err(io::Error::from).flatten();
         if let Err(error) = &result {
             log_not_persisted(error);
         }
-        self.store_again_at = result.is_err().then(|| Instant::now() + STORE_RETRY_DELAY);
+        self.store_retry_at = result.is_err().then(|| Instant::now() + STORE_RETRY_DELAY);
         result.is_ok()
     }
 }
--- a/crates/config-rollout-client/src/status_query.rs
+++ b/crates/config-rollout-client/src/status_query.rs
@@ -1,4 +1,4 @@
-//! Asks a running broker for its status over CSDS, for the command line and for tests.
+//! Client for the status of a running broker over CSDS, for the command line and for tests.
 
 use crate::wire::TYPE_URL;
 use envoy_types::pb::envoy::service::status::v3::client_status_discovery_service_client as csds_client;
@@ -10,64 +10,66 @@
 use thiserror::Error;
 use tonic::transport::Endpoint;
 
-/// What a broker answered.
+/// Status reported by a broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrokerStatus {
-    /// The broker's name.
+    /// The name of the broker, which is its xDS node id.
     pub name: String,
-    /// Its installation.
+    /// The installation to which the broker belongs.
     pub installation: String,
-    /// The number of the running version.
+    /// The number of the running version; 0 is the broker's own file.
     pub number: u64,
-    /// Its digest, 64 hex digits.
+    /// The digest of the running version, as 64 hexadecimal digits.
     pub digest: String,
-    /// Since when it runs: Unix time, in seconds.
+    /// The time since which the running contents are in use, as Unix time in seconds.
     pub since: f64,
-    /// Whether it is on probation, confirmed, ...; `docs/operate-control.md` lists the values.
+    /// The state of the rollout, for example `confirmed`, from the metadata field `standing`.
+    /// `docs/operate-control.md` lists the values.
     pub rollout_state: String,
     /// The number of the version that was confirmed last.
     pub confirmed: u64,
-    /// Why its probation ended without a verdict, if it did.
+    /// The reason why the probation of the running version ended without a verdict, or `None` if it did not.
     pub unproven: Option<String>,
-    /// The last version that was rejected or withdrawn.
+    /// The most recent rejection or withdrawal, or `None` if there has been none.
     pub last_rejection: Option<RejectionStatus>,
 }
 
-/// The last version that was rejected or withdrawn.
+/// The most recent rejection or withdrawal of a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectionStatus {
-    /// Its number as text; empty where it could not be read.
+    /// The number of the version as text, or empty if it could not be read.
     pub number: String,
-    /// Why.
+    /// The reason for the rejection or withdrawal.
     pub reason: String,
-    /// When: Unix time, in seconds.
+    /// The time of the rejection or withdrawal, as Unix time in seconds.
     pub at: f64,
 }
 
-/// Why a status could not be fetched.
+/// The reason why a status could not be fetched.
 #[derive(Debug, Error)]
 pub enum StatusQueryError {
-    /// The address makes no endpoint.
+    /// The address does not form a valid endpoint.
     #[error("{0}")]
     Address(#[source] tonic::transport::Error),
-    /// No connection could be made.
-    #[error("no connection: {0}")]
+    /// The connection could not be established.
+    #[error("connection failed: {0}")]
     Connect(#[source] tonic::transport::Error),
-    /// The broker answered with an error.
+    /// The broker returned an error status.
     #[error("{0}")]
     Status(#[source] Box<tonic::Status>),
-    /// The answer has no version.
-    #[error("the answer has no version")]
+    /// The response does not contain a version.
+    #[error("the response contains no version")]
     NoVersion,
-    /// The time for the answer was over.
-    #[error("no answer in time")]
+    /// The request did not complete within the timeout.
+    #[error("no response within the timeout")]
     TimedOut,
 }
 
-/// Asks the broker whose status service is at this address; `timeout` bounds the whole exchange.
+/// Fetches the status of the broker whose status service listens at this address. `timeout` covers the connection and
+/// the response.
 ///
 /// # Errors
-/// There is no answer in time, or none that has a version.
+/// Returns an error if the request fails or times out, or if the response does not contain a version.
 pub async fn fetch_status(address: SocketAddr, timeout: Duration) -> Result<BrokerStatus, StatusQueryError> {
     let exchange = async {
         let endpoint =
--- a/crates/config-rollout-client/src/wire.rs
+++ b/crates/config-rollout-client/src/wire.rs
@@ -1,6 +1,6 @@
-//! The project's own resource in xDS, and how a response is read: the edge at which the wire's names become the
-//! code's terms. A version's number is in the response's `version_info` too, so that operators of other
-//! proxies see it where they look for it.
+//! The project's xDS resource type, and the reading of responses. This module converts between the names on the wire
+//! and the types of the code. The number of a version is also sent as the `version_info` of the response, where
+//! operators of other xDS clients expect it.
 //!
 //! | wire | code |
 //! | --- | --- |
@@ -18,76 +18,76 @@
 use settings::{Document, DocumentError};
 use thiserror::Error;
 
-/// The resource type: `barleydrum.control.v1.Version`.
+/// Type URL of the resource `barleydrum.control.v1.Version`.
 pub const TYPE_URL: &str = "type.googleapis.com/barleydrum.control.v1.Version";
 
-/// The largest response in bytes that is read at all; above it the stream ends. It is far above the bound of
-/// a document, so that one that is too long can be rejected with a reason.
+/// Maximum size of a response in bytes; a larger one ends the stream. The limit is far above that of a document, so
+/// that a document that is too long can be rejected with a reason.
 pub const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// `google.rpc.Code.INVALID_ARGUMENT`.
+/// Value of `google.rpc.Code.INVALID_ARGUMENT`.
 const INVALID_ARGUMENT: i32 = 3;
 
-/// One version, as `docs/control.proto` describes it.
+/// One version of the configuration, as defined in `docs/control.proto`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Version {
-    /// Its number, at least 1.
+    /// The number of the version, at least 1.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// BLAKE3 of the document's canonical bytes (RFC 8785).
+    /// The BLAKE3 digest of the document's canonical bytes (RFC 8785).
     #[prost(bytes = "vec", tag = "2")]
     pub digest: Vec<u8>,
-    /// JSON.
+    /// The document in JSON.
     #[prost(bytes = "vec", tag = "3")]
     pub document: Vec<u8>,
-    /// The installation that it is for.
+    /// The installation to which the version applies.
     #[prost(string, tag = "4")]
     pub installation: String,
-    /// Who made it, and why: for people.
+    /// A note on the author and the purpose of the version, for operators.
     #[prost(string, tag = "5")]
     pub note: String,
 }
 
-/// A version whose digest is that of its document.
+/// A version whose digest was verified against its document.
 #[derive(Clone, Debug)]
 pub struct VerifiedVersion {
-    /// Its number and digest.
+    /// The number and digest of the version.
     pub version: VersionId,
-    /// Its contents.
+    /// The parsed document.
     pub document: Document,
 }
 
-/// Why a version can't be used.
+/// The reason error a version cannot be used.
 #[derive(Debug, Error)]
 pub enum InvalidVersion {
-    /// Number 0 is a broker's own file.
+    /// The number is 0, which is reserved for a broker's own file.
     #[error("version numbers begin at 1")]
     NumberZero,
-    /// It is for another installation.
+    /// The version is for another installation.
     #[error("it is for installation `{offered}`, this is `{own}`")]
     OtherInstallation {
-        /// The installation that it is for.
+        /// The installation of the offered version.
         offered: String,
-        /// The broker's.
+        /// The installation of the broker.
         own: String,
     },
-    /// Its document is too long, or no JSON.
+    /// The document is too long or is not valid JSON.
     #[error("document: {0}")]
     Document(#[source] DocumentError),
-    /// Its digest has another length than BLAKE3's.
+    /// The digest does not have the length of a BLAKE3 digest.
     #[error("its digest does not have 32 bytes")]
     DigestLength,
-    /// Its digest is not that of its document.
+    /// The digest does not match the document.
     #[error("its digest is given as {}, that of its contents is {}", claimed.short(), actual.short())]
     DigestMismatch {
-        /// The digest that it states.
+        /// The digest stated by the version.
         claimed: Digest,
-        /// The digest of its document.
+        /// The digest of the document.
         actual: Digest,
     },
 }
 
-/// Why a response can't be used.
+/// The reason error a response cannot be used.
 #[derive(Debug, Error)]
 enum InvalidResponse {
     #[error("a resource type that was not requested: `{0}`")]
@@ -105,7 +105,7 @@
 }
 
 impl Version {
-    /// The version of a document; `None` where the document can't be parsed.
+    /// Creates the version with this document. Returns `None` if the document cannot be parsed.
     pub fn from_document(number: u64, installation: &str, document: &[u8]) -> Option<Version> {
         let digest = Digest::of(&Document::parse(document, MAX_RESPONSE_BYTES).ok()?.canonical());
         Some(Version {
@@ -117,16 +117,16 @@
         })
     }
 
-    /// The resource of a response.
+    /// Encodes the version as the resource of a response.
     pub fn to_resource(&self) -> Any {
         Any { type_url: TYPE_URL.to_owned(), value: self.encode_to_vec() }
     }
 
-    /// Verifies that it is for this installation, and that its digest is that of its document, which may have
-    /// `max_document_bytes`.
+    /// Verifies that the version is for this installation, and that its digest is that of its document.
+    /// `max_document_bytes` is the maximum size of the document.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Returns the first error found.
     pub fn verify(
         &self,
         installation: &str,
@@ -150,17 +150,17 @@
     }
 }
 
-/// Reads a response's version, and verifies it; see [`Version::verify`].
+/// Reads and verifies the version in a response; see [`Version::verify`].
 ///
 /// # Errors
-/// The offer to give to the controller where there is no verified version: an empty or an invalid one.
+/// Returns the empty or invalid offer to pass to the controller if the response contains no valid version.
 pub fn read_response(
     response: &DiscoveryResponse,
     installation: &str,
     max_document_bytes: usize,
 ) -> Result<VerifiedVersion, Offer> {
     let invalid =
-        |number: Option<u64>, why: InvalidResponse| Offer::Invalid { number, reason: why.to_string() };
+        |number: Option<u64>, error: InvalidResponse| Offer::Invalid { number, reason: error.to_string() };
     if response.type_url != TYPE_URL {
         return Err(invalid(None, InvalidResponse::UnrequestedType(response.type_url.clone())));
     }
@@ -182,7 +182,8 @@
     version.verify(installation, max_document_bytes).map_err(|error| invalid(Some(number), error.into()))
 }
 
-/// A request on the stream: the first, an acknowledgement (ACK), or a rejection (NACK) with its reason.
+/// Builds a request on the stream: the first request, an acknowledgement (ACK), or a rejection (NACK) with its
+/// reason.
 pub fn discovery_request(
     installation: &str,
     running: VersionId,
@@ -191,7 +192,7 @@
 ) -> DiscoveryRequest {
     let to_status = |message| Status { code: INVALID_ARGUMENT, message, ..Status::default() };
     DiscoveryRequest {
-        // A broker on its own file has accepted no version.
+        // A broker that runs its own file has not accepted a version.
         version_info: if running.number > 0 { running.number.to_string() } else { String::new() },
         resource_names: vec![installation.to_owned()],
         type_url: TYPE_URL.to_owned(),
--- a/crates/config-rollout-client/src/xds_stream.rs
+++ b/crates/config-rollout-client/src/xds_stream.rs
@@ -1,4 +1,4 @@
-//! One xDS stream, from its connection to its end, in a task of its own.
+//! An xDS stream, run by a task from the connection attempt to the end of the stream.
 
 use crate::wire::MAX_RESPONSE_BYTES;
 use config_rollout::StreamId;
@@ -12,29 +12,29 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::{Channel, Endpoint};
 
-/// How many events of streams may wait for the client, and how many requests for a stream.
+/// Maximum number of stream events queued for the client, and of requests queued for a stream.
 pub(crate) const QUEUE_CAPACITY: usize = 16;
 
-/// What a stream's task reports to the client.
+/// Event that the task of a stream reports to the client.
 pub(crate) enum StreamEvent {
     Opened { stream: StreamId, requests: mpsc::Sender<DiscoveryRequest> },
     ResponseReceived { stream: StreamId, response: Box<DiscoveryResponse> },
     Ended { stream: StreamId, error: StreamError },
 }
 
-/// Why a stream ended.
+/// The reason why a stream ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamError {
     #[error("{0}")]
     Address(#[source] tonic::transport::Error),
-    #[error("no connection: {}", error_chain(.0))]
+    #[error("connection failed: {}", error_chain(.0))]
     Connect(#[source] tonic::transport::Error),
     #[error("{}: {}", .0.code(), .0.message())]
     Status(#[source] Box<tonic::Status>),
-    #[error("the service ended the stream")]
+    #[error("stream ended by the service")]
     EndedByService,
-    #[error("the broker has ended")]
-    BrokerGone,
+    #[error("the broker has stopped")]
+    BrokerStopped,
 }
 
 impl From<tonic::Status> for StreamError {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A stream that is connecting or open; dropping it ends the stream.
+/// A stream that is connecting or open. Dropping it ends the stream.
 pub(crate) struct XdsStream {
     pub(crate) stream: StreamId,
     task: JoinHandle<()>,
@@ -57,7 +57,8 @@
 }
 
 impl XdsStream {
-    /// Connects to this address; `timeout` bounds the connection attempt and the silence of the connection.
+    /// Connects to this address. `timeout` limits the connection attempt, and is also the interval and the timeout of
+    /// keep-alive pings.
     pub(crate) fn connect(
         address: SocketAddr,
         stream: StreamId,
@@ -69,31 +70,31 @@
                 Ok(()) => StreamError::EndedByService,
                 Err(error) => error,
             };
-            // The client is gone only when the broker is.
+            // The receiver is closed only when the broker has stopped.
             let _ = events.send(StreamEvent::Ended { stream, error }).await;
         });
         XdsStream { stream, task, requests: None }
     }
 
-    /// From now on requests can be sent.
+    /// Marks the stream as open, so that requests can be sent.
     pub(crate) fn set_open(&mut self, requests: mpsc::Sender<DiscoveryRequest>) {
         self.requests = Some(requests);
     }
 
-    /// Queues a request. A request that does not fit into the queue ends the stream: a service that reads
-    /// nothing would otherwise hold an unbounded queue, or the loop of the client. It shows as a stream that
-    /// ended, and the client connects again after its backoff. A broker has one answer for each response, so
-    /// a service that reads never comes near the bound.
+    /// Queues a request. The stream is ended if the queue is full: a service that does not read would otherwise
+    /// require an unbounded queue or block the event loop of the client. The client sees a stream that ended, and
+    /// reconnects after its backoff. A broker sends one answer for each response, so that a service that reads never
+    /// fills the queue.
     pub(crate) fn send(&mut self, request: DiscoveryRequest) {
         let is_sent = self.requests.as_ref().is_some_and(|requests| requests.try_send(request).is_ok());
         if !is_sent {
-            // The stream's task sees the end of its requests, and reports the end of the stream.
+            // The task of the stream detects that its request channel is closed, and reports the end of the stream.
             self.requests = None;
         }
     }
 }
 
-/// Runs one stream until the service ends it.
+/// Runs one stream until the service ends it or an error occurs.
 async fn exchange(
     address: SocketAddr,
     stream: StreamId,
@@ -102,20 +103,20 @@
 ) -> Result<(), StreamError> {
     let channel = open_channel(address, timeout).await?;
     let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
-    events.send(StreamEvent::Opened { stream, requests }).await.map_err(|_| StreamError::BrokerGone)?;
+    events.send(StreamEvent::Opened { stream, requests }).await.map_err(|_| StreamError::BrokerStopped)?;
     let mut client = ads_client::AggregatedDiscoveryServiceClient::new(channel)
         .max_decoding_message_size(MAX_RESPONSE_BYTES);
     let mut responses = client.stream_aggregated_resources(ReceiverStream::new(queue)).await?.into_inner();
     while let Some(response) = responses.message().await? {
         let event = StreamEvent::ResponseReceived { stream, response: Box::new(response) };
-        events.send(event).await.map_err(|_| StreamError::BrokerGone)?;
+        events.send(event).await.map_err(|_| StreamError::BrokerStopped)?;
     }
     Ok(())
 }
 
 async fn open_channel(address: SocketAddr, timeout: Duration) -> Result<Channel, StreamError> {
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(StreamError::Address)?;
-    // A connection that is silently dead is noticed by its pings.
+    // Keep-alive pings detect a connection that has failed without being closed.
     let endpoint = endpoint
         .connect_timeout(timeout)
         .http2_keep_alive_interval(timeout)
@@ -124,7 +125,7 @@
     endpoint.connect().await.map_err(StreamError::Connect)
 }
 
-/// An error with all its sources.
+/// Formats an error together with all its sources.
 fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -217,7 +217,7 @@
     /// Closes a stream on which no response arrived within the connect timeout.
     fn time_out(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
-        self.log_unreachable("no response in time", effects);
+        self.log_unreachable("no response within the connect timeout", effects);
         self.back_off(now, effects);
     }
 
