--- a/crates/xds-test-server/src/discovery_service.rs
+++ b/crates/xds-test-server/src/discovery_service.rs
@@ -1,4 +1,4 @@
-//! The aggregated discovery service (ADS), one task for each stream of a broker.
+//! Aggregated discovery service (ADS), which runs one task for each stream of a broker.
 
 use crate::fault_plan::FaultPlan;
 use crate::history::Shared;
@@ -14,10 +14,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status, Streaming};
 
-/// How many responses may wait for a stream.
+/// Maximum number of responses queued for a stream.
 const RESPONSE_QUEUE_CAPACITY: usize = 8;
 
-/// The service, as each connection sees it.
+/// Implementation of the gRPC service, which accepts the streams of brokers.
 pub(crate) struct DiscoveryService {
     shared: Arc<Shared>,
 }
@@ -51,15 +51,15 @@
     }
 }
 
-/// The stream is dropped by a drawn fault, or its broker has ended it.
+/// Error that ends a stream because a random fault dropped it or the broker closed it.
 struct StreamDropped;
 
-/// One broker's stream.
+/// The stream of one broker.
 struct BrokerStream {
     shared: Arc<Shared>,
     rng: fastrand::Rng,
     responses: mpsc::Sender<Result<DiscoveryResponse, Status>>,
-    /// The number sent last, or that the broker runs already.
+    /// The number of the version sent last, or of the version that the broker already runs.
     last_sent: Option<u64>,
 }
 
@@ -70,7 +70,7 @@
         BrokerStream { shared, rng, responses, last_sent: None }
     }
 
-    /// Runs until the stream is dropped, by either side.
+    /// Handles requests and sends new versions until either side ends the stream.
     async fn run(mut self, mut requests: Streaming<DiscoveryRequest>) {
         let (mut newest, mut drops) = (self.shared.newest.subscribe(), self.shared.drops.subscribe());
         let (mut node, mut is_subscribed) = (String::new(), false);
@@ -85,7 +85,7 @@
                     if std::mem::replace(&mut is_subscribed, true) {
                         continue;
                     }
-                    // The version that the broker runs is not sent to it.
+                    // A broker is not sent the version that it already runs.
                     self.last_sent = request.version_info.parse().ok();
                     self.send_newest(&mut newest).await
                 }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Sends the newest version, with the faults that are drawn.
+    /// Sends the newest version, with the faults that are drawn for it.
     async fn send_newest(&mut self, newest: &mut watch::Receiver<u64>) -> Result<(), StreamDropped> {
         let number = *newest.borrow_and_update();
         if self.last_sent == Some(number) || number == 0 {
@@ -109,7 +109,7 @@
         if !max_delay.is_zero() {
             sleep(max_delay.mul_f64(self.rng.f64())).await;
         }
-        // Half of the drops come before the response, half behind it.
+        // Half of the drops occur before the response, and half after it.
         self.draw_drop(drop_ratio / 2.0)?;
         let (older, version) = self.versions_up_to(number);
         if self.rng.f64() < reorder_ratio
@@ -120,7 +120,7 @@
         if self.rng.f64() < corrupt_ratio
             && let Some(version) = &version
         {
-            self.send(garbled(response(version, self.next_nonce())), 1).await?;
+            self.send(truncate_resource(response(version, self.next_nonce())), 1).await?;
         }
         let times = if self.rng.f64() < duplicate_ratio { 2 } else { 1 };
         self.last_sent = Some(number);
@@ -134,7 +134,7 @@
         if self.rng.f64() < ratio { Err(StreamDropped) } else { Ok(()) }
     }
 
-    /// The version before this number, and the one with it.
+    /// Returns the version with the next lower number, and the version with this number.
     fn versions_up_to(&self, number: u64) -> (Option<Version>, Option<Version>) {
         let history = self.shared.history();
         let older = history.versions.range(..number).next_back().map(|(_, version)| version.clone());
@@ -163,8 +163,8 @@
     }
 }
 
-/// The response with its resource cut in half.
-fn garbled(mut response: DiscoveryResponse) -> DiscoveryResponse {
+/// Truncates the resource of a response to half of its length, so that it cannot be decoded.
+fn truncate_resource(mut response: DiscoveryResponse) -> DiscoveryResponse {
     for resource in &mut response.resources {
         resource.value.truncate(resource.value.len() / 2);
     }
--- a/crates/xds-test-server/src/fault_plan.rs
+++ b/crates/xds-test-server/src/fault_plan.rs
@@ -1,20 +1,20 @@
-//! Which faults the service has.
+//! Faults that the test server injects.
 
 use std::time::Duration;
 
-/// How the service misbehaves, as shares (0 to 1) of its responses.
+/// Faults that the test server injects. A ratio is the probability (0 to 1) of the fault for each response.
 #[derive(Clone, Debug, Default)]
 pub struct FaultPlan {
-    /// The seed of all that is drawn.
+    /// The seed for all random decisions.
     pub seed: u64,
-    /// The stream is dropped in place of a response, or right behind it.
+    /// The probability that the stream is dropped before or directly after a response.
     pub drop_ratio: f64,
-    /// A response is sent once more under its nonce.
+    /// The probability that a response is sent again under the same nonce.
     pub duplicate_ratio: f64,
-    /// An older version goes ahead of the newest.
+    /// The probability that an older version is sent before the newest one.
     pub reorder_ratio: f64,
-    /// An unreadable response goes ahead of the newest version.
+    /// The probability that a truncated response is sent before the newest version.
     pub corrupt_ratio: f64,
-    /// The longest that a response is held back; how long is drawn.
+    /// The maximum delay of a response. The delay is drawn uniformly between zero and this.
     pub max_delay: Duration,
 }
--- a/crates/xds-test-server/src/history.rs
+++ b/crates/xds-test-server/src/history.rs
@@ -1,4 +1,4 @@
-//! The versions that the service has, and what brokers sent.
+//! Published versions, and the requests received from brokers.
 
 use crate::fault_plan::FaultPlan;
 use config_rollout_client::wire::Version;
@@ -7,23 +7,23 @@
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// How many requests are recorded: the newest.
+/// Maximum number of requests that are recorded; the oldest are dropped first.
 const MAX_RECORDED_REQUESTS: usize = 100_000;
 
-/// A request of a broker: its first, an acknowledgement, or a rejection.
+/// A request from a broker: the first one on a stream, an acknowledgement, or a rejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRequest {
-    /// The broker's name.
+    /// The name of the broker, which is its xDS node id.
     pub node: String,
-    /// The version that it reports to run; empty for its own file.
+    /// The number of the version that the broker reports as running, or empty for its own file.
     pub version: String,
-    /// The nonce of the response that it answers; empty in the first request.
+    /// The nonce of the response that the request answers, or empty in the first request.
     pub nonce: String,
-    /// Why it rejected that response, if it did.
+    /// The reason for the rejection, or `None` if the request rejects no response.
     pub rejection: Option<String>,
 }
 
-/// The versions by number, the brokers' requests, and counters.
+/// Published versions by number, requests of the brokers, and counters.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) versions: BTreeMap<u64, Version>,
@@ -33,7 +33,7 @@
 }
 
 impl History {
-    /// Counts a new stream, and returns its number.
+    /// Counts a new stream and returns its number, which begins at 1.
     pub(crate) fn add_stream(&mut self) -> u64 {
         self.streams += 1;
         self.streams
@@ -57,13 +57,13 @@
     }
 }
 
-/// What the server and its streams share.
+/// State shared by the server and its streams.
 pub(crate) struct Shared {
     pub(crate) faults: FaultPlan,
     history: Mutex<History>,
-    /// The newest number; each publication is notified.
+    /// The number of the version published last, which the streams watch for changes.
     pub(crate) newest: watch::Sender<u64>,
-    /// How often all streams were dropped.
+    /// The number of times that all streams were dropped.
     pub(crate) drops: watch::Sender<u64>,
 }
 
--- a/crates/xds-test-server/src/lib.rs
+++ b/crates/xds-test-server/src/lib.rs
@@ -1,8 +1,8 @@
-//! A configuration service on loopback for tests and simulations: it serves numbered versions over xDS, and
-//! has the faults of real services, drawn by seed: it drops streams, responds late, repeats responses, sends
-//! an older version first, sends unreadable ones, stops, and comes back with another history.
+//! Configuration service on loopback for tests and simulations. It serves versions by number over xDS and injects the
+//! faults of real services, drawn from a seed: it drops streams, delays, repeats, reorders and corrupts responses,
+//! stops, and restarts with a different history.
 //!
-//! It runs on a thread of its own, so that it and a broker under test can't delay each other.
+//! The server runs on a thread of its own, so that it and a broker under test cannot delay each other.
 
 #![warn(missing_docs)]
 
--- a/crates/xds-test-server/src/main.rs
+++ b/crates/xds-test-server/src/main.rs
@@ -1,10 +1,10 @@
-//! The test server as a program: serves the versions of a folder (`1.json`, `2.json`, ...), looks for new
-//! ones, and takes commands on standard input:
+//! Command-line program of the test server. It serves the versions in a directory (`1.json`, `2.json`, ...), polls
+//! for new ones, and reads commands from standard input:
 //!
-//! - `drop`: drops every stream once;
-//! - `vanish SECONDS`: stops the server for a while;
-//! - `forget`: forgets every version;
-//! - `said`: prints the brokers' requests.
+//! - `drop`: drops all open streams;
+//! - `vanish SECONDS`: stops the server for this time and restarts it;
+//! - `forget`: removes all versions;
+//! - `said`: prints the requests received from brokers.
 
 use clap::Parser;
 use std::collections::BTreeMap;
@@ -18,44 +18,44 @@
 use tokio::time::sleep;
 use xds_test_server::{FaultPlan, RecordedRequest, XdsTestServer};
 
-/// How often the folder is read.
-const FOLDER_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest time for which `vanish` stops the server, in seconds.
+/// Interval at which the directory is polled for versions.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum time in seconds for which `vanish` stops the server.
 const MAX_STOP_SECONDS: f64 = 3600.0;
-/// How long `vanish` stops the server where its number can't be read, in seconds.
+/// Time in seconds for which `vanish` stops the server if its argument is not a number.
 const DEFAULT_STOP_SECONDS: f64 = 1.0;
 
-/// A configuration service for tests, on loopback only.
+/// Configuration service for tests, on loopback only.
 #[derive(Parser)]
 #[command(name = "xds-test-server", version)]
 struct Arguments {
-    /// Where to listen; a loopback address.
+    /// The loopback address and port to listen on.
     #[arg(long, default_value = "127.0.0.1:18000")]
     listen: SocketAddr,
-    /// The folder of the versions.
+    /// The directory that contains the versions.
     #[arg(long)]
     folder: PathBuf,
-    /// The installation that the versions are for.
+    /// The installation to which the versions apply.
     #[arg(long)]
     installation: String,
-    /// The share of responses at which the stream is dropped.
+    /// The probability (0 to 1) that the stream is dropped at a response.
     #[arg(long, default_value_t = 0.0)]
     drop: f64,
-    /// The seed of all that is drawn.
+    /// The seed for all random decisions.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Why the program ends.
+/// The reason why the program exits with an error.
 #[derive(Debug, Error)]
 enum ServerError {
-    #[error("{0} is not a loopback address: the test server listens on loopback only")]
+    #[error("{0} is not a loopback address; the test server listens on loopback only")]
     NotLoopback(SocketAddr),
-    #[error("can't listen on {address}: {source}")]
+    #[error("failed to listen on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
-    #[error("the versions in {} can't be read: {source}", folder.display())]
+    #[error("failed to read the versions in {}: {source}", folder.display())]
     Versions { folder: PathBuf, source: io::Error },
-    #[error("standard input can't be read: {0}")]
+    #[error("failed to read standard input: {0}")]
     Commands(#[source] io::Error),
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Serves until the program is killed, or an error ends it.
+/// Serves until the program is killed or an error occurs.
 async fn serve(arguments: Arguments) -> Result<(), ServerError> {
     let Arguments { listen, folder, installation, drop: drop_ratio, seed } = arguments;
     if !listen.ip().is_loopback() {
@@ -97,12 +97,12 @@
                 Some(line) => run_command(&mut server, &line.split(' ').collect::<Vec<_>>()).await?,
                 None => is_input_open = false,
             },
-            () = sleep(FOLDER_INTERVAL) => {}
+            () = sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
-/// Runs one command; an unknown one is answered with the list of commands.
+/// Runs one command, or prints the list of commands if it is unknown.
 async fn run_command(server: &mut XdsTestServer, words: &[&str]) -> Result<(), ServerError> {
     match words {
         ["drop"] => server.drop_streams(),
@@ -115,24 +115,24 @@
             server.restart().map_err(|source| ServerError::Listen { address, source })?;
         }
         ["said"] => server.requests().iter().for_each(print_request),
-        other => println!("`{}` is no command: drop, forget, vanish SECONDS, said", other.join(" ")),
+        other => println!("`{}` is unknown; use drop, forget, vanish SECONDS or said", other.join(" ")),
     }
     Ok(())
 }
 
-/// Prints a request under the field names that testers' scripts read.
+/// Prints a request in a fixed format with field names that test scripts match.
 fn print_request(request: &RecordedRequest) {
     let RecordedRequest { node, version, nonce, rejection } = request;
     println!("Said {{ node: {node:?}, version: {version:?}, nonce: {nonce:?}, refusal: {rejection:?} }}");
 }
 
-/// The versions in the folder, lowest first; other files are skipped.
+/// Reads the versions in the directory, in ascending order of their numbers. Other files are skipped.
 fn read_versions(folder: &Path) -> io::Result<BTreeMap<u64, String>> {
     let mut versions = BTreeMap::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
         let number = path.file_stem().and_then(|stem| stem.to_str()).and_then(|stem| stem.parse().ok());
-        if let Some(number) = number.filter(|_| path.extension().is_some_and(|ending| ending == "json")) {
+        if let Some(number) = number.filter(|_| path.extension().is_some_and(|suffix| suffix == "json")) {
             versions.insert(number, std::fs::read_to_string(&path)?);
         }
     }
