--- a/crates/config-rollout-client/src/client_status.rs
+++ b/crates/config-rollout-client/src/client_status.rs
@@ -124,7 +124,7 @@
 
 /// Returns the synchronization state between the service and the broker.
 fn sync_status(report: &Report, running: VersionId) -> (ConfigStatus, ClientResourceStatus) {
-    // The last rejection concerns a version newer than the running one, so the broker and the service disagree.
+    // A rejection after the running version was applied means that the service has another version than the broker.
     let is_rejecting = report.last_rejection.as_ref().is_some_and(|last| last.at >= report.since);
     match report.service {
         _ if is_rejecting => (ConfigStatus::Error, ClientResourceStatus::Nacked),
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,5 +1,5 @@
-//! Selects which configuration version a broker runs. This crate decides only: it performs no I/O, reads no clock,
-//! and draws random numbers from a seed.
+//! Selects which configuration version a broker runs. This crate only makes decisions: it performs no I/O, reads no
+//! clock, and draws random numbers from a seed.
 //!
 //! The program creates one [`RolloutController`] and passes it each [`Input`] with the current time. It carries out
 //! the returned [`Effect`]s in order before it passes the next input. [`RolloutController::report`] returns the state
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -53,12 +53,12 @@
 
 impl Baseline {
     /// Returns the upper bound of the share of queries selected by `count`, in the worst part of the window. Returns
-    /// `unknown` if no part has at least `min_ended` queries.
-    pub(crate) fn upper_bound(&self, min_ended: u64, count: fn(Sample) -> u64, unknown: f64) -> f64 {
+    /// `default` if no part has at least `min_ended` queries.
+    pub(crate) fn upper_bound(&self, min_ended: u64, count: fn(Sample) -> u64, default: f64) -> f64 {
         let known = self.parts.iter().chain([&self.total]).filter(|part| part.ended >= min_ended);
         let bounds = known.map(|part| score_interval(count(*part), part.ended).upper);
         let largest = bounds.fold(f64::NAN, f64::max);
-        if largest.is_nan() { unknown } else { largest }
+        if largest.is_nan() { default } else { largest }
     }
 }
 
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -42,7 +42,7 @@
 type Guard = fn(&Probation, &Observation) -> bool;
 type Action = fn(&mut Probation, &Observation) -> Verdict;
 
-/// A row of the transition table: applies if the condition matches and the guard holds. The action returns the
+/// A row of the transition table, which applies if the condition matches and the guard holds. The action returns the
 /// verdict.
 struct Transition {
     condition: ProbationCondition,
@@ -126,7 +126,7 @@
         self.baseline.upper_bound(min_ended, Sample::failed_on_healthy_nodes, DEFAULT_BASELINE_RATIO)
     }
 
-    // ---- guards
+    // Guards of the transition table.
 
     fn always(&self, _: &Observation) -> bool {
         true
@@ -169,7 +169,7 @@
             && !is_above_baseline
     }
 
-    // ---- actions
+    // Actions of the transition table.
 
     fn continue_pending(&mut self, _: &Observation) -> Verdict {
         Verdict::Pending
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -49,7 +49,7 @@
 type Guard = fn(&Subscription, Timestamp) -> bool;
 type Action = fn(&mut Subscription, Timestamp, &mut Vec<Effect>);
 
-/// A row of the transition table: applies if the state and the event match and the guard holds.
+/// A row of the transition table, which applies if the state and the event match and the guard holds.
 struct Transition {
     states: &'static [SubscriptionState],
     event: SubscriptionEvent,
@@ -173,7 +173,7 @@
         self.due
     }
 
-    // ---- guards
+    // Guards of the transition table.
 
     fn always(&self, _: Timestamp) -> bool {
         true
@@ -190,7 +190,7 @@
         alternatives.any(|(_, until)| *until <= now)
     }
 
-    // ---- actions
+    // Actions of the transition table.
 
     fn connect(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         self.recent_connects.push_back(now);
--- a/crates/config-rollout/src/version_history.rs
+++ b/crates/config-rollout/src/version_history.rs
@@ -32,7 +32,7 @@
 
 type Action = fn(&mut VersionHistory, &EventContext, &mut Vec<Effect>);
 
-/// A row of the transition table: applies if the current state is in `states` and the event matches.
+/// A row of the transition table, which applies if `states` contains the current state and the event matches.
 struct Transition {
     states: &'static [RolloutState],
     event: VersionEvent,
@@ -72,8 +72,8 @@
     row(PROBATION, Paused,     None,              VersionHistory::log_pause),
 ];
 
-/// The number of times that the process may end during the probation of a version before the version is withdrawn. A
-/// single end may have any cause and does not withdraw the version.
+/// A version is withdrawn after the process has ended this many times during its probation. A single end may have any
+/// cause and does not withdraw the version.
 const MAX_UNFINISHED_RUNS: u32 = 3;
 
 /// The running version and the versions that were accepted, confirmed or withdrawn before it.
@@ -215,7 +215,7 @@
         (transition.action)(self, context, effects);
     }
 
-    // ---- actions
+    // Actions of the transition table.
 
     fn ignore(&mut self, _: &EventContext, _: &mut Vec<Effect>) {}
 
@@ -235,7 +235,7 @@
     fn apply(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
         self.accepted.accept(version);
-        self.run(version, context.now);
+        self.set_running(version, context.now);
         let earlier_runs = self
             .probation_attempt
             .filter(|attempt| attempt.version == version)
@@ -265,7 +265,7 @@
     /// Handles an operator's return to the confirmed contents, which need no second probation.
     fn revert(&mut self, context: &EventContext, effects: &mut Vec<Effect>) {
         let Some(version) = context.version else { return };
-        self.run(self.confirmed, context.now);
+        self.set_running(self.confirmed, context.now);
         self.probation_attempt = None;
         effects.push(Effect::RollBack(self.running));
         self.renumber(context, effects);
@@ -292,7 +292,7 @@
         let Some(Verdict::Failed(failure)) = context.verdict else { return };
         let (withdrawn, reason) = (self.running, RejectionReason::from(*failure));
         self.withdrawn.withdraw(withdrawn, &reason);
-        self.run(self.confirmed, context.now);
+        self.set_running(self.confirmed, context.now);
         self.last_rejection = Some(Rejection { number: Some(withdrawn.number), reason, at: context.now });
         self.probation_attempt = None;
         effects.push(Effect::RollBack(self.running));
@@ -307,7 +307,7 @@
     }
 
     /// Sets the running version and the time at which it started to run.
-    fn run(&mut self, version: VersionId, now: Timestamp) {
+    fn set_running(&mut self, version: VersionId, now: Timestamp) {
         (self.running, self.since, self.unproven) = (version, now, None);
     }
 }
--- a/crates/config-rollout/src/wilson.rs
+++ b/crates/config-rollout/src/wilson.rs
@@ -1,8 +1,8 @@
 //! Wilson score interval of a proportion.
 
-/// Half-width of the interval in standard deviations. A probation evaluates its counts every second, so that a
-/// narrower interval would fail harmless versions by chance.
-const DEVIATIONS: f64 = 4.0;
+/// Half-width of the interval in standard deviations (z-score). A probation evaluates its counts every second, so that
+/// a narrower interval would fail harmless versions by chance.
+const Z_SCORE: f64 = 4.0;
 
 /// Lower and upper bound of a proportion, each between 0 and 1.
 #[derive(Clone, Copy, Debug)]
@@ -17,10 +17,13 @@
     if total == 0 {
         return Interval { lower: 0.0, upper: 1.0 };
     }
-    let (n, z) = (total as f64, DEVIATIONS);
+    let (n, z) = (total as f64, Z_SCORE);
     let share = hits.min(total) as f64 / n;
-    let centre = share + z * z / (2.0 * n);
-    let spread = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
+    let center = share + z * z / (2.0 * n);
+    let half_width = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
     let scale = 1.0 + z * z / n;
-    Interval { lower: ((centre - spread) / scale).max(0.0), upper: ((centre + spread) / scale).min(1.0) }
+    Interval {
+        lower: ((center - half_width) / scale).max(0.0),
+        upper: ((center + half_width) / scale).min(1.0),
+    }
 }
