--- a/crates/config-rollout/src/wilson.rs
+++ b/crates/config-rollout/src/wilson.rs
@@ -1,7 +1,7 @@
 //! Wilson score interval of a proportion.
 
-/// Half-width of the interval in standard deviations (z-score). A probation evaluates its counts every second, so that
-/// a narrower interval would fail harmless versions by chance.
+/// Half-width of the interval in standard deviations (z-score). A probation evaluates its counts every second, so
+/// that a narrower interval would fail harmless versions by chance.
 const Z_SCORE: f64 = 4.0;
 
 /// Lower and upper bound of a proportion, each between 0 and 1.
