--- a/crates/config-rollout-client/src/log/tests.rs
+++ b/crates/config-rollout-client/src/log/tests.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
 
-const OPERATORS_PAGE: &str = include_str!("../../../../docs/operate-control.md");
+const OPERATOR_DOCS: &str = include_str!("../../../../docs/operate-control.md");
 
 /// Collects the logged bytes.
 #[derive(Clone, Default)]
@@ -51,7 +51,7 @@
     tracing::subscriber::with_default(subscriber, write);
     let bytes = buffer.0.lock().unwrap().clone();
     let text = String::from_utf8(bytes).unwrap();
-    assert_eq!(text.lines().count(), 1, "one event, one line: {text}");
+    assert_eq!(text.lines().count(), 1, "one event must give one line: {text}");
     serde_json::from_str(&text).unwrap()
 }
 
@@ -99,16 +99,19 @@
         expected["reason"] = json!(reason);
     }
     assert_eq!(logged(|| log_event(&event, &[])), expected);
-    assert!(OPERATORS_PAGE.contains(&format!("| `{message}` ")), "`{message}` is not on the operators' page");
+    assert!(
+        OPERATOR_DOCS.contains(&format!("| `{message}` ")),
+        "`{message}` is not in the operator documentation"
+    );
 }
 
 #[rstest]
-fn a_withdrawal_names_what_runs_instead() {
+fn a_withdrawal_names_the_running_version() {
     let event = LogEvent::Withdrawn { version: version(), running: running(), reason: FAILURE };
     let expected = json!({"level": "WARN", "message": "version withdrawn, rolled back", "number": 7,
         "digest": "ab".repeat(32), "runs": 6, "reason": "9 of 10 queries failed in 1.5 s, 1 of 100 before it"});
     assert_eq!(logged(|| log_event(&event, &[])), expected);
-    assert!(OPERATORS_PAGE.contains("| `version withdrawn, rolled back` "));
+    assert!(OPERATOR_DOCS.contains("| `version withdrawn, rolled back` "));
 }
 
 #[rstest]
@@ -117,7 +120,7 @@
 fn a_rejection_has_its_reason(#[case] number: Option<u64>, #[case] expected: Value) {
     let event = LogEvent::Rejected { number, reason: RejectionReason::Invalid("no JSON".to_owned()) };
     assert_eq!(logged(|| log_event(&event, &[])), expected);
-    assert!(OPERATORS_PAGE.contains("| `version rejected` "));
+    assert!(OPERATOR_DOCS.contains("| `version rejected` "));
 }
 
 #[rstest]
@@ -132,7 +135,7 @@
         "service": "127.0.0.1:1", "reason": "refused"});
     assert_eq!(logged(|| log_event(&event, &services)), expected);
     for message in ["configuration service reached", "configuration service unreachable"] {
-        assert!(OPERATORS_PAGE.contains(&format!("| `{message}` ")), "`{message}`");
+        assert!(OPERATOR_DOCS.contains(&format!("| `{message}` ")), "`{message}`");
     }
 }
 
@@ -144,6 +147,6 @@
     let expected = json!({"level": "WARN", "message": "state not persisted", "reason": "disk full"});
     assert_eq!(logged(|| log_not_persisted(&"disk full")), expected);
     for message in ["version persisted", "state not persisted"] {
-        assert!(OPERATORS_PAGE.contains(&format!("| `{message}` ")), "`{message}`");
+        assert!(OPERATOR_DOCS.contains(&format!("| `{message}` ")), "`{message}`");
     }
 }
--- a/crates/config-rollout/src/probation.rs
+++ b/crates/config-rollout/src/probation.rs
@@ -5,8 +5,8 @@
 //! makes queries fail just as a bad version does.
 //!
 //! The probation cannot detect a version that brings nodes down, because this looks like failing nodes. It cannot
-//! distinguish a fault of tenants, or of the network to them, that began at the same time as the version. It misses
-//! failures that are too rare for the traffic during the probation.
+//! distinguish a bad version from a fault of tenants, or of the network to them, that began in the same period. It
+//! misses failures that are too rare for the traffic during the probation.
 
 use crate::outcome_window::Baseline;
 pub use crate::outcome_window::OutcomeWindow;
@@ -20,7 +20,7 @@
 /// Whether nodes are failing while a version is on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbationCondition {
-    /// No more nodes are failing than before the version was applied.
+    /// Nodes are about as healthy as before the version was applied.
     Stable,
     /// Nodes are failing, and the probation is paused.
     NodesFailing,
@@ -132,8 +132,8 @@
         true
     }
 
-    /// Returns whether fewer nodes are ready, or more queries failed on nodes that were down, than before the
-    /// version.
+    /// Returns whether too few of the earlier nodes are ready, or the share of queries that found a node down exceeds
+    /// the baseline by more than noise and the margin.
     fn are_nodes_failing(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, .. } = self.policy;
         let Sample { ended, failed_on_nodes, ready_nodes, .. } = observation.sample;
@@ -157,8 +157,9 @@
         sample.ended >= min_ended_queries && lower > self.baseline_failure_ratio() + failure_ratio_margin
     }
 
-    /// Returns whether enough time has passed, enough queries have ended, and no larger share failed than in the
-    /// baseline. A version under which a larger share failed, but within noise, stays on probation.
+    /// Returns whether enough time has passed, enough queries have ended, and the share that failed does not exceed
+    /// the baseline by more than the margin. A version with a larger share that is still within noise stays on
+    /// probation.
     fn is_proven(&self, observation: &Observation) -> bool {
         let RolloutPolicy { min_ended_queries, failure_ratio_margin, probation_duration, .. } = self.policy;
         let sample = observation.sample;
--- a/crates/xds-test-server/src/discovery_service.rs
+++ b/crates/xds-test-server/src/discovery_service.rs
@@ -1,7 +1,7 @@
 //! Aggregated discovery service (ADS), which runs one task for each stream of a broker.
 
 use crate::fault_plan::FaultPlan;
-use crate::history::Shared;
+use crate::history::SharedState;
 use config_rollout_client::wire::{TYPE_URL, Version};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server as ads_server;
 use envoy_types::pb::envoy::service::discovery::v3::{
@@ -19,11 +19,11 @@
 
 /// Implementation of the gRPC service, which accepts the streams of brokers.
 pub(crate) struct DiscoveryService {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
 impl DiscoveryService {
-    pub(crate) fn new(shared: Arc<Shared>) -> DiscoveryService {
+    pub(crate) fn new(shared: Arc<SharedState>) -> DiscoveryService {
         DiscoveryService { shared }
     }
 }
@@ -56,7 +56,7 @@
 
 /// The stream of one broker.
 struct BrokerStream {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     rng: fastrand::Rng,
     responses: mpsc::Sender<Result<DiscoveryResponse, Status>>,
     /// The number of the version sent last, or of the version that the broker already runs.
@@ -64,7 +64,10 @@
 }
 
 impl BrokerStream {
-    fn new(shared: Arc<Shared>, responses: mpsc::Sender<Result<DiscoveryResponse, Status>>) -> BrokerStream {
+    fn new(
+        shared: Arc<SharedState>,
+        responses: mpsc::Sender<Result<DiscoveryResponse, Status>>,
+    ) -> BrokerStream {
         let stream_number = shared.history().add_stream();
         let rng = fastrand::Rng::with_seed(shared.faults.seed ^ stream_number);
         BrokerStream { shared, rng, responses, last_sent: None }
--- a/crates/xds-test-server/src/history.rs
+++ b/crates/xds-test-server/src/history.rs
@@ -58,7 +58,7 @@
 }
 
 /// State shared by the server and its streams.
-pub(crate) struct Shared {
+pub(crate) struct SharedState {
     pub(crate) faults: FaultPlan,
     history: Mutex<History>,
     /// The number of the version published last, which the streams watch for changes.
@@ -67,9 +67,14 @@
     pub(crate) drops: watch::Sender<u64>,
 }
 
-impl Shared {
-    pub(crate) fn new(faults: FaultPlan) -> Shared {
-        Shared { faults, history: Mutex::default(), newest: watch::channel(0).0, drops: watch::channel(0).0 }
+impl SharedState {
+    pub(crate) fn new(faults: FaultPlan) -> SharedState {
+        SharedState {
+            faults,
+            history: Mutex::default(),
+            newest: watch::channel(0).0,
+            drops: watch::channel(0).0,
+        }
     }
 
     pub(crate) fn history(&self) -> MutexGuard<'_, History> {
--- a/crates/xds-test-server/src/server.rs
+++ b/crates/xds-test-server/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery_service::DiscoveryService;
 use crate::fault_plan::FaultPlan;
-use crate::history::{RecordedRequest, Shared};
+use crate::history::{RecordedRequest, SharedState};
 use config_rollout_client::wire::Version;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server as ads_server;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 pub struct XdsTestServer {
     /// The address on which the server listens, with the actual port.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     /// Sender whose drop ends the thread.
     shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -29,7 +29,7 @@
     /// # Errors
     /// Returns an error if the address cannot be bound or the runtime cannot be created.
     pub fn start(address: SocketAddr, faults: FaultPlan) -> std::io::Result<XdsTestServer> {
-        let shared = Arc::new(Shared::new(faults));
+        let shared = Arc::new(SharedState::new(faults));
         let mut server = XdsTestServer { address, shared, shutdown: None, thread: None };
         server.restart()?;
         Ok(server)
