--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -178,7 +178,7 @@
         let request = self.http_request(query, origin, &shard_requests);
         self.queries.push(Query { broker, origin, first, shard_requests });
         let connection = self.clients.take_idle(broker, self.now);
-        self.clients.send(query, connection, self.brokers[broker].listens, request);
+        self.clients.send(query, connection, self.brokers[broker].listen_address, request);
         self.settle().await
     }
 
--- a/crates/broker-bench/src/loopback/day.rs
+++ b/crates/broker-bench/src/loopback/day.rs
@@ -6,7 +6,7 @@
 use crate::loopback::nodes::{Nodes, Publications};
 use crate::results::{DayResults, NodeCounts};
 use crate::simulation::SimulationConfig;
-use broker::Running;
+use broker::RunningBroker;
 use cluster_trace::plan::{ClassSpec, PlanEntry, PlanEvent};
 use node_emulator::DiscoveryCatalog;
 use routing::{TimeSpan, Timestamp};
@@ -53,7 +53,7 @@
     pub(super) catalog: DiscoveryCatalog,
     pub(super) publications: Publications,
     pub(super) nodes: Nodes,
-    pub(super) brokers: Vec<Running>,
+    pub(super) brokers: Vec<RunningBroker>,
     pub(super) clients: Clients,
     pub(super) queries: Vec<Query>,
     /// Over all that nodes and clients got, in its order.
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -9,7 +9,7 @@
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment;
 use crate::simulation::settings_text::settings_text;
-use broker::{Running, StartupConfig};
+use broker::{RunningBroker, StartupConfig};
 use cluster_trace::plan::{Plan, ReplayConfig};
 use node_emulator::DiscoveryCatalog;
 use routing::{TimeSpan, Timestamp};
@@ -77,7 +77,7 @@
     replay: &ReplayConfig,
     config: &SimulationConfig,
     discovery: SocketAddr,
-) -> Result<Vec<Running>, NoFigure> {
+) -> Result<Vec<RunningBroker>, NoFigure> {
     let mut brokers = Vec::new();
     for number in 0..config.brokers {
         let startup_config = startup_config(number, replay, config, discovery)?;
--- a/crates/broker/src/engine/results.rs
+++ b/crates/broker/src/engine/results.rs
@@ -2,13 +2,13 @@
 
 use super::Engine;
 use crate::codec::read_load_report;
-use crate::node_pool::{AttemptEnd, AttemptId, ProbeReply};
+use crate::node_pool::{AttemptId, CompletedAttempt, ProbeReply};
 use routing::{AttemptOutcome, AttemptResult, Input, ProbeResult};
 
 impl Engine {
     /// Queues the results of ended attempts, and keeps the responses that came.
     pub(super) fn collect_ended_attempts(&self) {
-        for ended in self.nodes.fetch_attempt_ends() {
+        for ended in self.nodes.take_completed_attempts() {
             if let Some(result) = self.attempt_result(ended) {
                 self.inputs.borrow_mut().push(Input::AttemptEnded(result));
             }
@@ -17,7 +17,7 @@
 
     /// The result of an attempt; `None`: it was reported before. A response that does not fit into the memory bound
     /// counts as an error, so that the shard request may be retried later.
-    fn attempt_result(&self, ended: AttemptEnd) -> Option<AttemptResult> {
+    fn attempt_result(&self, ended: CompletedAttempt) -> Option<AttemptResult> {
         let in_flight = self.attempts.borrow_mut().remove(ended.attempt)?;
         let AttemptId { shard_request, number: attempt } = ended.attempt;
         let mut queries = self.queries.borrow_mut();
@@ -32,7 +32,7 @@
 
     /// Queues the results of load probes.
     pub(super) fn collect_probe_results(&self) {
-        for ProbeReply { node, report } in self.nodes.fetch_probe_replies() {
+        for ProbeReply { node, report } in self.nodes.take_probe_replies() {
             let is_valid = report.is_some();
             let report = report.map(|text| read_load_report(&text)).unwrap_or_default();
             self.push_input(Input::ProbeEnded(ProbeResult { node, is_valid, report }));
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -55,7 +55,7 @@
             matches!(&inputs[..], [Input::AttemptEnded(result)] if result.outcome == AttemptOutcome::NotSent),
             "{inputs:?}"
         );
-        assert!(engine.nodes.fetch_attempt_ends().is_empty());
+        assert!(engine.nodes.take_completed_attempts().is_empty());
     });
 }
 
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -17,7 +17,7 @@
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 //! let config = broker::StartupConfig::from_env()?;
 //! let running = broker::start(config).await?; // within a single-threaded `actix_rt` runtime
-//! println!("serving on {}", running.listens);
+//! println!("serving on {}", running.listen_address);
 //! running.shut_down().await;
 //! # Ok(()) }
 //! ```
@@ -52,6 +52,6 @@
 
 pub use operator_config::{LogFormat, OperatorConfig, RolloutConfig};
 pub use program::run;
-pub use running::{Running, start, start_with_operator_config};
+pub use running::{RunningBroker, start, start_with_operator_config};
 pub use shutdown::termination_signal;
 pub use startup::{ConfigSource, StartupConfig, StartupError};
--- a/crates/broker/src/node_pool/attempt.rs
+++ b/crates/broker/src/node_pool/attempt.rs
@@ -24,7 +24,7 @@
 }
 
 /// The one end of an attempt.
-pub struct AttemptEnd {
+pub struct CompletedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// How it ended.
--- a/crates/broker/src/node_pool/mod.rs
+++ b/crates/broker/src/node_pool/mod.rs
@@ -49,7 +49,7 @@
 mod sending;
 mod writer;
 
-pub use attempt::{AttemptEnd, AttemptId, AttemptToSend, ProbeReply};
+pub use attempt::{AttemptId, AttemptToSend, CompletedAttempt, ProbeReply};
 
 use crate::limits::Limits;
 use bytes::Bytes;
@@ -80,7 +80,7 @@
     /// The attempts in flight. One that is not here has its end.
     attempts: RefCell<HashMap<AttemptId, AttemptRoute>>,
     /// Ends that were not fetched yet.
-    attempt_ends: RefCell<Vec<AttemptEnd>>,
+    completed_attempts: RefCell<Vec<CompletedAttempt>>,
     /// Ends of probes that were not fetched yet.
     probe_replies: RefCell<Vec<ProbeReply>>,
     /// Notified when there are ends of attempts or probes to fetch.
@@ -95,7 +95,7 @@
             addresses: RefCell::default(),
             connections: RefCell::default(),
             attempts: RefCell::default(),
-            attempt_ends: RefCell::default(),
+            completed_attempts: RefCell::default(),
             probe_replies: RefCell::default(),
             results_ready: Notify::new(),
         })
@@ -132,19 +132,24 @@
     }
 
     /// The ends of attempts since the last time, in the order in which they came.
-    pub fn fetch_attempt_ends(&self) -> Vec<AttemptEnd> {
-        self.attempt_ends.take()
+    pub fn take_completed_attempts(&self) -> Vec<CompletedAttempt> {
+        self.completed_attempts.take()
     }
 
     /// The ends of probes since the last time, in the order in which they came.
-    pub fn fetch_probe_replies(&self) -> Vec<ProbeReply> {
+    pub fn take_probe_replies(&self) -> Vec<ProbeReply> {
         self.probe_replies.take()
     }
 
     /// Ends an attempt, unless it has its end.
     fn end(&self, attempt: AttemptId, outcome: AttemptOutcome, value: Option<Bytes>) {
         if self.attempts.borrow_mut().remove(&attempt).is_some() {
-            self.attempt_ends.borrow_mut().push(AttemptEnd { attempt, outcome, value, at: Instant::now() });
+            self.completed_attempts.borrow_mut().push(CompletedAttempt {
+                attempt,
+                outcome,
+                value,
+                at: Instant::now(),
+            });
             self.results_ready.notify_one();
         }
     }
--- a/crates/broker/src/node_pool/sending.rs
+++ b/crates/broker/src/node_pool/sending.rs
@@ -1,6 +1,6 @@
 //! Sends batches and probes.
 
-use super::attempt::{AttemptEnd, AttemptId, AttemptToSend};
+use super::attempt::{AttemptId, AttemptToSend, CompletedAttempt};
 use super::connection::NodeConnection;
 use super::{AttemptRoute, NodePool};
 use crate::codec::OutboundFrame;
@@ -11,7 +11,7 @@
 
 impl NodePool {
     /// Sends shard requests to a node in one batch. Each attempt has its one end later, among
-    /// [`NodePool::fetch_attempt_ends`].
+    /// [`NodePool::take_completed_attempts`].
     pub fn send(self: &Rc<Self>, node: NodeId, batch: Vec<AttemptToSend>) {
         let Some(connection) = self.connection_for(node, batch.len()) else {
             return self.end_unconnected(batch);
@@ -28,8 +28,8 @@
     fn end_unconnected(&self, batch: Vec<AttemptToSend>) {
         for AttemptToSend { attempt, .. } in batch {
             let outcome = AttemptOutcome::ConnectFailed;
-            let end = AttemptEnd { attempt, outcome, value: None, at: Instant::now() };
-            self.attempt_ends.borrow_mut().push(end);
+            let end = CompletedAttempt { attempt, outcome, value: None, at: Instant::now() };
+            self.completed_attempts.borrow_mut().push(end);
         }
         self.results_ready.notify_one();
     }
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -21,15 +21,15 @@
 use tracing::{info, warn};
 
 /// A broker that serves.
-pub struct Running {
+pub struct RunningBroker {
     /// Where clients reach it.
-    pub listens: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Its engine, with the routing decisions.
     pub engine: Rc<Engine>,
     /// Where discovery is; it may move while the broker runs.
-    pub discovery: watch::Sender<SocketAddr>,
+    pub discovery_address: watch::Sender<SocketAddr>,
     /// Where its status is served, if that is switched on.
-    pub status: Option<SocketAddr>,
+    pub status_address: Option<SocketAddr>,
     pub(crate) http_server: Rc<HttpServer>,
 }
 
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// As [`start_with_operator_config`].
-pub async fn start(config: StartupConfig) -> io::Result<Running> {
+pub async fn start(config: StartupConfig) -> io::Result<RunningBroker> {
     start_with_operator_config(config, OperatorConfig::default()).await
 }
 
@@ -51,15 +51,15 @@
 pub async fn start_with_operator_config(
     mut config: StartupConfig,
     operator: OperatorConfig,
-) -> io::Result<Running> {
-    let follower = match operator.rollout {
+) -> io::Result<RunningBroker> {
+    let rollout = match operator.rollout {
         Some(control) => Some(config_rollout::prepare(&mut config, control)?),
         None => None,
     };
     let listener = TcpListener::bind(config.listen).await?;
-    let listens = listener.local_addr()?;
+    let listen_address = listener.local_addr()?;
     let limits = Rc::new(config.limits);
-    warn_of_second_phases(&config.broker_settings);
+    warn_of_unsupported_second_phases(&config.broker_settings);
     let engine = Engine::new(
         config.broker_settings,
         config.seed,
@@ -80,16 +80,16 @@
     };
     let http_server = HttpServer::new(query_handler);
     actix_rt::spawn(engine.clone().run());
-    let (discovery, discovery_changes) = watch::channel(config.discovery);
+    let (discovery_address, discovery_changes) = watch::channel(config.discovery);
     actix_rt::spawn(discovery::watch_endpoints(engine.clone(), limits.discovery.clone(), discovery_changes));
-    let status = follower.map(|follower| follower.start(engine.clone())).transpose()?.flatten();
+    let status_address = rollout.map(|rollout| rollout.start(engine.clone())).transpose()?.flatten();
     actix_rt::spawn(http_server.clone().run(listener));
-    info!(broker = %config.name, listen_address = %listens, "serving");
-    Ok(Running { listens, engine, discovery, status, http_server })
+    info!(broker = %config.name, listen_address = %listen_address, "serving");
+    Ok(RunningBroker { listen_address, engine, discovery_address, status_address, http_server })
 }
 
 /// Warns of request classes whose queries the protocol can't carry.
-fn warn_of_second_phases(broker_settings: &BrokerSettings) {
+fn warn_of_unsupported_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
         warn!(
             "a request class has a second phase, which the protocol does not support: its queries are rejected"
--- a/crates/broker/src/shutdown.rs
+++ b/crates/broker/src/shutdown.rs
@@ -5,7 +5,7 @@
 //! step, after which it accepts none, and each waiting request handler then has its outcome.
 
 use crate::limits::to_duration;
-use crate::running::Running;
+use crate::running::RunningBroker;
 use routing::shutdown_deadline::ShutdownSchedule;
 use std::io;
 use std::pin::pin;
@@ -22,7 +22,7 @@
     signal(SignalKind::terminate())
 }
 
-impl Running {
+impl RunningBroker {
     /// Accepts connections for a while longer, answers what is open, and ends. Queries that are still open at
     /// the shutdown deadline are failed, so that each has its one answer before a SIGKILL may follow.
     pub async fn shut_down(self) {
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -212,7 +212,7 @@
         let head = query_request("a", "lookup", 10_000, "");
         let head = head.replace("Content-Length: 0", "Transfer-Encoding: chunked");
         for part in ["", "40\r\n{\"slices\"", "1\r\n{\r\n"] {
-            let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+            let mut client = TcpStream::connect(cluster.broker.listen_address).await.unwrap();
             client.write_all(format!("{head}{part}").as_bytes()).await.unwrap();
             let mut text = String::new();
             let read = tokio::time::timeout(Duration::from_secs(5), client.read_to_string(&mut text)).await;
--- a/crates/broker/tests/sockets/discovery.rs
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -172,7 +172,7 @@
         let (address, reloads) = (cluster.discovery.address(), 100);
         for _ in 0..reloads {
             cluster.discovery.reply(&list);
-            cluster.broker.discovery.send_replace(address);
+            cluster.broker.discovery_address.send_replace(address);
             sleep_ms(5).await;
         }
         let mut calls = 0;
--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -26,7 +26,7 @@
             TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
         cluster.discovery.next_request().await;
         let text = query_request("gone", "lookup", 100_000, &body(ONE_SHARD));
-        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        let mut client = TcpStream::connect(cluster.broker.listen_address).await.unwrap();
         let (first, last) = text.split_at(text.len() - 1);
         client.write_all(first.as_bytes()).await.unwrap();
         if is_complete {
@@ -77,7 +77,7 @@
 fn forwards_nothing_after_the_last_response() {
     run_test(async {
         let mut cluster = TestCluster::start(1).await;
-        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        let mut client = TcpStream::connect(cluster.broker.listen_address).await.unwrap();
         let last = query_request("a", "lookup", 100_000, &body(ONE_SHARD))
             .replace("Host:", "Connection: close\r\nHost:");
         let requests = last + &query_request("b", "lookup", 100_000, &body(TWO_SHARDS));
--- a/crates/broker/tests/sockets/shutdown.rs
+++ b/crates/broker/tests/sockets/shutdown.rs
@@ -16,7 +16,7 @@
         let mut idle = cluster.client().await;
         let mut before = cluster.send_query("a", "lookup", ONE_SHARD).await;
         let (_, connection, _) = cluster.next_batch().await;
-        let listens = cluster.broker.listens;
+        let listens = cluster.broker.listen_address;
         let TestCluster { broker, nodes, mut events, .. } = cluster;
         let shutdown = actix_rt::spawn(broker.shut_down());
         sleep_ms(50).await;
@@ -46,11 +46,11 @@
 fn does_not_reset_a_connection_after_its_last_response() {
     run_test(async {
         let mut cluster = TestCluster::start(1).await;
-        let mut client = TcpStream::connect(cluster.broker.listens).await.unwrap();
+        let mut client = TcpStream::connect(cluster.broker.listen_address).await.unwrap();
         client.write_all(query_request("a", "lookup", 100_000, &body(ONE_SHARD)).as_bytes()).await.unwrap();
         let (_, connection, _) = cluster.next_batch().await;
         client.write_all(&vec![b'x'; 100_000]).await.unwrap();
-        let listens = cluster.broker.listens;
+        let listens = cluster.broker.listen_address;
         let shutdown = actix_rt::spawn(cluster.broker.shut_down());
         // The server closes once the listener is gone.
         within_timeout(async { while TcpStream::connect(listens).await.is_ok() {} }).await;
--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -2,7 +2,7 @@
 
 pub use super::test_process::Process;
 use broker::engine::{QueryRequest, RequestedShard};
-use broker::{Running, StartupConfig};
+use broker::{RunningBroker, StartupConfig};
 use bytes::Bytes;
 use node_emulator::{HttpClient, ScriptedDiscovery};
 pub use node_emulator::{
@@ -105,7 +105,7 @@
 
 /// A broker with its peers. Every node holds every shard.
 pub struct TestCluster {
-    pub broker: Running,
+    pub broker: RunningBroker,
     pub nodes: Vec<ScriptedNode>,
     pub discovery: Discovery,
     /// What nodes received: which node, on which connection, what.
@@ -228,7 +228,7 @@
     }
 
     pub async fn client(&self) -> Client {
-        Client::connect(self.broker.listens).await
+        Client::connect(self.broker.listen_address).await
     }
 
     /// A client that has sent a query of these shards.
