--- a/crates/broker/src/program.rs
+++ b/crates/broker/src/program.rs
@@ -41,7 +41,7 @@
         let reload = reload_signal()?;
         let config = StartupConfig::from(source)?;
         let running = start_with_operator_config(config, operator).await?;
-        actix_rt::spawn(reload_on_signal(reload, source.clone(), running.discovery.clone()));
+        actix_rt::spawn(reload_on_signal(reload, source.clone(), running.discovery_address.clone()));
         terminate.recv().await;
         running.shut_down().await;
         Ok(())
