--- a/crates/broker/src/codec/inbound_frame.rs
+++ b/crates/broker/src/codec/inbound_frame.rs
@@ -1,4 +1,4 @@
-//! Frames that a node writes to the broker, and their decoder.
+//! Frames that a node sends to the broker, and their decoder.
 
 use super::LENGTH_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,55 +6,55 @@
 use std::io;
 use tokio_util::codec::Decoder;
 
-/// Letters of the frames that a node writes.
+// The type bytes of the frames that a node sends.
 const PONG: u8 = b'3';
 const LOAD_REPORT: u8 = b'4';
 const RESPONSE: u8 = b'5';
 const PROTOCOL_ERROR: u8 = b'X';
 
-/// The body of a load report that the node failed to make.
+/// The body of a load report frame whose report the node could not create.
 const NO_REPORT: &[u8] = b"E";
 
-/// A frame from a node.
+/// A frame from a node to the broker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InboundFrame {
-    /// How a shard request ended.
+    /// The result of a shard request.
     Response {
         /// The id of the shard request.
         id: Bytes,
-        /// `Succeeded`, `Errored` or `Overloaded`.
+        /// The result: `Succeeded`, `Errored` or `Overloaded`.
         outcome: AttemptOutcome,
-        /// What the node read; UTF-8.
+        /// The value that the node read, in UTF-8.
         value: Bytes,
     },
-    /// The node could not use a frame and closes the connection; its reason.
+    /// A notice that the node could not process a frame and closes the connection, with the node's reason.
     ProtocolError(String),
-    /// The reply to a load probe: the report, or none where the node failed to make one.
+    /// The reply to a load probe, with the report or `None` if the node could not create one.
     LoadReport(Option<Bytes>),
-    /// The reply to a plain probe, which the broker never sends.
+    /// The reply to a ping, which the broker never sends.
     Pong,
 }
 
-/// Why what came from a node is no frame.
+/// An error in the bytes received from a node.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The frame is empty, or longer than is accepted; its length in bytes.
-    #[error("a frame of {0} bytes")]
+    /// The frame is empty or exceeds [`FrameDecoder::max_frame_bytes`]. The value is its length in bytes.
+    #[error("invalid frame length: {0} bytes")]
     Length(usize),
-    /// No kind of frame has this letter.
-    #[error("a frame `{}`", char::from(*.0).escape_default())]
+    /// The frame type is unknown.
+    #[error("unknown frame type `{}`", char::from(*.0).escape_default())]
     UnknownKind(u8),
-    /// A response whose header or value can't be read.
-    #[error("an end of a part that can't be read")]
+    /// The header of a response is malformed, or its value is not UTF-8.
+    #[error("malformed response: expected `ID RESULT SCORE REPORT`, a line feed and a UTF-8 value")]
     InvalidResponse,
-    /// The connection broke.
+    /// Reading from the connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Splits the bytes of a connection into frames.
+/// A decoder that splits the bytes of a connection into frames.
 pub struct FrameDecoder {
-    /// A frame longer than this is an error; bytes.
+    /// The maximum length of a frame in bytes, without its length prefix.
     pub max_frame_bytes: usize,
 }
 
@@ -65,7 +65,7 @@
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<InboundFrame>, FrameError> {
         let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*prefix) as usize;
-        // Checked before memory is reserved for it: the length is whatever the peer wrote.
+        // The peer is not trusted with the length, so it is checked before memory is reserved.
         if length == 0 || length > self.max_frame_bytes {
             return Err(FrameError::Length(length));
         }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Decodes one whole frame, which has at least the letter of its kind.
+/// Decodes one complete frame. `frame` starts with the type byte and must not be empty.
 fn decode_frame(mut frame: Bytes) -> Result<InboundFrame, FrameError> {
     match frame.get_u8() {
         PONG => Ok(InboundFrame::Pong),
@@ -89,8 +89,9 @@
     }
 }
 
-/// Reads `ID END SCORE REPORT`, a line feed, and the value. No decision reads the report: one that can't be
-/// read does not invalidate the value that it came with.
+/// Parses the body of a response: `ID RESULT SCORE REPORT`, a line feed, and the value.
+///
+/// The report is not used for routing, so a malformed report does not invalidate the response.
 fn decode_response(mut body: Bytes) -> Option<InboundFrame> {
     let header_length = body.iter().position(|byte| *byte == b'\n')?;
     let header = body.split_to(header_length);
@@ -103,7 +104,7 @@
         b"B" => AttemptOutcome::Overloaded,
         _ => return None,
     };
-    // A value is passed on within JSON, which holds text only.
+    // The value is embedded in a JSON response, so it must be UTF-8.
     std::str::from_utf8(&body).ok()?;
     Some(InboundFrame::Response { id: header.slice_ref(id), outcome, value: body })
 }
--- a/crates/broker/src/codec/mod.rs
+++ b/crates/broker/src/codec/mod.rs
@@ -1,7 +1,8 @@
-//! The frames between the broker and a node: a length in four bytes, a letter for the kind, the body. The protocol's
-//! letters and headers become the code's terms here, and nowhere else.
+//! The frame protocol between the broker and its nodes.
 //!
-//! [`OutboundFrame`] is encoded, [`InboundFrame`] decoded by a [`FrameDecoder`].
+//! A frame has a length of four bytes, one byte for its type, and a body. [`OutboundFrame::encode`] encodes frames to
+//! a node, [`FrameDecoder`] decodes [`InboundFrame`]s from a node. Only this module uses the names of the wire
+//! format.
 
 mod inbound_frame;
 mod load_report;
@@ -11,10 +12,10 @@
 pub use load_report::read_load_report;
 pub use outbound_frame::{OutboundFrame, ShardRequestMessage};
 
-/// Bytes of the length that precedes each frame: little endian, not counting itself.
+/// The size of a frame's length prefix. The length is in little endian and excludes the prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// Whether these bytes might be the rest of a response's value: UTF-8 without control characters.
+/// Returns whether `bytes` could be the continuation of a response's value: UTF-8 without control characters.
 pub fn is_text(bytes: &[u8]) -> bool {
     std::str::from_utf8(bytes).is_ok_and(|text| !text.contains(char::is_control))
 }
--- a/crates/broker/src/codec/outbound_frame.rs
+++ b/crates/broker/src/codec/outbound_frame.rs
@@ -1,45 +1,45 @@
-//! Frames that the broker writes to a node.
+//! Frames that the broker sends to a node, and their encoding.
 
 use super::LENGTH_BYTES;
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::time::Instant;
 
-/// Letters of the frames that the broker writes.
+// The type bytes of the frames that the broker sends.
 const BATCH: u8 = b'1';
 const CANCEL: u8 = b'2';
 const PROBE: u8 = b'4';
 
-/// One shard request as a batch carries it.
+/// A shard request within a batch.
 #[derive(Clone, Debug)]
 pub struct ShardRequestMessage {
-    /// What the node's response refers to it by.
+    /// The id that the node repeats in its response.
     pub id: Bytes,
     /// The number of the shard to read.
     pub shard: u32,
-    /// Until when the broker waits for the response.
+    /// The time until which the broker waits for the response.
     pub expires_at: Instant,
-    /// What is asked of the shard.
+    /// The text of the query.
     pub text: Bytes,
 }
 
-/// A frame to a node.
+/// A frame from the broker to a node.
 #[derive(Clone, Debug)]
 pub enum OutboundFrame {
-    /// Shard requests to execute.
+    /// A batch of shard requests for the node to execute.
     Batch(Vec<ShardRequestMessage>),
-    /// The shard request of this id needs no response any more.
+    /// A notice that the broker no longer needs a response to the shard request with this id.
     Cancel(Bytes),
     /// A request for a load report.
     Probe,
 }
 
 impl OutboundFrame {
-    /// Whether this is a batch without shard requests, which is not written.
+    /// Returns whether this is a batch without shard requests. Such a frame must not be written.
     pub fn is_empty_batch(&self) -> bool {
         matches!(self, OutboundFrame::Batch(shard_requests) if shard_requests.is_empty())
     }
 
-    /// The ids of the shard requests that this frame asks a node to execute.
+    /// Returns the ids of the shard requests in a batch; empty for other frames.
     pub fn shard_request_ids(&self) -> Vec<Bytes> {
         match self {
             OutboundFrame::Batch(shard_requests) => {
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Appends the whole frame, its length first. `now`: when its first byte is written; the time left that a batch
-    /// states counts from then.
+    /// Appends the encoded frame, including its length prefix, to `buffer`.
+    ///
+    /// `now` is the time at which the first byte is written. The timeouts in a batch are relative to it.
     pub fn encode(&self, now: Instant, buffer: &mut BytesMut) {
         let start = buffer.len();
         buffer.put_u32_le(0);
@@ -71,12 +72,12 @@
 }
 
 impl ShardRequestMessage {
-    /// The time left until `expires_at`, in whole milliseconds.
+    /// Returns the time left until `expires_at`, in whole milliseconds; zero if it has passed.
     pub fn time_left_ms(&self, now: Instant) -> u64 {
         self.expires_at.saturating_duration_since(now).as_millis() as u64
     }
 
-    /// Appends `ID SHARD d=TIMEOUT LENGTH`, a line feed, and the text.
+    /// Appends the header `ID SHARD d=TIMEOUT LENGTH`, a line feed, and the text.
     fn encode(&self, now: Instant, buffer: &mut BytesMut) {
         buffer.put_slice(&self.id);
         let header = format!(" {} d={} {}\n", self.shard, self.time_left_ms(now), self.text.len());
--- a/crates/broker/src/codec/tests.rs
+++ b/crates/broker/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Frames that come in pieces, and bytes that are no frame.
+//! Tests of decoding partial and malformed frames.
 
 use super::{FrameDecoder, InboundFrame};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -11,7 +11,7 @@
 }
 
 #[rstest]
-fn reads_frames_that_come_byte_by_byte() {
+fn decodes_frames_received_byte_by_byte() {
     let bytes = [frame(b"5q.3 S 18 queue=1\nv\n5"), frame(b"5q.4 B 0 -\n"), frame(b"4-")].concat();
     let (mut decoder, mut buffer, mut decoded) =
         (FrameDecoder { max_frame_bytes: 64 }, BytesMut::new(), Vec::new());
@@ -32,14 +32,14 @@
 }
 
 #[rstest]
-#[case(&[0, 0, 0, 0], "a frame of 0 bytes")]
-#[case(&[65, 0, 0, 0], "a frame of 65 bytes")]
-#[case(&frame(b"7"), "a frame `7`")]
-#[case(&frame(b"5q.3 S 18 -"), "can't be read")] // no line feed
-#[case(&frame(b"5q.3 S 18\nv"), "can't be read")]
-#[case(&frame(b"5q.3 Q 18 -\nv"), "can't be read")]
-#[case(&frame(b"5q.3 S 18 -\n\xff"), "can't be read")]
-fn rejects_what_is_no_frame(#[case] bytes: &[u8], #[case] expected: &str) {
+#[case(&[0, 0, 0, 0], "invalid frame length: 0 bytes")]
+#[case(&[65, 0, 0, 0], "invalid frame length: 65 bytes")]
+#[case(&frame(b"7"), "unknown frame type `7`")]
+#[case(&frame(b"5q.3 S 18 -"), "malformed response")] // no line feed
+#[case(&frame(b"5q.3 S 18\nv"), "malformed response")]
+#[case(&frame(b"5q.3 Q 18 -\nv"), "malformed response")]
+#[case(&frame(b"5q.3 S 18 -\n\xff"), "malformed response")]
+fn rejects_malformed_frames(#[case] bytes: &[u8], #[case] expected: &str) {
     let mut decoder = FrameDecoder { max_frame_bytes: 64 };
     let error = decoder.decode(&mut BytesMut::from(bytes)).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
--- a/crates/broker/src/command/mod.rs
+++ b/crates/broker/src/command/mod.rs
@@ -1,7 +1,7 @@
 //! The command line of the program `shard-broker`.
 //!
-//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments or in a checked file; 3 the broker whose
-//! status was asked for does not answer.
+//! Exit codes: 0 done; 1 the broker can't serve; 2 a mistake in the arguments or in a checked file; 3 the broker
+//! whose status was asked for does not answer.
 
 mod check;
 mod mistakes;
@@ -65,8 +65,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Convert a config file to a deployment with another layout, and list what can't be carried over. An existing file
-    /// is never overwritten.
+    /// Convert a config file to a deployment with another layout, and list what can't be carried over. An existing
+    /// file is never overwritten.
     Reshape {
         /// The present config file, JSON; it is not changed.
         old: PathBuf,
--- a/crates/broker/src/engine/attempt_table.rs
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -1,43 +1,39 @@
-//! Attempts in flight, and their timers.
+//! The table of attempts in flight and their timers.
 
 use crate::node_pool::AttemptId;
 use routing::{NodeId, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 
-/// What a timer of an attempt means.
+/// The kind of a timer, which determines how the attempt is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// An attempt that is not completely written by then is cancelled, or its connection closed.
+    /// Cancels the attempt, or closes its connection, if it has not been written completely.
     WriteDeadline,
-    /// The attempt times out.
+    /// Ends the attempt as timed out.
     Timeout,
 }
 
-/// A time at which something is to happen to an attempt. Timers are ordered by their time first.
+/// A timer of an attempt. Timers are ordered by their due time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptTimer {
-    /// When it is due.
+    /// The time at which the timer is due.
     at: Timestamp,
-    /// What is to happen.
     pub(super) kind: TimerKind,
-    /// To which attempt.
     pub(super) attempt: AttemptId,
 }
 
-/// An attempt whose end is not known yet.
+/// An attempt that was sent and has not ended.
 pub(super) struct InFlightAttempt {
-    /// The node that it was sent to.
     pub(super) node: NodeId,
-    /// The turn in which it was sent.
+    /// The time of the turn in which the attempt was sent.
     pub(super) sent_at: Timestamp,
-    /// When it must be written completely.
+    /// The time by which the attempt must be written completely.
     pub(super) write_deadline: Timestamp,
-    /// When it times out.
     pub(super) times_out_at: Timestamp,
 }
 
 impl InFlightAttempt {
-    /// The timers of this attempt, whose id is given.
+    /// Returns the timers of this attempt. `attempt` is its id.
     fn timers(&self, attempt: AttemptId) -> [AttemptTimer; 2] {
         [
             AttemptTimer { at: self.write_deadline, kind: TimerKind::WriteDeadline, attempt },
@@ -50,7 +46,7 @@
 #[derive(Default)]
 pub(super) struct AttemptTable {
     attempts: HashMap<AttemptId, InFlightAttempt>,
-    /// Both timers of each attempt, the earliest first.
+    /// Both timers of each attempt, earliest first.
     timers: BTreeSet<AttemptTimer>,
 }
 
@@ -61,7 +57,7 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// Removes an attempt and its timers; `None`: its end is known already.
+    /// Removes an attempt and its timers. Returns `None` if the attempt has already ended.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&id)?;
         for timer in attempt.timers(id) {
@@ -70,12 +66,12 @@
         Some(attempt)
     }
 
-    /// When the next timer is due.
+    /// Returns the due time of the earliest timer.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         self.timers.first().map(|timer| timer.at)
     }
 
-    /// Takes the next timer that is due by `now`.
+    /// Removes and returns the earliest timer if it is due by `now`.
     pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<AttemptTimer> {
         self.timers.first().filter(|timer| timer.at <= now)?;
         self.timers.pop_first()
--- a/crates/broker/src/engine/batches.rs
+++ b/crates/broker/src/engine/batches.rs
@@ -1,13 +1,15 @@
-//! Splits the attempts to one node into batches.
+//! Batching of the attempts to one node.
 
 use crate::limits::NodeLimits;
 use crate::node_pool::AttemptToSend;
 
-/// How often a shard request's id counts among the bytes of its batch: this allows for the numbers beside it.
+/// The weight of a shard request's id in the size estimate. Counting the id twice leaves room for the shard number,
+/// the timeout and the text length, which are encoded next to it.
 const ID_BYTES_FACTOR: usize = 2;
 
-/// Splits attempts, in order, into batches within the bounds on shard requests and bytes. One that is beyond the
-/// bytes by itself has a batch of its own.
+/// Splits attempts into batches that are within the limits on shard requests and bytes, and preserves their order.
+///
+/// An attempt that exceeds the byte limit alone is placed in a separate batch.
 pub(super) fn split_into_batches(
     attempts: Vec<AttemptToSend>,
     limits: &NodeLimits,
@@ -32,7 +34,7 @@
     batches
 }
 
-/// About how many bytes of its frame a shard request takes.
+/// Estimates the encoded size of a shard request in bytes.
 fn encoded_bytes(attempt: &AttemptToSend) -> usize {
     attempt.shard_request.text.len() + ID_BYTES_FACTOR * attempt.shard_request.id.len()
 }
--- a/crates/broker/src/engine/batches/tests.rs
+++ b/crates/broker/src/engine/batches/tests.rs
@@ -1,4 +1,4 @@
-//! Batches within the bounds on shard requests and bytes.
+//! Tests of splitting attempts into batches.
 
 use super::split_into_batches;
 use crate::codec::ShardRequestMessage;
@@ -10,14 +10,14 @@
 use settings::BrokerSettings;
 use tokio::time::Instant;
 
-/// Limits with these bounds on a batch.
+/// Returns node limits with these batch limits.
 fn limits(max_batch_size: usize, max_frame_bytes: usize) -> NodeLimits {
     let machine = Machine { memory_mb: 192, sockets: 1024 };
     let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
     NodeLimits { max_batch_size, max_frame_bytes, ..limits.nodes }
 }
 
-/// An attempt whose text has this many bytes, and whose id has one.
+/// Returns an attempt with a text of `text_bytes` bytes and a wire id of one byte.
 fn attempt(number: u64, text_bytes: usize) -> AttemptToSend {
     AttemptToSend {
         attempt: AttemptId { shard_request: ShardRequestId(number), number: AttemptNumber(0) },
@@ -30,8 +30,8 @@
     }
 }
 
-/// Attempts beyond a bound go into the next batch, in their order; none is left out. Each counts two bytes beside its
-/// text here.
+/// Attempts that exceed a limit must move to the next batch without being lost or reordered. With ids of one byte,
+/// the size estimate of an attempt is the length of its text plus two.
 #[rstest]
 #[case::none(&[], &[])]
 #[case::by_count(&[8, 8, 8, 8, 8], &[3, 2])]
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -1,7 +1,7 @@
-//! Carries out the effects of a turn.
+//! Execution of the effects of a turn.
 //!
-//! Attempts are collected while the effects are carried out in order, and leave last: those to one node are sent
-//! together, and one whose query ended or that was cancelled in the same turn is not sent at all.
+//! Effects are executed in order, except that attempts are collected and sent last. Attempts to the same node can
+//! then be batched, and those that were cancelled, or whose query ended, in the same turn are not sent.
 
 use super::attempt_table::InFlightAttempt;
 use super::batches::split_into_batches;
@@ -16,26 +16,25 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// The attempts that one turn sends, and those that it cancels.
+/// The attempts that a turn starts and cancels.
 #[derive(Default)]
 struct TurnAttempts {
     by_node: BTreeMap<NodeId, Vec<AttemptToSend>>,
-    /// Those that the turn itself cancels.
     cancelled: Vec<AttemptId>,
 }
 
 impl Engine {
-    /// Carries out the effects of a turn, in order, and then sends its attempts.
-    pub(super) fn carry_out(&self, now: Timestamp, effects: Vec<Effect>) {
+    /// Executes the effects of a turn in order, then sends its attempts.
+    pub(super) fn apply_effects(&self, now: Timestamp, effects: Vec<Effect>) {
         let mut attempts = TurnAttempts::default();
         for effect in effects {
-            self.carry_out_effect(now, effect, &mut attempts);
+            self.apply_effect(now, effect, &mut attempts);
         }
         self.send_attempts(attempts);
     }
 
-    /// Carries out one effect; an attempt is only added to `attempts`.
-    fn carry_out_effect(&self, now: Timestamp, effect: Effect, attempts: &mut TurnAttempts) {
+    /// Executes one effect. Attempts to send are only added to `attempts`.
+    fn apply_effect(&self, now: Timestamp, effect: Effect, attempts: &mut TurnAttempts) {
         match effect {
             Effect::Send { shard_request, node, timeout } => {
                 if let Some(sending) = self.start_attempt(now, shard_request, node, timeout) {
@@ -56,27 +55,28 @@
             Effect::Fail { query } => self.finish(query, |_| QueryOutcome::Failed),
             Effect::Probe { node } => self.nodes.probe(node),
             Effect::CloseIdle { node } => self.nodes.close_idle(node),
-            Effect::Wake { after } => self.wake_by(now + after),
+            Effect::Wake { after } => self.schedule_wake_up(now + after),
             Effect::WatchEndpoints => self.watch_requested.notify_one(),
             Effect::Log(event) => log_event(event),
         }
     }
 
-    /// Sets the wake-up of the decisions, unless an earlier one is set.
-    fn wake_by(&self, at: Timestamp) {
+    /// Schedules a wake-up of the routing logic, unless an earlier one is scheduled.
+    fn schedule_wake_up(&self, at: Timestamp) {
         let wake_at = self.wake_at.get().map_or(at, |earlier| earlier.min(at));
         self.wake_at.set(Some(wake_at));
     }
 
-    /// Ends a query that is still open.
+    /// Ends a query with the outcome made from its responses. Has no effect if the query has already ended.
     pub(super) fn finish(&self, id: QueryId, outcome: impl FnOnce(Vec<ShardResponse>) -> QueryOutcome) {
         if let Some(closed) = self.close(id) {
             closed.query.finish(outcome(closed.responses), self.clock.now());
         }
     }
 
-    /// Enters an attempt as in flight and returns what is sent of it. `None`: its query has ended, and that it was
-    /// not sent is reported.
+    /// Registers an attempt as in flight and returns the message to send.
+    ///
+    /// If the query has ended, reports the attempt as not sent and returns `None`.
     fn start_attempt(
         &self,
         now: Timestamp,
@@ -101,17 +101,17 @@
         Some(AttemptToSend { attempt: id, shard_request })
     }
 
-    /// Sends the turn's attempts, a node at a time.
+    /// Sends the turn's attempts, one node after the other.
     ///
-    /// An effect later in the turn may have ended the query of an attempt, or cancelled it. Sent all the same, it
-    /// would make a node work for nobody, and start after its query's final answer; it is reported as not sent.
+    /// A later effect of the turn may have cancelled an attempt or ended its query. Such an attempt is reported as
+    /// not sent: if it were sent, it would start after the final response and waste the node's capacity.
     fn send_attempts(&self, attempts: TurnAttempts) {
         let TurnAttempts { by_node, cancelled } = attempts;
         for (node, to_send) in by_node {
-            let (wanted, unwanted): (Vec<_>, Vec<_>) = to_send
+            let (wanted, stale): (Vec<_>, Vec<_>) = to_send
                 .into_iter()
-                .partition(|sending| !cancelled.contains(&sending.attempt) && self.is_wanted(sending));
-            for sending in unwanted {
+                .partition(|sending| !cancelled.contains(&sending.attempt) && self.is_query_open(sending));
+            for sending in stale {
                 self.report_not_sent(node, sending.attempt);
             }
             for batch in split_into_batches(wanted, &self.limits.nodes) {
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Whether an attempt's query is still open.
-    fn is_wanted(&self, sending: &AttemptToSend) -> bool {
+    /// Returns whether the query of an attempt is still open.
+    fn is_query_open(&self, sending: &AttemptToSend) -> bool {
         self.queries.borrow().is_open(sending.attempt.shard_request)
     }
 
-    /// Ends an attempt of which nothing was handed to its node.
+    /// Ends an attempt that was not passed to the node pool, with the outcome `NotSent`.
     fn report_not_sent(&self, node: NodeId, id: AttemptId) {
         self.attempts.borrow_mut().remove(id);
         let AttemptId { shard_request, number: attempt } = id;
@@ -139,7 +139,8 @@
     }
 }
 
-/// Writes an event of the routing decisions to the log: a stable text, variables as fields.
+/// Logs an event of the routing logic. Operators search for the messages, so they are constant and variables are
+/// fields.
 fn log_event(event: LogEvent) {
     match event {
         LogEvent::CutoffActivated { pressure } => {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Rounds a share for the log.
+/// Rounds to two decimal places, for log output.
 fn to_hundredths(share: f64) -> f64 {
     (share * 100.0).round() / 100.0
 }
--- a/crates/broker/src/engine/endpoints.rs
+++ b/crates/broker/src/engine/endpoints.rs
@@ -1,5 +1,7 @@
-//! The engine's interface for discovery. It gives names ids, tells the node pool the addresses, and queues the list
-//! as an input of the decisions.
+//! The engine's interface for discovery.
+//!
+//! Assigns ids to the names of nodes and zones, passes the addresses to the node pool, and queues the endpoint list
+//! for the routing logic.
 
 use super::Engine;
 use super::id_registry::IdRegistry;
@@ -9,13 +11,15 @@
 };
 
 impl Engine {
-    /// Queues that the endpoint list could not be read or is no longer watched; the last one stays in use.
+    /// Reports to the routing logic that a request for the endpoint list, or the watch on it, has failed. The last
+    /// list stays in use.
     pub fn endpoint_list_failed(&self) {
         self.push_input(Input::EndpointListFailed);
     }
 
-    /// Queues an endpoint list: all nodes, or those that changed. Of a node that is not ready any more, or gone, the
-    /// attempts of which nothing was written end at once.
+    /// Applies an endpoint list, which has all nodes or, with [`EndpointListKind::Delta`], only those that changed.
+    ///
+    /// If a node is removed or no longer ready, its attempts of which no byte was written end immediately.
     pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
         let mut ids = self.ids.borrow_mut();
         if kind != EndpointListKind::Delta {
@@ -29,7 +33,7 @@
         self.push_input(Input::EndpointList(EndpointList { kind, wall_clock, entries: entries.into() }));
     }
 
-    /// Registers one listed node, and sets its address.
+    /// Registers a listed node and sets its address in the node pool.
     fn update_endpoint(&self, ids: &mut IdRegistry, listed: ListedNode) -> Endpoint {
         let state = EndpointState::from(listed.state);
         let is_ready = state == EndpointState::Ready;
--- a/crates/broker/src/engine/event_loop.rs
+++ b/crates/broker/src/engine/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for something to happen, and gives the decisions their turns.
+//! The event loop, which waits for events and executes the turns of the routing logic.
 
 use super::Engine;
 use super::attempt_table::{AttemptTimer, TimerKind};
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long the event loop sleeps at most while no timer is set.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3600);
+/// The longest sleep of the event loop while no timer is set.
+const MAX_IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
 impl Engine {
-    /// Gives the decisions their turns, at least the configured period apart, for as long as the broker runs.
+    /// Executes turns, at least the configured period apart, for as long as the broker runs.
     pub async fn run(self: Rc<Self>) {
         let period = to_duration(self.limits.turn_period);
         let mut last_turn: Option<Instant> = None;
@@ -30,27 +30,29 @@
         }
     }
 
-    /// Waits for an input, a result, or the next due time. A result is taken over at once, so that its time and its
-    /// response are with the engine before the next turn.
+    /// Waits for an input, a result, or the time `due`.
+    ///
+    /// Collects results immediately, so that their times and responses are available to the engine before the next
+    /// turn.
     async fn wait_for_work(&self, due: Option<Instant>) {
-        let longest = Instant::now() + LONGEST_SLEEP;
+        let latest = Instant::now() + MAX_IDLE_SLEEP;
         tokio::select! {
             () = self.work_ready.notified() => {}
             () = self.nodes.results_ready.notified() => {
                 self.collect_ended_attempts();
                 self.collect_probe_results();
             }
-            () = sleep_until(due.unwrap_or(longest)) => {}
+            () = sleep_until(due.unwrap_or(latest)) => {}
         }
     }
 
-    /// When the next turn, or the next timer of an attempt, is due.
+    /// Returns the earlier of the requested wake-up and the next attempt timer, or `None` if neither is set.
     fn next_due(&self) -> Option<Instant> {
         let timer = self.attempts.borrow().next_due();
         self.wake_at.get().into_iter().chain(timer).min().map(|at| self.clock.to_instant(at))
     }
 
-    /// One turn: the decisions take in what has happened, and what they decide is carried out.
+    /// Executes one turn: passes the queued inputs to the routing logic and applies the resulting effects.
     fn turn(&self) {
         let now = self.clock.now();
         self.end_overdue_attempts(now);
@@ -61,11 +63,11 @@
             return;
         }
         self.set_time_left(&mut inputs, now);
-        let effects = self.decider.borrow_mut().turn(now, &inputs);
-        self.carry_out(now, effects);
+        let effects = self.routing_logic.borrow_mut().turn(now, &inputs);
+        self.apply_effects(now, effects);
     }
 
-    /// The queued inputs, with the wake-up of the decisions where that is due.
+    /// Takes the queued inputs, and appends [`Input::Woken`] if the requested wake-up is due.
     fn take_inputs(&self, now: Timestamp) -> Vec<Input> {
         let mut inputs = self.inputs.take();
         if self.wake_at.get().is_some_and(|at| at <= now) {
@@ -75,7 +77,7 @@
         inputs
     }
 
-    /// Ends the attempts whose write deadline or timeout is over.
+    /// Ends the attempts whose write deadline or timeout has passed.
     fn end_overdue_attempts(&self, now: Timestamp) {
         while let Some(timer) = self.next_due_timer(now) {
             match timer.kind {
@@ -85,12 +87,14 @@
         }
     }
 
-    /// Takes the next due timer. The table must not be borrowed while the timer is acted on.
+    /// Removes and returns the next due timer. A separate function, so that the attempt table is no longer borrowed
+    /// when the timer is handled.
     fn next_due_timer(&self, now: Timestamp) -> Option<AttemptTimer> {
         self.attempts.borrow_mut().pop_due(now)
     }
 
-    /// A query's time runs from when its client sent it, not from the turn that takes it in.
+    /// Sets the remaining time of new queries. The time that they have spent in the input queue counts towards the
+    /// client's deadline.
     fn set_time_left(&self, inputs: &mut [Input], now: Timestamp) {
         let queries = self.queries.borrow();
         for input in inputs {
--- a/crates/broker/src/engine/id_registry.rs
+++ b/crates/broker/src/engine/id_registry.rs
@@ -1,42 +1,42 @@
-//! The ids by which the routing decisions know nodes and zones.
+//! The ids of nodes and zones that the routing logic uses.
 
 use crate::endpoint_list::ListedNode;
 use routing::{EndpointState, NodeId, ZoneId};
 use std::collections::{HashMap, HashSet};
 
-/// Gives ids to the names that discovery uses. A node that was removed and comes back gets a new id.
+/// A mapping from the names used by discovery to ids. A node that was removed and is listed again gets a new id.
 #[derive(Default)]
 pub(super) struct IdRegistry {
-    /// By the name that discovery uses.
+    /// Node ids by the node's name in discovery.
     nodes: HashMap<String, NodeId>,
-    /// Those that are listed as ready.
+    /// The nodes that are listed as ready.
     ready_nodes: HashSet<NodeId>,
-    /// Whether a node was ever ready.
     has_seen_ready_node: bool,
-    /// A zone's id is its place here.
+    /// Zone names. The index of a zone is its id.
     zones: Vec<String>,
-    /// The id that was given last.
+    /// The node id that was assigned last.
     last_node_id: u64,
 }
 
 impl IdRegistry {
-    /// Starts with the zones that the configuration names, under the ids that it gives them.
+    /// Creates a registry without nodes. `zones` are the configured zones, ordered by their ids.
     pub(super) fn new(zones: Vec<String>) -> IdRegistry {
         IdRegistry { zones, ..IdRegistry::default() }
     }
 
-    /// The number of nodes that are ready.
+    /// Returns the number of ready nodes.
     pub(super) fn ready_node_count(&self) -> usize {
         self.ready_nodes.len()
     }
 
-    /// Whether a node was ever ready.
+    /// Returns whether any node has been ready since the start.
     pub(super) fn has_seen_ready_node(&self) -> bool {
         self.has_seen_ready_node
     }
 
-    /// Removes the nodes that a complete list does not name, and returns their ids. The others count as ready only once
-    /// their own entries are registered.
+    /// Removes the nodes that a complete list does not contain and returns their ids.
+    ///
+    /// Resets the readiness of the others. They count as ready again when their entries are registered.
     pub(super) fn remove_unlisted(&mut self, listed: &[ListedNode]) -> Vec<NodeId> {
         self.ready_nodes.clear();
         let listed: HashSet<&str> = listed.iter().map(|node| &node.name[..]).collect();
@@ -51,7 +51,8 @@
         removed
     }
 
-    /// Notes a node's state and returns its id, also if it is removed by that.
+    /// Records the state of a node and returns its id. With [`EndpointState::Removed`] the node is removed, and the
+    /// returned id is not assigned again.
     pub(super) fn register_node(&mut self, name: &str, state: EndpointState) -> NodeId {
         let next = NodeId(self.last_node_id + 1);
         let node = *self.nodes.entry(name.to_owned()).or_insert(next);
@@ -68,7 +69,7 @@
         node
     }
 
-    /// The id of a zone; an unknown one is added.
+    /// Returns the id of a zone, and adds the zone if it is unknown.
     pub(super) fn zone_id(&mut self, name: String) -> ZoneId {
         let known = self.zones.iter().position(|zone| *zone == name);
         let index = known.unwrap_or_else(|| {
--- a/crates/broker/src/engine/memory_budget.rs
+++ b/crates/broker/src/engine/memory_budget.rs
@@ -1,25 +1,23 @@
-//! The bound on the memory that queries, responses and reservations hold.
+//! The memory limit for queries, responses and reservations.
 
-/// Bytes held, within a bound. What is counted is released by whoever reserved it.
+/// A counter of reserved bytes with an upper limit. Each caller releases the bytes that it has reserved.
 pub(super) struct MemoryBudget {
-    /// Bytes held now.
     held_bytes: usize,
-    /// The bound on them.
     max_bytes: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of which nothing is held.
+    /// Creates a budget with no bytes reserved.
     pub(super) fn new(max_bytes: usize) -> MemoryBudget {
         MemoryBudget { held_bytes: 0, max_bytes }
     }
 
-    /// Whether this many bytes more are within the bound.
+    /// Returns whether this many further bytes are within the limit.
     pub(super) fn has_room_for(&self, bytes: usize) -> bool {
         self.held_bytes + bytes <= self.max_bytes
     }
 
-    /// Counts bytes as held, if they are within the bound; `false`: they are not.
+    /// Reserves bytes if they are within the limit, and returns whether it has.
     pub(super) fn try_reserve(&mut self, bytes: usize) -> bool {
         let has_room = self.has_room_for(bytes);
         if has_room {
@@ -28,12 +26,12 @@
         has_room
     }
 
-    /// Counts bytes as held that were found to be within the bound before.
+    /// Reserves bytes without a check. The caller must have checked [`MemoryBudget::has_room_for`].
     pub(super) fn reserve(&mut self, bytes: usize) {
         self.held_bytes += bytes;
     }
 
-    /// Counts bytes as held no more.
+    /// Releases reserved bytes.
     pub(super) fn release(&mut self, bytes: usize) {
         self.held_bytes -= bytes;
     }
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -1,46 +1,48 @@
-//! The engine: owns the routing decisions with their clock and timers, feeds them what happens, and carries
-//! out what they decide.
+//! The engine connects the routing logic to sockets and timers.
 //!
-//! # The phases of a query
+//! The routing logic is a state machine without I/O. The engine passes events to it as [`Input`]s and executes the
+//! [`Effect`](routing::Effect)s that it returns.
 //!
-//! 1. **Submit** (`submission`). A front end hands a [`QueryRequest`] to [`Engine::submit`]. Within the bounds of the
-//!    `query_table` the query is opened and its [`Input`]s are queued; the front end holds an [`AcceptedQuery`] and
-//!    waits for its [`QueryOutcome`].
-//! 2. **Turn** (`event_loop`). [`Engine::run`] hands all queued inputs to the `decider`, at least the turn period
-//!    after the turn before, and gets [`Effect`](routing::Effect)s back.
-//! 3. **Dispatch** (`dispatch`). The effects are carried out in order. Attempts leave last, in a batch for each node,
-//!    through [`NodePool::send`]; each is entered in the `attempt_table` with a write deadline and a timeout.
-//! 4. **Results** (`results`). The node pool ends each attempt exactly once. The engine keeps the first response of a
-//!    shard request and queues the result for the next turn.
+//! # Lifecycle of a query
+//!
+//! 1. **Submit** (`submission`). A front end passes a [`QueryRequest`] to [`Engine::submit`]. If the query fits
+//!    within the limits of the `query_table`, the engine opens it and queues its inputs. The front end receives an
+//!    [`AcceptedQuery`] and awaits the [`QueryOutcome`].
+//! 2. **Turn** (`event_loop`). [`Engine::run`] passes all queued inputs to the `routing_logic` and receives effects.
+//!    Two turns are at least the turn period apart.
+//! 3. **Dispatch** (`dispatch`). The engine executes the effects in order. It sends the attempts last, batched by
+//!    node, through [`NodePool::send`], and enters each in the `attempt_table` with a write deadline and a timeout.
+//! 4. **Results** (`results`). The node pool reports the end of each attempt exactly once. The engine stores the
+//!    first response to a shard request and queues the result for the next turn.
 //! 5. **Finish** (`dispatch`). `Respond`, `Reject` or `Fail` removes the query from the table and sends its outcome.
 //!
 //! # Concurrency
 //!
 //! Everything runs on one thread. The front end, discovery and the node connections only add inputs or results;
-//! one task, [`Engine::run`], takes the turns. No borrow of a cell is held across an `await`, and a turn does not
-//! await, so every task sees the state between two turns.
+//! turns run in a single task, [`Engine::run`]. No cell is borrowed across an `await`, and a turn does not await, so
+//! other tasks never observe the state in the middle of a turn.
 //!
-//! | event | who notifies | who wakes |
+//! | Event | Notified by | Task woken |
 //! | --- | --- | --- |
-//! | an input was queued | `Engine::push_input` (`work_ready`) | `Engine::run` |
-//! | an attempt or a probe ended | `NodePool` (`results_ready`) | `Engine::run` |
-//! | a timer of an attempt or of the decisions is due | the clock | `Engine::run` |
-//! | the decisions want the endpoint list | `dispatch` (`watch_requested`) | `discovery::watch_endpoints` |
-//! | a query ended | `dispatch`, by the query's `oneshot` channel | the front end's task |
+//! | An input was queued | `Engine::push_input` (`work_ready`) | `Engine::run` |
+//! | An attempt or a probe ended | `NodePool` (`results_ready`) | `Engine::run` |
+//! | A timer of an attempt or of the routing logic is due | the clock | `Engine::run` |
+//! | The routing logic requests the endpoint list | `dispatch` (`watch_requested`) | `discovery::watch_endpoints` |
+//! | A query ended | `dispatch`, through the query's `oneshot` channel | the front end's task |
 //!
 //! # Cancellation
 //!
-//! - An [`AcceptedQuery`] that is dropped before its outcome (its client has left) closes the query: attempts of which
-//!   nothing was written are not sent, and the decisions learn of it as [`Input::ClientLeft`] and cancel the others.
+//! - Dropping an [`AcceptedQuery`] before its outcome means that the client has disconnected, and closes the query.
+//!   Attempts of which no byte was written are not sent. The routing logic receives [`Input::ClientLeft`] and cancels
+//!   the others.
 //! - Dropping a [`ReservedMemory`] releases its bytes.
-//! - A query that ends leaves its attempts in flight in the `attempt_table`, until each has its one end; the
-//!   results are still reported, as the decisions learn from them.
-//! - [`Engine::run`] is not meant to be dropped while queries are open: nothing would end them.
+//! - When a query ends, its attempts in flight remain in the `attempt_table` until each has ended. Their results are
+//!   still passed to the routing logic, which uses them to update its estimates.
+//! - [`Engine::run`] must not be dropped while queries are open, because no other task would end them.
 
 mod attempt_table;
 mod batches;
 mod clock;
-mod decider;
 mod dispatch;
 mod endpoints;
 mod event_loop;
@@ -51,6 +53,7 @@
 mod query;
 mod query_table;
 mod results;
+mod routing_logic;
 mod submission;
 
 #[cfg(test)]
@@ -66,48 +69,45 @@
 use attempt_table::AttemptTable;
 use bytes::Bytes;
 use clock::BrokerClock;
-use decider::Decider;
 use id_registry::IdRegistry;
 use query_table::QueryTable;
 use routing::{BrokerConfig, Input, Timestamp};
+use routing_logic::RoutingLogic;
 use settings::BrokerSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The routing decisions of one broker, what they are taken from and what they are carried out on.
+/// The routing logic of one broker, together with the state and connections that it operates on.
 pub struct Engine {
     limits: Rc<Limits>,
     clock: BrokerClock,
-    /// Where attempts and probes are sent.
+    /// The connections through which attempts and probes are sent.
     nodes: Rc<NodePool>,
-    /// Takes the decisions.
-    decider: RefCell<Decider>,
-    /// What has happened since the last turn.
+    routing_logic: RefCell<RoutingLogic>,
+    /// Inputs queued since the last turn.
     inputs: RefCell<Vec<Input>>,
-    /// The open queries.
     queries: RefCell<QueryTable>,
-    /// The attempts in flight.
     attempts: RefCell<AttemptTable>,
     /// The ids of nodes and zones.
     ids: RefCell<IdRegistry>,
-    /// The configuration under which queries are accepted now.
+    /// The configuration under which new queries are accepted.
     epoch: RefCell<Rc<ConfigEpoch>>,
-    /// When the decisions want their next turn.
+    /// The wake-up time that the routing logic has requested.
     wake_at: Cell<Option<Timestamp>>,
-    /// Notified when there is an input.
+    /// Notified when an input is queued.
     work_ready: Notify,
-    /// Notified when the routing decisions want the endpoint list watched.
+    /// Notified when the routing logic requests a watch on the endpoint list. Discovery waits for it.
     pub watch_requested: Notify,
 }
 
 impl Engine {
-    /// An engine that knows no node and has no query. Its decisions are taken by [`Engine::run`], which has to be
-    /// spawned.
+    /// Creates an engine without nodes and queries. The caller must spawn [`Engine::run`], which executes the turns.
     ///
-    /// `seed` seeds the decisions' random numbers. `started_at`: the Unix time of this moment, where a simulation
-    /// sets it; else the system's. `admission`: the configuration of admission control, where it is switched on.
+    /// `seed` initializes the random number generator of the routing logic. `started_at` is the Unix time at which
+    /// the engine's clock starts, set by simulations; with `None` the clock starts at the system time. `admission` is
+    /// the configuration of admission control; with `None` admission control is disabled.
     pub fn new(
         broker_settings: BrokerSettings,
         seed: u64,
@@ -118,11 +118,11 @@
         let epoch = Rc::new(ConfigEpoch::new(&broker_settings));
         let BrokerSettings { broker_config, zones, .. } = broker_settings;
         let clock = BrokerClock::start(started_at);
-        let decider = Decider::new(broker_config, seed, clock.start_time(), admission);
+        let routing_logic = RoutingLogic::new(broker_config, seed, clock.start_time(), admission);
         Rc::new(Engine {
             clock,
             nodes: NodePool::new(limits.clone()),
-            decider: RefCell::new(decider),
+            routing_logic: RefCell::new(routing_logic),
             inputs: RefCell::new(vec![Input::Woken]),
             queries: RefCell::new(QueryTable::new(limits.max_held_bytes)),
             attempts: RefCell::default(),
@@ -135,46 +135,47 @@
         })
     }
 
-    /// Queues an input for the next turn, and wakes the event loop.
+    /// Queues an input for the next turn and wakes the event loop.
     fn push_input(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.work_ready.notify_one();
     }
 
-    /// Whether discovery has named a ready node since the start.
+    /// Returns whether discovery has listed a ready node since the start.
     pub fn can_serve(&self) -> bool {
         self.ids.borrow().has_seen_ready_node()
     }
 
-    /// The number of nodes that discovery lists as ready.
+    /// Returns the number of nodes that discovery lists as ready.
     pub fn ready_nodes(&self) -> usize {
         self.ids.borrow().ready_node_count()
     }
 
-    /// The number of queries without an outcome.
+    /// Returns the number of accepted queries that have no outcome yet.
     pub fn open_queries(&self) -> usize {
         self.queries.borrow().len()
     }
 
-    /// The attempts in flight, in order: the node's address, and the shard request's id on the wire. A
-    /// simulation compares them with what its nodes have, to see whether anything is under way.
+    /// Returns the node address and the wire id of the shard request for each attempt in flight, in sorted order.
+    /// Simulations compare them with the attempts that their nodes are executing, to detect when no work is left.
     pub fn attempts_in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
         self.nodes.in_flight()
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight_count(&self) -> usize {
         self.nodes.count_in_flight()
     }
 
-    /// The configuration under which queries are accepted now.
+    /// Returns the configuration under which new queries are accepted.
     pub fn epoch(&self) -> Rc<ConfigEpoch> {
         self.epoch.borrow().clone()
     }
 
-    /// Accepts queries under another configuration from now on. Both sides change in one step: a query that a
-    /// front end has read under the former epoch precedes the change among the inputs, any later one follows
-    /// it.
+    /// Replaces the configuration for queries accepted from now on.
+    ///
+    /// Front ends and the routing logic change over at the same point in the input queue: queries read under the
+    /// previous epoch are queued before [`Input::Config`], later ones after it.
     pub fn apply_config(&self, epoch: ConfigEpoch, broker_config: BrokerConfig) {
         self.epoch.replace(Rc::new(epoch));
         self.push_input(Input::Config(Box::new(broker_config)));
--- a/crates/broker/src/engine/open_query.rs
+++ b/crates/broker/src/engine/open_query.rs
@@ -1,4 +1,4 @@
-//! A query from its acceptance to its outcome, and one of its shard requests.
+//! The state of an open query and of its shard requests.
 
 use super::QueryOutcome;
 use crate::config_epoch::ConfigEpoch;
@@ -9,35 +9,35 @@
 
 /// A query that has no outcome yet.
 pub(super) struct OpenQuery {
-    /// Its id on the wire.
+    /// The query's id on the wire.
     pub(super) wire_id: Bytes,
-    /// The configuration under which it was accepted; it holds to the query's end.
+    /// The configuration under which the query was accepted. It applies until the query ends.
     pub(super) epoch: Rc<ConfigEpoch>,
-    /// When its latency objective is over.
+    /// The end of the latency objective. A later response counts as late.
     pub(super) objective_at: Timestamp,
-    /// An attempt of it found its node down, or lost its connection.
+    /// Whether an attempt of the query could not connect to its node, or lost the connection.
     pub(super) has_lost_node: bool,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting.
     pub(super) deadline: Timestamp,
-    /// Its shard requests, in the order of the request.
+    /// The ids of the shard requests, in the order of the client's request.
     pub(super) shard_requests: Vec<ShardRequestId>,
-    /// What every shard request carries.
+    /// The query text that is sent with every shard request.
     pub(super) text: Bytes,
-    /// The memory that is counted for it, without its responses.
+    /// The memory reserved for the query, excluding its responses.
     pub(super) held_bytes: usize,
-    /// Where the front end waits for its outcome.
+    /// Sends the outcome to the front end.
     pub(super) outcome: oneshot::Sender<QueryOutcome>,
 }
 
 impl OpenQuery {
-    /// Counts the outcome in the query's own configuration epoch, and sends it to the front end.
+    /// Counts the outcome in the epoch under which the query was accepted, and sends it to the front end.
     pub(super) fn finish(self, outcome: QueryOutcome, now: Timestamp) {
         self.count_outcome(&outcome, now);
-        // The front end may have dropped the receiver: the client has just left.
+        // Sending fails if the client has just disconnected and the front end has dropped the receiver.
         let _ = self.outcome.send(outcome);
     }
 
-    /// Counts how the query ended, and whether it did so after a lost node.
+    /// Counts the outcome and, unless the response was on time, whether a node was lost.
     fn count_outcome(&self, outcome: &QueryOutcome, now: Timestamp) {
         let is_late = now > self.objective_at;
         self.epoch.count(|counts| {
@@ -56,14 +56,12 @@
 
 /// A shard request of an open query.
 pub(super) struct OpenShardRequest {
-    /// The query that it belongs to.
     pub(super) query: QueryId,
-    /// The shard that it reads.
     pub(super) shard: ShardId,
-    /// Its id on the wire.
+    /// The shard request's id on the wire.
     pub(super) wire_id: Bytes,
-    /// The number of attempts so far.
+    /// The number of attempts started so far.
     pub(super) attempts: u16,
-    /// Its first response.
+    /// The first response received.
     pub(super) response: Option<Bytes>,
 }
--- a/crates/broker/src/engine/query.rs
+++ b/crates/broker/src/engine/query.rs
@@ -1,73 +1,74 @@
-//! What a front end and the engine exchange about one query.
+//! The types that front ends and the engine exchange for a query.
 
 use bytes::Bytes;
 use routing::{ClassId, ShardId, TenantId, TimeSpan};
 use tokio::time::Instant;
 
-/// A query as a front end hands it over.
+/// A query that a front end submits to the engine.
 pub struct QueryRequest {
-    /// The query's id on the wire.
+    /// The id chosen by the client. It must be unique among the open queries, and is a part of the shard request ids
+    /// sent to nodes.
     pub id: Bytes,
-    /// The class that sets its objective, deadline and coverage.
+    /// The request class, which determines the latency objective, the deadline and the required coverage.
     pub class: ClassId,
-    /// Who sent it.
+    /// The tenant that sent the query.
     pub tenant: TenantId,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Instant,
-    /// The work that its client expects.
+    /// The execution time that the client expects of all shard requests together; zero if it stated none.
     pub work: TimeSpan,
-    /// The shards that it reads.
+    /// The shards to read, each at most once.
     pub shard_requests: Vec<RequestedShard>,
-    /// What every shard request carries.
+    /// The query text, which every shard request forwards unchanged.
     pub text: Bytes,
-    /// The bytes that `text` keeps in memory: a text that is a slice of a longer body retains all of that
-    /// body.
+    /// The number of bytes that `text` keeps allocated. If `text` is a slice of a request body, this is the length of
+    /// the entire body.
     pub retained_bytes: usize,
 }
 
-/// One shard that a query reads.
+/// A shard that a query reads.
 pub struct RequestedShard {
-    /// The shard.
+    /// The shard to read.
     pub shard: ShardId,
-    /// Its share of the query's coverage; the weights of a query come to 1.
+    /// The shard's share of the query's coverage, from 0 to 1. The weights of a query add up to 1.
     pub weight: f64,
 }
 
-/// What a node answered for one shard of a query.
+/// A node's response for one shard of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardResponse {
-    /// The shard.
+    /// The shard that was read.
     pub shard: ShardId,
-    /// What was read of it; UTF-8.
+    /// The value returned by the node, in UTF-8.
     pub value: Bytes,
 }
 
-/// How an accepted query ended.
+/// The outcome of an accepted query.
 #[derive(Debug)]
 pub enum QueryOutcome {
-    /// It is answered.
+    /// The query was answered, possibly without some of its shards.
     Response {
-        /// Whether the coverage is what the class calls complete.
+        /// Whether the coverage reaches the value that the request class requires of a complete response.
         complete: bool,
-        /// What the nodes answered, for the shards that were read.
+        /// The responses, one for each shard that was read successfully.
         responses: Vec<ShardResponse>,
     },
-    /// It is not served now, and sending it again is harmless.
+    /// The query was rejected, and the client may send it again without the risk of executing it twice.
     Rejected {
-        /// The span after which the client may send it again; zero: none is given.
+        /// The time after which the client may retry, or zero if none is suggested.
         retry_after: TimeSpan,
     },
-    /// It could not be served, and sending it again might execute it twice.
+    /// The query failed, and sending it again might execute it twice.
     Failed,
 }
 
-/// Why a query was not accepted.
+/// The reason why [`Engine::submit`](super::Engine::submit) did not accept a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// The bound on open queries or on held memory is reached, or the broker is shutting down.
-    #[error("as much is held as may be")]
+    /// The limit on open queries or held memory is reached, or the broker is shutting down.
+    #[error("query not accepted: limit on open queries or held memory reached, or shutting down")]
     Overloaded,
-    /// A query of the same id is open.
-    #[error("a query of that id is open")]
+    /// A query with the same id is open.
+    #[error("query not accepted: another query with this id is open")]
     DuplicateId,
 }
--- a/crates/broker/src/engine/query_table.rs
+++ b/crates/broker/src/engine/query_table.rs
@@ -1,4 +1,4 @@
-//! The open queries and their shard requests, within bounds on their number and on the memory that they hold.
+//! The table of open queries and their shard requests, with limits on their number and memory.
 
 use super::memory_budget::MemoryBudget;
 use super::open_query::{OpenQuery, OpenShardRequest};
@@ -11,64 +11,60 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The times of a query that is about to be opened.
+/// The points in time that are fixed when a query is opened.
 pub(super) struct QueryTimes {
-    /// When its latency objective is over.
+    /// The end of the latency objective. A later response counts as late.
     pub(super) objective_at: Timestamp,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting.
     pub(super) deadline: Timestamp,
 }
 
-/// A query that was opened, as its front end knows it.
+/// The result of opening a query.
 pub(super) struct OpenedQuery {
-    /// Its id.
     pub(super) id: QueryId,
-    /// The ids of its shard requests, in the order of the request.
+    /// The ids of the shard requests, in the order of [`QueryRequest::shard_requests`].
     pub(super) shard_requests: Vec<ShardRequestId>,
-    /// Where its outcome comes.
+    /// Receives the outcome of the query.
     pub(super) outcome: oneshot::Receiver<QueryOutcome>,
 }
 
-/// A query that was removed, with the responses that came.
+/// A query that was removed from the table, with the responses received so far.
 pub(super) struct RemovedQuery {
-    /// The query.
     pub(super) query: OpenQuery,
-    /// All attempts of its shard requests, also those that have ended.
+    /// All attempts of the query's shard requests, including those that have ended.
     pub(super) attempts: Vec<AttemptId>,
     /// The responses, in the order of the shard requests.
     pub(super) responses: Vec<ShardResponse>,
 }
 
-/// A further attempt of a shard request, with what its frame carries.
+/// A further attempt of a shard request, with the contents of its frame.
 pub(super) struct NextAttempt {
-    /// The attempt.
     pub(super) id: AttemptId,
-    /// The shard that it reads.
     pub(super) shard: ShardId,
     /// The shard request's id on the wire.
     pub(super) wire_id: Bytes,
-    /// What is asked of the shard.
+    /// The query text that is sent to the node.
     pub(super) text: Bytes,
 }
 
-/// The open queries, within bounds on their number and on the memory that they hold.
+/// The open queries and their shard requests, with limits on their number and memory.
 pub(super) struct QueryTable {
     queries: HashMap<QueryId, OpenQuery>,
     shard_requests: HashMap<ShardRequestId, OpenShardRequest>,
-    /// The ids of the open queries on the wire.
+    /// The wire ids of the open queries.
     wire_ids: HashSet<Bytes>,
-    /// The id of a query or shard request that was given last.
+    /// The id that was assigned last. Queries and shard requests share one sequence.
     last_id: u64,
-    /// Open shard requests without a response.
+    /// The number of open shard requests without a response.
     unanswered_shard_requests: usize,
-    /// The memory that queries, responses and reservations hold.
+    /// The memory used by queries, responses and reservations.
     memory: MemoryBudget,
-    /// `false` once the broker shuts down.
+    /// Whether queries may be opened. `false` after [`QueryTable::stop_accepting`].
     accepts_queries: bool,
 }
 
 impl QueryTable {
-    /// `max_held_bytes`: the bound on the bytes of queries, responses and reservations together.
+    /// Creates an empty table. `max_held_bytes` limits the bytes of queries, responses and reservations together.
     pub(super) fn new(max_held_bytes: usize) -> QueryTable {
         QueryTable {
             queries: HashMap::new(),
@@ -81,32 +77,33 @@
         }
     }
 
-    /// The number of open queries.
+    /// Returns the number of open queries.
     pub(super) fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// Opens no query from now on. Returns the ids of those that are open.
+    /// Stops accepting queries permanently and returns the ids of those that are open.
     pub(super) fn stop_accepting(&mut self) -> Vec<QueryId> {
         self.accepts_queries = false;
         self.queries.keys().copied().collect()
     }
 
-    /// Whether a query may be opened. `max_open`: the bound on queries and shard requests together.
+    /// Returns whether a query may be opened. `max_open` limits the number of open queries and unanswered shard
+    /// requests together.
     pub(super) fn has_capacity_for(&self, request: &QueryRequest, max_open: usize) -> bool {
-        // A shard request that has its response does not count, though its query is open: else wide queries that are
-        // all but answered would keep others out, seen as 503 with few shard requests in flight.
+        // Shard requests that have a response are not counted even while their query is open. Otherwise queries over
+        // many shards that wait for their last responses would cause 503s with few shard requests in flight.
         let open = self.queries.len() + self.unanswered_shard_requests;
         self.accepts_queries
             && open + request.shard_requests.len() < max_open
             && self.memory.has_room_for(held_bytes(request))
     }
 
-    /// Opens a query, for which there must be capacity.
+    /// Opens a query. The caller must have checked [`QueryTable::has_capacity_for`].
     ///
     /// # Errors
     ///
-    /// A query of the same wire id is open.
+    /// Returns [`SubmitError::DuplicateId`] if a query with the same wire id is open.
     pub(super) fn open(
         &mut self,
         request: &QueryRequest,
@@ -136,7 +133,7 @@
         Ok(OpenedQuery { id, shard_requests, outcome })
     }
 
-    /// Opens the shard requests of a query; their wire ids are the query's with the shard's number.
+    /// Opens the shard requests of a query. Each wire id is `QUERY_ID.SHARD`.
     fn open_shard_requests(&mut self, query: QueryId, request: &QueryRequest) -> Vec<ShardRequestId> {
         let mut ids = Vec::with_capacity(request.shard_requests.len());
         for requested in &request.shard_requests {
@@ -151,13 +148,14 @@
         ids
     }
 
-    /// Queries and shard requests draw their ids from one sequence.
+    /// Assigns the next id of the sequence that queries and shard requests share.
     fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Removes a query and its shard requests, and releases what they held. `None`: it has ended before.
+    /// Removes a query and its shard requests and releases their memory. Returns `None` if the query has already
+    /// ended.
     pub(super) fn remove(&mut self, id: QueryId) -> Option<RemovedQuery> {
         let query = self.queries.remove(&id)?;
         let mut attempts = Vec::new();
@@ -179,17 +177,17 @@
         Some(RemovedQuery { query, attempts, responses })
     }
 
-    /// Whether a shard request's query is still open.
+    /// Returns whether the query of a shard request is still open.
     pub(super) fn is_open(&self, shard_request: ShardRequestId) -> bool {
         self.shard_requests.contains_key(&shard_request)
     }
 
-    /// When the client of an open query stops waiting.
+    /// Returns the time at which the client stops waiting, or `None` if the query has ended.
     pub(super) fn deadline(&self, id: QueryId) -> Option<Timestamp> {
         self.queries.get(&id).map(|query| query.deadline)
     }
 
-    /// Counts a further attempt of a shard request. `None`: its query has ended.
+    /// Assigns the next attempt number of a shard request. Returns `None` if its query has ended.
     pub(super) fn next_attempt(&mut self, id: ShardRequestId) -> Option<NextAttempt> {
         let shard_request = self.shard_requests.get_mut(&id)?;
         let text = self.queries.get(&shard_request.query)?.text.clone();
@@ -204,17 +202,18 @@
         })
     }
 
-    /// Notes that an attempt of a shard request found its node down, or lost its connection.
-    pub(super) fn note_lost_node(&mut self, shard_request: ShardRequestId) {
+    /// Records that an attempt of a shard request could not connect to its node, or lost the connection.
+    pub(super) fn record_lost_node(&mut self, shard_request: ShardRequestId) {
         let query = self.shard_requests.get(&shard_request).map(|shard_request| shard_request.query);
         if let Some(query) = query.and_then(|id| self.queries.get_mut(&id)) {
             query.has_lost_node = true;
         }
     }
 
-    /// Keeps the first response of a shard request, if its query is still open. `false`: the memory bound is
-    /// reached.
-    pub(super) fn keep_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
+    /// Stores the first response to a shard request. Ignores later responses and those of queries that have ended.
+    ///
+    /// Returns `false` if storing the response would exceed the memory limit.
+    pub(super) fn store_response(&mut self, id: ShardRequestId, response: &Bytes) -> bool {
         let Some(shard_request) = self.shard_requests.get_mut(&id) else { return true };
         if shard_request.response.is_some() {
             return true;
@@ -222,30 +221,31 @@
         if !self.memory.try_reserve(response.len()) {
             return false;
         }
-        // Copied, so that the connection's whole buffer is not retained for a few bytes of it.
+        // A slice would keep the connection's entire read buffer allocated, so the response is copied.
         shard_request.response = Some(Bytes::copy_from_slice(response));
         self.unanswered_shard_requests -= 1;
         true
     }
 
-    /// Counts bytes as held, until they are released. `false`: the memory bound is reached.
+    /// Reserves bytes until [`QueryTable::release_bytes`]. Returns `false` if that would exceed the memory limit.
     pub(super) fn reserve_bytes(&mut self, bytes: usize) -> bool {
         self.memory.try_reserve(bytes)
     }
 
-    /// Releases bytes that were reserved.
+    /// Releases bytes that [`QueryTable::reserve_bytes`] has reserved.
     pub(super) fn release_bytes(&mut self, bytes: usize) {
         self.memory.release(bytes);
     }
 
-    /// The ids of all open shard requests, in no order.
+    /// Returns the ids of all open shard requests, in arbitrary order.
     #[cfg(test)]
     pub(super) fn shard_request_ids(&self) -> Vec<ShardRequestId> {
         self.shard_requests.keys().copied().collect()
     }
 }
 
-/// The bytes that a query holds: its id, that of each shard request, and what its text retains.
+/// Returns the memory accounted for a query: its id once for the query and once for each shard request, and the
+/// buffer that its text keeps allocated.
 fn held_bytes(request: &QueryRequest) -> usize {
     request.id.len() * (request.shard_requests.len() + 1) + request.retained_bytes
 }
--- a/crates/broker/src/engine/results.rs
+++ b/crates/broker/src/engine/results.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and probes, as the node pool gives them, into inputs of the decisions.
+//! Conversion of ended attempts and probes from the node pool into inputs of the routing logic.
 
 use super::Engine;
 use crate::codec::read_load_report;
@@ -6,7 +6,7 @@
 use routing::{AttemptOutcome, AttemptResult, Input, ProbeResult};
 
 impl Engine {
-    /// Queues the results of ended attempts, and keeps the responses that came.
+    /// Queues the results of ended attempts and stores their responses.
     pub(super) fn collect_ended_attempts(&self) {
         for ended in self.nodes.fetch_attempt_ends() {
             if let Some(result) = self.attempt_result(ended) {
@@ -15,16 +15,18 @@
         }
     }
 
-    /// The result of an attempt; `None`: it was reported before. A response that does not fit into the memory bound
-    /// counts as an error, so that the shard request may be retried later.
+    /// Returns the result of an ended attempt, or `None` if it was already reported.
+    ///
+    /// A response that would exceed the memory limit is discarded and counts as an error, so that the shard request
+    /// can be retried later.
     fn attempt_result(&self, ended: AttemptEnd) -> Option<AttemptResult> {
         let in_flight = self.attempts.borrow_mut().remove(ended.attempt)?;
         let AttemptId { shard_request, number: attempt } = ended.attempt;
         let mut queries = self.queries.borrow_mut();
-        let is_kept = ended.value.is_none_or(|response| queries.keep_response(shard_request, &response));
-        let outcome = if is_kept { ended.outcome } else { AttemptOutcome::Errored };
+        let is_stored = ended.value.is_none_or(|response| queries.store_response(shard_request, &response));
+        let outcome = if is_stored { ended.outcome } else { AttemptOutcome::Errored };
         if is_lost_node(outcome) {
-            queries.note_lost_node(shard_request);
+            queries.record_lost_node(shard_request);
         }
         let duration = self.clock.to_timestamp(ended.at) - in_flight.sent_at;
         Some(AttemptResult { shard_request, attempt, node: in_flight.node, outcome, duration })
@@ -40,7 +42,7 @@
     }
 }
 
-/// Whether the node could not be reached, or the connection to it was lost.
+/// Returns whether the connection to the node could not be established or was lost.
 fn is_lost_node(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost)
 }
--- a/crates/broker/src/engine/submission.rs
+++ b/crates/broker/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! The engine's interface for front ends: queries are accepted, abandoned and failed here.
+//! The engine's interface for front ends, which submit and abandon queries and reserve memory.
 
 use super::query_table::{OpenedQuery, QueryTimes, RemovedQuery};
 use super::{AcceptedQuery, Engine, QueryOutcome, QueryRequest, RequestedShard, ReservedMemory, SubmitError};
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 
 impl Engine {
-    /// Accepts a query. Dropping the handle before the outcome closes the query: its client has left.
+    /// Accepts a query. The caller drops the returned handle to cancel the query when its client disconnects.
     ///
     /// # Errors
     ///
-    /// [`SubmitError::Overloaded`] at a bound on open queries, shard requests or memory, or once the broker shuts
-    /// down; [`SubmitError::DuplicateId`] while a query of the same id is open.
+    /// Returns [`SubmitError::Overloaded`] if a limit on open queries, shard requests or memory is reached or the
+    /// broker is shutting down, and [`SubmitError::DuplicateId`] if a query with the same id is open.
     pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<AcceptedQuery, SubmitError> {
         let epoch = self.epoch();
         let mut queries = self.queries.borrow_mut();
@@ -29,7 +29,8 @@
         Ok(AcceptedQuery { engine: self.clone(), id: opened.id, outcome: opened.outcome })
     }
 
-    /// Queues the query and then its shard requests. Nothing is awaited in between, so they are in one turn.
+    /// Queues the query followed by its shard requests. There is no await in between, so all are part of the same
+    /// turn.
     fn push_query_inputs(&self, request: &QueryRequest, opened: &OpenedQuery) {
         let group = GroupId(opened.id.0 as u32);
         let mut inputs = self.inputs.borrow_mut();
@@ -38,7 +39,7 @@
             group,
             class: request.class,
             tenant: request.tenant,
-            time_left: TimeSpan::ZERO, // filled in at the turn by `set_time_left`
+            time_left: TimeSpan::ZERO, // set by `set_time_left` when the turn starts
             work: request.work,
             client_attempt: 0,
             min_coverage_only: false,
@@ -51,7 +52,8 @@
         self.work_ready.notify_one();
     }
 
-    /// Removes a query; of its attempts, those of which nothing was written are not sent any more.
+    /// Removes a query and drops those of its attempts of which no byte was written. Returns `None` if the query has
+    /// already ended.
     pub(super) fn close(&self, id: QueryId) -> Option<RemovedQuery> {
         let removed = self.queries.borrow_mut().remove(id)?;
         for attempt in &removed.attempts {
@@ -60,14 +62,16 @@
         Some(removed)
     }
 
-    /// Closes a query whose client has left, if it is still open.
+    /// Closes a query whose client has disconnected. Has no effect if the query has already ended.
     pub(super) fn abandon(&self, id: QueryId) {
         if self.close(id).is_some() {
             self.push_input(Input::ClientLeft(id));
         }
     }
 
-    /// Fails every open query and accepts no other, since the process ends. Returns how many were open.
+    /// Fails all open queries and rejects further ones, because the process is about to exit.
+    ///
+    /// Returns the number of queries that were open.
     pub fn fail_open_queries(&self) -> usize {
         let open = self.queries.borrow_mut().stop_accepting();
         for id in &open {
@@ -77,13 +81,14 @@
         open.len()
     }
 
-    /// Counts bytes as held before their query is submitted. `None`: there is no room for them.
+    /// Reserves memory for a request body before its query is submitted. Returns `None` if that would exceed the
+    /// memory limit.
     pub fn reserve_memory(self: &Rc<Self>, bytes: usize) -> Option<ReservedMemory> {
         let is_reserved = self.queries.borrow_mut().reserve_bytes(bytes);
         is_reserved.then(|| ReservedMemory { engine: self.clone(), bytes })
     }
 
-    /// Releases bytes that were reserved.
+    /// Releases bytes that [`Engine::reserve_memory`] has reserved.
     pub(super) fn release_memory(&self, bytes: usize) {
         self.queries.borrow_mut().release_bytes(bytes);
     }
--- a/crates/broker/src/engine/tests.rs
+++ b/crates/broker/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! An attempt and the end of its query in one turn; what a broker that shuts down accepts.
+//! Tests of attempts whose query ends in the same turn, and of submissions during the shutdown.
 
 use super::{Engine, QueryOutcome, QueryRequest, RequestedShard, SubmitError};
 use crate::limits::{Limits, Machine};
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An engine that may hold a few queries, and knows no node.
+/// Returns an engine without nodes that accepts a few queries.
 fn engine() -> Rc<Engine> {
     let mut broker_settings = BrokerSettings::default();
     broker_settings.broker_config.limits.max_open = 10;
@@ -20,7 +20,7 @@
     Engine::new(broker_settings, 1, Rc::new(limits), None, None)
 }
 
-/// A query of one shard request.
+/// Returns a query with one shard request.
 fn query_request(id: &'static str) -> QueryRequest {
     QueryRequest {
         id: Bytes::from_static(id.as_bytes()),
@@ -34,13 +34,13 @@
     }
 }
 
-/// A turn may send a shard request and end its query: then the shard request stays unsent, and that is
-/// reported.
+/// If a turn starts an attempt and also cancels it or ends its query, the attempt must not be sent to the node and
+/// must be reported as not sent.
 #[rstest]
 #[case(|query, _| Effect::Fail { query })]
 #[case(|query, _| Effect::Respond { query, complete: false })]
 #[case(|_, shard_request| Effect::Cancel { shard_request, attempt: AttemptNumber(0) })]
-fn what_ends_in_its_turn_is_not_sent(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
+fn does_not_send_attempts_that_end_in_the_same_turn(#[case] end: fn(QueryId, ShardRequestId) -> Effect) {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let engine = engine();
         let address = "127.0.0.1:9".parse().unwrap();
@@ -49,7 +49,7 @@
         let shard_request = engine.queries.borrow().shard_request_ids()[0];
         engine.inputs.take();
         let attempt = Effect::Send { shard_request, node: NodeId(1), timeout: TimeSpan(1000) };
-        engine.carry_out(Timestamp(0), vec![attempt, end(accepted.id, shard_request)]);
+        engine.apply_effects(Timestamp(0), vec![attempt, end(accepted.id, shard_request)]);
         let inputs = engine.inputs.take();
         assert!(
             matches!(&inputs[..], [Input::AttemptEnded(result)] if result.outcome == AttemptOutcome::NotSent),
@@ -59,10 +59,10 @@
     });
 }
 
-/// What comes once all open queries have been failed is not accepted: sent on, it would be lost with the
-/// process.
+/// A query that is submitted after all open queries were failed must be rejected. If it were accepted, it would be
+/// lost when the process exits.
 #[rstest]
-fn accepts_no_query_once_it_shuts_down() {
+fn rejects_queries_during_shutdown() {
     actix_rt::Runtime::new().unwrap().block_on(async {
         let engine = engine();
         let open = engine.submit(query_request("a")).unwrap();
--- a/crates/broker/src/limits/mod.rs
+++ b/crates/broker/src/limits/mod.rs
@@ -1,10 +1,10 @@
 //! All sizes, counts and times of the broker on sockets, derived once at the start from the machine and the
 //! settings, and handed down.
 //!
-//! One type for each concern has its fields, how they are derived, and the constants behind them:
-//! [`ClientLimits`], [`RequestLimits`], [`NodeLimits`] and [`DiscoveryLimits`]. What the machine gives, and how it is
-//! divided among them, is in `machine`. Counts of bytes end in `_bytes`; times are [`Duration`]s, or [`TimeSpan`] where
-//! the routing decisions take them.
+//! One type for each concern has its fields, how they are derived, and the constants behind them: [`ClientLimits`],
+//! [`RequestLimits`], [`NodeLimits`] and [`DiscoveryLimits`]. What the machine gives, and how it is divided among
+//! them, is in `machine`. Counts of bytes end in `_bytes`; times are [`Duration`]s, or [`TimeSpan`] where the routing
+//! decisions take them.
 
 mod client_limits;
 mod discovery_limits;
--- a/crates/broker/src/query_handler.rs
+++ b/crates/broker/src/query_handler.rs
@@ -135,8 +135,8 @@
 
 /// Whether frames can carry all that the query needs.
 ///
-/// A frame has no field for an idempotency key: a query that brings one, sent without it, could be executed twice. And
-/// the protocol has no second phase: the response of a class that needs one would hold nothing. Such queries are
+/// A frame has no field for an idempotency key: a query that brings one, sent without it, could be executed twice.
+/// And the protocol has no second phase: the response of a class that needs one would hold nothing. Such queries are
 /// rejected (503) and nothing of them is sent.
 fn can_be_carried(epoch: &ConfigEpoch, request: &Request, class: ClassId) -> bool {
     epoch.classes.get(&class).is_some_and(|class| {
--- a/crates/broker/src/query_handler/rejected_requests.rs
+++ b/crates/broker/src/query_handler/rejected_requests.rs
@@ -4,8 +4,8 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Requests rejected since the last report. They are counted, since a log line for each would itself be a load under a
-/// flood of bad requests.
+/// Requests rejected since the last report. They are counted, since a log line for each would itself be a load under
+/// a flood of bad requests.
 #[derive(Default)]
 pub struct RejectedRequests {
     counts: RefCell<BTreeMap<RequestError, usize>>,
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -9,8 +9,8 @@
 use routing::TimeSpan;
 use tracing::warn;
 
-/// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent: the
-/// query is failed.
+/// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent:
+/// the query is failed.
 pub(super) fn query_response(
     is_complete: bool,
     responses: &[ShardResponse],
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -1,7 +1,7 @@
 //! What a broker starts from: the environment and the config file.
 //!
-//! The keys of the config file (`known`, `limits` and the like) become the code's terms here. Endpoint lists in it have
-//! the format of `endpoint_list`.
+//! The keys of the config file (`known`, `limits` and the like) become the code's terms here. Endpoint lists in it
+//! have the format of `endpoint_list`.
 
 use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, LimitsError, Machine};
