--- a/crates/broker/src/query_handler.rs
+++ b/crates/broker/src/query_handler.rs
@@ -1,23 +1,23 @@
-//! Handles one query, from its HTTP request to its response.
+//! The handler of queries, which turns an HTTP request into a response.
 //!
 //! # Phases
 //!
-//! 1. The announced length of the body is checked, and memory for it is reserved at the engine.
-//! 2. The body is read within the client's time limit (`request_reader`).
-//! 3. The query is read by one configuration epoch. From here until the engine has it nothing is awaited, so a
-//!    configuration change cannot come in between.
-//! 4. The query is submitted, and its outcome awaited.
-//! 5. The outcome becomes the response (`responses`).
+//! 1. The handler checks the length that the request announces for its body, and reserves memory for it in the
+//!    engine.
+//! 2. It reads the body within the I/O timeout of client connections (`request_reader`).
+//! 3. It parses and validates the query against the current configuration epoch. There is no await between this step
+//!    and the submission, so the configuration cannot change in between.
+//! 4. It submits the query and awaits the outcome.
+//! 5. It converts the outcome into the response (`responses`).
 //!
 //! # Cancellation
 //!
-//! The HTTP server drops the future when the client's connection closes. That releases the reserved memory and, once
-//! the query is submitted, drops its [`AcceptedQuery`](crate::engine::AcceptedQuery), which cancels it.
+//! The HTTP server drops the future when the client's connection closes. That releases the reserved memory or, after
+//! the submission, drops the [`AcceptedQuery`](crate::engine::AcceptedQuery), which cancels the query.
 //!
 //! # Wire names
 //!
-//! The protocol's field names become the code's terms in `body` (JSON) and `request_reader` (headers), and nowhere
-//! else.
+//! Only `body` (JSON) and `request_reader` (headers) use the field names of the protocol.
 
 mod body;
 mod rejected_requests;
@@ -39,22 +39,24 @@
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
 
-/// The header by which a client brings an idempotency key of its own.
+/// The header with which a client provides an idempotency key.
 const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 
-/// Handles queries.
+/// A handler that executes the queries of HTTP clients.
 pub struct QueryHandler {
-    /// Where queries are submitted.
+    /// The engine to which queries are submitted.
     pub engine: Rc<Engine>,
-    /// The limits of requests.
+    /// The limits on requests and client connections.
     pub limits: Rc<Limits>,
-    /// Counts the requests that were rejected as the client's error.
+    /// Counts of requests with client errors.
     pub rejected_requests: RejectedRequests,
 }
 
 impl QueryHandler {
-    /// Handles one query, whose first bytes were read at `arrived`. `on_body_complete` is called once the request has
-    /// been read completely. Dropping the future cancels the query.
+    /// Executes the query in `request` and returns the response. Dropping the future cancels the query.
+    ///
+    /// `arrived` is the time at which the first bytes of the request were read. `on_body_complete` is called when the
+    /// request has been read completely.
     pub async fn handle(
         &self,
         request: Request,
@@ -65,13 +67,13 @@
         response.unwrap_or_else(|error| self.reject(error))
     }
 
-    /// Counts an error of a request, and makes its response.
+    /// Counts a client error and returns the response to it.
     pub fn reject(&self, error: RequestError) -> Response<Bytes> {
         self.rejected_requests.count(error);
         responses::error_response(error)
     }
 
-    /// Handles one query. An error is the client's.
+    /// Executes a query like [`QueryHandler::handle`], but returns client errors as `Err`.
     async fn try_handle(
         &self,
         mut request: Request,
@@ -84,12 +86,12 @@
         };
         let body = self.read_body_in_time(&mut request, arrived).await?;
         on_body_complete();
-        // One epoch from here until the engine has the query; nothing is awaited in between.
+        // There must be no await between this line and the submission, so that both use the same epoch.
         let epoch = self.engine.epoch();
         let query = read_query(&self.limits.requests, &epoch, &request, &body, arrived)?;
-        // From here on the query itself counts what it holds.
+        // The engine accounts for the memory of the submitted query.
         drop((reserved_memory, body));
-        if !can_be_carried(&epoch, &request, query.class) {
+        if !is_supported_by_protocol(&epoch, &request, query.class) {
             return Ok(rejection_response(epoch.retry_after));
         }
         let outcome = match self.engine.submit(query) {
@@ -100,7 +102,8 @@
         Ok(self.response_to(outcome))
     }
 
-    /// The bytes to reserve for a request's body: what it announces, else the longest that is accepted.
+    /// Returns the number of bytes to reserve for the body: its announced length, or the maximum if none is
+    /// announced.
     fn body_length_to_reserve(&self, request: &Request) -> Result<usize, RequestError> {
         let max_body_bytes = self.limits.requests.max_body_bytes;
         let length = announced_length(request)?.unwrap_or(max_body_bytes);
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Reads the body within the time limit from the request's first bytes on.
+    /// Reads the body within the I/O timeout, which starts at the first bytes of the request.
     async fn read_body_in_time(
         &self,
         request: &mut Request,
@@ -121,7 +124,7 @@
         timeout_at(time_limit, reading).await.map_err(|_| RequestError::BodyTimedOut)?
     }
 
-    /// The response to a query that ended so.
+    /// Returns the response for an outcome.
     fn response_to(&self, outcome: QueryOutcome) -> Response<Bytes> {
         match outcome {
             QueryOutcome::Response { complete, responses } => {
@@ -133,12 +136,12 @@
     }
 }
 
-/// Whether frames can carry all that the query needs.
+/// Returns whether the node protocol supports the query. Queries that it does not support are rejected with 503, and
+/// no shard request is sent.
 ///
-/// A frame has no field for an idempotency key: a query that brings one, sent without it, could be executed twice.
-/// And the protocol has no second phase: the response of a class that needs one would hold nothing. Such queries are
-/// rejected (503) and nothing of them is sent.
-fn can_be_carried(epoch: &ConfigEpoch, request: &Request, class: ClassId) -> bool {
+/// Frames have no field for an idempotency key, so a query with a key could be executed twice if it were sent without
+/// it. The protocol also has no second phase, so responses of request classes with one would be empty.
+fn is_supported_by_protocol(epoch: &ConfigEpoch, request: &Request, class: ClassId) -> bool {
     epoch.classes.get(&class).is_some_and(|class| {
         let has_key = class.idempotency == Idempotency::IdempotencyKey
             && request.headers().contains_key(IDEMPOTENCY_KEY_HEADER);
--- a/crates/broker/src/query_handler/rejected_requests.rs
+++ b/crates/broker/src/query_handler/rejected_requests.rs
@@ -1,32 +1,32 @@
-//! Counts of rejected requests, from which the log gets one line for each kind of error.
+//! Counts of rejected requests, which are logged periodically with one line for each error.
 
 use super::RequestError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Requests rejected since the last report. They are counted, since a log line for each would itself be a load under
-/// a flood of bad requests.
+/// The number of requests rejected since the last report, by error. Logging each request separately would add load
+/// during a flood of invalid requests.
 #[derive(Default)]
 pub struct RejectedRequests {
     counts: RefCell<BTreeMap<RequestError, usize>>,
 }
 
-/// How often one error was met.
+/// The number of requests that were rejected with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectedRequestCount {
-    /// What was wrong.
+    /// The error with which the requests were rejected.
     pub error: RequestError,
-    /// The number of requests.
+    /// The number of requests with this error; at least 1.
     pub times: usize,
 }
 
 impl RejectedRequests {
-    /// Counts one request.
+    /// Counts a request that was rejected with `error`.
     pub fn count(&self, error: RequestError) {
         *self.counts.borrow_mut().entry(error).or_default() += 1;
     }
 
-    /// The counts since the last call, ordered by status and text.
+    /// Returns the counts since the last call, sorted by status and error text, and resets them.
     pub fn take(&self) -> Vec<RejectedRequestCount> {
         let counts = self.counts.take().into_iter();
         let mut counts: Vec<_> = counts.map(|(error, times)| RejectedRequestCount { error, times }).collect();
--- a/crates/broker/src/query_handler/request_error.rs
+++ b/crates/broker/src/query_handler/request_error.rs
@@ -1,77 +1,77 @@
-//! Why a request is rejected as the client's error.
+//! Client errors in HTTP requests.
 
 use actix_http::StatusCode;
 
-/// What is wrong with a request. Its text is the body of the response.
+/// A client error in an HTTP request. Clients receive the display text as the response body, so it must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum RequestError {
-    /// No handler has this path.
+    /// The path is unknown (404).
     #[error("an unknown path")]
     UnknownPath,
-    /// The path's handler serves another method.
+    /// The path does not support the request's method (405).
     #[error("another method is wanted")]
     MethodNotAllowed,
-    /// The connection was closed, with this status, before the request was complete.
+    /// The connection was closed with this status before the request was complete.
     #[error("a request that is too long, or does not come")]
     Incomplete(StatusCode),
-    /// What came is no HTTP request.
+    /// The bytes received are not a valid HTTP request.
     #[error("no request that can be read")]
     Unreadable,
-    /// It asks to switch to another protocol.
+    /// The request has an `Upgrade` header. The server does not support other protocols.
     #[error("another protocol is asked for")]
     ProtocolSwitch,
-    /// `Content-Length` is no number.
+    /// The `Content-Length` header is not a number.
     #[error("a length that can't be read")]
     UnreadableLength,
-    /// `Content-Length` is beyond the limit.
+    /// The `Content-Length` header exceeds the maximum body length (413).
     #[error("a body that is too long")]
     AnnouncedBodyTooLong,
-    /// More came than the limit allows.
+    /// The client sent more than the maximum body length (413).
     #[error("a body that is too long or breaks off")]
     BodyTooLong,
-    /// The body ended before it was complete.
+    /// The body ended before it was complete, or is not encoded correctly.
     #[error("a body that is too long or breaks off")]
     BodyCutOff,
-    /// The body was not complete in time.
+    /// The body was not received within the I/O timeout (408).
     #[error("a body that does not come")]
     BodyTimedOut,
-    /// A header that decides is given more than once.
+    /// A header with the id, the request class, the tenant or the remaining time is given more than once.
     #[error("a header that comes twice")]
     DuplicateHeader,
-    /// The query has no id.
+    /// The `X-Correlation-Id` header is missing or not ASCII.
     #[error("no id")]
     MissingId,
-    /// The query's id can't be sent to nodes.
+    /// The id is empty, too long, or contains characters that can't be sent to nodes.
     #[error("an id that can't be passed on")]
     InvalidId,
-    /// The query names no class.
+    /// The `X-Service-Class` header is missing or not ASCII.
     #[error("no category")]
     MissingClass,
-    /// The configuration has no such class.
+    /// The configuration does not contain the request class.
     #[error("an unknown category")]
     UnknownClass,
-    /// The client's remaining time is missing, or is no number of milliseconds.
+    /// The `X-Time-Left-Ms` header is missing or not a whole number of milliseconds.
     #[error("no time left told")]
     InvalidTimeLeft,
-    /// The body is not the JSON of a query.
+    /// The body is not valid JSON, or a field is missing or has the wrong type.
     #[error("a body that can't be read")]
     UnreadableBody,
-    /// No shard is asked, or one twice.
+    /// The query reads no shard, or the same shard more than once.
     #[error("no parts, or one twice")]
     InvalidShardRequests,
-    /// A shard is beyond the configured number.
+    /// A shard number is not below the configured number of shards.
     #[error("an unknown shard")]
     UnknownShard,
-    /// The weights are no shares of one.
+    /// A weight is not between 0 and 1, or the weights do not add up to 1.
     #[error("weights that do not make a whole")]
     InvalidWeights,
-    /// Another query with this id is open.
+    /// Another query with the same id is open.
     #[error("an id that is open already")]
     IdInUse,
 }
 
 impl RequestError {
-    /// The response's status.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::UnknownPath => StatusCode::NOT_FOUND,
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -1,5 +1,7 @@
-//! Reads a query from its HTTP request, by one configuration epoch. Here the protocol's headers become the
-//! fields of a [`QueryRequest`]; those of the body do in `body`.
+//! Parsing and validation of queries in HTTP requests.
+//!
+//! Maps the headers of the protocol to the fields of a [`QueryRequest`]. The fields of the JSON body are mapped in
+//! `body`.
 
 use super::RequestError;
 use super::body::{RequestBody, RequestedShardBody};
@@ -16,21 +18,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The query's id.
 const ID_HEADER: &str = "X-Correlation-Id";
-/// The name of its request class.
+/// The header with the name of the request class.
 const CLASS_HEADER: &str = "X-Service-Class";
-/// The name of its tenant.
+/// The header with the name of the tenant.
 const TENANT_HEADER: &str = "X-Account";
-/// How long its client will wait, in milliseconds.
+/// The header with the time that the client will wait, in milliseconds.
 const TIME_LEFT_HEADER: &str = "X-Time-Left-Ms";
-/// The first tenant of the settings.
+/// The tenant of requests without a tenant header, which is the first tenant of the settings.
 const FIRST_TENANT: TenantId = TenantId(0);
-/// All tenants that the settings do not name.
+/// The common id of all tenants that are not in the settings.
 const UNKNOWN_TENANT: TenantId = TenantId(u32::MAX);
 
-/// The length in bytes that a request announces for its body, if it does. A request for a protocol switch is
-/// an error: the HTTP library would take the rest of the connection for its body, and read without end.
+/// Returns the value of `Content-Length` in bytes, or `None` if the header is missing.
+///
+/// Rejects requests to switch protocols, because the HTTP library would treat the rest of the connection as the body
+/// and never stop reading it.
 pub(super) fn announced_length(request: &Request) -> Result<Option<usize>, RequestError> {
     let headers = request.headers();
     if headers.contains_key(UPGRADE) {
@@ -40,7 +43,7 @@
     length.map(|text| text.trim().parse().map_err(|_| RequestError::UnreadableLength)).transpose()
 }
 
-/// Reads a body of at most `max_length` bytes to its end.
+/// Reads the entire body, which may have at most `max_length` bytes.
 pub(super) async fn read_body(request: &mut Request, max_length: usize) -> Result<Bytes, RequestError> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
@@ -54,7 +57,9 @@
     Ok(body.freeze())
 }
 
-/// Reads what decisions need of a query; the text that its shard requests carry stays the bytes that came.
+/// Parses and validates a query.
+///
+/// The query text is not copied if it contains no JSON escapes: it then is a slice of `body`.
 pub(super) fn read_query(
     limits: &RequestLimits,
     epoch: &ConfigEpoch,
@@ -92,12 +97,13 @@
     RequestedShard { shard: ShardId(shard_request.shard), weight: shard_request.weight }
 }
 
-/// A header's value; `None`: it is missing, or no text.
+/// Returns the value of a header, or `None` if the header is missing or its value is not visible ASCII.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Rejects a request in which a header that decides is given twice: two readers might take different ones.
+/// Rejects requests with more than one value for a header of a query. A proxy in front of the broker could otherwise
+/// use a different value than the broker.
 fn reject_duplicate_headers(headers: &HeaderMap) -> Result<(), RequestError> {
     let names = [ID_HEADER, CLASS_HEADER, TENANT_HEADER, TIME_LEFT_HEADER];
     match names.iter().any(|name| headers.get_all(*name).count() > 1) {
@@ -106,7 +112,8 @@
     }
 }
 
-/// The query's id, which is sent to nodes: visible ASCII, at most `max_length` bytes.
+/// Reads the query's id. Shard request ids contain it, so it must be visible ASCII without spaces and have at most
+/// `max_length` bytes.
 fn read_id(headers: &HeaderMap, max_length: usize) -> Result<Bytes, RequestError> {
     let id = header(headers, ID_HEADER).ok_or(RequestError::MissingId)?;
     if id.is_empty() || id.len() > max_length || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -115,30 +122,32 @@
     Ok(Bytes::copy_from_slice(id.as_bytes()))
 }
 
-/// The request class, which the epoch must have.
+/// Reads the request class, which must exist in the epoch.
 fn read_class(headers: &HeaderMap, epoch: &ConfigEpoch) -> Result<ClassId, RequestError> {
     let name = header(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
     let class = epoch.names.class(name).filter(|class| epoch.classes.contains_key(class));
     class.ok_or_else(|| count_unknown(epoch, RequestError::UnknownClass))
 }
 
-/// The tenant of a request. One without the header counts as the first tenant of the settings; all names that
-/// the settings do not have count as one tenant without a quota.
+/// Reads the tenant of a request.
+///
+/// Requests without the header are attributed to the first tenant of the settings. All tenants that are not in the
+/// settings share one id, which has no quota.
 fn read_tenant(headers: &HeaderMap, epoch: &ConfigEpoch) -> TenantId {
     let tenant = header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant(name));
     tenant.unwrap_or(UNKNOWN_TENANT)
 }
 
-/// How long the client will wait: a whole number of milliseconds.
+/// Reads the time that the client will wait, a whole number of milliseconds.
 fn read_time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = header(headers, TIME_LEFT_HEADER);
-    // The parser would accept a sign, too.
+    // `parse` would also accept a leading plus sign.
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let milliseconds = digits.and_then(|text| text.parse().ok()).ok_or(RequestError::InvalidTimeLeft)?;
     Ok(Duration::from_millis(milliseconds))
 }
 
-/// Checks that at least one shard is read, none twice, and all are within the epoch's number of shards.
+/// Checks that the query reads at least one shard, no shard more than once, and only shards that exist in the epoch.
 fn check_shards(shard_requests: &[RequestedShardBody], epoch: &ConfigEpoch) -> Result<(), RequestError> {
     let shards: BTreeSet<u32> = shard_requests.iter().map(|shard_request| shard_request.shard).collect();
     if shards.is_empty() || shards.len() < shard_requests.len() {
@@ -150,17 +159,20 @@
     Ok(())
 }
 
-/// Checks that each weight is from 0 to 1 and that they come to 1, with this much slack.
-fn check_weights(shard_requests: &[RequestedShardBody], slack: f64) -> Result<(), RequestError> {
+/// Checks that each weight is between 0 and 1 and that their sum differs from 1 by at most `tolerance`.
+fn check_weights(shard_requests: &[RequestedShardBody], tolerance: f64) -> Result<(), RequestError> {
     let sum: f64 = shard_requests.iter().map(|shard_request| shard_request.weight).sum();
     let are_shares = shard_requests.iter().all(|shard_request| (0.0..=1.0).contains(&shard_request.weight));
-    match !are_shares || (sum - 1.0).abs() > slack {
+    match !are_shares || (sum - 1.0).abs() > tolerance {
         true => Err(RequestError::InvalidWeights),
         false => Ok(()),
     }
 }
 
-/// Counted, unlike other errors: a new configuration may have removed what its clients still ask for.
+/// Counts a query for an unknown request class or shard as not accepted, and returns `error`.
+///
+/// Other client errors are not counted. These are, because they may be caused by a new configuration that has removed
+/// a class or shard still in use, which must count against that configuration.
 fn count_unknown(epoch: &ConfigEpoch, error: RequestError) -> RequestError {
     epoch.count(|counts| (counts.ended, counts.not_accepted) = (counts.ended + 1, counts.not_accepted + 1));
     error
--- a/crates/broker/src/query_handler/responses.rs
+++ b/crates/broker/src/query_handler/responses.rs
@@ -1,4 +1,4 @@
-//! The HTTP responses of the server.
+//! Construction of HTTP responses.
 
 use super::RequestError;
 use super::body::{ResponseBody, ShardResponseBody};
@@ -9,14 +9,14 @@
 use routing::TimeSpan;
 use tracing::warn;
 
-/// The response of a query to which these shards responded. One that is longer than `max_length` bytes is not sent:
-/// the query is failed.
+/// Returns the response with the results of a query. If its body would exceed `max_length` bytes, the query fails and
+/// the client receives a 502 instead.
 pub(super) fn query_response(
     is_complete: bool,
     responses: &[ShardResponse],
     max_length: usize,
 ) -> Response<Bytes> {
-    // The codec rejects frames whose value is no text, so all of them are text.
+    // The codec has rejected values that are not UTF-8, so none is filtered out here.
     let shard_responses = responses.iter().filter_map(shard_response_body).collect();
     let body = serde_json::to_vec(&ResponseBody { is_complete, shard_responses }).ok();
     let Some(body) = body.filter(|body| body.len() <= max_length) else {
@@ -26,13 +26,13 @@
     build(Response::build(StatusCode::OK).insert_header((CONTENT_TYPE, "application/json")), body)
 }
 
-/// One shard's response as the body has it; `None`: its value is no text.
+/// Converts a shard's response to its JSON form. Returns `None` if the value is not UTF-8.
 fn shard_response_body(response: &ShardResponse) -> Option<ShardResponseBody<'_>> {
     let value = std::str::from_utf8(&response.value).ok()?;
     Some(ShardResponseBody { shard: response.shard.0, value })
 }
 
-/// The response to a rejected query, which may be sent again. `retry_after` zero: the response has no `Retry-After`.
+/// Returns the 503 response to a rejected query. Its `Retry-After` header is omitted if `retry_after` is zero.
 pub fn rejection_response(retry_after: TimeSpan) -> Response<Bytes> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > TimeSpan::ZERO {
@@ -41,23 +41,23 @@
     build(&mut response, "declined\n")
 }
 
-/// The response to a request with a client error.
+/// Returns the response to a client error.
 pub(super) fn error_response(error: RequestError) -> Response<Bytes> {
     let status = error.status();
     let mut response = Response::build(status);
     if status == StatusCode::PAYLOAD_TOO_LARGE || status == StatusCode::REQUEST_TIMEOUT {
-        // The rest of the body is not read.
+        // The rest of the body is not read, so the connection can't be reused.
         response.force_close();
     }
     build(&mut response, format!("{error}\n"))
 }
 
-/// A response with a text for its body.
+/// Returns a response with a plain text body.
 pub fn text_response(status: StatusCode, text: &'static str) -> Response<Bytes> {
     build(&mut Response::build(status), text)
 }
 
-/// Completes a response with its body.
+/// Builds the response with this body, or an empty 500 response if the head is invalid.
 fn build(response: &mut ResponseBuilder, body: impl Into<Bytes>) -> Response<Bytes> {
     let body = body.into();
     response
--- a/crates/broker/src/query_handler/tests.rs
+++ b/crates/broker/src/query_handler/tests.rs
@@ -1,11 +1,11 @@
-//! Counters of rejected requests.
+//! Tests of the counts of rejected requests.
 
 use super::{RejectedRequestCount, RejectedRequests, RequestError};
 use rstest::rstest;
 
-/// However many requests are rejected, the log gets a line for each kind of error.
+/// A flood of invalid requests must not flood the log: requests with the same error are reported as one count.
 #[rstest]
-fn sums_up_rejected_requests() {
+fn aggregates_rejected_requests_by_error() {
     let rejected_requests = RejectedRequests::default();
     rejected_requests.count(RequestError::AnnouncedBodyTooLong);
     (0..1000).for_each(|_| rejected_requests.count(RequestError::MissingId));
