--- a/crates/broker/src/limits/client_limits.rs
+++ b/crates/broker/src/limits/client_limits.rs
@@ -4,61 +4,65 @@
 use super::request_limits::MAX_CHUNKED_BODY_BYTES;
 use std::time::Duration;
 
-/// Bounds how long a slow client keeps a connection that others may wait for.
+/// Limits how long a slow client occupies a connection that other clients may be waiting for.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// A new connection's first request may have been written already, and needs a moment to be read.
+/// The time allowed for reading the first request of a new connection, which the client may already have written.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
-/// Closing over unread bytes resets the connection, which may destroy the response: some are read first.
+/// The time for which input is drained before a connection closes. Closing a socket with unread input resets the
+/// connection, and the client may lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client that stops in the middle of a body is answered after [`IO_TIMEOUT`], and disconnected within 3 s.
+/// A client that stops sending in the middle of a body is answered after [`IO_TIMEOUT`] and must be disconnected
+/// within 3 s.
 const UNREAD_BODY_TIMEOUT: Duration = Duration::from_millis(500);
-/// As much as the longest body in chunks.
+/// Allows for the unread rest of the longest chunked body.
 const MAX_LINGER_BYTES: usize = MAX_CHUNKED_BODY_BYTES;
-/// Bounds the work for a client that only sends bad requests.
+/// Limits the work for a client that only sends invalid requests.
 const MAX_CONSECUTIVE_BAD_REQUESTS: usize = 16;
-/// Connections beyond the bound on idle ones, or whose place is needed, are closed sooner.
+/// The idle timeout while connections are plentiful. Connections are closed earlier if too many are idle or other
+/// clients are waiting.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How late [`IO_TIMEOUT`] may be enforced.
+/// The maximum delay with which [`IO_TIMEOUT`] is enforced.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How often slow and idle connections are looked for while the server closes.
+/// The interval between checks for slow and idle connections while the server closes.
 const CLOSING_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
-/// A shortage that kept a connection from being accepted may be over by then.
+/// The wait after a failed accept, during which a shortage of resources may end.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// No attempt of a query may begin later than this after its client has left.
-const CANCELLED_WITHIN: Duration = Duration::from_millis(100);
-/// Closes that are looked for within [`CANCELLED_WITHIN`]; the rest is for the turns that act on one.
-const CLOSE_POLLS_UNTIL_CANCELLED: u32 = 3;
+/// After a client has disconnected, no attempt of its query may start later than this.
+const MAX_CANCEL_DELAY: Duration = Duration::from_millis(100);
+/// The divisor of [`MAX_CANCEL_DELAY`] that gives the interval between checks for a closed connection. It leaves time
+/// for the turns that cancel the query.
+const CLOSE_POLLS_PER_CANCEL_DELAY: u32 = 3;
 
 /// Limits of client connections.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Connections served at once.
+    /// The maximum number of connections that are served at the same time.
     pub max_connections: usize,
-    /// Connections beyond those, whose requests are rejected.
+    /// The number of connections accepted beyond `max_connections`. Their requests are rejected with 503.
     pub max_surplus_connections: usize,
-    /// Connections that may be kept idle after a response.
+    /// The maximum number of connections that are kept open while idle.
     pub max_idle_connections: usize,
-    /// How long a client may take for its first request, for one whole request, and to read its response.
+    /// The time allowed for a client to begin its first request, to send a complete request, and to read a response.
     pub io_timeout: Duration,
-    /// How long a new connection is kept that sends nothing while others wait for its place.
+    /// The time for which a new connection without a request is kept while other clients wait for a connection.
     pub new_connection_grace: Duration,
-    /// How long input that follows the last response is read and dropped.
+    /// The maximum time for which input after the last response is read and discarded.
     pub linger_timeout: Duration,
-    /// How much of that input is read.
+    /// The maximum number of bytes that are read and discarded after the last response.
     pub max_linger_bytes: usize,
-    /// How long the rest of a body is waited for after the response to its request.
+    /// The time to wait for the rest of a body whose request was already answered.
     pub unread_body_timeout: Duration,
-    /// Bad requests in a row after which a connection is closed.
+    /// The number of consecutive invalid requests after which a connection is closed.
     pub max_consecutive_bad_requests: usize,
-    /// How long a connection may be idle.
+    /// The maximum time for which a connection may be idle.
     pub keep_alive_timeout: Duration,
-    /// How often the connections are checked for slow clients.
+    /// The interval between checks for slow clients.
     pub sweep_interval: Duration,
-    /// How often they are checked while the server closes.
+    /// The interval between checks for slow clients while the server closes.
     pub closing_sweep_interval: Duration,
-    /// How long no connection is accepted after one could not be.
+    /// The time to wait after a failed accept before the next one.
     pub accept_retry_interval: Duration,
-    /// How often a connection is checked for a close that is hidden behind unread bytes.
+    /// The interval between checks for a closed connection whose end of file is hidden behind unread bytes.
     pub close_poll_interval: Duration,
 }
 
@@ -78,7 +82,7 @@
             sweep_interval: SWEEP_INTERVAL,
             closing_sweep_interval: CLOSING_SWEEP_INTERVAL,
             accept_retry_interval: ACCEPT_RETRY_INTERVAL,
-            close_poll_interval: CANCELLED_WITHIN / CLOSE_POLLS_UNTIL_CANCELLED,
+            close_poll_interval: MAX_CANCEL_DELAY / CLOSE_POLLS_PER_CANCEL_DELAY,
         }
     }
 }
--- a/crates/broker/src/limits/discovery_limits.rs
+++ b/crates/broker/src/limits/discovery_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of requests to discovery. The rules behind the times are in [`routing::discovery_backoff`].
+//! Limits of requests to discovery. [`routing::discovery_backoff`] explains how the times are derived.
 
 use super::machine::Capacity;
 use super::to_duration;
@@ -9,22 +9,23 @@
 /// Limits of requests to discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
-    /// An agent on the broker's own machine where the settings call the endpoint list automatic; else shared.
+    /// The kind of discovery: a local agent if the settings declare the endpoint list as automatic, shared otherwise.
     pub kind: DiscoveryKind,
-    /// An endpoint list, as discovery sends it.
+    /// The maximum length of a response with an endpoint list, in bytes.
     pub max_list_bytes: usize,
-    /// How long discovery is asked to hold a watch.
+    /// The time for which discovery is asked to delay its response to a watch while there is no change.
     pub watch_wait: Duration,
-    /// How much later than that a watch may be answered.
+    /// The time after `watch_wait` within which a watch must be answered.
     pub watch_slack: Duration,
-    /// The shortest time from the start of one list request to that of the next.
+    /// The minimum time between the starts of two list requests.
     pub list_retry_interval: Duration,
-    /// A request for the complete list is given up after this.
+    /// The timeout of a request for the complete list.
     pub list_timeout: Duration,
-    /// One such request is waited for this long, beside others.
+    /// The timeout of the one list request that is kept pending for longer than the others. It is intended for
+    /// discovery that takes longer than `list_timeout` to answer.
     pub long_list_timeout: Duration,
-    /// The broker counts as notified of a change of the endpoint list after this, whether discovery was reached or
-    /// not.
+    /// The time after which the broker is considered notified of a change of the endpoint list, even if discovery was
+    /// unreachable.
     pub assumed_notified_after: TimeSpan,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// What follows a request that has failed.
+    /// Returns how failed requests are retried.
     pub fn retry_schedule(&self) -> RetrySchedule {
         discovery_backoff::retry_schedule(self.kind, self.list_retry_interval, self.list_timeout)
     }
--- a/crates/broker/src/limits/machine.rs
+++ b/crates/broker/src/limits/machine.rs
@@ -1,58 +1,58 @@
-//! What the machine gives the broker, whether that is enough, and how it is divided.
+//! The resources of the machine and their division among the parts of the broker.
 
 /// One KiB in bytes.
 pub(super) const KIB: usize = 1024;
-/// Descriptors beside those of clients and nodes: files, pipes, the listener, discovery.
+/// File descriptors for purposes other than client and node connections: files, pipes, the listener and discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The least number of descriptors that is left for clients and nodes.
+/// The minimum number of file descriptors for client and node connections.
 const MIN_PEER_DESCRIPTORS: usize = 32;
-/// The least memory that a broker is started with, in MiB.
+/// The minimum memory of a broker, in MiB.
 const MIN_MEMORY_MB: usize = 32;
-/// What the buffers of one connection may come to: a head, what the HTTP server sets aside, a response.
+/// The estimated buffer memory of a connection: a request head, the buffers of the HTTP server, and a response.
 const CONNECTION_BUFFER_BYTES: usize = 48 * KIB;
-/// One in so many client connections is a surplus one, whose requests are rejected.
+/// The ratio of client connections to surplus connections, whose requests are rejected.
 const CLIENTS_PER_SURPLUS_CONNECTION: usize = 8;
-/// The largest fleet, in nodes.
+/// The maximum number of nodes in a fleet.
 const MAX_NODES: usize = 3200;
-/// The longest entry of an endpoint list: four times what one takes in the protocol's form, for lists that are
-/// indented and for longer names.
+/// The maximum length of an entry in an endpoint list. It is four times the length of a typical entry in compact
+/// JSON, which leaves room for indentation and longer names.
 const MAX_LIST_ENTRY_BYTES: usize = 640;
-/// The divisor of the memory that a list may take while it is read. It comes out of the quarter that is left beside
-/// what traffic may hold.
+/// The fraction of the memory that an endpoint list may occupy while it is read, as a divisor. It is part of the
+/// quarter of the memory that is not assigned to traffic.
 const LIST_MEMORY_DIVISOR: usize = 8;
 
-/// What the machine gives the broker.
+/// The resources that are available to the broker.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// Memory, in MiB.
+    /// The available memory in MiB.
     pub memory_mb: usize,
-    /// File descriptors.
+    /// The number of file descriptors that the broker may use.
     pub sockets: usize,
 }
 
-/// What the machine has too little of.
+/// The resource of which the machine does not have enough for a broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsError {
-    /// Too few file descriptors.
-    #[error("limits: {sockets} sockets are too few, {needed} are needed")]
+    /// The broker may use too few file descriptors.
+    #[error("limits: `sockets` is {sockets}, at least {needed} file descriptors are required")]
     TooFewSockets {
-        /// Those that there are.
+        /// The number of available file descriptors.
         sockets: usize,
-        /// The least that will do.
+        /// The required minimum.
         needed: usize,
     },
-    /// Too little memory.
-    #[error("limits: {memory_mb} MB of memory are too little, {needed_mb} are needed")]
+    /// The broker may use too little memory.
+    #[error("limits: `memory_mb` is {memory_mb}, at least {needed_mb} MiB are required")]
     TooLittleMemory {
-        /// What there is, in MiB.
+        /// The available memory in MiB.
         memory_mb: usize,
-        /// The least that will do, in MiB.
+        /// The required minimum in MiB.
         needed_mb: usize,
     },
 }
 
 impl Machine {
-    /// Whether a broker can run on it at all.
+    /// Checks that the resources suffice for a broker.
     fn check(self) -> Result<(), LimitsError> {
         let Machine { memory_mb, sockets } = self;
         let needed = RESERVED_DESCRIPTORS + MIN_PEER_DESCRIPTORS;
@@ -66,44 +66,44 @@
     }
 }
 
-/// The machine's descriptors and memory, divided among the concerns of a broker.
+/// The machine's file descriptors and memory, divided among the parts of the broker. All fields are maxima.
 pub(super) struct Capacity {
-    /// Client connections that are served.
+    /// The number of client connections that are served.
     pub(super) client_connections: usize,
-    /// Client connections beyond those, whose requests are rejected.
+    /// The number of further client connections, whose requests are rejected.
     pub(super) surplus_connections: usize,
-    /// Client connections that may be kept idle.
+    /// The number of client connections that are kept open while idle.
     pub(super) idle_client_connections: usize,
-    /// Connections to nodes.
     pub(super) node_connections: usize,
-    /// Queries and responses held at once.
+    /// The memory for open queries, their responses and request bodies.
     pub(super) held_bytes: usize,
-    /// The longest endpoint list.
+    /// The length of an endpoint list.
     pub(super) list_bytes: usize,
 }
 
 impl Capacity {
-    /// Divides what the machine gives.
+    /// Divides the resources of the machine.
     ///
     /// # Errors
     ///
-    /// It is too little for a broker.
+    /// Returns an error if the machine has too few file descriptors or too little memory.
     pub(super) fn new(machine: Machine) -> Result<Capacity, LimitsError> {
         machine.check()?;
         let Machine { memory_mb, sockets } = machine;
         let for_peers = sockets - RESERVED_DESCRIPTORS;
         let memory_bytes = memory_mb * KIB * KIB;
-        // Three quarters of the memory: what is held, the buffers of clients, and those of nodes.
+        // Queries with their responses, client buffers and node buffers get one quarter of the memory each.
         let quarter = memory_bytes / 4;
         let max_buffers = quarter / CONNECTION_BUFFER_BYTES;
-        // Clients come and go by hundreds, nodes are few: clients get two thirds of the descriptors, nodes one.
-        let from_clients = (for_peers * 2 / 3).min(max_buffers);
-        let surplus_connections = from_clients / CLIENTS_PER_SURPLUS_CONNECTION;
+        // Clients connect by the hundreds, while nodes are few. Clients therefore get two thirds of the file
+        // descriptors and nodes one third.
+        let all_client_connections = (for_peers * 2 / 3).min(max_buffers);
+        let surplus_connections = all_client_connections / CLIENTS_PER_SURPLUS_CONNECTION;
         Ok(Capacity {
-            client_connections: from_clients - surplus_connections,
+            client_connections: all_client_connections - surplus_connections,
             surplus_connections,
-            // Clients may hold a third of the descriptors; idle connections must leave them some of it.
-            idle_client_connections: (sockets / 5).min(from_clients / 2),
+            // Clients may occupy a third of the file descriptors. Idle connections must leave some for active ones.
+            idle_client_connections: (sockets / 5).min(all_client_connections / 2),
             node_connections: (for_peers / 3).min(max_buffers),
             held_bytes: quarter,
             list_bytes: (MAX_NODES * MAX_LIST_ENTRY_BYTES).min(memory_bytes / LIST_MEMORY_DIVISOR),
--- a/crates/broker/src/limits/mod.rs
+++ b/crates/broker/src/limits/mod.rs
@@ -1,10 +1,9 @@
-//! All sizes, counts and times of the broker on sockets, derived once at the start from the machine and the
-//! settings, and handed down.
+//! Limits on sizes, counts and times, which are derived from the machine and the settings when the broker starts.
 //!
-//! One type for each concern has its fields, how they are derived, and the constants behind them: [`ClientLimits`],
-//! [`RequestLimits`], [`NodeLimits`] and [`DiscoveryLimits`]. What the machine gives, and how it is divided among
-//! them, is in `machine`. Counts of bytes end in `_bytes`; times are [`Duration`]s, or [`TimeSpan`] where the routing
-//! decisions take them.
+//! [`ClientLimits`], [`RequestLimits`], [`NodeLimits`] and [`DiscoveryLimits`] each cover one part of the broker.
+//! Their modules also have the constants from which the limits are derived. `machine` divides the resources of the
+//! machine among them. Sizes in bytes have names that end in `_bytes`. Times are [`Duration`]s, or [`TimeSpan`]s if
+//! the routing logic uses them.
 
 mod client_limits;
 mod discovery_limits;
@@ -23,29 +22,29 @@
 use settings::BrokerSettings;
 use std::time::Duration;
 
-/// The limits of one broker.
+/// The limits of a broker.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of clients.
+    /// The limits of client connections.
     pub clients: ClientLimits,
-    /// Requests of clients and their responses.
+    /// The limits of client requests and their responses.
     pub requests: RequestLimits,
-    /// Connections to nodes.
+    /// The limits of connections to nodes.
     pub nodes: NodeLimits,
-    /// Requests to discovery.
+    /// The limits of requests to discovery.
     pub discovery: DiscoveryLimits,
-    /// Bytes of queries and responses held at once.
+    /// The maximum memory for open queries, their responses and request bodies.
     pub max_held_bytes: usize,
-    /// The least time between two turns of the routing decisions.
+    /// The minimum time between two turns of the routing logic.
     pub turn_period: TimeSpan,
 }
 
 impl Limits {
-    /// Derives the limits of a broker on this machine with these settings.
+    /// Derives the limits from the resources of the machine and the settings.
     ///
     /// # Errors
     ///
-    /// The machine has too few file descriptors or too little memory.
+    /// Returns an error if the machine has too few file descriptors or too little memory.
     pub fn new(machine: Machine, broker_settings: &BrokerSettings) -> Result<Limits, LimitsError> {
         let capacity = Capacity::new(machine)?;
         let config = &broker_settings.broker_config;
@@ -63,7 +62,8 @@
 /// Microseconds in a tenth of a millisecond, the unit of [`TimeSpan`].
 const MICROS_PER_TENTH: u64 = 100;
 
-/// A time of the routing decisions as one of the runtime; a negative one is zero.
+/// Converts a time span of the routing logic, in tenths of a millisecond, to a [`Duration`]. Negative spans become
+/// zero.
 pub fn to_duration(tenths: TimeSpan) -> Duration {
     Duration::from_micros(u64::try_from(tenths.0).unwrap_or(0).saturating_mul(MICROS_PER_TENTH))
 }
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -6,53 +6,56 @@
 use settings::{BrokerSettings, ConnectionSettings};
 use std::time::Duration;
 
-/// How long connecting to a node may take where the settings do not say, in milliseconds.
+/// The connect timeout if the settings have none, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
-/// Shard requests in flight on one connection where the settings do not say.
+/// The number of shard requests in flight on one connection if the settings have none.
 const DEFAULT_CONNECTION_SHARD_REQUESTS: u32 = 1;
-/// How long a node keeps an idle connection where the settings do not say.
+/// The time for which nodes keep idle connections open if the settings have none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The share of the node's idle timeout after which the broker closes, so that it closes first.
+/// The fraction of the node's idle timeout after which the broker closes a connection, so that the node does not
+/// close it first.
 const IDLE_FRACTION: f64 = 0.8;
-/// The longest frame to or from a node: it carries what a body does.
+/// The maximum length of a frame to or from a node. It equals the maximum length of an HTTP body, whose content
+/// frames carry.
 const MAX_FRAME_BYTES: usize = 64 * KIB;
-/// Attempts to connect within the connect timeout while this machine is short of something: a shortage of some
-/// milliseconds costs little more than it lasts.
+/// The number of connection attempts within the connect timeout while this machine lacks a resource such as ports.
+/// With this many a shortage of a few milliseconds causes little additional delay.
 const LOCAL_RETRIES_PER_CONNECT: u32 = 32;
-/// The divisor of the connect timeout that gives the time within which more of a frame must come.
+/// The divisor of the connect timeout that gives the time within which more bytes of a partial frame must arrive.
 const PARTIAL_FRAME_DIVISOR: u32 = 4;
-/// Cancelled shard requests that are remembered for each one that may be in flight.
+/// The number of cancelled shard requests that are remembered for each one that may be in flight.
 const REMEMBERED_CANCELLATIONS_FACTOR: usize = 8;
-/// Bounds how long a node that reads nothing holds up a connection.
+/// Limits how long a node that does not read blocks a connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Limits of connections to nodes.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
-    /// Connections to all nodes together.
+    /// The maximum number of connections to all nodes together.
     pub max_connections: usize,
-    /// One frame to or from a node.
+    /// The maximum length of a frame to or from a node, without its length prefix.
     pub max_frame_bytes: usize,
-    /// Shard requests in one batch.
+    /// The maximum number of shard requests in a batch.
     pub max_batch_size: usize,
-    /// Shard requests in flight on one connection.
+    /// The maximum number of shard requests in flight on one connection.
     pub max_connection_shard_requests: usize,
-    /// A connection must be established within this.
+    /// The time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// The wait between attempts to connect that fail because this machine is short of something.
+    /// The time between connection attempts that fail because this machine lacks a resource.
     pub local_retry_interval: Duration,
-    /// A frame that was begun must be complete within twice this.
+    /// Half of the time within which a frame must be complete after its first byte was received.
     pub partial_frame_timeout: Duration,
-    /// A connection on which nothing came for this long after a batch was written gets no more.
+    /// The time without input after a written batch, after which a connection gets no further shard requests.
     pub unresponsive_after: Duration,
-    /// Cancelled shard requests that are remembered for each connection, to tell a late response from one to an
-    /// unknown id.
+    /// The number of cancelled shard requests that are remembered for each connection, to distinguish late responses
+    /// from responses with an unknown id.
     pub max_remembered_cancellations: usize,
-    /// An attempt that is not written completely this long after its turn is cancelled, or its connection is closed.
+    /// The time after its turn within which an attempt must be written completely. After that the attempt is
+    /// cancelled or its connection is closed.
     pub attempt_write_timeout: TimeSpan,
-    /// A connection is closed when it was idle for this long.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// A node that accepts nothing of what is written for this long is disconnected.
+    /// The time after which a node that does not accept any written bytes is disconnected.
     pub write_timeout: Duration,
 }
 
@@ -81,12 +84,12 @@
     }
 }
 
-/// The settings' bound on shard requests in flight on one connection; at least one.
+/// Returns the configured or default number of shard requests in flight on one connection; at least 1.
 fn max_connection_shard_requests(connections: &ConnectionSettings) -> usize {
     connections.max_shard_requests.unwrap_or(DEFAULT_CONNECTION_SHARD_REQUESTS).max(1) as usize
 }
 
-/// When the broker closes an idle connection: before its node does.
+/// Returns the time after which the broker closes an idle connection, which is before the node does so.
 fn idle_timeout(connections: &ConnectionSettings) -> Duration {
     let kept_by_node = connections.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, to_duration);
     kept_by_node.mul_f64(IDLE_FRACTION)
--- a/crates/broker/src/limits/request_limits.rs
+++ b/crates/broker/src/limits/request_limits.rs
@@ -3,37 +3,37 @@
 use super::machine::KIB;
 use std::time::Duration;
 
-/// A longer request head is answered with 431.
+/// Longer request heads are answered with 431.
 const MAX_HEAD_BYTES: usize = 16 * KIB;
-/// A longer request body is answered with 413.
+/// Longer request bodies are answered with 413.
 const MAX_BODY_BYTES: usize = 64 * KIB;
-/// Allows for the chunks' own lines beside the body that they carry.
+/// Leaves room for the size lines of chunks, which are sent in addition to the body.
 pub(super) const MAX_CHUNKED_BODY_BYTES: usize = 4 * MAX_BODY_BYTES;
-/// A query whose response would be longer is failed.
+/// Queries with longer responses fail.
 const MAX_RESPONSE_BYTES: usize = 64 * KIB;
-/// A query holds its id once more for each of its shard requests, so it is kept short.
+/// Each shard request of a query stores a copy of the query's id, so ids must be short.
 const MAX_QUERY_ID_BYTES: usize = 128;
-/// Clients may round weights.
+/// Allows for weights that clients have rounded.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
-/// Bounds the time for which a client may have a query held.
+/// Limits the time for which a client can keep a query open.
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(600);
 
 /// Limits of requests and responses.
 #[derive(Clone, Debug)]
 pub struct RequestLimits {
-    /// The head of a request.
+    /// The maximum length of a request head.
     pub max_head_bytes: usize,
-    /// The body of a request.
+    /// The maximum length of a request body, after chunked encoding was removed.
     pub max_body_bytes: usize,
-    /// The body of a request as it comes in chunks.
+    /// The maximum length of a request body in chunked encoding, including the size lines of the chunks.
     pub max_chunked_body_bytes: usize,
-    /// The body of a response.
+    /// The maximum length of a response body.
     pub max_response_bytes: usize,
-    /// The id of a query.
+    /// The maximum length of a query's id.
     pub max_query_id_bytes: usize,
-    /// How far the sum of a query's weights may be from 1.
+    /// The maximum difference between 1 and the sum of a query's weights.
     pub weight_sum_tolerance: f64,
-    /// The longest time that a client may say it waits.
+    /// The maximum time that a query may run. Longer times stated by clients are reduced to it.
     pub max_client_wait: Duration,
 }
 
