--- a/crates/broker/src/command/check.rs
+++ b/crates/broker/src/command/check.rs
@@ -1,4 +1,4 @@
-//! The `check` command: lists every mistake in a file.
+//! The `check` command, which lists all mistakes in a file.
 
 use super::mistakes::Mistakes;
 use super::placeholder_address;
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The longest document that is checked, in bytes.
+/// The maximum length of a document that is checked, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Checks a file, and prints what was found.
+/// Checks a file, prints its mistakes, and returns the exit code.
 pub(super) fn check(path: &Path, as_json: bool) -> ExitCode {
     let is_operator_file = path.extension().is_some_and(|extension| extension == "ini");
     let checked = match is_operator_file {
@@ -22,14 +22,14 @@
     checked.err().unwrap_or_default().report(path, as_json)
 }
 
-/// Reads an operator's file.
+/// Reads an operator's file, or returns all mistakes in it.
 pub(super) fn read_operator_file(path: &Path) -> Result<OperatorConfig, Mistakes> {
     let text = std::fs::read_to_string(path).map_err(Mistakes::one)?;
     operator_config::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
-/// Checks a broker's config file with the settings in it, or a version's document as a control service serves
-/// it.
+/// Checks a broker's config file including its settings, or the document of a configuration version, as a control
+/// service provides it. A file with a `settings` key is a config file.
 pub(super) fn check_json_file(path: &Path) -> Result<(), Mistakes> {
     let text = std::fs::read(path).map_err(Mistakes::one)?;
     let document = Document::parse(&text, MAX_DOCUMENT_BYTES).map_err(Mistakes::one)?;
@@ -40,12 +40,12 @@
     }
 }
 
-/// Checks the settings, and the rest of the file only if they have no mistake.
+/// Checks the settings and, if they have no mistakes, the rest of the file.
 fn check_config_file(text: &[u8], file: &Value, settings: &Value) -> Result<(), Mistakes> {
     let settings = Document::parse(settings.to_string().as_bytes(), MAX_DOCUMENT_BYTES)
         .map_err(|e| Mistakes::one(e).within("settings"))?;
     Mistakes::list(&settings::check(&settings)).within("settings").into_result()?;
-    // The addresses may come from the environment, also where the file has none.
+    // The environment may provide addresses when the broker is started, so placeholders stand in for missing ones.
     let env = |variable: &str| {
         let key = variable.trim_start_matches("EDGE_").to_lowercase();
         let placeholder = placeholder_address(variable).filter(|_| file.get(&key).is_none());
--- a/crates/broker/src/command/mistakes.rs
+++ b/crates/broker/src/command/mistakes.rs
@@ -1,39 +1,40 @@
-//! The mistakes in one file, as they are listed for whoever wrote it.
+//! The mistakes found in a file, and their output.
 
 use serde_json::json;
 use std::fmt::Display;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The exit code for a mistake in the arguments, or in a file that was checked.
+/// The exit code for a mistake in the arguments or in a checked file.
 pub(super) const EXIT_MISTAKE: u8 = 2;
 
-/// The mistakes in one file, each a text of one line.
+/// The mistakes found in a file, each as one line of text.
 #[derive(Debug, Default)]
 pub(super) struct Mistakes(Vec<String>);
 
 impl Mistakes {
-    /// A single mistake.
+    /// Creates a list with a single mistake.
     pub(super) fn one(mistake: impl Display) -> Mistakes {
         Mistakes(vec![mistake.to_string()])
     }
 
-    /// All that a check found.
+    /// Creates a list from all results of a check.
     pub(super) fn list(mistakes: &[impl Display]) -> Mistakes {
         Mistakes(mistakes.iter().map(ToString::to_string).collect())
     }
 
-    /// The same mistakes, each with the name of the section of the file that it is in.
+    /// Prefixes each mistake with the section of the file that contains it.
     pub(super) fn within(self, section: &str) -> Mistakes {
         Mistakes(self.0.iter().map(|mistake| format!("{section}: {mistake}")).collect())
     }
 
-    /// An error if there are any.
+    /// Returns the mistakes as an error, or `Ok` if there are none.
     pub(super) fn into_result(self) -> Result<(), Mistakes> {
         if self.0.is_empty() { Ok(()) } else { Err(self) }
     }
 
-    /// Prints what was found in `file`, and returns the exit code for it.
+    /// Prints the mistakes found in `file` and returns the exit code. The JSON form and the result of a file without
+    /// mistakes are printed to standard output, lists of mistakes to standard error.
     pub(super) fn report(&self, file: &Path, as_json: bool) -> ExitCode {
         let is_sound = self.0.is_empty();
         if as_json {
@@ -51,7 +52,7 @@
         for mistake in &self.0 {
             eprintln!("{}: {mistake}", file.display());
         }
-        let next = "mend what is named, and check again: `shard-broker check FILE` starts nothing";
+        let next = "fix them and run `shard-broker check FILE` again, which does not start a broker";
         eprintln!("{} mistakes; {next}", self.0.len());
     }
 }
--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -1,4 +1,4 @@
-//! The `reshape` command: converts a config file to a deployment with another layout.
+//! The `reshape` command, which converts a config file for a deployment with another layout.
 
 use super::mistakes::Mistakes;
 use super::placeholder_address;
@@ -10,29 +10,29 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The arguments of the command.
+/// The arguments of the `reshape` command.
 pub(super) struct ReshapeRequest<'a> {
-    /// The present config file.
+    /// The current config file.
     pub(super) old: &'a Path,
-    /// The layout of the new deployment.
+    /// The file with the layout of the new deployment.
     pub(super) shape: &'a Path,
-    /// This broker's zone, where `shape` does not say it.
+    /// The name of this broker's zone, if `shape` does not have it.
     pub(super) zone: Option<&'a str>,
-    /// The new file; `None`: nothing is written.
+    /// The file to write, or `None` for a dry run.
     pub(super) new: Option<&'a Path>,
-    /// Print one JSON object.
+    /// Whether the result is printed as one JSON object.
     pub(super) as_json: bool,
 }
 
-/// Why nothing was written.
+/// The mistakes that prevented the new file from being written.
 struct ReshapeError<'a> {
-    /// The file that the mistakes are in.
+    /// The file that has the mistakes.
     file: &'a Path,
-    /// What they are.
     mistakes: Mistakes,
 }
 
-/// Makes the new file, checks that a broker would start from it, and writes it, unless a file of that name exists.
+/// Converts the config file, checks that a broker could start with the result, and writes it. Fails if the new file
+/// already exists.
 pub(super) fn reshape(request: &ReshapeRequest) -> ExitCode {
     match make_and_write(request) {
         Ok(reshaped) => {
@@ -59,7 +59,7 @@
     DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
-/// The converted file, from which a broker would start.
+/// Converts the config file and checks that a broker could start with the result.
 fn make(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
     let reshaped = settings_migration::migrate(&old, shape, request.zone)
@@ -86,8 +86,8 @@
     }
     match request.new {
         Some(new) => {
-            println!("{}: written; `shard-broker check` holds it against the rules again", new.display());
+            println!("{}: written; `shard-broker check` validates it", new.display());
         }
-        None => println!("nothing was written; --to FILE writes the new file"),
+        None => println!("no file was written; use --to FILE to write it"),
     }
 }
--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -1,46 +1,50 @@
-//! One configuration as request handlers read it. It never changes: the engine replaces it by a newer one,
-//! and a query keeps the one under which it was accepted.
+//! The configuration under which queries are accepted.
+//!
+//! An epoch is immutable except for its counts. To change the configuration, the engine replaces the current epoch.
+//! Queries keep the epoch under which they were accepted until they end.
 
 use routing::{BrokerConfig, ClassId, RequestClass, TimeSpan};
 use settings::{BrokerSettings, NameRegistry};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// A configuration, and how the queries accepted under it have ended.
+/// A configuration, with the outcomes of the queries accepted under it.
 pub struct ConfigEpoch {
-    /// The names of classes and tenants.
+    /// The mapping from names of request classes and tenants to their ids.
     pub names: NameRegistry,
-    /// The request classes.
+    /// The request classes by id.
     pub classes: BTreeMap<ClassId, RequestClass>,
-    /// The number of shards.
+    /// The number of shards. Shard numbers are below it.
     pub shards: u32,
-    /// The bound on open queries and shard requests together.
+    /// The maximum number of open queries and unanswered shard requests together.
     pub max_open: usize,
-    /// The `Retry-After` of queries that are rejected at a bound; zero: none is given.
+    /// The `Retry-After` of queries that are rejected before they reach the routing logic. Zero omits the header.
     pub retry_after: TimeSpan,
-    /// How queries have ended. Shared by the epoch's queries, which end independently of each other.
+    /// The outcomes counted so far. All queries of the epoch update this cell, each when it ends.
     pub counts: Cell<EpochCounts>,
 }
 
-/// How queries ended, counted from the epoch's start.
+/// The outcomes of queries since the start of an epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EpochCounts {
-    /// All that have ended, except those whose client left.
+    /// All queries that have ended, including those not accepted, except those whose client disconnected.
     pub ended: u64,
-    /// Answered after the latency objective.
+    /// Queries that were answered after their latency objective.
     pub late: u64,
-    /// Rejected by the routing decisions.
+    /// Queries that the routing logic rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Queries that failed.
     pub failed: u64,
-    /// Not accepted: at a bound of the engine, or for a class or shard that the epoch does not have.
+    /// Queries that were not accepted, because a limit of the engine was reached or the epoch does not have the
+    /// requested class or shard.
     pub not_accepted: u64,
-    /// Of those that were late, rejected or failed: an attempt found its node down, or lost its connection.
+    /// Those of the late, rejected and failed queries with an attempt that could not connect to its node or lost the
+    /// connection.
     pub with_lost_node: u64,
 }
 
 impl ConfigEpoch {
-    /// The epoch of a configuration, with nothing counted.
+    /// Creates the epoch of a configuration, with all counts at zero.
     pub fn new(broker_settings: &BrokerSettings) -> ConfigEpoch {
         let config: &BrokerConfig = &broker_settings.broker_config;
         let objectives = config.classes.values().map(|class| class.latency_objective);
@@ -56,18 +60,19 @@
         }
     }
 
-    /// When a query of this class and announced work is on time, counted from its acceptance.
+    /// Returns the latency objective of a query, measured from its acceptance. `work` is the execution time that the
+    /// client expects. The objective is zero if the class is unknown.
     pub fn latency_objective(&self, class: ClassId, work: TimeSpan) -> TimeSpan {
         let class = self.classes.get(&class);
         class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
     }
 
-    /// The longest deadline of a request class; zero where there is none.
+    /// Returns the longest deadline of all request classes, or zero if there are none.
     pub fn longest_deadline(&self) -> TimeSpan {
         self.classes.values().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Changes the counts.
+    /// Updates the counts with `change`.
     pub fn count(&self, change: impl FnOnce(&mut EpochCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -1,9 +1,9 @@
-//! Configuration versions from a configuration service, brought to the engine.
+//! Application of configuration versions from a configuration service to the engine.
 //!
-//! The streams, the checks and the state file are on a thread of their own (`config_rollout_client::run`). It sends
-//! [`EngineRequest`]s over a channel; a task on the broker's thread carries them out one at a time, so a version is
-//! applied in one step between two turns. When either side is gone, the other's requests or replies are dropped: the
-//! broker serves on under its last configuration.
+//! A separate thread (`config_rollout_client::run`) receives and validates versions and writes the state file. It
+//! sends [`EngineRequest`]s over a channel to a task on the broker's thread. The task executes them one at a time, so
+//! a version is applied atomically between two turns. If one side ends, the requests or replies of the other are
+//! dropped, and the broker continues with its last configuration.
 
 mod status_command;
 
@@ -26,25 +26,25 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::{info, warn};
 
-/// The name of the thread that carries the rollout out.
+/// The name of the thread on which the rollout runs.
 const THREAD_NAME: &str = "control";
 
-/// What a broker's rollout starts from, prepared before the broker serves.
+/// A rollout that was prepared before the broker serves and has not been started.
 pub struct PreparedRollout {
     client_config: ClientConfig,
     restored: RestoredState,
-    /// The configuration that the broker starts with, adapted to sockets.
+    /// The configuration that the broker starts with, including the values adapted to its connections.
     start_config: BrokerConfig,
     status_listener: Option<TcpListener>,
 }
 
-/// The broker's own settings can't be what versions are compared with.
+/// An error in the broker's own settings, with which every version is compared.
 #[derive(Debug, Error)]
 enum OwnSettingsError {
-    /// They are not JSON, or too long.
+    /// The settings are not JSON or too long.
     #[error("settings: {0}")]
     Unreadable(#[source] settings::DocumentError),
-    /// A check finds a mistake; the first one.
+    /// The settings have a mistake. This is the first one.
     #[error("settings: {0}")]
     Invalid(ValidationError),
 }
@@ -55,11 +55,11 @@
     }
 }
 
-/// Restores the stored version, if there is one, so that the broker serves under it from its first query on.
+/// Restores the stored version, if there is one, into `startup`, so that it applies from the first query on.
 ///
 /// # Errors
 ///
-/// The broker's own settings have a mistake, or the status service's address can't be listened on.
+/// Returns an error if the broker's own settings have a mistake or the address of the status service can't be bound.
 pub fn prepare(startup: &mut StartupConfig, control: RolloutConfig) -> io::Result<PreparedRollout> {
     let own_document = read_own_settings(startup.settings.as_bytes(), control.max_document_bytes)?;
     let RolloutConfig { installation, max_document_bytes, state_file, .. } = &control;
@@ -79,7 +79,7 @@
         info!(number = version.number, digest = %version.digest, "persisted version restored");
         let restored_settings = restored.running.broker_settings.clone();
         let own = std::mem::replace(&mut startup.broker_settings, restored_settings);
-        keep_socket_waits(&mut startup.broker_settings.broker_config, &own.broker_config);
+        keep_transport_overrides(&mut startup.broker_settings.broker_config, &own.broker_config);
     }
     let status_listener = control.status_address.map(TcpListener::bind).transpose()?;
     let client_config = ClientConfig {
@@ -96,7 +96,7 @@
     Ok(PreparedRollout { client_config, restored, start_config, status_listener })
 }
 
-/// Reads the broker's own settings, which must be free of mistakes: versions are compared with them.
+/// Reads the broker's own settings. They must not have any mistakes, because versions are compared with them.
 fn read_own_settings(text: &[u8], max_bytes: usize) -> Result<Document, OwnSettingsError> {
     let document = Document::parse(text, max_bytes).map_err(OwnSettingsError::Unreadable)?;
     match check(&document).into_iter().next() {
@@ -106,11 +106,11 @@
 }
 
 impl PreparedRollout {
-    /// Starts the rollout's thread; returns the address of the status service, if it is switched on.
+    /// Starts the rollout thread. Returns the address of the status service, or `None` if it is disabled.
     ///
     /// # Errors
     ///
-    /// The system refuses the thread or its runtime.
+    /// Returns an error if the thread or its runtime can't be created.
     pub fn start(self, engine: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         let PreparedRollout { client_config, restored, start_config, status_listener } = self;
         let status_address = status_listener.as_ref().map(TcpListener::local_addr).transpose()?;
@@ -133,29 +133,30 @@
     }
 }
 
-/// The status service's listener for the rollout's runtime; without it there is no status service.
+/// Converts the listener of the status service for use in the rollout's runtime. If that fails, logs a warning and
+/// returns `None`, and the broker runs without a status service.
 fn into_async(listener: TcpListener) -> Option<tokio::net::TcpListener> {
     let ready = listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener));
     ready.inspect_err(|error| warn!(reason = %error, "no status service")).ok()
 }
 
-/// What the rollout's thread asks of the broker's.
+/// A request from the rollout thread to the broker's thread.
 enum EngineRequest {
-    /// Accept queries under this version from now on.
+    /// Accept further queries under this version.
     Apply { version: VersionId, broker_settings: Box<BrokerSettings>, done: oneshot::Sender<()> },
-    /// The contents in force have another version number.
+    /// Report the current contents under another version number.
     Renumber { version: VersionId, done: oneshot::Sender<()> },
-    /// Say how queries have ended under the present configuration.
+    /// Count the outcomes of queries under the current configuration.
     CountOutcomes { reply: oneshot::Sender<Sample> },
 }
 
-/// The engine, as seen from the rollout's thread.
+/// A handle through which the rollout thread sends requests to the engine.
 struct EngineHandle {
     requests: mpsc::Sender<EngineRequest>,
 }
 
 impl EngineHandle {
-    /// Sends a request and waits for its reply; `None`: the engine is gone.
+    /// Sends a request and waits for its reply. Returns `None` if the engine no longer exists.
     async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> EngineRequest) -> Option<T> {
         let (reply, replied) = oneshot::channel();
         self.requests.send(request(reply)).await.ok()?;
@@ -178,15 +179,18 @@
     }
 }
 
-/// Keeps the values that were adapted to sockets at the start: a version's document has only those of the settings.
-fn keep_socket_waits(config: &mut BrokerConfig, start_config: &BrokerConfig) {
+/// Copies the values that depend on the broker's connections from `start_config`. The document of a version contains
+/// only the values of the settings.
+fn keep_transport_overrides(config: &mut BrokerConfig, start_config: &BrokerConfig) {
     config.send_lag = start_config.send_lag;
     config.watch_on_request = start_config.watch_on_request;
     config.rules.endpoint_list_max_age = start_config.rules.endpoint_list_max_age;
 }
 
-/// The task that carries out the rollout's requests. The published version changes in the same step as the engine's
-/// configuration, so the status never shows one without the other.
+/// Executes the requests of the rollout thread.
+///
+/// The published version and the configuration of the engine change without an await in between, so the status is
+/// always consistent with the engine.
 async fn serve_requests(
     engine: Rc<Engine>,
     start_config: BrokerConfig,
@@ -194,12 +198,12 @@
     status: Arc<PublishedStatus>,
 ) {
     while let Some(request) = requests.recv().await {
-        // A reply can't be sent where the rollout's thread is gone.
+        // Sending a reply fails if the rollout thread has ended.
         match request {
             EngineRequest::Apply { version, mut broker_settings, done } => {
                 let config = &mut broker_settings.broker_config;
-                keep_socket_waits(config, &start_config);
-                // Zones have the ids of the start here, whatever order a version lists them in.
+                keep_transport_overrides(config, &start_config);
+                // Zone ids are assigned at startup, and a version may list the zones in a different order.
                 config.zone = start_config.zone;
                 engine.apply_config(ConfigEpoch::new(&broker_settings), broker_settings.broker_config);
                 status.running.store(Arc::new(version));
@@ -214,8 +218,8 @@
     }
 }
 
-/// How queries have ended under the present configuration. Only its own counts are in a sample, so a version is not
-/// judged by queries that its predecessor accepted.
+/// Returns the outcomes of queries accepted under the current configuration. Queries accepted under an earlier one
+/// are not included, so that a version is not judged by them.
 fn count_outcomes(engine: &Engine) -> Sample {
     let EpochCounts { ended, late, rejected, failed, not_accepted, with_lost_node } =
         engine.epoch().counts.get();
--- a/crates/broker/src/config_rollout/status_command.rs
+++ b/crates/broker/src/config_rollout/status_command.rs
@@ -1,4 +1,4 @@
-//! `control status`: asks a running broker what it runs, and prints it.
+//! The `control status` command, which prints the configuration version of a running broker.
 
 use config_rollout_client::status_query::{BrokerStatus, RejectionStatus, StatusQueryError, fetch_status};
 use serde_json::json;
@@ -7,10 +7,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The exit code where no broker answers.
+/// The exit code if the broker does not answer.
 const EXIT_NO_ANSWER: u8 = 3;
 
-/// Prints the status of the broker whose status service is at this address, as lines or as one JSON object.
+/// Fetches the status from a broker's status service, prints it as lines or as one JSON object, and returns the exit
+/// code.
 pub fn status(address: SocketAddr, timeout: Duration, as_json: bool) -> ExitCode {
     match fetch(address, timeout) {
         Ok(status) if as_json => print_json(&status),
@@ -27,13 +28,13 @@
     ExitCode::SUCCESS
 }
 
-/// Why there is no status to print.
+/// An error while fetching the status.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    /// The system refuses a runtime.
+    /// The Tokio runtime could not be created.
     #[error(transparent)]
     Runtime(#[from] io::Error),
-    /// The broker does not answer with its status.
+    /// The broker did not answer with a valid status.
     #[error(transparent)]
     Query(#[from] StatusQueryError),
 }
@@ -43,7 +44,7 @@
     Ok(runtime.block_on(fetch_status(address, timeout))?)
 }
 
-/// Prints one JSON object, whose keys scripts read.
+/// Prints the status as one JSON object. Scripts read its keys, so they must not change.
 fn print_json(status: &BrokerStatus) {
     let rejection = status.last_rejection.as_ref().map(|RejectionStatus { number, reason, at }| {
         json!({"number": number.parse::<u64>().ok(), "reason": reason, "at": at})
@@ -54,7 +55,7 @@
     println!("{line}");
 }
 
-/// Prints a line for each field.
+/// Prints the status with one line for each field.
 fn print_lines(status: &BrokerStatus) {
     println!("broker         {} of {}", status.name, status.installation);
     println!("runs           version {}, {}", status.number, status.standing);
--- a/crates/broker/src/config_rollout_disabled.rs
+++ b/crates/broker/src/config_rollout_disabled.rs
@@ -1,4 +1,4 @@
-//! Takes the place of `config_rollout` where the program is built without that feature.
+//! Replacement for `config_rollout` in builds without the `config-rollout` feature.
 
 use crate::StartupConfig;
 use crate::engine::Engine;
@@ -10,35 +10,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Has no value: no rollout can be prepared.
+/// A rollout, which can't be created without the feature.
 pub struct PreparedRollout {
     never: Infallible,
 }
 
-/// The operator's file switches on what this program is built without.
+/// The operator's file enables `[control]` in a build without the feature.
 #[derive(Debug, thiserror::Error)]
-#[error(
-    "[control] is switched on, but this program is built without it (cargo build --features config-rollout)"
-)]
+#[error("[control] is enabled, but this program is built without it (cargo build --features config-rollout)")]
 struct RolloutDisabled;
 
-/// Never succeeds: `[control]` needs the feature.
+/// Rejects the `[control]` section of the operator's file.
 ///
 /// # Errors
 ///
-/// Always.
+/// Always returns an error, because `[control]` requires the feature.
 pub fn prepare(_: &mut StartupConfig, _: RolloutConfig) -> io::Result<PreparedRollout> {
     Err(io::Error::other(RolloutDisabled))
 }
 
 impl PreparedRollout {
-    /// Can't be called, as there is no value to call it on.
+    /// Can't be called, because a `PreparedRollout` can't be created.
     pub fn start(self, _: Rc<Engine>) -> io::Result<Option<SocketAddr>> {
         match self.never {}
     }
 }
 
-/// Prints that the command needs the feature; exit code 2.
+/// Prints that the command requires the feature and returns exit code 2.
 pub fn status(_: SocketAddr, _: Duration, _: bool) -> ExitCode {
     eprintln!(
         "shard-broker: this program is built without `control` (cargo build --features config-rollout)"
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -67,7 +67,8 @@
         self.wake_at.set(Some(wake_at));
     }
 
-    /// Ends a query with the outcome made from its responses. Has no effect if the query has already ended.
+    /// Ends a query with the outcome that `outcome` builds from its responses. Has no effect if the query has already
+    /// ended.
     pub(super) fn finish(&self, id: QueryId, outcome: impl FnOnce(Vec<ShardResponse>) -> QueryOutcome) {
         if let Some(closed) = self.close(id) {
             closed.query.finish(outcome(closed.responses), self.clock.now());
--- a/crates/broker/src/engine/endpoints.rs
+++ b/crates/broker/src/engine/endpoints.rs
@@ -19,7 +19,7 @@
 
     /// Applies an endpoint list, which has all nodes or, with [`EndpointListKind::Delta`], only those that changed.
     ///
-    /// If a node is removed or no longer ready, its attempts of which no byte was written end immediately.
+    /// If a node is removed or no longer ready, its attempts that have not been written, even partially, end at once.
     pub fn update_endpoints(&self, kind: EndpointListKind, list: NodeList) {
         let mut ids = self.ids.borrow_mut();
         if kind != EndpointListKind::Delta {
--- a/crates/broker/src/program.rs
+++ b/crates/broker/src/program.rs
@@ -1,4 +1,4 @@
-//! The program `shard-broker`: without arguments, or as the command line says.
+//! The entry point of the `shard-broker` program.
 
 use crate::command::report_invalid_file;
 use crate::logging::log_to_standard_error;
@@ -10,7 +10,8 @@
 use std::process::ExitCode;
 use tracing::error;
 
-/// Runs the program: without arguments, it starts as the environment says and serves until SIGTERM.
+/// Runs the program. Without arguments, a broker is configured by the environment and serves until SIGTERM. Otherwise
+/// the command line selects a command.
 pub fn run() -> ExitCode {
     match std::env::args_os().len() {
         0 | 1 => serve(&ConfigSource::default(), OperatorConfig::default()),
@@ -18,7 +19,8 @@
     }
 }
 
-/// Serves until SIGTERM. Exit code 1: it could not start; 2: there are mistakes in its file, and they are listed.
+/// Serves until SIGTERM and returns the exit code: 0 after a shutdown, 1 if the broker could not start, and 2 if its
+/// config file has mistakes, which are then printed.
 pub(crate) fn serve(source: &ConfigSource, operator: OperatorConfig) -> ExitCode {
     log_to_standard_error(operator.log_format);
     match serve_until_terminated(source, operator) {
@@ -36,7 +38,7 @@
 /// Starts the broker and shuts it down on SIGTERM.
 fn serve_until_terminated(source: &ConfigSource, operator: OperatorConfig) -> Result<(), StartupError> {
     actix_rt::Runtime::new()?.block_on(async {
-        // Listened for before anything else: without that, either signal ends the process.
+        // The handlers are installed first, because either signal terminates a process that does not handle it.
         let mut terminate = termination_signal()?;
         let reload = reload_signal()?;
         let config = StartupConfig::from(source)?;
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading on SIGHUP: what a running broker takes over from its config file.
+//! Reloading of the config file on SIGHUP.
 
 use crate::startup::{ConfigSource, StartupConfig};
 use std::io;
@@ -7,16 +7,17 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// The signal that the config file has changed, listened for from this call on.
+/// Installs the handler for SIGHUP, which requests a reload of the config file.
 ///
 /// # Errors
 ///
-/// The system refuses the handler.
+/// Returns an error if the operating system refuses the signal handler.
 pub fn reload_signal() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// At each signal, reads where discovery is now. A file that can't be used changes nothing.
+/// Reloads the address of discovery at each signal. If the config file is not valid, logs a warning and keeps the
+/// current address.
 pub async fn reload_on_signal(
     mut reload: Signal,
     source: ConfigSource,
@@ -26,7 +27,7 @@
         match StartupConfig::reread_discovery(&source) {
             Ok(address) => {
                 info!(discovery = %address, "config reloaded");
-                // Sent even if the address is the same, so that the endpoint list is requested again.
+                // Sent even if the address is unchanged, so that the endpoint list is requested again.
                 discovery.send_replace(address);
             }
             Err(reason) => warn!(%reason, "config reload failed, the old config stays in use"),
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -1,7 +1,7 @@
-//! What a broker starts from: the environment and the config file.
+//! The startup configuration, read from the environment and the config file.
 //!
-//! The keys of the config file (`known`, `limits` and the like) become the code's terms here. Endpoint lists in it
-//! have the format of `endpoint_list`.
+//! Some keys of the config file (`known`, `limits` and others) differ from the terms used in the code and are mapped
+//! in this module. Endpoint lists in the file have the format that `endpoint_list` defines.
 
 use crate::endpoint_list::NodeList;
 use crate::limits::{Limits, LimitsError, Machine};
@@ -13,12 +13,12 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseIntError;
 
-/// Names the config file.
+/// The environment variable with the path of the config file.
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
-/// Says where discovery is, and comes before the config file.
+/// The environment variable with the address of discovery, which takes precedence over the config file.
 const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
 
-/// Why a broker could not start. The texts are for whoever started it.
+/// An error that prevents a broker from starting. The message is shown to the person who started it.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// Neither the command line nor the environment names a config file.
@@ -27,91 +27,91 @@
     /// The config file could not be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the config file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The config file does not describe a broker.
+    /// The config file was read but is not valid.
     #[error("{path}: {source}")]
     InvalidFile {
-        /// The file.
+        /// The path of the config file.
         path: String,
-        /// What is wrong with it.
+        /// The first error found in the file.
         source: Box<StartupError>,
     },
-    /// The config file is not JSON of the expected form.
+    /// The config file is not JSON or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The settings within the config file can't be used.
+    /// The settings in the config file are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The machine has too little of something.
+    /// The machine does not have enough file descriptors or memory.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// A key is neither in the environment nor in the file.
+    /// A required value is in neither the environment nor the config file.
     #[error("`{key}` is missing")]
     Missing {
-        /// The key.
+        /// The key of the value in the config file.
         key: &'static str,
     },
-    /// An address can't be read.
+    /// An address can't be parsed.
     #[error("`{key}` is `{text}`: {source}")]
     Address {
-        /// The key.
+        /// The key of the address in the config file.
         key: &'static str,
-        /// What it says.
+        /// The text that was found.
         text: String,
-        /// Why that is no address.
+        /// The error of the parser.
         source: AddrParseError,
     },
-    /// The seed is not a hexadecimal number.
-    #[error("`seed`: {0}")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("`seed` is not a hexadecimal number of at most 64 bits: {0}")]
     Seed(#[source] ParseIntError),
-    /// The system refused a socket, a signal handler, a thread or the like.
+    /// The operating system refused a resource such as a socket, a signal handler or a thread.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Everything that one broker starts from.
+/// The configuration with which a broker starts.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
-    /// The broker's name.
+    /// The name of the broker, used in log lines and in the status.
     pub name: String,
-    /// Where clients reach it.
+    /// The address on which the broker accepts client connections.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery at startup. A reload of the config file may change it later.
     pub discovery: SocketAddr,
-    /// Seeds the routing decisions' random numbers.
+    /// The seed of the routing logic's random number generator.
     pub seed: u64,
-    /// What the settings say, adapted to sockets.
+    /// The parsed settings, with the times that depend on the broker's connections already adapted.
     pub broker_settings: BrokerSettings,
-    /// The text of the settings that `broker_settings` was read from.
+    /// The JSON text from which `broker_settings` was parsed.
     pub settings: String,
-    /// The endpoint list that this broker had last.
+    /// The last endpoint list that was received before the start, or `None` if the config file has none.
     pub cached_endpoints: Option<NodeList>,
-    /// The sizes, counts and times that follow from the machine and the settings.
+    /// The limits derived from the machine and the settings.
     pub limits: Limits,
-    /// The Unix time at which its clock starts; `None`: the system's. A simulation sets it.
+    /// The Unix time at which the broker's clock starts, set by simulations. `None` uses the system time.
     pub clock_start: Option<Timestamp>,
 }
 
-/// Where a broker's config file is: named on the command line, or by the environment.
+/// The source of a broker's config file: a path from the command line, or the environment.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSource {
-    /// The path that the command line names.
+    /// The path from the command line, which takes precedence over `EDGE_CONFIG`.
     pub config: Option<String>,
 }
 
 impl ConfigSource {
-    /// An environment variable, or what the command line says in its place.
+    /// Returns an environment variable, or the value from the command line that overrides it.
     fn variable(&self, name: &str) -> Option<String> {
         let on_command_line = self.config.clone().filter(|_| name == CONFIG_VARIABLE);
         on_command_line.or_else(|| std::env::var(name).ok())
     }
 }
 
-/// The config file, by its own keys.
+/// The contents of the config file.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     name: Option<String>,
@@ -119,13 +119,13 @@
     discovery: Option<String>,
     seed: String,
     limits: MachineLimits,
-    /// The endpoint list that this broker had last.
+    /// The last endpoint list that was received before the start.
     known: Option<NodeList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
-/// What the file says of the machine: memory in MiB, file descriptors.
+/// The resources of the machine as stated in the config file: memory in MiB and the number of file descriptors.
 #[derive(Deserialize)]
 struct MachineLimits {
     memory_mb: f64,
@@ -139,36 +139,37 @@
 }
 
 impl StartupConfig {
-    /// Reads the `EDGE_*` variables and the file that they name.
+    /// Reads the `EDGE_*` environment variables and the config file that `EDGE_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// The file is not named, can't be read, or has a mistake.
+    /// Returns an error if `EDGE_CONFIG` is not set, or if the file can't be read or is not valid.
     pub fn from_env() -> Result<StartupConfig, StartupError> {
         StartupConfig::from(&ConfigSource::default())
     }
 
-    /// Reads the file that a source names.
+    /// Reads the config file that `source` names. Values in the environment take precedence over those in the file.
     ///
     /// # Errors
     ///
-    /// As [`StartupConfig::from_env`].
+    /// Returns the same errors as [`StartupConfig::from_env`].
     pub fn from(source: &ConfigSource) -> Result<StartupConfig, StartupError> {
         StartupConfig::read_file(|name| source.variable(name))
     }
 
-    /// Reads the file again for what a running broker takes over from it: the address of discovery. The environment's
-    /// address holds at the start only.
+    /// Reads the address of discovery from the config file again, the only value that a running broker reloads.
+    ///
+    /// Ignores `EDGE_DISCOVERY`, which applies only at startup.
     ///
     /// # Errors
     ///
-    /// As [`StartupConfig::from_env`].
+    /// Returns the same errors as [`StartupConfig::from_env`].
     pub fn reread_discovery(source: &ConfigSource) -> Result<SocketAddr, StartupError> {
         let env = |name: &str| source.variable(name).filter(|_| name != DISCOVERY_VARIABLE);
         Ok(StartupConfig::read_file(env)?.discovery)
     }
 
-    /// Reads the file that `EDGE_CONFIG` names in this environment.
+    /// Reads the config file that `EDGE_CONFIG` names in `env`.
     fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
         let path = env(CONFIG_VARIABLE).ok_or(StartupError::NoConfig)?;
         match std::fs::read(&path) {
@@ -178,17 +179,19 @@
         }
     }
 
-    /// Reads a config file's text. Name and addresses in the environment (`env`) take precedence.
+    /// Parses the text of a config file. The name and the addresses in the environment (`env`) take precedence over
+    /// the file.
     ///
     /// # Errors
     ///
-    /// A key is missing or has an invalid value, or the machine has too little of something.
+    /// Returns an error if a key is missing or has an invalid value, or if the machine has too few file descriptors
+    /// or too little memory.
     pub fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, StartupError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let settings = file.settings.get();
         let mut broker_settings = settings::read(settings.as_bytes())?;
         let limits = Limits::new(file.limits.into(), &broker_settings)?;
-        adapt_to_sockets(&mut broker_settings, &limits);
+        apply_transport_overrides(&mut broker_settings, &limits);
         Ok(StartupConfig {
             name: env("EDGE_NAME").or(file.name).ok_or(StartupError::Missing { key: "name" })?,
             listen: address("listen", env("EDGE_LISTEN").or(file.listen))?,
@@ -203,20 +206,21 @@
     }
 }
 
-/// Reads the address under a key.
+/// Parses the address found for `key`.
 fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, StartupError> {
     let text = text.ok_or(StartupError::Missing { key })?;
     text.parse().map_err(|source| StartupError::Address { key, text, source })
 }
 
-/// Sets what follows from this broker's connections to nodes and discovery, which the settings can't know.
-fn adapt_to_sockets(broker_settings: &mut BrokerSettings, limits: &Limits) {
+/// Sets the values that depend on the broker's connections to nodes and discovery. They are not part of the settings.
+fn apply_transport_overrides(broker_settings: &mut BrokerSettings, limits: &Limits) {
     let config = &mut broker_settings.broker_config;
-    // Between its turn and its last byte an attempt may have to wait for a connection.
+    // An attempt may have to wait for a connection before its last byte is written.
     config.send_lag = limits.nodes.attempt_write_timeout + limits.turn_period;
-    // Discovery speaks HTTP and has to be asked, also where the settings call the endpoint list automatic.
+    // Discovery uses HTTP and must be polled, even if the settings declare the endpoint list as automatic.
     config.watch_on_request = true;
-    // After a failed request the decisions may wait no longer than until they count as notified of what they miss.
+    // After a failed request, the routing logic must not rely on its list for longer than the time after which it is
+    // considered notified of a change.
     let max_age = &mut config.rules.endpoint_list_max_age;
     *max_age = (*max_age).min(limits.discovery.assumed_notified_after);
 }
