--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -34,7 +34,7 @@
 /// Converts the config file, checks that a broker could start with the result, and writes it. Fails if the new file
 /// already exists.
 pub(super) fn reshape(request: &ReshapeRequest) -> ExitCode {
-    match make_and_write(request) {
+    match convert_and_write(request) {
         Ok(reshaped) => {
             print_result(request, &reshaped);
             ExitCode::SUCCESS
@@ -43,11 +43,11 @@
     }
 }
 
-fn make_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<MigratedSettings, ReshapeError<'a>> {
+fn convert_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<MigratedSettings, ReshapeError<'a>> {
     let in_shape = |mistakes| ReshapeError { file: request.shape, mistakes };
     let in_old = |mistakes| ReshapeError { file: request.old, mistakes };
     let shape = read_shape(request.shape).map_err(in_shape)?;
-    let reshaped = make(request, &shape).map_err(in_old)?;
+    let reshaped = convert(request, &shape).map_err(in_old)?;
     if let Some(new) = request.new {
         write_new(new, &reshaped.text).map_err(|e| ReshapeError { file: new, mistakes: Mistakes::one(e) })?;
     }
@@ -60,7 +60,7 @@
 }
 
 /// Converts the config file and checks that a broker could start with the result.
-fn make(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
+fn convert(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
     let reshaped = settings_migration::migrate(&old, shape, request.zone)
         .map_err(|mistakes| Mistakes::list(&mistakes))?;
--- a/crates/broker/src/engine/open_query.rs
+++ b/crates/broker/src/engine/open_query.rs
@@ -42,13 +42,13 @@
         let is_late = now > self.objective_at;
         self.epoch.count(|counts| {
             counts.ended += 1;
-            let bad_end = match outcome {
+            let counter = match outcome {
                 QueryOutcome::Response { .. } if is_late => &mut counts.late,
                 QueryOutcome::Response { .. } => return,
                 QueryOutcome::Rejected { .. } => &mut counts.rejected,
                 QueryOutcome::Failed => &mut counts.failed,
             };
-            *bad_end += 1;
+            *counter += 1;
             counts.with_lost_node += u64::from(self.has_lost_node);
         });
     }
--- a/crates/broker/src/limits/machine.rs
+++ b/crates/broker/src/limits/machine.rs
@@ -1,6 +1,5 @@
 //! The resources of the machine and their division among the parts of the broker.
 
-/// One KiB in bytes.
 pub(super) const KIB: usize = 1024;
 /// File descriptors for purposes other than client and node connections: files, pipes, the listener and discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
@@ -90,21 +89,21 @@
     pub(super) fn new(machine: Machine) -> Result<Capacity, LimitsError> {
         machine.check()?;
         let Machine { memory_mb, sockets } = machine;
-        let for_peers = sockets - RESERVED_DESCRIPTORS;
+        let peer_descriptors = sockets - RESERVED_DESCRIPTORS;
         let memory_bytes = memory_mb * KIB * KIB;
         // Queries with their responses, client buffers and node buffers get one quarter of the memory each.
         let quarter = memory_bytes / 4;
         let max_buffers = quarter / CONNECTION_BUFFER_BYTES;
         // Clients connect by the hundreds, while nodes are few. Clients therefore get two thirds of the file
         // descriptors and nodes one third.
-        let all_client_connections = (for_peers * 2 / 3).min(max_buffers);
+        let all_client_connections = (peer_descriptors * 2 / 3).min(max_buffers);
         let surplus_connections = all_client_connections / CLIENTS_PER_SURPLUS_CONNECTION;
         Ok(Capacity {
             client_connections: all_client_connections - surplus_connections,
             surplus_connections,
             // Clients may occupy a third of the file descriptors. Idle connections must leave some for active ones.
             idle_client_connections: (sockets / 5).min(all_client_connections / 2),
-            node_connections: (for_peers / 3).min(max_buffers),
+            node_connections: (peer_descriptors / 3).min(max_buffers),
             held_bytes: quarter,
             list_bytes: (MAX_NODES * MAX_LIST_ENTRY_BYTES).min(memory_bytes / LIST_MEMORY_DIVISOR),
         })
--- a/crates/broker/src/limits/mod.rs
+++ b/crates/broker/src/limits/mod.rs
@@ -64,6 +64,6 @@
 
 /// Converts a time span of the routing logic, in tenths of a millisecond, to a [`Duration`]. Negative spans become
 /// zero.
-pub fn to_duration(tenths: TimeSpan) -> Duration {
-    Duration::from_micros(u64::try_from(tenths.0).unwrap_or(0).saturating_mul(MICROS_PER_TENTH))
+pub fn to_duration(span: TimeSpan) -> Duration {
+    Duration::from_micros(u64::try_from(span.0).unwrap_or(0).saturating_mul(MICROS_PER_TENTH))
 }
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -63,8 +63,8 @@
     pub(super) fn new(capacity: &Capacity, broker_settings: &BrokerSettings) -> NodeLimits {
         let BrokerSettings { broker_config, connections, .. } = broker_settings;
         let default_connect_timeout = TimeSpan::from_ms(DEFAULT_CONNECT_TIMEOUT_MS);
-        let connect_timeout_tenths = connections.connect_timeout.unwrap_or(default_connect_timeout);
-        let connect_timeout = to_duration(connect_timeout_tenths);
+        let connect_timeout_span = connections.connect_timeout.unwrap_or(default_connect_timeout);
+        let connect_timeout = to_duration(connect_timeout_span);
         let max_connection_shard_requests = max_connection_shard_requests(connections);
         let max_batch_size = broker_config.layout.max_batch_size.max(1) as usize;
         NodeLimits {
@@ -77,7 +77,7 @@
             partial_frame_timeout: connect_timeout / PARTIAL_FRAME_DIVISOR,
             unresponsive_after: connect_timeout,
             max_remembered_cancellations: REMEMBERED_CANCELLATIONS_FACTOR * max_connection_shard_requests,
-            attempt_write_timeout: connect_timeout_tenths + broker_config.period,
+            attempt_write_timeout: connect_timeout_span + broker_config.period,
             idle_timeout: idle_timeout(connections),
             write_timeout: WRITE_TIMEOUT,
         }
@@ -91,6 +91,6 @@
 
 /// Returns the time after which the broker closes an idle connection, which is before the node does so.
 fn idle_timeout(connections: &ConnectionSettings) -> Duration {
-    let kept_by_node = connections.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, to_duration);
-    kept_by_node.mul_f64(IDLE_FRACTION)
+    let node_idle_timeout = connections.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, to_duration);
+    node_idle_timeout.mul_f64(IDLE_FRACTION)
 }
