--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -88,6 +88,6 @@
         Some(new) => {
             println!("{}: written; `shard-broker check` validates it", new.display());
         }
-        None => println!("no file was written; use --to FILE to write it"),
+        None => println!("nothing was written; use --to FILE to write the new file"),
     }
 }
--- a/crates/broker/src/limits/machine.rs
+++ b/crates/broker/src/limits/machine.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsError {
     /// The broker may use too few file descriptors.
-    #[error("limits: `sockets` is {sockets}, at least {needed} file descriptors are required")]
+    #[error("limits: {sockets} sockets are too few, at least {needed} are required")]
     TooFewSockets {
         /// The number of available file descriptors.
         sockets: usize,
@@ -41,7 +41,7 @@
         needed: usize,
     },
     /// The broker may use too little memory.
-    #[error("limits: `memory_mb` is {memory_mb}, at least {needed_mb} MiB are required")]
+    #[error("limits: {memory_mb} MB of memory is not enough, at least {needed_mb} MB are required")]
     TooLittleMemory {
         /// The available memory in MiB.
         memory_mb: usize,
