--- a/crates/broker/src/config_epoch.rs
+++ b/crates/broker/src/config_epoch.rs
@@ -55,7 +55,7 @@
             classes: config.classes.clone(),
             shards: config.layout.shards,
             max_open: config.limits.max_open as usize,
-            retry_after: if config.limits.retry_after { retry_after } else { TimeSpan::ZERO },
+            retry_after: if config.limits.send_retry_after { retry_after } else { TimeSpan::ZERO },
             counts: Cell::default(),
         }
     }
@@ -64,7 +64,7 @@
     /// client expects. The objective is zero if the class is unknown.
     pub fn latency_objective(&self, class: ClassId, work: TimeSpan) -> TimeSpan {
         let class = self.classes.get(&class);
-        class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.times(class.objective_stretch))
+        class.map_or(TimeSpan::ZERO, |class| class.latency_objective + work.mul_f64(class.objective_stretch))
     }
 
     /// Returns the longest deadline of all request classes, or zero if there are none.
--- a/crates/broker/src/limits/discovery_limits.rs
+++ b/crates/broker/src/limits/discovery_limits.rs
@@ -44,7 +44,7 @@
             watch_slack: discovery_backoff::WATCH_SLACK,
             list_retry_interval,
             list_timeout: discovery_backoff::list_timeout(kind, list_retry_interval),
-            long_list_timeout: discovery_backoff::PATIENT_LIST_TIMEOUT,
+            long_list_timeout: discovery_backoff::LONG_LIST_TIMEOUT,
             assumed_notified_after: TimeSpan::from_ms(NOTIFIED_AFTER_SILENCE.as_millis() as f64),
         }
     }
--- a/crates/routing/src/policy/query_life.rs
+++ b/crates/routing/src/policy/query_lifecycle.rs
@@ -13,7 +13,7 @@
 
 use crate::broker::Broker;
 use crate::state::QueryEvent::{
-    ClientLeft, DeadlineNear, ObjectiveNear, Ready, ResponseReceived, ResponseSent, ShardRequestFailed,
+    ClientLeft, DeadlineNear, ObjectiveNear, Reevaluate, ResponseReceived, ResponseSent, ShardRequestFailed,
 };
 use crate::state::QueryState::{BetweenPhases, Finished, InFlight, PastObjective, Pending, Responded};
 use crate::state::{Query, QueryEvent, QueryState};
@@ -34,14 +34,14 @@
 }
 
 /// A row of the table: in one of these states, on an event, if the guard holds.
-pub(crate) struct Row {
+pub(crate) struct Transition {
     from: &'static [QueryState],
     on: QueryEvent,
     when: Guard,
     pub(crate) step: Step,
 }
 
-impl Row {
+impl Transition {
     /// Whether the row applies to a query now.
     pub(crate) fn applies(&self, broker: &Broker, query: &Query, event: QueryEvent) -> bool {
         self.on == event && self.from.contains(&query.state) && (self.when)(broker, query)
@@ -54,12 +54,12 @@
     when: Guard,
     to: QueryState,
     action: Action,
-) -> Row {
-    Row { from, on, when, step: Step::Move(to, action) }
+) -> Transition {
+    Transition { from, on, when, step: Step::Move(to, action) }
 }
 
-const fn record(from: &'static [QueryState], on: QueryEvent, when: Guard, record: Record) -> Row {
-    Row { from, on, when, step: Step::Record(record) }
+const fn record(from: &'static [QueryState], on: QueryEvent, when: Guard, record: Record) -> Transition {
+    Transition { from, on, when, step: Step::Record(record) }
 }
 
 fn always(_: &Broker, _: &Query) -> bool {
@@ -77,31 +77,31 @@
 /// has to wait, and whether it is rejected. A query that waits therefore counts once more each time it is
 /// looked at.
 #[rustfmt::skip]
-pub(crate) const TABLE: &[Row] = &[
-    //  from              on                  when                         to             action
-    row(&[Pending],       Ready,              Broker::is_quarantined,      Finished,      Broker::give_up),
-    row(&[Pending],       Ready,              Broker::needs_load_reports,  Pending,       Broker::probe_replicas),
-    row(&[Pending],       Ready,              Broker::awaits_load_reports, Pending,       nothing),
-    row(&[Pending],       Ready,              Broker::is_unlikely,         Finished,      Broker::give_up),
-    record(&[Pending],    Ready,              Broker::may_wait,            Broker::record_class_yield),
-    row(&[Pending],       Ready,              Broker::has_to_wait,         Pending,       Broker::wait),
-    record(&[Pending],    Ready,              always,                      Broker::record_class_yield),
-    row(&[Pending],       Ready,              Broker::exceeds_limit,       Finished,      Broker::reject),
-    row(&[Pending],       Ready,              always,                      InFlight,      Broker::send),
-    row(&[BetweenPhases], Ready,              always,                      InFlight,      Broker::send),
-    row(&[InFlight],      ResponseReceived,   Broker::awaits_canary,       InFlight,      Broker::send),
-    row(&[InFlight],      ResponseReceived,   Broker::is_settled,          Responded,     Broker::respond),
-    row(&[InFlight],      ShardRequestFailed, Broker::is_settled,          Responded,     Broker::respond),
-    row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,      InFlight,      Broker::send),
-    row(&[InFlight],      ShardRequestFailed, Broker::is_hopeless,         Finished,      Broker::give_up),
-    row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,      PastObjective, nothing),
-    row(&[InFlight],      ObjectiveNear,      always,                      Finished,      Broker::give_up),
-    row(&[PastObjective], ResponseReceived,   Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(&[PastObjective], ShardRequestFailed, Broker::is_late_useless,     Finished,      Broker::give_up),
-    row(&[Responded],     ResponseSent,       Broker::has_phase_to_come,   BetweenPhases, Broker::end_phase),
-    row(&[Responded],     ResponseSent,       always,                      Finished,      nothing),
-    row(OPEN,             DeadlineNear,       Broker::has_min_coverage,    Responded,     Broker::respond),
-    row(OPEN,             DeadlineNear,       always,                      Finished,      Broker::give_up),
-    row(OPEN,             ClientLeft,         always,                      Finished,      nothing),
+pub(crate) const TRANSITIONS: &[Transition] = &[
+    //  from              on                  when                             to             action
+    row(&[Pending],       Reevaluate,         Broker::is_quarantined,          Finished,      Broker::give_up),
+    row(&[Pending],       Reevaluate,         Broker::needs_load_reports,      Pending,       Broker::probe_replicas),
+    row(&[Pending],       Reevaluate,         Broker::awaits_load_reports,     Pending,       nothing),
+    row(&[Pending],       Reevaluate,         Broker::is_unlikely_to_complete, Finished,      Broker::give_up),
+    record(&[Pending],    Reevaluate,         Broker::may_wait,                Broker::record_class_yield),
+    row(&[Pending],       Reevaluate,         Broker::must_wait,               Pending,       Broker::enqueue),
+    record(&[Pending],    Reevaluate,         always,                          Broker::record_class_yield),
+    row(&[Pending],       Reevaluate,         Broker::exceeds_limit,           Finished,      Broker::reject),
+    row(&[Pending],       Reevaluate,         always,                          InFlight,      Broker::send),
+    row(&[BetweenPhases], Reevaluate,         always,                          InFlight,      Broker::send),
+    row(&[InFlight],      ResponseReceived,   Broker::awaits_canary,           InFlight,      Broker::send),
+    row(&[InFlight],      ResponseReceived,   Broker::is_response_due,         Responded,     Broker::respond),
+    row(&[InFlight],      ShardRequestFailed, Broker::is_response_due,         Responded,     Broker::respond),
+    row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,          InFlight,      Broker::send),
+    row(&[InFlight],      ShardRequestFailed, Broker::misses_min_coverage,     Finished,      Broker::give_up),
+    row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,          PastObjective, nothing),
+    row(&[InFlight],      ObjectiveNear,      always,                          Finished,      Broker::give_up),
+    row(&[PastObjective], ResponseReceived,   Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(&[PastObjective], ShardRequestFailed, Broker::is_late_useless,         Finished,      Broker::give_up),
+    row(&[Responded],     ResponseSent,       Broker::has_next_phase,          BetweenPhases, Broker::end_phase),
+    row(&[Responded],     ResponseSent,       always,                          Finished,      nothing),
+    row(OPEN,             DeadlineNear,       Broker::has_min_coverage,        Responded,     Broker::respond),
+    row(OPEN,             DeadlineNear,       always,                          Finished,      Broker::give_up),
+    row(OPEN,             ClientLeft,         always,                          Finished,      nothing),
 ];
