--- a/crates/broker-bench/src/scenario_day.rs
+++ b/crates/broker-bench/src/scenario_day.rs
@@ -55,15 +55,15 @@
         let cluster = ClusterSize { nodes, zones, placement_groups, brokers };
         let actions = scenario.schedule(&cluster, seed);
         let replay = traffic::replay_config(nodes, scenario, seed);
-        let plan = traffic::plan_day(&replay, &actions, scenario.seconds);
-        let (near, far) = (TimeSpan::from_ms(scenario.near_ms), TimeSpan::from_ms(scenario.far_ms));
+        let plan = traffic::plan_day(&replay, &actions, scenario.duration_s);
+        let (near, far) = (TimeSpan::from_ms(scenario.intra_zone_latency_ms), TimeSpan::from_ms(scenario.inter_zone_latency_ms));
         let injector = FaultInjector::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
-            CancelBehavior::DropsAll => CancelPolicy::DropAll,
-            CancelBehavior::DropsWaiting => CancelPolicy::DropQueued,
-            CancelBehavior::DropsNothing => CancelPolicy::DropNone,
+            CancelBehavior::DropAll => CancelPolicy::DropAll,
+            CancelBehavior::DropQueued => CancelPolicy::DropQueued,
+            CancelBehavior::DropNone => CancelPolicy::DropNone,
         };
-        let warm_jobs = Some(scenario.warm_jobs).filter(|jobs| *jobs > 0);
+        let warm_jobs = Some(scenario.warm_up_jobs).filter(|jobs| *jobs > 0);
         let cores = NODE_CORES;
         let config = SimulationConfig { brokers, policy, seed, placement_groups, cores, warm_jobs, cancel };
         DaySetup { actions, replay, plan, config, injector }
@@ -107,7 +107,7 @@
     /// When the last fault is over, in whole seconds.
     pub fn faults_end(&self) -> usize {
         let ends = self.scenario.faults.iter().map(|fault| fault.start_s + fault.duration_s);
-        ends.fold(0.0, f64::max).min(self.scenario.seconds).ceil() as usize
+        ends.fold(0.0, f64::max).min(self.scenario.duration_s).ceil() as usize
     }
 }
 
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -88,7 +88,7 @@
     if args.list {
         scenarios
             .iter()
-            .for_each(|scenario| println!("{:<SCENARIO_WIDTH$} {}", scenario.name, scenario.about));
+            .for_each(|scenario| println!("{:<SCENARIO_WIDTH$} {}", scenario.name, scenario.description));
         return ExitCode::SUCCESS;
     }
     if args.loopback {
@@ -148,7 +148,7 @@
     fn json(&self) -> Value {
         let mut row = self.figures.json();
         row["scenario"] = json!(self.scenario.name);
-        row["about"] = json!(self.scenario.about);
+        row["about"] = json!(self.scenario.description);
         if let Some(PolicyComparison { figures, difference, .. }) = &self.comparison {
             row["against"] = figures.json();
             row["better_by"] = json!({"mean": difference.mean, "half_span_95": difference.half_interval});
--- a/crates/broker-bench/src/traffic.rs
+++ b/crates/broker-bench/src/traffic.rs
@@ -28,7 +28,7 @@
     ReplayConfig {
         seed,
         from: 0,
-        to: (scenario.seconds * 1e6) as u64,
+        to: (scenario.duration_s * 1e6) as u64,
         time_scale: 1.0,
         sample_share: 1.0,
         load: scenario.load,
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -142,7 +142,7 @@
     /// Seconds.
     pub duration_s: f64,
     /// How severe it is; the unit depends on the kind.
-    pub size: f64,
+    pub magnitude: f64,
     /// How many times as much work a heavy query takes.
     pub work_factor: f64,
     /// Milliseconds from the beginning of one pause to the beginning of the next.
--- a/crates/fault-scenarios/src/parser.rs
+++ b/crates/fault-scenarios/src/parser.rs
@@ -59,9 +59,9 @@
 }
 
 const CANCEL_WORDS: &[Word<CancelBehavior>] = &[
-    Word { text: "all", value: CancelBehavior::DropsAll },
-    Word { text: "waiting", value: CancelBehavior::DropsWaiting },
-    Word { text: "none", value: CancelBehavior::DropsNothing },
+    Word { text: "all", value: CancelBehavior::DropAll },
+    Word { text: "waiting", value: CancelBehavior::DropQueued },
+    Word { text: "none", value: CancelBehavior::DropNone },
 ];
 const DIRECTION_WORDS: &[Word<Direction>] = &[
     Word { text: "both", value: Direction::Both },
@@ -100,12 +100,12 @@
         let scenario = sections.scenario;
         Ok(Scenario {
             name: name.to_owned(),
-            about: scenario.text("about").unwrap_or_default(),
-            seconds: scenario.number("seconds"),
+            description: scenario.text("about").unwrap_or_default(),
+            duration_s: scenario.number("seconds"),
             load: scenario.number("load"),
-            near_ms: scenario.number("near_ms"),
-            far_ms: scenario.number("far_ms"),
-            warm_jobs: scenario.number("warm_jobs") as u32,
+            intra_zone_latency_ms: scenario.number("near_ms"),
+            inter_zone_latency_ms: scenario.number("far_ms"),
+            warm_up_jobs: scenario.number("warm_jobs") as u32,
             cancel,
             clients,
             faults: sections.faults,
@@ -258,7 +258,7 @@
             },
             start_s: values.number("at"),
             duration_s: values.number("for"),
-            size: values.number("size"),
+            magnitude: values.number("size"),
             work_factor: values.number("times"),
             pause_interval_ms: values.number("every_ms"),
             drain_s: values.number("drain_s"),
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -7,11 +7,11 @@
 pub enum CancelBehavior {
     /// It drops the work, also when it runs already.
     #[default]
-    DropsAll,
+    DropAll,
     /// It drops the work while it waits; what runs goes on.
-    DropsWaiting,
+    DropQueued,
     /// It does all of the work.
-    DropsNothing,
+    DropNone,
 }
 
 /// What clients do with the responses they get.
@@ -35,17 +35,17 @@
     /// Its name in the library, or its path.
     pub name: String,
     /// What it is about, in one sentence.
-    pub about: String,
+    pub description: String,
     /// How long the day is, in seconds.
-    pub seconds: f64,
+    pub duration_s: f64,
     /// Work that clients ask for, as a share of what all nodes can do.
     pub load: f64,
     /// One-way network latency within a zone, in milliseconds.
-    pub near_ms: f64,
+    pub intra_zone_latency_ms: f64,
     /// One-way network latency between zones, in milliseconds.
-    pub far_ms: f64,
+    pub inter_zone_latency_ms: f64,
     /// After how many jobs a started node is warm; 0: it warms up with time.
-    pub warm_jobs: u32,
+    pub warm_up_jobs: u32,
     /// What nodes do with work that is cancelled.
     pub cancel: CancelBehavior,
     /// What clients do with the responses they get.
--- a/crates/fault-scenarios/src/schedule.rs
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -153,21 +153,21 @@
 
     /// What begins or ends on one node; none for a kind that is not for nodes.
     fn node_action(&self, node: u32, begins: bool) -> Option<FaultAction> {
-        let (size, direction) = (self.size, self.direction);
+        let (magnitude, direction) = (self.magnitude, self.direction);
         let action = match self.kind {
             FaultKind::Crash => FaultAction::Outage { node, begins },
             FaultKind::Unresponsive => FaultAction::Unresponsive { node, begins },
-            FaultKind::Slowdown => FaultAction::Slowdown { node, speed_factor: size, begins },
+            FaultKind::Slowdown => FaultAction::Slowdown { node, speed_factor: magnitude, begins },
             FaultKind::Pause => {
                 let interval = TimeSpan::from_ms(self.pause_interval_ms);
-                let cycle = PauseCycle { pause: TimeSpan::from_ms(size), interval };
+                let cycle = PauseCycle { pause: TimeSpan::from_ms(magnitude), interval };
                 FaultAction::Pause { node, cycle, begins }
             }
             FaultKind::Rejection => FaultAction::Rejection { node, begins },
-            FaultKind::Errors => FaultAction::Errors { node, share: size, begins },
+            FaultKind::Errors => FaultAction::Errors { node, share: magnitude, begins },
             FaultKind::Partition => FaultAction::Partition { node, direction, begins },
             FaultKind::NetworkDelay => {
-                FaultAction::NetworkDelay { node, added: TimeSpan::from_ms(size), direction, begins }
+                FaultAction::NetworkDelay { node, added: TimeSpan::from_ms(magnitude), direction, begins }
             }
             _ => return None,
         };
@@ -176,20 +176,20 @@
 
     /// What begins or ends for the whole cluster; none for a kind that is for nodes.
     fn cluster_action(&self, begins: bool) -> Option<FaultAction> {
-        let size = self.size;
+        let magnitude = self.magnitude;
         let action = match self.kind {
             FaultKind::EndpointListDelay => {
-                FaultAction::EndpointListDelay { added: TimeSpan::from_ms(size), begins }
+                FaultAction::EndpointListDelay { added: TimeSpan::from_ms(magnitude), begins }
             }
             FaultKind::EndpointListOutage => FaultAction::EndpointListOutage { begins },
             FaultKind::TrafficSurge => {
-                FaultAction::TrafficSurge { factor: size, tenant: self.tenant, begins }
+                FaultAction::TrafficSurge { factor: magnitude, tenant: self.tenant, begins }
             }
             FaultKind::HeavyQueries => {
-                FaultAction::HeavyQueries { share: size, work_factor: self.work_factor, begins }
+                FaultAction::HeavyQueries { share: magnitude, work_factor: self.work_factor, begins }
             }
-            FaultKind::QueryOfDeath => FaultAction::QueryOfDeath { share: size, begins },
-            FaultKind::SkewedTraffic => FaultAction::SkewedTraffic { share: size, begins },
+            FaultKind::QueryOfDeath => FaultAction::QueryOfDeath { share: magnitude, begins },
+            FaultKind::SkewedTraffic => FaultAction::SkewedTraffic { share: magnitude, begins },
             _ => return None,
         };
         Some(action)
@@ -197,7 +197,7 @@
 
     /// Restarts groups of nodes one after the other; each group has an equal part of the duration.
     fn rolling_restart(&self, cluster: &ClusterSize, nodes: &[u32]) -> Vec<ScheduledAction> {
-        let group_size = ((f64::from(cluster.nodes) * self.size).round() as usize).max(1);
+        let group_size = ((f64::from(cluster.nodes) * self.magnitude).round() as usize).max(1);
         let groups = nodes.chunks(group_size);
         let group_duration_s = self.duration_s / groups.len().max(1) as f64;
         let mut actions = Vec::new();
@@ -225,7 +225,7 @@
     }
 
     fn restart_brokers(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<ScheduledAction> {
-        let count = (f64::from(cluster.brokers) * self.size).round() as usize;
+        let count = (f64::from(cluster.brokers) * self.magnitude).round() as usize;
         let mut brokers: Vec<u32> = (0..cluster.brokers).collect();
         rng.shuffle(&mut brokers);
         brokers.truncate(count.max(1));
--- a/crates/fault-scenarios/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -15,7 +15,7 @@
     assert!(LIBRARY.len() >= 20);
     for LibraryScenario { name, text } in LIBRARY {
         let scenario = Scenario::parse(name, text).unwrap_or_else(|errors| panic!("{name}: {errors:?}"));
-        assert!(scenario.about.len() > 20, "{name}");
+        assert!(scenario.description.len() > 20, "{name}");
         for cluster in [ClusterSize { nodes: 6, zones: 3, placement_groups: 3, brokers: 1 }, CLUSTER] {
             let schedule = scenario.schedule(&cluster, 1);
             assert!(!schedule.is_empty() && schedule == scenario.schedule(&cluster, 1), "{name}");
