--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -75,13 +75,13 @@
 fn print_result(request: &ReshapeRequest, reshaped: &MigratedSettings) {
     if request.as_json {
         let old = request.old.display().to_string();
-        let left = reshaped.left_behind.iter();
+        let left = reshaped.omitted_keys.iter();
         let left: Vec<_> =
             left.map(|left| json!({"key": left.key, "why": left.reason.to_string()})).collect();
         println!("{}", json!({"old": old, "written": request.new.is_some(), "left": left}));
         return;
     }
-    for left in &reshaped.left_behind {
+    for left in &reshaped.omitted_keys {
         println!("not carried over: `{}`: {}", left.key, left.reason);
     }
     match request.new {
--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -118,14 +118,15 @@
 /// The request class, which the epoch must have.
 fn read_class(headers: &HeaderMap, epoch: &ConfigEpoch) -> Result<ClassId, RequestError> {
     let name = header(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
-    let class = epoch.names.class(name).filter(|class| epoch.classes.contains_key(class));
+    let class = epoch.names.class_id(name).filter(|class| epoch.classes.contains_key(class));
     class.ok_or_else(|| count_unknown(epoch, RequestError::UnknownClass))
 }
 
 /// The tenant of a request. One without the header counts as the first tenant of the settings; all names that
 /// the settings do not have count as one tenant without a quota.
 fn read_tenant(headers: &HeaderMap, epoch: &ConfigEpoch) -> TenantId {
-    let tenant = header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant(name));
+    let tenant =
+        header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant_id(name));
     tenant.unwrap_or(UNKNOWN_TENANT)
 }
 
--- a/crates/config-rollout-client/src/resource_cache.rs
+++ b/crates/config-rollout-client/src/resource_cache.rs
@@ -3,7 +3,7 @@
 
 use crate::wire::Version;
 use config_rollout::VersionId;
-use settings::{BrokerSettings, Document, NameRegistry, Revised, ValidationError, revise};
+use settings::{BrokerSettings, Document, NameRegistry, SettingsUpdate, ValidationError, prepare_update};
 use std::fmt;
 
 /// How many errors of a document are listed; the others are counted.
@@ -81,7 +81,8 @@
     /// # Errors
     /// All that is wrong with it.
     pub(crate) fn check(&mut self, version: VersionId, document: &Document) -> Result<(), InvalidDocument> {
-        let Revised { broker_settings, .. } = revise(&self.own_document, &self.names, document)?;
+        let SettingsUpdate { broker_settings, .. } =
+            prepare_update(&self.own_document, &self.names, document)?;
         self.offered = Some(CachedVersion { version, document: document.clone(), broker_settings });
         Ok(())
     }
--- a/crates/config-rollout-client/src/restore.rs
+++ b/crates/config-rollout-client/src/restore.rs
@@ -4,7 +4,7 @@
 use crate::state_file::{self, StateFileError};
 use crate::wire::{InvalidVersion, VerifiedVersion, Version};
 use config_rollout::{Digest, PersistedState, VersionId};
-use settings::{BrokerSettings, Document, revise};
+use settings::{BrokerSettings, Document, prepare_update};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
@@ -94,6 +94,7 @@
     max_document_bytes: usize,
 ) -> Result<CachedVersion, RestoreError> {
     let VerifiedVersion { version, document } = stored.verify(installation, max_document_bytes)?;
-    let revised = revise(own_document, &broker_settings.names, &document).map_err(InvalidDocument::from)?;
-    Ok(CachedVersion { version, document, broker_settings: revised.broker_settings })
+    let update =
+        prepare_update(own_document, &broker_settings.names, &document).map_err(InvalidDocument::from)?;
+    Ok(CachedVersion { version, document, broker_settings: update.broker_settings })
 }
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -26,7 +26,7 @@
 pub use keys::{KEYS, Key};
 pub use layout_error::LayoutError;
 pub use migrate::migrate;
-pub use migrated_settings::{LeftBehind, LeftBehindReason, MigratedSettings};
+pub use migrated_settings::{MigratedSettings, OmissionReason, OmittedKey};
 pub use migration_error::MigrationError;
 
 #[cfg(test)]
--- a/crates/settings-migration/src/migrate.rs
+++ b/crates/settings-migration/src/migrate.rs
@@ -2,7 +2,7 @@
 
 use crate::keys::{ZONE, ZONES};
 use crate::{
-    DeploymentLayout, KEYS, Key, LeftBehind, LeftBehindReason, MigratedSettings, MigrationError,
+    DeploymentLayout, KEYS, Key, MigratedSettings, MigrationError, OmissionReason, OmittedKey,
     settings_object,
 };
 use serde_json::{Map, Value, json};
@@ -30,7 +30,7 @@
     let Some(Value::Object(settings)) = file.get_mut(SETTINGS) else {
         return Err(vec![MigrationError::NoSettings]);
     };
-    let mut migration = Migration { settings, layout, zone, left_behind: Vec::new(), errors: Vec::new() };
+    let mut migration = Migration { settings, layout, zone, omitted_keys: Vec::new(), errors: Vec::new() };
     migration.leave_unknown_keys();
     migration.leave_old_fleet();
     for key in KEYS {
@@ -38,16 +38,16 @@
     }
     migration.check_zone_is_stated();
     migration.check_settings();
-    let Migration { mut left_behind, errors, .. } = migration;
+    let Migration { mut omitted_keys, errors, .. } = migration;
     if !errors.is_empty() {
         return Err(errors);
     }
     if file.remove(KNOWN_NODES).is_some() {
-        left_behind.push(LeftBehind { key: KNOWN_NODES.to_owned(), reason: LeftBehindReason::KnownNodes });
+        omitted_keys.push(OmittedKey { key: KNOWN_NODES.to_owned(), reason: OmissionReason::KnownNodes });
     }
     let text =
         serde_json::to_string_pretty(&file).map_err(|error| vec![MigrationError::Unwritable(error)])?;
-    Ok(MigratedSettings { text: text + "\n", left_behind })
+    Ok(MigratedSettings { text: text + "\n", omitted_keys })
 }
 
 /// Settings on their way from the old deployment to the new one.
@@ -56,21 +56,21 @@
     layout: &'a DeploymentLayout,
     /// This broker's zone, where the caller states it.
     zone: Option<&'a str>,
-    left_behind: Vec<LeftBehind>,
+    omitted_keys: Vec<OmittedKey>,
     errors: Vec<MigrationError>,
 }
 
 impl Migration<'_> {
     /// Records a key that is not carried over.
-    fn leave(&mut self, key: &str, reason: LeftBehindReason) {
-        self.left_behind.push(LeftBehind { key: key.to_owned(), reason });
+    fn leave(&mut self, key: &str, reason: OmissionReason) {
+        self.omitted_keys.push(OmittedKey { key: key.to_owned(), reason });
     }
 
     /// Removes the keys on the outermost two levels that the settings do not have.
     fn leave_unknown_keys(&mut self) {
         for key in settings_object::keys(self.settings) {
             if !is_known(&key) && settings_object::remove(self.settings, &key).is_some() {
-                self.leave(&key, LeftBehindReason::UnknownKey);
+                self.leave(&key, OmissionReason::UnknownKey);
             }
         }
     }
@@ -79,7 +79,7 @@
     fn leave_old_fleet(&mut self) {
         for key in OLD_FLEET_KEYS {
             if self.settings.remove(*key).is_some() {
-                self.leave(key, LeftBehindReason::DescribesOldFleet);
+                self.leave(key, OmissionReason::DescribesOldFleet);
             }
         }
     }
@@ -99,7 +99,7 @@
             None if key.keeps_old_value => {}
             None => {
                 if settings_object::remove(self.settings, key.settings_key).is_some() {
-                    self.leave(key.shown_settings_key(), LeftBehindReason::DecidedByLayout);
+                    self.leave(key.shown_settings_key(), OmissionReason::DecidedByLayout);
                 }
             }
         }
--- a/crates/settings-migration/src/migrated_settings.rs
+++ b/crates/settings-migration/src/migrated_settings.rs
@@ -8,21 +8,21 @@
     /// The new file's text.
     pub text: String,
     /// What was not carried over.
-    pub left_behind: Vec<LeftBehind>,
+    pub omitted_keys: Vec<OmittedKey>,
 }
 
 /// A key of the old file that was not carried over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeftBehind {
+pub struct OmittedKey {
     /// The key, such as `Domain.PerCall`.
     pub key: String,
     /// Why it was left behind.
-    pub reason: LeftBehindReason,
+    pub reason: OmissionReason,
 }
 
 /// Why a key of the old file was not carried over. The texts follow the key.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum LeftBehindReason {
+pub enum OmissionReason {
     /// The settings have no such key.
     #[error("is no key of the settings")]
     UnknownKey,
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!((&new["name"], &settings["Services"]), (&old()["name"], &old()["settings"]["Services"]));
     assert_eq!(settings["Limits"]["MaxOpen"], json!(111));
     assert!(settings::read(settings.to_string().as_bytes()).unwrap().broker_config.load_by_probe);
-    let left: Vec<&str> = migrated.left_behind.iter().map(|left| &left.key[..]).collect();
+    let left: Vec<&str> = migrated.omitted_keys.iter().map(|left| &left.key[..]).collect();
     assert_eq!(left, ["Rules.Colour", "HostTypes", "WeightKind", "known"]);
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`read`] reads the text that a broker starts from, as the platform gives it: unknown keys are skipped.
 //! - [`Document`] is the whole settings text of an installation; [`check()`] lists all errors of one.
-//! - [`revise()`] turns a document into what a running broker applies, or lists why it can't.
+//! - [`prepare_update()`] turns a document into what a running broker applies, or lists why it can't.
 //!
 //! `broker_settings` is the edge: there the words of the keys become the terms of the code.
 //!
@@ -22,9 +22,9 @@
 mod document;
 mod fields;
 mod name_registry;
-mod revise;
 mod settings_error;
 mod settings_text;
+mod settings_update;
 mod validation_error;
 mod value_type;
 
@@ -34,8 +34,8 @@
 pub use document::{Document, DocumentError};
 pub use fields::{Applies, FIELDS, Field};
 pub use name_registry::NameRegistry;
-pub use revise::{Revised, revise};
 pub use settings_error::SettingsError;
+pub use settings_update::{SettingsUpdate, prepare_update};
 pub use validation_error::ValidationError;
 pub use value_type::ValueType;
 
--- a/crates/settings/src/name_registry.rs
+++ b/crates/settings/src/name_registry.rs
@@ -64,12 +64,12 @@
     }
 
     /// The id of a request class.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).map(|number| ClassId(number as u16))
     }
 
     /// The id of a tenant.
-    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+    pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).map(|number| TenantId(number as u32))
     }
 
--- a/crates/settings/src/revise.rs
+++ b/crates/settings/src/settings_update.rs
@@ -15,7 +15,7 @@
 
 /// A document that a running broker can apply.
 #[derive(Clone, Debug)]
-pub struct Revised {
+pub struct SettingsUpdate {
     /// What the broker runs with from now on.
     pub broker_settings: BrokerSettings,
     /// The document with the broker's own keys filled in.
@@ -29,11 +29,11 @@
 ///
 /// # Errors
 /// Everything that is wrong with `new`, and every change that needs a restart.
-pub fn revise(
+pub fn prepare_update(
     running: &Document,
     names: &NameRegistry,
     new: &Document,
-) -> Result<Revised, Vec<ValidationError>> {
+) -> Result<SettingsUpdate, Vec<ValidationError>> {
     let mut document = new.clone();
     fill_in_own_keys(&mut document, running);
     let mut errors: Vec<ValidationError> =
@@ -45,7 +45,7 @@
         return Err(errors);
     }
     let broker_settings = broker_settings(&document, names)?;
-    Ok(Revised { broker_settings, document, changes })
+    Ok(SettingsUpdate { broker_settings, document, changes })
 }
 
 fn fill_in_own_keys(document: &mut Document, running: &Document) {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,9 @@
 //! What is read of settings texts, which errors they have, and what a running broker applies.
 
-use super::{Applies, BrokerSettings, Document, FIELDS, Revised, ValidationError, check, compare, revise};
+use super::{
+    Applies, BrokerSettings, Document, FIELDS, SettingsUpdate, ValidationError, check, compare,
+    prepare_update,
+};
 use routing::{ClassId, Idempotency, TimeSpan, ZoneId};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -47,7 +50,10 @@
     let class = &read.classes[&ClassId(0)];
     assert_eq!((class.idempotency, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.retry_budget.is_none());
-    assert_eq!((names.class("report"), names.tenant("school").map(|c| c.0)), (Some(ClassId(0)), Some(1)));
+    assert_eq!(
+        (names.class_id("report"), names.tenant_id("school").map(|c| c.0)),
+        (Some(ClassId(0)), Some(1))
+    );
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
     assert_eq!((load_report, read.load_by_probe), (vec![routing::LoadMetric::QueueLength], false));
     assert_eq!(
@@ -208,10 +214,10 @@
     );
 }
 
-fn revise_valid(new: &Value) -> Result<Revised, Vec<ValidationError>> {
+fn update_valid(new: &Value) -> Result<SettingsUpdate, Vec<ValidationError>> {
     let running = document(&valid());
     let names = super::read(valid().to_string().as_bytes()).unwrap().names;
-    revise(&running, &names, &document(new))
+    prepare_update(&running, &names, &document(new))
 }
 
 /// Ids stay with names: a removed name still has its id, a new name gets the next.
@@ -222,8 +228,8 @@
         json!({"Name": "bulk", "OnTimeMs": 100, "DeadlineMs": 500, "Worth": 1, "Effect": "idempotent"});
     new["Services"].as_array_mut().unwrap().reverse();
     new["Tenants"] = json!([{"Name": "school", "QuotaRps": 9}]);
-    let revised = revise_valid(&new).unwrap();
-    let objectives: Vec<_> = revised
+    let update = update_valid(&new).unwrap();
+    let objectives: Vec<_> = update
         .broker_settings
         .broker_config
         .classes
@@ -232,9 +238,9 @@
         .collect();
     assert_eq!(objectives, [(1, 20_000), (2, 1000)]);
     let tenants: Vec<_> =
-        revised.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+        update.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
     assert_eq!(tenants, [(1, 9.0)]);
-    assert_eq!(revised.broker_settings.names.class("report"), Some(ClassId(0)));
+    assert_eq!(update.broker_settings.names.class_id("report"), Some(ClassId(0)));
 }
 
 /// What is the broker's own is left out, and filled in: the zone by its name.
@@ -243,10 +249,10 @@
     let mut new = with("/Zone", Value::Null);
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
-    let revised = revise_valid(&new).unwrap();
-    assert_eq!(revised.broker_settings.broker_config.zone, ZoneId(0));
+    let update = update_valid(&new).unwrap();
+    assert_eq!(update.broker_settings.broker_config.zone, ZoneId(0));
     assert!(
-        revised
+        update
             .changes
             .iter()
             .all(|change| matches!(change.applies, Applies::Immediately | Applies::PerBroker))
@@ -265,7 +271,7 @@
 #[case("/Domain/MinShare/0", json!(2), "`Domain.MinShare[0]` is 2: a share from 0 to 1 is allowed")]
 fn rejects_what_it_cannot_take_over(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
     let errors: Vec<String> =
-        revise_valid(&with(at, to)).unwrap_err().iter().map(ValidationError::to_string).collect();
+        update_valid(&with(at, to)).unwrap_err().iter().map(ValidationError::to_string).collect();
     assert_eq!(errors, [expected]);
 }
 
@@ -299,7 +305,7 @@
 /// Whatever stands in one place of a document: the check rejects or passes it, and what it passes can be read
 /// and served by.
 mod arbitrary_values {
-    use super::{check, compare, document, revise, valid};
+    use super::{check, compare, document, prepare_update, valid};
     use proptest::prelude::*;
     use routing::Timestamp;
     use serde_json::{Value, json};
@@ -371,7 +377,7 @@
                 broker.turn(Timestamp(10), &[routing::Input::Woken]);
                 // A broker that runs it finds nothing changed.
                 prop_assert_eq!(compare(&document, &document), vec![]);
-                prop_assert!(revise(&document, &read.names, &document).is_ok());
+                prop_assert!(prepare_update(&document, &read.names, &document).is_ok());
             }
         }
     }
