--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -178,7 +178,7 @@
         let request = self.http_request(query, origin, &shard_requests);
         self.queries.push(Query { broker, origin, first_shard_request, shard_requests });
         let connection = self.clients.pop_idle(broker, self.now);
-        self.clients.send(query, connection, self.brokers[broker].listens, request);
+        self.clients.send(query, connection, self.brokers[broker].listen_address, request);
         self.settle().await
     }
 
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -9,7 +9,7 @@
 use crate::simulation::SimulationConfig;
 use crate::simulation::deployment;
 use crate::simulation::settings_text::settings_text;
-use broker::{Running, StartupConfig};
+use broker::{RunningBroker, StartupConfig};
 use cluster_trace::plan::{Plan, ReplayConfig};
 use node_emulator::DiscoveryCatalog;
 use routing::{TimeSpan, Timestamp};
@@ -76,7 +76,7 @@
     replay: &ReplayConfig,
     config: &SimulationConfig,
     discovery: SocketAddr,
-) -> Result<Vec<Running>, LoopbackError> {
+) -> Result<Vec<RunningBroker>, LoopbackError> {
     let mut brokers = Vec::new();
     for number in 0..config.brokers {
         let startup_config = startup_config(number, replay, config, discovery)?;
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -15,22 +15,22 @@
 };
 
 /// The implementation of a broker's routing decisions.
-enum RoutingEngine {
+enum RoutingLogic {
     Product(Box<Broker>),
     Admitted(Box<AdmittedBroker>),
     Baseline(Box<Baseline>),
 }
 
-impl RoutingEngine {
-    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Timestamp) -> RoutingEngine {
-        let baseline = |policy| RoutingEngine::Baseline(Box::new(Baseline::new(policy, config, seed)));
+impl RoutingLogic {
+    fn new(policy: RoutingPolicy, config: &BrokerConfig, seed: u64, now: Timestamp) -> RoutingLogic {
+        let baseline = |policy| RoutingLogic::Baseline(Box::new(Baseline::new(policy, config, seed)));
         let broker = || Broker::start(config.clone(), seed, now);
         match policy {
-            RoutingPolicy::Product => RoutingEngine::Product(Box::new(broker())),
+            RoutingPolicy::Product => RoutingLogic::Product(Box::new(broker())),
             RoutingPolicy::AdmissionController => {
                 let controller = AdmissionController::new(AdmissionConfig::default(), config)
                     .unwrap_or_else(|_| unreachable!("the default admission configuration is valid"));
-                RoutingEngine::Admitted(Box::new(AdmittedBroker::new(controller, broker())))
+                RoutingLogic::Admitted(Box::new(AdmittedBroker::new(controller, broker())))
             }
             RoutingPolicy::Random => baseline(BaselinePolicy::Random),
             RoutingPolicy::Design => baseline(BaselinePolicy::Design),
@@ -39,16 +39,16 @@
 
     fn turn(&mut self, now: Timestamp, inputs: &[Input]) -> Vec<Effect> {
         match self {
-            RoutingEngine::Product(broker) => broker.turn(now, inputs),
-            RoutingEngine::Admitted(admitted) => admitted.turn(now, inputs),
-            RoutingEngine::Baseline(baseline) => baseline.turn(now, inputs),
+            RoutingLogic::Product(broker) => broker.turn(now, inputs),
+            RoutingLogic::Admitted(admitted) => admitted.turn(now, inputs),
+            RoutingLogic::Baseline(baseline) => baseline.turn(now, inputs),
         }
     }
 }
 
 /// A broker with the state of its turns.
 pub(super) struct SimulatedBroker {
-    engine: RoutingEngine,
+    routing_logic: RoutingLogic,
     /// Inputs received since the last turn.
     inputs: Vec<Input>,
     last_turn: Timestamp,
@@ -71,8 +71,8 @@
         seed: u64,
         now: Timestamp,
     ) -> SimulatedBroker {
-        let engine = RoutingEngine::new(policy, config, seed, now);
-        SimulatedBroker { engine, inputs: Vec::new(), last_turn: now, next_turn: None, wake_at: None }
+        let routing_logic = RoutingLogic::new(policy, config, seed, now);
+        SimulatedBroker { routing_logic, inputs: Vec::new(), last_turn: now, next_turn: None, wake_at: None }
     }
 }
 
@@ -103,12 +103,12 @@
         let mut inputs = std::mem::take(&mut state.inputs);
         self.update_time_left(&mut inputs);
         inputs.push(Input::Woken);
-        for effect in self.brokers[broker].engine.turn(now, &inputs) {
+        for effect in self.brokers[broker].routing_logic.turn(now, &inputs) {
             let line = format!("{} {broker} {effect:?}\n", now.0);
             self.hasher.update(line.as_bytes());
             self.apply_effect(broker, effect);
         }
-        // An earlier turn may have replaced the one that was scheduled for a wake-up, and the engine requests each
+        // An earlier turn may have replaced the one that was scheduled for a wake-up, and the routing logic requests each
         // wake-up only once.
         if let Some(at) = self.brokers[broker].wake_at {
             self.schedule_turn(broker, at);
