--- a/crates/broker-bench/src/loopback/clients.rs
+++ b/crates/broker-bench/src/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a run on sockets: sends queries to brokers round-robin and checks the responses.
+//! Implements the clients of a run on sockets: sends queries to brokers round-robin and checks the responses.
 
 use crate::invariants::{QueryEnd, ShardRequestIndex};
 use crate::loopback::LoopbackError;
--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes of a run on sockets: a model decides, a scripted server responds, and discovery publishes the state.
+//! Implements the nodes of a run on sockets: node models decide, scripted servers respond, and discovery publishes.
 
 use crate::invariants::{PublishedState, ShardRequestIndex};
 use crate::loopback::LoopbackError;
--- a/crates/broker-bench/src/simulation/brokers.rs
+++ b/crates/broker-bench/src/simulation/brokers.rs
@@ -1,4 +1,4 @@
-//! Simulated brokers: collects their inputs, schedules their turns and applies their effects.
+//! Implements simulated brokers: collects their inputs, schedules their turns and applies their effects.
 
 use crate::baseline::{Baseline, BaselinePolicy};
 use crate::fault_injector::MessageDirection;
@@ -14,7 +14,7 @@
     ShardRequestId, TimeSpan, Timestamp,
 };
 
-/// The implementation of a broker's routing decisions.
+/// The routing logic of a simulated broker: the product's, with or without admission control, or a baseline's.
 enum RoutingLogic {
     Product(Box<Broker>),
     Admitted(Box<AdmittedBroker>),
@@ -108,8 +108,8 @@
             self.hasher.update(line.as_bytes());
             self.apply_effect(broker, effect);
         }
-        // An earlier turn may have replaced the one that was scheduled for a wake-up, and the routing logic requests each
-        // wake-up only once.
+        // An earlier turn may have replaced the one that was scheduled for a wake-up, and the routing logic requests
+        // each wake-up only once.
         if let Some(at) = self.brokers[broker].wake_at {
             self.schedule_turn(broker, at);
         }
--- a/crates/broker-bench/src/simulation/clients.rs
+++ b/crates/broker-bench/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Simulated clients: sends queries, retries them and cancels those of impatient clients.
+//! Implements simulated clients: sends queries, retries them and cancels those of impatient clients.
 
 use crate::run_results::QueryOrigin;
 use crate::simulation::Simulation;
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Simulated nodes: accepts and completes attempts, starts and stops nodes, and publishes their endpoints.
+//! Implements simulated nodes: accepts and completes attempts, starts and stops nodes, and publishes endpoints.
 
 use crate::fault_injector::MessageDirection;
 use crate::invariants::{PublishedState, ShardRequestIndex};
