--- a/crates/broker-bench/src/fault_injector/tests.rs
+++ b/crates/broker-bench/src/fault_injector/tests.rs
@@ -50,7 +50,7 @@
 
 /// An unresponsive node must lose all messages in both directions, and overlapping faults must begin and end once.
 #[rstest]
-fn overlapping_faults_make_unresponsive_once() {
+fn overlapping_unresponsive_faults_take_effect_once() {
     let mut injector = injector();
     let mut unresponsive = |begins| injector.apply(FaultAction::Unresponsive { node: 2, begins });
     assert_eq!(
