--- a/crates/broker-bench/src/scenario_day.rs
+++ b/crates/broker-bench/src/scenario_day.rs
@@ -56,7 +56,10 @@
         let actions = scenario.schedule(&cluster, seed);
         let replay = traffic::replay_config(nodes, scenario, seed);
         let plan = traffic::plan_day(&replay, &actions, scenario.duration_s);
-        let (near, far) = (TimeSpan::from_ms(scenario.intra_zone_latency_ms), TimeSpan::from_ms(scenario.inter_zone_latency_ms));
+        let (near, far) = (
+            TimeSpan::from_ms(scenario.intra_zone_latency_ms),
+            TimeSpan::from_ms(scenario.inter_zone_latency_ms),
+        );
         let injector = FaultInjector::new(cluster, near, far, seed);
         let cancel = match scenario.cancel {
             CancelBehavior::DropAll => CancelPolicy::DropAll,
