--- a/crates/fault-scenarios/src/active_faults.rs
+++ b/crates/fault-scenarios/src/active_faults.rs
@@ -1,37 +1,37 @@
-//! The faults that are active on one node at a time, and their combined effect. Faults overlap: a node with two
-//! outages is down until both have ended, two slowdowns multiply, and a crash ends a drain.
+//! Tracks the faults that are active on one node and computes their combined effect. Faults may overlap: a node
+//! with two outages is down until both have ended, two slowdowns multiply, and a crash ends a drain.
 
 use FaultEvent::{DrainBegan, DrainFinished, OutageBegan, OutagesEnded};
 use NodeCondition::{Down, Draining, Ready};
 use NodeTransition::{Drains, Starts, Stops, Unchanged};
 use routing::TimeSpan;
 
-/// Whether a node can be used.
+/// The state of a node's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeCondition {
-    /// The process runs and accepts work, unless it is unresponsive.
+    /// The process is running and accepts requests. It may still be rejecting or unresponsive.
     #[default]
     Ready,
-    /// The process finishes what it has and accepts nothing new.
+    /// The process finishes its current work and accepts no new requests.
     Draining,
-    /// There is no process.
+    /// The process is not running.
     Down,
 }
 
-/// What the owner of the node has to do with its process.
+/// The action that a fault event requires on a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeTransition {
-    /// Nothing.
+    /// The process continues as before.
     Unchanged,
-    /// The process stops at once; its work is lost.
+    /// The process stops immediately and loses its work.
     Stops,
-    /// The process begins to drain.
+    /// The process starts to drain.
     Drains,
-    /// A new process starts, without any warm state.
+    /// A new process starts without warm state.
     Starts,
 }
 
-/// Events that can change a node's condition.
+/// An event that can change the condition of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultEvent {
     OutageBegan,
@@ -41,7 +41,7 @@
     DrainFinished,
 }
 
-/// One row of the state machine. An event without a row for the current condition changes nothing.
+/// A row of the transition table. An event without a row for the current condition has no effect.
 struct Transition {
     condition: NodeCondition,
     event: FaultEvent,
@@ -56,109 +56,109 @@
     Transition { condition: Draining, event: OutageBegan,   next: Down,     transition: Stops },
     Transition { condition: Draining, event: DrainFinished, next: Down,     transition: Stops },
     Transition { condition: Down,     event: OutagesEnded,  next: Ready,    transition: Starts },
-    // A drain of a node that is already down has no process to drain; the node stays down for the drain's
-    // duration as well.
+    // A node that is already down has no process to drain, but it also stays down for the duration of the drain.
     Transition { condition: Down,     event: DrainBegan,    next: Down,     transition: Unchanged },
     Transition { condition: Down,     event: DrainFinished, next: Down,     transition: Unchanged },
 ];
 
-/// Repeated pauses of a process.
+/// The length and the interval of a process's repeated pauses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PauseCycle {
-    /// How long each pause lasts.
+    /// The length of each pause.
     pub pause: TimeSpan,
-    /// The time from the beginning of one pause to the beginning of the next.
+    /// The time from the start of one pause to the start of the next.
     pub interval: TimeSpan,
 }
 
-/// All faults that are active on one node.
+/// The faults that are active on one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ActiveFaults {
     condition: NodeCondition,
-    /// Outages, and drains that have begun and whose node has not come back.
+    /// The number of outages and drains that have begun and not yet ended.
     outages: u32,
     speed_factors: Vec<f64>,
     error_shares: Vec<f64>,
-    rejections: u32,
-    silences: u32,
+    rejecting_faults: u32,
+    unresponsive_faults: u32,
     pauses: Vec<PauseCycle>,
 }
 
 impl ActiveFaults {
-    /// Whether the node can be used.
+    /// Returns the current state of the node's process.
     pub fn condition(&self) -> NodeCondition {
         self.condition
     }
 
-    /// An outage of the node begins.
+    /// Records the start of an outage, which stops the node's process if it is running.
     pub fn begin_outage(&mut self) -> NodeTransition {
         self.outages += 1;
         self.apply(OutageBegan)
     }
 
-    /// One outage or drain is over; the node starts when it was the last.
+    /// Records the end of one outage or drain. The node restarts when the last one has ended.
     pub fn end_outage(&mut self) -> NodeTransition {
         self.outages = self.outages.saturating_sub(1);
         if self.outages == 0 { self.apply(OutagesEnded) } else { Unchanged }
     }
 
-    /// The node begins to drain. It counts as an outage until [`ActiveFaults::end_outage`].
+    /// Records the start of a drain, which counts as an outage until [`ActiveFaults::end_outage`] is called.
     pub fn begin_drain(&mut self) -> NodeTransition {
         self.outages += 1;
         self.apply(DrainBegan)
     }
 
-    /// The time allowed for the drain is over.
+    /// Records that the time allowed for a drain has passed. A node that is still draining stops.
     pub fn finish_drain(&mut self) -> NodeTransition {
         self.apply(DrainFinished)
     }
 
-    /// Begins or ends a slowdown to `speed_factor` of the node's speed.
+    /// Starts or ends a slowdown to `speed_factor` of the node's normal speed.
     pub fn set_slowdown(&mut self, speed_factor: f64, begins: bool) {
         add_or_remove(&mut self.speed_factors, speed_factor, begins);
     }
 
-    /// Begins or ends a fault that turns `share` of the responses into errors.
+    /// Starts or ends a fault that turns `share` of the responses into errors.
     pub fn set_errors(&mut self, share: f64, begins: bool) {
         add_or_remove(&mut self.error_shares, share, begins);
     }
 
-    /// Begins or ends a fault by which the node rejects all new work.
+    /// Starts or ends a fault that makes the node reject all new requests.
     pub fn set_rejecting(&mut self, begins: bool) {
-        count_up_or_down(&mut self.rejections, begins);
+        count_up_or_down(&mut self.rejecting_faults, begins);
     }
 
-    /// Begins or ends a fault by which the node accepts everything and answers nothing.
+    /// Starts or ends a fault that makes the node accept all requests without responding.
     pub fn set_unresponsive(&mut self, begins: bool) {
-        count_up_or_down(&mut self.silences, begins);
+        count_up_or_down(&mut self.unresponsive_faults, begins);
     }
 
-    /// Begins or ends repeated pauses of the node's process.
+    /// Starts or ends repeated pauses of the node's process.
     pub fn set_pause(&mut self, cycle: PauseCycle, begins: bool) {
         add_or_remove(&mut self.pauses, cycle, begins);
     }
 
-    /// The share of its normal speed at which the node works: the product of all slowdowns.
+    /// Returns the node's speed as a fraction of its normal speed: the product of all slowdowns.
     pub fn speed_factor(&self) -> f64 {
         self.speed_factors.iter().product()
     }
 
-    /// The share of the node's responses that are errors. Each fault applies to what the others leave intact.
+    /// Returns the share of the node's responses that are errors. Each fault applies to the responses that the
+    /// other faults have not turned into errors.
     pub fn error_share(&self) -> f64 {
         1.0 - self.error_shares.iter().map(|share| 1.0 - share).product::<f64>()
     }
 
-    /// Whether the node rejects all new work.
+    /// Returns whether the node rejects all new requests.
     pub fn is_rejecting(&self) -> bool {
-        self.rejections > 0
+        self.rejecting_faults > 0
     }
 
-    /// Whether the node answers nothing.
+    /// Returns whether the node accepts requests without responding.
     pub fn is_unresponsive(&self) -> bool {
-        self.silences > 0
+        self.unresponsive_faults > 0
     }
 
-    /// The cycle with the longest pause of those that are active.
+    /// Returns the active cycle with the longest pause, or `None` if no pauses are active.
     pub fn longest_pause(&self) -> Option<PauseCycle> {
         self.pauses.iter().copied().max()
     }
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -1,55 +1,58 @@
-//! One fault of a scenario: its kind, the nodes it is for, and its parameters.
+//! Faults of a scenario: their kinds, target nodes and parameters.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// What goes wrong. What [`Fault::size`] means depends on the kind.
+/// The kind of a fault. It determines the meaning and the unit of [`Fault::magnitude`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Node processes stop, and start without warm state at the end.
+    /// Node processes stop. They restart without warm state when the fault ends.
     Crash,
-    /// Nodes accept everything and answer nothing. Their work is lost, and they start without warm state at
-    /// the end.
+    /// Nodes accept all requests but never respond. Their work is lost, and they restart without warm state
+    /// when the fault ends.
     Unresponsive,
-    /// Nodes work at the share `size` of their speed.
+    /// Nodes run at a fraction of their normal speed, given by the magnitude.
     Slowdown,
-    /// Nodes pause for `size` ms in each `pause_interval_ms`.
+    /// Nodes pause once in each `pause_interval_ms`. The magnitude is the length of a pause in milliseconds.
     Pause,
-    /// Nodes reject all new work.
+    /// Nodes reject all new requests.
     Rejection,
-    /// The share `size` of the nodes' responses are errors.
+    /// A share of the nodes' responses are errors. The magnitude is that share.
     Errors,
-    /// Nodes drain, stop after `drain_s`, and start without warm state at the end.
+    /// Nodes drain, stop after `drain_s`, and restart without warm state when the fault ends.
     Drain,
-    /// Groups of the share `size` of all nodes are restarted one after the other, each with a drain of
-    /// `drain_s`, all within the fault's duration.
+    /// Nodes are restarted in consecutive groups within the fault's duration, each after a drain of
+    /// `drain_s`. The magnitude is the size of a group as a share of all nodes.
     RollingRestart,
-    /// Messages between brokers and nodes are lost, in the fault's direction.
+    /// Messages between brokers and nodes are lost in the fault's direction.
     Partition,
-    /// Messages between brokers and nodes take `size` ms longer, in the fault's direction.
+    /// Messages between brokers and nodes are delayed in the fault's direction. The magnitude is the added
+    /// latency in milliseconds.
     NetworkDelay,
-    /// Discovery publishes every change `size` ms later.
+    /// Discovery publishes every change late. The magnitude is the added delay in milliseconds.
     EndpointListDelay,
-    /// Discovery publishes nothing.
+    /// Discovery publishes no changes.
     EndpointListOutage,
-    /// Clients send `size` times as many queries; with a tenant, that tenant alone.
+    /// Clients send more queries, or only one tenant does if one is set. The magnitude is the factor on the
+    /// query rate.
     TrafficSurge,
-    /// The share `size` of the queries takes `work_factor` times as much work.
+    /// A share of the queries takes `work_factor` times as much work. The magnitude is that share.
     HeavyQueries,
-    /// The share `size` of the queries stops every node that begins a shard request of it.
+    /// A share of the queries crashes every node that starts one of their shard requests. The magnitude is
+    /// that share.
     QueryOfDeath,
-    /// The share `size` of the brokers restarts without any state.
+    /// A share of the brokers restarts without any state. The magnitude is that share.
     BrokerRestart,
-    /// The share `size` of all queries goes to one broker.
+    /// A share of all queries is sent to one broker. The magnitude is that share.
     SkewedTraffic,
 }
 
-/// What a kind of fault is called in a scenario's text, and which parameters it has.
+/// The name of a fault kind in scenario files and the parameters that apply to it.
 pub(crate) struct FaultKindSpec {
     pub(crate) name: &'static str,
     pub(crate) kind: FaultKind,
     pub(crate) targets_nodes: bool,
-    /// The values allowed for `size`; none where the kind has no size.
+    /// The allowed range of the magnitude (key `size`), or `None` if the kind has none.
     pub(crate) size_range: Option<RangeInclusive<f64>>,
 }
 
@@ -62,7 +65,7 @@
     FaultKindSpec { name, kind, targets_nodes, size_range }
 }
 
-/// All kinds, in the order in which an error message lists them.
+/// All fault kinds, in the order in which error messages list them.
 #[rustfmt::skip]
 pub(crate) const FAULT_KINDS: &[FaultKindSpec] = &[
     spec("lose",        FaultKind::Crash,              true,  None),
@@ -85,29 +88,30 @@
 ];
 
 impl fmt::Display for FaultKind {
-    /// The kind's name in a scenario's text.
+    /// Writes the name of the kind in scenario files.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(FAULT_KINDS.iter().find(|spec| spec.kind == *self).map_or("", |spec| spec.name))
     }
 }
 
-/// Which nodes a fault is for: those that fit all that is given.
+/// A selector for the nodes that a fault affects. A node must match every criterion that is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FaultTarget {
-    /// Nodes of this zone, modulo the number of zones.
+    /// Restricts the fault to one zone; the number is taken modulo the number of zones.
     pub zone: Option<u32>,
-    /// Nodes of this placement group, modulo the number of groups.
+    /// Restricts the fault to one placement group; the number is taken modulo the number of groups.
     pub placement_group: Option<u32>,
-    /// This node, modulo the number of nodes.
+    /// Restricts the fault to one node; the number is taken modulo the number of nodes.
     pub node: Option<u32>,
-    /// The share of the fitting nodes, drawn at random by seed; at least one node.
+    /// The share of the matching nodes that is affected. The nodes are sampled with the seed of the schedule,
+    /// and at least one is affected.
     pub share: f64,
 }
 
-/// Which messages between brokers and nodes a network fault is for.
+/// The direction of the messages between brokers and nodes that a network fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Direction {
-    /// Both directions.
+    /// Messages in both directions.
     #[default]
     Both,
     /// Messages from brokers to nodes.
@@ -117,40 +121,40 @@
 }
 
 impl Direction {
-    /// Whether messages from brokers to nodes are affected.
+    /// Returns whether messages from brokers to nodes are affected.
     pub fn includes_to_node(self) -> bool {
         self != Direction::FromNode
     }
 
-    /// Whether messages from nodes to brokers are affected.
+    /// Returns whether messages from nodes to brokers are affected.
     pub fn includes_from_node(self) -> bool {
         self != Direction::ToNode
     }
 }
 
-/// One fault of a scenario.
+/// A fault of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// The name of its section in the scenario's text.
+    /// The name of the fault's section in the scenario file.
     pub name: String,
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Which nodes it is for, if its kind is for nodes.
+    /// The affected nodes. Ignored by kinds that do not target nodes.
     pub target: FaultTarget,
-    /// Seconds from the beginning of the day.
+    /// The start of the fault, in seconds since the start of the run.
     pub start_s: f64,
-    /// Seconds.
+    /// The duration of the fault, in seconds.
     pub duration_s: f64,
-    /// How severe it is; the unit depends on the kind.
+    /// The severity of the fault; [`FaultKind`] documents its meaning and unit for each kind.
     pub magnitude: f64,
-    /// How many times as much work a heavy query takes.
+    /// The work of a heavy query, as a multiple of the work of a normal one.
     pub work_factor: f64,
-    /// Milliseconds from the beginning of one pause to the beginning of the next.
+    /// The time from the start of one pause to the start of the next, in milliseconds.
     pub pause_interval_ms: f64,
-    /// Seconds that a draining process has before it stops.
+    /// The time that a draining process has before it stops, in seconds.
     pub drain_s: f64,
     /// The direction of a network fault.
     pub direction: Direction,
-    /// The tenant whose traffic surges; none: all tenants.
+    /// The tenant whose traffic surges, or `None` for all tenants.
     pub tenant: Option<u32>,
 }
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,10 +1,10 @@
-//! Scripted faults: what goes wrong with nodes, zones, discovery, clients and brokers, and when. No I/O and
-//! no clock; random choices follow a seed.
+//! Scripted fault scenarios for nodes, zones, discovery, clients and brokers. The crate does no I/O and reads
+//! no clock; random choices are derived from a seed.
 //!
-//! [`Scenario::parse`] reads an INI text, or lists every error in it with line and key.
-//! [`Scenario::schedule`] turns it into a list of actions for a cluster of a given size. [`ActiveFaults`]
-//! holds the overlapping faults of one node; its table of transitions is the one place that decides what they
-//! add up to. [`LIBRARY`] has the scenarios that come with the product.
+//! [`Scenario::parse`] parses an INI file, or reports every error in it with its line and key.
+//! [`Scenario::schedule`] expands a scenario into timed actions for a cluster of a given size. [`ActiveFaults`]
+//! tracks the overlapping faults of one node; its transition table alone defines how they combine.
+//! [`LIBRARY`] contains the built-in scenarios.
 //!
 //! ```
 //! use fault_scenarios::{ClusterSize, Scenario};
@@ -12,7 +12,7 @@
 //! let text = "[scenario]\nabout = a zone is lost\n[north]\nwhat = lose\nhall = 0\nat = 10\nfor = 5\n";
 //! let scenario = Scenario::parse("north-lost", text).unwrap();
 //! let cluster = ClusterSize { nodes: 6, zones: 3, placement_groups: 3, brokers: 2 };
-//! assert_eq!(scenario.schedule(&cluster, 1).len(), 4); // two nodes are lost, and come back
+//! assert_eq!(scenario.schedule(&cluster, 1).len(), 4); // two nodes crash and restart
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/fault-scenarios/src/library.rs
+++ b/crates/fault-scenarios/src/library.rs
@@ -1,17 +1,17 @@
-//! The scenarios that come with the product. Each text says what it is about.
+//! The built-in scenarios and the lookup by name.
 
-/// A scenario that comes with the product.
+/// A built-in scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct LibraryScenario {
-    /// The name by which it is chosen.
+    /// The name by which users select the scenario.
     pub name: &'static str,
-    /// Its INI text.
+    /// The contents of the scenario's INI file.
     pub text: &'static str,
 }
 
 macro_rules! library {
     ($($name:literal,)*) => {
-        /// All scenarios that come with the product, by name.
+        /// All built-in scenarios, sorted by name.
         pub const LIBRARY: &[LibraryScenario] = &[$(LibraryScenario {
             name: $name,
             text: include_str!(concat!("../scenarios/", $name, ".ini")),
@@ -52,13 +52,13 @@
     "zone-partition",
 ];
 
-/// A name that a library scenario had in earlier versions.
+/// A name that a built-in scenario had in an earlier version.
 struct FormerName {
     former: &'static str,
     name: &'static str,
 }
 
-/// Scripts may still choose a scenario by its former name.
+/// Former names, which are still accepted because users' scripts contain them.
 #[rustfmt::skip]
 const FORMER_NAMES: &[FormerName] = &[
     FormerName { former: "brokers-start-anew", name: "broker-restart-during-zone-outage" },
@@ -91,7 +91,7 @@
     FormerName { former: "work-goes-on", name: "work-not-cancelled" },
 ];
 
-/// The scenario of this name, which may be a former one.
+/// Returns the built-in scenario with this current or former name, or `None` if there is none.
 pub fn find_in_library(name: &str) -> Option<&'static LibraryScenario> {
     let renamed = FORMER_NAMES.iter().find(|entry| entry.former == name);
     let name = renamed.map_or(name, |entry| entry.name);
--- a/crates/fault-scenarios/src/parser.rs
+++ b/crates/fault-scenarios/src/parser.rs
@@ -1,7 +1,7 @@
-//! Reads a scenario's INI text: `[scenario]` and `[clients]` describe the day, and each further section, with
-//! any name, one fault. The keys are older than the terms of the code (`hall` is a zone, `cell` a placement
-//! group, `host` a node, `caller` a tenant); scenarios that users have stored depend on them, so they stay.
-//! This file and the table of fault kinds in `fault.rs` are the only places that map them.
+//! Parses scenario files in INI format. `[scenario]` and `[clients]` describe the run; every other section
+//! describes one fault and may have any name. Some keys predate the terms used in the code (`hall` is a zone,
+//! `cell` a placement group, `host` a node, `caller` a tenant). They are kept because users have stored
+//! scenarios with them. Only this file and the table of fault kinds in `fault.rs` map them to those terms.
 
 use crate::fault::{Direction, FAULT_KINDS, Fault, FaultKind, FaultKindSpec, FaultTarget};
 use crate::scenario::{CancelBehavior, ClientBehavior, Scenario};
@@ -9,7 +9,7 @@
 use ini::{Ini, ParseOption};
 use std::collections::BTreeMap;
 
-/// A key with a number.
+/// A key with a numeric value, its allowed range and its default.
 struct NumberKey {
     name: &'static str,
     minimum: f64,
@@ -21,9 +21,9 @@
     NumberKey { name, minimum, maximum, default }
 }
 
-const DAY_S: f64 = 86_400.0;
+const MAX_DURATION_S: f64 = 86_400.0;
 const SCENARIO_NUMBERS: &[NumberKey] = &[
-    number_key("seconds", 1.0, DAY_S, 60.0),
+    number_key("seconds", 1.0, MAX_DURATION_S, 60.0),
     number_key("load", 0.001, 100.0, 0.5),
     number_key("near_ms", 0.1, 1000.0, 0.5),
     number_key("far_ms", 0.1, 1000.0, 1.0),
@@ -37,8 +37,8 @@
     number_key("callers", 1.0, 1000.0, 1.0),
 ];
 const FAULT_NUMBERS: &[NumberKey] = &[
-    number_key("at", 0.0, DAY_S, 0.0),
-    number_key("for", 0.0, DAY_S, 0.0),
+    number_key("at", 0.0, MAX_DURATION_S, 0.0),
+    number_key("for", 0.0, MAX_DURATION_S, 0.0),
     number_key("size", 0.0, 600_000.0, 0.0),
     number_key("times", 1.0, 1000.0, 10.0),
     number_key("every_ms", 1.0, 600_000.0, 1000.0),
@@ -49,36 +49,37 @@
     number_key("share", 0.0001, 1.0, 1.0),
     number_key("caller", 0.0, 999.0, 0.0),
 ];
-/// Keys that choose nodes. They apply only to faults of nodes.
+/// The keys that select nodes. They apply only to fault kinds that target nodes.
 const TARGET_KEYS: &[&str] = &["hall", "cell", "host", "share"];
 
-/// A word of a scenario's text and what it stands for.
-struct Word<T> {
+/// A keyword that is allowed as a value, and its meaning.
+struct Keyword<T> {
     text: &'static str,
     value: T,
 }
 
-const CANCEL_WORDS: &[Word<CancelBehavior>] = &[
-    Word { text: "all", value: CancelBehavior::DropAll },
-    Word { text: "waiting", value: CancelBehavior::DropQueued },
-    Word { text: "none", value: CancelBehavior::DropNone },
+const CANCEL_KEYWORDS: &[Keyword<CancelBehavior>] = &[
+    Keyword { text: "all", value: CancelBehavior::DropAll },
+    Keyword { text: "waiting", value: CancelBehavior::DropQueued },
+    Keyword { text: "none", value: CancelBehavior::DropNone },
 ];
-const DIRECTION_WORDS: &[Word<Direction>] = &[
-    Word { text: "both", value: Direction::Both },
-    Word { text: "to", value: Direction::ToNode },
-    Word { text: "from", value: Direction::FromNode },
+const DIRECTION_KEYWORDS: &[Keyword<Direction>] = &[
+    Keyword { text: "both", value: Direction::Both },
+    Keyword { text: "to", value: Direction::ToNode },
+    Keyword { text: "from", value: Direction::FromNode },
 ];
 
-fn list_words<T>(words: &[Word<T>]) -> String {
-    words.iter().map(|word| word.text).collect::<Vec<_>>().join(", ")
+fn list_keywords<T>(keywords: &[Keyword<T>]) -> String {
+    keywords.iter().map(|keyword| keyword.text).collect::<Vec<_>>().join(", ")
 }
 
 impl Scenario {
-    /// Reads a scenario's text.
+    /// Parses the contents of a scenario file. `name` is the scenario's name or path.
     ///
     /// # Errors
     ///
-    /// All errors in the text that can be told from each other, not only the first.
+    /// Returns all errors found in the file instead of only the first. An INI syntax error is reported alone, and
+    /// tenants are checked only when there is no other error.
     pub fn parse(name: &str, text: &str) -> Result<Scenario, Vec<ScenarioError>> {
         let options = ParseOption { enabled_escape: false, enabled_quote: true, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options)
@@ -123,14 +124,14 @@
     }
 }
 
-/// All sections of a text.
+/// The parsed sections of a scenario file.
 struct Sections {
     scenario: SectionValues,
     clients: SectionValues,
     faults: Vec<Fault>,
 }
 
-/// The valid values of one section.
+/// The valid values of a section, by key.
 struct SectionValues {
     number_keys: &'static [NumberKey],
     numbers: BTreeMap<&'static str, f64>,
@@ -142,18 +143,18 @@
         SectionValues { number_keys, numbers: BTreeMap::new(), texts: BTreeMap::new() }
     }
 
-    fn given_number(&self, name: &str) -> Option<f64> {
+    fn explicit_number(&self, name: &str) -> Option<f64> {
         self.numbers.get(name).copied()
     }
 
-    /// The number that is given, or its default.
+    /// Returns the number in the section, or the default of the key.
     fn number(&self, name: &str) -> f64 {
         let key = self.number_keys.iter().find(|key| key.name == name);
-        self.given_number(name).unwrap_or(key.map_or(0.0, |key| key.default))
+        self.explicit_number(name).unwrap_or(key.map_or(0.0, |key| key.default))
     }
 
     fn index(&self, name: &str) -> Option<u32> {
-        self.given_number(name).map(|number| number as u32)
+        self.explicit_number(name).map(|number| number as u32)
     }
 
     fn text(&self, name: &str) -> Option<String> {
@@ -161,7 +162,7 @@
     }
 }
 
-/// Keys and values of a section, in the order of the text.
+/// The keys and values of a section, in the order of the file.
 type Properties<'a> = [(&'a str, &'a str)];
 
 struct Parser<'a> {
@@ -213,7 +214,7 @@
                     values.numbers.insert(key.name, number);
                 }
             } else {
-                self.reject_key(section, name, number_keys, text_keys);
+                self.report_unknown_key(section, name, number_keys, text_keys);
             }
         }
         values
@@ -224,21 +225,21 @@
         let number = number.filter(|number| (key.minimum..=key.maximum).contains(number));
         if number.is_none() {
             let allowed = format!("{} to {}", key.minimum, key.maximum);
-            self.reject_value(section, key.name, value.to_owned(), allowed);
+            self.report_invalid_value(section, key.name, value.to_owned(), allowed);
         }
         number
     }
 
     fn cancel_behavior(&mut self, scenario: &SectionValues) -> CancelBehavior {
         let Some(text) = scenario.text("cancel") else { return CancelBehavior::default() };
-        let word = CANCEL_WORDS.iter().find(|word| word.text == text);
-        if word.is_none() {
-            self.reject_value("scenario", "cancel", text, list_words(CANCEL_WORDS));
+        let keyword = CANCEL_KEYWORDS.iter().find(|keyword| keyword.text == text);
+        if keyword.is_none() {
+            self.report_invalid_value("scenario", "cancel", text, list_keywords(CANCEL_KEYWORDS));
         }
-        word.map(|word| word.value).unwrap_or_default()
+        keyword.map(|keyword| keyword.value).unwrap_or_default()
     }
 
-    /// Reads a fault's section; none if it has an error.
+    /// Parses the section of a fault. Returns `None` if it contains an error.
     fn read_fault(&mut self, section: &str, properties: &Properties) -> Option<Fault> {
         let earlier_errors = self.errors.len();
         let values = self.read_values(section, properties, FAULT_NUMBERS, &["what", "way"]);
@@ -269,92 +270,93 @@
 
     fn fault_kind(&mut self, section: &str, values: &SectionValues) -> Option<&'static FaultKindSpec> {
         let Some(name) = values.text("what") else {
-            self.report_missing(section, "what");
+            self.report_missing_key(section, "what");
             return None;
         };
         let spec = FAULT_KINDS.iter().find(|spec| spec.name == name);
         if spec.is_none() {
             let allowed = FAULT_KINDS.iter().map(|spec| spec.name).collect::<Vec<_>>().join(", ");
-            self.reject_value(section, "what", name, allowed);
+            self.report_invalid_value(section, "what", name, allowed);
         }
         spec
     }
 
     fn direction(&mut self, section: &str, values: &SectionValues) -> Direction {
         let Some(text) = values.text("way") else { return Direction::default() };
-        let word = DIRECTION_WORDS.iter().find(|word| word.text == text);
-        if word.is_none() {
-            self.reject_value(section, "way", text, list_words(DIRECTION_WORDS));
+        let keyword = DIRECTION_KEYWORDS.iter().find(|keyword| keyword.text == text);
+        if keyword.is_none() {
+            self.report_invalid_value(section, "way", text, list_keywords(DIRECTION_KEYWORDS));
         }
-        word.map(|word| word.value).unwrap_or_default()
+        keyword.map(|keyword| keyword.value).unwrap_or_default()
     }
 
-    /// A key with an invalid value has its own error and is not missing.
+    /// Reports required keys that are absent. A key with an invalid value is not reported as missing, because it
+    /// has its own error.
     fn check_required_keys(&mut self, section: &str, spec: &FaultKindSpec, properties: &Properties) {
         let mut required = vec!["at"];
         required.extend((spec.kind != FaultKind::BrokerRestart).then_some("for"));
         required.extend(spec.size_range.is_some().then_some("size"));
         for key in required {
             if !properties.iter().any(|(name, _)| *name == key) {
-                self.report_missing(section, key);
+                self.report_missing_key(section, key);
             }
         }
     }
 
     fn check_target(&mut self, section: &str, spec: &FaultKindSpec, values: &SectionValues) {
         if spec.kind != FaultKind::TrafficSurge {
-            self.reject_inapplicable(section, "caller", spec, values);
+            self.report_inapplicable_key(section, "caller", spec, values);
         }
         if !spec.targets_nodes {
             for key in TARGET_KEYS {
-                self.reject_inapplicable(section, key, spec, values);
+                self.report_inapplicable_key(section, key, spec, values);
             }
         }
     }
 
     fn check_size(&mut self, section: &str, spec: &FaultKindSpec, values: &SectionValues) {
         let Some(range) = &spec.size_range else {
-            self.reject_inapplicable(section, "size", spec, values);
+            self.report_inapplicable_key(section, "size", spec, values);
             return;
         };
-        if let Some(size) = values.given_number("size").filter(|size| !range.contains(size)) {
+        if let Some(size) = values.explicit_number("size").filter(|size| !range.contains(size)) {
             let allowed = format!("{} to {} with `{}`", range.start(), range.end(), spec.name);
-            self.reject_value(section, "size", size.to_string(), allowed);
+            self.report_invalid_value(section, "size", size.to_string(), allowed);
         }
     }
 
-    /// A surge's tenant must be one of the day's tenants.
+    /// Reports traffic surges of a tenant that does not exist in the scenario.
     fn check_tenants(&mut self, faults: &[Fault], tenants: u32) {
         for fault in faults {
             if let Some(tenant) = fault.tenant.filter(|tenant| *tenant >= tenants) {
                 let allowed = format!("less than {tenants}, the number of tenants (`callers`)");
-                self.reject_value(&fault.name, "caller", tenant.to_string(), allowed);
+                self.report_invalid_value(&fault.name, "caller", tenant.to_string(), allowed);
             }
         }
     }
 
-    /// Reports a key that does not apply to this kind of fault, if it is given.
-    fn reject_inapplicable(
+    /// Reports `key` if the section contains it although it does not apply to this kind of fault.
+    fn report_inapplicable_key(
         &mut self,
         section: &str,
         key: &str,
         spec: &FaultKindSpec,
         values: &SectionValues,
     ) {
-        if values.given_number(key).is_some() {
+        if values.explicit_number(key).is_some() {
             let line = self.line_of(section, Some(key));
             let (section, key, kind) = (section.to_owned(), key.to_owned(), spec.kind);
             self.errors.push(ScenarioError::InapplicableKey { line, section, key, kind });
         }
     }
 
-    fn reject_value(&mut self, section: &str, key: &str, value: String, allowed: String) {
+    fn report_invalid_value(&mut self, section: &str, key: &str, value: String, allowed: String) {
         let line = self.line_of(section, Some(key));
         let (section, key) = (section.to_owned(), key.to_owned());
         self.errors.push(ScenarioError::InvalidValue { line, section, key, value, allowed });
     }
 
-    fn reject_key(
+    fn report_unknown_key(
         &mut self,
         section: &str,
         name: &str,
@@ -369,13 +371,13 @@
         self.errors.push(ScenarioError::UnknownKey { line, section, key, nearest });
     }
 
-    fn report_missing(&mut self, section: &str, key: &'static str) {
+    fn report_missing_key(&mut self, section: &str, key: &'static str) {
         let line = self.line_of(section, None);
         self.errors.push(ScenarioError::MissingKey { line, section: section.to_owned(), key });
     }
 
-    /// The line of a section or of a key in it, from 1. The INI parser does not keep it, so it is looked up
-    /// in the text.
+    /// Returns the line of a section or of a key in it, counted from 1. The INI parser does not keep line numbers,
+    /// so this searches the text. Falls back to 1.
     fn line_of(&self, section: &str, key: Option<&str>) -> usize {
         let mut is_in_section = false;
         for (index, line) in self.text.lines().enumerate() {
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -1,55 +1,56 @@
-//! A scenario as it was read: the day, the clients, and the faults.
+//! Scenarios as parsed from INI files: run parameters, client behavior and faults.
 
 use crate::fault::Fault;
 
-/// What a node does with work that is cancelled.
+/// The work that a node drops when a request is cancelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CancelBehavior {
-    /// It drops the work, also when it runs already.
+    /// The node drops the work, even if it is already running.
     #[default]
     DropAll,
-    /// It drops the work while it waits; what runs goes on.
+    /// The node drops work that is still queued and finishes work that is already running.
     DropQueued,
-    /// It does all of the work.
+    /// The node finishes all work.
     DropNone,
 }
 
-/// What clients do with the responses they get.
+/// Retry and timeout behavior of the simulated clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientBehavior {
-    /// How often a client sends a query again that was rejected or failed.
+    /// The maximum number of times that a client retries a query that was rejected or failed.
     pub retries: u32,
-    /// Milliseconds before the first retry; doubled for each further one, with up to as much again at random.
+    /// The backoff before the first retry, in milliseconds. It doubles with each further retry, and a random
+    /// jitter of up to the same length is added.
     pub backoff_ms: f64,
-    /// The share of the clients that wait for as long as a rejection asks them to.
+    /// The share of the clients that honor the `Retry-After` of a rejection.
     pub retry_after_share: f64,
     /// The share of the clients that give up at half of their query's deadline.
     pub impatient_share: f64,
-    /// How many tenants send queries, each as many as the others.
+    /// The number of tenants. All of them send queries at the same rate.
     pub tenants: u32,
 }
 
-/// A scripted day: its load, its clients, and what goes wrong in it.
+/// A scripted run: its load, its clients and its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name in the library, or its path.
+    /// The name of a built-in scenario, or the path of the scenario's file.
     pub name: String,
-    /// What it is about, in one sentence.
+    /// A description of the scenario in one sentence, or an empty string if the file has none.
     pub description: String,
-    /// How long the day is, in seconds.
+    /// The length of the run, in seconds.
     pub duration_s: f64,
-    /// Work that clients ask for, as a share of what all nodes can do.
+    /// The offered load, as a share of the capacity of all nodes.
     pub load: f64,
-    /// One-way network latency within a zone, in milliseconds.
+    /// The one-way network latency within a zone, in milliseconds.
     pub intra_zone_latency_ms: f64,
-    /// One-way network latency between zones, in milliseconds.
+    /// The one-way network latency between zones, in milliseconds.
     pub inter_zone_latency_ms: f64,
-    /// After how many jobs a started node is warm; 0: it warms up with time.
+    /// The number of jobs after which a restarted node is warm, or 0 if nodes warm up with time.
     pub warm_up_jobs: u32,
-    /// What nodes do with work that is cancelled.
+    /// The work that nodes drop when a request is cancelled.
     pub cancel: CancelBehavior,
-    /// What clients do with the responses they get.
+    /// The retry and timeout behavior of the clients.
     pub clients: ClientBehavior,
-    /// What goes wrong, in the order of the text.
+    /// The faults, in the order of the file.
     pub faults: Vec<Fault>,
 }
--- a/crates/fault-scenarios/src/scenario_error.rs
+++ b/crates/fault-scenarios/src/scenario_error.rs
@@ -1,78 +1,78 @@
-//! What can be wrong with a scenario's text.
+//! Errors that are reported for a scenario file.
 
 use crate::fault::FaultKind;
 use thiserror::Error;
 
-/// One error in a scenario's text. Lines count from 1.
+/// An error in a scenario file. Line numbers start at 1.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ScenarioError {
-    /// The text is not INI.
+    /// The file is not valid INI.
     #[error("line {line}: {reason}")]
     Syntax {
-        /// The line.
+        /// The line of the error.
         line: usize,
-        /// What the INI parser says.
+        /// The message of the INI parser.
         reason: String,
     },
-    /// A section has a key that it can't have.
+    /// A section contains an unknown key.
     #[error("line {line}: unknown key `{key}` in [{section}]; did you mean `{nearest}`?")]
     UnknownKey {
-        /// The line.
+        /// The line of the key.
         line: usize,
-        /// The section.
+        /// The name of the section.
         section: String,
         /// The unknown key.
         key: String,
-        /// The allowed key that is spelled most like it.
+        /// The allowed key with the most similar spelling.
         nearest: &'static str,
     },
-    /// A section has a key more than once.
+    /// A section contains a key more than once.
     #[error("line {line}: `{key}` is given twice in [{section}]")]
     DuplicateKey {
-        /// The line of the first one.
+        /// The line of the first occurrence.
         line: usize,
-        /// The section.
+        /// The name of the section.
         section: String,
-        /// The key.
+        /// The name of the key.
         key: String,
     },
-    /// A key has a value that it can't have.
+    /// The value of a key is not allowed.
     #[error("line {line}: `{key}` of [{section}] is `{value}`; allowed: {allowed}")]
     InvalidValue {
-        /// The line.
+        /// The line of the key.
         line: usize,
-        /// The section.
+        /// The name of the section.
         section: String,
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// The value as it was read.
+        /// The value that was found.
         value: String,
-        /// Which values are allowed.
+        /// A description of the allowed values.
         allowed: String,
     },
-    /// A fault has a key that means nothing for its kind.
+    /// A fault has a key that does not apply to its kind.
     #[error("line {line}: `{key}` of [{section}] does not apply to `{kind}`")]
     InapplicableKey {
-        /// The line.
+        /// The line of the key.
         line: usize,
-        /// The section.
+        /// The name of the section.
         section: String,
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// The fault's kind.
+        /// The kind of the fault.
         kind: FaultKind,
     },
-    /// A section lacks a key that it needs.
+    /// A section lacks a required key.
     #[error("line {line}: [{section}] needs `{key}`")]
     MissingKey {
-        /// The section's line.
+        /// The line of the section header.
         line: usize,
-        /// The section.
+        /// The name of the section.
         section: String,
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// The text has no section of a fault.
+    /// The file contains no fault section.
     #[error("no fault: a section with `what` is needed")]
     NoFaults,
 }
--- a/crates/fault-scenarios/src/schedule.rs
+++ b/crates/fault-scenarios/src/schedule.rs
@@ -1,82 +1,83 @@
-//! A scenario as a list of actions with their times, for a cluster of a given size. The same scenario, size
-//! and seed give the same list.
+//! Expands a scenario into timed actions for a cluster of a given size. The result is deterministic for a
+//! scenario, a cluster size and a seed.
 
 use crate::active_faults::PauseCycle;
 use crate::fault::{Direction, Fault, FaultKind, FaultTarget};
 use crate::scenario::Scenario;
 use routing::{TimeSpan, Timestamp};
 
-/// How large a cluster is. A node's placement group and zone follow from its number.
+/// The size of a cluster. The placement group and the zone of a node are derived from its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClusterSize {
-    /// Number of nodes.
+    /// The number of nodes.
     pub nodes: u32,
-    /// Number of zones.
+    /// The number of zones.
     pub zones: u32,
-    /// Number of placement groups.
+    /// The number of placement groups.
     pub placement_groups: u32,
-    /// Number of brokers.
+    /// The number of brokers.
     pub brokers: u32,
 }
 
 impl ClusterSize {
-    /// The zone of a node. A placement group lies in one zone, if there are at least as many groups as zones.
+    /// Returns the zone of a node. All nodes of a placement group are in the same zone; with fewer groups than
+    /// zones, some zones have no nodes.
     pub fn zone_of(&self, node: u32) -> u32 {
         self.placement_group_of(node) % self.zones.max(1)
     }
 
-    /// The placement group of a node.
+    /// Returns the placement group of a node.
     pub fn placement_group_of(&self, node: u32) -> u32 {
         node % self.placement_groups.max(1)
     }
 }
 
-/// What is to be done at one time. `begins` says whether a fault begins or ends.
+/// An action that starts or ends a fault. `begins` is true at the start of the fault and false at its end.
 #[allow(missing_docs, reason = "the fields of all variants have the same meaning; see `Fault`")]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultAction {
-    /// A node's process stops, or the outage is over.
+    /// The process of a node stops, or one of its outages or drains ends.
     Outage { node: u32, begins: bool },
-    /// A node begins to drain.
+    /// A node starts to drain.
     BeginDrain { node: u32 },
-    /// The time allowed for a node's drain is over.
+    /// The time allowed for the drain of a node has passed.
     FinishDrain { node: u32 },
-    /// A node answers nothing.
+    /// A node accepts requests without responding.
     Unresponsive { node: u32, begins: bool },
-    /// A node works at a share of its speed.
+    /// A node runs at a fraction of its normal speed.
     Slowdown { node: u32, speed_factor: f64, begins: bool },
     /// A node pauses repeatedly.
     Pause { node: u32, cycle: PauseCycle, begins: bool },
-    /// A node rejects all new work.
+    /// A node rejects all new requests.
     Rejection { node: u32, begins: bool },
     /// A share of a node's responses are errors.
     Errors { node: u32, share: f64, begins: bool },
     /// Messages to or from a node are lost.
     Partition { node: u32, direction: Direction, begins: bool },
-    /// Messages to or from a node take longer.
+    /// Messages to or from a node are delayed by `added`.
     NetworkDelay { node: u32, added: TimeSpan, direction: Direction, begins: bool },
-    /// Discovery publishes changes later.
+    /// Discovery publishes changes late, by `added`.
     EndpointListDelay { added: TimeSpan, begins: bool },
-    /// Discovery publishes nothing.
+    /// Discovery publishes no changes.
     EndpointListOutage { begins: bool },
-    /// A tenant, or all of them, send `factor` times as many queries.
+    /// One tenant, or all of them if `tenant` is `None`, send `factor` times as many queries.
     TrafficSurge { factor: f64, tenant: Option<u32>, begins: bool },
     /// A share of the queries takes `work_factor` times as much work.
     HeavyQueries { share: f64, work_factor: f64, begins: bool },
-    /// A share of the queries stops every node that begins a shard request of it.
+    /// A share of the queries crashes every node that starts one of their shard requests.
     QueryOfDeath { share: f64, begins: bool },
     /// A broker restarts without any state.
     RestartBroker { broker: u32 },
-    /// A share of all queries goes to one broker.
+    /// A share of all queries is sent to one broker.
     SkewedTraffic { share: f64, begins: bool },
 }
 
-/// An action and its time.
+/// An action with the time at which it takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledAction {
-    /// Time from the beginning of the day.
+    /// The time since the start of the run.
     pub at: Timestamp,
-    /// What is to be done.
+    /// The action to take.
     pub action: FaultAction,
 }
 
@@ -85,11 +86,12 @@
 }
 
 impl Scenario {
-    /// All actions in the order of their times; those of the same time in the order of the text.
+    /// Returns the actions of all faults in chronological order. Actions at the same time keep the order of the
+    /// file.
     pub fn schedule(&self, cluster: &ClusterSize, seed: u64) -> Vec<ScheduledAction> {
         let mut schedule = Vec::new();
         for (index, fault) in self.faults.iter().enumerate() {
-            // Each fault has its own random numbers, so that a change to one does not change the others.
+            // Each fault has its own random number generator, so that changing one does not affect the others.
             let mut rng = fastrand::Rng::with_seed(seed ^ (index as u64 + 1).rotate_left(40));
             schedule.extend(fault.actions(cluster, &mut rng));
         }
@@ -99,9 +101,9 @@
 }
 
 impl FaultTarget {
-    /// The nodes that are meant, in the order of their numbers.
-    fn pick_nodes(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<u32> {
-        let mut nodes: Vec<u32> = (0..cluster.nodes).filter(|node| self.fits(cluster, *node)).collect();
+    /// Returns the selected nodes in ascending order.
+    fn select_nodes(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<u32> {
+        let mut nodes: Vec<u32> = (0..cluster.nodes).filter(|node| self.matches(cluster, *node)).collect();
         let count = ((nodes.len() as f64 * self.share).round() as usize).clamp(1, nodes.len().max(1));
         rng.shuffle(&mut nodes);
         nodes.truncate(count);
@@ -109,7 +111,7 @@
         nodes
     }
 
-    fn fits(&self, cluster: &ClusterSize, node: u32) -> bool {
+    fn matches(&self, cluster: &ClusterSize, node: u32) -> bool {
         let (zones, groups) = (cluster.zones.max(1), cluster.placement_groups.max(1));
         self.zone.is_none_or(|zone| cluster.zone_of(node) == zone % zones)
             && self.placement_group.is_none_or(|group| cluster.placement_group_of(node) == group % groups)
@@ -119,17 +121,17 @@
 
 impl Fault {
     fn actions(&self, cluster: &ClusterSize, rng: &mut fastrand::Rng) -> Vec<ScheduledAction> {
-        let nodes = self.target.pick_nodes(cluster, rng);
+        let nodes = self.target.select_nodes(cluster, rng);
         match self.kind {
             FaultKind::Drain => self.restart_all(&nodes, self.start(), self.end()),
             FaultKind::RollingRestart => self.rolling_restart(cluster, &nodes),
             FaultKind::BrokerRestart => self.restart_brokers(cluster, rng),
             _ => {
-                let of_nodes = nodes
+                let node_actions = nodes
                     .iter()
                     .flat_map(|node| self.at_start_and_end(|begins| self.node_action(*node, begins)));
-                let of_cluster = self.at_start_and_end(|begins| self.cluster_action(begins));
-                of_nodes.chain(of_cluster).collect()
+                let cluster_actions = self.at_start_and_end(|begins| self.cluster_action(begins));
+                node_actions.chain(cluster_actions).collect()
             }
         }
     }
@@ -151,7 +153,7 @@
         start.into_iter().chain(end)
     }
 
-    /// What begins or ends on one node; none for a kind that is not for nodes.
+    /// Returns the action that starts or ends this fault on one node, or `None` if the fault has no such action.
     fn node_action(&self, node: u32, begins: bool) -> Option<FaultAction> {
         let (magnitude, direction) = (self.magnitude, self.direction);
         let action = match self.kind {
@@ -174,7 +176,8 @@
         Some(action)
     }
 
-    /// What begins or ends for the whole cluster; none for a kind that is for nodes.
+    /// Returns the action that starts or ends this fault for the whole cluster, or `None` if the fault targets
+    /// individual nodes or brokers.
     fn cluster_action(&self, begins: bool) -> Option<FaultAction> {
         let magnitude = self.magnitude;
         let action = match self.kind {
@@ -195,7 +198,7 @@
         Some(action)
     }
 
-    /// Restarts groups of nodes one after the other; each group has an equal part of the duration.
+    /// Restarts groups of nodes one after another. Each group gets an equal part of the fault's duration.
     fn rolling_restart(&self, cluster: &ClusterSize, nodes: &[u32]) -> Vec<ScheduledAction> {
         let group_size = ((f64::from(cluster.nodes) * self.magnitude).round() as usize).max(1);
         let groups = nodes.chunks(group_size);
@@ -210,7 +213,7 @@
         actions
     }
 
-    /// Each node drains, stops, and starts at `end`.
+    /// Drains the nodes from `start`, stops them after the drain, and restarts them at `end`.
     fn restart_all(&self, nodes: &[u32], start: Timestamp, end: Timestamp) -> Vec<ScheduledAction> {
         let drain_end = (start + from_seconds(self.drain_s)).min(end);
         let restart = |node: &u32| {
--- a/crates/fault-scenarios/tests/scenarios.rs
+++ b/crates/fault-scenarios/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario texts, schedules, and what overlapping faults add up to.
+//! Tests of scenario parsing, schedules, and the combination of overlapping faults.
 
 use fault_scenarios::{
     ActiveFaults, ClusterSize, FaultAction, LIBRARY, LibraryScenario, NodeCondition, NodeTransition,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Scripts choose scenarios by name: each former name still gives the scenario that it gave.
+/// Users' scripts select scenarios by name, so each former name must still resolve to the renamed scenario.
 #[rstest]
 #[case("brokers-start-anew", "broker-restart-during-zone-outage")]
 #[case("cold-return", "cold-restart")]
@@ -54,13 +54,13 @@
 #[case("roll-silent-during-a-drain", "discovery-outage-during-drain")]
 #[case("warmed-by-requests", "warm-up-by-requests")]
 #[case("work-goes-on", "work-not-cancelled")]
-fn former_names_give_the_renamed_scenario(#[case] former: &str, #[case] name: &str) {
+fn former_names_resolve_to_the_renamed_scenario(#[case] former: &str, #[case] name: &str) {
     let (by_former, by_name) = (find_in_library(former).unwrap(), find_in_library(name).unwrap());
     assert_eq!((by_former.name, by_former.text), (by_name.name, by_name.text));
-    assert!(LIBRARY.iter().all(|scenario| scenario.name != former), "{former} is a name of its own, too");
+    assert!(LIBRARY.iter().all(|scenario| scenario.name != former), "`{former}` is also a current name");
 }
 
-/// Each error has its line, its key and what is allowed.
+/// Each error names its line, its key and the allowed values.
 #[rstest]
 #[case("[scenario]\nload = 0.5\n", "no fault: a section with `what` is needed")]
 #[case("[n]\nat = 1\nfor = 2\n", "line 1: [n] needs `what`")]
@@ -115,13 +115,13 @@
     assert_ne!(
         Scenario::parse("x", text).unwrap().schedule(&CLUSTER, 8),
         schedule,
-        "another seed, other nodes"
+        "another seed must select other nodes"
     );
 }
 
-/// A rolling restart restarts all nodes, a share at a time, and no group before the one ahead is back.
+/// A rolling restart restarts all nodes in groups, and no group starts before the previous one has restarted.
 #[rstest]
-fn restarts_one_group_after_the_other() {
+fn rolling_restart_takes_one_group_at_a_time() {
     let text = "[r]\nwhat = release\nat = 10\nfor = 40\nsize = 0.25\n";
     let schedule = Scenario::parse("x", text).unwrap().schedule(&CLUSTER, 1);
     let mut unavailable: i32 = 0;
@@ -141,13 +141,13 @@
     assert_eq!((drains, unavailable), (60, 0));
     assert!(
         most_unavailable <= 30,
-        "two groups at most, where one ends as the next begins: {most_unavailable}"
+        "at most two groups may be unavailable, when one ends as the next begins: {most_unavailable} nodes"
     );
     assert!(schedule.iter().all(|scheduled| scheduled.at <= Timestamp(500_000)));
 }
 
-/// One step a word: `d` an outage begins, `u` it ends, `D` a drain begins, `X` its time is over. The
-/// condition at the end, and the transition of each step.
+/// The steps are: `d` begins an outage, `u` ends an outage or a drain, `D` begins a drain, `X` finishes it. The
+/// cases list the steps, the final condition and the transition of each step.
 #[rstest]
 #[case("d u", NodeCondition::Ready, "dies starts")]
 #[case("d d u", NodeCondition::Down, "dies - -")]
@@ -181,7 +181,7 @@
 }
 
 proptest! {
-    /// Whatever overlaps, nothing is left when all faults have ended.
+    /// No fault remains active after all overlapping faults have ended.
     #[test]
     fn no_fault_outlives_its_end(spans in proptest::collection::vec((0_u8..6, 0_u32..50, 1_u32..50), 0..12)) {
         let mut edges: Vec<(u32, u8, usize, bool)> = Vec::new();
@@ -210,9 +210,9 @@
         prop_assert_eq!(faults, ActiveFaults::default());
     }
 
-    /// Any text is read or rejected, without a panic.
+    /// The parser accepts or rejects any text without a panic.
     #[test]
-    fn survives_any_text(text in "[ -~\\n]{0,300}") {
+    fn never_panics_on_any_text(text in "[ -~\\n]{0,300}") {
         let _ = Scenario::parse("x", &text);
     }
 }
