--- a/crates/broker-bench/src/overload_benchmark.rs
+++ b/crates/broker-bench/src/overload_benchmark.rs
@@ -3,7 +3,7 @@
 //! Some JSON keys predate the terms of the code and are kept because scripts read them.
 
 use crate::benchmark_error::BenchmarkError;
-use crate::results::DayResults;
+use crate::run_results::RunResults;
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use cluster_trace::plan::{ClassSpec, CountRange, Plan, Planner, ReplayConfig};
 use cluster_trace::{RowOutcome, TraceReader, find_layout};
@@ -39,7 +39,7 @@
 const BASE_LOAD: f64 = 0.4;
 const LOAD_FACTORS: [f64; 3] = [1.0, 2.0, 4.0];
 const PEAK_FACTOR: f64 = 3.0;
-const POLICIES: [RoutingPolicy; 3] = [RoutingPolicy::Module, RoutingPolicy::Design, RoutingPolicy::Random];
+const POLICIES: [RoutingPolicy; 3] = [RoutingPolicy::Product, RoutingPolicy::Design, RoutingPolicy::Random];
 /// The minimum service of the product at a load factor of 1.
 const MIN_BASE_SERVICE: f64 = 0.95;
 /// The maximum difference by which the product's service may be below that of the best policy without violations.
@@ -154,7 +154,7 @@
     seed: u64,
     load_factor: f64,
     policy: RoutingPolicy,
-) -> Result<DayResults, BenchmarkError> {
+) -> Result<RunResults, BenchmarkError> {
     let load = BASE_LOAD * load_factor;
     let config = SimulationConfig {
         brokers: size.brokers,
@@ -185,7 +185,7 @@
         seed: u64,
     ) -> Result<SweepRun, BenchmarkError> {
         let size = OverloadSize { brokers, ..*size };
-        let run = simulate(&size, seed, load_factor, RoutingPolicy::Module)?;
+        let run = simulate(&size, seed, load_factor, RoutingPolicy::Product)?;
         let closest = run.closest.iter().find(|(rule, _)| rule.starts_with(WARMING_NODE_RULE));
         let keeps_rule = !run.violations.keys().any(|rule| rule.starts_with(WARMING_NODE_RULE));
         let ratio = closest.map_or(0.0, |(_, closest)| closest.ratio);
@@ -232,7 +232,7 @@
 struct OverloadRun {
     load_factor: f64,
     policy: RoutingPolicy,
-    results: DayResults,
+    results: RunResults,
 }
 
 impl OverloadRun {
@@ -329,7 +329,7 @@
         size.duration_s,
         start.elapsed().as_secs_f64()
     );
-    let mut product_runs = runs.iter().filter(|run| run.policy == RoutingPolicy::Module);
+    let mut product_runs = runs.iter().filter(|run| run.policy == RoutingPolicy::Product);
     let passes = product_runs.all(|run| is_within_bounds(run, &runs)) && sweep.keeps_rule;
     let figures_by_run: Map<String, Value> = runs.iter().map(|run| (run.key(), run.json())).collect();
     let json = json!({
--- a/crates/broker-bench/src/overload_benchmark/tests.rs
+++ b/crates/broker-bench/src/overload_benchmark/tests.rs
@@ -9,7 +9,7 @@
 fn no_warming_node_collapses(#[values(1.0, 2.0, 4.0)] load_factor: f64, #[values(1, 4)] seed: u64) {
     let sweep = BrokerSweep { brokers: &[], seeds: 0 };
     let size = OverloadSize { nodes: 30, brokers: 12, duration_s: 30, queries_per_s: 120.0, sweep };
-    let run = simulate(&size, seed, load_factor, RoutingPolicy::Module).unwrap();
+    let run = simulate(&size, seed, load_factor, RoutingPolicy::Product).unwrap();
     assert!(run.violations.is_empty(), "{:?}", run.violations);
     assert!(
         run.closest.keys().any(|rule| rule.starts_with(WARMING_NODE_RULE)),
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -4,7 +4,7 @@
 //! file that can't be read or written, 3 if the run has no valid results because the machine was too busy, and 4 if
 //! it was interrupted.
 
-use crate::results::{DayResults, TENTHS_PER_S};
+use crate::run_results::{RunResults, TENTHS_PER_S};
 use crate::simulation::{RoutingPolicy, Simulation, SimulationConfig};
 use crate::trace_plan::{PlanArgs, ReadPlan, read_plan};
 use crate::{loopback, report};
@@ -21,7 +21,7 @@
 
 const EXIT_RULE_BROKEN: u8 = 1;
 const EXIT_INVALID_ARGUMENTS: u8 = 2;
-const EXIT_NO_VALID_RESULTS: u8 = 3;
+const EXIT_NO_RESULT: u8 = 3;
 const EXIT_INTERRUPTED: u8 = 4;
 
 /// A printed figure: its label and its key in the JSON object.
@@ -115,7 +115,7 @@
 
 /// Replays a plan, prints the results and writes the report if one is requested. Returns the exit code.
 pub fn run_plan(plan: Plan, rejected_rows: u64, args: &RunArgs) -> ExitCode {
-    if args.loopback && args.policy != RoutingPolicy::Module {
+    if args.loopback && args.policy != RoutingPolicy::Product {
         eprintln!(
             "broker-bench: --loopback supports only `--policy product`: brokers on loopback sockets always run the product"
         );
@@ -126,7 +126,7 @@
         Ok(results) => results,
         Err(error) => {
             eprintln!("broker-bench: run has no valid results: {error}");
-            return ExitCode::from(EXIT_NO_VALID_RESULTS);
+            return ExitCode::from(EXIT_NO_RESULT);
         }
     };
     let mut figures = results.json();
@@ -149,13 +149,13 @@
     match results.stopped_at {
         Some(_) => ExitCode::from(EXIT_INTERRUPTED),
         // Only the product must keep the rules. A baseline may break them, as it shows the effect of its absence.
-        None if results.violations.is_empty() || args.policy != RoutingPolicy::Module => ExitCode::SUCCESS,
+        None if results.violations.is_empty() || args.policy != RoutingPolicy::Product => ExitCode::SUCCESS,
         None => ExitCode::from(EXIT_RULE_BROKEN),
     }
 }
 
 /// Replays a plan to its end, or until the user interrupts it.
-fn replay_plan(plan: Plan, args: &RunArgs) -> Result<DayResults, loopback::NoFigure> {
+fn replay_plan(plan: Plan, args: &RunArgs) -> Result<RunResults, loopback::LoopbackError> {
     let (config, replay) = (args.simulation_config(), args.plan.replay_config());
     let is_interrupted = interrupt_flag();
     let bar = progress_bar(Timestamp(plan.entries.last().map_or(0, |entry| entry.at) as i64));
@@ -164,7 +164,7 @@
         !is_interrupted.load(Ordering::Relaxed)
     };
     let results = match args.loopback {
-        true => loopback::play(plan, &replay, config, should_continue),
+        true => loopback::run(plan, &replay, config, should_continue),
         false => Ok(Simulation::new(plan, &replay, config).run(should_continue)),
     };
     bar.finish_and_clear();
@@ -187,7 +187,7 @@
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-fn print_results(results: &DayResults, figures: &Value, args: &RunArgs) {
+fn print_results(results: &RunResults, figures: &Value, args: &RunArgs) {
     println!("{}", args.title());
     if let Some(at) = results.stopped_at {
         println!(
