--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,21 +1,21 @@
-//! Requests the endpoint list from discovery and watches its changes.
+//! Discovery client: requests the endpoint list and watches it for changes.
 //!
-//! # How the list is kept
+//! # How the list is kept up to date
 //!
-//! 1. The routing decisions ask for the list (`Effect::WatchEndpoints`), which notifies `Engine::watch_requested`;
-//!    or a reload sets another address of discovery.
-//! 2. [`watch_endpoints`] requests the complete list. More requests follow while earlier ones still wait
-//!    (`ListRequests`); the first that is answered is used.
-//! 3. With the list's revision it watches: each request waits at discovery for the next change.
-//! 4. When a watch or a list request fails, [`RetrySchedule`] says what follows: a local agent is asked again at an
-//!    interval, shared discovery when the routing decisions ask for it. The rules are in
+//! 1. The routing decisions request a watch (`Effect::WatchEndpoints`), which notifies `Engine::watch_requested`; or
+//!    a reload sets another address of discovery.
+//! 2. [`watch_endpoints`] requests the complete list. Further requests are sent while earlier ones are still pending
+//!    (`ListRequests`); the first response is used.
+//! 3. The watch continues from the list's revision: discovery holds each request until the next change.
+//! 4. When a watch or a list request fails, [`RetrySchedule`] determines the next step: a request to a local agent is
+//!    retried at an interval, one to shared discovery when the routing decisions request it. The rules are in
 //!    [`routing::discovery_backoff`].
 //!
 //! # Tasks and cancellation
 //!
 //! One task does all of this, for as long as the broker runs. Requests are futures within it: dropping one closes its
-//! connection or returns it to the HTTP client, and changes nothing else. That happens at a time limit, when another
-//! list request is answered first, and when discovery moves.
+//! connection or returns it to the HTTP client, and has no other effect. Requests are dropped at their time limit,
+//! when another list request is answered first, and when the address of discovery changes.
 
 mod connector;
 mod error;
@@ -42,12 +42,15 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::warn;
 
-/// Keeps its connections. A response without a length ends with its connection, but not with a reset.
+/// The HTTP client, which pools its connections. If a response has no length, a close of its connection completes the
+/// body, while a reset is an error.
 type HttpClient = legacy::Client<DiscoveryConnector, Empty<Bytes>>;
 
-/// Watches the endpoint list whenever the engine asks for it, until a request fails, and reports each failure to the
-/// engine. When the address of discovery changes, the old watch is dropped and the complete list is requested at the new
-/// address at once.
+/// Watches the endpoint list whenever the engine requests it, and reports each failure to the engine.
+///
+/// A watch lasts until a request fails. When the address of discovery changes, the old watch is dropped and the
+/// complete list is requested from the new address, at most once per `list_retry_interval`. This future never
+/// completes.
 pub async fn watch_endpoints(
     engine: Rc<Engine>,
     limits: DiscoveryLimits,
@@ -64,7 +67,7 @@
     }
 }
 
-/// What one watch needs.
+/// The state that all requests to discovery share.
 struct EndpointWatcher {
     engine: Rc<Engine>,
     limits: DiscoveryLimits,
@@ -72,12 +75,13 @@
 }
 
 impl EndpointWatcher {
-    /// Watches until a request fails; where discovery is a local agent, for ever.
+    /// Watches until a request fails. If discovery is a local agent, failed watches are restarted and this never
+    /// returns.
     async fn watch_until_failure(&self, discovery: &mut watch::Receiver<SocketAddr>) {
         loop {
             let address = *discovery.borrow_and_update();
-            // The interval also holds where a watch fails right after its list came, and where reloads follow each
-            // other quickly: else each of them would cost discovery a complete list.
+            // The interval also applies when a watch fails right after its list was received, and when reloads follow
+            // each other quickly: otherwise each of them would cost discovery a complete list.
             let retry_at = Instant::now() + self.limits.list_retry_interval;
             tokio::select! {
                 Err(error) = self.watch(address) => {
@@ -93,14 +97,14 @@
         }
     }
 
-    /// Reports a failure to the routing decisions, which ask for the list again after their backoff.
+    /// Reports a failure to the routing decisions, which request the list again after their backoff.
     fn report_failure(&self) {
-        // A request that was notified before this failure asked for this watch, and must not start the next one.
+        // A notification from before this failure requested the watch that failed, and must not start the next one.
         let _ = self.engine.watch_requested.notified().now_or_never();
         self.engine.endpoint_list_failed();
     }
 
-    /// Lists all nodes, then waits for changes, until a request fails.
+    /// Requests the complete list and then waits for changes, until a request fails.
     async fn watch(&self, discovery: SocketAddr) -> Result<Infallible, DiscoveryError> {
         let list_url = format!("http://{discovery}/catalog/members");
         let mut list = self.request_list(&list_url).await?;
@@ -117,14 +121,14 @@
         }
     }
 
-    /// Requests the complete list until one of the requests that still wait is answered.
+    /// Requests the complete list, repeatedly, until one of the pending requests is answered.
     async fn request_list(&self, url: &str) -> Result<NodeList, DiscoveryError> {
         let mut requests = ListRequests::default();
         loop {
-            let is_patient = !requests.has_patient();
+            let has_long_timeout = !requests.is_long_request_pending();
             let time_limit =
-                if is_patient { self.limits.long_list_timeout } else { self.limits.list_timeout };
-            requests.push(self.request(url, time_limit), is_patient);
+                if has_long_timeout { self.limits.long_list_timeout } else { self.limits.list_timeout };
+            requests.push(self.request(url, time_limit), has_long_timeout);
             let answered = match self.limits.retry_schedule() {
                 RetrySchedule::FixedInterval(interval) => timeout(interval, requests.answered()).await.ok(),
                 RetrySchedule::RoutingBackoff { silence_timeout } => {
@@ -137,8 +141,8 @@
         }
     }
 
-    /// Waits for a list until the routing decisions ask for the next request. The failure is reported to them as soon as
-    /// the newest request fails, or has been silent for `silence_timeout`.
+    /// Waits for a list until the routing decisions ask for the next request, and then returns `None`. The failure is
+    /// reported to them as soon as the newest request fails or has been pending for `silence_timeout`.
     async fn list_before_backoff(
         &self,
         requests: &mut ListRequests<'_>,
@@ -154,12 +158,12 @@
         }
     }
 
-    /// One request, abandoned after `time_limit`.
+    /// Sends one request, and fails if the list is not received within `time_limit`.
     async fn request(&self, url: &str, time_limit: Duration) -> Result<NodeList, DiscoveryError> {
         timeout(time_limit, self.fetch(url)).await.map_err(|_| DiscoveryError::TimedOut)?
     }
 
-    /// Sends one request and reads the list in its response.
+    /// Sends one request and parses the list in its response.
     async fn fetch(&self, url: &str) -> Result<NodeList, DiscoveryError> {
         let uri = url.parse().map_err(|source| DiscoveryError::InvalidUrl { url: url.to_owned(), source })?;
         let response = self.client.get(uri).await.map_err(DiscoveryError::Request)?;
--- a/crates/broker/src/discovery/connector.rs
+++ b/crates/broker/src/discovery/connector.rs
@@ -1,4 +1,4 @@
-//! How the HTTP client connects to discovery.
+//! The connector of the HTTP client for discovery.
 
 use crate::interrupt_safe::InterruptSafe;
 use futures_util::future::BoxFuture;
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-/// Connects to the address that a URL names; reads and writes go on where a signal interrupts them.
+/// A connector for URLs whose authority is a socket address. Reads and writes that a signal interrupts are retried.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DiscoveryConnector;
 
--- a/crates/broker/src/discovery/error.rs
+++ b/crates/broker/src/discovery/error.rs
@@ -1,42 +1,42 @@
-//! Why a watch of the endpoint list ends.
+//! Errors of requests to discovery.
 
 use hyper_util::client::legacy;
 use std::error::Error;
 
-/// Why the endpoint list is not watched any more.
+/// The error that ended a watch of the endpoint list or one of its requests.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
-    /// The address of discovery makes no URL.
-    #[error("{url}: {source}")]
+    /// The URL that was built from the address of discovery is invalid.
+    #[error("invalid discovery URL `{url}`: {source}")]
     InvalidUrl {
-        /// What was made of the address.
+        /// The invalid URL.
         url: String,
-        /// Why it is no URL.
+        /// The parser's error.
         #[source]
         source: http::uri::InvalidUri,
     },
-    /// No response came.
-    #[error("{}", with_causes(.0))]
+    /// The request failed before a response was received.
+    #[error("request to discovery failed: {}", format_with_sources(.0))]
     Request(#[source] legacy::Error),
-    /// The response's status is no success.
-    #[error("discovery responded with status {0}")]
+    /// The response has a status other than success.
+    #[error("discovery responded with status {0}, expected success")]
     Status(http::StatusCode),
-    /// The body broke off, or is longer than is accepted.
-    #[error("{}", with_causes(&**.0))]
+    /// The body ended early, or is longer than the limit.
+    #[error("reading the response of discovery failed: {}", format_with_sources(&**.0))]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The body is no endpoint list.
+    /// The body could not be parsed as an endpoint list.
     #[error("invalid endpoint list: {0}")]
     InvalidList(#[source] serde_json::Error),
-    /// All nodes were requested, and only changes came.
-    #[error("discovery sent changes where all nodes were requested")]
+    /// The response to a request for the complete list contains only changes.
+    #[error("discovery sent a list of changes, expected the complete list")]
     UnexpectedDelta,
-    /// No response within the time limit.
-    #[error("no response in time")]
+    /// No complete response was received within the time limit.
+    #[error("discovery did not respond within the time limit")]
     TimedOut,
 }
 
-/// An error's text with those of its causes.
-fn with_causes(error: &dyn Error) -> String {
+/// Formats an error together with its chain of sources.
+fn format_with_sources(error: &dyn Error) -> String {
     let errors = std::iter::successors(Some(error), |&error| error.source());
     errors.map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
--- a/crates/broker/src/discovery/list_requests.rs
+++ b/crates/broker/src/discovery/list_requests.rs
@@ -1,7 +1,8 @@
-//! Requests for the complete endpoint list that wait side by side.
+//! Concurrent requests for the complete endpoint list.
 //!
-//! The requests are futures owned by [`ListRequests`], polled by whoever waits for one to finish. Waiting can be
-//! dropped at any time: the requests go on when it is taken up again. Dropping [`ListRequests`] drops the requests.
+//! The requests are futures owned by [`ListRequests`], polled while a caller waits for one to finish. A caller may
+//! stop waiting at any time: the requests continue when the next caller waits. Dropping [`ListRequests`] drops the
+//! requests.
 
 use super::error::DiscoveryError;
 use crate::endpoint_list::NodeList;
@@ -11,60 +12,60 @@
 use std::future::{Future, pending};
 use tracing::warn;
 
-/// What became of one of the requests.
+/// The outcome of one finished request.
 enum RequestOutcome {
-    /// It was answered.
+    /// The request was answered with a list.
     Answered(NodeList),
-    /// The newest one failed.
+    /// The newest request failed.
     NewestFailed,
-    /// Another one failed.
+    /// A request other than the newest one failed.
     OlderFailed,
 }
 
-/// A request that has finished, with its place among the requests.
+/// A finished request.
 struct FinishedRequest {
-    /// Counted from the first request on.
+    /// The request's number in the order of sending; the first is 1.
     number: usize,
-    /// Whether it was the patient one.
-    is_patient: bool,
+    /// Whether the request had the long time limit.
+    has_long_timeout: bool,
     result: Result<NodeList, DiscoveryError>,
 }
 
-/// The requests that still wait. One of them is patient: its time limit is much longer than that of the others.
+/// The pending requests. At most one of them has the long time limit, which is much longer than that of the others.
 #[derive(Default)]
 pub(super) struct ListRequests<'a> {
     waiting: FuturesUnordered<LocalBoxFuture<'a, FinishedRequest>>,
     /// The number of the newest request.
     newest: usize,
-    /// Whether the patient one waits.
-    has_patient: bool,
-    /// Whether a request has failed; that was logged then.
+    /// Whether the request with the long time limit is pending.
+    is_long_request_pending: bool,
+    /// Whether any request has failed, in which case the failure has been logged.
     has_failed: bool,
 }
 
 impl<'a> ListRequests<'a> {
-    /// Whether the patient request still waits.
-    pub(super) fn has_patient(&self) -> bool {
-        self.has_patient
+    /// Returns whether the request with the long time limit is pending.
+    pub(super) fn is_long_request_pending(&self) -> bool {
+        self.is_long_request_pending
     }
 
-    /// Adds a request, which is the newest from now on.
+    /// Adds a request, which becomes the newest one.
     pub(super) fn push(
         &mut self,
         request: impl Future<Output = Result<NodeList, DiscoveryError>> + 'a,
-        is_patient: bool,
+        has_long_timeout: bool,
     ) {
         self.newest += 1;
-        self.has_patient |= is_patient;
+        self.is_long_request_pending |= has_long_timeout;
         let number = self.newest;
-        let finished = async move { FinishedRequest { number, is_patient, result: request.await } };
+        let finished = async move { FinishedRequest { number, has_long_timeout, result: request.await } };
         self.waiting.push(Box::pin(finished));
     }
 
-    /// Waits for the next one to finish; for ever where none waits.
+    /// Waits for the next request to finish; never completes if none is pending.
     async fn next(&mut self) -> RequestOutcome {
         let Some(finished) = self.waiting.next().await else { return pending().await };
-        self.has_patient &= !finished.is_patient;
+        self.is_long_request_pending &= !finished.has_long_timeout;
         match finished.result {
             Ok(list) => return RequestOutcome::Answered(list),
             Err(error) => self.log_first_failure(&error),
@@ -75,14 +76,14 @@
         }
     }
 
-    /// One line for a series of failures.
+    /// Logs the first of a series of failures.
     fn log_first_failure(&mut self, error: &DiscoveryError) {
         if !std::mem::replace(&mut self.has_failed, true) {
             warn!(%error, "endpoint list request failed, retrying until one is answered");
         }
     }
 
-    /// Waits for a list, for as long as the newest request has not failed.
+    /// Waits for a list. Returns `None` as soon as the newest request fails.
     pub(super) async fn answered_unless_newest_fails(&mut self) -> Option<NodeList> {
         loop {
             match self.next().await {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Waits for a list, however many requests fail.
+    /// Waits for a list, regardless of how many requests fail.
     pub(super) async fn answered(&mut self) -> NodeList {
         loop {
             if let RequestOutcome::Answered(list) = self.next().await {
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,17 +1,18 @@
-//! A broker on real sockets: clients and discovery by HTTP, nodes by frames.
+//! A broker that serves clients over HTTP, reads discovery over HTTP, and exchanges frames with nodes over TCP.
 //!
-//! | module | what it does |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`http_server`], [`query_handler`] | client connections; one query from its request to its response |
-//! | [`engine`] | owns the routing decisions, and carries out their effects |
-//! | [`node_pool`], [`codec`] | connections to nodes, and their frames |
-//! | [`discovery`], [`endpoint_list`] | requests the list of nodes; its format |
+//! | [`http_server`], [`query_handler`] | client connections; the handling of one query, from request to response |
+//! | [`engine`] | owns the routing decisions and carries out their effects |
+//! | [`node_pool`], [`codec`] | connections to nodes; the encoding and decoding of their frames |
+//! | [`discovery`], [`endpoint_list`] | requests for the endpoint list; the format of the list |
 //! | [`limits`] | sizes, counts and times, derived from the machine and the settings |
-//! | `startup`, `running`, `reload`, `shutdown` | the life of a process |
+//! | `startup`, `running`, `reload`, `shutdown` | the life cycle of the process |
 //! | `command`, `program` | the command line |
-//! | `config_rollout` | configuration versions, brought to the engine |
+//! | `config_rollout` | delivery of configuration versions to the engine |
 //!
-//! [`engine`] and [`node_pool`] say which task owns what, who wakes whom, and what happens when a future is dropped.
+//! The docs of [`engine`] and [`node_pool`] describe which task owns which state, which task wakes which, and what
+//! happens when a future is dropped.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
@@ -22,9 +23,8 @@
 //! # Ok(()) }
 //! ```
 //!
-//! A front end of another kind takes the place of [`http_server`] and [`query_handler`]: it makes an
-//! [`engine::QueryRequest`], hands it to [`engine::Engine::submit`] and waits for the
-//! [`engine::QueryOutcome`].
+//! A front end for another protocol replaces [`http_server`] and [`query_handler`]: it builds an
+//! [`engine::QueryRequest`], passes it to [`engine::Engine::submit`] and waits for the [`engine::QueryOutcome`].
 
 #![warn(missing_docs)]
 
--- a/crates/broker/src/logging.rs
+++ b/crates/broker/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, as text or as JSON.
+//! Logging to standard error, as text or as JSON.
 
 use operator_config::LogFormat;
 use std::io;
@@ -6,13 +6,13 @@
 use tracing_subscriber::fmt;
 use tracing_subscriber::prelude::*;
 
-/// Writes the log to standard error from now on: events of level info and above, with their fields.
+/// Installs the global log subscriber, which writes events of level info and above to standard error.
 ///
 /// # Panics
 ///
-/// The process has set up a log before.
+/// Panics if the process has already installed a log subscriber.
 pub fn log_to_standard_error(format: LogFormat) {
-    // The HTTP library would write a line for each bad request; the HTTP server counts them instead.
+    // The HTTP library would log a line for each bad request; the HTTP server counts bad requests instead.
     let targets = Targets::new().with_default(LevelFilter::INFO).with_target("actix_http", LevelFilter::OFF);
     let lines = fmt::layer().with_ansi(false).with_writer(io::stderr).with_target(false);
     match format {
--- a/crates/broker/src/main.rs
+++ b/crates/broker/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `shard-broker`: one broker on sockets, as its environment says.
+//! The `shard-broker` executable, which runs one broker as configured by its environment.
 
 fn main() -> std::process::ExitCode {
     broker::run()
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -1,8 +1,8 @@
-//! Starting a broker, and what is known of one that serves.
+//! Startup of a broker, and the handle of a running one.
 //!
-//! Everything runs on the thread that starts it. Spawned tasks: the engine's event loop, discovery, the HTTP server's
-//! listener, one for each connection, and the rollout's requests where versions are switched on. None of them ends before the
-//! process does, apart from connections, and the listener at the shutdown.
+//! Everything runs on the thread that starts the broker. The spawned tasks are the engine's event loop, discovery,
+//! the HTTP server's listener, one for each connection, and the rollout's requests if rollouts are enabled. None of
+//! them ends before the process does, except those of connections, and the listener at shutdown.
 
 use crate::engine::Engine;
 use crate::http_server::HttpServer;
@@ -20,34 +20,34 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// A broker that serves.
+/// A handle to a running broker.
 pub struct RunningBroker {
-    /// Where clients reach it.
+    /// The address on which the broker accepts clients.
     pub listen_address: SocketAddr,
-    /// Its engine, with the routing decisions.
+    /// The engine, which owns the routing decisions.
     pub engine: Rc<Engine>,
-    /// Where discovery is; it may move while the broker runs.
+    /// The address of discovery. Sending a new one moves the watch to it while the broker runs.
     pub discovery_address: watch::Sender<SocketAddr>,
-    /// Where its status is served, if that is switched on.
+    /// The address on which the rollout status is served, or `None` if it is not served.
     pub status_address: Option<SocketAddr>,
     pub(crate) http_server: Rc<HttpServer>,
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, without optional features.
+/// Starts a broker with no optional features on the current thread, which must run an `actix_rt` runtime.
 ///
 /// # Errors
 ///
-/// As [`start_with_operator_config`].
+/// Returns the same errors as [`start_with_operator_config`].
 pub async fn start(config: StartupConfig) -> io::Result<RunningBroker> {
     start_with_operator_config(config, OperatorConfig::default()).await
 }
 
-/// Starts a broker on the current thread, within an `actix_rt` runtime, with the features that the operator's file
-/// switches on.
+/// Starts a broker on the current thread, which must run an `actix_rt` runtime, with the features that the operator's
+/// configuration enables.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or a feature can't be started.
+/// Returns an error if an address cannot be bound or a feature cannot be started.
 pub async fn start_with_operator_config(
     mut config: StartupConfig,
     operator: OperatorConfig,
@@ -67,9 +67,9 @@
         config.clock_start,
         operator.admission,
     );
-    // Where discovery is a local agent, the broker counts as notified of every drain that the agent knows, from its
-    // start on. The cached list may miss one, so nothing is sent by it: the broker waits for the agent's list. The cost
-    // is that `/_health` is 503 until then.
+    // A local discovery agent counts the broker as notified of every drain that it knows of as soon as the broker
+    // starts. The cached list may lack a drain, so it is not used: the broker waits for the agent's list. The cost is
+    // that `/_health` returns 503 until then.
     if let Some(known) = config.cached_endpoints.filter(|_| limits.discovery.kind == DiscoveryKind::Shared) {
         engine.update_endpoints(EndpointListKind::Cached, known);
     }
@@ -88,7 +88,7 @@
     Ok(RunningBroker { listen_address, engine, discovery_address, status_address, http_server })
 }
 
-/// Warns of request classes whose queries the protocol can't carry.
+/// Logs a warning if any request class has a second phase, which the protocol does not support.
 fn warn_of_unsupported_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
         warn!(
--- a/crates/broker/src/shutdown.rs
+++ b/crates/broker/src/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown on SIGTERM: everything that was accepted is answered first.
 //!
-//! The steps and their times are [`ShutdownSchedule`]'s. Guarantee: each accepted query has exactly one response before a
-//! SIGKILL may follow, be it 502. It holds since queries that are open at the deadline are failed by the engine in one
-//! step, after which it accepts none, and each waiting request handler then has its outcome.
+//! [`ShutdownSchedule`] defines the steps and their times. Guarantee: each accepted query receives exactly one
+//! response, possibly a 502, before a SIGKILL may follow. At the deadline the engine fails all open queries in one
+//! step, and accepts none after that, so each request handler that is still waiting has its outcome.
 
 use crate::limits::to_duration;
 use crate::running::RunningBroker;
@@ -13,21 +13,24 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::{info, warn};
 
-/// The signal to shut down, listened for from this call on.
+/// Returns a stream of SIGTERM signals. The signal no longer ends the process once this has been called.
 ///
 /// # Errors
 ///
-/// The system refuses the handler.
+/// Returns an error if the signal handler cannot be registered.
 pub fn termination_signal() -> io::Result<Signal> {
     signal(SignalKind::terminate())
 }
 
 impl RunningBroker {
-    /// Accepts connections for a while longer, answers what is open, and ends. Queries that are still open at
-    /// the shutdown deadline are failed, so that each has its one answer before a SIGKILL may follow.
+    /// Shuts the broker down gracefully: accepts connections for a while longer, answers the open queries, and
+    /// returns.
+    ///
+    /// Queries that are still open at the shutdown deadline are failed, so that each has exactly one response before
+    /// a SIGKILL may follow.
     pub async fn shut_down(self) {
         info!(open_queries = self.engine.open_queries(), "shutting down");
-        // By the present classes: a rollout may have changed the deadlines since the start.
+        // The current request classes are used, as a rollout may have changed the deadlines since the start.
         let longest_deadline = to_duration(self.engine.epoch().longest_deadline());
         let schedule = ShutdownSchedule::new(longest_deadline);
         let fail_open_at = Instant::now() + schedule.fail_open_after;
@@ -36,7 +39,7 @@
         if timeout_at(fail_open_at, &mut closed).await.is_err() {
             let failed_queries = self.engine.fail_open_queries();
             warn!(failed_queries, "queries failed at the shutdown deadline");
-            // A client that does not take its response, or still sends, is not waited for.
+            // There is no further wait for a client that does not read its response or is still sending.
             let _ = timeout(schedule.final_response_timeout, closed).await;
         }
         info!("shut down");
