--- a/crates/broker/src/http_server/accepting.rs
+++ b/crates/broker/src/http_server/accepting.rs
@@ -1,7 +1,8 @@
-//! Accepting connections: within the bound, with a pause after a shortage, and once more as the server closes.
+//! Acceptance of connections: within a limit, with a pause after errors, and of the listener's queue when the server
+//! closes.
 
 use super::{ConnectionService, HttpServer};
-use crate::io_errors::is_accepted_connection_gone;
+use crate::io_errors::is_per_connection_accept_error;
 use crate::query_handler::RejectedRequestCount;
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
@@ -11,7 +12,7 @@
 use tracing::{debug, warn};
 
 impl HttpServer {
-    /// The number of connections beyond which none is accepted.
+    /// Returns the number of connections, including surplus ones, at which no more are accepted.
     pub(super) fn max_connections(&self) -> usize {
         self.query_handler.limits.clients.max_connections
             + self.query_handler.limits.clients.max_surplus_connections
@@ -28,9 +29,9 @@
         let mut accept_pause: Option<Instant> = None;
         loop {
             let has_room = self.connections.borrow().len() < self.max_connections();
-            // At the bound an idle connection makes room; else idle clients would keep all others waiting.
+            // At the limit an idle connection is closed to make room, so that idle clients do not block all others.
             if !has_room {
-                self.close_one_idle();
+                self.evict_one_idle();
             }
             tokio::select! {
                 biased;
@@ -42,7 +43,7 @@
                 () = self.connection_closed.notified() => {}
                 () = sleep(limits.clients.new_connection_grace), if !has_room => {}
                 _ = sweep.tick() => {
-                    self.close_slow();
+                    self.close_slow_connections();
                     self.report_rejected_requests();
                 }
                 () = sleep_until(accept_pause.unwrap_or_else(Instant::now)), if accept_pause.is_some() => {
@@ -52,17 +53,17 @@
         }
     }
 
-    /// Logs the requests that were rejected since the last time, a line for each kind of error.
+    /// Logs the requests that were rejected since the last call, one line for each kind of error.
     fn report_rejected_requests(&self) {
         for RejectedRequestCount { error, times } in self.query_handler.rejected_requests.take() {
             warn!(status = error.status().as_u16(), reason = %error, times, "requests rejected");
         }
     }
 
-    /// Logs an error of `accept`; how long nothing is accepted after it. Where only that connection is gone, the next one
-    /// is accepted at once.
+    /// Logs an error of `accept`, and returns how long to wait before the next call. There is no wait if the error
+    /// concerns only the connection that would have been accepted.
     fn pause_after(&self, error: &io::Error) -> Duration {
-        if is_accepted_connection_gone(error) {
+        if is_per_connection_accept_error(error) {
             debug!(%error, "connection closed before it was accepted");
             return Duration::ZERO;
         }
@@ -70,8 +71,8 @@
         self.query_handler.limits.clients.accept_retry_interval
     }
 
-    /// Accepts the connections that wait in the listener's queue. Clients have established them before the listener is
-    /// closed, and closing it would reset them. At the bound they wait for room.
+    /// Accepts the connections that are in the listener's queue when the server closes. Their clients see them as
+    /// established, and closing the listener would reset them. At the limit on connections they wait for room.
     pub(super) async fn accept_queued(
         self: &Rc<Self>,
         listener: &std::net::TcpListener,
@@ -79,8 +80,8 @@
     ) {
         loop {
             while self.connections.borrow().len() >= self.max_connections() {
-                self.close_slow();
-                self.close_one_idle();
+                self.close_slow_connections();
+                self.evict_one_idle();
                 tokio::select! {
                     () = self.connection_closed.notified() => {}
                     () = sleep(self.query_handler.limits.clients.new_connection_grace) => {}
@@ -89,14 +90,14 @@
             match listener.accept().and_then(|(stream, _)| into_async(stream)) {
                 Ok(stream) => self.open_connection(stream, service.clone()),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The others are still in the queue.
+                // The other connections are still in the queue.
                 Err(error) => sleep(self.pause_after(&error)).await,
             }
         }
     }
 }
 
-/// A stream of the system as one of the runtime.
+/// Converts a blocking stream of the standard library into one of the runtime.
 fn into_async(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
--- a/crates/broker/src/http_server/closing.rs
+++ b/crates/broker/src/http_server/closing.rs
@@ -1,4 +1,5 @@
-//! Closing client connections: which one makes room, which is too slow, and how the last response arrives.
+//! Closure of client connections: which idle connections are closed, which clients are too slow, and how the last
+//! response is delivered.
 
 use super::HttpServer;
 use super::connection::Connection;
@@ -12,27 +13,29 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// In what a client is slower than is allowed.
+/// The way in which a client is slower than the limits allow.
 enum SlowClient {
-    /// It has begun a request and does not complete it.
+    /// The client began a request and does not complete it.
     Request,
-    /// It does not read its response.
+    /// The client does not read its response.
     Response,
-    /// It has sent nothing since it connected.
+    /// The client has sent nothing since it connected.
     Silent,
-    /// It does not send the rest of a body whose response it has.
+    /// The client does not send the rest of a body whose response is already written.
     UnreadBody,
 }
 
-/// Whether more than `limit` has passed since a moment; `false` where there was none.
-fn is_over(since: Option<Instant>, limit: Duration) -> bool {
+/// Returns whether more than `limit` has passed since `since`, or `false` if `since` is `None`.
+fn has_elapsed(since: Option<Instant>, limit: Duration) -> bool {
     since.is_some_and(|since| since.elapsed() > limit)
 }
 
 impl HttpServer {
-    /// Closes an idle connection, to make room; `false`: there is none. Connections that never had a query accepted go
-    /// first: clients that stay silent, or repeat a bad request, must not displace others.
-    pub(super) fn close_one_idle(&self) -> bool {
+    /// Closes an idle connection to make room. Returns `false` if no connection is idle.
+    ///
+    /// Connections on which no query was ever accepted are closed first, then those that have been idle the longest:
+    /// clients that stay silent or repeat a bad request must not displace others.
+    pub(super) fn evict_one_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.iter().filter(|connection| connection.is_idle());
         let first =
@@ -40,25 +43,25 @@
         first.inspect(|connection| connection.request_close(None)).is_some()
     }
 
-    /// Closes the connection that was idle longest, where more are idle than may be kept. Without this the idle
-    /// connections of clients that sent one query each would use up the descriptors.
-    pub(super) fn close_surplus_idle(&self) {
+    /// Closes the connection that has been idle the longest if there are more idle connections than may be kept.
+    /// Without this, the idle connections of clients that sent one query each would exhaust the file descriptors.
+    pub(super) fn close_excess_idle(&self) {
         let connections = self.connections.borrow();
-        let is_kept =
+        let is_idle_after_request =
             |connection: &&Rc<Connection>| connection.has_served_request.get() && connection.is_idle();
-        let kept = || connections.iter().filter(is_kept);
-        if kept().count() <= self.query_handler.limits.clients.max_idle_connections {
+        let idle = || connections.iter().filter(is_idle_after_request);
+        if idle().count() <= self.query_handler.limits.clients.max_idle_connections {
             return;
         }
-        if let Some(longest_idle) = kept().min_by_key(|connection| connection.last_used_at()) {
+        if let Some(longest_idle) = idle().min_by_key(|connection| connection.last_used_at()) {
             longest_idle.request_close(None);
         }
     }
 
-    /// Closes the connections of slow clients: that send or read a byte now and then, that send nothing at all from the
-    /// start, or that never send the rest of a body after its response. Each would hold a place for as long as it
-    /// liked; the log shows them as `requests rejected` with 408.
-    pub(super) fn close_slow(&self) {
+    /// Closes the connections of slow clients: those that send or read a byte now and then, that send nothing at all
+    /// after connecting, or that never send the rest of a body after its response. Each of them would otherwise hold
+    /// a connection indefinitely. Incomplete requests are logged as `requests rejected` with status 408.
+    pub(super) fn close_slow_connections(&self) {
         for connection in self.connections.borrow().iter() {
             match self.slow_client(connection) {
                 Some(SlowClient::Request) => connection.request_close(Some(StatusCode::REQUEST_TIMEOUT)),
@@ -70,25 +73,25 @@
         }
     }
 
-    /// In what the client of a connection is slower than is allowed, if in anything.
+    /// Returns in which way the connection's client is too slow, or `None` if the client is within all limits.
     fn slow_client(&self, connection: &Connection) -> Option<SlowClient> {
         let limits = &self.query_handler.limits.clients;
         let is_silent = !connection.has_served_request.get() && connection.is_idle();
-        if is_over(connection.reading_since(), limits.io_timeout) {
+        if has_elapsed(connection.reading_since(), limits.io_timeout) {
             Some(SlowClient::Request)
-        } else if is_over(connection.write_blocked_since(), limits.io_timeout) {
+        } else if has_elapsed(connection.write_blocked_since(), limits.io_timeout) {
             Some(SlowClient::Response)
-        } else if is_silent && is_over(Some(connection.last_used_at()), limits.io_timeout) {
+        } else if is_silent && has_elapsed(Some(connection.last_used_at()), limits.io_timeout) {
             Some(SlowClient::Silent)
-        } else if is_over(connection.awaiting_unread_body_since(), limits.unread_body_timeout) {
+        } else if has_elapsed(connection.awaiting_unread_body_since(), limits.unread_body_timeout) {
             Some(SlowClient::UnreadBody)
         } else {
             None
         }
     }
 
-    /// Closes the server: it accepts no more connections, idle ones close at once, the others with their responses.
-    /// Completes when all are closed. Dropping the future leaves the server closing.
+    /// Closes the server: stops accepting connections, closes idle ones at once and the others after their responses.
+    /// Completes when all connections are closed. If the future is dropped, the server continues to close.
     pub async fn close(&self) {
         self.is_closing.set(true);
         self.close_requested.notify_one();
@@ -103,13 +106,13 @@
             idle.for_each(|connection| connection.request_close(None));
             tokio::select! {
                 () = connection_closed => {}
-                () = sleep(self.query_handler.limits.clients.closing_sweep_interval) => self.close_slow(),
+                () = sleep(self.query_handler.limits.clients.closing_sweep_interval) => self.close_slow_connections(),
             }
         }
     }
 
-    /// Writes a last response if there is one, and reads and drops what still comes, within bounds: closing over unread
-    /// bytes would reset the connection, and might destroy the response.
+    /// Writes a last response if there is a closing status, and then reads and drops input within limits. Closing the
+    /// socket with unread bytes would reset the connection, and might destroy the response.
     pub(super) async fn linger(&self, stream: TcpStream, closing_status: Option<StatusCode>) {
         let mut stream = InterruptSafe(stream);
         let limits = &self.query_handler.limits;
@@ -122,12 +125,12 @@
             let mut rest = stream.take(limits.clients.max_linger_bytes as u64);
             tokio::io::copy(&mut rest, &mut tokio::io::sink()).await
         };
-        // Whether that succeeds or not, the connection is over.
+        // The connection ends whether or not this succeeds.
         let _ = timeout(limits.clients.linger_timeout, lingering).await;
     }
 }
 
-/// Writes a response without a body, which closes its connection.
+/// Writes a response without a body and with `Connection: close`.
 async fn write_empty_response(stream: &mut InterruptSafe<TcpStream>, status: StatusCode) -> io::Result<()> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     stream.write_all(head.as_bytes()).await
--- a/crates/broker/src/http_server/connection.rs
+++ b/crates/broker/src/http_server/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: the state of its current request, and what decides when it is closed.
+//! One client connection: the state of its current request, and the conditions under which it is closed.
 
 use crate::limits::Limits;
 use actix_http::StatusCode;
@@ -8,35 +8,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How far a connection has come with its current request.
+/// The state of a connection with regard to its current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// Nothing of a request was read.
+    /// No byte of a request has been read.
     Idle,
-    /// The beginning of a request was read.
+    /// The beginning of a request has been read.
     ReadingRequest {
-        /// When its first bytes were read.
+        /// The time at which the first bytes of the request were read.
         since: Instant,
     },
-    /// A request is handled.
+    /// A request is being handled.
     HandlingRequest {
-        /// Its body was read completely; what follows stays unread until the response is made.
+        /// Whether the request's body was read completely, in which case nothing more is read until the response is
+        /// made.
         is_body_complete: bool,
     },
-    /// The last response is being written. Only the end of the connection leads out of this state.
+    /// The last response is being written. The connection stays in this state until it ends.
     Closing {
-        /// What the client still sends has to be read by the server. Where it is the rest of a body, the HTTP library
-        /// reads it.
+        /// Whether the server has to read the input that still arrives. The HTTP library reads it if it is the rest
+        /// of a body.
         must_drain_input: bool,
-        /// When input that follows the last request was first read.
+        /// The time at which input that follows the last request was first read.
         reading_since: Option<Instant>,
-        /// When the last response was made.
+        /// The time at which the last response was made.
         since: Instant,
     },
 }
 
 impl ConnectionState {
-    /// The state once bytes have been read.
+    /// Returns the state that follows when bytes have been read.
     fn after_read(self, now: Instant) -> ConnectionState {
         match self {
             ConnectionState::Idle => ConnectionState::ReadingRequest { since: now },
@@ -48,7 +49,8 @@
         }
     }
 
-    /// When the first bytes were read of input that is no complete request yet.
+    /// Returns the time at which the first bytes of an incomplete request, or of input after the last request, were
+    /// read.
     fn reading_since(self) -> Option<Instant> {
         match self {
             ConnectionState::ReadingRequest { since } => Some(since),
@@ -58,46 +60,47 @@
     }
 }
 
-/// One client connection, as the server and the connection's task share it.
+/// One client connection, shared by the server and the connection's task.
 pub(super) struct Connection {
-    /// The limits of clients and requests.
+    /// The limits on clients and requests.
     pub limits: Rc<Limits>,
-    /// It was accepted beyond the bound on connections: its queries are rejected.
+    /// Whether the connection was accepted beyond the limit on connections, in which case its queries are rejected.
     pub is_surplus: bool,
-    /// It closes with the response to the current or next request.
+    /// Whether the connection closes with the response to the current or next request.
     pub close_after_response: Cell<bool>,
-    /// A request of its client was handled.
+    /// Whether any request on the connection has been handled.
     pub has_served_request: Cell<bool>,
-    /// A query of its client was accepted.
+    /// Whether any query on the connection was accepted.
     pub has_accepted_query: Cell<bool>,
-    /// How far the current request is.
+    /// The state with regard to the current request.
     state: Cell<ConnectionState>,
-    /// Bytes that have been read for the current request; `usize::MAX` once its bound was met.
+    /// The number of bytes read for the current request; `usize::MAX` once the limit has been reached.
     bytes_read: Cell<usize>,
-    /// Since when the client has not read all that was written.
+    /// The time since which the client has not read everything that was written.
     write_blocked_since: Cell<Option<Instant>>,
-    /// When the last request ended, or the connection was accepted.
+    /// The time at which the last request ended, or the connection was accepted.
     last_used_at: Cell<Instant>,
-    /// Requests in a row that were answered with a client error.
+    /// The number of consecutive requests that were answered with a client error.
     consecutive_client_errors: Cell<usize>,
-    /// Written in place of the HTTP library's response when the connection is closed on request.
+    /// The status of the response that is written instead of the HTTP library's when the connection is closed on
+    /// request.
     closing_status: Cell<Option<StatusCode>>,
-    /// Wakes the connection's task, which reads nothing until the current request has its response.
+    /// The waker of the connection's task, which reads nothing until the current request has its response.
     paused_reader: Cell<Option<Waker>>,
-    /// Notified when the connection is to end.
+    /// Notified when the connection should end.
     close_requested: Notify,
 }
 
-/// How much may be read in one state.
+/// The limit on reading in one state of a connection.
 struct ReadLimit {
-    /// Bytes of the current request or, after the last response, of what follows it.
+    /// The limit on the bytes of the current request or, after the last response, of the input that follows.
     max_bytes: usize,
-    /// With which status a connection ends that goes beyond; `None`: nothing more is read.
-    status_beyond: Option<StatusCode>,
+    /// The status with which a connection that exceeds the limit ends; `None` if the rest is left unread instead.
+    excess_status: Option<StatusCode>,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(limits: Rc<Limits>, is_surplus: bool) -> Connection {
         Connection {
             limits,
@@ -116,42 +119,42 @@
         }
     }
 
-    /// Whether it may be closed to make room. A new connection may not be for a moment: its first request may have been
-    /// written already.
+    /// Returns whether the connection may be closed to make room. A new connection may not be closed for a short
+    /// time, because its first request may already be on the way.
     pub fn is_idle(&self) -> bool {
-        let past_first_moment =
-            || self.last_used_at.get().elapsed() > self.limits.clients.new_connection_grace;
-        self.is_at_rest() && (self.has_served_request.get() || past_first_moment())
+        let is_past_grace = || self.last_used_at.get().elapsed() > self.limits.clients.new_connection_grace;
+        self.is_quiescent() && (self.has_served_request.get() || is_past_grace())
     }
 
-    /// Whether nothing is read, handled or written on it.
-    pub fn is_at_rest(&self) -> bool {
+    /// Returns whether nothing is being read, handled or written on the connection.
+    pub fn is_quiescent(&self) -> bool {
         !self.is_handling_request()
             && self.reading_since().is_none()
             && self.write_blocked_since.get().is_none()
     }
 
-    /// Whether a request is handled.
+    /// Returns whether a request is being handled.
     pub fn is_handling_request(&self) -> bool {
         matches!(self.state.get(), ConnectionState::HandlingRequest { .. })
     }
 
-    /// Whether the request that is handled has been read completely.
+    /// Returns whether a request is being handled whose body has been read completely.
     pub fn is_body_complete(&self) -> bool {
         self.state.get() == ConnectionState::HandlingRequest { is_body_complete: true }
     }
 
-    /// Whether the last response was made.
+    /// Returns whether the last response was made.
     pub fn is_closing(&self) -> bool {
         matches!(self.state.get(), ConnectionState::Closing { .. })
     }
 
-    /// Whether input that follows the last request has to be read before the socket is closed.
+    /// Returns whether input that follows the last request has to be read before the socket is closed.
     pub fn must_drain_input(&self) -> bool {
         matches!(self.state.get(), ConnectionState::Closing { must_drain_input: true, .. })
     }
 
-    /// Since when the HTTP library has waited for the rest of a body whose response is written.
+    /// Returns the time since which the HTTP library has waited for the rest of a body whose response is written, or
+    /// `None` if it is not waiting for one.
     pub fn awaiting_unread_body_since(&self) -> Option<Instant> {
         match self.state.get() {
             ConnectionState::Closing { must_drain_input: false, since, .. } => {
@@ -161,94 +164,95 @@
         }
     }
 
-    /// When the first bytes were read of input that is no complete request yet.
+    /// Returns the time at which the first bytes of an incomplete request, or of input after the last request, were
+    /// read.
     pub fn reading_since(&self) -> Option<Instant> {
         self.state.get().reading_since()
     }
 
-    /// Since when the client has not read all that was written.
+    /// Returns the time since which the client has not read everything that was written, or `None` if it has.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.write_blocked_since.get()
     }
 
-    /// When the last request ended; at first, when the connection was accepted.
+    /// Returns the time at which the last request ended, or the connection was accepted.
     pub fn last_used_at(&self) -> Instant {
         self.last_used_at.get()
     }
 
-    /// Ends the connection, after a response with `closing_status` if there is one. Its task does so when it is polled
-    /// next.
+    /// Requests the end of the connection, after a response with `closing_status` if that is given. The connection's
+    /// task acts on the request when it is polled next.
     pub fn request_close(&self, closing_status: Option<StatusCode>) {
         self.closing_status.set(closing_status);
         self.close_requested.notify_one();
     }
 
-    /// Completes once [`Connection::request_close`] was called.
+    /// Completes once [`Connection::request_close`] has been called.
     pub async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// The status of the response with which the connection ends.
+    /// Returns the status of the response with which the connection ends, if one is to be written.
     pub fn closing_status(&self) -> Option<StatusCode> {
         self.closing_status.get()
     }
 
-    /// Whether more may be read of the current request; a connection whose request is too long is closed. The HTTP
-    /// library itself reads without bound before it parses what it has.
+    /// Returns whether more may be read of the current request. A connection whose request is too long is closed. The
+    /// HTTP library itself would read without limit before it parses its buffer.
     pub fn may_read_more(&self, context: &Context) -> bool {
         let limit = self.read_limit();
         if self.bytes_read.get() < limit.max_bytes {
             return true;
         }
-        let Some(status_beyond) = limit.status_beyond else { return false };
-        // The library parses what it has before it reads again. If it reads again, the head or body was not complete
-        // within the limit, and is too long.
+        let Some(excess_status) = limit.excess_status else { return false };
+        // The library parses its buffer before it reads again. If it does read again, the head or body was not
+        // complete within the limit, so the request is too long.
         if self.bytes_read.replace(usize::MAX) == usize::MAX {
-            self.request_close(Some(status_beyond));
+            self.request_close(Some(excess_status));
         } else {
             context.waker().wake_by_ref();
         }
         false
     }
 
-    /// What may be read in the present state.
+    /// Returns the limit on reading in the current state.
     fn read_limit(&self) -> ReadLimit {
         let Limits { clients, requests, .. } = &*self.limits;
         match self.state.get() {
             ConnectionState::Closing { .. } => {
-                ReadLimit { max_bytes: clients.max_linger_bytes, status_beyond: None }
+                ReadLimit { max_bytes: clients.max_linger_bytes, excess_status: None }
             }
             ConnectionState::HandlingRequest { .. } => ReadLimit {
                 max_bytes: requests.max_chunked_body_bytes,
-                status_beyond: Some(StatusCode::PAYLOAD_TOO_LARGE),
+                excess_status: Some(StatusCode::PAYLOAD_TOO_LARGE),
             },
             ConnectionState::Idle | ConnectionState::ReadingRequest { .. } => ReadLimit {
                 max_bytes: requests.max_head_bytes,
-                status_beyond: Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
+                excess_status: Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
             },
         }
     }
 
-    /// Notes that `count` bytes were read.
-    pub fn note_read(&self, count: usize) {
+    /// Records that `count` bytes were read.
+    pub fn record_read(&self, count: usize) {
         self.bytes_read.set(self.bytes_read.get().saturating_add(count));
         if count > 0 {
             self.state.set(self.state.get().after_read(Instant::now()));
         }
     }
 
-    /// Notes whether a write was accepted completely.
-    pub fn note_write(&self, is_complete: bool) {
+    /// Records whether a write was accepted completely.
+    pub fn record_write(&self, is_complete: bool) {
         let since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
         self.write_blocked_since.set((!is_complete).then_some(since));
     }
 
-    /// Keeps the waker of the connection's task until the current request has its response.
+    /// Stores the waker of the connection's task until the current request has its response.
     pub fn pause_reader(&self, context: &Context) {
         self.paused_reader.set(Some(context.waker().clone()));
     }
 
-    /// Begins to handle a request; the guard lives for as long as it is handled.
+    /// Begins handling a request, which lasts until the returned guard is dropped.
     pub fn begin_request(&self) -> RequestGuard<'_> {
         let arrived = self.reading_since().unwrap_or_else(Instant::now);
         self.bytes_read.set(0);
@@ -256,12 +260,12 @@
         RequestGuard { connection: self, arrived }
     }
 
-    /// Notes that the request that is handled has been read completely.
+    /// Records that the body of the request that is being handled has been read completely.
     pub fn complete_body(&self) {
         self.state.set(ConnectionState::HandlingRequest { is_body_complete: true });
     }
 
-    /// Counts client errors in a row; `true`: the bound is reached, and the connection is to be closed.
+    /// Counts consecutive client errors. Returns `true` if the limit is reached and the connection should close.
     pub fn count_client_error(&self, is_client_error: bool) -> bool {
         let errors = if is_client_error { self.consecutive_client_errors.get() + 1 } else { 0 };
         self.consecutive_client_errors.set(errors);
@@ -269,19 +273,20 @@
     }
 }
 
-/// Marks a connection as handling a request. Dropped without a response, because the client has left, it leaves the
-/// connection idle.
+/// A guard that marks a connection as handling a request. If it is dropped without a response because the client has
+/// disconnected, the connection becomes idle.
 pub(super) struct RequestGuard<'a> {
     connection: &'a Connection,
-    /// When the first bytes of the request were read.
+    /// The time at which the first bytes of the request were read.
     pub arrived: Instant,
 }
 
 impl RequestGuard<'_> {
-    /// The request has its response, and the connection stays open.
+    /// Ends the request after its response, and keeps the connection open.
     pub fn finish(self) {}
 
-    /// The request has its response, which is the connection's last.
+    /// Ends the request after the connection's last response. `must_drain_input` tells whether the server has to read
+    /// further input before it closes the socket.
     pub fn finish_and_close(self, must_drain_input: bool) {
         let since = Instant::now();
         self.connection.state.set(ConnectionState::Closing { must_drain_input, reading_since: None, since });
--- a/crates/broker/src/http_server/mod.rs
+++ b/crates/broker/src/http_server/mod.rs
@@ -1,20 +1,20 @@
-//! The HTTP server that clients reach: accepts connections, serves them, and keeps their number within bounds.
+//! The HTTP server for clients: accepts connections, serves them, and limits their number.
 //!
-//! # The life of a connection
+//! # The life cycle of a connection
 //!
-//! 1. **Accept** (`accepting`). At the bound an idle connection makes room; else the new one is a surplus connection,
-//!    whose requests are rejected.
-//! 2. **Serve** (`serving`). The HTTP library parses requests from a `WatchedStream`, which bounds what it reads and
-//!    notices that the client leaves; `routes` calls the `query_handler`.
-//! 3. **Close** (`closing`). A connection closes because it is idle and its place is needed, because its client is too
-//!    slow, or with its last response as the server closes.
+//! 1. **Accept** (`accepting`). At the limit on connections an idle connection is closed to make room; if none is
+//!    idle, the new one is a surplus connection, whose queries are rejected.
+//! 2. **Serve** (`serving`). The HTTP library parses requests from a `WatchedStream`, which limits how much is read
+//!    and detects that the client disconnects; `routes` calls the `query_handler`.
+//! 3. **Close** (`closing`). A connection closes because it is idle and another one needs its place, because its
+//!    client is too slow, or with its last response when the server closes.
 //!
 //! # Tasks and cancellation
 //!
-//! [`HttpServer::run`] is one task; each connection has a task of its own, and each request is a future within that. The
-//! tasks share a `Connection` by [`Rc`]: its state says whether a request is being read or handled, and
-//! `request_close` wakes its task. When the client leaves, the library drops the request's future, which cancels the
-//! query; the connection's task itself is never dropped.
+//! [`HttpServer::run`] is one task; each connection has a task of its own, and each request is a future within that
+//! task. The tasks share a `Connection` through [`Rc`]: its state records whether a request is being read or handled,
+//! and `request_close` wakes its task. When the client disconnects, the library drops the request's future, which
+//! cancels the query; the connection's task itself is never dropped.
 
 mod accepting;
 mod closing;
@@ -40,10 +40,10 @@
 use tokio::sync::Notify;
 use watched_stream::WatchedStream;
 
-/// What the HTTP library serves: a client's socket, and no address.
+/// The input of the HTTP library's service: a client's socket, without its address.
 type ServiceInput = (WatchedStream, Option<SocketAddr>);
 
-/// Serves the requests of one connection to its end.
+/// A service that serves the requests of one connection until it ends.
 trait ConnectionService: Service<ServiceInput, Response = (), Error = DispatchError> + 'static {}
 
 impl<S: Service<ServiceInput, Response = (), Error = DispatchError> + 'static> ConnectionService for S {}
@@ -51,20 +51,20 @@
 /// The HTTP server: its listener and all client connections, on one thread.
 pub struct HttpServer {
     query_handler: QueryHandler,
-    /// All connections that are accepted and not closed.
+    /// The connections that are accepted and not closed.
     connections: RefCell<Vec<Rc<Connection>>>,
-    /// Notified when a connection has closed: there may be room for another.
+    /// Notified when a connection has closed, so that there may be room for another.
     connection_closed: Notify,
-    /// The server is closing, and each response closes its connection.
+    /// Whether the server is closing, in which case each response closes its connection.
     is_closing: Cell<bool>,
-    /// Notified when no new connections are wanted.
+    /// Notified when the server should stop accepting connections.
     close_requested: Notify,
-    /// Notified when no connection is accepted any more.
+    /// Notified when the server has stopped accepting connections.
     listener_closed: Notify,
 }
 
 impl HttpServer {
-    /// A server without connections.
+    /// Creates a server without connections.
     pub fn new(query_handler: QueryHandler) -> Rc<HttpServer> {
         Rc::new(HttpServer {
             query_handler,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Accepts connections until `close` is called, and then those that the listener has queued.
+    /// Accepts connections until `close` is called, and then accepts those that are already in the listener's queue.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let Ok(service) = self.clone().service_factory().new_service(()).await else { return };
         let service = Rc::new(service);
@@ -87,7 +87,7 @@
         self.listener_closed.notify_one();
     }
 
-    /// The HTTP library's service, which calls [`HttpServer::respond`] for each request.
+    /// Returns a factory for the HTTP library's service, which calls [`HttpServer::respond`] for each request.
     fn service_factory(
         self: Rc<Self>,
     ) -> impl ServiceFactory<
@@ -101,11 +101,11 @@
         let limits = self.query_handler.limits.clone();
         HttpService::build()
             .keep_alive(KeepAlive::Timeout(limits.clients.keep_alive_timeout))
-            .client_request_timeout(Duration::ZERO) // `close_slow` bounds the time of a request
-            // An unread body is read for a while: closing over it would reset the connection and might destroy the
-            // response.
+            .client_request_timeout(Duration::ZERO) // `close_slow_connections` limits the time of a request
+            // An unread body is read for a limited time: closing the socket with unread bytes would reset the
+            // connection and might destroy the response.
             .client_disconnect_timeout(limits.clients.linger_timeout)
-            // A client that closes its side has left, and its query is cancelled.
+            // A client that closes its sending side counts as disconnected, and its query is cancelled.
             .h1_allow_half_closed(false)
             .on_connect_ext(|stream: &WatchedStream, data| _ = data.insert(stream.connection().clone()))
             .h1(fn_service(move |request: Request| {
--- a/crates/broker/src/http_server/routes.rs
+++ b/crates/broker/src/http_server/routes.rs
@@ -1,5 +1,4 @@
-//! One request on a connection: which handler answers it, and whether the connection closes with the
-//! response.
+//! Routing of a request to its handler, and the decision whether the connection closes with the response.
 
 use super::HttpServer;
 use super::connection::Connection;
@@ -10,9 +9,9 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Where queries are sent.
+/// The path of queries.
 const QUERY_PATH: &str = "/api";
-/// Where readiness is asked for.
+/// The path of the readiness check.
 const HEALTH_PATH: &str = "/_health";
 
 impl HttpServer {
@@ -22,7 +21,7 @@
             return text_response(StatusCode::INTERNAL_SERVER_ERROR, "a connection that is not known\n");
         };
         if connection.is_closing() {
-            // It was pipelined behind the last request that this connection answers: no response could follow.
+            // The request was pipelined behind the last one that this connection answers, so no response can follow.
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "the connection ends\n");
             response.head_mut().set_connection_type(ConnectionType::Close);
             return response;
@@ -31,7 +30,7 @@
         let has_body = !matches!(request.payload(), Payload::None);
         let client_closes = request.head().connection_type() == ConnectionType::Close;
         let mut response = self.route(request, &connection, guard.arrived).await;
-        // A client that repeats its error again and again is disconnected: a new connection slows it down.
+        // A client that keeps sending bad requests is disconnected: reconnecting slows it down.
         let has_too_many_errors = connection.count_client_error(response.status().is_client_error());
         let has_unread_body = has_body && !connection.is_body_complete();
         let server_closes = connection.is_surplus
@@ -48,7 +47,7 @@
         response
     }
 
-    /// Calls the handler of the request's path.
+    /// Calls the handler for the request's path.
     async fn route(&self, request: Request, connection: &Connection, arrived: Instant) -> Response<Bytes> {
         let allowed = match request.path() {
             QUERY_PATH => Method::POST,
@@ -76,7 +75,7 @@
         response
     }
 
-    /// Handles a query; on a surplus connection it is rejected (503) unread.
+    /// Handles a query. On a surplus connection the query is rejected (503) without being read.
     async fn respond_to_query(
         &self,
         request: Request,
--- a/crates/broker/src/http_server/serving.rs
+++ b/crates/broker/src/http_server/serving.rs
@@ -1,4 +1,4 @@
-//! The task of one client connection.
+//! The task that serves one client connection.
 
 use super::connection::Connection;
 use super::watched_stream::WatchedStream;
@@ -13,22 +13,23 @@
 use tracing::debug;
 
 impl HttpServer {
-    /// Enters a connection, and spawns the task that serves it.
+    /// Adds a connection, and spawns the task that serves it.
     pub(super) fn open_connection(self: &Rc<Self>, stream: TcpStream, service: Rc<impl ConnectionService>) {
         if let Err(error) = stream.set_nodelay(true) {
-            debug!(%error, "TCP_NODELAY could not be set");
+            debug!(%error, "failed to set TCP_NODELAY");
         }
         let limits = self.query_handler.limits.clone();
-        self.close_surplus_idle();
+        self.close_excess_idle();
         let is_full = self.connections.borrow().len() >= limits.clients.max_connections;
-        // At the bound the connection that was idle longest makes room; else requests on the new one are rejected.
-        let has_made_room = is_full && self.close_one_idle();
+        // At the limit an idle connection is closed to make room; if none is idle, queries on the new one are
+        // rejected.
+        let has_made_room = is_full && self.evict_one_idle();
         let connection = Rc::new(Connection::new(limits, is_full && !has_made_room));
         self.connections.borrow_mut().push(connection.clone());
         actix_rt::spawn(self.clone().serve_connection(stream, connection, service));
     }
 
-    /// The task of one connection: serves its requests, and closes its socket so that the last response arrives.
+    /// Serves the requests of one connection, and closes its socket in a way that delivers the last response.
     async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -44,7 +45,8 @@
         self.connection_closed.notify_waiters();
     }
 
-    /// Serves a connection's requests up to its end; whether input has to be read before the socket is closed.
+    /// Serves a connection's requests until it ends. Returns whether input has to be read before the socket is
+    /// closed.
     async fn serve_until_end(
         &self,
         stream: &Rc<RefCell<TcpStream>>,
@@ -55,13 +57,15 @@
         let mut served = pin!(service.call((watched_stream, None)));
         loop {
             tokio::select! {
-                // Polled first, so that a request that arrives as its idle connection is closed is not read in part.
+                // The request to close is polled first, so that a request that arrives as its idle connection is
+                // closed is not read in part.
                 biased;
                 () = connection.close_requested() => {
                     let has_closing_status = connection.closing_status().is_some();
-                    // A request may have arrived just now: closing over its bytes would reset the connection, and the
-                    // client would see an error in place of its response. It is served first.
-                    if !has_closing_status && connection.is_at_rest() && has_unread_bytes(&stream.borrow()) {
+                    // A request may just have arrived. Closing the socket with its bytes unread would reset the
+                    // connection, and the client would get an error instead of a response, so the request is served
+                    // first.
+                    if !has_closing_status && connection.is_quiescent() && has_unread_bytes(&stream.borrow()) {
                         connection.close_after_response.set(true);
                         continue;
                     }
--- a/crates/broker/src/interrupt_safe.rs
+++ b/crates/broker/src/interrupt_safe.rs
@@ -1,13 +1,14 @@
-//! A stream whose reads and writes are repeated where a signal interrupted them.
+//! A stream wrapper that retries reads and writes interrupted by a signal.
 
-use crate::io_errors::poll_uninterrupted;
+use crate::io_errors::poll_retrying_interrupted;
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Repeats reads and writes of the inner stream that were interrupted by a signal: that says nothing of the connection.
+/// A stream that retries reads and writes of the inner stream that were interrupted by a signal, because an
+/// interruption does not indicate a failure of the connection.
 pub struct InterruptSafe<S>(pub S);
 
 impl<S: AsyncRead + Unpin> AsyncRead for InterruptSafe<S> {
@@ -16,21 +17,21 @@
         context: &mut Context,
         into: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        poll_uninterrupted(|| Pin::new(&mut self.0).poll_read(context, into))
+        poll_retrying_interrupted(|| Pin::new(&mut self.0).poll_read(context, into))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for InterruptSafe<S> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, from: &[u8]) -> Poll<io::Result<usize>> {
-        poll_uninterrupted(|| Pin::new(&mut self.0).poll_write(context, from))
+        poll_retrying_interrupted(|| Pin::new(&mut self.0).poll_write(context, from))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
-        poll_uninterrupted(|| Pin::new(&mut self.0).poll_flush(context))
+        poll_retrying_interrupted(|| Pin::new(&mut self.0).poll_flush(context))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
-        poll_uninterrupted(|| Pin::new(&mut self.0).poll_shutdown(context))
+        poll_retrying_interrupted(|| Pin::new(&mut self.0).poll_shutdown(context))
     }
 }
 
--- a/crates/broker/src/io_errors.rs
+++ b/crates/broker/src/io_errors.rs
@@ -1,11 +1,11 @@
-//! Classifies errors of system calls, in one place for the whole program: an interrupted call is repeated, and a
-//! shortage of this machine says nothing of a peer.
+//! Classification of system call errors, in one place for the whole program. Interrupted calls are retried, and
+//! errors that are caused by this machine are not counted against a peer.
 
 use std::io::{self, ErrorKind};
 use std::task::Poll;
 
-/// Errnos of `socket` and `connect` which say that this machine is short of something, or has no route.
-const LOCAL_SHORTAGES: &[i32] = &[
+/// Errnos of `socket` and `connect` that are caused by this machine: a resource is exhausted, or there is no route.
+const LOCAL_RESOURCE_ERRORS: &[i32] = &[
     libc::EMFILE,
     libc::ENFILE,
     libc::ENOBUFS,
@@ -18,8 +18,8 @@
     libc::ENETDOWN,
 ];
 
-/// Errnos of `accept` which say that one connection is gone; the next one may be accepted.
-const ACCEPTED_CONNECTION_GONE: &[i32] = &[
+/// Errnos of `accept` that concern only the connection that would have been accepted; the next call may succeed.
+const PER_CONNECTION_ACCEPT_ERRORS: &[i32] = &[
     libc::ECONNABORTED,
     libc::EINTR,
     libc::EPROTO,
@@ -34,22 +34,23 @@
     libc::ETIMEDOUT,
 ];
 
-/// Whether an error has one of these errnos.
+/// Returns whether an error has one of these errnos.
 fn is_one_of(error: &io::Error, errnos: &[i32]) -> bool {
     error.raw_os_error().is_some_and(|errno| errnos.contains(&errno))
 }
 
-/// Whether a connection could not be made because this machine is short of something.
-pub fn is_local_shortage(error: &io::Error) -> bool {
-    is_one_of(error, LOCAL_SHORTAGES)
+/// Returns whether a connection could not be made because of a local condition, such as exhausted resources or no
+/// route.
+pub fn is_local_resource_error(error: &io::Error) -> bool {
+    is_one_of(error, LOCAL_RESOURCE_ERRORS)
 }
 
-/// Whether only the connection that would have been accepted is gone.
-pub fn is_accepted_connection_gone(error: &io::Error) -> bool {
-    is_one_of(error, ACCEPTED_CONNECTION_GONE)
+/// Returns whether an error of `accept` concerns only the connection that would have been accepted.
+pub fn is_per_connection_accept_error(error: &io::Error) -> bool {
+    is_one_of(error, PER_CONNECTION_ACCEPT_ERRORS)
 }
 
-/// Repeats a call for as long as it is interrupted.
+/// Repeats a system call until it is not interrupted by a signal.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -59,8 +60,8 @@
     }
 }
 
-/// Polls again for as long as the call behind it is interrupted.
-pub fn poll_uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+/// Repeats a poll until the underlying system call is not interrupted by a signal.
+pub fn poll_retrying_interrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match poll() {
             Poll::Ready(Err(error)) if error.kind() == ErrorKind::Interrupted => {}
--- a/crates/broker/src/node_pool/attempt.rs
+++ b/crates/broker/src/node_pool/attempt.rs
@@ -1,44 +1,44 @@
-//! What the engine and the pool say to each other about attempts and probes.
+//! Types that the engine and the node pool exchange about attempts and probes.
 
 use crate::codec::ShardRequestMessage;
 use bytes::Bytes;
 use routing::{AttemptNumber, AttemptOutcome, NodeId, ShardRequestId};
 use tokio::time::Instant;
 
-/// One send of a shard request to one node.
+/// The identity of one attempt: one transmission of a shard request to one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The shard request that is sent.
+    /// The shard request that the attempt sends.
     pub shard_request: ShardRequestId,
-    /// Which of its attempts this is.
+    /// The number of this attempt among those of its shard request.
     pub number: AttemptNumber,
 }
 
-/// An attempt as it is to be sent.
+/// An attempt that is ready to be sent.
 #[derive(Debug)]
 pub struct AttemptToSend {
-    /// The attempt.
+    /// The identity under which the attempt's result is reported.
     pub attempt: AttemptId,
-    /// Its shard request as the wire carries it.
+    /// The message that is encoded into the frame.
     pub shard_request: ShardRequestMessage,
 }
 
-/// The one end of an attempt.
+/// The result of an attempt. Each attempt has exactly one.
 pub struct CompletedAttempt {
-    /// The attempt.
+    /// The attempt that completed.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// The outcome that counts for the routing decisions.
     pub outcome: AttemptOutcome,
-    /// What the node read; only where it succeeded.
+    /// The value that the node returned; `None` unless the attempt succeeded.
     pub value: Option<Bytes>,
-    /// When it ended.
+    /// The time at which the attempt completed.
     pub at: Instant,
 }
 
-/// The one end of a load probe.
+/// The result of a load probe. Each probe has exactly one.
 pub struct ProbeReply {
-    /// The node that was asked.
+    /// The node that was probed.
     pub node: NodeId,
-    /// What it reported; none where it reported nothing, or its connection ended first.
+    /// The node's load report; `None` if the node reported no load or its connection ended first.
     pub report: Option<Bytes>,
 }
--- a/crates/broker/src/node_pool/cancellation.rs
+++ b/crates/broker/src/node_pool/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancels attempts: one that is not written is removed from its queue, one that is written is cancelled at the node.
+//! Cancellation of attempts: an unwritten attempt is removed from its queue, a written one is cancelled at the node.
 
 use super::attempt::AttemptId;
 use super::connection::WriteProgress;
@@ -7,8 +7,9 @@
 use routing::{AttemptOutcome, NodeId};
 
 impl NodePool {
-    /// Cancels an attempt, with `outcome` as its end. One of which nothing was written is known not to have been
-    /// executed: in place of a timeout it ends as not connected.
+    /// Cancels an attempt and completes it with `outcome`. An attempt of which no byte was written cannot have been
+    /// executed, so a time-out is reported as a failure to connect, or as a lack of local resources if that is why
+    /// there is no connection.
     pub fn cancel(&self, attempt: AttemptId, outcome: AttemptOutcome) {
         let Some(AttemptRoute { connection, wire_id }) = self.route_of(attempt) else { return };
         let outcome_unwritten = match outcome {
@@ -23,16 +24,17 @@
         if cancelled.is_some_and(|request| request.progress == WriteProgress::Partial) {
             connection.abort.notify_one();
         }
-        connection.note_cancelled(wire_id, self.limits.nodes.max_remembered_cancellations);
+        connection.record_cancelled(wire_id, self.limits.nodes.max_remembered_cancellations);
         connection.mark_used_now();
-        self.end(attempt, outcome, None);
+        self.complete_attempt(attempt, outcome, None);
     }
 
-    /// Makes sure that an attempt which is not completely written by now never will be.
+    /// Ensures that an attempt whose frame is not completely written yet is never completely written.
     ///
-    /// A slow peer may leave a frame half read and execute it much later, when the decisions count its attempts in
-    /// another window (a node that warms up gets more than its share then). The connection is dropped, so the frame
-    /// stays incomplete. The cost: what else is in flight on that connection ends as lost.
+    /// A slow peer may leave a frame half read and execute it much later, when the routing decisions count its
+    /// attempts in another window (a node that is warming up would then receive more than its share). The connection
+    /// is dropped, so the frame stays incomplete. The cost is that everything else in flight on that connection
+    /// completes as lost.
     pub fn abort_incomplete(&self, attempt: AttemptId) {
         let Some(AttemptRoute { connection, wire_id }) = self.route_of(attempt) else { return };
         if self.cancel_unwritten(attempt, connection.unwritten_outcome()) {
@@ -43,10 +45,12 @@
         }
     }
 
-    /// Cancels an attempt of which no byte was written; `false`: some were, or its end is known.
+    /// Cancels an attempt of which no byte was written. Returns `false` if some bytes were written or the attempt has
+    /// already completed.
     ///
-    /// Without this a shard request that waits behind a connection which does not come up, or a peer which accepts
-    /// nothing, would be sent after its query's end, its node's drain, or the window in which it was counted.
+    /// Without this, a shard request that waits behind a connection that is not being established, or behind a peer
+    /// that accepts no bytes, would be sent after its query has completed, its node has been drained, or the window
+    /// in which it was counted has passed.
     pub fn cancel_unwritten(&self, attempt: AttemptId, outcome: AttemptOutcome) -> bool {
         let Some(AttemptRoute { connection, wire_id }) = self.route_of(attempt) else { return false };
         if connection.progress_of(&wire_id) != Some(WriteProgress::Unwritten) {
@@ -54,11 +58,11 @@
         }
         connection.remove(&wire_id);
         connection.remove_from_queue(&wire_id);
-        self.end(attempt, outcome, None);
+        self.complete_attempt(attempt, outcome, None);
         true
     }
 
-    /// Cancels what was not written to a node that accepts no work any more, in the order of the attempts.
+    /// Cancels the unwritten attempts to a node that no longer accepts work, in the order of their ids.
     pub(super) fn cancel_all_unwritten(&self, node: NodeId) {
         let attempts = self.attempts.borrow();
         let to_node = attempts.iter().filter(|(_, route)| route.connection.node == node);
@@ -70,7 +74,7 @@
         }
     }
 
-    /// The connection that an attempt is in flight on; `None`: its end is known.
+    /// Returns the connection on which an attempt is in flight, or `None` if the attempt has completed.
     fn route_of(&self, attempt: AttemptId) -> Option<AttemptRoute> {
         self.attempts.borrow().get(&attempt).cloned()
     }
--- a/crates/broker/src/node_pool/connection.rs
+++ b/crates/broker/src/node_pool/connection.rs
@@ -13,67 +13,67 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How much of an attempt's frame is written.
+/// How much of an attempt's frame has been written to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Nothing: it can be cancelled without a trace, and is known not to be executed.
+    /// No bytes: the attempt can be cancelled without the node noticing, and cannot have been executed.
     Unwritten,
-    /// Some bytes: the node can't execute it as long as the rest is not written.
+    /// Some bytes: the node cannot execute the attempt until the rest is written.
     Partial,
-    /// All bytes: the node may execute it.
+    /// All bytes: the node may execute the attempt.
     Complete,
 }
 
-/// A shard request that is queued or written on a connection, and not answered.
+/// A shard request that is queued or written on a connection and has not been answered.
 pub(super) struct InFlightRequest {
-    /// The attempt that it belongs to.
+    /// The attempt that sends this shard request.
     pub attempt: AttemptId,
-    /// How much of it is written.
+    /// How much of the shard request's frame has been written.
     pub progress: WriteProgress,
 }
 
-/// A response behind which more bytes have come that are not known to be a frame yet.
+/// A response that is followed by bytes which have not yet proved to be a valid frame.
 pub(super) struct UnconfirmedResponse {
-    /// The attempt that it answers.
+    /// The attempt that the response answers.
     pub attempt: AttemptId,
-    /// How the attempt ended, by the node's word.
+    /// The outcome of the attempt as the node reports it.
     pub outcome: AttemptOutcome,
-    /// What the node read.
+    /// The value that the node returned.
     pub value: Bytes,
 }
 
 /// The state of one connection to a node, from the first attempt to connect on. The pool and the connection's task
-/// share it; neither holds a borrow of it across an `await`.
+/// share this state; neither holds a borrow of it across an `await`.
 pub(super) struct NodeConnection {
-    /// The node.
+    /// The node at the other end of the connection.
     pub node: NodeId,
-    /// Where the node listens.
+    /// The address to which the connection is made; the node may have moved to another one since.
     pub address: SocketAddr,
     state: Cell<ConnectionState>,
-    /// By the shard request's id on the wire.
+    /// The shard requests in flight, by their id on the wire.
     in_flight: RefCell<HashMap<Bytes, InFlightRequest>>,
-    /// Frames of which nothing is written yet.
+    /// Frames of which no byte has been written.
     write_queue: RefCell<VecDeque<OutboundFrame>>,
-    /// The response that waits for what follows it.
+    /// The response whose length is confirmed by the frame that follows it.
     unconfirmed_response: RefCell<Option<UnconfirmedResponse>>,
-    /// Cancelled shard requests to which a response may still come.
+    /// Cancelled shard requests that may still be answered.
     cancelled_requests: RefCell<CancelledRequests>,
-    /// Load probes without a reply.
+    /// The number of load probes that have not been answered.
     pending_probes: Cell<usize>,
-    /// When bytes last came or a frame was last written completely.
+    /// The time of the last activity, from which the idle time-out counts.
     last_used_at: Cell<Instant>,
-    /// It can't be established because this machine is short of something.
+    /// Whether the last attempt to connect failed because of a local resource error.
     lacks_local_resources: Cell<bool>,
-    /// Since when the node owes the first byte in reply to what was written.
+    /// The time since which the node has owed the first byte of a reply; `None` if it owes none.
     awaiting_reply_since: Cell<Option<Instant>>,
-    /// Notified when the writer may have something to do.
+    /// Notified when the writer may have work.
     pub write_ready: Notify,
-    /// Notified when a frame that is partly written must not become complete.
+    /// Notified when a partly written frame must not be completed.
     pub abort: Notify,
 }
 
 impl NodeConnection {
-    /// A connection that is not established, with nothing on it.
+    /// Creates the state of a connection that is not established and has nothing in flight.
     pub fn new(node: NodeId, address: SocketAddr) -> NodeConnection {
         NodeConnection {
             node,
@@ -94,23 +94,23 @@
 
     // ---- state
 
-    /// Whether it was established, and something was written on it.
+    /// Returns whether the connection was established and at least part of a frame was written on it.
     pub fn was_used(&self) -> bool {
         self.state.get().was_used()
     }
 
-    /// Whether it accepts no more work.
+    /// Returns whether the connection accepts no more work.
     pub fn is_closing(&self) -> bool {
         self.state.get().is_closing()
     }
 
-    /// Notes whether the last attempt to connect failed because this machine is short of something.
+    /// Records whether the last attempt to connect failed because of a local resource error.
     pub fn set_lacks_local_resources(&self, lacks: bool) {
         self.lacks_local_resources.set(lacks);
     }
 
-    /// How an attempt ends here of which nothing was written: it was not executed, and counts against the node only
-    /// where this machine could have connected.
+    /// Returns the outcome of an attempt of which no byte was written. The attempt was not executed, and counts
+    /// against the node only if this machine had the resources to connect.
     pub fn unwritten_outcome(&self) -> AttemptOutcome {
         match self.lacks_local_resources.get() {
             true => AttemptOutcome::LocalResourceExhausted,
@@ -118,73 +118,74 @@
         }
     }
 
-    /// Whether nothing waits on it: no shard request, no probe, no frame.
+    /// Returns whether the connection has no shard request in flight, no pending probe and no queued frame.
     pub fn is_idle(&self) -> bool {
         !self.has_in_flight() && !self.has_pending_probes() && !self.has_queued_frames()
     }
 
-    /// Whether the node has owed a reply for longer than `limit`.
+    /// Returns whether the node has owed a reply for longer than `limit`.
     pub fn is_unresponsive(&self, limit: Duration) -> bool {
         self.awaiting_reply_since.get().is_some_and(|since| since.elapsed() > limit)
     }
 
-    /// When bytes last came or a frame was last written completely.
+    /// Returns the time of the last activity, from which the idle time-out counts.
     pub fn last_used_at(&self) -> Instant {
         self.last_used_at.get()
     }
 
-    /// Restarts the idle time.
+    /// Restarts the idle timer.
     pub fn mark_used_now(&self) {
         self.last_used_at.set(Instant::now());
     }
 
-    /// Accepts no more work from now on.
+    /// Stops accepting work, without waking the writer.
     pub fn begin_closing(&self) {
         self.state.set(self.state.get().after_close());
     }
 
-    /// The same, and lets the writer act on it.
+    /// Stops accepting work, and wakes the writer, which closes the connection once nothing is in flight.
     pub fn close(&self) {
         self.begin_closing();
         self.write_ready.notify_one();
     }
 
-    /// Notes that a frame came: the node does not owe its first reply any more.
-    pub fn note_received(&self) {
+    /// Records that a frame was received, after which the node no longer owes its first reply.
+    pub fn record_received(&self) {
         self.mark_used_now();
         self.awaiting_reply_since.take();
     }
 
-    // ---- what is in flight
+    // ---- shard requests in flight
 
-    /// Whether a shard request is queued, or written and not answered.
+    /// Returns whether any shard request is queued, or written and not answered.
     pub fn has_in_flight(&self) -> bool {
         !self.in_flight.borrow().is_empty()
     }
 
-    /// The number of shard requests that are queued, or written and not answered.
+    /// Returns the number of shard requests that are queued, or written and not answered.
     pub fn count_in_flight(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Whether this many more shard requests fit; a batch of any size fits on a connection with nothing in flight.
+    /// Returns whether `shard_requests` more can be in flight without exceeding `limit`. A batch of any size fits on
+    /// a connection with nothing in flight.
     pub fn has_room(&self, shard_requests: usize, limit: usize) -> bool {
         let in_flight = self.count_in_flight();
         in_flight == 0 || in_flight + shard_requests <= limit
     }
 
-    /// The attempt that is in flight under this id.
+    /// Returns the attempt that is in flight under this id.
     pub fn attempt_of(&self, wire_id: &Bytes) -> Option<AttemptId> {
         self.in_flight.borrow().get(wire_id).map(|request| request.attempt)
     }
 
-    /// How much of the shard request with this id is written; `None`: it is not in flight.
+    /// Returns how much of the shard request with this id has been written, or `None` if it is not in flight.
     pub fn progress_of(&self, wire_id: &Bytes) -> Option<WriteProgress> {
         self.in_flight.borrow().get(wire_id).map(|request| request.progress)
     }
 
-    /// Enters an attempt of which nothing is written. Returns what was in flight under its id.
-    pub fn enter(&self, wire_id: Bytes, attempt: AttemptId) -> Option<InFlightRequest> {
+    /// Registers an unwritten attempt, and returns the one that was in flight under the same id.
+    pub fn register(&self, wire_id: Bytes, attempt: AttemptId) -> Option<InFlightRequest> {
         let request = InFlightRequest { attempt, progress: WriteProgress::Unwritten };
         self.in_flight.borrow_mut().insert(wire_id, request)
     }
@@ -194,26 +195,26 @@
         self.in_flight.borrow_mut().remove(wire_id)
     }
 
-    /// Removes all that is in flight, in the order of the attempts.
+    /// Removes all shard requests in flight, in the order of their attempts.
     pub fn remove_all(&self) -> Vec<InFlightRequest> {
         let mut requests: Vec<InFlightRequest> = self.in_flight.take().into_values().collect();
         requests.sort_by_key(|request| request.attempt);
         requests
     }
 
-    /// Whether nothing of what is in flight is written, not even in part.
+    /// Returns whether no byte of any shard request in flight has been written.
     pub fn is_all_unwritten(&self) -> bool {
         self.in_flight.borrow().values().all(|request| request.progress == WriteProgress::Unwritten)
     }
 
-    /// Notes that the first bytes of a frame with these shard requests are written.
-    pub fn note_partial_write(&self, wire_ids: &[Bytes]) {
+    /// Records that part of a frame with these shard requests has been written.
+    pub fn record_partial_write(&self, wire_ids: &[Bytes]) {
         self.state.set(self.state.get().after_write());
         self.set_progress(wire_ids, WriteProgress::Partial);
     }
 
-    /// Notes that a frame with these shard requests is written completely.
-    pub fn note_complete_write(&self, wire_ids: &[Bytes]) {
+    /// Records that a frame with these shard requests has been completely written.
+    pub fn record_complete_write(&self, wire_ids: &[Bytes]) {
         self.set_progress(wire_ids, WriteProgress::Complete);
         if !wire_ids.is_empty() {
             self.awaiting_reply_since.set(self.awaiting_reply_since.get().or(Some(Instant::now())));
@@ -230,35 +231,35 @@
         }
     }
 
-    // ---- frames to write
+    // ---- queued frames
 
-    /// Whether a frame waits to be written.
+    /// Returns whether any frame is queued.
     pub fn has_queued_frames(&self) -> bool {
         !self.write_queue.borrow().is_empty()
     }
 
-    /// Queues a frame, and wakes the writer.
+    /// Appends a frame to the queue, and wakes the writer.
     pub fn enqueue(&self, frame: OutboundFrame) {
         self.write_queue.borrow_mut().push_back(frame);
         self.write_ready.notify_one();
     }
 
-    /// Takes the next frame to write.
+    /// Removes and returns the frame at the head of the queue.
     pub fn dequeue(&self) -> Option<OutboundFrame> {
         self.write_queue.borrow_mut().pop_front()
     }
 
-    /// Puts a frame back at the head of the queue: nothing of it could be written.
+    /// Puts a frame of which no byte could be written back at the head of the queue.
     pub fn requeue(&self, frame: OutboundFrame) {
         self.write_queue.borrow_mut().push_front(frame);
     }
 
-    /// Takes all frames of which nothing is written.
+    /// Removes and returns all frames of which no byte was written.
     pub fn take_queue(&self) -> VecDeque<OutboundFrame> {
         self.write_queue.take()
     }
 
-    /// Removes a shard request from the batches that wait to be written.
+    /// Removes a shard request from the queued batches, and wakes the writer.
     pub fn remove_from_queue(&self, wire_id: &Bytes) {
         for queued in self.write_queue.borrow_mut().iter_mut() {
             if let OutboundFrame::Batch(shard_requests) = queued {
@@ -270,22 +271,23 @@
 
     // ---- responses, cancelled shard requests, probes
 
-    /// Keeps a response until what follows it shows that its length was right.
+    /// Holds a response until the bytes that follow it confirm that its length was right.
     pub fn hold_response(&self, response: UnconfirmedResponse) {
         self.unconfirmed_response.replace(Some(response));
     }
 
-    /// Takes the response that is not confirmed yet.
+    /// Takes the unconfirmed response, if there is one.
     pub fn take_unconfirmed_response(&self) -> Option<UnconfirmedResponse> {
         self.unconfirmed_response.take()
     }
 
-    /// Remembers a cancelled shard request, to which a response may still come; at most `limit` of them.
-    pub fn note_cancelled(&self, wire_id: Bytes, limit: usize) {
+    /// Records a cancelled shard request that may still be answered; the oldest is evicted if there are more than
+    /// `limit`.
+    pub fn record_cancelled(&self, wire_id: Bytes, limit: usize) {
         self.cancelled_requests.borrow_mut().add(wire_id, limit);
     }
 
-    /// Whether a response to this shard request may be one to a cancelled one.
+    /// Returns whether a response with this id may answer a cancelled shard request, and removes the id.
     pub fn take_cancelled(&self, wire_id: &Bytes) -> bool {
         self.cancelled_requests.borrow_mut().take(wire_id)
     }
@@ -294,19 +296,19 @@
         self.pending_probes.get() > 0
     }
 
-    /// Notes that a load probe was sent.
+    /// Records that a load probe was queued.
     pub fn add_pending_probe(&self) {
         self.pending_probes.set(self.pending_probes.get() + 1);
     }
 
-    /// Whether a probe waits for its reply; if so, this is its reply.
+    /// Counts one pending probe as answered. Returns `false` if none was pending.
     pub fn take_pending_probe(&self) -> bool {
         let is_pending = self.has_pending_probes();
         self.pending_probes.set(self.pending_probes.get().saturating_sub(1));
         is_pending
     }
 
-    /// The number of probes that wait for a reply; none waits after this.
+    /// Returns the number of pending probes, and resets it to 0.
     pub fn take_all_pending_probes(&self) -> usize {
         self.pending_probes.take()
     }
--- a/crates/broker/src/node_pool/connection_choice.rs
+++ b/crates/broker/src/node_pool/connection_choice.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection for a batch, opens new ones, and closes those that are not needed.
+//! Choice of the connection for a batch. Opens new connections, and closes those that are not needed.
 
 use super::NodePool;
 use super::connection::NodeConnection;
@@ -16,7 +16,9 @@
         }
     }
 
-    /// A connection with room for this many shard requests, or a new one while the bound on connections allows.
+    /// Returns a connection to the node with room for this number of shard requests, or opens one. At the limit on
+    /// connections, the connection that has been idle the longest is closed to make room. Returns `None` if the
+    /// node's address is unknown, or if no connection is idle at the limit and the node has none that accepts work.
     pub(super) fn connection_for(
         self: &Rc<Self>,
         node: NodeId,
@@ -26,20 +28,22 @@
         self.close_unresponsive(node);
         let open = self.open_connections(node, address);
         let limit = self.limits.nodes.max_connection_shard_requests;
-        // The oldest first, so that those which are not needed become idle.
+        // The oldest is preferred, so that connections that are not needed become idle.
         if let Some(connection) = open.iter().find(|connection| connection.has_room(shard_requests, limit)) {
             return Some(connection.clone());
         }
         if self.count_connections() >= self.limits.nodes.max_connections && !self.close_longest_idle() {
-            // At the bound on connections the batch joins the others on an open one, and waits there.
+            // With no room for another connection, the batch is queued on the open one with the fewest shard requests
+            // in flight.
             return open.into_iter().min_by_key(|connection| connection.count_in_flight());
         }
         Some(self.open_connection(node, address))
     }
 
-    /// Closes the connections on which the node owes a reply for too long. A connection that was dropped on the way
-    /// without a close stays silent, while the node may serve others: attempts on it would time out one after the
-    /// other. Where the node itself is silent, the cost is a handshake.
+    /// Closes the connections on which the node has owed a reply for too long.
+    ///
+    /// A connection that the network dropped without a close stays silent while the node may serve others: attempts
+    /// on it would time out one after the other. If the node itself is unresponsive, the cost is one more handshake.
     fn close_unresponsive(&self, node: NodeId) {
         if let Some(connections) = self.connections.borrow().get(&node) {
             let limit = self.limits.nodes.unresponsive_after;
@@ -48,7 +52,7 @@
         }
     }
 
-    /// The connections to a node at its address that accept work, the oldest first.
+    /// Returns the connections to a node at this address that accept work, oldest first.
     fn open_connections(&self, node: NodeId, address: SocketAddr) -> Vec<Rc<NodeConnection>> {
         let connections = self.connections.borrow();
         let to_node = connections.get(&node).into_iter().flatten();
@@ -62,7 +66,7 @@
         self.connections.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the connection to any node that was idle the longest; `false`: none is idle.
+    /// Closes the connection that has been idle the longest, to any node. Returns `false` if no connection is idle.
     fn close_longest_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let all = connections.values().flatten();
@@ -81,7 +85,7 @@
     }
 
     /// Removes a connection that has ended.
-    pub(super) fn forget_connection(&self, ended: &Rc<NodeConnection>) {
+    pub(super) fn remove_connection(&self, ended: &Rc<NodeConnection>) {
         self.connections.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| !Rc::ptr_eq(connection, ended));
             !connections.is_empty()
--- a/crates/broker/src/node_pool/connection_state.rs
+++ b/crates/broker/src/node_pool/connection_state.rs
@@ -1,31 +1,31 @@
-//! Whether a connection to a node accepts work.
+//! The state machine of whether a connection to a node accepts work.
 
-/// Whether a connection accepts work, and whether it ever carried any.
+/// Whether a connection accepts work, and whether anything was ever written on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// Not connected yet, or connected and nothing written. It accepts work.
+    /// The connection accepts work, and is either not established or nothing has been written on it.
     Unused,
-    /// Something was written on it. It accepts work.
+    /// The connection accepts work, and something has been written on it.
     Used,
-    /// It accepts no more work, and closes once nothing is in flight on it.
+    /// The connection accepts no more work, and closes once nothing is in flight on it.
     Closing {
-        /// Whether something was written on it.
+        /// Whether something was written on the connection.
         was_used: bool,
     },
 }
 
 impl ConnectionState {
-    /// Whether something was written on it.
+    /// Returns whether something was written on the connection.
     pub(super) fn was_used(self) -> bool {
         matches!(self, ConnectionState::Used | ConnectionState::Closing { was_used: true })
     }
 
-    /// Whether it accepts no more work.
+    /// Returns whether the connection accepts no more work.
     pub(super) fn is_closing(self) -> bool {
         matches!(self, ConnectionState::Closing { .. })
     }
 
-    /// The state once something was written.
+    /// Returns the state that follows a write.
     pub(super) fn after_write(self) -> ConnectionState {
         match self {
             ConnectionState::Unused | ConnectionState::Used => ConnectionState::Used,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The state once it is to close.
+    /// Returns the state that follows a request to close the connection.
     pub(super) fn after_close(self) -> ConnectionState {
         ConnectionState::Closing { was_used: self.was_used() }
     }
--- a/crates/broker/src/node_pool/connection_task.rs
+++ b/crates/broker/src/node_pool/connection_task.rs
@@ -1,11 +1,11 @@
-//! The life of one connection, from the first attempt to connect to the end of everything that was on it.
+//! The task of one connection, from the first attempt to connect until everything in flight on it has completed.
 
 use super::connection::{InFlightRequest, NodeConnection, WriteProgress};
-use super::reader::{ConnectionEnd, ConnectionReader};
+use super::reader::{ConnectionReader, DisconnectReason};
 use super::writer::ConnectionWriter;
 use super::{AttemptToSend, NodePool};
 use crate::codec::{OutboundFrame, ShardRequestMessage};
-use crate::io_errors::is_local_shortage;
+use crate::io_errors::is_local_resource_error;
 use routing::AttemptOutcome;
 use std::io;
 use std::rc::Rc;
@@ -13,64 +13,65 @@
 use tokio::time::{sleep, timeout};
 use tracing::debug;
 
-/// The task of one connection: it owns the socket.
+/// The task of one connection, which owns the socket.
 pub(super) struct ConnectionTask {
-    /// The pool that the connection belongs to.
+    /// The pool that owns the connection.
     pub pool: Rc<NodePool>,
     /// The state that the task shares with the pool.
     pub connection: Rc<NodeConnection>,
 }
 
 impl ConnectionTask {
-    /// Connects, reads and writes until the connection ends, and then ends what is left on it.
+    /// Connects, reads and writes until the connection ends, and then completes everything still in flight on it.
     ///
-    /// The order of the last steps matters. A response that came counts before the attempts on the connection are
-    /// ended; the connection is out of the pool before unwritten batches are sent again, so that they go on another
-    /// one; what was resent is no longer in flight here when the rest is ended.
+    /// The order of the last steps matters. A response that was received counts before the attempts on the connection
+    /// are completed as lost; the connection is removed from the pool before unwritten batches are sent again, so
+    /// that they use another one; and the attempts that were resent are no longer in flight here when the rest are
+    /// completed.
     pub async fn run(self) {
-        let end = match self.connect().await {
+        let reason = match self.connect().await {
             Some(stream) => self.serve(stream).await,
-            None => ConnectionEnd::Closed,
+            None => DisconnectReason::Closed,
         };
         self.connection.begin_closing();
-        self.pool.settle_response(&self.connection, true);
-        self.pool.forget_connection(&self.connection);
+        self.pool.resolve_unconfirmed_response(&self.connection, true);
+        self.pool.remove_connection(&self.connection);
         self.resend_unwritten();
-        self.end_probes();
-        self.end_attempts(end);
+        self.complete_pending_probes();
+        self.complete_attempts(reason);
     }
 
-    /// Connects within the time limit; `None`: that failed.
+    /// Connects within the time limit. Returns `None` if that failed.
     async fn connect(&self) -> Option<TcpStream> {
         let node = self.connection.address;
-        match timeout(self.pool.limits.nodes.connect_timeout, self.connect_with_resources()).await {
+        match timeout(self.pool.limits.nodes.connect_timeout, self.connect_retrying_local_errors()).await {
             Ok(Ok(stream)) => return Some(stream),
-            Ok(Err(error)) => debug!(%node, %error, "connect failed"),
-            Err(_) => debug!(%node, "connect timed out"),
+            Ok(Err(error)) => debug!(%node, %error, "failed to connect to the node"),
+            Err(_) => debug!(%node, "connecting to the node timed out"),
         }
         None
     }
 
-    /// Connects, and tries again while this machine itself is short of descriptors, ports or memory. Such a shortage
-    /// says nothing of the node, and is often over in milliseconds.
-    async fn connect_with_resources(&self) -> io::Result<TcpStream> {
+    /// Connects, and retries while this machine is short of descriptors, ports or memory. Such a shortage does not
+    /// indicate a failure of the node, and often ends within milliseconds.
+    async fn connect_retrying_local_errors(&self) -> io::Result<TcpStream> {
         loop {
             let result = TcpStream::connect(self.connection.address).await;
-            let is_short = result.as_ref().is_err_and(is_local_shortage);
-            self.connection.set_lacks_local_resources(is_short);
-            if !is_short {
+            let is_exhausted = result.as_ref().is_err_and(is_local_resource_error);
+            self.connection.set_lacks_local_resources(is_exhausted);
+            if !is_exhausted {
                 return result;
             }
             sleep(self.pool.limits.nodes.local_retry_interval).await;
         }
     }
 
-    /// Runs the read loop and the write loop until one of them ends, or the connection is aborted. `abort` is polled
+    /// Runs the reader and the writer until one of them returns or the connection is aborted. `abort` is polled
     /// first: once it is notified, no further byte of a partly written frame is written.
-    async fn serve(&self, mut stream: TcpStream) -> ConnectionEnd {
+    async fn serve(&self, mut stream: TcpStream) -> DisconnectReason {
         let connection = &*self.connection;
         if let Err(error) = stream.set_nodelay(true) {
-            debug!(node = %connection.address, %error, "TCP_NODELAY could not be set");
+            debug!(node = %connection.address, %error, "failed to set TCP_NODELAY");
         }
         connection.mark_used_now();
         let (read_half, write_half) = stream.split();
@@ -78,22 +79,22 @@
         let writer = ConnectionWriter::new(&self.pool, connection, write_half);
         let loops = async {
             tokio::select! {
-                end = reader.run() => end,
-                () = writer.run() => ConnectionEnd::Closed,
+                reason = reader.run() => reason,
+                () = writer.run() => DisconnectReason::Closed,
             }
         };
         tokio::select! {
             biased;
-            () = connection.abort.notified() => ConnectionEnd::Closed,
-            end = loops => end,
+            () = connection.abort.notified() => DisconnectReason::Closed,
+            reason = loops => reason,
         }
     }
 
-    /// Sends batches of which nothing was written on another connection.
+    /// Sends the batches of which no byte was written on another connection.
     ///
-    /// A node may close an idle connection in the moment in which a batch is queued on it. That says nothing of the
-    /// node, so the batch must not end as failed. On a connection that never carried anything there is no such race:
-    /// its batches end, so that no batch goes from one new connection to the next.
+    /// A node may close an idle connection just as a batch is queued on it. This does not indicate a failure of the
+    /// node, so the batch must not fail. A connection on which nothing was ever written has no such race: its
+    /// attempts fail, so that a batch is not moved from one new connection to the next without end.
     fn resend_unwritten(&self) {
         if !self.connection.was_used() {
             return;
@@ -102,7 +103,7 @@
             let OutboundFrame::Batch(shard_requests) = frame else { continue };
             let batch: Vec<AttemptToSend> = shard_requests
                 .into_iter()
-                .filter_map(|shard_request| self.take_over(shard_request))
+                .filter_map(|shard_request| self.take_unwritten(shard_request))
                 .collect();
             if !batch.is_empty() {
                 self.pool.send(self.connection.node, batch);
@@ -110,31 +111,33 @@
         }
     }
 
-    /// Takes an unwritten shard request off this connection, if it is still in flight.
-    fn take_over(&self, shard_request: ShardRequestMessage) -> Option<AttemptToSend> {
+    /// Removes an unwritten shard request from this connection and its pool, and returns it if it was still in
+    /// flight.
+    fn take_unwritten(&self, shard_request: ShardRequestMessage) -> Option<AttemptToSend> {
         let InFlightRequest { attempt, .. } = self.connection.remove(&shard_request.id)?;
         self.pool.attempts.borrow_mut().remove(&attempt);
         Some(AttemptToSend { attempt, shard_request })
     }
 
-    /// Ends the load probes that have no reply.
-    fn end_probes(&self) {
+    /// Completes the load probes that have no reply.
+    fn complete_pending_probes(&self) {
         for _ in 0..self.connection.take_all_pending_probes() {
-            self.pool.end_probe(self.connection.node, None);
+            self.pool.complete_probe(self.connection.node, None);
         }
     }
 
-    /// Ends the attempts that are in flight, by what of them was written and how the connection ended.
-    fn end_attempts(&self, end: ConnectionEnd) {
+    /// Completes the attempts that are in flight, depending on how much of each was written and how the connection
+    /// ended.
+    fn complete_attempts(&self, reason: DisconnectReason) {
         for InFlightRequest { attempt, progress } in self.connection.remove_all() {
-            let outcome = match (progress, end) {
-                // The node wrote invalid data, so its process runs: that is no lost node.
-                (WriteProgress::Complete, ConnectionEnd::InvalidData) => AttemptOutcome::Errored,
-                (WriteProgress::Complete, ConnectionEnd::Closed) => AttemptOutcome::ConnectionLost,
+            let outcome = match (progress, reason) {
+                // The node wrote invalid data, so its process is running: the node does not count as lost.
+                (WriteProgress::Complete, DisconnectReason::InvalidData) => AttemptOutcome::Errored,
+                (WriteProgress::Complete, DisconnectReason::Closed) => AttemptOutcome::ConnectionLost,
                 (WriteProgress::Unwritten, _) => self.connection.unwritten_outcome(),
                 (WriteProgress::Partial, _) => AttemptOutcome::ConnectFailed,
             };
-            self.pool.end(attempt, outcome, None);
+            self.pool.complete_attempt(attempt, outcome, None);
         }
     }
 }
--- a/crates/broker/src/node_pool/mod.rs
+++ b/crates/broker/src/node_pool/mod.rs
@@ -1,42 +1,44 @@
-//! Connections to nodes. Sends batches of shard requests, and gives each attempt exactly one end.
+//! Connections to nodes. The pool sends batches of shard requests and reports exactly one outcome for each attempt.
 //!
 //! The engine calls [`NodePool::send`], [`NodePool::cancel`] and [`NodePool::probe`], waits for
-//! [`NodePool::results_ready`], and fetches the ends.
+//! [`NodePool::results_ready`], and then takes the results.
 //!
 //! # Tasks and ownership
 //!
-//! Everything runs on the engine's thread. The pool owns the addresses, the list of connections, and a route for
-//! each attempt in flight. Each `NodeConnection` is shared by the pool and one task, `ConnectionTask::run`, which
-//! owns the socket: it connects, then polls a `ConnectionWriter` and a `ConnectionReader` on its two halves until one
-//! of them ends, and then ends what is left.
+//! Everything runs on the engine's thread. The pool owns the addresses, the list of connections, and a route for each
+//! attempt in flight. Each `NodeConnection` is shared by the pool and one task, `ConnectionTask::run`, which owns the
+//! socket: it connects, polls a `ConnectionWriter` and a `ConnectionReader` on the two halves of the socket until one
+//! of them returns, and then completes everything that is still in flight.
 //!
-//! | event | who notifies | who wakes |
+//! | event | notified by | woken task |
 //! | --- | --- | --- |
 //! | a frame is queued, or removed from the queue | the pool (`write_ready`) | the writer |
-//! | a connection is to close | the pool (`close`, by `write_ready`) | the writer, which ends when nothing is in flight |
-//! | a response came | the reader (`write_ready`) | the writer, which may be waiting for the last one to close |
-//! | a frame that is partly written must not be completed | the pool (`abort`) | the connection task, which drops the socket |
-//! | an attempt or a probe ended | the pool (`results_ready`) | the engine's event loop |
+//! | a connection should close | the pool (`write_ready`) | the writer, which returns when nothing is in flight |
+//! | a response is received | the reader (`write_ready`) | the writer, which may be waiting for the last one |
+//! | a partly written frame must not be completed | the pool (`abort`) | the task, which drops the socket |
+//! | an attempt or a probe completes | the pool (`results_ready`) | the engine's event loop |
 //!
-//! # One end for each attempt
+//! # Exactly one outcome for each attempt
 //!
-//! An attempt is entered in `attempts` before its frame is queued; `NodePool::end` reports an end only if it removes
-//! that entry. Reader, writer, cancellation and the connection's end may all want to end an attempt: the first does.
+//! An attempt is entered in `attempts` before its frame is queued; `NodePool::complete_attempt` reports an outcome
+//! only if it removes that entry. The reader, the writer, a cancellation and the loss of the connection may all try
+//! to complete the same attempt: only the first one takes effect.
 //!
-//! Nothing is sent twice. A frame stays in the write queue until the peer accepts its first byte, so an attempt is in
-//! one of three states (`WriteProgress`):
+//! No shard request is sent twice. A frame stays in the write queue until the peer accepts its first byte, so an
+//! attempt is in one of three states (`WriteProgress`):
 //!
-//! - `Unwritten`: it may be cancelled without a trace, or moved to another connection.
-//! - `Partial`: the node can't execute it before the rest is written. Cancelled in this state, its connection is
-//!   dropped, so that the rest never is.
-//! - `Complete`: the node may execute it. A cancellation is sent to the node, and a late response is recognised.
+//! - `Unwritten`: the attempt can be cancelled without the node noticing, or moved to another connection.
+//! - `Partial`: the node cannot execute the attempt before the rest of its frame is written. If the attempt is
+//!   cancelled in this state, its connection is dropped, so that the rest is never written.
+//! - `Complete`: the node may execute the attempt. A cancellation is sent to the node, and a late response is
+//!   recognised.
 //!
 //! # Cancellation of the tasks
 //!
-//! Writer and reader are dropped together with the socket when either ends, or at `abort`. Dropping them in
-//! the middle of an `await` loses only bytes of their own buffers: what was in flight is recorded in the
-//! `NodeConnection`, and the connection task ends it after the drop. The task itself is never dropped while the
-//! broker runs.
+//! The writer and the reader are dropped together with the socket when either returns, or on `abort`. Dropping them
+//! in the middle of an `await` loses only bytes in their own buffers: the attempts in flight are recorded in the
+//! `NodeConnection`, and the connection task completes them after the drop. The connection task itself is never
+//! dropped while the broker runs.
 
 mod attempt;
 mod cancellation;
@@ -66,29 +68,29 @@
 #[derive(Clone)]
 struct AttemptRoute {
     connection: Rc<NodeConnection>,
-    /// The id that the wire knows its shard request by.
+    /// The id of the attempt's shard request in frames.
     wire_id: Bytes,
 }
 
-/// All connections to nodes, and the attempts that are in flight on them.
+/// The connections to all nodes and the attempts that are in flight on them.
 pub struct NodePool {
     limits: Rc<Limits>,
-    /// Where nodes listen. A node that is not here gets nothing.
+    /// The address on which each node listens. Nothing is sent to a node without an entry.
     addresses: RefCell<HashMap<NodeId, SocketAddr>>,
-    /// The connections to each node, the oldest first.
+    /// The connections to each node, oldest first.
     connections: RefCell<HashMap<NodeId, Vec<Rc<NodeConnection>>>>,
-    /// The attempts in flight. One that is not here has its end.
+    /// The attempts in flight. An attempt without an entry has completed.
     attempts: RefCell<HashMap<AttemptId, AttemptRoute>>,
-    /// Ends that were not fetched yet.
+    /// Completed attempts that the engine has not taken yet.
     completed_attempts: RefCell<Vec<CompletedAttempt>>,
-    /// Ends of probes that were not fetched yet.
+    /// Completed probes that the engine has not taken yet.
     probe_replies: RefCell<Vec<ProbeReply>>,
-    /// Notified when there are ends of attempts or probes to fetch.
+    /// Notified when completed attempts or probes are ready to be taken.
     pub results_ready: Notify,
 }
 
 impl NodePool {
-    /// A pool without nodes.
+    /// Creates a pool that knows no nodes.
     pub fn new(limits: Rc<Limits>) -> Rc<NodePool> {
         Rc::new(NodePool {
             limits,
@@ -101,8 +103,10 @@
         })
     }
 
-    /// Sets where a node listens from now on; `None`: it is gone. Connections to another address close once nothing is
-    /// in flight on them. Where the node accepts no work any more, the attempts of which nothing was written end.
+    /// Sets the address on which a node listens, or removes the node if `address` is `None`.
+    ///
+    /// Connections to any other address close once nothing is in flight on them. If the node no longer accepts work,
+    /// its attempts of which no byte has been written complete as [`AttemptOutcome::ConnectFailed`].
     pub fn set_address(&self, node: NodeId, address: Option<SocketAddr>, accepts_work: bool) {
         if !accepts_work {
             self.cancel_all_unwritten(node);
@@ -112,12 +116,13 @@
             None => _ = self.addresses.borrow_mut().remove(&node),
         }
         if let Some(connections) = self.connections.borrow().get(&node) {
-            let elsewhere = connections.iter().filter(|connection| Some(connection.address) != address);
-            elsewhere.for_each(|connection| connection.close());
+            let outdated = connections.iter().filter(|connection| Some(connection.address) != address);
+            outdated.for_each(|connection| connection.close());
         }
     }
 
-    /// The attempts in flight, written or not: the node's address and the id on the wire, in order.
+    /// Returns the node address and the shard request's id on the wire for every attempt in flight, sorted. Attempts
+    /// that are queued but not written are included.
     pub fn in_flight(&self) -> Vec<(SocketAddr, Bytes)> {
         let attempts = self.attempts.borrow();
         let routes = attempts.values().map(|route| (route.connection.address, route.wire_id.clone()));
@@ -126,23 +131,23 @@
         in_flight
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight, whether written or not.
     pub fn count_in_flight(&self) -> usize {
         self.attempts.borrow().len()
     }
 
-    /// The ends of attempts since the last time, in the order in which they came.
+    /// Takes the attempts that completed since the last call, in order of completion.
     pub fn take_completed_attempts(&self) -> Vec<CompletedAttempt> {
         self.completed_attempts.take()
     }
 
-    /// The ends of probes since the last time, in the order in which they came.
+    /// Takes the probes that completed since the last call, in order of completion.
     pub fn take_probe_replies(&self) -> Vec<ProbeReply> {
         self.probe_replies.take()
     }
 
-    /// Ends an attempt, unless it has its end.
-    fn end(&self, attempt: AttemptId, outcome: AttemptOutcome, value: Option<Bytes>) {
+    /// Completes an attempt, unless it has already completed.
+    fn complete_attempt(&self, attempt: AttemptId, outcome: AttemptOutcome, value: Option<Bytes>) {
         if self.attempts.borrow_mut().remove(&attempt).is_some() {
             self.completed_attempts.borrow_mut().push(CompletedAttempt {
                 attempt,
@@ -154,30 +159,31 @@
         }
     }
 
-    /// Ends a probe.
-    fn end_probe(&self, node: NodeId, report: Option<Bytes>) {
+    /// Completes a probe; `report` is `None` if the node sent no load report.
+    fn complete_probe(&self, node: NodeId, report: Option<Bytes>) {
         self.probe_replies.borrow_mut().push(ProbeReply { node, report });
         self.results_ready.notify_one();
     }
 
-    /// Ends the attempt whose response is unconfirmed with that response.
+    /// Completes the attempt of the unconfirmed response, if there is one, with that response.
     fn accept_response(&self, connection: &NodeConnection) {
         let Some(response) = connection.take_unconfirmed_response() else { return };
         let succeeded = response.outcome == AttemptOutcome::Succeeded;
-        self.end(response.attempt, response.outcome, succeeded.then_some(response.value));
+        self.complete_attempt(response.attempt, response.outcome, succeeded.then_some(response.value));
     }
 
-    /// Decides on an unconfirmed response with no frame behind it.
+    /// Accepts or rejects the unconfirmed response when no valid frame follows it.
     ///
-    /// A node that writes a wrong length cuts the value, or extends it by the head of the next response; what follows
-    /// is no frame then. Such a response is not used: its attempt is an error. Where nothing else is in flight and what
-    /// follows is no text, it cannot be the rest of the value, and the response is used.
-    fn settle_response(&self, connection: &NodeConnection, is_text_behind: bool) {
-        if !connection.has_in_flight() && !is_text_behind {
+    /// A node that writes a wrong length truncates the value, or extends it by the start of the next response; the
+    /// bytes that follow are then not a valid frame. Such a response is not used, and its attempt completes as an
+    /// error. If nothing else is in flight and the bytes that follow are not text, they cannot be the rest of the
+    /// value, and the response is used.
+    fn resolve_unconfirmed_response(&self, connection: &NodeConnection, is_followed_by_text: bool) {
+        if !connection.has_in_flight() && !is_followed_by_text {
             return self.accept_response(connection);
         }
         if let Some(response) = connection.take_unconfirmed_response() {
-            self.end(response.attempt, AttemptOutcome::Errored, None);
+            self.complete_attempt(response.attempt, AttemptOutcome::Errored, None);
         }
     }
 }
--- a/crates/broker/src/node_pool/reader.rs
+++ b/crates/broker/src/node_pool/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the frames that come on a connection.
+//! The read loop of a connection to a node.
 
 use super::NodePool;
 use super::connection::{NodeConnection, UnconfirmedResponse};
@@ -13,23 +13,23 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, warn};
 
-/// How a connection ended.
+/// The reason why a connection to a node ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ConnectionEnd {
-    /// It could not be made, was closed by either side, or broke.
+pub(super) enum DisconnectReason {
+    /// The connection could not be established, was closed by either side, or failed.
     Closed,
-    /// The node wrote invalid data. What follows it can't be interpreted, and what is in flight may have been
-    /// executed.
+    /// The node wrote invalid data. The bytes that follow cannot be interpreted, and the shard requests in flight may
+    /// have been executed.
     InvalidData,
 }
 
-/// A frame, an error in place of one, or the end of the stream.
+/// A frame, an error in place of a frame, or `None` at the end of the stream.
 type NextFrame = Option<Result<InboundFrame, FrameError>>;
 
-/// A frame was begun and not completed in time.
+/// The error for a frame that was begun and not completed in time.
 struct StalledFrame;
 
-/// The read loop of one connection. Dropping it loses the bytes of a frame that has not come completely.
+/// The read loop of one connection. Dropping it loses the bytes of a frame that is not complete.
 pub(super) struct ConnectionReader<'a> {
     pool: &'a NodePool,
     connection: &'a NodeConnection,
@@ -37,26 +37,27 @@
 }
 
 impl<'a> ConnectionReader<'a> {
-    /// A reader of the read half of a connection's socket.
+    /// Creates a reader on the read half of a connection's socket.
     pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: ReadHalf<'a>) -> Self {
         let decoder = FrameDecoder { max_frame_bytes: pool.limits.nodes.max_frame_bytes };
         ConnectionReader { pool, connection, frames: FramedRead::new(InterruptSafe(stream), decoder) }
     }
 
-    /// Reads until the node closes the connection, or sends invalid data.
-    pub async fn run(mut self) -> ConnectionEnd {
+    /// Reads frames until the node closes the connection, sends invalid data, or stalls in the middle of a frame.
+    pub async fn run(mut self) -> DisconnectReason {
         loop {
-            let Ok(frame) = self.next_frame().await else { return self.end_on_stalled_frame() };
-            self.connection.note_received();
-            self.settle_response_before(&frame);
-            if let Break(end) = self.handle(frame) {
-                return end;
+            let Ok(frame) = self.next_frame().await else { return self.disconnect_on_stalled_frame() };
+            self.connection.record_received();
+            self.resolve_preceding_response(&frame);
+            if let Break(reason) = self.handle(frame) {
+                return reason;
             }
         }
     }
 
-    /// The next frame, or an error when a frame stays incomplete for two time limits. A frame with a length that is
-    /// too large never becomes complete: the shard requests in flight would wait for it until they time out.
+    /// Returns the next frame, or an error if a frame stays incomplete for two time limits. A frame with a length
+    /// that is too large never becomes complete, and the shard requests in flight would wait for it until they time
+    /// out.
     async fn next_frame(&mut self) -> Result<NextFrame, StalledFrame> {
         let mut was_partial = false;
         loop {
@@ -72,26 +73,27 @@
         }
     }
 
-    /// Ends the connection on a frame that stays incomplete.
-    fn end_on_stalled_frame(&self) -> ConnectionEnd {
+    /// Ends the connection because a frame stays incomplete.
+    fn disconnect_on_stalled_frame(&self) -> DisconnectReason {
         warn!(node = %self.connection.address, "connection closed: incomplete frame timed out");
-        self.pool.settle_response(self.connection, is_text(self.frames.read_buffer()));
-        ConnectionEnd::InvalidData
+        self.pool.resolve_unconfirmed_response(self.connection, is_text(self.frames.read_buffer()));
+        DisconnectReason::InvalidData
     }
 
-    /// Decides on the response before this frame: a frame behind it confirms that its length was right.
-    fn settle_response_before(&self, frame: &NextFrame) {
-        let is_text_behind = is_text(self.frames.read_buffer());
+    /// Accepts or rejects the response before this frame: a valid frame after a response confirms the response's
+    /// length.
+    fn resolve_preceding_response(&self, frame: &NextFrame) {
+        let is_followed_by_text = is_text(self.frames.read_buffer());
         match frame {
             None | Some(Err(FrameError::Length(_) | FrameError::Io(_))) => {
-                self.pool.settle_response(self.connection, is_text_behind);
+                self.pool.resolve_unconfirmed_response(self.connection, is_followed_by_text);
             }
             Some(_) => self.pool.accept_response(self.connection),
         }
     }
 
-    /// Handles one frame; `Break`: the connection ends.
-    fn handle(&self, frame: NextFrame) -> ControlFlow<ConnectionEnd> {
+    /// Handles one frame. Returns `Break` if the connection ends.
+    fn handle(&self, frame: NextFrame) -> ControlFlow<DisconnectReason> {
         let node = self.connection.address;
         match frame {
             Some(Ok(InboundFrame::Response { id, outcome, value })) => self.on_response(id, outcome, value),
@@ -99,22 +101,23 @@
             Some(Ok(InboundFrame::Pong)) => Continue(()),
             Some(Ok(InboundFrame::ProtocolError(reason))) => {
                 warn!(%node, reason, "connection closed by the node: protocol error");
-                Break(ConnectionEnd::InvalidData)
+                Break(DisconnectReason::InvalidData)
             }
             Some(Err(FrameError::Io(error))) => {
                 debug!(%node, %error, "connection failed");
-                Break(ConnectionEnd::Closed)
+                Break(DisconnectReason::Closed)
             }
             Some(Err(error)) => {
                 warn!(%node, %error, "connection closed: invalid frame");
-                Break(ConnectionEnd::InvalidData)
+                Break(DisconnectReason::InvalidData)
             }
-            None => Break(ConnectionEnd::Closed),
+            None => Break(DisconnectReason::Closed),
         }
     }
 
-    /// Takes a response. It is used at once where nothing follows it, else once that has been looked at.
-    fn on_response(&self, id: Bytes, outcome: AttemptOutcome, value: Bytes) -> ControlFlow<ConnectionEnd> {
+    /// Handles a response. The response is used at once if no bytes follow it, and otherwise when the bytes that
+    /// follow have been decoded.
+    fn on_response(&self, id: Bytes, outcome: AttemptOutcome, value: Bytes) -> ControlFlow<DisconnectReason> {
         let Some(request) = self.connection.remove(&id) else { return self.on_unknown_response(&id) };
         self.connection.write_ready.notify_one();
         self.connection.hold_response(UnconfirmedResponse { attempt: request.attempt, outcome, value });
@@ -124,22 +127,22 @@
         Continue(())
     }
 
-    /// Takes a response to a shard request that is not in flight.
-    fn on_unknown_response(&self, id: &Bytes) -> ControlFlow<ConnectionEnd> {
-        // A response to a cancelled shard request may still come.
+    /// Handles a response to a shard request that is not in flight.
+    fn on_unknown_response(&self, id: &Bytes) -> ControlFlow<DisconnectReason> {
+        // A cancelled shard request may still be answered.
         if self.connection.take_cancelled(id) {
             return Continue(());
         }
-        // A response with a wrong id leaves the shard request that was meant waiting until it times out. Closing the
-        // connection ends that one now; the cost is what else is in flight on the connection.
+        // A response with a wrong id leaves the intended shard request waiting until it times out. Closing the
+        // connection completes that request now, at the cost of everything else in flight on the connection.
         warn!(node = %self.connection.address, "connection closed: response to an unknown shard request");
-        Break(ConnectionEnd::InvalidData)
+        Break(DisconnectReason::InvalidData)
     }
 
-    /// A report that no probe asked for is ignored.
-    fn on_load_report(&self, report: Option<Bytes>) -> ControlFlow<ConnectionEnd> {
+    /// Handles a load report. A report that no probe requested is ignored.
+    fn on_load_report(&self, report: Option<Bytes>) -> ControlFlow<DisconnectReason> {
         if self.connection.take_pending_probe() {
-            self.pool.end_probe(self.connection.node, report);
+            self.pool.complete_probe(self.connection.node, report);
         }
         Continue(())
     }
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the frames that are queued on a connection.
+//! The write loop of a connection to a node.
 
 use super::NodePool;
 use super::connection::NodeConnection;
@@ -16,29 +16,29 @@
 
 /// The write loop of one connection.
 ///
-/// A frame is taken from the queue only when the peer accepts bytes, and between that and its first byte nothing is
-/// awaited. So as long as nothing of it is written, a frame is in the queue, where it can be cancelled, and dropping
-/// the writer loses none.
+/// A frame is taken from the queue only when the peer accepts bytes, and nothing is awaited between that and the
+/// frame's first byte. While no byte of a frame is written, the frame is therefore in the queue, where it can be
+/// cancelled, and dropping the writer loses no frame.
 pub(super) struct ConnectionWriter<'a> {
     pool: &'a NodePool,
     connection: &'a NodeConnection,
     stream: WriteHalf<'a>,
-    /// What of the current frame is not written yet.
+    /// The part of the current frame that has not been written.
     buffer: BytesMut,
 }
 
 impl<'a> ConnectionWriter<'a> {
-    /// A writer of the write half of a connection's socket.
+    /// Creates a writer on the write half of a connection's socket.
     pub fn new(pool: &'a NodePool, connection: &'a NodeConnection, stream: WriteHalf<'a>) -> Self {
         ConnectionWriter { pool, connection, stream, buffer: BytesMut::new() }
     }
 
-    /// Writes until the connection fails, was idle for too long, or was closed.
+    /// Writes frames until the connection fails, has been idle for too long, or has been closed.
     pub async fn run(mut self) {
         while self.step().await.is_continue() {}
     }
 
-    /// Waits for a frame, or writes one; `Break`: the connection is to close.
+    /// Waits for a frame, or writes one. Returns `Break` if the connection should close.
     async fn step(&mut self) -> ControlFlow<()> {
         if !self.connection.has_queued_frames() {
             return self.wait_for_work().await;
@@ -57,7 +57,7 @@
     /// Writes one frame, without the shard requests that have no time left.
     async fn write_frame(&mut self, mut frame: OutboundFrame) -> ControlFlow<()> {
         let now = Instant::now();
-        self.end_expired(&mut frame, now);
+        self.complete_expired(&mut frame, now);
         if frame.is_empty_batch() {
             return Continue(());
         }
@@ -68,8 +68,8 @@
         Continue(())
     }
 
-    /// Waits until something may be queued; `Break`: the connection is closing or idle for too long, and nothing is in
-    /// flight on it.
+    /// Waits until a frame may be queued. Returns `Break` if nothing is in flight on the connection and it is closing
+    /// or has been idle for too long.
     async fn wait_for_work(&self) -> ControlFlow<()> {
         let connection = self.connection;
         if connection.has_in_flight() {
@@ -88,13 +88,13 @@
         Continue(())
     }
 
-    /// Waits until the peer accepts bytes; `Break`: it does not in time, or the connection failed.
+    /// Waits until the peer accepts bytes. Returns `Break` if the peer accepts none in time or the connection failed.
     async fn wait_until_writable(&self) -> ControlFlow<()> {
         let result = timeout(self.pool.limits.nodes.write_timeout, self.stream.writable()).await;
         self.check_progress(result)
     }
 
-    /// `Break` where the peer accepted nothing in time, or the connection failed.
+    /// Returns `Break` if the peer accepted no bytes in time or the connection failed.
     fn check_progress(&self, result: Result<io::Result<()>, Elapsed>) -> ControlFlow<()> {
         match result {
             Ok(Ok(())) => return Continue(()),
@@ -104,17 +104,18 @@
         Break(())
     }
 
-    /// Whether the peer closed the connection while nothing was in flight on it. A frame written now would be lost, and
-    /// its attempts would count against the node; unwritten, they go on another connection.
+    /// Returns whether the peer closed the connection while no shard request in flight was even partly written. A
+    /// frame written now would be lost, and its attempts would count against the node; left unwritten, they are sent
+    /// on another connection.
     fn was_closed_while_idle(&self) -> bool {
         self.connection.was_used()
             && self.connection.is_all_unwritten()
             && has_peer_closed(self.stream.as_ref())
     }
 
-    /// Removes the shard requests that have no time left from a batch: nobody would wait for their responses. They end
-    /// as not sent, which says nothing of the node.
-    fn end_expired(&self, frame: &mut OutboundFrame, now: Instant) {
+    /// Removes the shard requests that have no time left from a batch, as no query waits for their responses any
+    /// more. They complete as not sent, which does not count against the node.
+    fn complete_expired(&self, frame: &mut OutboundFrame, now: Instant) {
         let OutboundFrame::Batch(shard_requests) = frame else { return };
         shard_requests.retain(|shard_request| {
             let has_time_left = shard_request.time_left_ms(now) > 0;
@@ -125,8 +126,8 @@
         });
     }
 
-    /// Writes the first bytes of a frame, which says how much time is left from `now` on. `false`: the peer accepts
-    /// nothing at the moment, and the frame is back in the queue.
+    /// Encodes a frame, with the time left as of `now`, and writes its first bytes. Returns `false` if the peer
+    /// accepts no bytes at the moment, in which case the frame is put back in the queue.
     fn begin_frame(&mut self, frame: OutboundFrame, now: Instant) -> ControlFlow<(), bool> {
         self.buffer.clear();
         frame.encode(now, &mut self.buffer);
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Writes the rest of a frame with these shard requests.
+    /// Writes the rest of a frame that contains these shard requests.
     async fn finish_frame(&mut self, wire_ids: &[Bytes]) -> ControlFlow<()> {
-        self.connection.note_partial_write(wire_ids);
+        self.connection.record_partial_write(wire_ids);
         let writing = write_all(&self.stream, &mut self.buffer);
         let result = timeout(self.pool.limits.nodes.write_timeout, writing).await;
         self.check_progress(result)?;
-        self.connection.note_complete_write(wire_ids);
+        self.connection.record_complete_write(wire_ids);
         Continue(())
     }
 }
