--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -1,4 +1,4 @@
-//! The `reshape` command: converts a config file to a deployment with another layout.
+//! The `reshape` command, which converts a config file for a deployment with another layout.
 
 use super::mistakes::Mistakes;
 use super::placeholder_address;
@@ -10,31 +10,31 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The arguments of the command.
+/// The arguments of the `reshape` command.
 pub(super) struct ReshapeRequest<'a> {
-    /// The present config file.
+    /// The current config file.
     pub(super) old: &'a Path,
-    /// The layout of the new deployment.
+    /// The file with the layout of the new deployment.
     pub(super) shape: &'a Path,
-    /// This broker's zone, where `shape` does not say it.
+    /// The name of this broker's zone, if `shape` does not have it.
     pub(super) zone: Option<&'a str>,
-    /// The new file; `None`: nothing is written.
+    /// The file to write, or `None` for a dry run.
     pub(super) new: Option<&'a Path>,
-    /// Print one JSON object.
+    /// Whether the result is printed as one JSON object.
     pub(super) as_json: bool,
 }
 
-/// Why nothing was written.
+/// The mistakes that prevented the new file from being written.
 struct ReshapeError<'a> {
-    /// The file that the mistakes are in.
+    /// The file that has the mistakes.
     file: &'a Path,
-    /// What they are.
     mistakes: Mistakes,
 }
 
-/// Makes the new file, checks that a broker would start from it, and writes it, unless a file of that name exists.
+/// Converts the config file, checks that a broker could start with the result, and writes it. Fails if the new file
+/// already exists.
 pub(super) fn reshape(request: &ReshapeRequest) -> ExitCode {
-    match make_and_write(request) {
+    match convert_and_write(request) {
         Ok(reshaped) => {
             print_result(request, &reshaped);
             ExitCode::SUCCESS
@@ -43,11 +43,11 @@
     }
 }
 
-fn make_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<MigratedSettings, ReshapeError<'a>> {
+fn convert_and_write<'a>(request: &ReshapeRequest<'a>) -> Result<MigratedSettings, ReshapeError<'a>> {
     let in_shape = |mistakes| ReshapeError { file: request.shape, mistakes };
     let in_old = |mistakes| ReshapeError { file: request.old, mistakes };
     let shape = read_shape(request.shape).map_err(in_shape)?;
-    let reshaped = make(request, &shape).map_err(in_old)?;
+    let reshaped = convert(request, &shape).map_err(in_old)?;
     if let Some(new) = request.new {
         write_new(new, &reshaped.text).map_err(|e| ReshapeError { file: new, mistakes: Mistakes::one(e) })?;
     }
@@ -59,8 +59,8 @@
     DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
 }
 
-/// The converted file, from which a broker would start.
-fn make(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
+/// Converts the config file and checks that a broker could start with the result.
+fn convert(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
     let reshaped = settings_migration::migrate(&old, shape, request.zone)
         .map_err(|mistakes| Mistakes::list(&mistakes))?;
@@ -86,8 +86,8 @@
     }
     match request.new {
         Some(new) => {
-            println!("{}: written; `shard-broker check` holds it against the rules again", new.display());
+            println!("{}: written; `shard-broker check` validates it", new.display());
         }
-        None => println!("nothing was written; --to FILE writes the new file"),
+        None => println!("nothing was written; use --to FILE to write the new file"),
     }
 }
--- a/crates/routing/src/policy/admission_queue/tests.rs
+++ b/crates/routing/src/policy/admission_queue/tests.rs
@@ -1,5 +1,3 @@
-//! Which queries may wait.
-
 use super::QueueRequest;
 use crate::time::TimeSpan;
 use rstest::rstest;
@@ -15,11 +13,11 @@
 
 #[rstest]
 #[case::fills_the_limit_once_more(FIRST, true)]
-#[case::more_than_fills_the_limit(QueueRequest { queue_length: 2, ..FIRST }, false)]
+#[case::exceeds_the_limit_once_more(QueueRequest { queue_length: 2, ..FIRST }, false)]
 #[case::keeps_its_place(QueueRequest { is_queued: true, queue_length: 2, ..FIRST }, true)]
 #[case::within_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(801), ..FIRST }, true)]
 #[case::after_a_fifth_of_the_objective(QueueRequest { time_left: TimeSpan(800), ..FIRST }, false)]
-#[case::no_time_though_queued(QueueRequest { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
+#[case::queued_but_out_of_time(QueueRequest { is_queued: true, time_left: TimeSpan(800), ..FIRST }, false)]
 fn may_wait(#[case] queue_request: QueueRequest, #[case] expected: bool) {
     assert_eq!(queue_request.may_wait(), expected);
 }
