--- a/crates/broker/tests/sockets/bad_requests.rs
+++ b/crates/broker/tests/sockets/bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected as the client's error, or because the protocol can't carry them.
+//! Requests that are rejected as client errors, or because the protocol can't carry them.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -6,13 +6,13 @@
 
 const LONG_BODY_HEAD: &str = "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n";
 
-/// What the cases of bad requests change.
+/// Returns a valid request, which the cases of bad requests modify.
 fn valid_request() -> String {
     query_request("a", "lookup", 900, &body(ONE_SHARD))
 }
 
-/// Clients send what is no valid query: wrong paths, headers, lengths and bodies. Each must get its status,
-/// nothing of it may be sent to a node, and the next client must be served.
+/// Clients send invalid queries: wrong paths, headers, lengths and bodies. Each must get its status, nothing of it
+/// may be sent to a node, and the next client must be served.
 #[rstest]
 #[case("POST /other HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404)]
 #[case("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 405)]
@@ -54,8 +54,8 @@
     });
 }
 
-/// A client repeats the same bad request without end, which costs the broker a parse each time. After the bound
-/// its connection must be closed.
+/// Guards against a client that repeats a bad request without end, which costs the broker a parse each time. The
+/// connection must be closed when the limit is reached.
 #[rstest]
 fn closes_a_connection_after_repeated_bad_requests() {
     run_test(async {
@@ -74,8 +74,9 @@
     });
 }
 
-/// Two clients use the same query id. Their shard requests would have the same ids at the nodes, and a response
-/// could reach the wrong client. The second must be rejected, and the first answered as if nothing had been.
+/// Guards against a response that reaches the wrong client. Two clients use the same query id, so their shard
+/// requests would have the same ids at the nodes. The second query must be rejected, and the first answered as
+/// usual.
 #[rstest]
 fn rejects_the_id_of_an_open_query() {
     run_test(async {
@@ -89,9 +90,9 @@
     });
 }
 
-/// A query needs what frames have no field for: a second phase, without which its response would hold nothing,
-/// or an idempotency key, without which it could be executed twice. It must be rejected (503), and nothing of
-/// it sent.
+/// Guards against queries that need information for which frames have no field: a second phase, without which the
+/// response is empty, or an idempotency key, without which the query can be executed twice. The query must be
+/// rejected (503), and nothing of it sent.
 #[rstest]
 #[case("lookup", "", 503)]
 #[case("once", "Idempotency-Key: 710d\r\n", 503)]
@@ -99,11 +100,11 @@
 #[case("report", "Idempotency-Key: 710d\r\n", 200)]
 fn rejects_what_the_protocol_cannot_carry(#[case] class: &str, #[case] header: &str, #[case] status: u16) {
     run_test(async {
-        let other = |config: &mut Value| {
+        let unsupported = |config: &mut Value| {
             config["settings"]["Domain"]["FetchParts"] = json!([0, 2, 0]);
             config["settings"]["Services"][2]["Effect"] = json!("deduplicated");
         };
-        let mut cluster = TestCluster::start_with(1, other, |_| ()).await;
+        let mut cluster = TestCluster::start_with(1, unsupported, |_| ()).await;
         let mut client = cluster.client().await;
         let text =
             query_request("a", class, 9000, &body(ONE_SHARD)).replace("Host:", &format!("{header}Host:"));
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: their number, slow ones, idle ones.
+//! Client connections: limits on their number, and slow or idle clients.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -8,34 +8,34 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Clients send more queries, and hold more connections, than the limits allow. Beyond `MaxOpen` a query must
-/// be rejected (503) and nothing of it sent; at the bound on connections idle ones must make room, and requests
-/// on surplus ones must be rejected.
+/// Clients send more queries, and hold more connections, than the limits allow. Beyond `MaxOpen` a query must be
+/// rejected (503) and nothing of it sent. At the connection limit idle connections must be closed, and requests on
+/// surplus connections must be rejected.
 #[rstest]
-fn rejects_beyond_its_limits() {
+fn rejects_queries_and_connections_beyond_the_limits() {
     run_test(async {
-        let few = |config: &mut Value| {
+        let limit_sockets = |config: &mut Value| {
             config["limits"]["sockets"] = json!(64);
             config["settings"]["Limits"]["MaxOpen"] = json!(5);
         };
-        let mut cluster = TestCluster::start_with(1, few, |_| ()).await;
+        let mut cluster = TestCluster::start_with(1, limit_sockets, |_| ()).await;
         let _first = cluster.send_query("a", "lookup", &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]).await;
         cluster.next_batch().await;
         assert_eq!(cluster.send_query("c", "lookup", ONE_SHARD).await.reply_status().await, 503);
-        // 19 connections, and two beyond that; those that are idle make room.
-        let mut held = Vec::new();
+        // The limit is 19 connections and two surplus ones; idle connections are closed to admit others.
+        let mut clients = Vec::new();
         for at in 0..30 {
             let mut client = cluster.client().await;
             client.write(HEALTH_REQUEST).await;
             assert_eq!(client.reply_status().await, 200, "client {at}");
-            held.push(client);
+            clients.push(client);
         }
-        assert!(held[0].reply().await.is_none());
-        let mut stuck = Vec::new();
+        assert!(clients[0].reply().await.is_none());
+        let mut incomplete = Vec::new();
         for _ in 0..18 {
             let mut client = cluster.client().await;
             client.write("POST /api HT").await;
-            stuck.push(client);
+            incomplete.push(client);
         }
         within_timeout(async {
             let mut closes = false;
@@ -50,35 +50,35 @@
     });
 }
 
-/// Every place is taken by a connection with an incomplete request. A new connection must wait, and be served
-/// as soon as one of the others is idle.
+/// All connections up to the limit have an incomplete request. A new connection must wait, and must be served as
+/// soon as one of the others is idle.
 #[rstest]
-fn idle_connections_make_room_at_the_limit() {
+fn a_new_connection_replaces_an_idle_one_at_the_limit() {
     run_test(async {
-        let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
-        let cluster = TestCluster::start_with(1, few, |startup| {
+        let limit_sockets = |config: &mut Value| config["limits"]["sockets"] = json!(64);
+        let cluster = TestCluster::start_with(1, limit_sockets, |startup| {
             startup.limits.clients.io_timeout = Duration::from_secs(90);
         })
         .await;
-        let mut held = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..21 {
             let mut client = cluster.client().await;
             client.write("GET /_health HT").await;
             sleep_ms(20).await;
-            held.push(client);
+            clients.push(client);
         }
-        let mut waits = cluster.client().await;
-        waits.write(HEALTH_REQUEST).await;
-        assert!(tokio::time::timeout(Duration::from_millis(200), waits.reply()).await.is_err());
-        held[0].write("TP/1.1\r\nHost: x\r\n\r\n").await;
-        assert_eq!(held[0].reply_status().await, 200);
-        assert_eq!(waits.reply_status().await, 200);
+        let mut waiting = cluster.client().await;
+        waiting.write(HEALTH_REQUEST).await;
+        assert!(tokio::time::timeout(Duration::from_millis(200), waiting.reply()).await.is_err());
+        clients[0].write("TP/1.1\r\nHost: x\r\n\r\n").await;
+        assert_eq!(clients[0].reply_status().await, 200);
+        assert_eq!(waiting.reply_status().await, 200);
     });
 }
 
-/// Shard requests that have their responses are not open any more, and make room for others.
+/// Shard requests that have received their responses must no longer count as open, so that others are admitted.
 #[rstest]
-fn received_shard_responses_make_room() {
+fn received_shard_responses_free_capacity() {
     run_test(async {
         let mut cluster =
             TestCluster::start_with(1, |config| config["settings"]["Limits"]["MaxOpen"] = json!(5), |_| ())
@@ -90,7 +90,7 @@
         for id in ["a.0", "a.1"] {
             cluster.nodes[0].respond(connection, id, 'S', "v").await;
         }
-        // The values are on their way: until they are in, it is rejected still.
+        // The query is rejected until the broker has read both values.
         let mut third = within_timeout(async {
             loop {
                 let mut client = cluster.send_query("c", "lookup", ONE_SHARD).await;
@@ -111,17 +111,17 @@
     });
 }
 
-/// Clients connect and send nothing, or stop within a head or a body. Each holds a place that others may need.
-/// It must be closed in time, with 408 where a request was begun; a connection that is idle after a response
-/// must stay open.
+/// Clients connect and send nothing, or stop within a head or a body, and so occupy a connection that others may
+/// need. The connection must be closed in time, with 408 if a request was begun; a connection that is idle after a
+/// response must stay open.
 #[rstest]
 fn closes_slow_clients() {
     run_test(async {
-        let quick = |startup: &mut StartupConfig| {
+        let shorten_timeouts = |startup: &mut StartupConfig| {
             startup.limits.clients.io_timeout = Duration::from_millis(200);
             startup.limits.clients.sweep_interval = Duration::from_millis(50);
         };
-        let cluster = TestCluster::start_with(1, |_| (), quick).await;
+        let cluster = TestCluster::start_with(1, |_| (), shorten_timeouts).await;
         let (mut idle, mut silent, mut head, mut body) =
             (cluster.client().await, cluster.client().await, cluster.client().await, cluster.client().await);
         idle.write(HEALTH_REQUEST).await;
@@ -137,50 +137,50 @@
     });
 }
 
-/// Many clients send one request and keep their connection, which would use up the descriptors. Beyond the
-/// bound the connection that was idle longest must be closed, and the others stay usable.
+/// Guards against running out of descriptors because many clients send one request and keep their connections.
+/// Beyond the limit the connection that was idle longest must be closed, and the others must stay usable.
 #[rstest]
-fn keeps_few_idle_connections() {
+fn limits_idle_connections() {
     run_test(async {
         let cluster =
             TestCluster::start_with(1, |_| (), |startup| startup.limits.clients.max_idle_connections = 2)
                 .await;
-        let mut kept = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..4 {
             let mut client = cluster.client().await;
             client.write(HEALTH_REQUEST).await;
             assert_eq!(client.reply_status().await, 200);
-            kept.push(client);
+            clients.push(client);
         }
-        assert!(kept[0].reply().await.is_none());
-        kept[1].write(HEALTH_REQUEST).await;
-        assert_eq!(kept[1].reply_status().await, 200);
+        assert!(clients[0].reply().await.is_none());
+        clients[1].write(HEALTH_REQUEST).await;
+        assert_eq!(clients[1].reply_status().await, 200);
     });
 }
 
-/// A hundred clients connect and send nothing, with time limits that do not help. A client that does send a
+/// A hundred clients connect and send nothing, with time limits too long to close them. A client that does send a
 /// request must be served at once.
 #[rstest]
-fn silent_connections_make_room() {
+fn new_connections_replace_silent_ones() {
     run_test(async {
-        let few = |config: &mut Value| config["limits"]["sockets"] = json!(64);
-        let patient = |startup: &mut StartupConfig| {
+        let limit_sockets = |config: &mut Value| config["limits"]["sockets"] = json!(64);
+        let lengthen_timeouts = |startup: &mut StartupConfig| {
             (startup.limits.clients.io_timeout, startup.limits.clients.sweep_interval) =
                 (Duration::from_secs(90), Duration::from_secs(90));
         };
-        let cluster = TestCluster::start_with(1, few, patient).await;
+        let cluster = TestCluster::start_with(1, limit_sockets, lengthen_timeouts).await;
         let mut silent = Vec::new();
         for _ in 0..100 {
             silent.push(cluster.client().await);
         }
-        let mut usual = cluster.client().await;
-        usual.write(HEALTH_REQUEST).await;
-        assert_eq!(usual.reply_status().await, 200);
+        let mut active = cluster.client().await;
+        active.write(HEALTH_REQUEST).await;
+        assert_eq!(active.reply_status().await, 200);
     });
 }
 
-/// A client sends an invalid request behind one that is still handled. It must stay unread until the first is
-/// answered, and must not harm it.
+/// A client sends an invalid request after one that is still being handled. It must stay unread until the first is
+/// answered, and must not affect the first.
 #[rstest]
 fn reads_one_request_of_a_connection_at_a_time() {
     run_test(async {
@@ -196,10 +196,10 @@
     });
 }
 
-/// A client stops in the middle of a chunked body and keeps its connection open. It must get 408 and the end of
-/// its connection, without a reset, though it sends nothing more.
+/// A client stops in the middle of a chunked body, sends nothing more and keeps its connection open. The client
+/// must get 408 and then the end of the connection, without a reset.
 #[rstest]
-fn closes_the_connection_of_half_a_chunked_body() {
+fn closes_the_connection_of_an_incomplete_chunked_body() {
     run_test(async {
         let cluster = TestCluster::start_with(
             1,
@@ -216,7 +216,7 @@
             client.write_all(format!("{head}{part}").as_bytes()).await.unwrap();
             let mut text = String::new();
             let read = tokio::time::timeout(Duration::from_secs(5), client.read_to_string(&mut text)).await;
-            read.expect("it stays open").expect("a reset");
+            read.expect("connection still open after 5 s").expect("connection reset before its end");
             assert!(text.starts_with("HTTP/1.1 408"), "{text}");
         }
     });
--- a/crates/broker/tests/sockets/configuration.rs
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -1,31 +1,31 @@
-//! What a broker starts from, and what a reload changes.
+//! Configuration at startup, and its reload on SIGHUP.
 
 use super::test_peers::*;
 use broker::StartupConfig;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Discovery moves, and SIGHUP tells the broker to read its config file again; some of the files can't be used.
-/// A broker that ended, or stayed at the old address, would serve by an old list. It must ask at the new
-/// address at once and use that list though its revision is lower; an unusable file must change nothing.
+/// Guards against a broker that ends or keeps using the old endpoint list after its discovery moved. SIGHUP makes
+/// the broker read its config file again; some of the files are invalid. The broker must request the list at the
+/// new address at once and use that list though its revision is lower; an invalid file must change nothing.
 #[rstest]
 fn follows_discovery_to_the_address_of_a_reloaded_config() {
     run_test(async {
-        let mut old = TestCluster::start(2).await; // its peers serve the process
+        let mut old = TestCluster::start(2).await; // its nodes serve the process
         let mut new = Discovery::start().await;
-        let file = std::env::temp_dir().join(format!("shard-broker-{}.json", std::process::id()));
-        let write = |text: String| std::fs::write(&file, text).unwrap();
+        let config_path = std::env::temp_dir().join(format!("shard-broker-{}.json", std::process::id()));
+        let write = |text: String| std::fs::write(&config_path, text).unwrap();
         let old_config = config(&old.nodes, &old.discovery.address().to_string());
         write(old_config.to_string());
         old.discovery.next_request().await;
-        let process = Process::start(&file, &old.discovery.address().to_string());
+        let process = Process::start(&config_path, &old.discovery.address().to_string());
         assert_eq!(old.discovery.next_request().await, "/catalog/members");
         for _ in 0..2 {
             old.discovery.reply(snapshot(41, &[]));
             assert_eq!(old.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
         }
-        for unusable in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
-            write(unusable.to_owned());
+        for invalid in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
+            write(invalid.to_owned());
             process.signal("HUP");
             process.wait_for_log("config reload failed");
         }
@@ -34,17 +34,17 @@
         assert_eq!(new.next_request().await, "/catalog/members");
         new.reply(snapshot(3, &[member(&old.nodes, 1, "ready")]));
         assert_eq!(new.next_request().await, "/catalog/members?after=3&wait_ms=4000");
-        let mut client = Client::connect(process.listens).await;
+        let mut client = Client::connect(process.listen_address).await;
         client.write(&query_request("a", "lookup", 9000, &body(ONE_SHARD))).await;
         assert_eq!(old.answer_next_batch("a.3").await, 1);
         assert_eq!(client.reply_status().await, 200);
         process.signal("TERM");
         process.wait_for_log("shut down");
-        std::fs::remove_file(&file).unwrap();
+        std::fs::remove_file(&config_path).unwrap();
     });
 }
 
-/// A config file has one wrong value. The error must name the key and what is wrong.
+/// The error for a config file with one invalid value must name the key and the cause.
 #[rstest]
 #[case("/seed", json!("no number"), "`seed`")]
 #[case("/listen", json!("everywhere"), "`listen` is `everywhere`")]
@@ -54,13 +54,13 @@
 #[case("/settings/Domain", json!({}), "missing field `Cells`")]
 #[case("/settings/Services/0/Effect", json!("none"), "`Effect` is `none`")]
 #[case("/known/members/0/phase", json!("lost"), "unknown variant `lost`")]
-fn reports_what_is_wrong_with_a_config(#[case] pointer: &str, #[case] value: Value, #[case] why: &str) {
+fn reports_an_invalid_config(#[case] pointer: &str, #[case] value: Value, #[case] expected: &str) {
     run_test(async {
         let cluster = TestCluster::start(1).await;
         let mut text = config(&cluster.nodes, "127.0.0.1:1");
         *text.pointer_mut(pointer).unwrap() = value;
         let error = StartupConfig::read(text.to_string().as_bytes(), |_| None).unwrap_err().to_string();
-        assert!(error.contains(why), "{error}");
+        assert!(error.contains(expected), "{error}");
     });
 }
 
--- a/crates/broker/tests/sockets/deadlines.rs
+++ b/crates/broker/tests/sockets/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time left that a frame states to its node.
+//! The remaining time that a frame states to its node.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -7,36 +7,36 @@
 use tokio::io::AsyncReadExt;
 
 const TIME_LEFT: Duration = Duration::from_secs(8);
-/// How much more than what is left a frame may state.
+/// The time by which the stated time may exceed the remaining time.
 const SLACK: Duration = Duration::from_millis(150);
 
-/// A connection comes up seconds after the turn that decided on the attempt. If its frame stated the time that
-/// was left at the turn, the node would work on after the client's deadline. The frame must state what is left
-/// when its first byte is written.
+/// Guards against a node that works on after the client's deadline. A connection is established seconds after the
+/// engine turn that decided on the attempt. The frame must state the time that remains when its first byte is
+/// written, not the time that remained at the turn.
 #[rstest]
-fn a_late_connection_carries_the_time_that_is_left() {
+fn a_frame_on_a_late_connection_states_the_remaining_time() {
     run_test(async {
-        let full = FullListener::bind();
-        let address = full.address;
-        let slow = |config: &mut Value| {
+        let listener = FullListener::bind();
+        let address = listener.address;
+        let use_listener = |config: &mut Value| {
             config["known"]["members"][0]["host_port"] = json!(address.to_string());
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(5000.0);
         };
-        let cluster = TestCluster::start_with(1, slow, |_| ()).await;
+        let cluster = TestCluster::start_with(1, use_listener, |_| ()).await;
         let mut client = cluster.client().await;
         let sent = Instant::now();
         let time_left_ms = TIME_LEFT.as_millis() as u64;
         client.write(&query_request("a", "lookup", time_left_ms, &body(ONE_SHARD))).await;
         wait_until(|| cluster.broker.engine.in_flight_count() == 1).await;
-        // The system tries to connect again after a second, and only then is there a place in the queue.
-        let mut connection = full.accept_after_fillers().await;
+        // The kernel retries the connect after a second, and only then is there room in the accept queue.
+        let mut connection = listener.accept_after_fillers().await;
         let mut frame = vec![0; 1024];
         let count = within_timeout(connection.read(&mut frame)).await.unwrap();
-        let left = TIME_LEFT.saturating_sub(sent.elapsed());
-        assert!(sent.elapsed() > 3 * SLACK, "the connection did not come up late");
+        let remaining = TIME_LEFT.saturating_sub(sent.elapsed());
+        assert!(sent.elapsed() > 3 * SLACK, "the connection was established too early for the test");
         let text = String::from_utf8_lossy(&frame[5..count]).into_owned();
         let stated_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
         let stated = Duration::from_millis(stated_ms.parse().unwrap());
-        assert!(stated <= left + SLACK, "{stated:?} stated, {left:?} left");
+        assert!(stated <= remaining + SLACK, "the frame states {stated:?}, but {remaining:?} remain");
     });
 }
--- a/crates/broker/tests/sockets/discovery.rs
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -8,15 +8,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Discovery sends a snapshot, a delta, and then a list that can't be read. The last one must change nothing,
-/// and the complete list must be requested again; draining nodes must get no queries.
+/// Discovery sends a snapshot, a delta, and then an invalid list. The invalid list must change nothing, and a
+/// snapshot must be requested again; draining nodes must receive no queries.
 #[rstest]
 fn watches_the_endpoint_list() {
     run_test(async {
         let mut cluster = TestCluster::start(2).await;
         let list_of = |cluster: &TestCluster, revision: u64, complete: bool, members: &[(usize, &str)]| {
             let members: Vec<Value> =
-                members.iter().map(|(at, phase)| member(&cluster.nodes, *at, phase)).collect();
+                members.iter().map(|(index, phase)| member(&cluster.nodes, *index, phase)).collect();
             json!({"revision": revision, "complete": complete, "members": members})
         };
         assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
@@ -32,87 +32,89 @@
         for id in ["a", "b", "c", "d"] {
             let mut client = cluster.send_query(id, "lookup", ONE_SHARD).await;
             let (node, connection, shard_requests) = cluster.next_batch().await;
-            assert_eq!(node, 1, "the other drains");
+            assert_eq!(node, 1, "expected the node that is not draining");
             cluster.nodes[1].respond(connection, &shard_requests[0].id, 'S', "v").await;
             assert_eq!(client.reply_status().await, 200);
         }
     });
 }
 
-/// A local agent does not answer for a long time. With a backoff the broker would miss a drain for seconds
-/// after the agent answers again. It must be asked at the same interval however often that failed, and its list
-/// must be used as soon as it answers.
+/// Guards against a backoff between list requests, by which the broker would miss a drain for seconds after an
+/// unresponsive local agent recovers. The interval of the requests must stay the same however many have failed, and
+/// the list must be used as soon as the agent answers.
 #[rstest]
-fn calls_a_silent_agent_until_it_answers() {
+fn polls_an_unresponsive_agent_at_a_constant_interval() {
     run_test(async {
-        let waits =
+        let set_timeouts =
             |startup: &mut StartupConfig| startup.limits.discovery.list_timeout = Duration::from_millis(300);
-        let mut cluster = TestCluster::start_with(1, use_local_agent, waits).await;
-        // Doubling from two and a half seconds, twenty calls take minutes.
-        let twenty = async {
+        let mut cluster = TestCluster::start_with(1, use_local_agent, set_timeouts).await;
+        // With an interval that doubles from 2.5 s, twenty requests would take minutes.
+        let twenty_requests = async {
             for _ in 0..20 {
                 assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
             }
         };
-        tokio::time::timeout(Duration::from_secs(30), twenty).await.expect("twenty calls");
+        tokio::time::timeout(Duration::from_secs(30), twenty_requests)
+            .await
+            .expect("fewer than twenty requests within 30 s");
         let list = snapshot(2, &[member(&cluster.nodes, 0, "ready")]);
-        // Most of those requests were given up, but each of them uses up a reply.
+        // Most of those requests have timed out, but each of them consumes a reply.
         (0..60).for_each(|_| cluster.discovery.reply(&list));
         while cluster.discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
     });
 }
 
-/// A local agent accepts requests and never answers. If all of them waited, they would use up the descriptors
-/// set aside for discovery. They must be given up in time: no more than 20 may be open.
+/// Guards against using up the descriptors reserved for discovery. A local agent accepts requests and never
+/// answers. The requests must time out, so that no more than 20 are open at once.
 #[rstest]
-fn few_calls_wait_at_a_silent_agent() {
+fn limits_open_requests_to_an_unresponsive_agent() {
     run_test(async {
         let agent = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = agent.local_addr().unwrap();
         let _cluster =
             TestCluster::start_with(1, use_local_agent, move |startup| startup.discovery = address).await;
-        let (open, most) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-        // By the watch alone, five seconds, fifty would wait.
+        let (open, max_open) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+        // With only the timeout of the watch, five seconds, fifty requests would wait.
         for _ in 0..40 {
             let (mut stream, _) = agent.accept().await.unwrap();
             open.set(open.get() + 1);
-            most.set(most.get().max(open.get()));
+            max_open.set(max_open.get().max(open.get()));
             let open = open.clone();
             tokio::task::spawn_local(async move {
-                // Reads to the end, and writes nothing.
+                // Reads until the broker closes the connection, and never answers.
                 _ = tokio::io::copy(&mut stream, &mut tokio::io::sink()).await;
                 open.set(open.get() - 1);
             });
         }
-        assert!(most.get() <= 20, "{}", most.get());
+        assert!(max_open.get() <= 20, "{}", max_open.get());
     });
 }
 
-/// A list request is never answered, and must be followed by another. A watch without a change is silent, too,
-/// as it was asked to be: it must be waited for.
+/// A list request that is not answered must be followed by another. A watch without a change is silent too, as it
+/// was asked to be, and must not be given up.
 #[rstest]
-fn distinguishes_a_long_watch_from_silence() {
+fn distinguishes_a_long_watch_from_an_unanswered_request() {
     run_test(async {
-        let waits = |startup: &mut StartupConfig| {
+        let set_timeouts = |startup: &mut StartupConfig| {
             startup.limits.discovery.watch_wait = Duration::from_secs(8);
             startup.limits.discovery.watch_slack = Duration::from_millis(300);
             startup.limits.discovery.list_timeout = Duration::from_millis(300);
         };
-        let mut cluster = TestCluster::start_with(1, use_local_agent, waits).await;
+        let mut cluster = TestCluster::start_with(1, use_local_agent, set_timeouts).await;
         assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
         assert_eq!(
             cluster.discovery.next_request().await,
             "/catalog/members",
-            "the first was never answered"
+            "expected another list request, as the first was not answered"
         );
         let members = [member(&cluster.nodes, 0, "ready")];
         let list = snapshot(2, &members);
-        // One for the request that was given up, one for the next.
+        // The first reply is consumed by the request that timed out, the second by the next one.
         cluster.discovery.reply(&list);
         cluster.discovery.reply(&list);
         let watch = "/catalog/members?after=2&wait_ms=8000";
         assert_eq!(cluster.discovery.next_request().await, watch);
-        sleep_ms(5500).await; // longer than the HTTP client waits by default
+        sleep_ms(5500).await; // longer than the default timeout of the HTTP client
         cluster.discovery.reply(json!({"revision": 2, "complete": false, "members": []}));
         assert_eq!(cluster.discovery.next_request().await, watch);
     });
@@ -135,26 +137,27 @@
     });
 }
 
-/// Discovery answers later than the next list request is due. If each request were given up for the next one,
-/// the broker would never have a list. The answer to the first request must be used, though others were sent
-/// since and none of them is answered.
+/// Guards against a broker that never gets a list because it gives up each request for the next one. Discovery
+/// answers later than the next list request is due. The response to the first request must be used, though others
+/// were sent since and none of them is answered.
 #[rstest]
-fn uses_a_list_that_comes_late() {
+fn uses_a_late_response() {
     for is_agent in [true, false] {
         run_test(async move {
-            let slow = |startup: &mut StartupConfig| {
+            let set_timeouts = |startup: &mut StartupConfig| {
                 startup.limits.discovery.list_timeout = Duration::from_millis(300);
             };
-            let unknown = move |config: &mut Value| {
+            let change_config = move |config: &mut Value| {
                 config["known"]["members"] = json!([]);
                 config["settings"]["RegistryMode"] = json!(if is_agent { "automatic" } else { "subscribe" });
             };
-            let mut cluster = TestCluster::start_with(1, unknown, slow).await;
-            // At an agent the seventh request comes 0.6 s after the first; others are given up after 0.3 s.
+            let mut cluster = TestCluster::start_with(1, change_config, set_timeouts).await;
+            // The seventh request to an agent comes 0.6 s after the first; other discovery requests time out after
+            // 0.3 s.
             for _ in 0..if is_agent { 7 } else { 2 } {
                 assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
             }
-            // This answers the first request, the one that has waited longest.
+            // This reply answers the first request, which has waited longest.
             cluster.discovery.reply(snapshot(2, &[member(&cluster.nodes, 0, "ready")]));
             wait_until(|| cluster.broker.engine.can_serve()).await;
             while cluster.discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
@@ -162,10 +165,10 @@
     }
 }
 
-/// Reloads follow each other within milliseconds. If each asked for the complete list, they would load
-/// discovery. It must be asked where the last one says, and far less often than there are reloads.
+/// Guards against overloading discovery when reloads follow each other within milliseconds. The list must be
+/// requested at the address of the last reload, and far less often than there are reloads.
 #[rstest]
-fn asks_seldom_after_many_reloads() {
+fn limits_list_requests_after_many_reloads() {
     run_test(async {
         let mut cluster = TestCluster::start_with(1, use_local_agent, |_| ()).await;
         let list = snapshot(2, &[member(&cluster.nodes, 0, "ready")]);
@@ -176,12 +179,12 @@
             sleep_ms(5).await;
         }
         let mut calls = 0;
-        // Nothing is answered any more, so that this ends.
+        // No further request is answered, so the requests come to an end.
         while let Ok(path) =
             tokio::time::timeout(Duration::from_millis(30), cluster.discovery.next_request()).await
         {
             calls += usize::from(path == "/catalog/members");
         }
-        assert!((2..=reloads / 4).contains(&calls), "{calls} calls for {reloads} reloads");
+        assert!((2..=reloads / 4).contains(&calls), "{calls} list requests for {reloads} reloads");
     });
 }
--- a/crates/broker/tests/sockets/discovery_races.rs
+++ b/crates/broker/tests/sockets/discovery_races.rs
@@ -1,6 +1,6 @@
-//! Races between requests to discovery: failures beside responses, resets, and silence. Each order is forced:
-//! what the agent does is in the system's buffers before the broker is polled again. `docs/acceptance.md` lists
-//! them.
+//! Races between requests to discovery: failures at the same time as responses, resets, and unanswered requests.
+//! Each order is forced: the bytes and closes of the agent are in the kernel's buffers before the broker is polled
+//! again. `docs/acceptance.md` lists these tests.
 
 use super::test_peers::*;
 use broker::StartupConfig;
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A process starts with a cached list, and its local agent does not answer at first. What the agent knows
-/// counts as known to the broker from the start, so a node in the cached list may be draining. No shard request
-/// may be sent before the agent's list has come.
+/// Guards against sending to a draining node at startup. A process starts with a cached list, and its local agent
+/// does not answer at first. The broker counts as notified of the agent's state from the start, so a node in the
+/// cached list may be draining. No shard request may be sent before the agent's list has arrived.
 #[rstest]
 fn sends_nothing_before_the_agent_answers() {
     run_test(async {
@@ -24,9 +24,9 @@
         let mut client = cluster.client().await;
         client.write(HEALTH_REQUEST).await;
         assert_eq!(client.reply_status().await, 503);
-        let _waits = cluster.send_query("a", "lookup", ONE_SHARD).await;
+        let _client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         wait_until(|| cluster.broker.engine.open_queries() == 1).await;
-        // The first call is on a connection that stays silent; the second is answered.
+        // The first request is never answered; the second one is.
         let (_silent, _) = within_timeout(agent.accept()).await.unwrap();
         let (mut second, _) = within_timeout(agent.accept()).await.unwrap();
         within_timeout(second.read(&mut [0; 4096])).await.unwrap();
@@ -48,33 +48,34 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Several requests wait at an agent. One fails in the moment in which another is answered. If the answer were
-/// only seen with the next request, the drain grace might be over. It must be used at once.
+/// Guards against exceeding the drain grace period. Several requests wait at an agent, and one fails just as
+/// another is answered. The answer must be used at once, not only with the next request.
 #[rstest]
 #[case::fails_first(true)]
 #[case::answered_first(false)]
-fn a_response_beside_a_failing_call_is_used_at_once(#[case] fails_first: bool) {
+fn a_response_is_used_at_once_while_another_request_fails(#[case] fails_first: bool) {
     run_test(async {
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = agent.local_addr().unwrap();
         let interval = Duration::from_secs(3);
-        let waits = move |startup: &mut StartupConfig| {
+        let set_timeouts = move |startup: &mut StartupConfig| {
             (
                 startup.discovery,
                 startup.limits.discovery.list_retry_interval,
                 startup.limits.discovery.list_timeout,
             ) = (address, interval, 3 * interval);
         };
-        let cluster = TestCluster::start_with(1, use_local_agent, waits).await;
+        let cluster = TestCluster::start_with(1, use_local_agent, set_timeouts).await;
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
         let (mut first, _) = within_timeout(agent.accept()).await.unwrap();
         within_timeout(first.read(&mut [0; 4096])).await.unwrap();
         let (mut second, _) = within_timeout(agent.accept()).await.unwrap();
         within_timeout(second.read(&mut [0; 4096])).await.unwrap();
-        let called = Instant::now();
+        let answered_at = Instant::now();
         let response = http_response(&body);
         SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
-        // Both are written with no turn of the broker's between, one before the other in the system.
+        // The broker is not polled between the two, so both reach the kernel in this order before the broker reads
+        // either.
         match fails_first {
             true => {
                 drop(first);
@@ -86,23 +87,23 @@
             }
         }
         wait_until(|| cluster.broker.engine.can_serve()).await;
-        assert!(called.elapsed() < interval, "only with the next call");
+        assert!(answered_at.elapsed() < interval, "the response was used only after the next request");
     });
 }
 
-/// Responses break off, are reset, or are too long. Taken as complete, a cut list would remove nodes that are
-/// there. None of it may be used, and the list must be requested again; only without a length does the end of
-/// the connection end a response, and a reset never does.
+/// Guards against using a truncated list, which would remove nodes that still exist. Responses end early, are
+/// reset, or are too long. None of them may be used, and the list must be requested again. Only without a length
+/// does the end of the connection end a response, and a reset never does.
 #[rstest]
 #[case::no_length_and_a_reset("HTTP/1.1 200 OK\r\n\r\n", "", true, false)]
 #[case::no_length_and_an_end("HTTP/1.1 200 OK\r\n\r\n", "", false, true)]
 #[case::a_length_and_a_reset("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", "", true, false)]
-#[case::chunks_that_break_off("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n", "", false, false)]
+#[case::truncated_chunks("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n", "", false, false)]
 #[case::too_long("HTTP/1.1 200 OK\r\n\r\n", &" ".repeat(2_100_000), false, false)]
 #[case::indented("HTTP/1.1 200 OK\r\n\r\n", "\r\n    \t", false, true)]
-fn a_reset_does_not_end_a_response(
+fn uses_only_complete_responses(
     #[case] head: &str,
-    #[case] before: &str,
+    #[case] padding: &str,
     #[case] is_reset: bool,
     #[case] is_used: bool,
 ) {
@@ -114,9 +115,10 @@
         let (mut first, _) = within_timeout(agent.accept()).await.unwrap();
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
         within_timeout(first.read(&mut [0; 4096])).await.unwrap();
-        let written = first.write_all(format!("{head}{before}{body}").as_bytes()).await;
-        // Only one that is too long may find its reader gone.
-        assert!(written.is_ok() || before.len() > 1_000_000);
+        let written = first.write_all(format!("{head}{padding}{body}").as_bytes()).await;
+        // Writing may fail only for the response that is too long, because the broker may already have closed the
+        // connection.
+        assert!(written.is_ok() || padding.len() > 1_000_000);
         if is_reset {
             SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
         }
@@ -125,7 +127,7 @@
             wait_until(|| cluster.broker.engine.can_serve()).await;
             return;
         }
-        // The next call comes, and nothing was used of the response before.
+        // The broker sends another request and has used nothing of the previous response.
         let (mut second, _) = within_timeout(agent.accept()).await.unwrap();
         within_timeout(second.read(&mut [0; 4096])).await.unwrap();
         assert!(!cluster.broker.engine.can_serve());
@@ -134,8 +136,8 @@
     });
 }
 
-/// A watch is reset again and again. What a silent watch misses counts as notified after some seconds, so it
-/// must be reopened sooner than that, also where the settings would allow an older list.
+/// A watch is reset repeatedly. The broker counts as notified of a change some seconds after its watch fell silent,
+/// so the watch must be reopened sooner than that, even if the settings allow an older list.
 #[rstest]
 #[case("subscribe")]
 #[case("automatic")]
@@ -147,7 +149,7 @@
         let cluster = TestCluster::start_with(1, settings, |startup| startup.discovery = address).await;
         let body = snapshot(2, &[member(&cluster.nodes, 0, "ready")]).to_string();
         let mut resets = 0;
-        let began = Instant::now();
+        let started_at = Instant::now();
         while resets < 4 {
             let (mut call, _) = within_timeout(agent.accept()).await.unwrap();
             let mut head = [0; 4096];
@@ -160,7 +162,8 @@
                 write_http_response(&mut call, &body).await;
             }
         }
-        // Each within half a second of the reset; by the settings' 50 s it would be some seconds each.
-        assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+        // Each watch is reopened within half a second of the reset; by the 50 s of the settings each would take
+        // some seconds.
+        assert!(started_at.elapsed() < Duration::from_secs(5), "{:?}", started_at.elapsed());
     });
 }
--- a/crates/broker/tests/sockets/fleet_sizes.rs
+++ b/crates/broker/tests/sockets/fleet_sizes.rs
@@ -1,19 +1,20 @@
-//! Fleets of the largest size that the pages name.
+//! The largest deployment that the specification names.
 
 use super::test_peers::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A fleet has 3,200 nodes, and discovery sends an indented list, far longer than a request may be. With a
-/// bound meant for requests the list would be dropped, and no query served. The list must be used.
+/// Guards against applying a size limit meant for requests to the endpoint list, which would drop the list and
+/// leave all queries unserved. The deployment has 3,200 nodes, and discovery sends an indented list far longer than
+/// a request may be. The list must be used.
 #[rstest]
 fn uses_a_list_of_3200_nodes() {
     run_test(async {
         let mut cluster =
             TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
-        let entry = |at: usize| {
+        let entry = |index: usize| {
             let mut entry = member(&cluster.nodes, 0, "ready");
-            entry["id"] = json!(format!("s-{at:08x}"));
+            entry["id"] = json!(format!("s-{index:08x}"));
             entry
         };
         let members: Vec<Value> = (0..3200).map(entry).collect();
--- a/crates/broker/tests/sockets/interrupted_calls.rs
+++ b/crates/broker/tests/sockets/interrupted_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that are interrupted by a signal, or that move only a few bytes. Neither says anything of the
-//! connection, so none may break and no query may be lost.
+//! System calls that are interrupted by a signal or transfer only a few bytes. Neither is an error of the
+//! connection, so the broker must keep the connection and lose no query.
 
 use super::system_faults::Setting;
 use super::test_cluster_process::{ClusterProcess, Outcomes};
@@ -8,10 +8,11 @@
 
 const QUERIES: usize = 200;
 
-/// One read, write and wait in eight fails with EINTR, from the process's first call on. Taken for errors they
-/// would show as closed connections and lost responses. Each call must be repeated, and every query served.
+/// Guards against handling EINTR as an error, which would close connections and lose responses. One read, write and
+/// wait in eight fails with EINTR from the first call of the process on. Each call must be retried, and every query
+/// served.
 #[rstest]
-fn interrupted_calls_are_made_again() {
+fn retries_interrupted_calls() {
     run_test(async {
         let cluster = ClusterProcess::start_with_faults(
             2,
@@ -23,22 +24,23 @@
             },
         )
         .await;
-        let outcomes = cluster.query_in_turn("q", QUERIES).await;
-        assert!(cluster.faults.injected() > QUERIES as i64);
+        let outcomes = cluster.query_sequentially("q", QUERIES).await;
+        assert!(cluster.faults.injected_faults() > QUERIES as i64);
         assert_eq!(outcomes, Outcomes::all_served(QUERIES));
     });
 }
 
-/// Each read and write moves at most three bytes. Code that takes a short transfer for the end would show
-/// truncated frames and hung queries. The rest must be read and written as the poll reports it, and every query
-/// served.
+/// Guards against handling a short transfer as the end of the data, which would truncate frames and leave queries
+/// without a response. Each read and write transfers at most three bytes. The rest must be transferred as the poll
+/// reports it, and every query served.
 #[rstest]
-fn short_transfers_are_gone_on_with() {
+fn continues_short_transfers() {
     run_test(async {
-        let few = |faults: &super::system_faults::SystemFaults| faults.set(Setting::MaxTransferBytes, 3);
-        let cluster = ClusterProcess::start_with_faults(2, |_| (), few).await;
-        let outcomes = cluster.query_in_turn("q", 20).await;
-        assert!(cluster.faults.injected() > 20);
+        let set_faults =
+            |faults: &super::system_faults::SystemFaults| faults.set(Setting::MaxTransferBytes, 3);
+        let cluster = ClusterProcess::start_with_faults(2, |_| (), set_faults).await;
+        let outcomes = cluster.query_sequentially("q", 20).await;
+        assert!(cluster.faults.injected_faults() > 20);
         assert_eq!(outcomes, Outcomes::all_served(20));
     });
 }
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -1,21 +1,22 @@
-//! Load reports that nodes send in reply to probes.
+//! Load reports that nodes send in response to probes.
 
 use super::test_peers::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Load reported to probes only, and waited for by a fiftieth of this latency objective.
-fn load_by_probe(config: &mut Value, objective_ms: f64) {
+/// Configures load reports by probe only, and a latency objective. The broker waits a fiftieth of the objective for
+/// a report.
+fn use_load_probes(config: &mut Value, latency_objective_ms: f64) {
     config["settings"]["Stats"] = json!({"Via": "pull", "Fields": ["qps", "queue", "util"]});
     config["settings"]["Limits"]["Probes"] = json!(true);
     for class in config["settings"]["Services"].as_array_mut().unwrap() {
-        (class["OnTimeMs"], class["DeadlineMs"]) = (json!(objective_ms), json!(500_000.0));
+        (class["OnTimeMs"], class["DeadlineMs"]) = (json!(latency_objective_ms), json!(500_000.0));
     }
 }
 
-/// Both replicas are probed first; the shard request goes to the shortest queue. What can't be read is no
-/// report.
+/// Both replicas must be probed first, and the shard request must go to the one with the shorter queue. A report
+/// that can't be parsed counts as none.
 #[rstest]
 #[case("qps=1.5,queue=7,util=0.5", "queue=2", 1)]
 #[case("queue=0", "qps=9,queue=4", 0)]
@@ -23,32 +24,43 @@
 #[case("queue=3", "E", 0)]
 #[case("queue=1", "queue=many", 1)]
 #[case("queue=-5", "queue=NaN,queue", 0)]
-fn prefers_the_replica_with_the_shortest_queue(#[case] first: &str, #[case] second: &str, #[case] to: usize) {
+fn prefers_the_replica_with_the_shortest_queue(
+    #[case] first: &str,
+    #[case] second: &str,
+    #[case] expected_node: usize,
+) {
     run_test(async {
-        let mut cluster = TestCluster::start_with(2, |config| load_by_probe(config, 500_000.0), |_| ()).await;
+        let mut cluster =
+            TestCluster::start_with(2, |config| use_load_probes(config, 500_000.0), |_| ()).await;
         let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         for _ in 0..2 {
             let (node, connection, event) = cluster.next_event().await;
-            assert_eq!(event, PeerEvent::LoadProbe, "nothing goes out before the replicas were probed");
+            assert_eq!(
+                event,
+                PeerEvent::LoadProbe,
+                "received another event before both replicas were probed"
+            );
             cluster.nodes[node].send_load(connection, [first, second][node]).await;
         }
         let (node, connection, _) = cluster.next_batch().await;
-        // Replicas that report the same, or nothing that can be read, are equal: either may get it.
-        assert!(node == to || first.starts_with("queue=-5"), "{node}");
+        // In the last case neither report is valid, so both replicas are equal and either may get the shard
+        // request.
+        assert!(node == expected_node || first.starts_with("queue=-5"), "{node}");
         cluster.nodes[node].respond(connection, "a.3", 'S', "v").await;
         assert_eq!(client.reply_status().await, 200);
     });
 }
 
-/// One of two replicas does not answer its load probe, or closes the connection. A broker that waited for it
-/// would miss the query's objective. After a fiftieth of the latency objective the shard request must go to the
+/// Guards against missing the latency objective because of an unanswered probe. One of two replicas does not answer
+/// its probe, or closes the connection. After a fiftieth of the latency objective the shard request must go to the
 /// replica that reported.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn an_unanswered_probe_delays_nothing_for_long(#[case] closes: bool) {
+fn an_unanswered_probe_delays_no_shard_request_for_long(#[case] closes: bool) {
     run_test(async {
-        let mut cluster = TestCluster::start_with(2, |config| load_by_probe(config, 80_000.0), |_| ()).await;
+        let mut cluster =
+            TestCluster::start_with(2, |config| use_load_probes(config, 80_000.0), |_| ()).await;
         let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         let sent = Instant::now();
         for _ in 0..2 {
@@ -60,26 +72,26 @@
                 _ => cluster.nodes[1].send_load(connection, "queue=20").await,
             }
         }
-        let (node, connection, shard_requests) = cluster.next_batch_of_any().await;
+        let (node, connection, shard_requests) = cluster.next_batch_skipping_events().await;
         assert_eq!(
             (node, shard_requests.len()),
             (1, 1),
-            "the one that reported its load, though its queue is long"
+            "expected one shard request at the replica that reported its load"
         );
         assert!(
             sent.elapsed() < Duration::from_secs(20),
-            "a fiftieth of the latency objective is waited for"
+            "the broker waited longer than a fiftieth of the latency objective"
         );
         cluster.nodes[1].respond(connection, "a.3", 'S', "v").await;
         assert_eq!(client.reply_status().await, 200);
     });
 }
 
-/// Where reports come with answers, or probes are not allowed, no node is probed.
+/// No node may be probed if load reports come with responses, or if probes are not allowed.
 #[rstest]
 #[case("piggyback", true)]
 #[case("pull", false)]
-fn sends_no_probes_where_reports_come_otherwise(#[case] via: &str, #[case] allowed: bool) {
+fn sends_no_probes_unless_reports_need_them(#[case] via: &str, #[case] allowed: bool) {
     run_test(async {
         let settings = |config: &mut Value| {
             config["settings"]["Stats"] = json!({"Via": via, "Fields": ["queue"]});
@@ -92,7 +104,8 @@
     });
 }
 
-/// A settings file converted to another layout is served from: replicas are probed first, by the new layout.
+/// A broker must serve from a settings file that was converted to another layout: it must probe the replicas first,
+/// by the new layout.
 #[rstest]
 fn serves_from_a_migrated_settings_file() {
     run_test(async {
@@ -103,16 +116,16 @@
             let migrated =
                 settings_migration::migrate(config.to_string().as_bytes(), &shape, Some("west")).unwrap();
             *config = serde_json::from_str(&migrated.text).unwrap();
-            // The old deployment's nodes are not in it; discovery lists the new ones.
+            // The converted file has no nodes of the old deployment; discovery lists the new ones.
             assert!(config.get("known").is_none());
-            load_by_probe(config, 500_000.0);
+            use_load_probes(config, 500_000.0);
         };
         let mut cluster = TestCluster::start_with(2, migrate, |_| ()).await;
-        let members: Vec<Value> = (0..2).map(|at| member(&cluster.nodes, at, "ready")).collect();
+        let members: Vec<Value> = (0..2).map(|index| member(&cluster.nodes, index, "ready")).collect();
         cluster.discovery.next_request().await;
         cluster.discovery.reply(snapshot(7, &members));
         wait_until(|| cluster.broker.engine.can_serve()).await;
-        // Shard 3 is held by replica group 3 mod 2 alone.
+        // By the new layout only placement group 3 mod 2 = 1 holds shard 3.
         let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         let (node, connection, event) = cluster.next_event().await;
         assert_eq!((node, event), (1, PeerEvent::LoadProbe));
--- a/crates/broker/tests/sockets/main.rs
+++ b/crates/broker/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The broker on loopback sockets, among test peers.
+//! Integration tests of the broker on loopback sockets, with test clients and scripted or emulated nodes and
+//! discovery.
 
 mod bad_requests;
 mod client_connections;
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -1,4 +1,4 @@
-//! A query from its request to its response: batches, retries, cancellation.
+//! Queries from request to response: batches, retries, cancellation.
 
 use super::test_peers::*;
 use rstest::rstest;
@@ -34,7 +34,8 @@
     });
 }
 
-/// Attempts of one turn to one node share a batch, across queries; turns are the period apart.
+/// Attempts of one engine turn to one node must share a batch, across queries; consecutive turns are a period
+/// apart.
 #[rstest]
 fn attempts_of_one_turn_share_a_batch() {
     run_test(async {
@@ -54,21 +55,23 @@
     });
 }
 
-/// A client disconnects while its query is open. Without a cancel its node would work for nobody until the
-/// timeout. The attempt must be cancelled at the node, a late response must be dropped, and the connection must
-/// stay usable.
+/// Guards against a node that works until the timeout for a client that has disconnected while its query is open.
+/// The attempt must be cancelled at the node, a late response must be dropped, and the connection must stay usable.
 #[rstest]
 fn cancels_attempts_when_the_client_disconnects() {
     run_test(async {
         let mut cluster = TestCluster::start(1).await;
         let client = cluster.send_query("a", "lookup", ONE_SHARD).await;
         let (node, connection, _) = cluster.next_batch().await;
-        let disconnected = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         assert_eq!(cluster.next_event().await, (node, connection, PeerEvent::Cancel("a.3".to_owned())));
-        assert!(disconnected.elapsed() < Duration::from_secs(5), "that was its time-out");
+        assert!(
+            disconnected_at.elapsed() < Duration::from_secs(5),
+            "cancelled only at the timeout of the attempt"
+        );
         assert_eq!(cluster.broker.engine.open_queries(), 0);
-        // A value that comes all the same belongs to no query; the connection is used further.
+        // A late value belongs to no query, and the connection is used again.
         cluster.nodes[node].respond(connection, "a.3", 'S', "late").await;
         let mut other = cluster.send_query("b", "lookup", ONE_SHARD).await;
         assert_eq!(cluster.next_batch().await.1, connection);
@@ -77,9 +80,9 @@
     });
 }
 
-/// An attempt fails: its connection is dropped, the node answers with an error, a bad frame, or that it is
-/// overloaded. After the frame was written it may have been executed, unless the node rejected it. A query that
-/// may run at most once must then be failed (502), any other retried on the other replica.
+/// An attempt fails: its connection is closed, or the node answers with an error, an invalid frame, or an overload
+/// rejection. A frame that was written may have been executed, unless the node rejected it. An at-most-once query
+/// must then fail (502); any other query must be retried on the other replica.
 #[rstest]
 #[case("report", "dropped", true, 200)]
 #[case("report", "error", true, 200)]
@@ -89,7 +92,7 @@
 #[case("once", "error", false, 502)]
 #[case("once", "bad frame", false, 502)]
 #[case("once", "overloaded", true, 200)]
-fn retries_as_the_outcome_allows(
+fn retries_only_if_the_outcome_allows(
     #[case] class: &str,
     #[case] outcome: &str,
     #[case] retries: bool,
@@ -122,14 +125,14 @@
     });
 }
 
-/// A node does not answer within the client's time, which runs from the first byte of the request. The client
-/// must get its rejection in time, with a `Retry-After`, and the attempt must be cancelled at the node.
+/// A node does not answer within the client's time, which runs from the first byte of the request. The client must
+/// be rejected in time, with a `Retry-After`, and the attempt must be cancelled at the node.
 #[rstest]
 fn rejects_at_the_clients_deadline_and_cancels_attempts() {
     run_test(async {
         let mut cluster = TestCluster::start(1).await;
         let mut client = cluster.client().await;
-        let began = Instant::now();
+        let started = Instant::now();
         let text = query_request("a", "lookup", 700, &body(ONE_SHARD));
         let (head, rest) = text.split_at(text.len() - 1);
         client.write(head).await;
@@ -142,14 +145,14 @@
             shard_requests[0].parameters
         );
         let reply = client.reply().await.unwrap();
-        assert!(began.elapsed() < Duration::from_millis(750), "{:?}", began.elapsed());
+        assert!(started.elapsed() < Duration::from_millis(750), "{:?}", started.elapsed());
         assert_eq!(reply.status, 503);
         assert!(reply.head.contains("retry-after: 1.5000"), "{}", reply.head);
         assert_eq!(cluster.next_event().await, (node, connection, PeerEvent::Cancel("a.3".to_owned())));
     });
 }
 
-/// Behind the admission controller, as the operator's file switches it on, queries are served as before.
+/// With admission control, as the operator's file enables it, queries must be served as they are without it.
 #[rstest]
 fn serves_behind_admission_control() {
     run_test(async {
@@ -170,15 +173,15 @@
     });
 }
 
-/// A connection is dropped with a shard request on it that may have been executed. A retry is harmless only if
-/// its class is idempotent, or if its idempotency key is still known when the last byte of the retry is sent,
-/// for which a connection may have to be made first (2 s here). Else nothing may be sent again.
+/// A connection is closed with a shard request on it that may have been executed. A retry is safe only if the class
+/// is idempotent, or if the idempotency key is still known when the last byte of the retry is sent, for which a new
+/// connection may be needed first (2 s here). Otherwise nothing may be sent again.
 #[rstest]
-#[case::safe("idempotent", 0.0, true)]
-#[case::known_by_its_id("deduplicated", 5000.0, true)]
-#[case::window_shorter_than_the_way("deduplicated", 1500.0, false)]
+#[case::idempotent("idempotent", 0.0, true)]
+#[case::key_still_known("deduplicated", 5000.0, true)]
+#[case::key_forgotten_before_the_retry_arrives("deduplicated", 1500.0, false)]
 #[case::at_most_once("at_most_once", 5000.0, false)]
-fn retries_as_the_settings_of_its_class_allow(
+fn retries_only_if_the_settings_of_the_class_allow(
     #[case] effect: &str,
     #[case] window_ms: f64,
     #[case] retries: bool,
@@ -193,18 +196,18 @@
         let (first, connection, _) = cluster.next_batch().await;
         cluster.nodes[first].close(connection);
         if retries {
-            let (second, connection, _) = cluster.next_batch_of_any().await;
+            let (second, connection, _) = cluster.next_batch_skipping_events().await;
             cluster.nodes[second].respond(connection, "a.3", 'S', "v").await;
         }
         let status = client.reply_status().await;
         assert_eq!(status == 200, retries, "{status}");
         while let Ok(received) = cluster.events.try_recv() {
-            assert!(!matches!(received.event, PeerEvent::Batch(_)), "sent once more");
+            assert!(!matches!(received.event, PeerEvent::Batch(_)), "the shard request was sent again");
         }
     });
 }
 
-/// A tenant that only another deployment has is served, without a quota of its own.
+/// A tenant that only another deployment has must be served, without a quota of its own.
 #[rstest]
 fn serves_a_tenant_that_the_settings_do_not_name() {
     run_test(async {
--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -1,6 +1,6 @@
-//! Races on connections: a close, a request or a response in the same moment as another event. Each order is
-//! forced: what the peers do is in the system's buffers before the broker is polled again. `docs/acceptance.md`
-//! lists them.
+//! Races on connections: a close, a request or a response at the same time as another event. Each order is forced:
+//! the bytes and closes of the peers are in the kernel's buffers before the broker is polled again.
+//! `docs/acceptance.md` lists these tests.
 
 use super::test_peers::*;
 use broker::engine::QueryOutcome;
@@ -12,15 +12,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A client disconnects before the first attempt of its query, with its request complete or not, and with bytes
-/// sent behind it that hide the close. An attempt after that would be work for nobody. When a node becomes
-/// known, nothing of the query may be sent.
+/// Guards against attempts for a client that has disconnected. The client disconnects before the first attempt of
+/// its query, with its request complete or incomplete, or with bytes sent after it that hide the close. When a node
+/// becomes known, nothing of the query may be sent.
 #[rstest]
-#[case::body_still_coming(false, "")]
+#[case::incomplete_body(false, "")]
 #[case::complete(true, "")]
-#[case::more_behind_it(true, "GET /_health HTTP/1.1\r\nHo")]
-#[case::much_behind_it(true, &"x".repeat(500_000))]
-fn sends_nothing_for_a_client_that_disconnected(#[case] is_complete: bool, #[case] behind: &str) {
+#[case::trailing_request(true, "GET /_health HTTP/1.1\r\nHo")]
+#[case::many_trailing_bytes(true, &"x".repeat(500_000))]
+fn sends_nothing_for_a_client_that_disconnected(#[case] is_complete: bool, #[case] trailing: &str) {
     run_test(async {
         let mut cluster =
             TestCluster::start_with(1, |config| config["known"]["members"] = json!([]), |_| ()).await;
@@ -32,15 +32,15 @@
         if is_complete {
             client.write_all(last.as_bytes()).await.unwrap();
             wait_until(|| cluster.broker.engine.open_queries() == 1).await;
-            // Once its request is handled, what comes behind it stays unread.
+            // While the request is handled, bytes after it stay unread.
             client.set_nodelay(true).unwrap();
-            let _ = client.try_write(behind.as_bytes());
+            let _ = client.try_write(trailing.as_bytes());
             sleep_ms(20).await; // so that it arrives before the close
         }
         let disconnected = Instant::now();
         drop(client);
         wait_until(|| cluster.broker.engine.open_queries() == 0).await;
-        // Its deadline would be over in 100 s, its latency objective in 8 s.
+        // The query's deadline is 100 s away, and its latency objective 8 s.
         assert!(disconnected.elapsed() < Duration::from_secs(4), "{:?}", disconnected.elapsed());
         cluster.discovery.reply(snapshot(2, &[member(&cluster.nodes, 0, "ready")]));
         wait_until(|| cluster.broker.engine.can_serve()).await;
@@ -49,30 +49,29 @@
     });
 }
 
-/// A client disconnects while its shard request waits for a connection to a node. When that connection is
-/// established, nothing may be written to it.
+/// A client disconnects while its shard request waits for a connection to a node. Nothing may be written on that
+/// connection when it is established.
 #[rstest]
 fn sends_nothing_on_a_late_connection_for_a_client_that_disconnected() {
     run_test(async {
-        let full = FullListener::bind();
-        let address = full.address;
-        let slow = |config: &mut Value| {
+        let listener = FullListener::bind();
+        let address = listener.address;
+        let use_listener = |config: &mut Value| {
             config["known"]["members"][0]["host_port"] = json!(address.to_string());
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
             config["settings"]["Limits"]["ConnIdleMs"] = json!(100.0);
         };
-        let cluster = TestCluster::start_with(1, slow, |_| ()).await;
+        let cluster = TestCluster::start_with(1, use_listener, |_| ()).await;
         let client = cluster.send_query("gone", "lookup", ONE_SHARD).await;
         wait_until(|| cluster.broker.engine.in_flight_count() == 1).await;
         drop(client);
         wait_until(|| cluster.broker.engine.in_flight_count() == 0).await;
-        assert_eq!(full.read_after_fillers().await, b"");
+        assert_eq!(listener.read_after_fillers().await, b"");
     });
 }
 
-/// A client pipelines a second request behind one with `Connection: close`. No response to the second could
-/// follow, so forwarding it would execute a query whose client never learns of it. Nothing of it may be sent to
-/// a node.
+/// Guards against executing a query whose client can get no response. A client pipelines a second request after one
+/// with `Connection: close`. Nothing of the second request may be sent to a node.
 #[rstest]
 fn forwards_nothing_after_the_last_response() {
     run_test(async {
@@ -92,27 +91,27 @@
     });
 }
 
-/// A node closes an idle connection in the moment in which a batch is queued on it. Written there the batch
-/// would be lost, and count as an attempt. Nothing was written, so it must go on another connection, even where
-/// the query may run at most once and only one attempt is allowed.
+/// Guards against writing a batch to a connection that its node has just closed as idle, which would lose the batch
+/// and count as an attempt. Nothing was written, so the batch must use another connection, even if the query is
+/// at-most-once and only one attempt is allowed.
 #[rstest]
-fn a_batch_that_meets_the_close_of_an_idle_connection_uses_another() {
+fn a_batch_uses_another_connection_when_an_idle_one_closes() {
     run_test(async {
         let one_attempt = |config: &mut Value| config["settings"]["Limits"]["MaxAttempts"] = json!(1);
         let mut cluster = TestCluster::start_with(1, one_attempt, |_| ()).await;
         for round in 0..5 {
             let mut client = cluster.send_query("a", "lookup", ONE_SHARD).await;
-            let (_, connection, _) = cluster.next_batch_of_any().await;
+            let (_, connection, _) = cluster.next_batch_skipping_events().await;
             cluster.nodes[0].respond(connection, "a.3", 'S', "v").await;
             assert_eq!(client.reply_status().await, 200, "round {round}");
             wait_until(|| cluster.broker.engine.in_flight_count() == 0).await;
-            sleep_ms(20).await; // turns are 5 ms apart: the next is at once
-            // The system knows of the close, the broker does not yet.
+            sleep_ms(20).await; // turns are 5 ms apart, so the next one runs at once
+            // The kernel has received the close, but the broker has not read it yet.
             cluster.nodes[0].close(connection);
             let accepted =
                 cluster.broker.engine.submit(engine_query("once", 2, Bytes::from_static(b"q"))).unwrap();
             let outcome = actix_rt::spawn(accepted.outcome());
-            let (_, connection, _) = cluster.next_batch_of_any().await;
+            let (_, connection, _) = cluster.next_batch_skipping_events().await;
             cluster.nodes[0].respond(connection, "once.3", 'S', "v").await;
             let outcome = within_timeout(outcome).await.unwrap();
             assert!(
@@ -123,7 +122,7 @@
     });
 }
 
-/// A listener whose connections buffer few bytes.
+/// Returns a listener whose connections have small receive buffers.
 fn listen_with_small_buffer() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
@@ -133,7 +132,7 @@
     TcpListener::from_std(socket.into()).unwrap()
 }
 
-/// The ids of the queries whose batches are complete, and the bytes of a frame that is not.
+/// Returns the ids of the queries whose batches are complete, and the bytes of the last, incomplete frame.
 fn read_batch_ids(received: &[u8]) -> (Vec<String>, &[u8]) {
     let (mut ids, mut rest) = (Vec::new(), received);
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
@@ -149,9 +148,9 @@
     (ids, rest)
 }
 
-/// A node stops reading in the middle of a frame, and reads on after the attempt's write deadline. Completed
-/// then, the frame would be executed although its query was rejected and may have been sent again. The
-/// connection must be closed with the frame incomplete.
+/// Guards against executing a query that was rejected and may have been retried. A node stops reading in the middle
+/// of a frame, and continues after the attempt's write deadline. The connection must be closed with the frame
+/// incomplete.
 #[rstest]
 fn a_partly_written_frame_is_never_completed_after_its_deadline() {
     run_test(async {
@@ -173,13 +172,14 @@
             outcomes.push((id, actix_rt::spawn(one.outcome())));
         }
         let (mut connection, _) = within_timeout(node.accept()).await.unwrap();
-        // The first is complete and never answered: its end shows the close. By then nothing was read.
+        // The first frame is complete and never answered, so the end of its query shows that the connection was
+        // closed. Until then the node has read nothing.
         let (_, outcome) = outcomes.remove(0);
         let outcome = within_timeout(outcome).await.unwrap();
         assert!(matches!(outcome, QueryOutcome::Failed), "{outcome:?}");
         assert!(
             sent.elapsed() < Duration::from_secs(3),
-            "its deadline was over after 0.3 s: {:?}",
+            "the write deadline of 0.3 s took effect only after {:?}",
             sent.elapsed()
         );
         let (mut received, mut rejected) = (Vec::new(), Vec::new());
@@ -193,6 +193,9 @@
         }
         let (complete_ids, rest) = read_batch_ids(&received);
         assert!(!rest.is_empty(), "the last frame was completed after its deadline");
-        assert!(rejected.iter().all(|id| !complete_ids.contains(&(*id).to_owned())), "rejected, and sent");
+        assert!(
+            rejected.iter().all(|id| !complete_ids.contains(&(*id).to_owned())),
+            "a rejected query was sent to the node"
+        );
     });
 }
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -1,10 +1,10 @@
-//! A soak test, by seed. Brokers are restarted, with SIGTERM in series and SIGKILL as early as the pages allow;
-//! processes are paused; nodes drain, crash and return; watches fall silent; some runs have a crowd of idle
-//! clients. Clients use their open connections until they are closed. A fault shows as a request without a
-//! final response, as a query that ran twice though it may run at most once, or as a shard request sent to a
-//! draining node. None of these may happen, whatever the order of events.
+//! A soak test with random faults, chosen by seed. Brokers are restarted, with several SIGTERM and SIGHUP signals
+//! in a row and SIGKILL as early as the specification allows; processes are paused; nodes drain, crash and return;
+//! watches become unresponsive; some runs hold many idle client connections. Clients use their connections until
+//! the broker closes them. The test fails on a request without a final response, an at-most-once query that ran
+//! twice, or a shard request sent to a draining node; none of these may happen in any order of the events.
 //!
-//! `SOAK_SEEDS=1..51` plays other seeds than the two of CI.
+//! `SOAK_SEEDS=1..51` runs other seeds than the two of CI.
 
 use super::test_peers::*;
 use fastrand::Rng;
@@ -19,49 +19,49 @@
 use std::time::{Duration, Instant};
 use tempfile::NamedTempFile;
 
-/// The seeds that CI plays.
+/// The seeds that run in CI.
 const CI_SEEDS: Range<u64> = 1..3;
-/// How long one seed is played.
+/// The duration of the run of one seed.
 const DURATION: Duration = Duration::from_secs(10);
 const BROKERS: usize = 2;
 const NODES: usize = 4;
 const CLIENTS: usize = 8;
-/// Idle connections in the runs with a crowd.
-const CROWD: usize = 150;
-/// The work of a shard request at the nodes, in microseconds.
+/// The number of idle client connections in the runs that hold them.
+const IDLE_CONNECTIONS: usize = 150;
+/// The processing time of a shard request at a node, in microseconds.
 const WORK_US: u64 = 5000;
-/// The first letter of ids of queries that may run at most once.
-const ONCE: char = 'o';
-/// How long a process is paused, in milliseconds.
-const HOLD_UP_MS: u64 = 150;
-/// SIGKILL comes this long after SIGTERM and the longest deadline.
+/// The first letter of the ids of at-most-once queries.
+const AT_MOST_ONCE_PREFIX: char = 'o';
+/// The time for which a process is paused, in milliseconds.
+const PAUSE_MS: u64 = 150;
+/// The time from SIGTERM to SIGKILL beyond the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// How late a final response may be; half of it is for a busy machine.
-const ANSWER_SLACK: Duration = Duration::from_millis(1000);
-/// The drain grace on sockets, and what a busy machine may add.
+/// The time after its deadline within which a final response must come; half of it is for a busy machine.
+const RESPONSE_SLACK: Duration = Duration::from_millis(1000);
+/// The drain grace period on sockets, plus an allowance for a busy machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 400);
 
-/// One broker: the process that takes new connections, and what it is started from.
+/// A broker, which is a sequence of processes with the same config.
 struct Broker {
     address: Cell<SocketAddr>,
     config: NamedTempFile,
 }
 
-/// One run: the brokers, nodes and discovery, and what became of the requests.
+/// The state of one run: brokers, nodes, discovery, and the outcomes of the requests.
 struct Soak {
     seed: u64,
     deadline: Duration,
-    until: Instant,
+    end: Instant,
     brokers: Vec<Broker>,
     nodes: Vec<NodeServer>,
     discovery: DiscoveryCatalog,
     discovery_address: String,
-    /// Requests that ended without a complete response, and how.
-    lost: RefCell<Vec<String>>,
-    /// Requests whose open connection was closed without a response, and that were sent again under another id. No node
-    /// may have received the first.
-    sent_again: RefCell<BTreeSet<String>>,
-    answered: RefCell<BTreeMap<u16, usize>>,
+    /// Descriptions of requests that ended without a complete response.
+    unanswered: RefCell<Vec<String>>,
+    /// Ids of requests on reused connections that were closed without a response. Each request was retried under
+    /// another id, and no node may have received the first one.
+    retried: RefCell<BTreeSet<String>>,
+    responses_by_status: RefCell<BTreeMap<u16, usize>>,
 }
 
 impl Soak {
@@ -72,28 +72,28 @@
         let discovery = DiscoveryCatalog::start().await.unwrap();
         let discovery_address = discovery.address.to_string();
         let deadline = Duration::from_millis(if seed.is_multiple_of(2) { 700 } else { 2000 });
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let start_broker =
-            |_| Broker { address: Cell::new(nowhere), config: config_file(&discovery_address, deadline) };
+            |_| Broker { address: Cell::new(unset), config: config_file(&discovery_address, deadline) };
         let brokers = (0..BROKERS).map(start_broker).collect();
-        let until = Instant::now() + DURATION;
+        let end = Instant::now() + DURATION;
         let soak = Soak {
             seed,
             deadline,
-            until,
+            end,
             brokers,
             nodes,
             discovery,
             discovery_address,
-            lost: RefCell::default(),
-            sent_again: RefCell::default(),
-            answered: RefCell::default(),
+            unanswered: RefCell::default(),
+            retried: RefCell::default(),
+            responses_by_status: RefCell::default(),
         };
-        (0..NODES).for_each(|node| soak.list_node(node, "ready"));
+        (0..NODES).for_each(|node| soak.set_node_phase(node, "ready"));
         Rc::new(soak)
     }
 
-    fn list_node(&self, node: usize, phase: &str) {
+    fn set_node_phase(&self, node: usize, phase: &str) {
         let id = format!("s-{node}");
         let entry = json!({"id": id, "host_port": self.nodes[node].address.to_string(), "locality": "hall",
             "flavor": "std", "cell": node, "phase": phase, "size": 1.0, "up_since_ms": 0});
@@ -101,29 +101,29 @@
     }
 
     fn is_over(&self) -> bool {
-        Instant::now() >= self.until
+        Instant::now() >= self.end
     }
 
-    /// Starts a process for a broker; new connections go to it once it is ready.
+    /// Starts a process for a broker, and directs new connections to it once it is ready.
     async fn start_process(&self, broker: usize) -> Process {
         let process = Process::start(self.brokers[broker].config.path(), &self.discovery_address);
         process.discard_log();
         within_timeout(async {
-            while !is_ready(process.listens).await {
+            while !is_ready(process.listen_address).await {
                 sleep_ms(10).await;
             }
         })
         .await;
-        self.brokers[broker].address.set(process.listens);
+        self.brokers[broker].address.set(process.listen_address);
         process
     }
 
-    /// Restarts a broker again and again: its successor is ready before SIGTERM, and SIGKILL comes as early as allowed.
+    /// Restarts a broker repeatedly. Each successor is ready before SIGTERM, and SIGKILL comes as early as allowed.
     async fn restart_broker(&self, broker: usize, mut process: Process, mut rng: Rng) {
         while !self.is_over() {
             sleep_ms(rng.u64(200..1500)).await;
             process.signal("STOP");
-            sleep_ms(HOLD_UP_MS).await;
+            sleep_ms(PAUSE_MS).await;
             process.signal("CONT");
             let successor = self.start_process(broker).await;
             let signalled_at = Instant::now();
@@ -133,13 +133,17 @@
             }
             tokio::time::sleep_until((signalled_at + self.deadline + KILL_MARGIN).into()).await;
             let code = process.kill();
-            assert!(matches!(code, None | Some(0)), "seed {}: exit code {code:?}", self.seed);
+            assert!(
+                matches!(code, None | Some(0)),
+                "seed {}: expected exit code 0 or SIGKILL, found {code:?}",
+                self.seed
+            );
             process = successor;
         }
     }
 
-    /// Nodes drain, crash and restart; watches fall silent.
-    async fn disturb_nodes(&self, mut rng: Rng) {
+    /// Injects faults until the run is over: drains or crashes a node, or makes discovery unresponsive.
+    async fn inject_faults(&self, mut rng: Rng) {
         while !self.is_over() {
             sleep_ms(rng.u64(100..700)).await;
             let node = rng.usize(0..NODES);
@@ -159,83 +163,91 @@
         }
     }
 
-    /// A node drains: past the drain grace it receives nothing new.
+    /// Drains a node, and checks that the node receives no shard request after the drain grace period.
     async fn drain_node(&self, node: usize) {
-        self.list_node(node, "draining");
+        self.set_node_phase(node, "draining");
         tokio::time::sleep(DRAIN_GRACE).await;
         let before = self.nodes[node].received().len();
         sleep_ms(300).await;
         let after = self.nodes[node].received().len();
-        assert_eq!(before, after, "seed {}: sent to a draining node", self.seed);
-        self.list_node(node, "ready");
+        assert_eq!(
+            before, after,
+            "seed {}: a draining node received shard requests after its grace period",
+            self.seed
+        );
+        self.set_node_phase(node, "ready");
     }
 
-    /// Sends requests one after another, on a connection that is used until the broker closes it.
+    /// Sends requests one after another, and reuses the connection until the broker closes it.
     async fn run_client(&self, client: usize, mut rng: Rng) {
-        let (mut number, mut kept) = (0, None);
+        let (mut number, mut open_connection) = (0, None);
         while !self.is_over() {
             number += 1;
-            let (class, kind) = if rng.u32(0..4) == 0 { ("once", ONCE) } else { ("lookup", 'l') };
-            let id = format!("{kind}{}x{client}x{number}", self.seed);
-            kept = self.exchange(&id, class, kept, rng.usize(0..BROKERS)).await;
+            let (class, id_prefix) =
+                if rng.u32(0..4) == 0 { ("once", AT_MOST_ONCE_PREFIX) } else { ("lookup", 'l') };
+            let id = format!("{id_prefix}{}x{client}x{number}", self.seed);
+            open_connection = self.exchange(&id, class, open_connection, rng.usize(0..BROKERS)).await;
             if rng.u32(0..20) == 0 {
-                kept = None;
+                open_connection = None;
             }
             sleep_ms(rng.u64(0..10)).await;
         }
     }
 
-    /// One request to its final response; returns the connection, if it stays open.
+    /// Sends one request and waits for its final response. Returns the connection if it stays open.
     async fn exchange(
         &self,
         id: &str,
         class: &str,
-        kept: Option<HttpClient>,
+        open_connection: Option<HttpClient>,
         broker: usize,
     ) -> Option<HttpClient> {
-        if let Some(mut connection) = kept {
+        if let Some(mut connection) = open_connection {
             match self.try_exchange(&mut connection, id, class).await {
                 Ok(true) => return Some(connection),
                 Ok(false) => return None,
-                // The broker closed it while the request was on its way.
-                Err(()) => _ = self.sent_again.borrow_mut().insert(id.to_owned()),
+                // The broker closed the connection while the request was on its way.
+                Err(()) => _ = self.retried.borrow_mut().insert(id.to_owned()),
             }
         }
         let address = self.brokers[broker].address.get();
         let Ok(mut connection) = HttpClient::connect(address).await else { return None };
-        let again = format!("{id}a");
-        match self.try_exchange(&mut connection, &again, class).await {
+        let retry_id = format!("{id}a");
+        match self.try_exchange(&mut connection, &retry_id, class).await {
             Ok(is_open) => is_open.then_some(connection),
             Err(()) => {
-                self.lost.borrow_mut().push(format!("{again}: closed with no answer on a new connection"));
+                self.unanswered
+                    .borrow_mut()
+                    .push(format!("{retry_id}: new connection closed without a response"));
                 None
             }
         }
     }
 
-    /// Whether the connection stays open; `Err`: it ended without a complete response.
+    /// Sends one request and returns whether the connection stays open; returns an error if the connection ended
+    /// without a complete response.
     async fn try_exchange(&self, connection: &mut HttpClient, id: &str, class: &str) -> Result<bool, ()> {
         let time_left_ms = self.deadline.as_millis() as u64;
         connection.write(&query_request(id, class, time_left_ms, &body(TWO_SHARDS))).await.map_err(|_| ())?;
-        let time_limit = self.deadline + ANSWER_SLACK;
+        let time_limit = self.deadline + RESPONSE_SLACK;
         let Ok(response) = tokio::time::timeout(time_limit, connection.read_response()).await else {
-            self.lost.borrow_mut().push(format!("{id}: no answer in its time"));
+            self.unanswered.borrow_mut().push(format!("{id}: no response within its deadline"));
             return Ok(false);
         };
         let response = response.ok_or(())?;
-        *self.answered.borrow_mut().entry(response.status).or_default() += 1;
+        *self.responses_by_status.borrow_mut().entry(response.status).or_default() += 1;
         Ok(!response.head.contains("connection: close"))
     }
 
-    /// Holds idle connections, and replaces those that are closed.
-    async fn run_crowd(&self) {
+    /// Holds idle connections, and replaces the oldest one when there are too many.
+    async fn hold_idle_connections(&self) {
         let mut idle = Vec::new();
         while !self.is_over() {
             let address = self.brokers[0].address.get();
             if let Ok(connection) = HttpClient::connect(address).await {
                 idle.push(connection);
             }
-            if idle.len() > CROWD {
+            if idle.len() > IDLE_CONNECTIONS {
                 idle.remove(0);
             }
             sleep_ms(10).await;
@@ -244,24 +256,36 @@
 
     fn check(&self) {
         let seed = self.seed;
-        let mut lost = self.lost.borrow().clone();
+        let mut unanswered = self.unanswered.borrow().clone();
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for request in self.nodes.iter().flat_map(NodeServer::received) {
             let query = request.id.split('.').next().unwrap_or_default();
-            if self.sent_again.borrow().contains(query) {
-                lost.push(format!("{}: forwarded, and its connection closed with no answer", request.id));
+            if self.retried.borrow().contains(query) {
+                unanswered.push(format!(
+                    "{}: forwarded to a node, but its connection was closed without a response",
+                    request.id
+                ));
             }
-            if request.state == NodeState::Ready && request.id.starts_with(ONCE) {
+            if request.state == NodeState::Ready && request.id.starts_with(AT_MOST_ONCE_PREFIX) {
                 *runs.entry(request.id).or_default() += 1;
             }
         }
         runs.retain(|_, runs| *runs > 1);
-        assert!(runs.is_empty(), "seed {seed}: run more than once {runs:#?}");
-        assert!(lost.is_empty(), "seed {seed}: lost {lost:#?}");
-        let answered = self.answered.borrow();
-        println!("seed {seed}: {answered:?}, {} sent again", self.sent_again.borrow().len());
-        let served = answered.get(&200).copied().unwrap_or_default();
-        assert!(2 * served > answered.values().sum(), "seed {seed}: {answered:?}");
+        assert!(
+            runs.is_empty(),
+            "seed {seed}: at-most-once shard requests that ran more than once: {runs:#?}"
+        );
+        assert!(unanswered.is_empty(), "seed {seed}: requests without a final response: {unanswered:#?}");
+        let responses_by_status = self.responses_by_status.borrow();
+        println!(
+            "seed {seed}: responses by status {responses_by_status:?}, {} requests retried",
+            self.retried.borrow().len()
+        );
+        let served = responses_by_status.get(&200).copied().unwrap_or_default();
+        assert!(
+            2 * served > responses_by_status.values().sum(),
+            "seed {seed}: at most half of the responses have status 200: {responses_by_status:?}"
+        );
     }
 }
 
@@ -287,7 +311,7 @@
     file
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let soak = Soak::start(seed).await;
     let mut processes = Vec::new();
@@ -299,12 +323,12 @@
     let restarts = processes.into_iter().enumerate();
     let restarts = restarts.map(|(broker, process)| soak.restart_broker(broker, process, rng.fork()));
     let restarts = futures_util::future::join_all(restarts.collect::<Vec<_>>());
-    let crowd = async {
+    let idle_connections = async {
         if seed.is_multiple_of(3) {
-            soak.run_crowd().await;
+            soak.hold_idle_connections().await;
         }
     };
-    tokio::join!(clients, restarts, soak.disturb_nodes(rng.fork()), crowd);
+    tokio::join!(clients, restarts, soak.inject_faults(rng.fork()), idle_connections);
     soak.check();
 }
 
@@ -314,10 +338,11 @@
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-/// Everything at once breaks: see the top of the file. Each request must have its one final response.
+/// Guards against requests without a final response under the combined faults that the module documentation
+/// describes.
 #[rstest]
-fn every_request_is_answered() {
+fn every_request_gets_a_final_response() {
     for seed in seeds() {
-        run_test(play(seed));
+        run_test(run_seed(seed));
     }
 }
--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -1,4 +1,4 @@
-//! A broker among the scripted peers of `node_emulator`, and the exchanges that tests share.
+//! A broker among the scripted peers of `node_emulator`, and helpers that the tests share.
 
 pub use super::test_process::Process;
 use broker::engine::{QueryRequest, RequestedShard};
@@ -17,20 +17,20 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 
-/// Shards and weights of a query.
+/// The shards of a query, each with its weight.
 pub const TWO_SHARDS: &[(u32, f64)] = &[(3, 0.5), (9, 0.5)];
 pub const ONE_SHARD: &[(u32, f64)] = &[(3, 1.0)];
 
 pub const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Runs a test on a runtime like the program's.
+/// Runs a test on an `actix_rt` runtime, as the program has.
 pub fn run_test(test: impl Future<Output = ()>) {
     actix_rt::Runtime::new().unwrap().block_on(test);
 }
 
-/// Waits for what must come, long enough for a busy machine; panics if it does not.
+/// Awaits `future`; panics after 30 s, which is long enough for a busy machine.
 pub async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(30), future).await.expect("it never came")
+    tokio::time::timeout(Duration::from_secs(30), future).await.expect("timed out after 30 s")
 }
 
 pub async fn sleep_ms(ms: u64) {
@@ -47,14 +47,14 @@
     .await;
 }
 
-/// What a client reads up to the end of its connection; an error is a reset.
+/// Reads from a connection until its end; panics if the connection is reset.
 pub async fn read_to_end(mut client: TcpStream) -> String {
     let mut text = String::new();
-    within_timeout(client.read_to_string(&mut text)).await.expect("a reset");
+    within_timeout(client.read_to_string(&mut text)).await.expect("connection reset before its end");
     text
 }
 
-/// A query as the HTTP server hands it to the engine.
+/// Returns a query as the HTTP server submits it to the engine.
 pub fn engine_query(id: &'static str, class: u16, text: Bytes) -> QueryRequest {
     QueryRequest {
         id: Bytes::from_static(id.as_bytes()),
@@ -68,7 +68,8 @@
     }
 }
 
-/// A listener whose queue is full: a further connection is established when one in the queue was accepted.
+/// A listener whose accept queue is full: a further connection is established only after one in the queue was
+/// accepted.
 pub struct FullListener {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -86,7 +87,7 @@
         FullListener { address, listener, fillers }
     }
 
-    /// Accepts what fills the queue, and then one more.
+    /// Accepts the connections that fill the queue, and returns the next one.
     pub async fn accept_after_fillers(self) -> TcpStream {
         for _ in self.fillers {
             within_timeout(self.listener.accept()).await.unwrap();
@@ -94,7 +95,7 @@
         within_timeout(self.listener.accept()).await.unwrap().0
     }
 
-    /// All bytes that come on that connection.
+    /// Accepts the connections that fill the queue, and returns all bytes received on the next one.
     pub async fn read_after_fillers(self) -> Vec<u8> {
         let mut connection = self.accept_after_fillers().await;
         let mut received = Vec::new();
@@ -103,34 +104,34 @@
     }
 }
 
-/// A broker with its peers. Every node holds every shard.
+/// A broker with its nodes and its discovery. Every node holds every shard.
 pub struct TestCluster {
     pub broker: Running,
     pub nodes: Vec<ScriptedNode>,
     pub discovery: Discovery,
-    /// What nodes received: which node, on which connection, what.
+    /// The events at the nodes, each with the index of the node and of the connection.
     pub events: mpsc::UnboundedReceiver<ReceivedEvent>,
 }
 
-/// A node's entry in an endpoint list.
-pub fn member(nodes: &[ScriptedNode], at: usize, phase: &str) -> Value {
-    json!({"id": format!("s-{at}"), "host_port": nodes[at].address.to_string(), "locality": "hall",
-        "flavor": "std", "cell": at, "phase": phase, "size": 1.0, "up_since_ms": 0})
+/// Returns the entry of a node in an endpoint list.
+pub fn member(nodes: &[ScriptedNode], index: usize, phase: &str) -> Value {
+    json!({"id": format!("s-{index}"), "host_port": nodes[index].address.to_string(), "locality": "hall",
+        "flavor": "std", "cell": index, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// A snapshot of an endpoint list.
+/// Returns a snapshot of an endpoint list.
 pub fn snapshot(revision: u64, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": true, "members": members})
 }
 
-/// A config file. Of its classes `report` allows partial responses, and `once` runs at most once. Discovery is shared, so
-/// the broker serves by the cached list until discovery answers.
+/// Returns a config file. Its class `report` allows partial responses, and its class `once` is at-most-once. The
+/// registry mode is `subscribe`, so the broker serves by the cached list until discovery answers.
 pub fn config(nodes: &[ScriptedNode], discovery: &str) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "OnTimeMs": 8000.0, "DeadlineMs": 16000.0, "Worth": 1.0, "LateShare": 0.1,
             "Effect": effect, "DedupWindowMs": 5000.0})
     };
-    let members: Vec<Value> = (0..nodes.len()).map(|at| member(nodes, at, "ready")).collect();
+    let members: Vec<Value> = (0..nodes.len()).map(|index| member(nodes, index, "ready")).collect();
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 1, "complete": true, "members": members},
@@ -146,24 +147,24 @@
                 "WarmUpMs": 17000.0, "OverloadFactor": 3.0, "OverloadForMs": 1000.0}}})
 }
 
-/// Makes discovery a local agent.
+/// Sets the registry mode to `automatic`, in which discovery is a local agent.
 pub fn use_local_agent(config: &mut Value) {
     config["settings"]["RegistryMode"] = json!("automatic");
 }
 
 impl TestCluster {
-    pub async fn start(nodes: usize) -> TestCluster {
-        TestCluster::start_with(nodes, |_| (), |_| ()).await
+    pub async fn start(node_count: usize) -> TestCluster {
+        TestCluster::start_with(node_count, |_| (), |_| ()).await
     }
 
-    /// With changes to the config file, and to what was read of it.
+    /// Starts a cluster with changes to the config file and to the startup configuration that was read from it.
     pub async fn start_with(
-        nodes: usize,
+        node_count: usize,
         change_config: impl FnOnce(&mut Value),
         change_startup: impl FnOnce(&mut StartupConfig),
     ) -> TestCluster {
         TestCluster::start_with_operator_config(
-            nodes,
+            node_count,
             change_config,
             change_startup,
             broker::OperatorConfig::default(),
@@ -171,7 +172,7 @@
         .await
     }
 
-    /// The same, with an operator's file.
+    /// Starts a cluster like [`TestCluster::start_with`], with an operator's file.
     pub async fn start_with_operator_config(
         node_count: usize,
         change_config: impl FnOnce(&mut Value),
@@ -180,8 +181,8 @@
     ) -> TestCluster {
         let (sender, events) = mpsc::unbounded_channel();
         let mut nodes = Vec::new();
-        for at in 0..node_count {
-            nodes.push(ScriptedNode::start(at, sender.clone()).await.unwrap());
+        for index in 0..node_count {
+            nodes.push(ScriptedNode::start(index, sender.clone()).await.unwrap());
         }
         let discovery = Discovery::start().await;
         let mut text = config(&nodes, &discovery.address().to_string());
@@ -192,22 +193,23 @@
         TestCluster { broker, nodes, discovery, events }
     }
 
-    /// The next event at any node: the node, the connection, and what was received.
+    /// Returns the next event at any node, with the index of the node and of the connection.
     pub async fn next_event(&mut self) -> (usize, usize, PeerEvent) {
         let received = within_timeout(self.events.recv()).await.unwrap();
         (received.node, received.connection, received.event)
     }
 
-    /// The next batch at any node: the node, the connection, and the shard requests. Nothing else may come before it.
+    /// Returns the shard requests of the next batch at any node, with the index of the node and of the connection;
+    /// panics if another event comes first.
     pub async fn next_batch(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         match self.next_event().await {
             (node, connection, PeerEvent::Batch(shard_requests)) => (node, connection, shard_requests),
-            other => panic!("{other:?} is no batch"),
+            other => panic!("expected a batch, received {other:?}"),
         }
     }
 
-    /// The next batch at any node; events before it are dropped.
-    pub async fn next_batch_of_any(&mut self) -> (usize, usize, Vec<ShardRequest>) {
+    /// Returns the next batch like [`TestCluster::next_batch`], but discards other events before it.
+    pub async fn next_batch_skipping_events(&mut self) -> (usize, usize, Vec<ShardRequest>) {
         loop {
             if let (node, connection, PeerEvent::Batch(shard_requests)) = self.next_event().await {
                 return (node, connection, shard_requests);
@@ -215,14 +217,14 @@
         }
     }
 
-    /// Answers a shard request of the next batch with a value; returns the node.
+    /// Answers the shard request `id` of the next batch with a value, and returns the index of the node.
     pub async fn answer_next_batch(&mut self, id: &str) -> usize {
         let (node, connection, _) = self.next_batch().await;
         self.nodes[node].respond(connection, id, 'S', "v").await;
         node
     }
 
-    /// Whether no node has received anything more.
+    /// Returns whether no event is pending; a pending event is consumed.
     pub fn has_no_event(&mut self) -> bool {
         self.events.try_recv().is_err()
     }
@@ -231,7 +233,7 @@
         Client::connect(self.broker.listens).await
     }
 
-    /// A client that has sent a query of these shards.
+    /// Connects a client and sends a query that reads `shards`; returns the client.
     pub async fn send_query(&self, id: &str, class: &str, shards: &[(u32, f64)]) -> Client {
         let mut client = self.client().await;
         client.write(&query_request(id, class, 100_000, &body(shards))).await;
@@ -239,12 +241,12 @@
     }
 }
 
-/// The body of a query that reads these shards with these weights.
+/// Returns the body of a query that reads these shards with these weights.
 pub fn body(shards: &[(u32, f64)]) -> String {
     node_emulator::query_body(shards, "c41e77d0")
 }
 
-/// A client whose errors fail the test.
+/// A client that panics on errors.
 pub struct Client {
     client: HttpClient,
 }
@@ -258,18 +260,18 @@
         self.client.write(text).await.unwrap();
     }
 
-    /// The next reply; `None`: the broker closed the connection.
+    /// Returns the next response, or `None` if the broker closed the connection.
     pub async fn reply(&mut self) -> Option<HttpResponse> {
         within_timeout(self.client.read_response()).await
     }
 
-    /// The status of the next reply.
+    /// Returns the status of the next response; panics if the broker closed the connection.
     pub async fn reply_status(&mut self) -> u16 {
         self.reply().await.unwrap().status
     }
 }
 
-/// Discovery whose requests the test answers.
+/// A discovery service whose responses the test scripts.
 pub struct Discovery {
     discovery: ScriptedDiscovery,
 }
@@ -287,7 +289,7 @@
         self.discovery.respond(body);
     }
 
-    /// The path of the next request.
+    /// Waits for the next request and returns its path.
     pub async fn next_request(&mut self) -> String {
         within_timeout(self.discovery.next_request()).await.unwrap()
     }
--- a/crates/broker/tests/sockets/test_process.rs
+++ b/crates/broker/tests/sockets/test_process.rs
@@ -1,4 +1,4 @@
-//! The program as a process, its signals and its log.
+//! A broker that runs as a separate process, with its signals and its log.
 
 use super::system_faults::SystemFaults;
 use std::cell::RefCell;
@@ -7,20 +7,20 @@
 use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// The program in a process of its own, which is killed when this is dropped.
+/// A broker process, which is killed when this value is dropped.
 pub struct Process {
-    pub listens: SocketAddr,
+    pub listen_address: SocketAddr,
     child: Child,
     log: RefCell<Option<BufReader<ChildStderr>>>,
 }
 
 impl Process {
-    /// With a config file, and a discovery that the environment names.
+    /// Starts the program with a config file and the discovery address, which is passed in the environment.
     pub fn start(config: &Path, discovery: &str) -> Process {
         Process::spawn(&mut Process::command(config, discovery))
     }
 
-    /// The same, whose system calls have these faults.
+    /// Starts the program like [`Process::start`], with faults injected into its system calls.
     pub fn start_with_faults(config: &Path, discovery: &str, faults: &SystemFaults) -> Process {
         let mut command = Process::command(config, discovery);
         faults.preload(&mut command);
@@ -36,8 +36,8 @@
     fn spawn(command: &mut Command) -> Process {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = RefCell::new(child.stderr.take().map(BufReader::new));
-        let mut process = Process { listens: SocketAddr::from(([127, 0, 0, 1], 0)), child, log };
-        process.listens = process.wait_for_log("listen_address=").parse().unwrap();
+        let mut process = Process { listen_address: SocketAddr::from(([127, 0, 0, 1], 0)), child, log };
+        process.listen_address = process.wait_for_log("listen_address=").parse().unwrap();
         process
     }
 
@@ -46,36 +46,36 @@
         assert!(Command::new("kill").args([signal, id]).status().unwrap().success());
     }
 
-    /// Reads its log to the end on a thread: a pipe that nobody reads would block the process.
+    /// Reads the log to its end on another thread, because a full pipe would block the process.
     pub fn discard_log(&self) {
         if let Some(mut log) = self.log.borrow_mut().take() {
             std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
         }
     }
 
-    /// Kills it, if it still runs; its exit code, if it had ended.
+    /// Kills the process if it is still running. Returns its exit code, or `None` if a signal ended the process.
     pub fn kill(&mut self) -> Option<i32> {
         let _ = self.child.kill();
-        self.exit()
+        self.wait()
     }
 
-    /// Waits for its end; its exit code, if it was not killed.
-    pub fn exit(&mut self) -> Option<i32> {
+    /// Waits until the process ends. Returns its exit code, or `None` if a signal ended the process.
+    pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
-    /// Reads the log up to a line with this text; what follows the text on it.
+    /// Reads the log up to the first line that contains `text`, and returns the part of that line after `text`.
     pub fn wait_for_log(&self, text: &str) -> String {
         let mut line = String::new();
         let mut log = self.log.borrow_mut();
-        let log = log.as_mut().expect("the log is read elsewhere");
+        let log = log.as_mut().expect("wait_for_log called after discard_log");
         while log.read_line(&mut line).unwrap() > 0 {
             if let Some((_, after)) = line.split_once(text) {
                 return after.trim().to_owned();
             }
             line.clear();
         }
-        panic!("the program ended without logging `{text}`");
+        panic!("process ended without logging `{text}`");
     }
 }
 
--- a/crates/broker/tests/sockets/wall_clock.rs
+++ b/crates/broker/tests/sockets/wall_clock.rs
@@ -1,5 +1,5 @@
-//! The wall clock is stepped while the program runs. Nodes' start times are given by wall clocks, so a step
-//! must not change how warm a node is taken to be.
+//! Steps of the wall clock while the program runs. Nodes publish their start times by the wall clock, so a step
+//! must not change the warm-up state that the broker assumes for a node.
 
 use super::system_faults::{Setting, SystemFaults};
 use super::test_peers::*;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
-/// The work of a shard request at the nodes.
+/// The processing time of a shard request at a node.
 const WORK: Duration = Duration::from_millis(50);
 const CLIENTS: usize = 8;
 const WINDOW: Duration = Duration::from_secs(1);
@@ -23,11 +23,11 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64
 }
 
-/// Sends queries one after another until the time is up.
-async fn send_queries(broker: SocketAddr, client_number: usize, until: Instant) {
+/// Sends queries one after another until `end`.
+async fn send_queries(broker: SocketAddr, client_number: usize, end: Instant) {
     let mut client = Client::connect(broker).await;
     let mut number = 0;
-    while Instant::now() < until {
+    while Instant::now() < end {
         number += 1;
         let id = format!("{client_number}x{number}");
         client.write(&query_request(&id, "lookup", 10_000, &body(ONE_SHARD))).await;
@@ -36,19 +36,20 @@
 }
 
 async fn send_traffic(broker: SocketAddr, first_client: usize, duration: Duration) {
-    let until = Instant::now() + duration;
-    let clients = (first_client..first_client + CLIENTS).map(|number| send_queries(broker, number, until));
+    let end = Instant::now() + duration;
+    let clients = (first_client..first_client + CLIENTS).map(|number| send_queries(broker, number, end));
     futures_util::future::join_all(clients).await;
 }
 
-/// The number of shard requests received within a window from the first one on.
-fn received_in_first_window(node: &NodeServer) -> usize {
+/// Returns the number of shard requests that the node received within [`WINDOW`] after the first one.
+fn count_received_in_first_window(node: &NodeServer) -> usize {
     let received = node.received();
-    let until = received.first().map(|first| first.at.0 + WINDOW.as_micros() as i64 / 100);
-    received.iter().filter(|request| Some(request.at.0) <= until).count()
+    let end = received.first().map(|first| first.at.0 + WINDOW.as_micros() as i64 / 100);
+    received.iter().filter(|request| Some(request.at.0) <= end).count()
 }
 
-/// A process with one warm node, whose clock is then stepped; a second node starts by the stepped clock.
+/// A broker process with one warm node, whose wall clock is then stepped, and a second node that starts after the
+/// step.
 struct SteppedBroker {
     process: Process,
     nodes: [NodeServer; 2],
@@ -75,12 +76,12 @@
     assert_eq!(discovery.next_request().await, "/catalog/members");
     discovery.reply(snapshot(1, &[entry(0, 0)]));
     assert_eq!(discovery.next_request().await, "/catalog/members?after=1&wait_ms=4000");
-    // Latencies are measured before the cold node starts.
-    send_traffic(process.listens, 0, WINDOW).await;
+    // The broker measures latencies before the cold node starts.
+    send_traffic(process.listen_address, 0, WINDOW).await;
     faults.set(Setting::ClockStepMs, step_ms);
     let started = entry(1, wall_clock_ms() + step_ms);
     discovery.reply(json!({"revision": 2, "complete": false, "members": [started]}));
-    // The next watch shows that the list was used; a watch that timed out may come before it.
+    // The next watch shows that the list is in use; a watch that timed out may come before it.
     within_timeout(async {
         while discovery.next_request().await != "/catalog/members?after=2&wait_ms=4000" {}
     })
@@ -88,34 +89,41 @@
     SteppedBroker { process, nodes, _discovery: discovery, _faults: faults, _config: file }
 }
 
-/// The wall clock is stepped back by an hour, and a node starts: its start time lies an hour in the past by the
-/// broker's own count. Taken as warm, the cold node would be given a full share and collapse. It must get no
-/// more in its first window than the settings allow a warming node, 3 times a fifth of the window in shard
-/// requests of mean work.
+/// Guards against treating a cold node as warm, which would give it a full share of the traffic and make it
+/// collapse. The wall clock is stepped back by an hour before the node starts, so by the broker's own count the
+/// start time lies an hour in the past. In its first window the node must receive no more than the settings allow a
+/// warming node: 3 times a fifth of the window, in shard requests of mean work.
 #[rstest]
-fn a_clock_stepped_back_makes_no_cold_node_warm() {
+fn a_cold_node_stays_cold_when_the_clock_is_stepped_back() {
     run_test(async {
         let stepped = start_and_step(-HOUR_MS, 17_000.0).await;
-        send_traffic(stepped.process.listens, CLIENTS, 2 * WINDOW).await;
+        send_traffic(stepped.process.listen_address, CLIENTS, 2 * WINDOW).await;
         let allowed = 3.0 * 0.2 * WINDOW.as_secs_f64() / WORK.as_secs_f64();
         let bound = allowed + 3.0 * (allowed + 3.0).sqrt();
-        let received = received_in_first_window(&stepped.nodes[1]);
-        assert!(received as f64 <= bound, "{received} in its first second, {bound} are allowed");
+        let received = count_received_in_first_window(&stepped.nodes[1]);
+        assert!(
+            received as f64 <= bound,
+            "the cold node received {received} shard requests in its first second, at most {bound} are allowed"
+        );
         assert!(received > 0);
     });
 }
 
-/// The wall clock is stepped forward by an hour, and a node starts: its start time lies an hour ahead. Taken as
-/// not yet started, it would stay unused for an hour. It must get its share of the traffic once its warm-up is
-/// over.
+/// Guards against treating a node as not yet started, which would leave it unused for an hour. The wall clock is
+/// stepped forward by an hour before the node starts, so the start time lies an hour ahead. The node must get its
+/// share of the traffic once its warm-up is over.
 #[rstest]
-fn a_clock_stepped_forward_keeps_no_node_cold() {
+fn a_node_warms_up_when_the_clock_is_stepped_forward() {
     run_test(async {
         let stepped = start_and_step(HOUR_MS, 1500.0).await;
-        send_traffic(stepped.process.listens, CLIENTS, 2 * WINDOW).await;
+        send_traffic(stepped.process.listen_address, CLIENTS, 2 * WINDOW).await;
         let before = stepped.nodes.each_ref().map(|node| node.received().len());
-        send_traffic(stepped.process.listens, 2 * CLIENTS, WINDOW).await;
+        send_traffic(stepped.process.listen_address, 2 * CLIENTS, WINDOW).await;
         let [warm, new] = [0, 1].map(|at| stepped.nodes[at].received().len() - before[at]);
-        assert!(4 * new >= warm + new, "{new} of {} after its warm-up", warm + new);
+        assert!(
+            4 * new >= warm + new,
+            "the new node received {new} of {} shard requests after its warm-up",
+            warm + new
+        );
     });
 }
