--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -2,7 +2,7 @@
 
 pub use super::test_process::Process;
 use broker::engine::{QueryRequest, RequestedShard};
-use broker::{Running, StartupConfig};
+use broker::{RunningBroker, StartupConfig};
 use bytes::Bytes;
 use node_emulator::{HttpClient, ScriptedDiscovery};
 pub use node_emulator::{
@@ -106,7 +106,7 @@
 
 /// A broker with its nodes and its discovery. Every node holds every shard.
 pub struct TestCluster {
-    pub broker: Running,
+    pub broker: RunningBroker,
     pub nodes: Vec<ScriptedNode>,
     pub discovery: Discovery,
     /// The events at the nodes, each with the index of the node and of the connection.
@@ -230,7 +230,7 @@
     }
 
     pub async fn client(&self) -> Client {
-        Client::connect(self.broker.listens).await
+        Client::connect(self.broker.listen_address).await
     }
 
     /// Connects a client and sends a query that reads `shards`; returns the client.
