--- a/crates/broker/tests/command.rs
+++ b/crates/broker/tests/command.rs
@@ -147,16 +147,16 @@
 /// that are not carried over.
 #[rstest]
 fn reshape_converts_a_file() {
-    let mut old = config(&settings());
-    old["settings"]["HostTypes"] = json!(["standard"]);
-    old["known"] = json!({"revision": 1, "complete": true, "members": []});
-    let (dir, path) = write_file("config.json", &old.to_string());
-    let new = dir.path().join("new.json");
-    let to = new.to_str().unwrap();
+    let mut old_config = config(&settings());
+    old_config["settings"]["HostTypes"] = json!(["standard"]);
+    old_config["known"] = json!({"revision": 1, "complete": true, "members": []});
+    let (dir, path) = write_file("config.json", &old_config.to_string());
+    let new_path = dir.path().join("new.json");
+    let target = new_path.to_str().unwrap();
     let dry_run =
-        shard_broker(&["reshape", &path, "--shape", &shipped_shape_file(), "--to", to, "--dry-run"]);
+        shard_broker(&["reshape", &path, "--shape", &shipped_shape_file(), "--to", target, "--dry-run"]);
     let stdout = String::from_utf8(dry_run.stdout).unwrap();
-    assert_eq!((dry_run.status.code(), new.exists()), (Some(0), false), "{stdout}");
+    assert_eq!((dry_run.status.code(), new_path.exists()), (Some(0), false), "{stdout}");
     for key in ["`HostTypes`", "`known`", "nothing was written"] {
         assert!(stdout.contains(key), "{key} not in {stdout}");
     }
@@ -168,14 +168,14 @@
         "--zone",
         "mantova",
         "--to",
-        to,
+        target,
         "--json",
     ]);
     let report: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!((&report["written"], report["left"].as_array().unwrap().len()), (&json!(true), 2));
-    assert_eq!(std::fs::read_to_string(&path).unwrap(), old.to_string());
-    assert_eq!(shard_broker(&["check", to]).status.code(), Some(0));
-    let migrated: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
+    assert_eq!(std::fs::read_to_string(&path).unwrap(), old_config.to_string());
+    assert_eq!(shard_broker(&["check", target]).status.code(), Some(0));
+    let migrated: Value = serde_json::from_slice(&std::fs::read(&new_path).unwrap()).unwrap();
     assert_eq!(
         (&migrated["settings"]["Zone"], &migrated["settings"]["Stats"]["Via"]),
         (&json!(2), &json!("pull"))
@@ -193,17 +193,17 @@
 #[case("misspelt shape", "`cels` is no key of [layout]")]
 #[case("out of range", "`Services[0].OnTimeMs` is -5: 1 to 600000 milliseconds is allowed")]
 fn reshape_writes_nothing_if_an_input_is_invalid(#[case] invalid_input: &str, #[case] message: &str) {
-    let mut old = config(&settings());
+    let mut old_config = config(&settings());
     if invalid_input == "out of range" {
-        old["settings"]["Services"][0]["OnTimeMs"] = json!(-5);
+        old_config["settings"]["Services"][0]["OnTimeMs"] = json!(-5);
     }
-    let text = if invalid_input == "not JSON" { "{".to_owned() } else { old.to_string() };
+    let text = if invalid_input == "not JSON" { "{".to_owned() } else { old_config.to_string() };
     let (dir, mut path) = write_file("config.json", &text);
-    let mut to = dir.path().join("new.json").to_str().unwrap().to_owned();
+    let mut target = dir.path().join("new.json").to_str().unwrap().to_owned();
     let mut shape = shipped_shape_file();
     match invalid_input {
-        "old" => to = path.clone(),
-        "there" => std::fs::write(&to, "mine").unwrap(),
+        "old" => target = path.clone(),
+        "there" => std::fs::write(&target, "mine").unwrap(),
         "no old" => path = "/nowhere/config.json".to_owned(),
         "no shape" => shape = "/nowhere/shape.ini".to_owned(),
         "misspelt shape" => {
@@ -213,11 +213,11 @@
         }
         _ => {}
     }
-    let output = shard_broker(&["reshape", &path, "--shape", &shape, "--to", &to]);
+    let output = shard_broker(&["reshape", &path, "--shape", &shape, "--to", &target]);
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(output.status.code() == Some(2) && stderr.contains(message), "{stderr}");
     if invalid_input == "there" {
-        assert_eq!(std::fs::read_to_string(&to).unwrap(), "mine");
+        assert_eq!(std::fs::read_to_string(&target).unwrap(), "mine");
     }
     if invalid_input == "old" {
         assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
--- a/crates/broker/tests/limits.rs
+++ b/crates/broker/tests/limits.rs
@@ -20,8 +20,8 @@
 fn divides_descriptors_and_memory(
     #[case] machine: Machine,
     #[case] connections: [usize; 4],
-    #[case] held_bytes: usize,
-    #[case] list_bytes: usize,
+    #[case] max_held_bytes: usize,
+    #[case] max_list_bytes: usize,
 ) {
     let limits = Limits::new(machine, &BrokerSettings::default()).unwrap();
     let clients = &limits.clients;
@@ -32,7 +32,7 @@
         limits.nodes.max_connections,
     ];
     assert_eq!(actual, connections);
-    assert_eq!((limits.max_held_bytes, limits.discovery.max_list_bytes), (held_bytes, list_bytes));
+    assert_eq!((limits.max_held_bytes, limits.discovery.max_list_bytes), (max_held_bytes, max_list_bytes));
 }
 
 /// The error for a machine that is too small must name the resource, its amount and the amount needed.
@@ -56,13 +56,13 @@
     broker_settings.broker_config.rules.drain_grace = TimeSpan::from_ms(grace_ms);
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
     assert_eq!(limits.discovery.kind, DiscoveryKind::LocalAgent);
-    let notified_by = Duration::from_secs(6).max(limits.discovery.watch_wait + Duration::from_secs(2));
-    let detected = limits.discovery.watch_wait + limits.discovery.watch_slack;
-    assert!(detected < notified_by);
-    let answered = detected + 2 * limits.discovery.list_retry_interval;
+    let notified_after = Duration::from_secs(6).max(limits.discovery.watch_wait + Duration::from_secs(2));
+    let detected_after = limits.discovery.watch_wait + limits.discovery.watch_slack;
+    assert!(detected_after < notified_after);
+    let answered_after = detected_after + 2 * limits.discovery.list_retry_interval;
     assert!(
-        answered + limits.discovery.list_retry_interval
-            <= notified_by + Duration::from_millis(grace_ms as u64 + 50)
+        answered_after + limits.discovery.list_retry_interval
+            <= notified_after + Duration::from_millis(grace_ms as u64 + 50)
     );
 }
 
@@ -72,15 +72,15 @@
 #[case(700.0, 1400)]
 #[case(3000.0, 3700)]
 #[case(90_000.0, 3700)]
-fn responds_before_sigkill(#[case] deadline_ms: f64, #[case] kill_ms: u64) {
+fn responds_before_sigkill(#[case] deadline_ms: f64, #[case] sigkill_ms: u64) {
     let mut broker_settings = BrokerSettings::default();
     let class = RequestClass { deadline: TimeSpan::from_ms(deadline_ms), ..Default::default() };
     broker_settings.broker_config.classes.insert(ClassId(0), class);
     let longest_deadline = ConfigEpoch::new(&broker_settings).longest_deadline();
     let schedule = ShutdownSchedule::new(limits::to_duration(longest_deadline));
-    let answered = schedule.fail_open_after + schedule.final_response_timeout;
-    assert!(answered < Duration::from_millis(kill_ms));
-    assert!(answered + Duration::from_millis(100) >= Duration::from_millis(kill_ms));
+    let answered_after = schedule.fail_open_after + schedule.final_response_timeout;
+    assert!(answered_after < Duration::from_millis(sigkill_ms));
+    assert!(answered_after + Duration::from_millis(100) >= Duration::from_millis(sigkill_ms));
 }
 
 /// A client that stops in the middle of a request must have its error response, and its connection must be closed,
@@ -88,9 +88,9 @@
 #[rstest]
 fn closes_incomplete_requests_within_three_seconds() {
     let limits = Limits::new(MACHINE, &BrokerSettings::default()).unwrap();
-    let closed =
+    let closed_after =
         limits.clients.io_timeout + limits.clients.unread_body_timeout + limits.clients.sweep_interval;
-    assert!(closed < Duration::from_secs(3));
+    assert!(closed_after < Duration::from_secs(3));
 }
 
 /// Unread bytes can hide that a client closed its connection. No attempt may begin more than 0.1 s after the close,
@@ -100,6 +100,6 @@
 fn detects_a_hidden_close_in_time() {
     let broker_settings = BrokerSettings::default();
     let limits = Limits::new(MACHINE, &broker_settings).unwrap();
-    let turns = 2 * limits::to_duration(broker_settings.broker_config.period);
-    assert!(limits.clients.close_poll_interval + turns <= Duration::from_millis(50));
+    let two_turns = 2 * limits::to_duration(broker_settings.broker_config.period);
+    assert!(limits.clients.close_poll_interval + two_turns <= Duration::from_millis(50));
 }
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -14,20 +14,20 @@
 #[rstest]
 fn rejects_queries_and_connections_beyond_the_limits() {
     run_test(async {
-        let limit_sockets = |config: &mut Value| {
+        let lower_limits = |config: &mut Value| {
             config["limits"]["sockets"] = json!(64);
             config["settings"]["Limits"]["MaxOpen"] = json!(5);
         };
-        let mut cluster = TestCluster::start_with(1, limit_sockets, |_| ()).await;
+        let mut cluster = TestCluster::start_with(1, lower_limits, |_| ()).await;
         let _first = cluster.send_query("a", "lookup", &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]).await;
         cluster.next_batch().await;
         assert_eq!(cluster.send_query("c", "lookup", ONE_SHARD).await.reply_status().await, 503);
         // The limit is 19 connections and two surplus ones; idle connections are closed to admit others.
         let mut clients = Vec::new();
-        for at in 0..30 {
+        for number in 0..30 {
             let mut client = cluster.client().await;
             client.write(HEALTH_REQUEST).await;
-            assert_eq!(client.reply_status().await, 200, "client {at}");
+            assert_eq!(client.reply_status().await, 200, "client {number}");
             clients.push(client);
         }
         assert!(clients[0].reply().await.is_none());
--- a/crates/broker/tests/sockets/configuration.rs
+++ b/crates/broker/tests/sockets/configuration.rs
@@ -11,32 +11,32 @@
 #[rstest]
 fn follows_discovery_to_the_address_of_a_reloaded_config() {
     run_test(async {
-        let mut old = TestCluster::start(2).await; // its nodes serve the process
-        let mut new = Discovery::start().await;
+        let mut old_cluster = TestCluster::start(2).await; // its nodes serve the process
+        let mut new_discovery = Discovery::start().await;
         let config_path = std::env::temp_dir().join(format!("shard-broker-{}.json", std::process::id()));
         let write = |text: String| std::fs::write(&config_path, text).unwrap();
-        let old_config = config(&old.nodes, &old.discovery.address().to_string());
+        let old_config = config(&old_cluster.nodes, &old_cluster.discovery.address().to_string());
         write(old_config.to_string());
-        old.discovery.next_request().await;
-        let process = Process::start(&config_path, &old.discovery.address().to_string());
-        assert_eq!(old.discovery.next_request().await, "/catalog/members");
+        old_cluster.discovery.next_request().await;
+        let process = Process::start(&config_path, &old_cluster.discovery.address().to_string());
+        assert_eq!(old_cluster.discovery.next_request().await, "/catalog/members");
         for _ in 0..2 {
-            old.discovery.reply(snapshot(41, &[]));
-            assert_eq!(old.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
+            old_cluster.discovery.reply(snapshot(41, &[]));
+            assert_eq!(old_cluster.discovery.next_request().await, "/catalog/members?after=41&wait_ms=4000");
         }
         for invalid in ["{\"name\":", "{}", &old_config.to_string().replace("\"discovery\":", "\"else\":")] {
             write(invalid.to_owned());
             process.signal("HUP");
             process.wait_for_log("config reload failed");
         }
-        write(config(&old.nodes, &new.address().to_string()).to_string());
+        write(config(&old_cluster.nodes, &new_discovery.address().to_string()).to_string());
         process.signal("HUP");
-        assert_eq!(new.next_request().await, "/catalog/members");
-        new.reply(snapshot(3, &[member(&old.nodes, 1, "ready")]));
-        assert_eq!(new.next_request().await, "/catalog/members?after=3&wait_ms=4000");
+        assert_eq!(new_discovery.next_request().await, "/catalog/members");
+        new_discovery.reply(snapshot(3, &[member(&old_cluster.nodes, 1, "ready")]));
+        assert_eq!(new_discovery.next_request().await, "/catalog/members?after=3&wait_ms=4000");
         let mut client = Client::connect(process.listen_address).await;
         client.write(&query_request("a", "lookup", 9000, &body(ONE_SHARD))).await;
-        assert_eq!(old.answer_next_batch("a.3").await, 1);
+        assert_eq!(old_cluster.answer_next_batch("a.3").await, 1);
         assert_eq!(client.reply_status().await, 200);
         process.signal("TERM");
         process.wait_for_log("shut down");
--- a/crates/broker/tests/sockets/discovery.rs
+++ b/crates/broker/tests/sockets/discovery.rs
@@ -142,19 +142,20 @@
 /// were sent since and none of them is answered.
 #[rstest]
 fn uses_a_late_response() {
-    for is_agent in [true, false] {
+    for is_local_agent in [true, false] {
         run_test(async move {
             let set_timeouts = |startup: &mut StartupConfig| {
                 startup.limits.discovery.list_timeout = Duration::from_millis(300);
             };
             let change_config = move |config: &mut Value| {
                 config["known"]["members"] = json!([]);
-                config["settings"]["RegistryMode"] = json!(if is_agent { "automatic" } else { "subscribe" });
+                config["settings"]["RegistryMode"] =
+                    json!(if is_local_agent { "automatic" } else { "subscribe" });
             };
             let mut cluster = TestCluster::start_with(1, change_config, set_timeouts).await;
             // The seventh request to an agent comes 0.6 s after the first; other discovery requests time out after
             // 0.3 s.
-            for _ in 0..if is_agent { 7 } else { 2 } {
+            for _ in 0..if is_local_agent { 7 } else { 2 } {
                 assert_eq!(cluster.discovery.next_request().await, "/catalog/members");
             }
             // This reply answers the first request, which has waited longest.
--- a/crates/broker/tests/sockets/node_connections.rs
+++ b/crates/broker/tests/sockets/node_connections.rs
@@ -112,12 +112,12 @@
     run_test(async {
         let listener = FullListener::bind();
         let address = listener.address;
-        let unreachable = |config: &mut Value| {
+        let use_full_listener = |config: &mut Value| {
             config["known"]["members"][0]["host_port"] = json!(address.to_string());
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
             config["settings"]["Limits"]["ConnIdleMs"] = json!(100.0);
         };
-        let cluster = TestCluster::start_with(1, unreachable, |_| ()).await;
+        let cluster = TestCluster::start_with(1, use_full_listener, |_| ()).await;
         let mut client = cluster.client().await;
         client.write(&query_request("a", "once", 300, &body(ONE_SHARD))).await;
         // Nothing was written, so the client may retry.
--- a/crates/broker/tests/sockets/queries.rs
+++ b/crates/broker/tests/sockets/queries.rs
@@ -39,8 +39,8 @@
 #[rstest]
 fn attempts_of_one_turn_share_a_batch() {
     run_test(async {
-        let slow_turns = |config: &mut Value| config["settings"]["PeriodMs"] = json!(1500.0);
-        let mut cluster = TestCluster::start_with(1, slow_turns, |_| ()).await;
+        let lengthen_period = |config: &mut Value| config["settings"]["PeriodMs"] = json!(1500.0);
+        let mut cluster = TestCluster::start_with(1, lengthen_period, |_| ()).await;
         sleep_ms(100).await;
         let _first = cluster.send_query("a", "lookup", TWO_SHARDS).await;
         let _second = cluster.send_query("b", "lookup", &[(0, 0.3), (1, 0.3), (2, 0.4)]).await;
--- a/crates/broker/tests/sockets/races.rs
+++ b/crates/broker/tests/sockets/races.rs
@@ -156,20 +156,20 @@
     run_test(async {
         let node = listen_with_small_buffer();
         let address = node.local_addr().unwrap();
-        let one = |config: &mut Value| {
+        let use_listener = |config: &mut Value| {
             config["known"]["members"][0]["host_port"] = json!(address.to_string());
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(300.0);
             config["settings"]["Limits"]["MaxOpen"] = json!(100_000);
             config["settings"]["Limits"]["StreamsPerConn"] = json!(10_000);
         };
-        let cluster = TestCluster::start_with(1, one, |_| ()).await;
+        let cluster = TestCluster::start_with(1, use_listener, |_| ()).await;
         let text = Bytes::from(vec![b'q'; 50_000]);
         let mut outcomes = Vec::new();
         let sent = Instant::now();
-        for at in 0..200 {
-            let id: &'static str = format!("q{at}").leak();
-            let one = cluster.broker.engine.submit(engine_query(id, 2, text.clone())).unwrap();
-            outcomes.push((id, actix_rt::spawn(one.outcome())));
+        for number in 0..200 {
+            let id: &'static str = format!("q{number}").leak();
+            let query = cluster.broker.engine.submit(engine_query(id, 2, text.clone())).unwrap();
+            outcomes.push((id, actix_rt::spawn(query.outcome())));
         }
         let (mut connection, _) = within_timeout(node.accept()).await.unwrap();
         // The first frame is complete and never answered, so the end of its query shows that the connection was
--- a/crates/broker/tests/sockets/wall_clock.rs
+++ b/crates/broker/tests/sockets/wall_clock.rs
@@ -61,9 +61,9 @@
 async fn start_and_step(step_ms: i64, warm_up_ms: f64) -> SteppedBroker {
     let nodes = [start_node(), start_node()];
     let mut discovery = Discovery::start().await;
-    let entry = |at: usize, up_since_ms: i64| {
-        json!({"id": format!("s-{at}"), "host_port": nodes[at].address.to_string(), "locality": "hall",
-            "flavor": "std", "cell": at, "phase": "ready", "size": 1.0, "up_since_ms": up_since_ms})
+    let entry = |index: usize, up_since_ms: i64| {
+        json!({"id": format!("s-{index}"), "host_port": nodes[index].address.to_string(), "locality": "hall",
+            "flavor": "std", "cell": index, "phase": "ready", "size": 1.0, "up_since_ms": up_since_ms})
     };
     let mut text = config(&[], &discovery.address().to_string());
     text["settings"]["Domain"]["Cells"] = json!(2);
@@ -119,7 +119,7 @@
         send_traffic(stepped.process.listen_address, CLIENTS, 2 * WINDOW).await;
         let before = stepped.nodes.each_ref().map(|node| node.received().len());
         send_traffic(stepped.process.listen_address, 2 * CLIENTS, WINDOW).await;
-        let [warm, new] = [0, 1].map(|at| stepped.nodes[at].received().len() - before[at]);
+        let [warm, new] = [0, 1].map(|index| stepped.nodes[index].received().len() - before[index]);
         assert!(
             4 * new >= warm + new,
             "the new node received {new} of {} shard requests after its warm-up",
