--- a/crates/broker/src/query_handler/request_reader.rs
+++ b/crates/broker/src/query_handler/request_reader.rs
@@ -125,7 +125,7 @@
 /// Reads the request class, which must exist in the epoch.
 fn read_class(headers: &HeaderMap, epoch: &ConfigEpoch) -> Result<ClassId, RequestError> {
     let name = header(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
-    let class = epoch.names.class(name).filter(|class| epoch.classes.contains_key(class));
+    let class = epoch.names.class_id(name).filter(|class| epoch.classes.contains_key(class));
     class.ok_or_else(|| count_unknown(epoch, RequestError::UnknownClass))
 }
 
@@ -134,7 +134,8 @@
 /// Requests without the header are attributed to the first tenant of the settings. All tenants that are not in the
 /// settings share one id, which has no quota.
 fn read_tenant(headers: &HeaderMap, epoch: &ConfigEpoch) -> TenantId {
-    let tenant = header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant(name));
+    let tenant =
+        header(headers, TENANT_HEADER).map_or(Some(FIRST_TENANT), |name| epoch.names.tenant_id(name));
     tenant.unwrap_or(UNKNOWN_TENANT)
 }
 
