--- a/crates/ini-lines/src/lib.rs
+++ b/crates/ini-lines/src/lib.rs
@@ -1,5 +1,5 @@
-//! Finds the line of a section, or of a key in it, in an INI text, for error messages: the INI parser does not
-//! record lines.
+//! Finds the line number of a section or a key in an INI file, for error messages. The INI parser in use does not
+//! record line numbers.
 //!
 //! ```
 //! let text = "[log]\n\nformat = json\n";
@@ -10,20 +10,23 @@
 
 #![warn(missing_docs)]
 
-/// The line of a section's first header, counted from 1; `None` where there is no such section.
+/// Returns the line number of the first header of `section`, counted from 1, or `None` if the text has no such
+/// section.
 pub fn section_line(text: &str, section: &str) -> Option<usize> {
     let mut numbered = numbered_lines(text);
     numbered.find(|(_, line)| section_name(line) == Some(section)).map(|(number, _)| number)
 }
 
-/// The line of the first occurrence of a key in a section, counted from 1; `None` where the section does not
-/// have it. A key before the first section is not found.
+/// Returns the line number of the first occurrence of `key` in `section`, counted from 1, or `None` if the section
+/// does not contain the key.
+///
+/// A section with several headers is searched as one. Keys before the first header are never found.
 pub fn key_line(text: &str, section: &str, key: &str) -> Option<usize> {
-    let mut is_within = false;
+    let mut is_in_section = false;
     for (number, line) in numbered_lines(text) {
         if let Some(name) = section_name(line) {
-            is_within = name == section;
-        } else if is_within && key_name(line) == Some(key) {
+            is_in_section = name == section;
+        } else if is_in_section && key_name(line) == Some(key) {
             return Some(number);
         }
     }
--- a/crates/ini-lines/tests/lines.rs
+++ b/crates/ini-lines/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Where sections and keys are found.
+//! Tests of the line numbers of sections and keys in a text with comments, spaces and a repeated section.
 
 use ini_lines::{key_line, section_line};
 use rstest::rstest;
@@ -16,10 +16,10 @@
 }
 
 #[rstest]
-#[case::the_first_of_two("log", "format", Some(4))]
+#[case::first_of_two("log", "format", Some(4))]
 #[case::with_a_colon("control", "services", Some(7))]
-#[case::in_a_section_that_goes_on("log", "level", Some(9))]
-#[case::of_another_section("control", "format", None)]
+#[case::in_a_repeated_section("log", "level", Some(9))]
+#[case::in_another_section("control", "format", None)]
 #[case::before_the_first_section("", "early", None)]
 #[case::in_a_comment("log", "a comment", None)]
 fn finds_a_key_in_its_section(#[case] section: &str, #[case] key: &str, #[case] line: Option<usize>) {
--- a/crates/nearest-name/tests/nearest.rs
+++ b/crates/nearest-name/tests/nearest.rs
@@ -1,4 +1,4 @@
-//! Which name is the nearest.
+//! Tests of the choice of the most similar name.
 
 use nearest_name::nearest_name;
 use rstest::rstest;
@@ -8,16 +8,16 @@
 #[case("rules", Some("Rules"))]
 #[case("Limit", Some("Limits"))]
 #[case("Rules", Some("Rules"))]
-fn a_misspelt_name_is_nearest_to_the_right_one(#[case] name: &str, #[case] expected: Option<&str>) {
+fn misspelled_name_matches_the_correct_one(#[case] name: &str, #[case] expected: Option<&str>) {
     assert_eq!(nearest_name(name, ["Limits", "Rules", "Stats"]), expected);
 }
 
 #[rstest]
-fn of_equally_similar_names_the_last_is_taken() {
+fn returns_the_last_of_equally_similar_names() {
     assert_eq!(nearest_name("a", ["xx", "yy"]), Some("yy"));
 }
 
 #[rstest]
-fn without_known_names_there_is_none() {
+fn returns_none_without_known_names() {
     assert_eq!(nearest_name("a", Vec::<String>::new()), None);
 }
--- a/crates/syscall-faults/src/control.rs
+++ b/crates/syscall-faults/src/control.rs
@@ -1,58 +1,60 @@
-//! The control file: numbers that a test writes while the process runs. The library maps it, so a change takes effect
-//! with the next call. This source file is shared with the tests by its path; they write at [`Setting::offset`].
+//! Layout of the control file, into which a test writes the settings of a running process. The library maps the file,
+//! so a change takes effect with the next call. Tests include this source file by its path and write each setting at
+//! [`Setting::offset`].
 
-/// The environment variable that names the control file.
+/// Environment variable that holds the path of the control file.
 pub const CONTROL_VARIABLE: &str = "SYSCALL_FAULTS_CONTROL";
 
-/// The length of the control file.
+/// Length of the control file, in bytes.
 pub const CONTROL_BYTES: usize = 256;
 
-/// One number of the control file: 8 bytes, little endian. Nothing fails where all are zero.
+/// A value in the control file: an `i64` of 8 bytes, little-endian. No fault is injected while all values are zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// Seeds the choice of the calls that fail.
+    /// Seed of the pseudorandom selection of calls that fail.
     Seed,
-    /// Added to the wall clock, in milliseconds.
+    /// Offset added to the wall clock, in milliseconds; may be negative.
     ClockStepMs,
-    /// One `accept` in this number fails; 0: none. All settings `...OneIn` are of this form.
+    /// One in this many `accept4` calls fails; 0 disables the fault.
     AcceptOneIn,
-    /// With this errno.
+    /// `errno` of the `accept4` calls that fail.
     AcceptErrno,
-    /// `socket`, for TCP.
+    /// One in this many `socket` calls for IPv4 and IPv6 fails; 0 disables the fault.
     SocketOneIn,
-    /// With this errno.
+    /// `errno` of the `socket` calls that fail.
     SocketErrno,
-    /// `connect`, over TCP.
+    /// One in this many `connect` calls over TCP fails; 0 disables the fault.
     ConnectOneIn,
-    /// With this errno.
+    /// `errno` of the `connect` calls that fail.
     ConnectErrno,
-    /// Reads from TCP sockets that are interrupted.
+    /// One in this many reads from TCP sockets fails with `EINTR`; 0 disables the fault.
     ReadInterruptedOneIn,
-    /// Writes to TCP sockets that are interrupted.
+    /// One in this many writes to TCP sockets fails with `EINTR`; 0 disables the fault.
     WriteInterruptedOneIn,
-    /// Waits for events that are interrupted.
+    /// One in this many `epoll_wait` calls fails with `EINTR`; 0 disables the fault.
     WaitInterruptedOneIn,
-    /// The most bytes that one read or write moves on a TCP socket; 0: no bound. The socket's events are armed again, so
-    /// that an edge-triggered poll reports the rest.
+    /// Maximum number of bytes that one read or write transfers on a TCP socket; 0 for no limit. After a shortened
+    /// transfer, the socket's events are armed again so that an edge-triggered epoll reports the remaining bytes.
     MaxTransferBytes,
-    /// `fsync` and `fdatasync`.
+    /// One in this many `fsync` calls fails; 0 disables the fault. `fdatasync` is not affected.
     SyncOneIn,
-    /// With this errno.
+    /// `errno` of the `fsync` calls that fail.
     SyncErrno,
-    /// `rename`.
+    /// One in this many `rename` calls fails; 0 disables the fault.
     RenameOneIn,
-    /// With this errno.
+    /// `errno` of the `rename` calls that fail.
     RenameErrno,
-    /// Writes to regular files.
+    /// One in this many `write` calls to regular files fails; 0 disables the fault.
     FileWriteOneIn,
-    /// With this errno.
+    /// `errno` of the `write` calls to regular files that fail.
     FileWriteErrno,
-    /// Written by the library: the number of calls that it made fail, cut short or interrupted.
+    /// Number of calls that failed, were interrupted or were shortened so far. The library writes it, tests only read
+    /// it.
     InjectedFaults,
 }
 
 impl Setting {
-    /// Where the number stands in the control file.
+    /// Returns the offset of the value in the control file, in bytes.
     pub const fn offset(self) -> usize {
         self as usize * size_of::<i64>()
     }
--- a/crates/syscall-faults/src/decide.rs
+++ b/crates/syscall-faults/src/decide.rs
@@ -1,19 +1,20 @@
-//! Decides whether a call fails: by the control file, and by chance from its seed.
+//! Decides which calls fail, pseudorandomly with the ratios and the seed in the control file.
 
 use crate::control::{CONTROL_BYTES, CONTROL_VARIABLE, Setting};
 use std::ffi::CString;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
-/// The mapped control file, as an address; 0: there is none.
+/// Address of the mapped control file, or 0 if there is none.
 static CONTROL: OnceLock<usize> = OnceLock::new();
-/// The number of calls that were decided on.
+/// Number of decisions made so far.
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
-/// Maps the control file; 0: there is none.
+/// Maps the control file and returns its address, or 0 if it is not named or can't be mapped.
 fn map_control_file() -> usize {
     let Ok(name) = CString::new(CONTROL_VARIABLE) else { return 0 };
-    // SAFETY: `name` and the path are strings that end in zero, and the mapping is checked. It is never unmapped.
+    // SAFETY: `name` and the path are null-terminated strings, the result of `mmap` is checked, and the mapping is never
+    // removed.
     unsafe {
         let path = libc::getenv(name.as_ptr());
         if path.is_null() {
@@ -23,43 +24,44 @@
         if file < 0 {
             return 0;
         }
-        let access = libc::PROT_READ | libc::PROT_WRITE;
+        let protection = libc::PROT_READ | libc::PROT_WRITE;
         let null = std::ptr::null_mut();
-        let mapped = libc::mmap(null, CONTROL_BYTES, access, libc::MAP_SHARED, file as i32, 0);
+        let mapped = libc::mmap(null, CONTROL_BYTES, protection, libc::MAP_SHARED, file as i32, 0);
         libc::syscall(libc::SYS_close, file);
         if mapped == libc::MAP_FAILED { 0 } else { mapped as usize }
     }
 }
 
-/// The number of the mapped control file for this setting.
+/// Returns the value of `setting` in the mapped control file, or `None` if no file is mapped.
 fn slot(setting: Setting) -> Option<&'static AtomicI64> {
-    let base = *CONTROL.get_or_init(map_control_file);
-    // SAFETY: the mapping holds `CONTROL_BYTES`, is aligned to a page and lives as long as the process.
-    (base != 0).then(|| unsafe { &*((base + setting.offset()) as *const AtomicI64) })
+    let address = *CONTROL.get_or_init(map_control_file);
+    // SAFETY: the mapping has `CONTROL_BYTES` bytes, is aligned to a page and lives as long as the process.
+    (address != 0).then(|| unsafe { &*((address + setting.offset()) as *const AtomicI64) })
 }
 
-/// A number of the control file; 0 where there is none.
+/// Returns the current value of `setting`, or 0 if no control file is mapped.
 pub(crate) fn read(setting: Setting) -> i64 {
     slot(setting).map_or(0, |slot| slot.load(Relaxed))
 }
 
-/// Counts a fault.
+/// Increments [`Setting::InjectedFaults`].
 pub(crate) fn count_fault() {
     slot(Setting::InjectedFaults).into_iter().for_each(|slot| _ = slot.fetch_add(1, Relaxed));
 }
 
-/// Whether this call is one of those that fail; it is counted then.
-pub(crate) fn is_chosen(one_in: Setting) -> bool {
+/// Returns whether the current call must fail, and counts the fault if so. The value of `one_in` states one in how many
+/// calls fails.
+pub(crate) fn should_inject(one_in: Setting) -> bool {
     let one_in = read(one_in);
     if one_in <= 0 {
         return false;
     }
     let call = CALLS.fetch_add(1, Relaxed).wrapping_add(read(Setting::Seed) as u64);
-    let is_chosen = mix(call).is_multiple_of(one_in as u64);
-    if is_chosen {
+    let is_selected = mix(call).is_multiple_of(one_in as u64);
+    if is_selected {
         count_fault();
     }
-    is_chosen
+    is_selected
 }
 
 /// The finalizer of splitmix64.
--- a/crates/syscall-faults/src/files.rs
+++ b/crates/syscall-faults/src/files.rs
@@ -1,14 +1,14 @@
-//! Writes, syncs and renames of files.
+//! Replacements of the functions that write, sync and rename files.
 
 use crate::control::Setting;
-use crate::decide::{is_chosen, read};
+use crate::decide::{read, should_inject};
 use crate::fail_with;
 use libc::{c_char, c_int, c_void, size_t, ssize_t};
 
-/// Whether a descriptor is a regular file.
+/// Returns whether a descriptor refers to a regular file.
 fn is_regular_file(fd: c_int) -> bool {
     let mut status = std::mem::MaybeUninit::<libc::stat>::zeroed();
-    // SAFETY: `status` has room for what the call writes, and zeroes are a valid value of it.
+    // SAFETY: `status` has the size that `fstat` writes, and an all-zero `stat` is valid if the call fails.
     let mode = unsafe {
         libc::fstat(fd, status.as_mut_ptr());
         status.assume_init().st_mode
@@ -16,42 +16,42 @@
     mode & libc::S_IFMT == libc::S_IFREG
 }
 
-/// As `write`.
+/// Replaces `write`. Calls on regular files fail as [`Setting::FileWriteOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library, which holds for all that follow.
+/// The requirements of `write` in the C library apply.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, length: size_t) -> ssize_t {
-    if read(Setting::FileWriteOneIn) > 0 && is_regular_file(fd) && is_chosen(Setting::FileWriteOneIn) {
+pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
+    if read(Setting::FileWriteOneIn) > 0 && is_regular_file(fd) && should_inject(Setting::FileWriteOneIn) {
         return fail_with(read(Setting::FileWriteErrno) as i32) as ssize_t;
     }
-    // SAFETY: the caller's arguments, as they are.
-    unsafe { libc::syscall(libc::SYS_write, fd, from, length) as ssize_t }
+    // SAFETY: the caller's arguments are passed on unchanged.
+    unsafe { libc::syscall(libc::SYS_write, fd, buffer, length) as ssize_t }
 }
 
-/// As `fsync`.
+/// Replaces `fsync`. Calls fail as [`Setting::SyncOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `fsync` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if is_chosen(Setting::SyncOneIn) {
+    if should_inject(Setting::SyncOneIn) {
         return fail_with(read(Setting::SyncErrno) as i32) as c_int;
     }
-    // SAFETY: the caller's argument, as it is.
+    // SAFETY: the caller's argument is passed on unchanged.
     unsafe { libc::syscall(libc::SYS_fsync, fd) as c_int }
 }
 
-/// As `rename`.
+/// Replaces `rename`. Calls fail as [`Setting::RenameOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `rename` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    if is_chosen(Setting::RenameOneIn) {
+    if should_inject(Setting::RenameOneIn) {
         return fail_with(read(Setting::RenameErrno) as i32) as c_int;
     }
-    let here = libc::AT_FDCWD;
-    // SAFETY: the caller's arguments, as they are.
-    unsafe { libc::syscall(libc::SYS_renameat2, here, from, here, to, 0) as c_int }
+    let cwd = libc::AT_FDCWD;
+    // SAFETY: the caller's arguments are passed on unchanged.
+    unsafe { libc::syscall(libc::SYS_renameat2, cwd, from, cwd, to, 0) as c_int }
 }
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -1,8 +1,10 @@
-//! Faults of system calls, for tests: a shared object that a test preloads into a process that it starts.
+//! Injects faults into system calls. The library is a shared object that a test preloads into a process that it
+//! starts.
 //!
-//! It replaces functions of the C library by ones that make the same system call, unless the control file says
-//! that this call is to fail (`control`, `decide`). Only TCP sockets and regular files are affected: Linux never
-//! interrupts the pipes and sockets by which a runtime wakes itself.
+//! The library replaces functions of the C library. Each replacement makes the same system call, unless the settings
+//! in the control file (`control`) select the call to fail (`decide`). Reads and writes are affected only on TCP
+//! sockets and regular files, because Linux never interrupts the pipes and sockets that async runtimes use to wake
+//! themselves.
 
 pub mod control;
 mod decide;
@@ -11,9 +13,9 @@
 mod sockets;
 mod wall_clock;
 
-/// Sets `errno`, and returns what a failed call returns.
+/// Sets `errno` and returns -1, the result of a failed call.
 fn fail_with(errno: i32) -> i64 {
-    // SAFETY: the C library gives a pointer to this thread's own errno, valid while the thread lives.
+    // SAFETY: the C library returns a pointer to the `errno` of this thread, valid while the thread lives.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
--- a/crates/syscall-faults/src/polling.rs
+++ b/crates/syscall-faults/src/polling.rs
@@ -1,87 +1,89 @@
-//! Calls of epoll: waits that are interrupted, and what is registered, to arm it again after a transfer that was cut
-//! short.
+//! Replacements of the epoll functions. They interrupt waits, and record the registrations so that a descriptor's
+//! events can be armed again after a shortened transfer.
 
 use crate::control::Setting;
-use crate::decide::is_chosen;
+use crate::decide::should_inject;
 use crate::fail_with;
 use libc::{c_int, c_void, epoll_event};
 use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, Ordering::Relaxed};
 
-/// The number of descriptors whose registration is remembered.
+/// Number of descriptors whose registrations are recorded. Higher descriptors are not armed again.
 const MAX_DESCRIPTORS: usize = 1 << 16;
 
-/// How a descriptor was registered last.
+/// Last epoll registration of a descriptor.
 struct Registration {
-    /// The epoll descriptor; -1: none.
-    poll: AtomicI32,
-    /// The events that are waited for.
+    /// Descriptor of the epoll instance, or -1 if the descriptor is not registered.
+    epoll_fd: AtomicI32,
+    /// Requested events, a mask of `EPOLL*` flags.
     events: AtomicU32,
-    /// The token that is reported with them.
+    /// User data that epoll reports with the events.
     token: AtomicU64,
 }
 
-/// By descriptor.
+/// Registrations, indexed by descriptor.
 static REGISTRATIONS: [Registration; MAX_DESCRIPTORS] = [const {
-    Registration { poll: AtomicI32::new(-1), events: AtomicU32::new(0), token: AtomicU64::new(0) }
+    Registration { epoll_fd: AtomicI32::new(-1), events: AtomicU32::new(0), token: AtomicU64::new(0) }
 }; MAX_DESCRIPTORS];
 
-/// Arms the events of a descriptor again, so that a poll reports what is still ready.
+/// Arms the events of a descriptor again, so that an edge-triggered wait reports the events that are still ready.
 pub(crate) fn rearm(socket: c_int) {
-    let Some(registration) = usize::try_from(socket).ok().and_then(|at| REGISTRATIONS.get(at)) else {
+    let Some(registration) = usize::try_from(socket).ok().and_then(|fd| REGISTRATIONS.get(fd)) else {
         return;
     };
-    let poll = registration.poll.load(Relaxed);
-    if poll < 0 {
+    let epoll_fd = registration.epoll_fd.load(Relaxed);
+    if epoll_fd < 0 {
         return;
     }
     let (events, token) = (registration.events.load(Relaxed), registration.token.load(Relaxed));
     let mut event = epoll_event { events, u64: token };
     let event = &raw mut event;
-    // SAFETY: `event` lives on this stack; a descriptor that is not registered any more only gives an error.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, poll, libc::EPOLL_CTL_MOD, socket, event) };
+    // SAFETY: `event` outlives the call; a descriptor that is no longer registered only causes an error.
+    unsafe { libc::syscall(libc::SYS_epoll_ctl, epoll_fd, libc::EPOLL_CTL_MOD, socket, event) };
 }
 
-/// As `epoll_ctl`; remembers what was registered.
+/// Replaces `epoll_ctl` and records the registration. Calls never fail by a setting.
 ///
 /// # Safety
-/// As of the function of the C library, which holds for all that follow.
+/// The requirements of `epoll_ctl` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_ctl(
-    poll: c_int,
+    epoll_fd: c_int,
     operation: c_int,
     fd: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    if let Some(registration) = usize::try_from(fd).ok().and_then(|at| REGISTRATIONS.get(at)) {
+    if let Some(registration) = usize::try_from(fd).ok().and_then(|fd| REGISTRATIONS.get(fd)) {
         if operation == libc::EPOLL_CTL_DEL || event.is_null() {
-            registration.poll.store(-1, Relaxed);
+            registration.epoll_fd.store(-1, Relaxed);
         } else {
-            // SAFETY: the caller gives an event; it may stand unaligned.
+            // SAFETY: the caller passes a pointer to an event, which may be unaligned.
             let event = unsafe { event.read_unaligned() };
             registration.events.store(event.events, Relaxed);
             registration.token.store(event.u64, Relaxed);
-            registration.poll.store(poll, Relaxed);
+            registration.epoll_fd.store(epoll_fd, Relaxed);
         }
     }
-    // SAFETY: the caller's arguments, as they are.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, poll, operation, fd, event) as c_int }
+    // SAFETY: the caller's arguments are passed on unchanged.
+    unsafe { libc::syscall(libc::SYS_epoll_ctl, epoll_fd, operation, fd, event) as c_int }
 }
 
-/// As `epoll_wait`.
+/// Replaces `epoll_wait`. Calls fail with `EINTR` as [`Setting::WaitInterruptedOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `epoll_wait` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
-    poll: c_int,
+    epoll_fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if is_chosen(Setting::WaitInterruptedOneIn) {
+    if should_inject(Setting::WaitInterruptedOneIn) {
         return fail_with(libc::EINTR) as c_int;
     }
     let no_mask = std::ptr::null::<c_void>();
     // SAFETY: the caller's arguments, as they are, and no signal mask.
-    unsafe { libc::syscall(libc::SYS_epoll_pwait, poll, events, most, timeout, no_mask, 8) as c_int }
+    unsafe {
+        libc::syscall(libc::SYS_epoll_pwait, epoll_fd, events, max_events, timeout, no_mask, 8) as c_int
+    }
 }
--- a/crates/syscall-faults/src/sockets.rs
+++ b/crates/syscall-faults/src/sockets.rs
@@ -1,52 +1,53 @@
-//! Calls on TCP sockets: accept, connect, reads and writes.
+//! Replacements of the functions that create, accept, connect, read and write TCP sockets.
 
 use crate::control::Setting;
-use crate::decide::{count_fault, is_chosen, read};
+use crate::decide::{count_fault, read, should_inject};
 use crate::fail_with;
 use crate::polling::rearm;
 use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
 
-/// Whether a descriptor is an internet socket.
+/// Returns whether a descriptor is an IPv4 or IPv6 socket.
 fn is_tcp(socket: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    let into = (&raw mut domain).cast::<c_void>();
-    // SAFETY: `into` and `length` describe `domain`, which outlives the call.
+    let value = (&raw mut domain).cast::<c_void>();
+    // SAFETY: `value` and `length` describe `domain`, which outlives the call.
     let result =
-        unsafe { libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_DOMAIN, into, &raw mut length) };
+        unsafe { libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_DOMAIN, value, &raw mut length) };
     result == 0 && (domain == libc::AF_INET || domain == libc::AF_INET6)
 }
 
-/// How many bytes of a transfer of `length` bytes are moved, by [`Setting::MaxTransferBytes`].
-fn bounded(socket: c_int, length: size_t) -> size_t {
-    let most = read(Setting::MaxTransferBytes);
-    if most <= 0 || length <= most as size_t || !is_tcp(socket) {
+/// Returns how many bytes a transfer of `length` bytes may move, limited on TCP sockets by
+/// [`Setting::MaxTransferBytes`]. Counts a fault if the limit shortens the transfer.
+fn limited_length(socket: c_int, length: size_t) -> size_t {
+    let max = read(Setting::MaxTransferBytes);
+    if max <= 0 || length <= max as size_t || !is_tcp(socket) {
         return length;
     }
     count_fault();
-    most as size_t
+    max as size_t
 }
 
-/// Makes a transfer of at most the allowed length. Where that cut it short, the socket's events are armed again: an
-/// edge-triggered poll would report the rest only with new bytes.
-fn transfer(socket: c_int, length: size_t, make: impl FnOnce(size_t) -> i64) -> ssize_t {
-    let bounded = bounded(socket, length);
-    let result = make(bounded);
-    if bounded < length && result >= 0 {
+/// Calls `call_with_length` with the allowed length. If that is shorter than `length`, the socket's events are armed
+/// again, because an edge-triggered epoll would report the remaining bytes only when new bytes arrive.
+fn transfer(socket: c_int, length: size_t, call_with_length: impl FnOnce(size_t) -> i64) -> ssize_t {
+    let limited = limited_length(socket, length);
+    let result = call_with_length(limited);
+    if limited < length && result >= 0 {
         rearm(socket);
     }
     result as ssize_t
 }
 
-/// Whether this call on a TCP socket is to be interrupted.
+/// Returns whether the current call on `socket` must be interrupted. Only TCP sockets are.
 fn is_interrupted(socket: c_int, one_in: Setting) -> bool {
-    read(one_in) > 0 && is_tcp(socket) && is_chosen(one_in)
+    read(one_in) > 0 && is_tcp(socket) && should_inject(one_in)
 }
 
-/// As `accept4`.
+/// Replaces `accept4`. Calls fail as [`Setting::AcceptOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library, which holds for all that follow.
+/// The requirements of `accept4` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -54,115 +55,123 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if is_chosen(Setting::AcceptOneIn) {
+    if should_inject(Setting::AcceptOneIn) {
         return fail_with(read(Setting::AcceptErrno) as i32) as c_int;
     }
-    // SAFETY: the caller's arguments, as they are.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int }
 }
 
-/// As `socket`.
+/// Replaces `socket`. Calls for IPv4 and IPv6 fail as [`Setting::SocketOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `socket` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let is_internet = domain == libc::AF_INET || domain == libc::AF_INET6;
-    if is_internet && is_chosen(Setting::SocketOneIn) {
+    if is_internet && should_inject(Setting::SocketOneIn) {
         return fail_with(read(Setting::SocketErrno) as i32) as c_int;
     }
-    // SAFETY: the caller's arguments, as they are.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int }
 }
 
-/// As `connect`.
+/// Replaces `connect`. Calls over TCP fail as [`Setting::ConnectOneIn`] states.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `connect` in the C library apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if read(Setting::ConnectOneIn) > 0 && is_tcp(socket) && is_chosen(Setting::ConnectOneIn) {
+    if read(Setting::ConnectOneIn) > 0 && is_tcp(socket) && should_inject(Setting::ConnectOneIn) {
         return fail_with(read(Setting::ConnectErrno) as i32) as c_int;
     }
-    // SAFETY: the caller's arguments, as they are.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_connect, socket, address, length) as c_int }
 }
 
-/// As `recv`.
+/// Replaces `recv`. Calls are interrupted or shortened on TCP sockets; `MSG_PEEK` is never shortened.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `recv` in the C library apply.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(socket: c_int, into: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     if is_interrupted(socket, Setting::ReadInterruptedOneIn) {
         return fail_with(libc::EINTR) as ssize_t;
     }
     let (no_address, no_length) = (std::ptr::null_mut::<sockaddr>(), std::ptr::null_mut::<socklen_t>());
-    // SAFETY: the caller's buffer, of which no more than its length is used.
-    let make = |length: size_t| unsafe {
-        libc::syscall(libc::SYS_recvfrom, socket, into, length, flags, no_address, no_length)
+    // SAFETY: the caller's buffer is passed on with at most its own length.
+    let call_with_length = |length: size_t| unsafe {
+        libc::syscall(libc::SYS_recvfrom, socket, buffer, length, flags, no_address, no_length)
     };
     if flags & libc::MSG_PEEK != 0 {
-        return make(length) as ssize_t;
+        return call_with_length(length) as ssize_t;
     }
-    transfer(socket, length, make)
+    transfer(socket, length, call_with_length)
 }
 
-/// As `send`.
+/// Replaces `send`. Calls are interrupted or shortened on TCP sockets.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `send` in the C library apply.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     if is_interrupted(socket, Setting::WriteInterruptedOneIn) {
         return fail_with(libc::EINTR) as ssize_t;
     }
     let no_address = std::ptr::null::<sockaddr>();
-    // SAFETY: the caller's buffer, of which no more than its length is used.
+    // SAFETY: the caller's buffer is passed on with at most its own length.
     transfer(socket, length, |length| unsafe {
-        libc::syscall(libc::SYS_sendto, socket, from, length, flags, no_address, 0)
+        libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, no_address, 0)
     })
 }
 
-/// As `readv`.
+/// Replaces `readv`. Calls are interrupted or shortened on TCP sockets.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `readv` in the C library apply.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn readv(fd: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
+pub unsafe extern "C" fn readv(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     if is_interrupted(fd, Setting::ReadInterruptedOneIn) {
         return fail_with(libc::EINTR) as ssize_t;
     }
-    // SAFETY: the caller's pieces, as they are.
-    unsafe { transfer_pieces(libc::SYS_readv, fd, pieces, count) }
+    // SAFETY: the caller's buffers are passed on unchanged.
+    unsafe { transfer_vectored(libc::SYS_readv, fd, buffers, count) }
 }
 
-/// As `writev`.
+/// Replaces `writev`. Calls are interrupted or shortened on TCP sockets.
 ///
 /// # Safety
-/// As of the function of the C library.
+/// The requirements of `writev` in the C library apply.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(fd: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
+pub unsafe extern "C" fn writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     if is_interrupted(fd, Setting::WriteInterruptedOneIn) {
         return fail_with(libc::EINTR) as ssize_t;
     }
-    // SAFETY: the caller's pieces, as they are.
-    unsafe { transfer_pieces(libc::SYS_writev, fd, pieces, count) }
+    // SAFETY: the caller's buffers are passed on unchanged.
+    unsafe { transfer_vectored(libc::SYS_writev, fd, buffers, count) }
 }
 
-/// A vectored transfer. One that is cut short moves bytes of the first piece that is not empty.
-unsafe fn transfer_pieces(call: libc::c_long, fd: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller gives `count` pieces.
-    let slice = unsafe { std::slice::from_raw_parts(pieces, count.max(0) as usize) };
-    let total = slice.iter().map(|piece| piece.iov_len).sum();
-    let first = slice.iter().find(|piece| piece.iov_len > 0);
-    transfer(fd, total, |bounded| match first {
-        Some(first) if bounded < total => {
-            let piece = iovec { iov_base: first.iov_base, iov_len: first.iov_len.min(bounded) };
-            // SAFETY: one piece, within the caller's first.
-            unsafe { libc::syscall(call, fd, &raw const piece, 1) }
+/// Makes a vectored transfer. If it must be shortened, only bytes of the first non-empty buffer are transferred.
+///
+/// # Safety
+/// `buffers` must point to `count` valid buffers, as for `readv` and `writev`.
+unsafe fn transfer_vectored(
+    syscall_number: libc::c_long,
+    fd: c_int,
+    buffers: *const iovec,
+    count: c_int,
+) -> ssize_t {
+    // SAFETY: the caller passes `count` buffers.
+    let slice = unsafe { std::slice::from_raw_parts(buffers, count.max(0) as usize) };
+    let total = slice.iter().map(|buffer| buffer.iov_len).sum();
+    let first = slice.iter().find(|buffer| buffer.iov_len > 0);
+    transfer(fd, total, |limited| match first {
+        Some(first) if limited < total => {
+            let buffer = iovec { iov_base: first.iov_base, iov_len: first.iov_len.min(limited) };
+            // SAFETY: the one buffer lies within the caller's buffer.
+            unsafe { libc::syscall(syscall_number, fd, &raw const buffer, 1) }
         }
-        // SAFETY: the caller's pieces, as they are.
-        _ => unsafe { libc::syscall(call, fd, pieces, count) },
+        // SAFETY: the caller's buffers are passed on unchanged.
+        _ => unsafe { libc::syscall(syscall_number, fd, buffers, count) },
     })
 }
