--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -1,19 +1,21 @@
-//! Turns a settings text into a broker's configuration: the one place where the words of the settings keys
-//! become the terms of the code. The keys stay as the platform gives them
-//! ([`SettingsText`](crate::settings_text) has their names); everything past this module has the code's terms.
+//! Converts settings to the configuration of a broker. This is the only module that maps the names of the settings
+//! keys, which the platform defines, to the terms of the code. [`SettingsText`](crate::settings_text) has the names
+//! of the keys.
 //!
-//! | key | code |
+//! | keys | terms in the code |
 //! | --- | --- |
 //! | `Instances` | brokers |
-//! | `Services`, `Worth`, `OnTimeMs`, `AimStretch` | request classes, priority weight, latency objective, its stretch |
+//! | `Services`, `Worth` | request classes, priority weight |
+//! | `OnTimeMs`, `AimStretch` | latency objective, objective stretch |
 //! | `Effect`, `DedupWindowMs` | idempotency, deduplication window |
 //! | `Domain.Cells`, `Reach`, `Ranges`, `PerCall` | placement groups, replica groups, shards, batch size |
-//! | `Domain.MinShare`, `CompleteFrom`, `FetchParts` | minimum coverage, complete coverage, shard requests of the second phase |
+//! | `Domain.MinShare`, `CompleteFrom` | minimum coverage, complete coverage |
+//! | `Domain.FetchParts` | shard requests of the second phase |
 //! | `OverShareWorth` | weight of queries beyond their tenant's quota |
-//! | `Limits.SecondCopies`, `MayCancel` | hedging, cancelling |
-//! | `Rules.ColdFrom`, `WarmUpMs` | initial capacity share and period of slow start |
-//! | `Rules.AskWithinMs`, `StopSendingWithinMs` | maximal age of the endpoint list, drain grace |
-//! | `Rules.ExtraFloor`, `ResendRatio`, `BudgetWindowMs` | floor, share and window of the retry budget |
+//! | `Limits.SecondCopies`, `MayCancel` | hedging, cancellation |
+//! | `Rules.ColdFrom`, `WarmUpMs` | initial capacity share and warm-up period of slow start |
+//! | `Rules.AskWithinMs`, `StopSendingWithinMs` | maximum age of the endpoint list, drain grace period |
+//! | `Rules.ExtraFloor`, `ResendRatio`, `BudgetWindowMs` | minimum retries, ratio and window of the retry budget |
 //! | `Areas`, `Zone` | zones |
 
 use crate::settings_text::{ClassText, LimitsText, RulesText, SettingsText};
@@ -24,53 +26,55 @@
 };
 use std::collections::BTreeMap;
 
-/// What a settings text holds for one broker.
+/// Settings of one broker, in the terms of the code.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerSettings {
-    /// The configuration of the routing decisions.
+    /// Configuration of the routing decisions.
     pub broker_config: BrokerConfig,
-    /// Which ids the names of request classes and tenants have.
+    /// Ids of the request classes and tenants, by name.
     pub names: NameRegistry,
-    /// The zones' names, by zone id.
+    /// Names of the zones, indexed by zone id.
     pub zones: Vec<String>,
-    /// Limits of a connection to a node.
+    /// Limits of each connection to a node.
     pub connections: ConnectionSettings,
-    /// What each value of a load report is, in their order.
+    /// Metrics that a load report consists of, in the order of its values.
     pub load_report: Vec<LoadMetric>,
 }
 
-/// Limits of a connection to a node; `None` where the text does not state them.
+/// Limits of each connection to a node. A limit is `None` if the settings do not contain its key.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionSettings {
-    /// A node closes a connection that was idle for this long.
+    /// Time after which a node closes an idle connection.
     pub idle_timeout: Option<TimeSpan>,
-    /// A connection that is not established within this time never will be.
+    /// Time after which an attempt to connect has failed if no connection is established.
     pub connect_timeout: Option<TimeSpan>,
-    /// The shard requests that one connection carries at a time.
+    /// Maximum number of concurrent shard requests on one connection.
     pub max_shard_requests: Option<u32>,
 }
 
-/// The numbers of a text's request classes and tenants, in the text's order.
+/// Numbers that become the ids of request classes and tenants, in the order of the lists.
 pub(crate) struct AssignedNumbers {
     pub classes: Vec<usize>,
     pub tenants: Vec<usize>,
 }
 
-/// Reads a settings text; unknown keys are skipped. Ids go by the order in the text.
+/// Parses settings in JSON. Unknown keys are ignored; ids are assigned in the order of the lists.
 ///
 /// # Errors
-/// The first thing that is wrong: no JSON, a missing key, a value of the wrong type or kind.
+///
+/// Returns the first error: invalid JSON, a missing key, a value of the wrong type or an unknown `Effect`, a list
+/// with fewer items than there are request classes, or more request classes than ids.
 pub fn read(text: &[u8]) -> Result<BrokerSettings, SettingsError> {
-    let text: SettingsText = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
-    let names = NameRegistry::in_order(text.class_names(), text.tenant_names());
+    let raw: SettingsText = serde_json::from_slice(text).map_err(SettingsError::Syntax)?;
+    let names = NameRegistry::from_names(raw.class_names(), raw.tenant_names());
     let numbers = AssignedNumbers {
-        classes: (0..text.services.len()).collect(),
-        tenants: (0..text.tenants.len()).collect(),
+        classes: (0..raw.services.len()).collect(),
+        tenants: (0..raw.tenants.len()).collect(),
     };
-    BrokerSettings::from_text(&text, names, &numbers)
+    BrokerSettings::from_raw(&raw, names, &numbers)
 }
 
-/// What a value of a load report is, by its name.
+/// Returns the load metric with the given name in a load report, or [`LoadMetric::Ignored`] for an unknown name.
 pub fn load_metric(name: &str) -> LoadMetric {
     match name {
         "queue" => LoadMetric::QueueLength,
@@ -80,46 +84,46 @@
 }
 
 impl BrokerSettings {
-    /// The configuration that a text states, with these ids for its request classes and tenants.
-    pub(crate) fn from_text(
-        text: &SettingsText,
+    /// Converts parsed settings, with `numbers` as the ids of their request classes and tenants.
+    pub(crate) fn from_raw(
+        raw: &SettingsText,
         names: NameRegistry,
         numbers: &AssignedNumbers,
     ) -> Result<BrokerSettings, SettingsError> {
         Ok(BrokerSettings {
-            broker_config: broker_config(text, numbers)?,
+            broker_config: broker_config(raw, numbers)?,
             names,
-            zones: text.areas.clone(),
-            connections: connection_settings(&text.limits),
-            load_report: text.stats.fields.iter().map(|name| load_metric(name)).collect(),
+            zones: raw.areas.clone(),
+            connections: connection_settings(&raw.limits),
+            load_report: raw.stats.fields.iter().map(|name| load_metric(name)).collect(),
         })
     }
 }
 
-fn broker_config(text: &SettingsText, numbers: &AssignedNumbers) -> Result<BrokerConfig, SettingsError> {
+fn broker_config(raw: &SettingsText, numbers: &AssignedNumbers) -> Result<BrokerConfig, SettingsError> {
     Ok(BrokerConfig {
-        brokers: text.instances,
-        zone: ZoneId(text.zone),
-        period: TimeSpan::from_ms(text.period_ms),
+        brokers: raw.instances,
+        zone: ZoneId(raw.zone),
+        period: TimeSpan::from_ms(raw.period_ms),
         send_lag: TimeSpan::ZERO,
-        classes: request_classes(text, &numbers.classes)?,
-        tenants: tenants(text, &numbers.tenants),
-        over_quota_weight: text.over_share_worth,
-        layout: shard_layout(text),
-        limits: request_limits(&text.limits),
-        rules: safety_rules(&text.rules),
-        watch_on_request: text.registry_mode == "subscribe",
-        load_by_probe: text.limits.probes && text.stats.via == "pull",
-        late_failure_cost: text.prices.late_fail,
+        classes: request_classes(raw, &numbers.classes)?,
+        tenants: tenants(raw, &numbers.tenants),
+        over_quota_weight: raw.over_share_worth,
+        layout: shard_layout(raw),
+        limits: request_limits(&raw.limits),
+        rules: safety_rules(&raw.rules),
+        watch_on_request: raw.registry_mode == "subscribe",
+        load_by_probe: raw.limits.probes && raw.stats.via == "pull",
+        late_failure_cost: raw.prices.late_fail,
     })
 }
 
 fn request_classes(
-    text: &SettingsText,
+    raw: &SettingsText,
     numbers: &[usize],
 ) -> Result<BTreeMap<ClassId, RequestClass>, SettingsError> {
-    let classes = text.services.iter().zip(numbers).enumerate().map(|(index, (service, number))| {
-        let class = request_class(text, index, service)?;
+    let classes = raw.services.iter().zip(numbers).enumerate().map(|(index, (service, number))| {
+        let class = request_class(raw, index, service)?;
         let id = u16::try_from(*number).map_err(|_| SettingsError::TooManyClasses)?;
         Ok((ClassId(id), class))
     });
@@ -127,7 +131,7 @@
 }
 
 fn request_class(
-    text: &SettingsText,
+    raw: &SettingsText,
     index: usize,
     service: &ClassText,
 ) -> Result<RequestClass, SettingsError> {
@@ -140,9 +144,9 @@
         deadline: TimeSpan::from_ms(service.deadline_ms),
         priority_weight: service.worth,
         late_weight_share: service.late_share,
-        min_coverage: share(&text.domain.min_share, "MinShare")?,
-        complete_coverage: share(&text.domain.complete_from, "CompleteFrom")?,
-        second_phase_shard_requests: text.domain.fetch_parts.get(index).copied().unwrap_or(0),
+        min_coverage: share(&raw.domain.min_share, "MinShare")?,
+        complete_coverage: share(&raw.domain.complete_from, "CompleteFrom")?,
+        second_phase_shard_requests: raw.domain.fetch_parts.get(index).copied().unwrap_or(0),
         idempotency: idempotency(&service.effect)?,
         dedup_window: TimeSpan::from_ms(service.dedup_window_ms),
     })
@@ -157,19 +161,19 @@
     }
 }
 
-fn tenants(text: &SettingsText, numbers: &[usize]) -> BTreeMap<TenantId, Tenant> {
-    let tenants = text.tenants.iter().zip(numbers);
+fn tenants(raw: &SettingsText, numbers: &[usize]) -> BTreeMap<TenantId, Tenant> {
+    let tenants = raw.tenants.iter().zip(numbers);
     let rows =
         tenants.map(|(tenant, number)| (TenantId(*number as u32), Tenant { quota_per_s: tenant.quota_rps }));
     rows.collect()
 }
 
-fn shard_layout(text: &SettingsText) -> ShardLayout {
+fn shard_layout(raw: &SettingsText) -> ShardLayout {
     ShardLayout {
-        placement_groups: text.domain.cells,
-        replica_groups: text.domain.reach,
-        shards: text.domain.ranges,
-        max_batch_size: text.domain.per_call.max(1),
+        placement_groups: raw.domain.cells,
+        replica_groups: raw.domain.reach,
+        shards: raw.domain.ranges,
+        max_batch_size: raw.domain.per_call.max(1),
     }
 }
 
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,5 +1,5 @@
-//! The validator of settings documents, for versions from a service and for a broker's own file. It lists all
-//! errors at once, each with the key, its value and what is allowed.
+//! Validation of settings documents, both of versions from a configuration service and of a broker's own file. It
+//! reports all errors at once, each with the key, the value and the allowed values.
 
 use crate::consistency::check_consistency;
 use crate::document::{Document, join_key, type_name};
@@ -9,21 +9,23 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// The most errors that are listed of one document.
+/// Maximum number of errors that are listed for one document.
 const MAX_ERRORS: usize = 100;
-/// The most items in a list of request classes, tenants or zones.
+/// Maximum number of items in a list of request classes, tenants or zones.
 const MAX_LIST_ITEMS: usize = 10_000;
-/// How many characters of a wrong text are shown.
-const SHOWN_CHARACTERS: usize = 40;
+/// Number of characters after which a string value is cut off in an error.
+const MAX_SHOWN_CHARS: usize = 40;
 
-/// Everything that is wrong with a document, up to 100 errors; empty where it can be used.
+/// Returns the errors in `document`, at most 100, or an empty list if a broker can use it.
+///
+/// Relations between several keys are checked only if every value is allowed by itself.
 pub fn check(document: &Document) -> Vec<ValidationError> {
     let mut errors = Vec::new();
     check_value(&document.0, "", "", &mut errors);
     if errors.is_empty() {
         match serde_json::from_value::<SettingsText>(document.0.clone()) {
-            Ok(text) => check_consistency(&text, &mut errors),
-            // Can't happen while the table of keys and the types agree; if it does, it is reported.
+            Ok(raw) => check_consistency(&raw, &mut errors),
+            // Unreachable as long as `FIELDS` and `SettingsText` agree. If they do not, the document is rejected.
             Err(error) => errors.push(ValidationError::invalid(
                 "document",
                 error.to_string(),
@@ -35,14 +37,14 @@
     errors
 }
 
-/// `place` is the path of a value, such as `Tenants[1].Name`; `key` is the same path as the table of keys writes
-/// it, `Tenants[].Name`.
-fn check_value(value: &Value, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
+/// Checks a value and all values below it. `path` is the path of the value, such as `Tenants[1].Name`, and `key` the
+/// same path in the notation of [`FIELDS`], such as `Tenants[].Name`.
+fn check_value(value: &Value, path: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let field = Field::find(key);
     match value {
-        _ if field.is_some_and(|field| field.value_type == ValueType::Unchecked) && !has_keys(key) => {}
-        Value::Object(entries) if has_keys(key) => check_object(entries, place, key, errors),
-        Value::Array(items) if is_list(key) => check_list(items, place, key, errors),
+        _ if field.is_some_and(|field| field.value_type == ValueType::Unchecked) && !is_object(key) => {}
+        Value::Object(entries) if is_object(key) => check_object(entries, path, key, errors),
+        Value::Array(items) if is_list(key) => check_list(items, path, key, errors),
         _ if field.is_some_and(|field| field.value_type.accepts(value)) => {}
         _ => {
             let allowed = match field {
@@ -50,51 +52,51 @@
                 None if is_list(key) => "a list".to_owned(),
                 None => "an object".to_owned(),
             };
-            errors.push(ValidationError::invalid(place, shorten(value), allowed));
+            errors.push(ValidationError::invalid(path, shorten(value), allowed));
         }
     }
 }
 
-fn check_object(entries: &Map<String, Value>, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
+fn check_object(entries: &Map<String, Value>, path: &str, key: &str, errors: &mut Vec<ValidationError>) {
     for (name, value) in entries {
-        let (place, key) = (join_key(place, name), join_key(key, name));
+        let (path, key) = (join_key(path, name), join_key(key, name));
         if is_known(&key) {
-            check_value(value, &place, &key, errors);
+            check_value(value, &path, &key, errors);
         } else if !is_below_unchecked(&key) {
-            errors.push(ValidationError::UnknownKey { field: place, nearest: nearest_key(&key) });
+            errors.push(ValidationError::UnknownKey { field: path, nearest: nearest_key(&key) });
         }
     }
-    check_required(entries, place, key, errors);
+    check_required(entries, path, key, errors);
 }
 
-fn check_list(items: &[Value], place: &str, key: &str, errors: &mut Vec<ValidationError>) {
+fn check_list(items: &[Value], path: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let item_key = format!("{key}[]");
     for (index, value) in items.iter().enumerate().take(MAX_LIST_ITEMS) {
-        check_value(value, &format!("{place}[{index}]"), &item_key, errors);
+        check_value(value, &format!("{path}[{index}]"), &item_key, errors);
     }
     if items.len() > MAX_LIST_ITEMS {
         let found = format!("a list of {}", items.len());
-        errors.push(ValidationError::invalid(place, found, format!("{MAX_LIST_ITEMS} at most")));
+        errors.push(ValidationError::invalid(path, found, format!("{MAX_LIST_ITEMS} at most")));
     }
 }
 
-/// Adds an error for each required key that is missing in this object.
-fn check_required(entries: &Map<String, Value>, place: &str, key: &str, errors: &mut Vec<ValidationError>) {
+/// Adds an error for each required key that is missing in an object.
+fn check_required(entries: &Map<String, Value>, path: &str, key: &str, errors: &mut Vec<ValidationError>) {
     let mut reported: BTreeSet<&str> = BTreeSet::new();
     for field in FIELDS.iter().filter(|field| field.is_required) {
-        let Some(rest) = key_within(field.key, key) else { continue };
+        let Some(rest) = strip_outer_key(field.key, key) else { continue };
         let first = rest.split(['.', '[']).next().unwrap_or(rest);
-        // An installation without tenants is allowed: the required keys of a tenant do not make the list required.
+        // The list of tenants is optional, although each tenant in it has required keys.
         if !entries.contains_key(first) && reported.insert(first) && first != "Tenants" {
             let allowed =
                 if first == rest { field.value_type.describe() } else { format!("what `{rest}` stands in") };
-            errors.push(ValidationError::MissingKey { field: join_key(place, first), allowed });
+            errors.push(ValidationError::MissingKey { field: join_key(path, first), allowed });
         }
     }
 }
 
-/// The rest of a key below an outer one; the outermost is empty.
-fn key_within<'a>(key: &'a str, outer: &str) -> Option<&'a str> {
+/// Returns the part of `key` below `outer`, or `None` if it is not below. The top level has an empty key.
+fn strip_outer_key<'a>(key: &'a str, outer: &str) -> Option<&'a str> {
     if outer.is_empty() { Some(key) } else { key.strip_prefix(outer).and_then(|rest| rest.strip_prefix('.')) }
 }
 
@@ -110,7 +112,7 @@
     FIELDS.iter().any(|field| field.value_type == ValueType::Unchecked && is_below(key, field.key))
 }
 
-fn has_keys(key: &str) -> bool {
+fn is_object(key: &str) -> bool {
     let is_within = |field: &Field| field.key.strip_prefix(key).is_some_and(|rest| rest.starts_with('.'));
     key.is_empty() || FIELDS.iter().any(is_within)
 }
@@ -122,20 +124,20 @@
 fn shorten(value: &Value) -> String {
     match value {
         Value::Array(_) | Value::Object(_) => type_name(value).to_owned(),
-        Value::String(text) if text.chars().count() > SHOWN_CHARACTERS => {
-            format!("\"{}...\"", text.chars().take(SHOWN_CHARACTERS).collect::<String>())
+        Value::String(text) if text.chars().count() > MAX_SHOWN_CHARS => {
+            format!("\"{}...\"", text.chars().take(MAX_SHOWN_CHARS).collect::<String>())
         }
         other => other.to_string(),
     }
 }
 
-/// The known key that is most similar to an unknown one.
+/// Returns the known key that is most similar to an unknown one.
 fn nearest_key(key: &str) -> &'static str {
     let nearest = nearest_name(key, FIELDS.iter().map(|field| field.key)).unwrap_or_default();
     if key.contains(['.', '[']) {
         return nearest;
     }
-    // A whole branch is a key too: `Rulez` is nearest to `Rules`, not to one of the keys below it.
-    let branches = FIELDS.iter().map(|field| field.key.split(['.', '[']).next().unwrap_or(field.key));
-    nearest_name(key, branches).unwrap_or(nearest)
+    // A top-level key is compared only with top-level keys, so that `Rulez` matches `Rules` and not a key below it.
+    let top_level_keys = FIELDS.iter().map(|field| field.key.split(['.', '[']).next().unwrap_or(field.key));
+    nearest_name(key, top_level_keys).unwrap_or(nearest)
 }
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -1,36 +1,38 @@
-//! Checks that involve several settings keys, and so can't be made key by key.
+//! Checks of relations between several settings keys.
 
 use crate::ValidationError;
 use crate::settings_text::{ClassText, DomainText, LimitsText, RulesText, SettingsText};
 use std::collections::BTreeSet;
 
-/// A latency objective must be longer than this many turns. A response must be on its way two turns before the
-/// latency objective and four before the deadline: with less time each query would fail as it is accepted.
+/// Number of turns that a latency objective must exceed.
+///
+/// A response must be sent two turns before the latency objective and four before the deadline. With less time, each
+/// query would fail as soon as it is accepted.
 const MIN_OBJECTIVE_TURNS: f64 = 4.0;
 
-/// Adds an error for each value that is allowed by itself, but not with the others.
-pub(crate) fn check_consistency(text: &SettingsText, errors: &mut Vec<ValidationError>) {
-    check_class_lists(text, errors);
-    check_names(text, errors);
-    check_zone(text, errors);
-    for (index, service) in text.services.iter().enumerate() {
-        check_class_times(index, service, text.period_ms, errors);
-        check_class_coverage(index, &text.domain, errors);
+/// Adds an error for each value that conflicts with other values. Each value must be allowed by itself.
+pub(crate) fn check_consistency(raw: &SettingsText, errors: &mut Vec<ValidationError>) {
+    check_class_lists(raw, errors);
+    check_names(raw, errors);
+    check_zone(raw, errors);
+    for (index, service) in raw.services.iter().enumerate() {
+        check_class_times(index, service, raw.period_ms, errors);
+        check_class_coverage(index, &raw.domain, errors);
     }
-    check_layout(&text.domain, errors);
-    check_rules(&text.rules, errors);
-    check_limits(&text.limits, errors);
+    check_layout(&raw.domain, errors);
+    check_rules(&raw.rules, errors);
+    check_limits(&raw.limits, errors);
 }
 
-/// Lists with one item for each request class.
-fn check_class_lists(text: &SettingsText, errors: &mut Vec<ValidationError>) {
-    let domain = &text.domain;
+/// Checks that the lists with one item for each request class have the right length.
+fn check_class_lists(raw: &SettingsText, errors: &mut Vec<ValidationError>) {
+    let domain = &raw.domain;
     let lists = [
         ("Domain.CompleteFrom", domain.complete_from.len(), true),
         ("Domain.MinShare", domain.min_share.len(), true),
         ("Domain.FetchParts", domain.fetch_parts.len(), false),
     ];
-    let classes = text.services.len();
+    let classes = raw.services.len();
     for (field, length, is_required) in lists {
         if length != classes && (is_required || length > 0) {
             let allowed = format!("one for each of `Services`, {classes},");
@@ -42,10 +44,10 @@
     }
 }
 
-fn check_names(text: &SettingsText, errors: &mut Vec<ValidationError>) {
-    check_unique(text.class_names(), |index| format!("Services[{index}].Name"), errors);
-    check_unique(text.tenant_names(), |index| format!("Tenants[{index}].Name"), errors);
-    check_unique(text.areas.iter().map(String::as_str), |index| format!("Areas[{index}]"), errors);
+fn check_names(raw: &SettingsText, errors: &mut Vec<ValidationError>) {
+    check_unique(raw.class_names(), |index| format!("Services[{index}].Name"), errors);
+    check_unique(raw.tenant_names(), |index| format!("Tenants[{index}].Name"), errors);
+    check_unique(raw.areas.iter().map(String::as_str), |index| format!("Areas[{index}]"), errors);
 }
 
 fn check_unique<'a>(
@@ -62,10 +64,10 @@
     }
 }
 
-fn check_zone(text: &SettingsText, errors: &mut Vec<ValidationError>) {
-    if !text.areas.is_empty() && usize::from(text.zone) >= text.areas.len() {
-        let allowed = format!("a place in `Areas`, less than {},", text.areas.len());
-        errors.push(ValidationError::invalid("Zone", text.zone.to_string(), allowed));
+fn check_zone(raw: &SettingsText, errors: &mut Vec<ValidationError>) {
+    if !raw.areas.is_empty() && usize::from(raw.zone) >= raw.areas.len() {
+        let allowed = format!("a place in `Areas`, less than {},", raw.areas.len());
+        errors.push(ValidationError::invalid("Zone", raw.zone.to_string(), allowed));
     }
 }
 
@@ -98,7 +100,7 @@
         errors.push(ValidationError::invalid(field, min_share.to_string(), allowed));
     }
     if complete_from == Some(&0.0) {
-        // A response without any shard would be complete.
+        // With 0, a response that covers no shard would count as complete.
         let field = format!("Domain.CompleteFrom[{index}]");
         errors.push(ValidationError::invalid(field, "0", "more than 0"));
     }
@@ -122,7 +124,7 @@
         let found = rules.overload_factor.to_string();
         errors.push(ValidationError::invalid("Rules.OverloadFactor", found, allowed));
     }
-    // Without its window a stated budget would be ignored, and the broker's default used instead.
+    // A retry budget without a window would be ignored in favor of the broker's default.
     if rules.budget_window_ms.is_none() && (rules.extra_floor.is_some() || rules.resend_ratio.is_some()) {
         let allowed = "a window where `ExtraFloor` or `ResendRatio` stand".to_owned();
         errors.push(ValidationError::MissingKey { field: "Rules.BudgetWindowMs".to_owned(), allowed });
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,48 +1,49 @@
-//! A settings text as a document: bounded before it is parsed, and with one canonical form, so that two texts
-//! with the same meaning have the same digest.
+//! Settings documents. Their length is limited before they are parsed, and each has one canonical form, so that
+//! equivalent documents have the same digest.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// A document that could be parsed. Whether its values are allowed is for [`crate::check()`].
+/// Parsed settings document, which is a JSON object. Its values are not validated; see [`crate::check()`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document(pub(crate) Value);
 
-/// Why a text is no document.
+/// Reason why a text can't be parsed as a document.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DocumentError {
-    /// The text is longer than allowed; it was not parsed.
+    /// The text is longer than allowed and was not parsed.
     #[error("{bytes} bytes, at most {max_bytes} are allowed")]
     TooLong {
-        /// The text's length.
+        /// Length of the text.
         bytes: usize,
-        /// The longest that is allowed.
+        /// Maximum length.
         max_bytes: usize,
     },
-    /// The text is no JSON.
+    /// The text is not valid JSON, or is nested too deeply.
     #[error("line {line}, column {column}: {reason}")]
     Syntax {
-        /// From 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// From 1.
+        /// Column of the error, counted from 1.
         column: usize,
-        /// The parser's words.
+        /// Message of the parser, without the position.
         reason: String,
     },
-    /// The text is JSON, but no object.
+    /// The text is valid JSON but not an object. The value is the JSON type that was found.
     #[error("not an object but {0}")]
     NotAnObject(&'static str),
 }
 
 impl Document {
-    /// Parses a text of at most `max_bytes`.
+    /// Parses a text of at most `max_bytes` bytes.
     ///
-    /// A text from a service could otherwise take all of a broker's memory, or its stack by deep nesting: the
-    /// length is checked before a byte is parsed, and the parser ends at a nesting of 128. Such a text is an
-    /// error that shows as a rejected version.
+    /// The limits keep a text from a configuration service from exhausting the broker's memory, or its stack by deep
+    /// nesting. The length is checked before parsing, and the parser fails at a nesting of 128 levels. A version with
+    /// such a text is rejected.
     ///
     /// # Errors
-    /// The text is too long, is no JSON, or is JSON but no object.
+    ///
+    /// Returns an error if the text is too long, is not valid JSON, or is not a JSON object.
     pub fn parse(text: &[u8], max_bytes: usize) -> Result<Document, DocumentError> {
         if text.len() > max_bytes {
             return Err(DocumentError::TooLong { bytes: text.len(), max_bytes });
@@ -58,18 +59,19 @@
         }
     }
 
-    /// RFC 8785: keys sorted, no white space, numbers in their shortest form.
+    /// Returns the canonical form of the document by RFC 8785: sorted keys, no white space, and numbers in their
+    /// shortest form.
     pub fn canonical(&self) -> Vec<u8> {
-        // Numbers that JSON can hold can be written, so this does not fail on what was parsed.
+        // Serialization fails only for numbers that JSON can't represent, and a parsed document has none.
         serde_json_canonicalizer::to_vec(&self.0).unwrap_or_default()
     }
 
-    /// The value of a key of the outermost object.
+    /// Returns the value of a top-level key.
     pub(crate) fn get(&self, key: &str) -> Option<&Value> {
         self.0.get(key)
     }
 
-    /// Sets a key of the outermost object.
+    /// Sets the value of a top-level key.
     pub(crate) fn set(&mut self, key: &str, value: Value) {
         if let Value::Object(entries) = &mut self.0 {
             entries.insert(key.to_owned(), value);
@@ -77,12 +79,12 @@
     }
 }
 
-/// A parser's message without the position, which is shown apart.
+/// Removes the position from a message of the parser, because the error states it separately.
 fn without_position(message: &str) -> String {
     message.split(" at line ").next().unwrap_or_default().to_owned()
 }
 
-/// The JSON type of a value, in words for an operator.
+/// Returns the JSON type of a value, worded for error messages.
 pub(crate) fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
@@ -94,7 +96,7 @@
     }
 }
 
-/// The path of a key in an object with the path `place`; the outermost object has an empty path.
-pub(crate) fn join_key(place: &str, key: &str) -> String {
-    if place.is_empty() { key.to_owned() } else { format!("{place}.{key}") }
+/// Returns the path of `key` in the object at `path`. The top-level object has an empty path.
+pub(crate) fn join_key(path: &str, key: &str) -> String {
+    if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,72 +1,73 @@
-//! The table of all settings keys: what each may hold, whether it must be there, and when a new value
-//! applies. The checks, the comparison of two documents and the operators' page all read this one table.
+//! Table of all settings keys: their allowed values, whether they are required, and when a new value takes effect.
+//! The checks, the comparison of two documents and the operators' documentation all follow this table.
 
 use crate::ValueType::{self, Boolean, OneOf, Share, Text, Unchecked};
-use Applies::{AfterRestart, Immediately, Never, NewQueries, PerBroker};
+use ApplyMode::{AfterRestart, Immediately, Never, NewQueries, PerBroker};
 
-/// When a value that differs from the one before takes effect.
+/// Time at which a changed value takes effect in a running broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Applies {
-    /// At once, for everything; where a rule counts over a window, the tighter of the old and the new value
-    /// applies until the longest of retry window, warm-up period and overload window has passed.
+pub enum ApplyMode {
+    /// The new value applies at once, also to open queries. For rules that count over a window, the stricter of the
+    /// old and the new value applies until the longest of retry window, warm-up period and overload window has
+    /// passed.
     Immediately,
-    /// For queries accepted from then on; an open query goes by the configuration that it was accepted under.
+    /// The new value applies to queries that are accepted from then on. Open queries keep the configuration under
+    /// which they were accepted.
     NewQueries,
-    /// Not while the broker runs: a version that changes it is rejected.
+    /// The new value needs a restart. A running broker rejects a version that changes it.
     AfterRestart,
-    /// Each broker's own, from its file; a version leaves it out, or has the same value.
+    /// Each broker has its own value, from its file. A version must leave the key out or have the same value.
     PerBroker,
-    /// Never: the broker does not read it.
+    /// The broker does not read the key.
     Never,
 }
 
-/// One row of the table: a key, or all keys below it where its value is [`ValueType::Unchecked`].
+/// Row of the table. It describes a key, and if its type is [`ValueType::Unchecked`] also all keys below it.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// The path of the key, such as `Domain.Cells`; a key in a list has `[]` behind the
-    /// list's name, such as `Tenants[].Name`.
+    /// Path of the key, such as `Domain.Cells`. The name of a list is followed by `[]`, as in `Tenants[].Name`.
     pub key: &'static str,
-    /// What it may hold.
+    /// Allowed values.
     pub value_type: ValueType,
-    /// Whether it must be there.
+    /// Whether the object that contains the key is invalid without it.
     pub is_required: bool,
-    /// When a new value takes effect.
-    pub applies: Applies,
+    /// Time at which a new value takes effect.
+    pub applies: ApplyMode,
 }
 
 impl Field {
-    /// The row of a key.
+    /// Returns the row of a key, or `None` if the table has no such key.
     pub fn find(key: &str) -> Option<&'static Field> {
         FIELDS.iter().find(|field| field.key == key)
     }
 }
 
-/// The longest time that a key may hold, in milliseconds.
+/// Longest duration that a key may hold, in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
-/// The longest deadline, in milliseconds: the longest wait that a client may state.
+/// Longest deadline, in milliseconds. It equals the longest time that a client may allow for a query.
 const MAX_DEADLINE_MS: f64 = 600_000.0;
 const EFFECTS: &[&str] = &["idempotent", "deduplicated", "at_most_once"];
 const REGISTRY_MODES: &[&str] = &["automatic", "subscribe"];
 const STATS_VIA: &[&str] = &["piggyback", "pull", "silent"];
 
-const fn ms(least: f64, most: f64) -> ValueType {
-    ValueType::Milliseconds { least, most }
+const fn ms(min: f64, max: f64) -> ValueType {
+    ValueType::Milliseconds { min, max }
 }
 
-const fn number(least: f64, most: f64) -> ValueType {
-    ValueType::Number { least, most }
+const fn number(min: f64, max: f64) -> ValueType {
+    ValueType::Number { min, max }
 }
 
-const fn whole(least: u64, most: u64) -> ValueType {
-    ValueType::Whole { least, most }
+const fn integer(min: u64, max: u64) -> ValueType {
+    ValueType::Integer { min, max }
 }
 
-/// Every settings key.
+/// All settings keys.
 pub const FIELDS: &[Field] = &[
-    Field { key: "Instances", value_type: whole(1, 65_535), is_required: true, applies: Immediately },
-    Field { key: "Me", value_type: whole(0, 65_535), is_required: false, applies: PerBroker },
-    Field { key: "Zone", value_type: whole(0, 65_535), is_required: false, applies: PerBroker },
-    Field { key: "Layer", value_type: whole(0, 65_535), is_required: false, applies: PerBroker },
+    Field { key: "Instances", value_type: integer(1, 65_535), is_required: true, applies: Immediately },
+    Field { key: "Me", value_type: integer(0, 65_535), is_required: false, applies: PerBroker },
+    Field { key: "Zone", value_type: integer(0, 65_535), is_required: false, applies: PerBroker },
+    Field { key: "Layer", value_type: integer(0, 65_535), is_required: false, applies: PerBroker },
     Field { key: "Areas[]", value_type: Text, is_required: false, applies: Immediately },
     Field { key: "PeriodMs", value_type: ms(0.1, 10_000.0), is_required: true, applies: AfterRestart },
     Field { key: "Services[].Name", value_type: Text, is_required: true, applies: NewQueries },
@@ -103,23 +104,38 @@
     Field { key: "Tenants[].QuotaRps", value_type: number(0.0, 1e9), is_required: true, applies: NewQueries },
     Field { key: "Tenants[].Share", value_type: Unchecked, is_required: false, applies: Never },
     Field { key: "OverShareWorth", value_type: Share, is_required: false, applies: NewQueries },
-    Field { key: "Domain.Cells", value_type: whole(1, 65_536), is_required: true, applies: NewQueries },
-    Field { key: "Domain.Reach", value_type: whole(1, 65_536), is_required: true, applies: NewQueries },
-    Field { key: "Domain.Ranges", value_type: whole(1, 1_000_000), is_required: true, applies: NewQueries },
-    Field { key: "Domain.PerCall", value_type: whole(1, 65_536), is_required: false, applies: AfterRestart },
+    Field { key: "Domain.Cells", value_type: integer(1, 65_536), is_required: true, applies: NewQueries },
+    Field { key: "Domain.Reach", value_type: integer(1, 65_536), is_required: true, applies: NewQueries },
+    Field { key: "Domain.Ranges", value_type: integer(1, 1_000_000), is_required: true, applies: NewQueries },
+    Field {
+        key: "Domain.PerCall",
+        value_type: integer(1, 65_536),
+        is_required: false,
+        applies: AfterRestart,
+    },
     Field { key: "Domain.CompleteFrom[]", value_type: Share, is_required: true, applies: NewQueries },
     Field { key: "Domain.MinShare[]", value_type: Share, is_required: true, applies: NewQueries },
     Field {
         key: "Domain.FetchParts[]",
-        value_type: whole(0, 1_000_000),
+        value_type: integer(0, 1_000_000),
         is_required: false,
         applies: NewQueries,
     },
     Field { key: "Domain.ClassPartial[]", value_type: Unchecked, is_required: false, applies: Never },
     Field { key: "Domain.PerCallWorkMs", value_type: Unchecked, is_required: false, applies: Never },
     Field { key: "Domain.WarmKeys", value_type: Unchecked, is_required: false, applies: Never },
-    Field { key: "Limits.MaxAttempts", value_type: whole(1, 65_535), is_required: true, applies: NewQueries },
-    Field { key: "Limits.MaxOpen", value_type: whole(2, 1_000_000), is_required: true, applies: Immediately },
+    Field {
+        key: "Limits.MaxAttempts",
+        value_type: integer(1, 65_535),
+        is_required: true,
+        applies: NewQueries,
+    },
+    Field {
+        key: "Limits.MaxOpen",
+        value_type: integer(2, 1_000_000),
+        is_required: true,
+        applies: Immediately,
+    },
     Field { key: "Limits.SecondCopies", value_type: Boolean, is_required: false, applies: NewQueries },
     Field { key: "Limits.MayCancel", value_type: Boolean, is_required: false, applies: NewQueries },
     Field { key: "Limits.RetryAfter", value_type: Boolean, is_required: false, applies: Immediately },
@@ -143,7 +159,7 @@
     },
     Field {
         key: "Limits.StreamsPerConn",
-        value_type: whole(1, 65_536),
+        value_type: integer(1, 65_536),
         is_required: false,
         applies: AfterRestart,
     },
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,13 @@
-//! Reads settings texts: into the configuration of the routing decisions, and into what the program needs beside
-//! it. Makes no decision about queries.
+//! Parses and validates the settings of a broker: the configuration of its routing decisions, and the limits and
+//! names that its front end needs.
 //!
-//! - [`read`] reads the text that a broker starts from, as the platform gives it: unknown keys are skipped.
-//! - [`Document`] is the whole settings text of an installation; [`check()`] lists all errors of one.
-//! - [`prepare_update()`] turns a document into what a running broker applies, or lists why it can't.
+//! - [`read`] parses the settings that a broker starts with. It ignores unknown keys, because the platform may
+//!   provide keys that the broker does not use.
+//! - [`Document`] holds all settings of an installation, and [`check()`] lists all errors in it.
+//! - [`prepare_update()`] converts a document to the settings that a running broker applies, or lists the reasons why
+//!   the broker can't apply them.
 //!
-//! `broker_settings` is the edge: there the words of the keys become the terms of the code.
+//! The module `broker_settings` maps the names of the settings keys to the terms that the code uses.
 //!
 //! ```
 //! let document = settings::Document::parse(br#"{"PeriodMs": 5.0, "Rulez": {}}"#, 1 << 20).unwrap();
@@ -32,7 +34,7 @@
 pub use check::check;
 pub use compare::{Change, compare};
 pub use document::{Document, DocumentError};
-pub use fields::{Applies, FIELDS, Field};
+pub use fields::{ApplyMode, FIELDS, Field};
 pub use name_registry::NameRegistry;
 pub use settings_error::SettingsError;
 pub use settings_update::{SettingsUpdate, prepare_update};
--- a/crates/settings/src/settings_error.rs
+++ b/crates/settings/src/settings_error.rs
@@ -1,23 +1,23 @@
-//! Why a broker can't be configured from a settings text.
+//! Errors of parsing settings.
 
 use thiserror::Error;
 
-/// Why [`crate::read`] makes nothing of a settings text.
+/// Error of [`crate::read`].
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON, or a key has a value of the wrong type or is missing.
+    /// The text is not valid JSON, a required key is missing, or a value has the wrong type.
     #[error("settings: {0}")]
     Syntax(#[source] serde_json::Error),
-    /// A list that needs one item for each request class has fewer.
+    /// A list has fewer items than there are request classes.
     #[error("settings: `{key}` is too short")]
     ListTooShort {
-        /// The list's key, without the object that it is in.
+        /// Key of the list, without the path of the object that contains it.
         key: &'static str,
     },
     /// A request class has an unknown `Effect`.
     #[error("settings: `Effect` is `{effect}`")]
     UnknownEffect {
-        /// The value in the text.
+        /// Value that was found.
         effect: String,
     },
     /// There are more request classes than class ids.
--- a/crates/settings/src/settings_text.rs
+++ b/crates/settings/src/settings_text.rs
@@ -1,9 +1,11 @@
-//! The settings text as it comes from the platform. Fields have the names of the text's keys; `broker_settings`
-//! turns them into the terms of the code.
+//! Settings in the form in which the platform provides them. The fields have the names of the settings keys;
+//! `broker_settings` converts them to the terms of the code.
+//!
+//! Errors of serde contain the names of these types, and the simulator adapter sends them to the simulator.
 
 use serde::Deserialize;
 
-/// The whole text; keys that are not read here are skipped.
+/// Settings of a broker. Keys without a field are ignored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsText {
@@ -29,18 +31,18 @@
 }
 
 impl SettingsText {
-    /// The names of the request classes, in the text's order.
+    /// Returns the names of the request classes, in the order of the list.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.services.iter().map(|service| &service.name[..])
     }
 
-    /// The names of the tenants, in the text's order.
+    /// Returns the names of the tenants, in the order of the list.
     pub fn tenant_names(&self) -> impl Iterator<Item = &str> {
         self.tenants.iter().map(|tenant| &tenant.name[..])
     }
 }
 
-/// A request class.
+/// Item of `Services`, which describes a request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassText {
@@ -58,7 +60,7 @@
     pub dedup_window_ms: f64,
 }
 
-/// The layout of shards, and what queries need of it.
+/// Object `Domain`: the shard layout, and the coverage that queries need.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct DomainText {
@@ -73,7 +75,7 @@
     pub fetch_parts: Vec<u32>,
 }
 
-/// A tenant.
+/// Item of `Tenants`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TenantText {
@@ -83,7 +85,7 @@
     pub quota_rps: f64,
 }
 
-/// Limits of queries and of connections to nodes.
+/// Object `Limits`: limits of queries and of connections to nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LimitsText {
@@ -104,7 +106,7 @@
     pub streams_per_conn: Option<u32>,
 }
 
-/// Rules that protect nodes.
+/// Object `Rules`: rules that protect nodes from overload.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RulesText {
@@ -125,7 +127,7 @@
     pub budget_window_ms: Option<f64>,
 }
 
-/// How nodes report their load.
+/// Object `Stats`: the content and the transport of the nodes' load reports.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase")]
 pub struct StatsText {
@@ -135,7 +137,7 @@
     pub via: String,
 }
 
-/// What outcomes cost.
+/// Object `Prices`: the costs of query outcomes.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase")]
 pub struct PricesText {
--- a/crates/settings/src/settings_update.rs
+++ b/crates/settings/src/settings_update.rs
@@ -1,41 +1,44 @@
-//! What a running broker applies of a new document: which keys differ, when each applies, and the
-//! configuration with the ids that the broker already uses.
+//! Updates of a running broker from a new document: the changed keys, when each change takes effect, and the new
+//! settings with the ids that the broker already uses.
 
 use crate::broker_settings::AssignedNumbers;
 use crate::compare::{Change, compare};
 use crate::document::Document;
 use crate::settings_text::SettingsText;
-use crate::{Applies, BrokerSettings, FIELDS, NameRegistry, ValidationError, check};
+use crate::{ApplyMode, BrokerSettings, FIELDS, NameRegistry, ValidationError, check};
 use serde_json::Value;
 
-/// The key of the broker's zone, an index into [`ZONES`].
+/// Key of the broker's zone, an index into [`ZONES`].
 const ZONE: &str = "Zone";
-/// The key of the list of zone names.
+/// Key of the list of zone names.
 const ZONES: &str = "Areas";
 
-/// A document that a running broker can apply.
+/// Update that a running broker can apply.
 #[derive(Clone, Debug)]
 pub struct SettingsUpdate {
-    /// What the broker runs with from now on.
+    /// Settings of the broker after the update.
     pub broker_settings: BrokerSettings,
-    /// The document with the broker's own keys filled in.
+    /// New document, with the per-broker keys filled in.
     pub document: Document,
-    /// What differs from the document that the broker ran with.
+    /// Changes from the document that the broker runs with.
     pub changes: Vec<Change>,
 }
 
-/// Checks that a broker that runs with `running` and these ids can apply `new`, and returns what it then runs
-/// with. Keys that are each broker's own are taken from `running`; `new` leaves them out, or has the same.
+/// Checks that a broker that runs with the document `running` and the ids in `names` can apply the document `new`,
+/// and returns the update.
+///
+/// Per-broker keys that `new` leaves out are taken from `running`.
 ///
 /// # Errors
-/// Everything that is wrong with `new`, and every change that needs a restart.
+///
+/// Returns all errors in `new` and all changes that need a restart, including changes of per-broker keys.
 pub fn prepare_update(
     running: &Document,
     names: &NameRegistry,
     new: &Document,
 ) -> Result<SettingsUpdate, Vec<ValidationError>> {
     let mut document = new.clone();
-    fill_in_own_keys(&mut document, running);
+    fill_in_per_broker_keys(&mut document, running);
     let mut errors: Vec<ValidationError> =
         fill_in_zone(&mut document, running, new).err().into_iter().collect();
     errors.extend(check(&document));
@@ -48,8 +51,8 @@
     Ok(SettingsUpdate { broker_settings, document, changes })
 }
 
-fn fill_in_own_keys(document: &mut Document, running: &Document) {
-    for field in FIELDS.iter().filter(|field| field.applies == Applies::PerBroker) {
+fn fill_in_per_broker_keys(document: &mut Document, running: &Document) {
+    for field in FIELDS.iter().filter(|field| field.applies == ApplyMode::PerBroker) {
         if document.get(field.key).is_none()
             && let Some(own) = running.get(field.key)
         {
@@ -58,8 +61,8 @@
     }
 }
 
-/// A broker stays in its zone. The zone is compared by its name, as the new document may list zones in another
-/// order.
+/// Fills in the broker's zone, which must not change while the broker runs. Zones are compared by name, because the
+/// new document may list them in another order.
 fn fill_in_zone(document: &mut Document, running: &Document, new: &Document) -> Result<(), ValidationError> {
     let running_zone = zone_name(running);
     if new.get(ZONE).is_some() {
@@ -90,34 +93,33 @@
     zones.get(index as usize).and_then(Value::as_str).map(str::to_owned)
 }
 
-/// The error of a change that can't apply while the broker runs; the zone is checked by its name.
+/// Returns an error if a change needs a restart. The zone is left out, as [`fill_in_zone`] checks it by name.
 fn needs_restart(change: &Change) -> Option<ValidationError> {
-    let can_apply = !matches!(change.applies, Applies::AfterRestart | Applies::PerBroker);
+    let can_apply = !matches!(change.applies, ApplyMode::AfterRestart | ApplyMode::PerBroker);
     if can_apply || change.field == ZONE {
         return None;
     }
     let show = |value: &Option<String>| value.clone().unwrap_or_else(|| "its default".to_owned());
-    let (found, running) = (show(&change.is), show(&change.was));
+    let (found, running) = (show(&change.new_value), show(&change.old_value));
     Some(ValidationError::NeedsRestart { field: change.field.clone(), found, running })
 }
 
-/// Reads a checked document with the ids of a running broker, and new ids for new names.
+/// Converts a valid document, with the ids of a running broker and new ids for new names.
 fn broker_settings(
     document: &Document,
     names: &NameRegistry,
 ) -> Result<BrokerSettings, Vec<ValidationError>> {
-    let text: SettingsText =
-        serde_json::from_value(document.0.clone()).map_err(|error| unreadable(&error))?;
-    let names = names.with(text.class_names(), text.tenant_names());
+    let raw: SettingsText = serde_json::from_value(document.0.clone()).map_err(|error| unreadable(&error))?;
+    let names = names.extended_with(raw.class_names(), raw.tenant_names());
     let numbers = AssignedNumbers {
-        classes: text.class_names().map(|name| names.class_number(name)).collect(),
-        tenants: text.tenant_names().map(|name| names.tenant_number(name)).collect(),
+        classes: raw.class_names().map(|name| names.class_number(name)).collect(),
+        tenants: raw.tenant_names().map(|name| names.tenant_number(name)).collect(),
     };
-    BrokerSettings::from_text(&text, names, &numbers).map_err(|error| unreadable(&error))
+    BrokerSettings::from_raw(&raw, names, &numbers).map_err(|error| unreadable(&error))
 }
 
-/// The error of a document that was checked and still can't be read. This can't happen while the table of keys
-/// and the types agree; if it does, it is reported.
+/// Returns the error of a valid document that can't be converted. This is unreachable as long as [`FIELDS`] and
+/// [`SettingsText`] agree; if they do not, the document is rejected.
 fn unreadable(error: &dyn std::error::Error) -> Vec<ValidationError> {
     vec![ValidationError::invalid("document", error.to_string(), "")]
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,14 +1,14 @@
-//! What is read of settings texts, which errors they have, and what a running broker applies.
+//! Tests of parsing, validating and comparing settings, and of updates of a running broker.
 
 use super::{
-    Applies, BrokerSettings, Document, FIELDS, SettingsUpdate, ValidationError, check, compare,
+    ApplyMode, BrokerSettings, Document, FIELDS, SettingsUpdate, ValidationError, check, compare,
     prepare_update,
 };
 use routing::{ClassId, Idempotency, TimeSpan, ZoneId};
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A document with nothing wrong in it.
+/// Returns a valid document.
 fn valid() -> Value {
     json!({"Instances": 3, "Zone": 1, "Me": 2, "PeriodMs": 5.0, "RegistryMode": "automatic",
         "Areas": ["north", "south"],
@@ -28,7 +28,7 @@
     Document::parse(value.to_string().as_bytes(), 1 << 20).unwrap()
 }
 
-/// The document with the value at a JSON pointer replaced; `null` removes it.
+/// Returns the valid document with the value at a JSON pointer replaced, or removed if `to` is `null`.
 fn with(pointer: &str, to: Value) -> Value {
     let mut value = valid();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[rstest]
-fn reads_what_a_broker_and_its_front_need() {
+fn reads_broker_config_and_front_end_settings() {
     let text = with("/Surprise", json!([1])).to_string();
     let BrokerSettings { broker_config: read, names, zones, connections, load_report } =
         super::read(text.as_bytes()).unwrap();
@@ -62,38 +62,39 @@
     );
 }
 
-/// Only where both hold is load reported by probe; what was left out before stays as it was.
+/// Load is reported by probes only if `Stats.Via` is `pull` and `Limits.Probes` is true. Settings without these keys
+/// must keep their earlier meaning, without probes.
 #[rstest]
 #[case(json!({"Via": "pull"}), json!(true), true)]
 #[case(json!({"Via": "pull"}), json!(false), false)]
 #[case(json!({"Via": "pull"}), Value::Null, false)]
 #[case(json!({"Via": "piggyback"}), json!(true), false)]
 #[case(Value::Null, json!(true), false)]
-fn load_is_reported_by_probe(#[case] stats: Value, #[case] probes: Value, #[case] is: bool) {
+fn load_by_probe_needs_both_keys(#[case] stats: Value, #[case] probes: Value, #[case] expected: bool) {
     let mut value = with("/Stats", stats);
     value["Limits"]["Probes"] = probes;
     value["Limits"].as_object_mut().unwrap().retain(|_, value| !value.is_null());
     let read = super::read(value.to_string().as_bytes()).unwrap();
-    assert_eq!(read.broker_config.load_by_probe, is);
+    assert_eq!(read.broker_config.load_by_probe, expected);
 }
 
-/// What the platform's text lacks is named; these words reach the broker's log.
+/// An error must name the key that is missing or invalid. The broker logs these texts.
 #[rstest]
 #[case("/Domain/MinShare", json!([]), "settings: `MinShare` is too short")]
 #[case("/Domain/CompleteFrom", json!([1.0]), "settings: `CompleteFrom` is too short")]
 #[case("/Services/1/Effect", json!("twice"), "settings: `Effect` is `twice`")]
 #[case("/PeriodMs", Value::Null, "settings: missing field `PeriodMs` at line 1 column ")]
-fn names_what_it_cannot_read(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+fn read_error_names_the_key(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
     let error = super::read(with(at, to).to_string().as_bytes()).unwrap_err().to_string();
     assert!(error.starts_with(expected), "{error}");
 }
 
 #[rstest]
-fn finds_nothing_wrong_with_a_valid_one() {
+fn accepts_a_valid_document() {
     assert_eq!(check(&document(&valid())), []);
 }
 
-/// Each error names the field, what it holds and what is allowed.
+/// Each error must state the key, the value and the allowed values.
 #[rstest]
 #[case("/Domain/MinShare/0", json!(1.5), "`Domain.MinShare[0]` is 1.5: a share from 0 to 1 is allowed")]
 #[case(
@@ -180,7 +181,7 @@
 )]
 #[case("/Zone", json!(2), "`Zone` is 2: a place in `Areas`, less than 2, is allowed")]
 #[case("/Domain", Value::Null, "`Domain` is missing: what `Domain.Cells` stands in is needed")]
-fn names_what_is_wrong(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+fn error_states_key_value_and_allowed_values(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
     let errors: Vec<String> =
         check(&document(&with(at, to))).iter().map(ValidationError::to_string).collect();
     assert!(errors.iter().any(|error| error == expected), "{errors:#?}");
@@ -199,13 +200,13 @@
 #[case(&b"[]"[..], "not an object but a list")]
 #[case(&[b'['; 4000][..], "line 1, column 128: recursion limit exceeded")]
 #[case(&[b' '; 5000][..], "5000 bytes, at most 4096 are allowed")]
-fn says_why_a_text_is_no_document(#[case] text: &[u8], #[case] expected: &str) {
+fn document_error_states_the_reason(#[case] text: &[u8], #[case] expected: &str) {
     assert_eq!(Document::parse(text, 4096).unwrap_err().to_string(), expected);
 }
 
-/// Two texts that say the same have the same bytes.
+/// Equivalent texts must have the same canonical form, or their digests would differ.
 #[rstest]
-fn has_one_canonical_form() {
+fn equivalent_documents_have_one_canonical_form() {
     let [a, b] = [&br#"{"b": 5.0, "a": [1e2]}"#[..], &b"{\n\"a\":[100],\"b\":5}"[..]];
     let canonical = |text| Document::parse(text, 100).unwrap().canonical();
     assert_eq!(
@@ -220,9 +221,10 @@
     prepare_update(&running, &names, &document(new))
 }
 
-/// Ids stay with names: a removed name still has its id, a new name gets the next.
+/// A name must keep its id even after it is removed, and a new name must get an unused id. Routing state is stored by
+/// id and would otherwise be attributed to another request class or tenant.
 #[rstest]
-fn keeps_ids_with_names() {
+fn names_keep_their_ids() {
     let mut new = valid();
     new["Services"][0] =
         json!({"Name": "bulk", "OnTimeMs": 100, "DeadlineMs": 500, "Worth": 1, "Effect": "idempotent"});
@@ -243,9 +245,10 @@
     assert_eq!(update.broker_settings.names.class_id("report"), Some(ClassId(0)));
 }
 
-/// What is the broker's own is left out, and filled in: the zone by its name.
+/// Per-broker keys that a new document leaves out are filled in. The zone is found by its name, because the new
+/// document may list zones in another order.
 #[rstest]
-fn fills_in_what_is_the_brokers_own() {
+fn fills_in_per_broker_keys() {
     let mut new = with("/Zone", Value::Null);
     new["Areas"] = json!(["south", "east", "north"]);
     new.as_object_mut().unwrap().remove("Me");
@@ -255,7 +258,7 @@
         update
             .changes
             .iter()
-            .all(|change| matches!(change.applies, Applies::Immediately | Applies::PerBroker))
+            .all(|change| matches!(change.applies, ApplyMode::Immediately | ApplyMode::PerBroker))
     );
 }
 
@@ -269,15 +272,16 @@
 #[case("/Zone", json!(0), "`Zone` is north, the broker runs with south: that needs a restart")]
 #[case("/Me", json!(0), "`Me` is 0, the broker runs with 2: that needs a restart")]
 #[case("/Domain/MinShare/0", json!(2), "`Domain.MinShare[0]` is 2: a share from 0 to 1 is allowed")]
-fn rejects_what_it_cannot_take_over(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+fn rejects_updates_that_cannot_be_applied(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
     let errors: Vec<String> =
         update_valid(&with(at, to)).unwrap_err().iter().map(ValidationError::to_string).collect();
     assert_eq!(errors, [expected]);
 }
 
-/// A list in another order is the same; a change says which key of which item, and when it applies.
+/// A list in another order is not a change. Each change states the key, the name of the list item, and when it takes
+/// effect.
 #[rstest]
-fn compares_by_name() {
+fn compares_list_items_by_name() {
     let mut new = valid();
     new["Tenants"].as_array_mut().unwrap().reverse();
     assert_eq!(compare(&document(&valid()), &document(&new)), []);
@@ -289,32 +293,32 @@
     assert_eq!(
         changes,
         [
-            ("Limits.MaxOpen".to_owned(), Applies::Immediately),
-            ("Tenants[school].QuotaRps".to_owned(), Applies::NewQueries)
+            ("Limits.MaxOpen".to_owned(), ApplyMode::Immediately),
+            ("Tenants[school].QuotaRps".to_owned(), ApplyMode::NewQueries)
         ]
     );
 }
 
-/// Services that are compared by name need no number of their own in the table: every key has one row.
+/// Look-ups return the first row of a key, so a second row would have no effect.
 #[rstest]
-fn the_table_has_one_row_a_key() {
+fn table_has_one_row_per_key() {
     let keys: std::collections::BTreeSet<&str> = FIELDS.iter().map(|field| field.key).collect();
     assert_eq!(keys.len(), FIELDS.len());
 }
 
-/// Whatever stands in one place of a document: the check rejects or passes it, and what it passes can be read
-/// and served by.
+/// Property test with arbitrary values in one or two places of a document. The check must either reject the
+/// document, or accept one that a broker can read and run with.
 mod arbitrary_values {
     use super::{check, compare, document, prepare_update, valid};
     use proptest::prelude::*;
     use routing::Timestamp;
     use serde_json::{Value, json};
 
-    /// The same sequence in every run, unless PROPTEST_RNG_SEED names another; a failure prints what it
-    /// failed with.
+    /// Returns the seed from PROPTEST_RNG_SEED, or 1, so that each run generates the same values. A failure prints
+    /// the values that caused it.
     fn seed() -> proptest::test_runner::RngSeed {
-        let named = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
-        proptest::test_runner::RngSeed::Fixed(named.unwrap_or(1))
+        let from_env = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
+        proptest::test_runner::RngSeed::Fixed(from_env.unwrap_or(1))
     }
 
     fn value() -> impl Strategy<Value = Value> {
@@ -336,14 +340,16 @@
         })
     }
 
-    fn places(value: &Value, place: &str, all: &mut Vec<String>) {
-        all.push(place.to_owned());
+    fn collect_pointers(value: &Value, pointer: &str, all: &mut Vec<String>) {
+        all.push(pointer.to_owned());
         match value {
             Value::Object(object) => {
-                object.iter().for_each(|(key, v)| places(v, &format!("{place}/{key}"), all));
+                object.iter().for_each(|(key, v)| collect_pointers(v, &format!("{pointer}/{key}"), all));
             }
             Value::Array(list) => {
-                list.iter().enumerate().for_each(|(at, v)| places(v, &format!("{place}/{at}"), all));
+                list.iter()
+                    .enumerate()
+                    .for_each(|(at, v)| collect_pointers(v, &format!("{pointer}/{at}"), all));
             }
             _ => {}
         }
@@ -358,16 +364,16 @@
         })]
 
         #[test]
-        fn is_rejected_or_can_be_served(
+        fn accepted_document_can_be_read_and_applied(
             changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)
         ) {
             let mut text = valid();
             for (at, to) in changes {
                 let mut all = Vec::new();
-                places(&text, "", &mut all);
-                let place: &String = at.get(&all[..]);
-                if let Some(place) = text.pointer_mut(place).filter(|_| !place.is_empty()) {
-                    *place = to;
+                collect_pointers(&text, "", &mut all);
+                let pointer: &String = at.get(&all[..]);
+                if let Some(value) = text.pointer_mut(pointer).filter(|_| !pointer.is_empty()) {
+                    *value = to;
                 }
             }
             let document = document(&text);
@@ -375,7 +381,7 @@
                 let read = super::super::read(text.to_string().as_bytes()).unwrap();
                 let mut broker = routing::Broker::start(read.broker_config, 1, Timestamp(0));
                 broker.turn(Timestamp(10), &[routing::Input::Woken]);
-                // A broker that runs it finds nothing changed.
+                // A document has no changes from itself and can be applied to a broker that runs with it.
                 prop_assert_eq!(compare(&document, &document), vec![]);
                 prop_assert!(prepare_update(&document, &read.names, &document).is_ok());
             }
--- a/crates/settings/src/validation_error.rs
+++ b/crates/settings/src/validation_error.rs
@@ -1,50 +1,50 @@
-//! One error in a settings document, with the path of its key.
+//! Errors found by the validation of settings documents.
 
 use thiserror::Error;
 
-/// One error in a settings document.
+/// Error in a settings document.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValidationError {
-    /// There is no such key.
+    /// The settings have no such key.
     #[error("`{field}` is unknown: `{nearest}` is the nearest key")]
     UnknownKey {
-        /// The path of the key, such as `Tenants[1].QuotaRPS`.
+        /// Path of the key, such as `Tenants[1].QuotaRPS`.
         field: String,
-        /// The most similar key that there is.
+        /// Known key that is most similar.
         nearest: &'static str,
     },
-    /// A key that is needed is not there.
+    /// A required key is missing.
     #[error("`{field}` is missing: {allowed} is needed")]
     MissingKey {
-        /// The path at which the key is missing.
+        /// Path of the missing key.
         field: String,
-        /// What it should hold.
+        /// Allowed values of the key, as a phrase.
         allowed: String,
     },
-    /// A value is not allowed, by itself or with the others.
+    /// A value is out of its range or of the wrong type, or conflicts with another value.
     #[error("`{field}` is {found}: {allowed} is allowed")]
     InvalidValue {
-        /// The path of the value.
+        /// Path of the key.
         field: String,
-        /// The value, shortened.
+        /// Value that was found, possibly shortened.
         found: String,
-        /// What would be allowed.
+        /// Allowed values of the key, as a phrase.
         allowed: String,
     },
-    /// The value is allowed, but a running broker can't take it over.
+    /// A value is valid, but a running broker can't apply it without a restart.
     #[error("`{field}` is {found}, the broker runs with {running}: that needs a restart")]
     NeedsRestart {
-        /// The path of the value.
+        /// Path of the key.
         field: String,
-        /// The new value.
+        /// New value.
         found: String,
-        /// The value that the broker runs with.
+        /// Value that the broker runs with.
         running: String,
     },
 }
 
 impl ValidationError {
-    /// A value that is not allowed.
+    /// Returns the error of an invalid value.
     pub(crate) fn invalid(
         field: impl Into<String>,
         found: impl Into<String>,
--- a/crates/syscall-faults/src/decide.rs
+++ b/crates/syscall-faults/src/decide.rs
@@ -13,8 +13,8 @@
 /// Maps the control file and returns its address, or 0 if it is not named or can't be mapped.
 fn map_control_file() -> usize {
     let Ok(name) = CString::new(CONTROL_VARIABLE) else { return 0 };
-    // SAFETY: `name` and the path are null-terminated strings, the result of `mmap` is checked, and the mapping is never
-    // removed.
+    // SAFETY: `name` and the path are null-terminated strings, the result of `mmap` is checked, and the mapping is
+    // never removed.
     unsafe {
         let path = libc::getenv(name.as_ptr());
         if path.is_null() {
@@ -49,7 +49,7 @@
     slot(Setting::InjectedFaults).into_iter().for_each(|slot| _ = slot.fetch_add(1, Relaxed));
 }
 
-/// Returns whether the current call must fail, and counts the fault if so. The value of `one_in` states one in how many
+/// Returns whether the current call must fail, and counts the fault if so. If the value of `one_in` is n, one in n
 /// calls fails.
 pub(crate) fn should_inject(one_in: Setting) -> bool {
     let one_in = read(one_in);
