--- a/crates/broker/tests/command.rs
+++ b/crates/broker/tests/command.rs
@@ -108,7 +108,7 @@
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        stderr.contains("line 2: `servise` is no key of [control]: `services` is the nearest"),
+        stderr.contains("line 2: unknown key `servise` in section [control]; did you mean `services`?"),
         "{stderr}"
     );
 }
@@ -188,8 +188,8 @@
 #[case("there", "exists")]
 #[case("no old", "No such file")]
 #[case("no shape", "No such file")]
-#[case("not JSON", "can't be read")]
-#[case("misspelt shape", "`cels` is no key of [layout]")]
+#[case("not JSON", "failed to parse the old file")]
+#[case("misspelt shape", "unknown key `cels` in section [layout]")]
 #[case("out of range", "`Services[0].OnTimeMs` is -5: 1 to 600000 milliseconds is allowed")]
 fn reshapes_nothing(#[case] what: &str, #[case] message: &str) {
     let mut old = config(&settings());
--- a/crates/operator-config/src/admission_section.rs
+++ b/crates/operator-config/src/admission_section.rs
@@ -1,4 +1,4 @@
-//! The section `[admission]`.
+//! Section `[admission]`: admission control.
 
 use crate::OperatorConfigError;
 use crate::key_values::KeyValues;
@@ -6,8 +6,8 @@
 use admission_control::AdmissionConfig;
 use routing::TimeSpan;
 
-/// Admission control's configuration, where it is on. Other keys of the section without it are an error: they
-/// would do nothing.
+/// Returns the configuration of admission control, or `None` if it is disabled. Adds an error if it is disabled but
+/// other keys of the section are set, because they would have no effect.
 pub(crate) fn read(values: &mut KeyValues) -> Option<AdmissionConfig> {
     if values.get(ADMISSION, "door") != "on" {
         if values.has_other_keys(ADMISSION, "door") {
@@ -30,7 +30,7 @@
     Some(config)
 }
 
-/// The operator's keys and the fields that they set.
+/// Converts the keys of the section to the fields that they set.
 fn admission_config(values: &KeyValues) -> AdmissionConfig {
     let number = |name: &str| values.number(ADMISSION, name);
     let duration = |name: &str| TimeSpan::from_ms(number(name));
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -1,4 +1,4 @@
-//! The section `[control]`: configuration versions from a configuration service.
+//! Section `[control]`: configuration versions from a configuration service.
 
 use crate::OperatorConfigError;
 use crate::key_values::KeyValues;
@@ -10,30 +10,30 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The window of `calls_per_minute`, in milliseconds.
+/// Window of `calls_per_minute`, in milliseconds.
 const MINUTE_MS: f64 = 60_000.0;
 
-/// How a broker gets its configuration versions from configuration services.
+/// Subscription to the configuration versions of a configuration service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
-    /// The services' addresses; one at least.
+    /// Addresses of the configuration services. Not empty.
     pub services: Vec<SocketAddr>,
-    /// The installation whose versions to subscribe to.
+    /// Name of the installation whose versions the broker subscribes to.
     pub installation: String,
-    /// Waits, budgets and bounds of subscription and probation.
+    /// Timing and limits of subscription and probation.
     pub policy: RolloutPolicy,
-    /// The longest document of a version, in bytes.
+    /// Maximum length of a version's document, in bytes.
     pub max_document_bytes: usize,
-    /// How often the outcomes of queries are counted for the probation.
+    /// Interval at which the outcomes of queries are sampled for the probation.
     pub sample_interval: Duration,
-    /// Where the client status service listens; `None`: it does not.
+    /// Listen address of the client status service, or `None` if the service is disabled.
     pub status_address: Option<SocketAddr>,
-    /// The file that the last confirmed version is stored in; `None`: it is not stored.
+    /// File in which the last confirmed version is stored, or `None` if it is not stored.
     pub state_file: Option<PathBuf>,
 }
 
-/// The section, where it names a service. Other keys of the section without one are an error: they would do
-/// nothing.
+/// Returns the configuration of the subscription, or `None` if the section names no service. Adds an error if it
+/// names no service but other keys of the section are set, because they would have no effect.
 pub(crate) fn read(values: &mut KeyValues) -> Option<RolloutConfig> {
     let services = parse_addresses(values.get(CONTROL, "services")).unwrap_or_default();
     if services.is_empty() {
@@ -44,7 +44,7 @@
         return None;
     }
     let policy = rollout_policy(values);
-    check_order(values, &policy);
+    check_bounds(values, &policy);
     if values.get(CONTROL, "installation").is_empty() {
         let error = OperatorConfigError::MissingKey { section: CONTROL, key: "installation" };
         values.errors.push(error);
@@ -52,7 +52,7 @@
     Some(rollout_config(values, services, policy))
 }
 
-/// The keys beside the policy, and the fields that they set.
+/// Converts the keys that are not part of the policy to the fields that they set.
 fn rollout_config(values: &KeyValues, services: Vec<SocketAddr>, policy: RolloutPolicy) -> RolloutConfig {
     let number = |name: &str| values.number(CONTROL, name);
     let text = |name: &str| Some(values.get(CONTROL, name)).filter(|text| !text.is_empty());
@@ -67,8 +67,8 @@
     }
 }
 
-/// The keys of the policy, and the fields that they set: a "trial" is the probation, "retrievals" are queries,
-/// "calls" connection attempts, "waits" the backoff.
+/// Converts the keys of the policy to the fields that they set. In the names of the keys, a "trial" is the probation,
+/// "retrievals" are queries, "calls" are connection attempts, and "waits" are the backoff.
 fn rollout_policy(values: &KeyValues) -> RolloutPolicy {
     let number = |name: &str| values.number(CONTROL, name);
     let duration = |name: &str| TimeSpan::from_ms(number(name));
@@ -87,13 +87,13 @@
     }
 }
 
-/// Adds an error for each bound that is less than what it bounds.
-fn check_order(values: &mut KeyValues, policy: &RolloutPolicy) {
-    let orders = [
+/// Adds an error for each upper bound that is less than the value it limits.
+fn check_bounds(values: &mut KeyValues, policy: &RolloutPolicy) {
+    let bounds = [
         ("first_wait_ms", policy.initial_backoff, "longest_wait_ms", policy.max_backoff),
         ("trial_ms", policy.probation_duration, "longest_trial_ms", policy.max_probation_duration),
     ];
-    for (lower_key, lower, key, bound) in orders {
+    for (lower_key, lower, key, bound) in bounds {
         if bound < lower {
             values.errors.push(OperatorConfigError::WrongOrder { key, lower_key });
         }
--- a/crates/operator-config/src/key_values.rs
+++ b/crates/operator-config/src/key_values.rs
@@ -1,10 +1,10 @@
-//! Reads the operator's file key by key: the values that are allowed by themselves, and all errors.
+//! Parser of the operator's file. It checks each key and value by itself and collects all errors.
 
 use crate::{KEYS, Key, OperatorConfigError};
 use ini::{Ini, ParseOption};
 use nearest_name::nearest_name;
 
-/// The values of a file that are allowed by themselves, and everything that is wrong with it.
+/// Valid values of a file, and the errors found in it.
 pub(crate) struct KeyValues<'a> {
     text: &'a str,
     values: Vec<KeyValue>,
@@ -17,12 +17,13 @@
 }
 
 impl<'a> KeyValues<'a> {
-    /// Reads a file's text.
+    /// Parses the text of a file.
     ///
     /// # Errors
-    /// The text is no INI. Other errors are collected in `errors`.
+    ///
+    /// Returns an error if the text is not valid INI. All other errors are collected in `errors`.
     pub fn read(text: &'a str) -> Result<KeyValues<'a>, OperatorConfigError> {
-        // Backslashes stay as they are: a path may hold them.
+        // Paths may contain backslashes, so these are not escape characters.
         let options = ParseOption { enabled_escape: false, enabled_quote: true, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|error| OperatorConfigError::Syntax {
             line: error.line,
@@ -89,26 +90,25 @@
         Ok(KeyValue { key, value: value.trim().to_owned() })
     }
 
-    /// The line of a section's header; the first line where it has none.
+    /// Returns the line number of a section's header, or 1 if the section has none.
     pub fn section_line(&self, section: &str) -> usize {
         ini_lines::section_line(self.text, section).unwrap_or(1)
     }
 
-    /// The value of a key, or its default.
+    /// Returns the value of a key, or its default if the file does not set it.
     pub fn get(&self, section: &str, name: &str) -> &str {
-        let stated =
-            self.values.iter().find(|stated| stated.key.section == section && stated.key.name == name);
+        let entry = self.values.iter().find(|entry| entry.key.section == section && entry.key.name == name);
         let default = || Key::find(section, name).map_or("", |key| key.default);
-        stated.map_or_else(default, |stated| &stated.value)
+        entry.map_or_else(default, |entry| &entry.value)
     }
 
-    /// The value of a key that holds a number; its type was checked when it was read.
+    /// Returns the value of a numeric key. Its type was checked when the file was parsed.
     pub fn number(&self, section: &str, name: &str) -> f64 {
         self.get(section, name).parse().unwrap_or(0.0)
     }
 
-    /// Whether a section states a key other than this one.
+    /// Returns whether the file sets a key of the section other than `name`.
     pub fn has_other_keys(&self, section: &str, name: &str) -> bool {
-        self.values.iter().any(|stated| stated.key.section == section && stated.key.name != name)
+        self.values.iter().any(|entry| entry.key.section == section && entry.key.name != name)
     }
 }
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,47 +1,47 @@
-//! The table of all keys of the operator's file: its section, its default, and what it may hold. The
-//! shipped file and the operators' page have the same defaults and bounds.
+//! Table of all keys of the operator's file, with their sections, defaults and allowed values. The shipped file and
+//! the operators' documentation have the same defaults and bounds.
 
 use crate::value_type::ValueType::{self, Address, Addresses, OneOf, Text};
 
-/// How log lines are written.
+/// Section that configures the log.
 pub(crate) const LOG: &str = "log";
-/// Where configuration versions come from, and how they are rolled out.
+/// Section that configures the configuration services and the rollout of versions.
 pub(crate) const CONTROL: &str = "control";
-/// Admission control.
+/// Section that configures admission control.
 pub(crate) const ADMISSION: &str = "admission";
 
-/// One row of the table.
+/// Row of the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Key {
-    /// The section of the key.
+    /// Section that contains the key.
     pub section: &'static str,
-    /// The key.
+    /// Name of the key, without the section.
     pub name: &'static str,
-    /// Its value where it is left out, as it would be written; empty for none.
+    /// Value that applies if the file does not set the key, in the notation of the file; empty if there is none.
     pub default: &'static str,
-    /// What it may hold.
+    /// Allowed values.
     pub value_type: ValueType,
 }
 
 impl Key {
-    /// The row of a key.
+    /// Returns the row of a key, or `None` if the table has no such key in this section.
     pub fn find(section: &str, name: &str) -> Option<&'static Key> {
         KEYS.iter().find(|key| key.section == section && key.name == name)
     }
 }
 
-/// A day in milliseconds.
+/// Upper bound of most durations: one day, in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
 
-const fn number(least: f64, most: f64) -> ValueType {
-    ValueType::Number { least, most }
+const fn number(min: f64, max: f64) -> ValueType {
+    ValueType::Number { min, max }
 }
 
-const fn whole(least: u64, most: u64) -> ValueType {
-    ValueType::Whole { least, most }
+const fn integer(min: u64, max: u64) -> ValueType {
+    ValueType::Integer { min, max }
 }
 
-/// Every key.
+/// All keys of the operator's file.
 pub const KEYS: &[Key] = &[
     Key { section: LOG, name: "format", default: "text", value_type: OneOf(&["text", "json"]) },
     Key { section: CONTROL, name: "services", default: "", value_type: Addresses },
@@ -50,17 +50,22 @@
     Key { section: CONTROL, name: "status_listen", default: "", value_type: Address },
     Key { section: CONTROL, name: "trial_ms", default: "60000", value_type: number(1.0, DAY_MS) },
     Key { section: CONTROL, name: "longest_trial_ms", default: "900000", value_type: number(1.0, DAY_MS) },
-    Key { section: CONTROL, name: "least_retrievals", default: "30", value_type: whole(1, 1_000_000) },
+    Key { section: CONTROL, name: "least_retrievals", default: "30", value_type: integer(1, 1_000_000) },
     Key { section: CONTROL, name: "margin", default: "0.05", value_type: number(0.0, 1.0) },
     Key { section: CONTROL, name: "count_every_ms", default: "1000", value_type: number(10.0, 60_000.0) },
-    Key { section: CONTROL, name: "document_bytes", default: "1048576", value_type: whole(1024, 8_388_608) },
+    Key {
+        section: CONTROL,
+        name: "document_bytes",
+        default: "1048576",
+        value_type: integer(1024, 8_388_608),
+    },
     Key { section: CONTROL, name: "first_wait_ms", default: "1000", value_type: number(1.0, DAY_MS) },
     Key { section: CONTROL, name: "longest_wait_ms", default: "60000", value_type: number(1.0, DAY_MS) },
-    Key { section: CONTROL, name: "calls_per_minute", default: "10", value_type: whole(1, 600) },
+    Key { section: CONTROL, name: "calls_per_minute", default: "10", value_type: integer(1, 600) },
     Key { section: CONTROL, name: "call_within_ms", default: "15000", value_type: number(10.0, 600_000.0) },
     Key { section: CONTROL, name: "steady_ms", default: "10000", value_type: number(0.0, DAY_MS) },
     Key { section: CONTROL, name: "suspect_ms", default: "300000", value_type: number(0.0, DAY_MS) },
-    Key { section: CONTROL, name: "fleet_brokers", default: "1", value_type: whole(1, 1_000_000) },
+    Key { section: CONTROL, name: "fleet_brokers", default: "1", value_type: integer(1, 1_000_000) },
     Key { section: CONTROL, name: "fleet_calls_per_s", default: "100", value_type: number(0.001, 1e6) },
     Key { section: ADMISSION, name: "door", default: "off", value_type: OneOf(&["off", "on"]) },
     Key { section: ADMISSION, name: "level", default: "0.1", value_type: number(0.001, 0.999) },
@@ -71,6 +76,6 @@
     Key { section: ADMISSION, name: "burst_ms", default: "1000", value_type: number(0.0, 600_000.0) },
     Key { section: ADMISSION, name: "retry_share", default: "0.2", value_type: number(0.0, 100.0) },
     Key { section: ADMISSION, name: "retry_floor", default: "3", value_type: number(0.0, 1e6) },
-    Key { section: ADMISSION, name: "most_callers", default: "10000", value_type: whole(1, 10_000_000) },
+    Key { section: ADMISSION, name: "most_callers", default: "10000", value_type: integer(1, 10_000_000) },
     Key { section: ADMISSION, name: "shares", default: "on", value_type: OneOf(&["off", "on"]) },
 ];
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,15 +1,15 @@
-//! Reads the operator's file, `deploy/operator.ini`: what is switched on at an installation, and how. Without
-//! the file, or with an empty one, everything is off.
+//! Parses the operator's file, which enables and configures optional features of a broker. `deploy/operator.ini` is
+//! the shipped file. Without a file, or with an empty one, all features are disabled.
 //!
-//! `keys` is the table of keys; `control_section` and `admission_section` are the edge at which the words of the
-//! keys become the terms of the code.
+//! The module `keys` has the table of keys. `control_section` and `admission_section` map the names of the keys to
+//! the terms that the code uses.
 //!
 //! ```
 //! let text = "[control]\nservices = 127.0.0.1:18000\ninstallation = north\n";
 //! let config = operator_config::read(text).unwrap();
 //! assert_eq!(config.rollout.unwrap().installation, "north");
 //! let errors = operator_config::read("[control]\nservise = 127.0.0.1:18000\n").unwrap_err();
-//! assert_eq!(errors[0].to_string(), "line 2: `servise` is no key of [control]: `services` is the nearest");
+//! assert_eq!(errors[0].to_string(), "line 2: unknown key `servise` in section [control]; did you mean `services`?");
 //! ```
 
 #![warn(missing_docs)]
@@ -29,31 +29,32 @@
 use admission_control::AdmissionConfig;
 use key_values::KeyValues;
 
-/// What is switched on at an installation.
+/// Configuration of the optional features of a broker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// How log lines are written.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// Configuration versions from a configuration service; `None`: the broker runs its own file.
+    /// Subscription to configuration versions, or `None` if the broker uses only its own file.
     pub rollout: Option<RolloutConfig>,
-    /// Admission control in front of the routing decisions, where it is switched on.
+    /// Admission control, which decides on queries before they are routed, or `None` if it is disabled.
     pub admission: Option<AdmissionConfig>,
 }
 
-/// How log lines are written.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text, one event per line.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Reads the file's text.
+/// Parses the text of an operator's file.
 ///
 /// # Errors
-/// Everything that is wrong with it.
+///
+/// Returns all errors in the text, or only the syntax error if it is not valid INI.
 pub fn read(text: &str) -> Result<OperatorConfig, Vec<OperatorConfigError>> {
     let mut values = KeyValues::read(text).map_err(|error| vec![error])?;
     let config = OperatorConfig {
--- a/crates/operator-config/src/operator_config_error.rs
+++ b/crates/operator-config/src/operator_config_error.rs
@@ -1,80 +1,80 @@
-//! One error in the operator's file.
+//! Errors in the operator's file.
 
 use thiserror::Error;
 
-/// One error in the operator's file.
+/// Error in the operator's file. Lines are counted from 1.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OperatorConfigError {
-    /// The text is no INI.
-    #[error("line {line}, column {column}: {reason}")]
+    /// The text is not valid INI.
+    #[error("line {line}, column {column}: invalid INI syntax: {reason}")]
     Syntax {
-        /// The line, from 1.
+        /// Line of the error.
         line: usize,
-        /// The column, from 1.
+        /// Column of the error, counted from 1.
         column: usize,
-        /// The parser's words.
+        /// Message of the INI parser.
         reason: String,
     },
-    /// There is no such section.
-    #[error("line {line}: [{section}] is no section: [{nearest}] is the nearest")]
+    /// A section is unknown.
+    #[error("line {line}: unknown section [{section}]; did you mean [{nearest}]?")]
     UnknownSection {
-        /// The line, from 1.
+        /// Line of the section's header.
         line: usize,
-        /// The section.
+        /// Unknown section.
         section: String,
-        /// The most similar name that there is.
+        /// Known section with the most similar name.
         nearest: &'static str,
     },
-    /// There is no such key in its section.
-    #[error("line {line}: `{key}` is no key of [{section}]: `{nearest}` is the nearest")]
+    /// A key is unknown in its section.
+    #[error("line {line}: unknown key `{key}` in section [{section}]; did you mean `{nearest}`?")]
     UnknownKey {
-        /// The line, from 1.
+        /// Line of the key.
         line: usize,
-        /// The section.
+        /// Section that contains the key.
         section: String,
-        /// The key.
+        /// Unknown key.
         key: String,
-        /// The most similar name that there is.
+        /// Known key of the section with the most similar name.
         nearest: &'static str,
     },
-    /// A key is stated more than once.
-    #[error("line {line}: `{key}` stands twice in [{section}]")]
+    /// A key is set more than once.
+    #[error("line {line}: duplicate key `{key}` in section [{section}]")]
     DuplicateKey {
-        /// The line, from 1.
+        /// Line of the first occurrence of the key.
         line: usize,
-        /// The section.
+        /// Section that contains the key.
         section: String,
-        /// The key.
+        /// Duplicate key.
         key: String,
     },
-    /// A value is not allowed.
-    #[error("line {line}: `{key}` of [{section}] is `{found}`: {allowed} is allowed")]
+    /// A value has the wrong type or is out of its range.
+    #[error("line {line}: `{key}` in section [{section}] is `{found}`, expected {allowed}")]
     InvalidValue {
-        /// The line, from 1.
+        /// Line of the key, or of the section's header if admission control rejects the value.
         line: usize,
-        /// The section.
+        /// Section that contains the key.
         section: String,
-        /// The key.
+        /// Key with the invalid value.
         key: String,
-        /// The value.
+        /// Value that was found.
         found: String,
-        /// What would be allowed.
+        /// Allowed values of the key, as a phrase.
         allowed: String,
     },
-    /// A key is required by others of its section.
-    #[error("[{section}] needs `{key}`")]
+    /// A key is missing that other keys of its section require.
+    #[error("section [{section}] requires `{key}`")]
     MissingKey {
-        /// The section.
+        /// Section that lacks the key.
         section: &'static str,
-        /// The key.
+        /// Missing key, followed by ` = ` and its value if only one value is possible.
         key: &'static str,
     },
-    /// A bound is less than what it bounds.
-    #[error("`{key}` of [control] must be more than `{lower_key}`, or the same")]
+    /// An upper bound is less than the value it limits.
+    #[error("`{key}` in section [control] must not be less than `{lower_key}`")]
     WrongOrder {
-        /// The key.
+        /// Key of the upper bound.
         key: &'static str,
-        /// The key of what it bounds.
+        /// Key of the limited value.
         lower_key: &'static str,
     },
 }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,4 +1,4 @@
-//! What the file may say, and what is said of one that is wrong.
+//! Tests of parsing the operator's file and of the errors in invalid files.
 
 use super::{KEYS, LogFormat, OperatorConfig, OperatorConfigError, read};
 use admission_control::AdmissionConfig;
@@ -9,28 +9,32 @@
 #[rstest]
 #[case("")]
 #[case("; nothing but a comment\n[log]\nformat = text\n")]
-fn everything_is_off_unless_switched_on(#[case] text: &str) {
+fn all_features_are_disabled_by_default(#[case] text: &str) {
     assert_eq!(read(text), Ok(OperatorConfig::default()));
 }
 
-/// The file that is shipped names every key, with its default, and switches nothing on.
+/// The shipped file must list every key with its default and enable nothing.
 #[rstest]
-fn the_shipped_file_names_every_key_and_switches_nothing_on() {
+fn shipped_file_lists_every_key_and_enables_nothing() {
     let shipped = include_str!("../../../deploy/operator.ini");
     assert_eq!(read(shipped), Ok(OperatorConfig::default()));
-    let bare: String = shipped
+    let uncommented: String = shipped
         .lines()
         .map(|line| line.strip_prefix(";").filter(|rest| rest.contains(" =")).unwrap_or(line))
         .fold(String::new(), |all, line| all + line + "\n");
     for key in KEYS {
         let line = format!("{} = {}", key.name, key.default);
-        assert!(bare.lines().any(|other| other.trim_end() == line.trim_end()), "`{line}` is not shipped");
+        assert!(
+            uncommented.lines().any(|other| other.trim_end() == line.trim_end()),
+            "`{line}` is missing in the shipped file"
+        );
     }
 }
 
-/// The keys' defaults are those of the decisions: the file, the page and the decisions say the same.
+/// The defaults in the table of keys must equal those of `AdmissionConfig`, so that the file, the documentation and
+/// the code agree.
 #[rstest]
-fn admission_control_is_on_with_the_defaults_of_its_decisions() {
+fn admission_keys_have_the_defaults_of_admission_control() {
     let config = read("[admission]\ndoor = on\n").unwrap();
     assert_eq!(config.admission, Some(AdmissionConfig::default()));
     let config = read("[admission]\ndoor = on\nshares = off\nwindow_ms = 2000\n").unwrap();
@@ -39,18 +43,18 @@
 }
 
 #[rstest]
-#[case("[admission]\nlevel = 0.2\n", "[admission] needs `door = on`")]
-#[case("[admission]\ndoor = yes\n", "line 2: `door` of [admission] is `yes`: `off` or `on` is allowed")]
+#[case("[admission]\nlevel = 0.2\n", "section [admission] requires `door = on`")]
+#[case("[admission]\ndoor = yes\n", "line 2: `door` in section [admission] is `yes`, expected `off` or `on`")]
 #[case(
     "[admission]\ndoor = on\nlevel = 1\n",
-    "line 3: `level` of [admission] is `1`: 0.001 to 0.999 is allowed"
+    "line 3: `level` in section [admission] is `1`, expected a number from 0.001 to 0.999"
 )]
-fn names_what_is_wrong_with_admission_control(#[case] text: &str, #[case] expected: &str) {
+fn admission_error_states_line_and_expected_values(#[case] text: &str, #[case] expected: &str) {
     assert_eq!(read(text).unwrap_err()[0].to_string(), expected);
 }
 
 #[rstest]
-fn reads_what_is_switched_on() {
+fn reads_enabled_features() {
     let text = "[log]\nformat = json\n[control]\nservices = 127.0.0.1:1, [::1]:2\ninstallation = north\n\
         trial_ms = 500\nkeep_file = C:\\kept\nfleet_brokers = 5000\nfleet_calls_per_s = 100\n";
     let config = read(text).unwrap();
@@ -62,27 +66,33 @@
 }
 
 #[rstest]
-#[case("[contol]\nservices = 127.0.0.1:1\n", "line 1: [contol] is no section: [control] is the nearest")]
-#[case("[log]\n\nformat = xml\n", "line 3: `format` of [log] is `xml`: `text` or `json` is allowed")]
+#[case("[contol]\nservices = 127.0.0.1:1\n", "line 1: unknown section [contol]; did you mean [control]?")]
+#[case("[log]\n\nformat = xml\n", "line 3: `format` in section [log] is `xml`, expected `text` or `json`")]
 #[case(
     "[control]\nservices = north\n",
-    "line 2: `services` of [control] is `north`: addresses as `127.0.0.1:18000`, \
-        with commas between them is allowed"
+    "line 2: `services` in section [control] is `north`, \
+        expected a comma-separated list of addresses such as `127.0.0.1:18000`"
+)]
+#[case("[control]\nservices = 127.0.0.1:1\n", "section [control] requires `installation`")]
+#[case("[control]\ntrial_ms = 5\n", "section [control] requires `services`")]
+#[case(
+    "[control]\ntrial_ms = 0\n",
+    "line 2: `trial_ms` in section [control] is `0`, expected a number from 1 to 86400000"
+)]
+#[case(
+    "[control]\ntrial_ms = NaN\n",
+    "line 2: `trial_ms` in section [control] is `NaN`, expected a number from 1 to 86400000"
 )]
-#[case("[control]\nservices = 127.0.0.1:1\n", "[control] needs `installation`")]
-#[case("[control]\ntrial_ms = 5\n", "[control] needs `services`")]
-#[case("[control]\ntrial_ms = 0\n", "line 2: `trial_ms` of [control] is `0`: 1 to 86400000 is allowed")]
-#[case("[control]\ntrial_ms = NaN\n", "line 2: `trial_ms` of [control] is `NaN`: 1 to 86400000 is allowed")]
 #[case(
     "[control]\nservices = 127.0.0.1:1\nservices = 127.0.0.1:2\n",
-    "line 2: `services` stands twice in [control]"
+    "line 2: duplicate key `services` in section [control]"
 )]
 #[case(
     "[control]\nservices = 127.0.0.1:1\ninstallation = n\nlongest_trial_ms = 5\n",
-    "`longest_trial_ms` of [control] must be more than `trial_ms`, or the same"
+    "`longest_trial_ms` in section [control] must not be less than `trial_ms`"
 )]
-#[case("[control\n", "line 2, column 1: expecting \"[Some(']')]\" but found EOF.")]
-fn names_what_is_wrong(#[case] text: &str, #[case] expected: &str) {
+#[case("[control\n", "line 2, column 1: invalid INI syntax: expecting \"[Some(']')]\" but found EOF.")]
+fn error_states_line_key_and_expected_values(#[case] text: &str, #[case] expected: &str) {
     let errors: Vec<String> = read(text).unwrap_err().iter().map(OperatorConfigError::to_string).collect();
     assert!(errors.iter().any(|error| error == expected), "{errors:#?}");
 }
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -1,5 +1,6 @@
-//! The shipped `deploy/operator.ini` of release 0.1 with every line switched on: operators have copies of it,
-//! so each key must be read as it is now. Keys that are shipped empty or off hold an example.
+//! Tests with the shipped `deploy/operator.ini` of release 0.1, with every line enabled. Operators have copies of
+//! this file, so the meaning of its keys must not change. Keys that are shipped empty or disabled have example
+//! values.
 
 use admission_control::AdmissionConfig;
 use config_rollout::RolloutPolicy;
@@ -9,25 +10,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const SWITCHED_ON: &str = include_str!("data/operator-switched-on.ini");
+const ALL_ENABLED: &str = include_str!("data/operator-switched-on.ini");
 
 fn seconds(count: i64) -> TimeSpan {
     TimeSpan(count * 10_000)
 }
 
 #[rstest]
-fn every_key_is_switched_on() {
-    let stated: Vec<&str> = SWITCHED_ON.lines().filter(|line| !line.starts_with(';')).collect();
+fn test_file_sets_every_key() {
+    let enabled_lines: Vec<&str> = ALL_ENABLED.lines().filter(|line| !line.starts_with(';')).collect();
     for key in KEYS {
         let start = format!("{} = ", key.name);
-        assert!(stated.iter().any(|line| line.starts_with(&start)), "`{}`", key.name);
+        assert!(enabled_lines.iter().any(|line| line.starts_with(&start)), "`{}`", key.name);
     }
-    assert_eq!(stated.iter().filter(|line| line.contains(" = ")).count(), KEYS.len());
+    assert_eq!(enabled_lines.iter().filter(|line| line.contains(" = ")).count(), KEYS.len());
 }
 
 #[rstest]
 fn every_value_is_read() {
-    let config = read(SWITCHED_ON).unwrap();
+    let config = read(ALL_ENABLED).unwrap();
     assert_eq!(config.log_format, LogFormat::Text);
     let policy = RolloutPolicy {
         initial_backoff: seconds(1),
@@ -67,12 +68,12 @@
     assert_eq!(config.admission, Some(admission));
 }
 
-/// With the keys as they are shipped, each section that is left off says what it needs.
+/// If a section sets keys but lacks the key that enables it, the error must name that key.
 #[rstest]
-fn what_is_left_off_is_named() {
-    let shipped = SWITCHED_ON
+fn disabled_section_with_keys_is_an_error() {
+    let shipped = ALL_ENABLED
         .replace("services = 127.0.0.1:18000, [::1]:18001", "services =")
         .replace("door = on", "door = off");
     let errors: Vec<String> = read(&shipped).unwrap_err().iter().map(ToString::to_string).collect();
-    assert_eq!(errors, ["[admission] needs `door = on`", "[control] needs `services`"]);
+    assert_eq!(errors, ["section [admission] requires `door = on`", "section [control] requires `services`"]);
 }
--- a/crates/settings-migration/src/deployment_layout.rs
+++ b/crates/settings-migration/src/deployment_layout.rs
@@ -1,52 +1,53 @@
-//! The layout of the new deployment, as the shape file states it.
+//! Parser of the shape file, which describes the layout of the new deployment.
 
 use crate::{KEYS, Key, LayoutError};
 use ini::{Ini, ParseOption};
 use nearest_name::nearest_name;
 
-/// The layout of the new deployment, as far as its shape file states it.
+/// Layout of the new deployment. It contains only the keys that the shape file sets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeploymentLayout {
-    stated: Vec<StatedValue>,
+    values: Vec<KeyValue>,
 }
 
-/// A value that is allowed for its key.
+/// Key of the shape file with a valid value.
 #[derive(Clone, Debug, PartialEq)]
-struct StatedValue {
+struct KeyValue {
     key: &'static Key,
     text: String,
 }
 
 impl DeploymentLayout {
-    /// Reads a shape file's text.
+    /// Parses the text of a shape file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    ///
+    /// Returns all errors in the text, or only the syntax error if it is not valid INI.
     pub fn read(text: &str) -> Result<DeploymentLayout, Vec<LayoutError>> {
         let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|error| {
             vec![LayoutError::Syntax { line: error.line + 1, reason: error.msg.to_string() }]
         })?;
-        let (mut stated, mut errors) = (Vec::new(), Vec::new());
+        let (mut values, mut errors) = (Vec::new(), Vec::new());
         for (section, properties) in &ini {
             for (name, text) in properties {
                 match read_value(section.unwrap_or(""), name, text) {
-                    Ok(value) => stated.push(value),
+                    Ok(value) => values.push(value),
                     Err(error) => errors.push(error),
                 }
             }
         }
-        if errors.is_empty() { Ok(DeploymentLayout { stated }) } else { Err(errors) }
+        if errors.is_empty() { Ok(DeploymentLayout { values }) } else { Err(errors) }
     }
 
-    /// The text that the shape file states for a settings key.
+    /// Returns the value that the shape file sets for a settings key, as text, or `None` if it does not set the key.
     pub(crate) fn text(&self, settings_key: &str) -> Option<&str> {
-        let stated = self.stated.iter().find(|stated| stated.key.settings_key == settings_key);
-        stated.map(|stated| &stated.text[..])
+        let found = self.values.iter().find(|value| value.key.settings_key == settings_key);
+        found.map(|value| &value.text[..])
     }
 }
 
-fn read_value(section: &str, name: &str, text: &str) -> Result<StatedValue, LayoutError> {
+fn read_value(section: &str, name: &str, text: &str) -> Result<KeyValue, LayoutError> {
     let known = KEYS.iter().find(|key| key.section == section && key.name == name);
     let key = known.ok_or_else(|| unknown_key(section, name))?;
     if key.parse(text).is_none() {
@@ -57,16 +58,17 @@
             allowed: key.describe_allowed(),
         });
     }
-    Ok(StatedValue { key, text: text.trim().to_owned() })
+    Ok(KeyValue { key, text: text.trim().to_owned() })
 }
 
 fn unknown_key(section: &str, name: &str) -> LayoutError {
-    let places: Vec<String> = KEYS.iter().map(|key| format!("{}.{}", key.section, key.name)).collect();
-    let nearest = nearest_name(&format!("{section}.{name}"), &places);
-    let show = |place: &String| place.split_once('.').map(|(section, name)| format!("{name} of [{section}]"));
+    let known_keys: Vec<String> = KEYS.iter().map(|key| format!("{}.{}", key.section, key.name)).collect();
+    let nearest = nearest_name(&format!("{section}.{name}"), &known_keys);
+    let describe =
+        |key: &String| key.split_once('.').map(|(section, name)| format!("`{name}` in section [{section}]"));
     LayoutError::UnknownKey {
         section: section.to_owned(),
         key: name.to_owned(),
-        nearest: nearest.and_then(show).unwrap_or_default(),
+        nearest: nearest.and_then(describe).unwrap_or_default(),
     }
 }
--- a/crates/settings-migration/src/keys.rs
+++ b/crates/settings-migration/src/keys.rs
@@ -1,22 +1,22 @@
-//! The table of the shape file's keys, and which settings key each of them sets.
+//! Table of the keys of the shape file, with the settings key that each of them sets.
 
 use serde_json::{Value, json};
 use settings::{Field, ValueType};
 
-/// One row of the table.
+/// Row of the table.
 #[derive(Debug, PartialEq)]
 pub struct Key {
-    /// The section of the key.
+    /// Section that contains the key.
     pub section: &'static str,
-    /// The key.
+    /// Name of the key, without the section.
     pub name: &'static str,
-    /// The settings key that it sets, such as `Domain.Cells`; `Areas[]` is a list.
+    /// Settings key that the key sets, such as `Domain.Cells`. The name of a list ends in `[]`, as in `Areas[]`.
     pub settings_key: &'static str,
-    /// Whether the old file's value stays where the shape file is silent.
+    /// Whether the value of the old file is kept if the shape file does not set the key.
     pub keeps_old_value: bool,
 }
 
-/// Every key of the shape file.
+/// All keys of the shape file.
 pub const KEYS: &[Key] = &[
     Key { section: "fleet", name: "brokers", settings_key: "Instances", keeps_old_value: false },
     Key { section: "fleet", name: "zones", settings_key: "Areas[]", keeps_old_value: false },
@@ -71,18 +71,18 @@
     },
 ];
 
-/// The settings key of this broker's zone, which the shape file gives by its name.
+/// Settings key of the broker's zone. Its value is an index; the shape file has the name of the zone.
 pub(crate) const ZONE: &str = "Zone";
-/// The settings key of the zones' names.
+/// Settings key of the list of zone names.
 pub(crate) const ZONES: &str = "Areas[]";
 
 impl Key {
-    /// Whether the settings hold a list there, and the shape file names with commas between them.
+    /// Returns whether the value is a list, which the shape file writes as names separated by commas.
     fn is_list(&self) -> bool {
         self.settings_key.ends_with("[]")
     }
 
-    /// The settings key as it is shown, without the mark of a list.
+    /// Returns the settings key without the suffix of lists, for output.
     pub(crate) fn shown_settings_key(&self) -> &'static str {
         self.settings_key.trim_end_matches("[]")
     }
@@ -91,7 +91,8 @@
         Field::find(self.settings_key).map_or(ValueType::Text, |field| field.value_type)
     }
 
-    /// A value as the settings write it; `None` where it is not allowed. A zone stays a name.
+    /// Converts a value of the shape file to a value of the settings, or returns `None` if it is invalid. The zone is
+    /// not converted to an index.
     pub(crate) fn parse(&self, text: &str) -> Option<Value> {
         let text = text.trim();
         if self.settings_key == ZONE {
@@ -109,10 +110,10 @@
         value_type.accepts(&value).then_some(value)
     }
 
-    /// What is allowed, in words for an operator.
+    /// Returns the allowed values as a phrase for error messages.
     pub(crate) fn describe_allowed(&self) -> String {
         if self.is_list() {
-            return "names, with commas between them,".to_owned();
+            return "a comma-separated list of names".to_owned();
         }
         self.value_type().describe()
     }
--- a/crates/settings-migration/src/layout_error.rs
+++ b/crates/settings-migration/src/layout_error.rs
@@ -1,38 +1,38 @@
-//! One error in a shape file.
+//! Errors in shape files.
 
 use thiserror::Error;
 
-/// One error in a shape file.
+/// Error in a shape file.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum LayoutError {
-    /// The text is no INI.
-    #[error("line {line}: {reason}")]
+    /// The text is not valid INI.
+    #[error("line {line}: invalid INI syntax: {reason}")]
     Syntax {
-        /// The line, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// The parser's words.
+        /// Message of the INI parser.
         reason: String,
     },
-    /// There is no such key.
-    #[error("`{key}` is no key of [{section}]: `{nearest}` is the nearest")]
+    /// A key is unknown in its section.
+    #[error("unknown key `{key}` in section [{section}]; did you mean {nearest}?")]
     UnknownKey {
-        /// The section of the key.
+        /// Section that contains the key.
         section: String,
-        /// The key.
+        /// Unknown key.
         key: String,
-        /// The most similar key that there is, with its section.
+        /// Phrase with the most similar known key and its section.
         nearest: String,
     },
-    /// A value is not allowed.
-    #[error("`{key}` of [{section}] is `{found}`: {allowed} is allowed")]
+    /// A value has the wrong type or is out of its range.
+    #[error("`{key}` in section [{section}] is `{found}`, expected {allowed}")]
     InvalidValue {
-        /// The section of the key.
+        /// Section that contains the key.
         section: &'static str,
-        /// The key.
+        /// Key with the invalid value.
         key: &'static str,
-        /// The value.
+        /// Value that was found.
         found: String,
-        /// What would be allowed.
+        /// Allowed values of the key, as a phrase.
         allowed: String,
     },
 }
--- a/crates/settings-migration/src/lib.rs
+++ b/crates/settings-migration/src/lib.rs
@@ -1,10 +1,10 @@
-//! Converts a broker's file for one deployment into its counterpart for another: another layout of shards,
-//! other zones, load reported in another way. Does no I/O; `shard-broker reshape` is the command.
+//! Converts the configuration file of a broker to another deployment, which may have another shard layout, other
+//! zones, or other load reports. The library performs no I/O; the command `shard-broker reshape` uses it.
 //!
-//! - [`DeploymentLayout::read`] reads the shape file, INI: the layout of the new deployment. [`KEYS`] lists its
-//!   keys, and which settings key each one sets.
-//! - [`migrate()`] returns the new file's text and what of the old file is not in it, or all errors of the new
-//!   file. What a deployment's layout decides is never taken from the old file.
+//! - [`DeploymentLayout::read`] parses the shape file, an INI file that describes the layout of the new deployment.
+//!   [`KEYS`] lists its keys and the settings key that each of them sets.
+//! - [`migrate()`] returns the text of the new file and the keys of the old file that it omits, or all errors of the
+//!   new file. Values that depend on the layout are never taken from the old file.
 //!
 //! ```
 //! let layout = settings_migration::DeploymentLayout::read("[load]\ntold = pull\nprobes = true\n").unwrap();
--- a/crates/settings-migration/src/migrate.rs
+++ b/crates/settings-migration/src/migrate.rs
@@ -1,4 +1,4 @@
-//! Makes the new deployment's file of an old one.
+//! Conversion of a broker's old configuration file to the new deployment.
 
 use crate::keys::{ZONE, ZONES};
 use crate::{
@@ -8,18 +8,22 @@
 use serde_json::{Map, Value, json};
 use settings::{Document, FIELDS, Field, ValueType};
 
-/// Settings keys that describe the old fleet's machines.
+/// Settings keys that describe the machines of the old fleet.
 const OLD_FLEET_KEYS: &[&str] = &["HostTypes", "Stages", "WeightKind", "ScoringMix"];
-/// The file's key that holds the settings.
+/// Key of the file that contains the settings.
 const SETTINGS: &str = "settings";
-/// The file's key that holds the nodes that the broker knew last.
+/// Key of the file that contains the last endpoint list of the broker.
 const KNOWN_NODES: &str = "known";
 
-/// The new deployment's file for a broker with this old file. `zone`: this broker's, where the shape file does
-/// not state one for all brokers.
+/// Converts the configuration file `old` of a broker to the new deployment with the given layout.
+///
+/// `zone` is the name of this broker's zone. It takes precedence over the zone in the shape file, which applies to
+/// all brokers.
 ///
 /// # Errors
-/// All errors of the new file: a broker could not serve from it.
+///
+/// Returns all errors of the new file, if a broker could not start with it, or the reason why the old file can't be
+/// parsed.
 pub fn migrate(
     old: &[u8],
     layout: &DeploymentLayout,
@@ -31,8 +35,8 @@
         return Err(vec![MigrationError::NoSettings]);
     };
     let mut migration = Migration { settings, layout, zone, omitted_keys: Vec::new(), errors: Vec::new() };
-    migration.leave_unknown_keys();
-    migration.leave_old_fleet();
+    migration.omit_unknown_keys();
+    migration.omit_old_fleet_keys();
     for key in KEYS {
         migration.migrate_key(key);
     }
@@ -50,65 +54,66 @@
     Ok(MigratedSettings { text: text + "\n", omitted_keys })
 }
 
-/// Settings on their way from the old deployment to the new one.
+/// Settings that are being converted.
 struct Migration<'a> {
     settings: &'a mut Map<String, Value>,
     layout: &'a DeploymentLayout,
-    /// This broker's zone, where the caller states it.
+    /// Name of the broker's zone, if the caller provides it.
     zone: Option<&'a str>,
     omitted_keys: Vec<OmittedKey>,
     errors: Vec<MigrationError>,
 }
 
 impl Migration<'_> {
-    /// Records a key that is not carried over.
-    fn leave(&mut self, key: &str, reason: OmissionReason) {
+    /// Records that a key of the old file is omitted.
+    fn omit(&mut self, key: &str, reason: OmissionReason) {
         self.omitted_keys.push(OmittedKey { key: key.to_owned(), reason });
     }
 
-    /// Removes the keys on the outermost two levels that the settings do not have.
-    fn leave_unknown_keys(&mut self) {
+    /// Removes unknown keys on the two outermost levels.
+    fn omit_unknown_keys(&mut self) {
         for key in settings_object::keys(self.settings) {
             if !is_known(&key) && settings_object::remove(self.settings, &key).is_some() {
-                self.leave(&key, OmissionReason::UnknownKey);
+                self.omit(&key, OmissionReason::UnknownKey);
             }
         }
     }
 
-    /// Removes the keys that describe the old fleet's machines.
-    fn leave_old_fleet(&mut self) {
+    /// Removes the keys that describe the machines of the old fleet.
+    fn omit_old_fleet_keys(&mut self) {
         for key in OLD_FLEET_KEYS {
             if self.settings.remove(*key).is_some() {
-                self.leave(key, OmissionReason::DescribesOldFleet);
+                self.omit(key, OmissionReason::DescribesOldFleet);
             }
         }
     }
 
-    /// Sets a key to what the layout states, or removes it where its old value may not stay.
+    /// Sets a key to the value in the layout. If the layout has none, removes the key unless its old value may be
+    /// kept.
     fn migrate_key(&mut self, key: &Key) {
-        match self.stated(key) {
+        match self.new_value(key) {
             Some(text) => {
                 settings_object::remove(self.settings, key.settings_key);
                 if key.settings_key == ZONE {
                     self.set_zone(&text);
                 } else if let Some(value) = key.parse(&text) {
-                    // It was checked when the layout was read.
+                    // The value is valid, because it was parsed when the layout was read.
                     settings_object::set(self.settings, key.settings_key, value);
                 }
             }
             None if key.keeps_old_value => {}
             None => {
                 if settings_object::remove(self.settings, key.settings_key).is_some() {
-                    self.leave(key.shown_settings_key(), OmissionReason::DecidedByLayout);
+                    self.omit(key.shown_settings_key(), OmissionReason::DecidedByLayout);
                 }
             }
         }
     }
 
-    /// The new deployment's text for a key; a zone that the caller states takes precedence.
-    fn stated(&self, key: &Key) -> Option<String> {
-        let own_zone = self.zone.filter(|_| key.settings_key == ZONE);
-        own_zone.or(self.layout.text(key.settings_key)).map(str::to_owned)
+    /// Returns the new value of a key as text. A zone from the caller takes precedence over the layout.
+    fn new_value(&self, key: &Key) -> Option<String> {
+        let broker_zone = self.zone.filter(|_| key.settings_key == ZONE);
+        broker_zone.or(self.layout.text(key.settings_key)).map(str::to_owned)
     }
 
     fn set_zone(&mut self, zone: &str) {
@@ -122,7 +127,7 @@
         }
     }
 
-    /// The names of the new deployment's zones; one empty name where the layout has no zones.
+    /// Returns the names of the new deployment's zones, or one empty name if the layout has no zones.
     fn zones(&self) -> Vec<&str> {
         self.layout.text(ZONES).unwrap_or("").split(',').map(str::trim).collect()
     }
@@ -146,12 +151,12 @@
 }
 
 fn is_known(key: &str) -> bool {
-    let stands_in = |field: &Field| {
+    let contains_key = |field: &Field| {
         field.key == key || field.key.strip_prefix(key).is_some_and(|rest| rest.starts_with(['.', '[']))
     };
     let is_below_unchecked = |field: &Field| {
         field.value_type == ValueType::Unchecked
             && key.strip_prefix(field.key).is_some_and(|rest| rest.starts_with('.'))
     };
-    FIELDS.iter().any(|field| stands_in(field) || is_below_unchecked(field))
+    FIELDS.iter().any(|field| contains_key(field) || is_below_unchecked(field))
 }
--- a/crates/settings-migration/src/migrated_settings.rs
+++ b/crates/settings-migration/src/migrated_settings.rs
@@ -1,38 +1,38 @@
-//! The result of a migration.
+//! Result of a migration.
 
 use thiserror::Error;
 
-/// The new file, and the keys of the old one that are not in it.
+/// New configuration file, with the keys of the old file that it omits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigratedSettings {
-    /// The new file's text.
+    /// Text of the new file, in JSON.
     pub text: String,
-    /// What was not carried over.
+    /// Keys of the old file that the new file omits.
     pub omitted_keys: Vec<OmittedKey>,
 }
 
-/// A key of the old file that was not carried over.
+/// Key of the old file that the new file omits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OmittedKey {
-    /// The key, such as `Domain.PerCall`.
+    /// Path of the key, such as `Domain.PerCall`.
     pub key: String,
-    /// Why it was left behind.
+    /// Reason for the omission.
     pub reason: OmissionReason,
 }
 
-/// Why a key of the old file was not carried over. The texts follow the key.
+/// Reason why the new file omits a key of the old file. Its text is displayed after the key, in output and in JSON.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OmissionReason {
-    /// The settings have no such key.
+    /// The key is unknown.
     #[error("is no key of the settings")]
     UnknownKey,
-    /// It describes the machines of the old fleet.
+    /// The key describes the machines of the old fleet, and the broker does not read it.
     #[error("describes the old fleet; nothing reads it")]
     DescribesOldFleet,
-    /// The new deployment's layout decides it, and the shape file does not state it.
+    /// The value depends on the layout of the deployment, and the shape file does not set it.
     #[error("is decided by the deployment's layout, and the shape file does not state it")]
     DecidedByLayout,
-    /// It lists nodes of the old fleet.
+    /// The key contains nodes of the old fleet. The broker obtains the new nodes from discovery.
     #[error("lists nodes of the old fleet; discovery lists the new ones")]
     KnownNodes,
 }
--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -1,35 +1,35 @@
-//! Why a file can't be migrated.
+//! Errors of a migration.
 
 use settings::{DocumentError, ValidationError};
 use thiserror::Error;
 
-/// One reason why a file can't be migrated.
+/// Reason why a configuration file can't be migrated.
 #[derive(Debug, Error)]
 pub enum MigrationError {
-    /// The old file is no JSON object.
-    #[error("the old file can't be read: {0}")]
+    /// The old file is not a JSON object.
+    #[error("failed to parse the old file: {0}")]
     Syntax(#[source] serde_json::Error),
-    /// The old file has no settings.
-    #[error("the old file can't be read: `settings` is no object")]
+    /// The old file has no key `settings`, or its value is not an object.
+    #[error("failed to parse the old file: expected an object at `settings`")]
     NoSettings,
-    /// The new deployment has no zone of the broker's name.
-    #[error("zone `{zone}` is none of {zones}")]
+    /// The broker's zone is not a zone of the new deployment.
+    #[error("unknown zone `{zone}`, expected one of: {zones}")]
     UnknownZone {
-        /// The broker's zone.
+        /// Name of the broker's zone.
         zone: String,
-        /// The new deployment's, with commas between them.
+        /// Names of the new deployment's zones, separated by commas.
         zones: String,
     },
-    /// The new deployment has zones, and neither the shape file nor the caller states the broker's.
-    #[error("`zone` is missing: this broker's, in [fleet] or by --zone")]
+    /// The new deployment has zones, but neither the shape file nor the caller provides the zone of the broker.
+    #[error("`zone` is missing: set the broker's zone in section [fleet] or with --zone")]
     MissingZone,
-    /// The new settings are no document.
+    /// The new settings can't be parsed as a document.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// The new settings can't be used.
+    /// The new settings are invalid.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
-    /// The new file can't be written as text.
-    #[error("{0}")]
+    /// The new file can't be serialized.
+    #[error("failed to serialize the new file: {0}")]
     Unwritable(#[source] serde_json::Error),
 }
--- a/crates/settings-migration/src/settings_object.rs
+++ b/crates/settings-migration/src/settings_object.rs
@@ -1,8 +1,8 @@
-//! Values of a settings object by keys such as `Domain.Cells` or `Areas[]`, at most two levels deep.
+//! Access to a settings object by keys such as `Domain.Cells` or `Areas[]`, which are at most two levels deep.
 
 use serde_json::{Map, Value, json};
 
-/// Sets the value of a key.
+/// Sets the value of a key, and creates the outer object if it is missing.
 pub(crate) fn set(settings: &mut Map<String, Value>, key: &str, value: Value) {
     let key = key.trim_end_matches("[]");
     let Some((outer, inner)) = key.split_once('.') else {
@@ -14,7 +14,7 @@
     }
 }
 
-/// Removes the value of a key; `None` where it has none.
+/// Removes a key and returns its value, or `None` if it is not set.
 pub(crate) fn remove(settings: &mut Map<String, Value>, key: &str) -> Option<Value> {
     let key = key.trim_end_matches("[]");
     match key.split_once('.') {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The keys of the outermost two levels.
+/// Returns the keys of the two outermost levels.
 pub(crate) fn keys(settings: &Map<String, Value>) -> Vec<String> {
     let mut keys = Vec::new();
     for (outer, value) in settings {
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -1,4 +1,4 @@
-//! What a migration carries over, and what it says of files that are wrong.
+//! Tests of the content of migrated files, and of the errors for invalid files.
 
 use super::{DeploymentLayout, KEYS, migrate};
 use rstest::rstest;
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn makes_the_new_file_and_lists_what_is_left_behind() {
+fn returns_the_new_file_and_the_omitted_keys() {
     let layout = DeploymentLayout::read(SHAPE).unwrap();
     let migrated = migrate(old().to_string().as_bytes(), &layout, None).unwrap();
     let new: Value = serde_json::from_str(&migrated.text).unwrap();
@@ -40,75 +40,84 @@
         (&settings["Limits"]["Probes"], &settings["Limits"]["SecondCopies"]),
         (&json!(true), &json!(false))
     );
-    // What the layout does not decide is as it was.
+    // Values that do not depend on the layout are unchanged.
     assert_eq!((&new["name"], &settings["Services"]), (&old()["name"], &old()["settings"]["Services"]));
     assert_eq!(settings["Limits"]["MaxOpen"], json!(111));
     assert!(settings::read(settings.to_string().as_bytes()).unwrap().broker_config.load_by_probe);
-    let left: Vec<&str> = migrated.omitted_keys.iter().map(|left| &left.key[..]).collect();
-    assert_eq!(left, ["Rules.Colour", "HostTypes", "WeightKind", "known"]);
+    let omitted: Vec<&str> = migrated.omitted_keys.iter().map(|omitted| &omitted.key[..]).collect();
+    assert_eq!(omitted, ["Rules.Colour", "HostTypes", "WeightKind", "known"]);
 }
 
-/// A broker's zone may be stated for it alone; it must be one of the new ones.
+/// The caller may provide the zone of a broker, which must be a zone of the new deployment.
 #[rstest]
 #[case(Some("mantova"), Ok(2))]
-#[case(Some("north"), Err("zone `north` is none of brescia, cremona, mantova"))]
+#[case(Some("north"), Err("unknown zone `north`, expected one of: brescia, cremona, mantova"))]
 #[case(None, Err("`zone` is missing"))]
-fn a_zone_is_stated_by_name(#[case] zone: Option<&str>, #[case] expected: Result<u64, &str>) {
+fn caller_provides_the_zone_by_name(#[case] zone: Option<&str>, #[case] expected: Result<u64, &str>) {
     let layout = DeploymentLayout::read(&SHAPE.replace("zone = cremona\n", "")).unwrap();
     match (migrate(old().to_string().as_bytes(), &layout, zone), expected) {
         (Ok(migrated), Ok(index)) => {
             let new: Value = serde_json::from_str(&migrated.text).unwrap();
             assert_eq!(new["settings"]["Zone"], json!(index));
         }
-        (Err(errors), Err(words)) => assert!(errors[0].to_string().contains(words), "{errors:?}"),
+        (Err(errors), Err(message)) => assert!(errors[0].to_string().contains(message), "{errors:?}"),
         (migrated, expected) => panic!("{migrated:?} for {expected:?}"),
     }
 }
 
-/// What the layout decides is never taken from the old file, and nothing is made where it lacks.
+/// Values that depend on the layout must never be taken from the old file. If the layout lacks a required one, or has
+/// one that conflicts with others, no file may be returned.
 #[rstest]
 #[case("cells = 396\n", "", "`Domain.Cells` is missing: a whole number from 1 to 65536 is needed")]
 #[case("reach = 3", "reach = 400", "`Domain.Reach` is 400: at most `Domain.Cells`, 396, is allowed")]
 #[case("brokers = 34\n", "", "`Instances` is missing")]
-fn nothing_is_made_that_could_not_be_served_from(#[case] from: &str, #[case] to: &str, #[case] words: &str) {
+fn rejects_a_layout_without_valid_settings(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     let layout = DeploymentLayout::read(&SHAPE.replace(from, to)).unwrap();
     let errors = migrate(old().to_string().as_bytes(), &layout, None).unwrap_err();
-    assert!(errors.iter().any(|error| error.to_string().contains(words)), "{errors:?}");
+    assert!(errors.iter().any(|error| error.to_string().contains(message)), "{errors:?}");
 }
 
 #[rstest]
 #[case(
     "cells = 396",
     "cells = many",
-    "`cells` of [layout] is `many`: a whole number from 1 to 65536 is allowed"
+    "`cells` in section [layout] is `many`, expected a whole number from 1 to 65536"
+)]
+#[case(
+    "cells = 396",
+    "cells = 0",
+    "`cells` in section [layout] is `0`, expected a whole number from 1 to 65536"
 )]
-#[case("cells = 396", "cells = 0", "`cells` of [layout] is `0`: a whole number from 1 to 65536 is allowed")]
 #[case(
     "told = pull",
     "told = push",
-    "`told` of [load] is `push`: `piggyback` or `pull` or `silent` is allowed"
+    "`told` in section [load] is `push`, expected `piggyback` or `pull` or `silent`"
+)]
+#[case("probes = true", "probes = 1", "`probes` in section [load] is `1`, expected true or false")]
+#[case("zones = brescia, cremona, mantova", "zones = ,", "expected a comma-separated list of names")]
+#[case(
+    "reach",
+    "raech",
+    "unknown key `raech` in section [layout]; did you mean `reach` in section [layout]?"
 )]
-#[case("probes = true", "probes = 1", "`probes` of [load] is `1`: true or false is allowed")]
-#[case("zones = brescia, cremona, mantova", "zones = ,", "names, with commas between them")]
-#[case("reach", "raech", "`raech` is no key of [layout]: `reach of [layout]` is the nearest")]
-#[case("[limits]", "[limmits]", "`copies` is no key of [limmits]")]
-fn says_what_is_wrong_in_a_shape_file(#[case] from: &str, #[case] to: &str, #[case] words: &str) {
+#[case("[limits]", "[limmits]", "unknown key `copies` in section [limmits]")]
+fn layout_error_states_key_and_expected_values(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     let errors = DeploymentLayout::read(&SHAPE.replace(from, to)).unwrap_err();
-    assert!(errors.iter().any(|error| error.to_string().contains(words)), "{errors:?}");
+    assert!(errors.iter().any(|error| error.to_string().contains(message)), "{errors:?}");
 }
 
 #[rstest]
-#[case(b"", "can't be read")]
-#[case(b"[1]", "can't be read")]
-#[case(b"{\"settings\": 3}", "`settings` is no object")]
-fn an_old_file_that_is_none(#[case] old: &[u8], #[case] words: &str) {
+#[case(b"", "failed to parse the old file")]
+#[case(b"[1]", "failed to parse the old file")]
+#[case(b"{\"settings\": 3}", "expected an object at `settings`")]
+fn rejects_an_old_file_without_settings(#[case] old: &[u8], #[case] message: &str) {
     let errors = migrate(old, &DeploymentLayout::read(SHAPE).unwrap(), None).unwrap_err();
-    assert!(errors[0].to_string().contains(words), "{errors:?}");
+    assert!(errors[0].to_string().contains(message), "{errors:?}");
 }
 
-/// Every key goes to one that the settings have.
+/// Each key of the shape file must set a known settings key.
 #[rstest]
-fn every_key_has_its_place() {
+fn every_key_sets_a_known_settings_key() {
     for key in KEYS {
         assert!(FIELDS.iter().any(|field| field.key == key.settings_key), "{}", key.settings_key);
     }
