--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -20,7 +20,7 @@
     pub services: Vec<SocketAddr>,
     /// Name of the installation whose versions the broker subscribes to.
     pub installation: String,
-    /// Timing and limits of subscription and probation.
+    /// Durations and limits of subscription and probation.
     pub policy: RolloutPolicy,
     /// Maximum length of a version's document, in bytes.
     pub max_document_bytes: usize,
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -14,7 +14,7 @@
     /// The new value applies to queries that are accepted from then on. Open queries keep the configuration under
     /// which they were accepted.
     NewQueries,
-    /// The new value needs a restart. A running broker rejects a version that changes it.
+    /// The new value needs a restart. A running broker rejects a version that changes the value.
     AfterRestart,
     /// Each broker has its own value, from its file. A version must leave the key out or have the same value.
     PerBroker,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -28,14 +28,14 @@
     Document::parse(value.to_string().as_bytes(), 1 << 20).unwrap()
 }
 
-/// Returns the valid document with the value at a JSON pointer replaced, or removed if `to` is `null`.
-fn with(pointer: &str, to: Value) -> Value {
+/// Returns the valid document with the value at a JSON pointer replaced, or removed if `replacement` is `null`.
+fn with(pointer: &str, replacement: Value) -> Value {
     let mut value = valid();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     match value.pointer_mut(parent).unwrap() {
-        Value::Object(all) if to.is_null() => _ = all.remove(key),
-        Value::Object(all) => _ = all.insert(key.to_owned(), to),
-        Value::Array(all) => all[key.parse::<usize>().unwrap()] = to,
+        Value::Object(all) if replacement.is_null() => _ = all.remove(key),
+        Value::Object(all) => _ = all.insert(key.to_owned(), replacement),
+        Value::Array(all) => all[key.parse::<usize>().unwrap()] = replacement,
         _ => unreachable!(),
     }
     value
@@ -51,7 +51,7 @@
     assert_eq!((class.idempotency, class.min_coverage), (Idempotency::IdempotencyKey, 0.4));
     assert!(read.rules.retry_budget.is_none());
     assert_eq!(
-        (names.class_id("report"), names.tenant_id("school").map(|c| c.0)),
+        (names.class_id("report"), names.tenant_id("school").map(|id| id.0)),
         (Some(ClassId(0)), Some(1))
     );
     assert_eq!((&zones[0][..], read.tenants[&routing::TenantId(0)].quota_per_s), ("north", 2.5));
@@ -84,8 +84,8 @@
 #[case("/Domain/CompleteFrom", json!([1.0]), "settings: `CompleteFrom` is too short")]
 #[case("/Services/1/Effect", json!("twice"), "settings: `Effect` is `twice`")]
 #[case("/PeriodMs", Value::Null, "settings: missing field `PeriodMs` at line 1 column ")]
-fn read_error_names_the_key(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
-    let error = super::read(with(at, to).to_string().as_bytes()).unwrap_err().to_string();
+fn read_error_names_the_key(#[case] pointer: &str, #[case] value: Value, #[case] expected: &str) {
+    let error = super::read(with(pointer, value).to_string().as_bytes()).unwrap_err().to_string();
     assert!(error.starts_with(expected), "{error}");
 }
 
@@ -181,9 +181,13 @@
 )]
 #[case("/Zone", json!(2), "`Zone` is 2: a place in `Areas`, less than 2, is allowed")]
 #[case("/Domain", Value::Null, "`Domain` is missing: what `Domain.Cells` stands in is needed")]
-fn error_states_key_value_and_allowed_values(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+fn error_states_key_value_and_allowed_values(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
     let errors: Vec<String> =
-        check(&document(&with(at, to))).iter().map(ValidationError::to_string).collect();
+        check(&document(&with(pointer, value))).iter().map(ValidationError::to_string).collect();
     assert!(errors.iter().any(|error| error == expected), "{errors:#?}");
 }
 
@@ -236,11 +240,16 @@
         .broker_config
         .classes
         .iter()
-        .map(|(no, c)| (no.0, c.latency_objective.0))
+        .map(|(id, item)| (id.0, item.latency_objective.0))
         .collect();
     assert_eq!(objectives, [(1, 20_000), (2, 1000)]);
-    let tenants: Vec<_> =
-        update.broker_settings.broker_config.tenants.iter().map(|(no, c)| (no.0, c.quota_per_s)).collect();
+    let tenants: Vec<_> = update
+        .broker_settings
+        .broker_config
+        .tenants
+        .iter()
+        .map(|(id, item)| (id.0, item.quota_per_s))
+        .collect();
     assert_eq!(tenants, [(1, 9.0)]);
     assert_eq!(update.broker_settings.names.class_id("report"), Some(ClassId(0)));
 }
@@ -272,9 +281,13 @@
 #[case("/Zone", json!(0), "`Zone` is north, the broker runs with south: that needs a restart")]
 #[case("/Me", json!(0), "`Me` is 0, the broker runs with 2: that needs a restart")]
 #[case("/Domain/MinShare/0", json!(2), "`Domain.MinShare[0]` is 2: a share from 0 to 1 is allowed")]
-fn rejects_updates_that_cannot_be_applied(#[case] at: &str, #[case] to: Value, #[case] expected: &str) {
+fn rejects_updates_that_cannot_be_applied(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
     let errors: Vec<String> =
-        update_valid(&with(at, to)).unwrap_err().iter().map(ValidationError::to_string).collect();
+        update_valid(&with(pointer, value)).unwrap_err().iter().map(ValidationError::to_string).collect();
     assert_eq!(errors, [expected]);
 }
 
@@ -288,8 +301,10 @@
     new["Tenants"][0]["QuotaRps"] = json!(7);
     new["Limits"]["MaxOpen"] = json!(50);
     new["Stages"] = json!(["other"]);
-    let changes: Vec<_> =
-        compare(&document(&valid()), &document(&new)).into_iter().map(|c| (c.field, c.applies)).collect();
+    let changes: Vec<_> = compare(&document(&valid()), &document(&new))
+        .into_iter()
+        .map(|change| (change.field, change.applies))
+        .collect();
     assert_eq!(
         changes,
         [
@@ -349,7 +364,7 @@
             Value::Array(list) => {
                 list.iter()
                     .enumerate()
-                    .for_each(|(at, v)| collect_pointers(v, &format!("{pointer}/{at}"), all));
+                    .for_each(|(index, v)| collect_pointers(v, &format!("{pointer}/{index}"), all));
             }
             _ => {}
         }
@@ -368,12 +383,12 @@
             changes in proptest::collection::vec((any::<prop::sample::Index>(), value()), 1..3)
         ) {
             let mut text = valid();
-            for (at, to) in changes {
+            for (index, replacement) in changes {
                 let mut all = Vec::new();
                 collect_pointers(&text, "", &mut all);
-                let pointer: &String = at.get(&all[..]);
+                let pointer: &String = index.get(&all[..]);
                 if let Some(value) = text.pointer_mut(pointer).filter(|_| !pointer.is_empty()) {
-                    *value = to;
+                    *value = replacement;
                 }
             }
             let document = document(&text);
--- a/crates/syscall-faults/src/polling.rs
+++ b/crates/syscall-faults/src/polling.rs
@@ -41,7 +41,7 @@
     unsafe { libc::syscall(libc::SYS_epoll_ctl, epoll_fd, libc::EPOLL_CTL_MOD, socket, event) };
 }
 
-/// Replaces `epoll_ctl` and records the registration. Calls never fail by a setting.
+/// Replaces `epoll_ctl` and records the registration. No setting makes this function fail.
 ///
 /// # Safety
 /// The requirements of `epoll_ctl` in the C library apply.
@@ -82,7 +82,7 @@
         return fail_with(libc::EINTR) as c_int;
     }
     let no_mask = std::ptr::null::<c_void>();
-    // SAFETY: the caller's arguments, as they are, and no signal mask.
+    // SAFETY: the caller's arguments are passed on unchanged, with a null signal mask.
     unsafe {
         libc::syscall(libc::SYS_epoll_pwait, epoll_fd, events, max_events, timeout, no_mask, 8) as c_int
     }
