--- a/crates/broker-bench/src/loopback/nodes.rs
+++ b/crates/broker-bench/src/loopback/nodes.rs
@@ -262,7 +262,7 @@
                 return self.publish_endpoint(node).await;
             }
             PlannedNodeEvent::Stop => self.stop_node(node).await?,
-            PlannedNodeEvent::SlowDown(share) => self.nodes.models[node].set_speed(share),
+            PlannedNodeEvent::SetSpeed(share) => self.nodes.models[node].set_speed(share),
         }
         self.settle().await
     }
--- a/crates/broker-bench/src/scenario_run.rs
+++ b/crates/broker-bench/src/scenario_run.rs
@@ -123,7 +123,7 @@
             NodeTransition::Starts => (node, PlannedNodeEvent::StartCold),
             NodeTransition::Unchanged => return None,
         },
-        FaultEffect::SetSpeed { node, speed_factor } => (node, PlannedNodeEvent::SlowDown(speed_factor)),
+        FaultEffect::SetSpeed { node, speed_factor } => (node, PlannedNodeEvent::SetSpeed(speed_factor)),
         _ => return None,
     };
     Some(PlanEvent::Node { node: node as u32, event })
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -33,7 +33,7 @@
                 self.schedule_publication(node, ONE_WAY_LATENCY);
             }
             PlannedNodeEvent::Stop => self.stop_node(node),
-            PlannedNodeEvent::SlowDown(share) => self.nodes[node].set_speed(share),
+            PlannedNodeEvent::SetSpeed(share) => self.nodes[node].set_speed(share),
         }
     }
 
--- a/crates/broker-bench/src/trace_files.rs
+++ b/crates/broker-bench/src/trace_files.rs
@@ -46,7 +46,9 @@
         match (text, text.parse::<f64>()) {
             ("first", _) => Ok(Tolerance(RejectionPolicy::StopAtFirst)),
             ("count", _) => Ok(Tolerance(RejectionPolicy::SkipAndCount)),
-            (_, Ok(share)) if (0.0..=1.0).contains(&share) => Ok(Tolerance(RejectionPolicy::StopPast(share))),
+            (_, Ok(share)) if (0.0..=1.0).contains(&share) => {
+                Ok(Tolerance(RejectionPolicy::StopAboveShare(share)))
+            }
             _ => Err(ParseToleranceError),
         }
     }
@@ -118,7 +120,7 @@
     mut use_row: impl FnMut(&Row) -> Result<(), PlanError>,
 ) -> Result<FileSummary, TraceError> {
     let is_sorted = layout.row_order == RowOrder::ByTime;
-    let lists_machines = !layout.has_work() && is_sorted;
+    let lists_machines = !layout.describes_work() && is_sorted;
     let rows = ReadSummary::new(policy, lists_machines);
     let mut summary = FileSummary { rows, clock_steps: Vec::new(), span: None, violation: None };
     let mut sorter = RowSorter::new(SortWindow::default());
--- a/crates/cluster-trace/src/classify.rs
+++ b/crates/cluster-trace/src/classify.rs
@@ -219,7 +219,7 @@
 }
 
 fn build_row(layout: &Layout, line: u64, fields: Fields) -> Row {
-    let detail = if layout.has_work() {
+    let detail = if layout.describes_work() {
         RowDetail::Work {
             job: TraceId::of(fields.job),
             task: TraceId::of(fields.task),
--- a/crates/cluster-trace/src/layout.rs
+++ b/crates/cluster-trace/src/layout.rs
@@ -113,7 +113,7 @@
 
 impl Layout {
     /// Whether its rows are about work; else they are about machines.
-    pub fn has_work(&self) -> bool {
+    pub fn describes_work(&self) -> bool {
         self.columns.iter().any(|column| column.role == Job)
     }
 }
--- a/crates/cluster-trace/src/plan/planner.rs
+++ b/crates/cluster-trace/src/plan/planner.rs
@@ -181,7 +181,7 @@
         let drains = || draw(self.config.seed, DrawPurpose::Drain, subject) < self.config.drain_share;
         let event = match event {
             MachineEvent::Added => PlannedNodeEvent::StartCold,
-            MachineEvent::Updated => PlannedNodeEvent::SlowDown((cpu / machine.first_cpu).min(1.0)),
+            MachineEvent::Updated => PlannedNodeEvent::SetSpeed((cpu / machine.first_cpu).min(1.0)),
             MachineEvent::Removed if drains() => PlannedNodeEvent::Drain,
             MachineEvent::Removed => PlannedNodeEvent::Stop,
         };
@@ -272,7 +272,7 @@
                     *state = InitialNodeState { is_up: true, speed: 1.0 }
                 }
                 PlannedNodeEvent::Drain | PlannedNodeEvent::Stop => state.is_up = false,
-                PlannedNodeEvent::SlowDown(share) => state.speed = share,
+                PlannedNodeEvent::SetSpeed(share) => state.speed = share,
             }
         }
         // Nodes that no machine of the trace is mapped to are up all the time.
@@ -282,7 +282,7 @@
         for (node, state) in states.into_iter().chain(unmapped).filter(|(_, state)| state.is_up) {
             let entry = |event| PlanEntry { at: 0, event: PlanEvent::Node { node, event } };
             entries.push(entry(PlannedNodeEvent::StartWarm));
-            entries.extend((state.speed < 1.0).then(|| entry(PlannedNodeEvent::SlowDown(state.speed))));
+            entries.extend((state.speed < 1.0).then(|| entry(PlannedNodeEvent::SetSpeed(state.speed))));
         }
         entries
     }
--- a/crates/cluster-trace/src/plan/replay_plan.rs
+++ b/crates/cluster-trace/src/plan/replay_plan.rs
@@ -81,7 +81,7 @@
     /// Its process stops; its work is lost.
     Stop,
     /// It works at this share of its first speed.
-    SlowDown(f64),
+    SetSpeed(f64),
 }
 
 impl fmt::Display for PlanEntry {
@@ -95,7 +95,7 @@
                 PlannedNodeEvent::StartCold => write!(f, "host {node} start"),
                 PlannedNodeEvent::Drain => write!(f, "host {node} drain"),
                 PlannedNodeEvent::Stop => write!(f, "host {node} death"),
-                PlannedNodeEvent::SlowDown(share) => write!(f, "host {node} slow {share:.4}"),
+                PlannedNodeEvent::SetSpeed(share) => write!(f, "host {node} slow {share:.4}"),
             },
             PlanEvent::Query { class, tenant, shard_requests } => {
                 write!(f, "ask {class} {tenant}")?;
--- a/crates/cluster-trace/src/read_summary.rs
+++ b/crates/cluster-trace/src/read_summary.rs
@@ -16,7 +16,7 @@
     /// They are counted.
     SkipAndCount,
     /// More than this share of the lines ends the reading, once there were a thousand lines.
-    StopPast(f64),
+    StopAboveShare(f64),
 }
 
 /// Why the policy ended the reading.
@@ -125,12 +125,12 @@
         }
         match self.policy {
             RejectionPolicy::StopAtFirst => Err(PolicyViolation::FirstRejected(rejected)),
-            RejectionPolicy::SkipAndCount | RejectionPolicy::StopPast(_) => self.check_share(),
+            RejectionPolicy::SkipAndCount | RejectionPolicy::StopAboveShare(_) => self.check_share(),
         }
     }
 
     fn check_share(&self) -> Result<(), PolicyViolation> {
-        let RejectionPolicy::StopPast(share) = self.policy else { return Ok(()) };
+        let RejectionPolicy::StopAboveShare(share) = self.policy else { return Ok(()) };
         let (rejected, lines) = (self.rejected_count(), self.lines);
         let is_exceeded = lines >= MIN_LINES_FOR_SHARE && rejected as f64 > share * lines as f64;
         if is_exceeded { Err(PolicyViolation::ShareExceeded { rejected, lines }) } else { Ok(()) }
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -190,7 +190,7 @@
     };
     let mut expected = [ends(0, 200_000), ends(1, 200_000)].concat();
     expected
-        .extend([(300_000, 0, PlannedNodeEvent::StartCold), (400_000, 2, PlannedNodeEvent::SlowDown(0.5))]);
+        .extend([(300_000, 0, PlannedNodeEvent::StartCold), (400_000, 2, PlannedNodeEvent::SetSpeed(0.5))]);
     expected.sort_by_key(|event| event.0);
     assert_eq!((events, plan.unmapped_machine_rows), (expected, 2));
 }
--- a/crates/cluster-trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -240,13 +240,13 @@
     assert!(matches!(violation, Some(PolicyViolation::FirstRejected(rejected)) if rejected.line == 2001));
     let bad = "x\n".repeat(150);
     let (summary, violation) =
-        summarize(RejectionPolicy::StopPast(0.1), false, TASK, &format!("{bad}{good}"));
+        summarize(RejectionPolicy::StopAboveShare(0.1), false, TASK, &format!("{bad}{good}"));
     assert_eq!(
         (violation, summary.lines),
         (Some(PolicyViolation::ShareExceeded { rejected: 150, lines: 1000 }), 1000)
     );
     let (summary, violation) =
-        summarize(RejectionPolicy::StopPast(0.2), false, TASK, &format!("{bad}{good}"));
+        summarize(RejectionPolicy::StopAboveShare(0.2), false, TASK, &format!("{bad}{good}"));
     assert_eq!((violation, summary.accepted, summary.rejected_count()), (None, 2000, 150));
 }
 
