--- a/crates/cluster-trace/src/classify.rs
+++ b/crates/cluster-trace/src/classify.rs
@@ -1,17 +1,17 @@
-//! Classifies one line by its fields alone: a row that can be used, or a rejection.
+//! Validation of a single line by its fields alone, without regard to other lines.
 
 use crate::layout::{Column, ColumnFormat, ColumnRole, Layout, TimeUnit};
 use crate::rejection_reason::RejectionReason;
-use crate::row::{MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, TraceId, WorkEvent, quote};
+use crate::row::{HashedId, MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, WorkEvent, quote};
 use csv::ByteRecord;
 
-/// The longest id, in bytes.
+/// The maximum length of an identifier, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// The latest time, in microseconds. Traces use huge values for times before and after them; later ones would
-/// overflow.
+/// The latest valid timestamp, in microseconds. Traces use very large values to mark times before and after the
+/// recorded period; larger values would overflow.
 const LATEST_US: u64 = i64::MAX as u64;
 
-/// The outcome for a line of this number with these fields.
+/// Converts the fields of line number `line` to a row, or rejects the line if a field is invalid.
 pub fn classify_row(layout: &Layout, line: u64, record: &ByteRecord) -> RowOutcome {
     match read_row(layout, line, record) {
         Ok(row) => RowOutcome::Accepted(row),
@@ -19,7 +19,7 @@
     }
 }
 
-/// The values of a line by their columns' roles.
+/// The values of a line, by column role. Text fields are empty if the line does not contain a value.
 #[derive(Default)]
 struct Fields<'a> {
     at: u64,
@@ -39,10 +39,10 @@
 impl<'a> Fields<'a> {
     fn set(&mut self, role: ColumnRole, text: &'a str, value: Value) {
         match (role, value) {
-            (ColumnRole::At, Value::Whole(at)) => self.at = at,
-            (ColumnRole::End, Value::Whole(end)) => self.end = Some(end),
-            (ColumnRole::Priority, Value::Whole(priority)) => self.priority = priority,
-            (ColumnRole::Instances, Value::Whole(instances)) => self.instances = Some(instances),
+            (ColumnRole::Timestamp, Value::Integer(at)) => self.at = at,
+            (ColumnRole::End, Value::Integer(end)) => self.end = Some(end),
+            (ColumnRole::Priority, Value::Integer(priority)) => self.priority = priority,
+            (ColumnRole::Instances, Value::Integer(instances)) => self.instances = Some(instances),
             (ColumnRole::Cpu, Value::Number(cpu)) => self.cpu = Some(cpu),
             (ColumnRole::Memory, Value::Number(memory)) => self.memory = Some(memory),
             (ColumnRole::Job, _) => self.job = text,
@@ -59,8 +59,8 @@
 fn read_row(layout: &Layout, line: u64, record: &ByteRecord) -> Result<Row, Box<RejectedRow>> {
     check_column_count(layout, line, record)?;
     let mut fields = Fields::default();
-    // UTF-8 is checked once for the whole row, which is fast; only if that fails is each field checked, to
-    // find the invalid one.
+    // A single UTF-8 check of the whole row is fast. Fields are checked one by one only if it fails, to find the
+    // invalid field.
     let valid_row = std::str::from_utf8(record.as_slice()).ok();
     for (index, (column, bytes)) in layout.columns.iter().zip(record).enumerate() {
         if column.format == ColumnFormat::Ignored {
@@ -82,14 +82,14 @@
         }
     }
     check_end(layout, line, &fields)?;
-    Ok(build_row(layout, line, fields))
+    Ok(convert_fields(layout, line, fields))
 }
 
 fn check_column_count(layout: &Layout, line: u64, record: &ByteRecord) -> Result<(), Box<RejectedRow>> {
     let expected = layout.columns.len();
     let reason = match record.len() {
-        count if count < expected => RejectionReason::ColumnsMissing,
-        count if count > expected => RejectionReason::ColumnsExtra,
+        count if count < expected => RejectionReason::TooFewColumns,
+        count if count > expected => RejectionReason::TooManyColumns,
         _ => return Ok(()),
     };
     let value = format!("{} columns", record.len());
@@ -103,18 +103,18 @@
         line,
         column: column.map(|column| column.name),
         value: format!("{end} us"),
-        allowed: format!("its start, {} us, or later", fields.at),
+        allowed: format!("the start time, {} us, or later", fields.at),
         reason: RejectionReason::EndsBeforeStart,
     }))
 }
 
 enum Value {
-    Whole(u64),
+    Integer(u64),
     Number(f64),
     Text,
 }
 
-/// The value of a field; none of an empty one that may be empty.
+/// Parses a field. Returns `None` if the field is empty and its column is optional.
 fn parse_field(column: &Column, unit: TimeUnit, text: &str) -> Result<Option<Value>, RejectionReason> {
     match text.is_empty() {
         true if column.is_required => Err(RejectionReason::MissingValue),
@@ -125,8 +125,8 @@
 
 fn parse_value(format: ColumnFormat, unit: TimeUnit, text: &str) -> Result<Value, RejectionReason> {
     match format {
-        ColumnFormat::Time => parse_time(unit, text).map(Value::Whole),
-        ColumnFormat::Count(maximum) => parse_whole(text, maximum).map(Value::Whole),
+        ColumnFormat::Time => parse_time(unit, text).map(Value::Integer),
+        ColumnFormat::Count(maximum) => parse_integer(text, maximum).map(Value::Integer),
         ColumnFormat::Number(maximum) => parse_number(text, maximum).map(Value::Number),
         ColumnFormat::Id if text.len() > MAX_ID_BYTES => Err(RejectionReason::OutOfRange),
         ColumnFormat::Code(codes) if !codes.contains(&text) => Err(RejectionReason::UnknownEvent),
@@ -134,9 +134,9 @@
     }
 }
 
-/// A time in microseconds.
+/// Parses a timestamp and converts it to microseconds.
 fn parse_time(unit: TimeUnit, text: &str) -> Result<u64, RejectionReason> {
-    let time = parse_whole(text, u64::MAX)?;
+    let time = parse_integer(text, u64::MAX)?;
     let micros = match unit {
         TimeUnit::Microseconds => Some(time),
         TimeUnit::Seconds => time.checked_mul(1_000_000),
@@ -154,10 +154,10 @@
     }
 }
 
-/// A whole number. `86400.0` is one too: some copies of traces write numbers in this form.
-fn parse_whole(text: &str, maximum: u64) -> Result<u64, RejectionReason> {
+/// Parses an integer. The form `86400.0` is accepted because some copies of traces write integers this way.
+fn parse_integer(text: &str, maximum: u64) -> Result<u64, RejectionReason> {
     let digits = text.strip_suffix(".0").unwrap_or(text);
-    // The library accepts a leading `+`, which is not a digit.
+    // `u64::from_str` accepts a leading `+`, which is invalid here.
     if let Some(number) = digits.parse::<u64>().ok().filter(|_| !digits.starts_with('+')) {
         return if number <= maximum { Ok(number) } else { Err(RejectionReason::OutOfRange) };
     }
@@ -170,9 +170,9 @@
 
 fn allowed_values(format: ColumnFormat) -> String {
     match format {
-        ColumnFormat::Time => "a time, a whole number from 0".to_owned(),
-        ColumnFormat::Count(u64::MAX) => "a whole number from 0".to_owned(),
-        ColumnFormat::Count(maximum) => format!("a whole number from 0 to {maximum}"),
+        ColumnFormat::Time => "a timestamp, an integer of at least 0".to_owned(),
+        ColumnFormat::Count(u64::MAX) => "an integer of at least 0".to_owned(),
+        ColumnFormat::Count(maximum) => format!("an integer from 0 to {maximum}"),
         ColumnFormat::Number(maximum) => format!("a number from 0 to {maximum}"),
         ColumnFormat::Id => format!("a name of 1 to {MAX_ID_BYTES} bytes"),
         ColumnFormat::Code(codes) => format!("one of {}", codes.join(", ")),
@@ -180,7 +180,8 @@
     }
 }
 
-/// What a layout's code for an event means. No code has two meanings in the known layouts.
+/// The event that a code stands for. One table serves all layouts because no two layouts give a code different
+/// meanings.
 struct EventCode<T> {
     code: &'static str,
     event: T,
@@ -218,16 +219,16 @@
     codes.iter().find(|row| row.code == code).map(|row| row.event)
 }
 
-fn build_row(layout: &Layout, line: u64, fields: Fields) -> Row {
+fn convert_fields(layout: &Layout, line: u64, fields: Fields) -> Row {
     let detail = if layout.describes_work() {
         RowDetail::Work {
-            job: TraceId::of(fields.job),
-            task: TraceId::of(fields.task),
+            job: HashedId::from_name(fields.job),
+            task: HashedId::from_name(fields.task),
             event: find_event(WORK_EVENT_CODES, fields.event).unwrap_or(WorkEvent::Span),
             end: fields.end,
             instances: fields.instances.unwrap_or(1),
-            tenant: TraceId::of(fields.tenant),
-            class: TraceId::of(fields.class),
+            tenant: HashedId::from_name(fields.tenant),
+            class: HashedId::from_name(fields.class),
             priority: fields.priority,
         }
     } else {
@@ -235,5 +236,5 @@
         RowDetail::Machine { event }
     };
     let Fields { at, machine, cpu, memory, .. } = fields;
-    Row { line, at, machine: TraceId::of(machine), cpu, memory, detail }
+    Row { line, at, machine: HashedId::from_name(machine), cpu, memory, detail }
 }
--- a/crates/cluster-trace/src/layout.rs
+++ b/crates/cluster-trace/src/layout.rs
@@ -1,132 +1,131 @@
-//! The published layouts, each a table of its columns. The names of columns are the publisher's; a column's
-//! role says what a replay makes of it.
+//! Column layouts of the supported public traces.
+//!
+//! Column names are those of the publisher. The role of a column determines how a replay uses its values.
 
 use ColumnFormat::{Code, Count, Id, Ignored, Number, Time};
 use ColumnRole::{
-    At, Class, Cpu, End, Event, Instances, Job, Machine, Memory, Priority, Task, Tenant, Unused,
+    Class, Cpu, End, Event, Instances, Job, Machine, Memory, Priority, Task, Tenant, Timestamp, Unused,
 };
 
-/// What a column holds.
+/// The format of a column's values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ColumnFormat {
-    /// A time, in the layout's unit.
+    /// A timestamp in the layout's [`TimeUnit`].
     Time,
-    /// A whole number from 0 to this.
+    /// An integer from 0 to the given maximum, inclusive.
     Count(u64),
-    /// A finite number from 0 to this.
+    /// A finite decimal number from 0 to the given maximum, inclusive.
     Number(f64),
-    /// A name or an opaque id, of 1 to 256 bytes.
+    /// A name or an opaque identifier of 1 to 256 bytes.
     Id,
-    /// One of these codes.
+    /// One of the given codes, matched exactly.
     Code(&'static [&'static str]),
-    /// The column is not read.
+    /// Any value; the column is skipped without validation.
     Ignored,
 }
 
-/// What a replay makes of a column.
+/// The use of a column's values in a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColumnRole {
-    /// When it happened, or began.
-    At,
-    /// When it ended.
+    /// Time of the event, or start time of the work.
+    Timestamp,
+    /// End time of the work.
     End,
-    /// The job.
+    /// Identifier of the job.
     Job,
-    /// The task within the job.
+    /// Identifier of the task within its job.
     Task,
-    /// Number of instances of a task.
+    /// Number of instances of the task.
     Instances,
-    /// The machine.
+    /// Identifier of the machine.
     Machine,
-    /// What happened, as a code of the layout.
+    /// Event or status code of the work or the machine.
     Event,
-    /// Whose work it is.
+    /// Owner of the work, mapped to a tenant.
     Tenant,
-    /// The class of the work.
+    /// Class of the work, mapped to a class of queries.
     Class,
-    /// The priority of the work.
+    /// Priority of the work.
     Priority,
-    /// CPU that the work asks for or the machine has.
+    /// CPU requested or used by the work, or CPU capacity of the machine.
     Cpu,
-    /// Memory that the work asks for or the machine has.
+    /// Memory requested or used by the work, or memory capacity of the machine.
     Memory,
-    /// Nothing; its format is checked all the same.
+    /// Not used by a replay. The format of the value is still validated.
     Unused,
 }
 
-/// One column of a layout.
+/// A column of a [`Layout`].
 pub struct Column {
-    /// Its published name.
+    /// Name given by the publisher of the trace.
     pub name: &'static str,
-    /// What it holds.
+    /// Format that values are validated against.
     pub format: ColumnFormat,
-    /// Whether an empty field is an error.
+    /// Whether a row with an empty field in this column is rejected.
     pub is_required: bool,
-    /// What a replay makes of it.
+    /// Use of the values in a replay.
     pub role: ColumnRole,
 }
 
-/// A column that must have a value.
 const fn required(name: &'static str, format: ColumnFormat, role: ColumnRole) -> Column {
     Column { name, format, is_required: true, role }
 }
 
-/// A column that may be empty.
 const fn optional(name: &'static str, format: ColumnFormat, role: ColumnRole) -> Column {
     Column { name, format, is_required: false, role }
 }
 
-/// A column that is not read.
 const fn ignored(name: &'static str) -> Column {
     Column { name, format: Ignored, is_required: false, role: Unused }
 }
 
-/// The unit of a layout's times.
+/// The unit of the timestamps in a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeUnit {
-    /// Microseconds.
+    /// Timestamps count microseconds.
     Microseconds,
-    /// Seconds.
+    /// Timestamps count seconds.
     Seconds,
 }
 
-/// Whether rows come in the order of their times.
+/// The order of the rows in a trace file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowOrder {
-    /// As published they do; a copy may have them slightly out of order.
+    /// Rows are published in timestamp order. Copies of the file may be slightly out of order, within the reach
+    /// of a [`SortWindow`](crate::SortWindow).
     ByTime,
-    /// They are grouped by something else: no window can sort them.
+    /// Rows are grouped by another key, so they cannot be sorted within a bounded window.
     Unsorted,
 }
 
-/// One kind of file of one published trace.
+/// The layout of one kind of file in a published trace.
 pub struct Layout {
-    /// The name by which it is chosen.
+    /// Name by which users select the layout, unique among [`LAYOUTS`].
     pub name: &'static str,
-    /// The unit of its times.
+    /// Unit of the columns with format [`ColumnFormat::Time`].
     pub time_unit: TimeUnit,
-    /// Whether rows come in the order of their times.
+    /// Order in which the publisher writes the rows.
     pub row_order: RowOrder,
-    /// Its columns, in their order.
+    /// Columns in file order. A row must have exactly this number of fields.
     pub columns: &'static [Column],
 }
 
 impl Layout {
-    /// Whether its rows are about work; else they are about machines.
+    /// Returns whether the rows describe work; otherwise they describe machines.
     pub fn describes_work(&self) -> bool {
         self.columns.iter().any(|column| column.role == Job)
     }
 }
 
-/// The states of a batch task or instance in Alibaba's trace of 2018.
+/// Statuses of batch tasks and instances in the Alibaba trace of 2018.
 const BATCH_STATUSES: &[&str] = &["Terminated", "Failed", "Running", "Waiting", "Cancelled", "Interrupted"];
 
-/// The layouts that are known.
+/// All supported layouts.
 #[rustfmt::skip]
 pub const LAYOUTS: &[Layout] = &[
     Layout { name: "google-2011-task-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime,
     columns: &[
-        required("timestamp", Time, At),
+        required("timestamp", Time, Timestamp),
         ignored("missing info"),
         required("job ID", Count(u64::MAX), Job),
         required("task index", Count(u32::MAX as u64), Task),
@@ -142,7 +141,7 @@
     ] },
     Layout { name: "google-2011-machine-events", time_unit: TimeUnit::Microseconds, row_order: RowOrder::ByTime,
     columns: &[
-        required("timestamp", Time, At),
+        required("timestamp", Time, Timestamp),
         required("machine ID", Count(u64::MAX), Machine),
         required("event type", Code(&["0", "1", "2"]), Event),
         ignored("platform ID"),
@@ -156,7 +155,7 @@
         required("job_name", Id, Job),
         optional("task_type", Id, Class),
         required("status", Code(BATCH_STATUSES), Event),
-        required("start_time", Time, At),
+        required("start_time", Time, Timestamp),
         optional("end_time", Time, End),
         optional("plan_cpu", Number(1e6), Cpu),
         optional("plan_mem", Number(1e6), Memory),
@@ -168,7 +167,7 @@
         required("job_name", Id, Job),
         optional("task_type", Id, Class),
         required("status", Code(BATCH_STATUSES), Event),
-        required("start_time", Time, At),
+        required("start_time", Time, Timestamp),
         optional("end_time", Time, End),
         optional("machine_id", Id, Machine),
         optional("seq_no", Count(u32::MAX as u64), Unused),
@@ -181,7 +180,7 @@
     Layout { name: "alibaba-2018-machine-meta", time_unit: TimeUnit::Seconds, row_order: RowOrder::Unsorted,
     columns: &[
         required("machine_id", Id, Machine),
-        required("time_stamp", Time, At),
+        required("time_stamp", Time, Timestamp),
         ignored("failure_domain_1"),
         ignored("failure_domain_2"),
         optional("cpu_num", Number(1e6), Cpu),
@@ -193,7 +192,7 @@
         required("vmid", Id, Task),
         required("subscriptionid", Id, Tenant),
         required("deploymentid", Id, Job),
-        required("vmcreated", Time, At),
+        required("vmcreated", Time, Timestamp),
         required("vmdeleted", Time, End),
         ignored("maxcpu"),
         optional("avgcpu", Number(100.0), Cpu),
@@ -204,7 +203,7 @@
     ] },
 ];
 
-/// The layout of this name.
+/// Returns the layout named `name`, or `None` if no supported layout has that name.
 pub fn find_layout(name: &str) -> Option<&'static Layout> {
     LAYOUTS.iter().find(|layout| layout.name == name)
 }
--- a/crates/cluster-trace/src/lib.rs
+++ b/crates/cluster-trace/src/lib.rs
@@ -1,15 +1,15 @@
-//! Reads public cluster traces in CSV, plain or gzip, with one outcome for each line and in bounded memory.
+//! Streaming reader for public cluster traces in CSV, plain or gzip-compressed.
 //!
-//! A [`Layout`] describes the columns of a published trace. [`TraceReader`] gives a [`RowOutcome`] for each
-//! line: accepted, as a [`Row`], or rejected, with the line, the column, its value, what is allowed, and a
-//! [`RejectionReason`] whose code never changes. [`RowSorter`] then puts rows in the order of their times
-//! within a bounded window, and tells a clock that stepped from a single row with a wrong time.
-//! [`ReadSummary`] counts (lines read = accepted + rejected by reason) and applies the [`RejectionPolicy`].
+//! A [`Layout`] describes the columns of a published trace. [`TraceReader`] yields one [`RowOutcome`] per line
+//! and uses bounded memory. An accepted line becomes a [`Row`]; a rejected line is reported with its line
+//! number, column, value, allowed values, and a [`RejectionReason`] whose code is stable. [`RowSorter`] sorts
+//! rows by timestamp within a bounded window and distinguishes a clock step from a single row with a wrong
+//! timestamp. [`ReadSummary`] counts the outcomes (lines read = accepted + rejected, by reason) and applies the
+//! [`RejectionPolicy`].
 //!
-//! [`plan`] turns rows into what brokers and nodes are to do.
+//! The [`plan`] module turns rows into a schedule of queries and node events for a replay.
 //!
-//! `classify`, `row_sorter`, `read_summary` and `plan` do no I/O; `line_blocks` and `trace_reader` do nothing
-//! else.
+//! All I/O is in `line_blocks` and `trace_reader`; `classify`, `row_sorter`, `read_summary` and `plan` do none.
 //!
 //! ```
 //! use cluster_trace::{RowOutcome, TraceReader, find_layout};
@@ -37,6 +37,6 @@
 pub use line_blocks::MAX_LINE_BYTES;
 pub use read_summary::{PolicyViolation, ReadSummary, RejectedRows, RejectionPolicy};
 pub use rejection_reason::RejectionReason;
-pub use row::{MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, TraceId, WorkEvent};
+pub use row::{HashedId, MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, WorkEvent};
 pub use row_sorter::{ClockStep, RowSorter, SortWindow};
 pub use trace_reader::{OpenError, TraceReader};
--- a/crates/cluster-trace/src/line_blocks.rs
+++ b/crates/cluster-trace/src/line_blocks.rs
@@ -1,60 +1,63 @@
-//! Cuts a file into blocks of complete physical lines for the CSV reader. Each line becomes one record,
-//! whatever its contents. A line that can't be a row of any known layout (megabytes long, blank, with a quote
-//! that is not closed) is replaced by a placeholder, so that memory stays bounded; its fault is kept beside
-//! the block.
+//! Splits a file into blocks of complete physical lines for the CSV reader.
+//!
+//! Each line becomes exactly one CSV record, whatever it contains. A line that cannot be a row of any layout
+//! (too long, blank, with an unclosed quote or a NUL byte) is replaced by a placeholder, which keeps memory
+//! bounded; the reason is stored in the block as a [`LineFault`].
 
 use crate::rejection_reason::RejectionReason;
 use std::collections::VecDeque;
 use std::io::{self, BufRead};
 
-/// The longest line that is read, in bytes; a longer one is skipped to its end.
+/// The maximum length of a line, in bytes including its line end. Longer lines are skipped and rejected as
+/// [`RejectionReason::TooLong`].
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// The line that stands for a faulty one; as a record it has one field, which no row has.
+/// Replaces an invalid line. As a CSV record it has a single field that contains NUL, which no valid row has.
 const PLACEHOLDER_LINE: &[u8] = b"\x00\n";
 const PLACEHOLDER_FIELD: &[u8] = b"\x00";
 
-/// A block ends once it holds this number of bytes or lines: as much as one thread takes over at a time.
+/// A block is complete when it contains this number of bytes or lines. A block is the unit of work that is passed
+/// to a worker thread.
 const BLOCK_BYTES: usize = 64 * 1024;
 const BLOCK_LINES: u64 = 1024;
 
-/// How many bytes of a faulty line are kept to be shown.
+/// The number of bytes of an invalid line that are kept for the rejection.
 const FAULT_EXCERPT_BYTES: usize = 60;
 
-/// Some lines of a file, in bounded memory.
+/// A bounded number of consecutive lines of a file.
 #[derive(Default)]
 pub(crate) struct LineBlock {
     pub(crate) bytes: Vec<u8>,
-    /// The number of its first line, from 1.
+    /// Line number of the first line, starting at 1.
     pub(crate) first_line: u64,
     pub(crate) line_count: u64,
-    /// The faults of the lines that were replaced by placeholders, in their order.
+    /// Faults of the lines that were replaced by placeholders, in line order.
     pub(crate) faults: VecDeque<LineFault>,
-    /// Whether its last line has no line end: it is the file's last.
-    pub(crate) is_open_ended: bool,
-    /// Why the file can't be read any further.
+    /// Whether the last line has no line end. This is possible only at the end of the file.
+    pub(crate) lacks_final_newline: bool,
+    /// Error that prevents reading the rest of the file.
     pub(crate) read_error: Option<io::Error>,
 }
 
-/// Why a line was replaced by a placeholder.
+/// The reason for replacing a line by a placeholder.
 pub(crate) struct LineFault {
     pub(crate) reason: RejectionReason,
-    /// The length of the whole line.
+    /// Length of the whole line, including the bytes that were skipped.
     pub(crate) bytes: u64,
-    /// How the line begins.
+    /// First bytes of the line, for display.
     pub(crate) excerpt: Vec<u8>,
 }
 
-/// A line that was put at the end of a block.
+/// A line that was appended to a block.
 struct AppendedLine {
-    /// Where it begins in the block.
+    /// Offset of the line in the block.
     start: usize,
-    /// The length of the whole line, also of what was skipped.
+    /// Length of the whole line, including the bytes that were skipped.
     bytes: u64,
     has_line_end: bool,
 }
 
-/// Cuts a file into blocks.
+/// Splits a source into blocks of lines.
 pub(crate) struct BlockReader<R> {
     source: R,
     last_line: u64,
@@ -66,7 +69,7 @@
         BlockReader { source, last_line: 0, is_finished: false }
     }
 
-    /// The next block; none at the end of the file.
+    /// Reads the next block, or returns `None` at the end of the file or after a read error.
     pub(crate) fn next_block(&mut self) -> Option<LineBlock> {
         if self.is_finished {
             return None;
@@ -76,7 +79,7 @@
         while block.bytes.len() < BLOCK_BYTES && block.line_count < BLOCK_LINES && !self.is_finished {
             match self.append_line(&mut block) {
                 Ok(Some(line)) => {
-                    block.finish_line(&line);
+                    block.complete_line(&line);
                     self.last_line += 1;
                 }
                 Ok(None) => self.is_finished = true,
@@ -86,7 +89,8 @@
         (block.line_count > 0 || block.read_error.is_some()).then_some(block)
     }
 
-    /// Puts the next line at the block's end, up to its maximal length; none at the end of the file.
+    /// Appends the next line to the block, truncated to one byte more than [`MAX_LINE_BYTES`]. Returns `None` at the
+    /// end of the file.
     fn append_line(&mut self, block: &mut LineBlock) -> io::Result<Option<AppendedLine>> {
         let start = block.bytes.len();
         let mut bytes = 0_u64;
@@ -95,7 +99,7 @@
                 Ok(chunk) => chunk,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) => {
-                    // The part of the line that was read is lost with the rest of the file.
+                    // A partial line is of no use without its remainder.
                     block.bytes.truncate(start);
                     return Err(e);
                 }
@@ -117,10 +121,10 @@
 }
 
 impl LineBlock {
-    /// Counts the last line, and replaces it if it is faulty.
-    fn finish_line(&mut self, line: &AppendedLine) {
+    /// Counts the line that was appended last, and replaces it by a placeholder if it is invalid.
+    fn complete_line(&mut self, line: &AppendedLine) {
         self.line_count += 1;
-        self.is_open_ended = !line.has_line_end;
+        self.lacks_final_newline = !line.has_line_end;
         let text = &self.bytes[line.start..];
         let text = text.strip_suffix(b"\n").unwrap_or(text);
         let text = text.strip_suffix(b"\r").unwrap_or(text);
@@ -135,14 +139,15 @@
     }
 }
 
-/// Why a line with this text, `bytes` long before it was cut, can't be a row; none if it can.
+/// Returns the reason why a line cannot be a row, or `None` if it can. `text` is the line without its line end,
+/// possibly truncated, and `bytes` is the length of the whole line.
 fn find_fault(text: &[u8], bytes: u64) -> Option<RejectionReason> {
     if bytes > MAX_LINE_BYTES as u64 {
         Some(RejectionReason::TooLong)
     } else if text.iter().all(u8::is_ascii_whitespace) {
         Some(RejectionReason::Blank)
     } else if memchr::memchr_iter(b'"', text).count() % 2 == 1 {
-        Some(RejectionReason::Quotes)
+        Some(RejectionReason::UnclosedQuote)
     } else if memchr::memchr(0, text).is_some() {
         Some(RejectionReason::NotUtf8)
     } else {
@@ -150,7 +155,7 @@
     }
 }
 
-/// Whether a record stands for a faulty line.
+/// Returns whether a record is the placeholder of an invalid line.
 pub(crate) fn is_placeholder(record: &csv::ByteRecord) -> bool {
     record.len() == 1 && record.get(0) == Some(PLACEHOLDER_FIELD)
 }
--- a/crates/cluster-trace/src/plan/mod.rs
+++ b/crates/cluster-trace/src/plan/mod.rs
@@ -1,9 +1,11 @@
-//! Turns the rows of a trace's time window into a replay plan for brokers and nodes. No I/O; the same rows,
-//! configuration and seed give the same plan, byte for byte.
+//! Conversion of the rows within a time window of a trace to a replay plan for brokers and nodes.
 //!
-//! The trace says when work arrives, how much it is compared with the rest, whose it is, and when machines
-//! come and go. What no trace has is assumed and stated with the plan: shard requests, weights, shards,
-//! priority weights, deadlines ([`ReplayConfig`]).
+//! Planning does no I/O and is deterministic: the same rows, configuration and seed give the same plan, byte for
+//! byte.
+//!
+//! The trace determines when work arrives, its relative amount, its owner, and when machines are added and removed.
+//! No trace contains shard requests, weights, shards, priority weights or deadlines; these are assumptions, which
+//! are set in [`ReplayConfig`].
 
 mod plan_error;
 mod planner;
--- a/crates/cluster-trace/src/plan/plan_error.rs
+++ b/crates/cluster-trace/src/plan/plan_error.rs
@@ -1,22 +1,23 @@
-//! Why there is no plan.
+//! Errors of planning a replay.
 
 use thiserror::Error;
 
-/// Why rows can't be turned into a plan.
+/// The error returned when a replay cannot be planned.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PlanError {
-    /// The plan would have more entries than allowed.
-    #[error("more than {0} entries: take a shorter window, or a smaller sample")]
+    /// The plan would have more entries than the given maximum, which is set in
+    /// [`ReplayConfig::max_entries`](crate::plan::ReplayConfig::max_entries).
+    #[error("plan exceeds the limit of {0} entries: shorten the window or reduce the sample share")]
     TooManyEntries(usize),
-    /// No work begins in the window or is running when it begins.
+    /// No work starts in the window or is running when the window starts.
     #[error("no work in the window from {from} us to {to} us")]
     NoWork {
-        /// The beginning of the window, in microseconds.
+        /// Start of the window, in microseconds on the trace's clock.
         from: u64,
-        /// Its end.
+        /// End of the window, in microseconds on the trace's clock.
         to: u64,
     },
-    /// This field of the configuration is not valid.
-    #[error("invalid replay configuration: `{0}`")]
+    /// The named part of the replay configuration is invalid.
+    #[error("invalid replay configuration: `{0}` is out of range")]
     InvalidConfig(&'static str),
 }
--- a/crates/cluster-trace/src/plan/planner.rs
+++ b/crates/cluster-trace/src/plan/planner.rs
@@ -1,20 +1,21 @@
-//! Collects rows and makes the plan of them.
+//! Collects the rows of a trace and creates a replay plan from them.
 
 use crate::plan::{
     ClassSpec, Plan, PlanEntry, PlanError, PlanEvent, PlannedNodeEvent, PlannedShardRequest, ReplayConfig,
 };
-use crate::row::{MachineEvent, Row, RowDetail, TraceId, WorkEvent};
+use crate::row::{HashedId, MachineEvent, Row, RowDetail, WorkEvent};
 use std::collections::BTreeMap;
 
-/// Work whose amount the trace does not give counts as this, in the trace's unit: the smallest amount that
-/// traces give in practice.
+/// The amount of work that is assumed if the trace does not state one, in the trace's unit. It is the smallest
+/// amount found in real traces.
 const DEFAULT_WORK_UNITS: f64 = 0.01;
-/// The least work of a shard request, in microseconds.
+/// The minimum work of a shard request, in microseconds.
 const MIN_WORK_US: u64 = 50;
-/// Microseconds of the trace's clock in a tenth of a millisecond, the replay's unit.
+/// The number of microseconds, the unit of the trace's clock, in a tenth of a millisecond, the unit of the replay's
+/// clock.
 const US_PER_TENTH_MS: f64 = 100.0;
 
-/// What a random draw is for. One purpose's draws do not follow from another's.
+/// The purpose of a random draw. Draws for different purposes are independent.
 #[derive(Clone, Copy)]
 enum DrawPurpose {
     Sample = 1,
@@ -24,7 +25,8 @@
     Drain = 5,
 }
 
-/// A number from 0 to 1 that is always the same for a seed, a purpose and a subject.
+/// Returns a pseudorandom number from 0 (inclusive) to 1 (exclusive) that depends only on the seed, the purpose and
+/// the subject.
 fn draw(seed: u64, purpose: DrawPurpose, subject: u64) -> f64 {
     let spread_subject = subject.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mut rng = fastrand::Rng::with_seed(seed ^ (purpose as u64).rotate_left(32) ^ spread_subject);
@@ -32,8 +34,8 @@
     rng.f64()
 }
 
-/// The index of the weight that a number from 0 to 1 falls to.
-fn pick_by_weight(weights: impl Iterator<Item = f64> + Clone, number: f64) -> usize {
+/// Selects an index with a probability proportional to its weight, given a uniform number from 0 to 1.
+fn select_weighted(weights: impl Iterator<Item = f64> + Clone, number: f64) -> usize {
     let total: f64 = weights.clone().sum();
     let mut remaining = number * total;
     let mut last = 0;
@@ -47,66 +49,67 @@
     last
 }
 
-/// A piece of work that becomes a query.
+/// A task that becomes a query.
 #[derive(Clone, Copy)]
 struct WorkItem {
-    /// Microseconds of the trace's clock.
+    /// Start time in microseconds on the trace's clock, at the earliest the start of the window.
     at: u64,
-    /// In the trace's unit.
+    /// Amount of work in the trace's unit.
     units: f64,
-    tenant: Option<TraceId>,
-    class: Option<TraceId>,
-    /// Its job and task in one number.
+    tenant: Option<HashedId>,
+    class: Option<HashedId>,
+    /// Combined hash of the job and the task.
     task_hash: u64,
 }
 
-/// A task, by its job and its own id.
-type TaskKey = (Option<TraceId>, Option<TraceId>);
+/// The key of a task: its job, then the task within the job.
+type TaskKey = (Option<HashedId>, Option<HashedId>);
 
 /// The node that a machine is mapped to.
 #[derive(Clone, Copy)]
 struct MappedMachine {
     node: u32,
-    /// The CPU that it had at first.
-    first_cpu: f64,
+    /// CPU capacity of the machine when it was first added.
+    initial_cpu: f64,
 }
 
-/// An event of a node on the trace's clock.
+/// A node event with its time on the trace's clock.
 #[derive(Clone, Copy)]
 struct NodeEventRecord {
-    /// Microseconds of the trace's clock.
+    /// Time in microseconds on the trace's clock.
     at: u64,
     node: u32,
     event: PlannedNodeEvent,
 }
 
-/// What is known of a node as the window begins.
+/// The state of a node at the start of the window.
 #[derive(Clone, Copy)]
 struct InitialNodeState {
     is_up: bool,
     speed: f64,
 }
 
-/// Collects rows, in any order, and makes the plan of them.
+/// Collects rows of a trace and creates a replay plan from them. Work with an end time and work that starts in the
+/// window may be added in any order.
 pub struct Planner {
     config: ReplayConfig,
-    /// Work that begins in the window, or runs as it begins.
+    /// Work that starts in the window or is running when the window starts.
     work: Vec<WorkItem>,
-    /// Scheduled before the window, and not yet ended.
+    /// Tasks that were scheduled before the window and have not ended.
     running: BTreeMap<TaskKey, WorkItem>,
     unsampled_rows: u64,
-    machines: BTreeMap<Option<TraceId>, MappedMachine>,
+    machines: BTreeMap<Option<HashedId>, MappedMachine>,
     unmapped_machine_rows: u64,
-    /// Also those before the window.
+    /// Node events before and in the window, in the order of their rows.
     node_events: Vec<NodeEventRecord>,
 }
 
 impl Planner {
-    /// A planner without rows.
+    /// Creates a planner without rows.
     ///
     /// # Errors
     ///
-    /// The configuration is not valid.
+    /// Returns [`PlanError::InvalidConfig`] if a field of the configuration is invalid.
     pub fn new(config: ReplayConfig) -> Result<Planner, PlanError> {
         config.validate()?;
         Ok(Planner {
@@ -120,16 +123,16 @@
         })
     }
 
-    /// Adds a row.
+    /// Adds a row. Rows outside the window are skipped unless they affect the state at its start.
     ///
     /// # Errors
     ///
-    /// The plan would have too many entries.
+    /// Returns [`PlanError::TooManyEntries`] if the plan would exceed the configured maximum.
     pub fn add_row(&mut self, row: &Row) -> Result<(), PlanError> {
         match row.detail {
             RowDetail::Machine { event } => self.add_machine_event(row, event),
             RowDetail::Work { job, .. } => {
-                // A job is replayed completely or not at all, by its name alone.
+                // The draw depends only on the job's name, so a job is replayed completely or not at all.
                 let job_hash = job.map_or(0, |job| job.0);
                 if draw(self.config.seed, DrawPurpose::Sample, job_hash) >= self.config.sample_share {
                     self.unsampled_rows += 1;
@@ -167,7 +170,7 @@
         }
     }
 
-    /// The first machines that are added become the nodes; the others are counted.
+    /// Records the event of a machine that is mapped to a node, and counts the rows of other machines.
     fn add_machine_event(&mut self, row: &Row, event: MachineEvent) {
         if row.at >= self.config.to {
             return;
@@ -181,33 +184,34 @@
         let drains = || draw(self.config.seed, DrawPurpose::Drain, subject) < self.config.drain_share;
         let event = match event {
             MachineEvent::Added => PlannedNodeEvent::StartCold,
-            MachineEvent::Updated => PlannedNodeEvent::SetSpeed((cpu / machine.first_cpu).min(1.0)),
+            MachineEvent::Updated => PlannedNodeEvent::SetSpeed((cpu / machine.initial_cpu).min(1.0)),
             MachineEvent::Removed if drains() => PlannedNodeEvent::Drain,
             MachineEvent::Removed => PlannedNodeEvent::Stop,
         };
         self.node_events.push(NodeEventRecord { at: row.at, node: machine.node, event });
     }
 
-    /// The node of a machine; none for a machine beyond the number of nodes, or one that was never added.
+    /// Returns the node of a machine, and maps a newly added machine to the next free node. Returns `None` if all
+    /// nodes are taken or the machine has not been added.
     fn map_machine(
         &mut self,
-        machine: Option<TraceId>,
+        machine: Option<HashedId>,
         event: MachineEvent,
         cpu: f64,
     ) -> Option<MappedMachine> {
         let node = self.machines.len() as u32;
         let is_new = !self.machines.contains_key(&machine);
         if is_new && event == MachineEvent::Added && node < self.config.nodes {
-            self.machines.insert(machine, MappedMachine { node, first_cpu: cpu });
+            self.machines.insert(machine, MappedMachine { node, initial_cpu: cpu });
         }
         self.machines.get(&machine).copied()
     }
 
-    /// The plan of all rows.
+    /// Creates the plan from all rows added so far.
     ///
     /// # Errors
     ///
-    /// There is no work in the window.
+    /// Returns [`PlanError::NoWork`] if no work starts in the window or is running when it starts.
     pub fn finish(mut self) -> Result<Plan, PlanError> {
         let running = std::mem::take(&mut self.running);
         let running_at_start = running.len() as u64;
@@ -215,8 +219,8 @@
         if self.work.is_empty() {
             return Err(PlanError::NoWork { from: self.config.from, to: self.config.to });
         }
-        // By time, then by name, so that the order of rows in a file changes nothing, not even the rounding of
-        // the sum of their work.
+        // Sorting by time, then by name, makes the plan independent of the order of rows in a file, including the
+        // rounding of the sum of their work.
         self.work.sort_by_key(|work| (work.at, work.task_hash));
         let ms_per_unit = self.ms_per_unit();
         let mut entries = self.node_entries();
@@ -234,8 +238,8 @@
         })
     }
 
-    /// Milliseconds of work for one unit of the trace's, so that the window offers the configured share of
-    /// what the nodes can do.
+    /// Returns the milliseconds of work per unit of work in the trace that load the nodes with the configured share
+    /// of their capacity, averaged over the window.
     fn ms_per_unit(&self) -> f64 {
         let config = &self.config;
         let seconds = (config.to - config.from) as f64 / 1e6 * config.time_scale;
@@ -244,12 +248,12 @@
         capacity_ms * config.load / units
     }
 
-    /// A time of the trace on the replay's clock, in tenths of a millisecond.
+    /// Converts a time on the trace's clock to tenths of a millisecond since the start of the replay.
     fn replay_time(&self, at: u64) -> u64 {
         (at.saturating_sub(self.config.from) as f64 / US_PER_TENTH_MS * self.config.time_scale) as u64
     }
 
-    /// The nodes' state as the window begins, then their events in it.
+    /// Returns entries for the state of the nodes at the start of the window, followed by their events in the window.
     fn node_entries(&self) -> Vec<PlanEntry> {
         let mut entries = self.initial_node_entries();
         for record in self.node_events.iter().filter(|record| record.at > self.config.from) {
@@ -275,7 +279,7 @@
                 PlannedNodeEvent::SetSpeed(share) => state.speed = share,
             }
         }
-        // Nodes that no machine of the trace is mapped to are up all the time.
+        // Nodes without a machine in the trace are up during the whole replay.
         let unmapped = self.machines.len() as u32..self.config.nodes;
         let unmapped = unmapped.map(|node| (node, InitialNodeState { is_up: true, speed: 1.0 }));
         let mut entries = Vec::new();
@@ -287,14 +291,14 @@
         entries
     }
 
-    /// The query that a piece of work becomes. `index` tells rows of the same task from each other.
+    /// Converts a work item to a query. `index` gives several rows of the same task different shard requests.
     fn query(&self, work: &WorkItem, work_ms: f64, index: u64) -> PlanEvent {
         let config = &self.config;
-        let hash = |id: Option<TraceId>| id.map_or(0, |id| id.0);
+        let hash = |id: Option<HashedId>| id.map_or(0, |id| id.0);
         let class_number = draw(config.seed, DrawPurpose::Class, hash(work.class));
-        let class = pick_by_weight(config.classes.iter().map(|class| class.share), class_number);
+        let class = select_weighted(config.classes.iter().map(|class| class.share), class_number);
         let tenant_number = draw(config.seed, DrawPurpose::Tenant, hash(work.tenant));
-        let tenant = pick_by_weight(config.tenant_weights.iter().copied(), tenant_number);
+        let tenant = select_weighted(config.tenant_weights.iter().copied(), tenant_number);
         let purpose = (DrawPurpose::ShardRequests as u64).rotate_left(32);
         let seed = config.seed ^ purpose ^ work.task_hash ^ index.rotate_left(48);
         let shard_requests = self.shard_requests(&config.classes[class], work_ms, seed);
--- a/crates/cluster-trace/src/plan/replay_config.rs
+++ b/crates/cluster-trace/src/plan/replay_config.rs
@@ -1,52 +1,52 @@
-//! What a replay assumes beside the trace.
+//! Configuration of a replay.
 
 use crate::plan::PlanError;
 use std::fmt;
 
-/// What a replay assumes beside the trace.
+/// The configuration of a replay, including all properties that a trace does not contain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplayConfig {
-    /// The seed of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The beginning of the window, in microseconds of the trace's clock.
+    /// Start of the replayed window, in microseconds on the trace's clock, inclusive.
     pub from: u64,
-    /// The end of the window, in microseconds of the trace's clock.
+    /// End of the replayed window, in microseconds on the trace's clock, exclusive.
     pub to: u64,
-    /// How many seconds of the replay one second of the trace takes.
+    /// Duration of one second of the trace in the replay, in seconds. Must be positive.
     pub time_scale: f64,
-    /// The share of the jobs that are replayed; a job is replayed completely or not at all.
+    /// Share of the jobs that are replayed, from 0 to 1. A job is replayed completely or not at all.
     pub sample_share: f64,
-    /// Work offered on average, as a share of what the nodes can do.
+    /// Average load, as a share of the capacity of all nodes. Must be positive; values above 1 overload the nodes.
     pub load: f64,
-    /// Number of nodes.
+    /// Number of nodes, at least 1.
     pub nodes: u32,
-    /// Milliseconds of work that one node does in a second.
+    /// Capacity of a node, in milliseconds of work per second.
     pub node_ms_per_s: f64,
-    /// Number of shards.
+    /// Number of shards, at least 1.
     pub shards: u32,
-    /// The classes of queries; the trace's classes are mapped onto them.
+    /// Classes of queries, at least one. Each class of the trace is mapped to one of them.
     pub classes: Vec<ClassSpec>,
-    /// How much of the traffic each tenant has, relative to the others; the trace's users are mapped onto
-    /// them.
+    /// Relative weight of each tenant, at least one tenant. Each user of the trace is mapped to a tenant with a
+    /// probability proportional to the tenant's weight.
     pub tenant_weights: Vec<f64>,
-    /// Queries a second that all tenants together may send within their quotas; none: there are no quotas.
+    /// Sum of the quotas of all tenants, in queries per second, or `None` for a replay without quotas.
     pub quota_per_s: Option<f64>,
-    /// The share of the removed machines that drain before they stop.
+    /// Share of the removed machines whose nodes drain before they stop, from 0 to 1.
     pub drain_share: f64,
-    /// How long a drain lasts, in tenths of a millisecond.
+    /// Duration of a drain, in tenths of a millisecond of the replay.
     pub drain_duration: u64,
-    /// The brokers' budget for retries; none: the brokers' default.
+    /// Retry budget of the brokers, or `None` for the default of the brokers.
     pub retry_budget: Option<RetryBudget>,
-    /// How many entries a plan may have.
+    /// Maximum number of work items and node events that the planner accepts.
     pub max_entries: usize,
 }
 
 impl ReplayConfig {
-    /// Checks that a plan can be made.
+    /// Checks that all fields are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first field that is not valid.
+    /// Returns [`PlanError::InvalidConfig`] with the first invalid field, or with `window` if the window is empty.
     pub(crate) fn validate(&self) -> Result<(), PlanError> {
         let checks = [
             (self.to > self.from, "window"),
@@ -66,12 +66,12 @@
     }
 }
 
-/// The smallest and the largest value of a count, both inclusive.
+/// A range of counts with inclusive bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CountRange {
-    /// The smallest.
+    /// Smallest count, at least 1.
     pub min: u32,
-    /// The largest.
+    /// Largest count, at most the number of shards.
     pub max: u32,
 }
 
@@ -81,33 +81,33 @@
     }
 }
 
-/// A class of queries, and what its queries are assumed to be.
+/// A class of queries and the assumed properties of its queries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How many of the trace's classes are mapped to it, relative to the other classes.
+    /// Share of the trace's classes that are mapped to this class, relative to the shares of the other classes.
     pub share: f64,
-    /// How many shard requests a query has.
+    /// Number of shard requests per query.
     pub shard_requests: CountRange,
-    /// A shard request's weight falls as 1 / rank to this power; 0: all weigh the same.
+    /// Exponent `s` of the weights: the shard request at rank `r` has a weight proportional to `1 / r^s`. With 0, all
+    /// shard requests have equal weights.
     pub weight_skew: f64,
-    /// Milliseconds from a query's start to its deadline.
+    /// Time from the start of a query to its deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// What a query served on time is worth.
+    /// Relative value of a query that is answered before its deadline.
     pub priority_weight: f64,
-    /// The least share of the weight that a response may have.
+    /// Minimum coverage of a response, as a share of the query's weight from 0 to 1.
     pub min_coverage: f64,
-    /// What a second execution of a shard request would do.
+    /// Whether a shard request may be executed more than once.
     pub idempotency: ClassIdempotency,
 }
 
 impl ClassSpec {
-    /// Deadline of [`ClassSpec::idempotent`].
     const DEFAULT_DEADLINE_MS: u32 = 5000;
 
-    /// A class of idempotent queries with five seconds to the deadline; its priority weight and least
-    /// coverage are 1.
+    /// Creates a class of idempotent queries with a deadline of 5 s, a priority weight of 1 and a minimum coverage
+    /// of 1.
     pub fn idempotent(name: &str, share: f64, shard_requests: CountRange, weight_skew: f64) -> ClassSpec {
         ClassSpec {
             name: name.to_owned(),
@@ -122,22 +122,22 @@
     }
 }
 
-/// What a second execution of a shard request would do.
+/// The effect of executing a shard request more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClassIdempotency {
-    /// No harm.
+    /// Repeated execution has no further effect.
     Idempotent,
-    /// No harm within the window: repeats with the same key are dropped.
+    /// Nodes drop repeated executions with the same idempotency key within a deduplication window.
     IdempotencyKey {
-        /// Milliseconds from the first attempt that may have been executed.
+        /// Length of the window, in milliseconds from the first attempt that may have been executed.
         dedup_window_ms: u32,
     },
-    /// Harm: it must be executed at most once.
+    /// A shard request must be executed at most once.
     AtMostOnce,
 }
 
 impl fmt::Display for ClassIdempotency {
-    /// As the command `trace plan` prints it.
+    /// Formats the value for the output of the command `trace plan`.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ClassIdempotency::Idempotent => f.write_str("idempotent"),
@@ -149,13 +149,13 @@
     }
 }
 
-/// A budget for attempts beyond a shard request's first.
+/// A budget for retries, which are attempts beyond the first of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that are allowed in any case.
+    /// Number of retries per window that are allowed regardless of the ratio.
     pub floor: f64,
-    /// Retries as a share of the shard requests accepted in the window.
+    /// Number of further retries, as a share of the shard requests accepted in the window.
     pub ratio: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: u32,
 }
--- a/crates/cluster-trace/src/plan/replay_plan.rs
+++ b/crates/cluster-trace/src/plan/replay_plan.rs
@@ -1,24 +1,25 @@
-//! A replay plan: what brokers and nodes are to do, and when.
+//! The replay plan: a schedule of queries and node events.
 
 use std::fmt;
 
-/// A replay plan.
+/// A schedule of queries and node events, with statistics of the planning.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Events in the order of their times.
+    /// Queries and node events in time order.
     pub entries: Vec<PlanEntry>,
-    /// Rows of jobs that the sample left out.
+    /// Number of work rows skipped because their jobs are not in the sample.
     pub unsampled_rows: u64,
-    /// Rows of machines beyond the number of nodes.
+    /// Number of machine rows skipped because their machines are not mapped to a node.
     pub unmapped_machine_rows: u64,
-    /// Queries that were running as the window began.
+    /// Number of queries for tasks that were scheduled before the window and had not ended when it started. Rows that
+    /// state an end time are not counted.
     pub running_at_start: u64,
-    /// Milliseconds of work for one unit of the trace's work.
+    /// Work on a node per unit of work in the trace, in milliseconds.
     pub ms_per_unit: f64,
 }
 
 impl Plan {
-    /// BLAKE3 over the entries as they are printed, a line each.
+    /// Returns the BLAKE3 digest, in hexadecimal, of the entries in printed form, one per line.
     pub fn digest(&self) -> String {
         let mut hasher = blake3::Hasher::new();
         for entry in &self.entries {
@@ -28,32 +29,32 @@
     }
 }
 
-/// One event of a replay and its time.
+/// An event of a replay and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanEntry {
-    /// Tenths of a millisecond from the beginning.
+    /// Time since the start of the replay, in tenths of a millisecond.
     pub at: u64,
-    /// What happens.
+    /// Event at this time.
     pub event: PlanEvent,
 }
 
-/// What happens in a replay.
+/// An event of a replay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanEvent {
     /// A client sends a query.
     Query {
-        /// The index of its class.
+        /// Index in [`ReplayConfig::classes`](crate::plan::ReplayConfig::classes).
         class: usize,
-        /// The index of its tenant.
+        /// Index in [`ReplayConfig::tenant_weights`](crate::plan::ReplayConfig::tenant_weights).
         tenant: usize,
-        /// Its shard requests, the heaviest first.
+        /// Shard requests in descending order of weight.
         shard_requests: Vec<PlannedShardRequest>,
     },
-    /// Something happens to a node.
+    /// A node changes its state.
     Node {
-        /// The node's number.
+        /// Number of the node, starting at 0.
         node: u32,
-        /// What happens to it.
+        /// State change of the node.
         event: PlannedNodeEvent,
     },
 }
@@ -61,32 +62,33 @@
 /// A shard request of a planned query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedShardRequest {
-    /// The shard.
+    /// Number of the shard, starting at 0.
     pub shard: u32,
-    /// Its part of the query's weight; the weights of a query add up to 1.
+    /// Share of the query's weight. The weights of all shard requests of a query add up to 1.
     pub weight: f64,
-    /// Microseconds of work on a node.
+    /// Work on a node at full speed, in microseconds.
     pub work_us: u64,
 }
 
-/// What happens to a node.
+/// A state change of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlannedNodeEvent {
-    /// It is up and warm from the beginning.
+    /// The node is running and warmed up.
     StartWarm,
-    /// It starts, and has to warm up.
+    /// The node starts and has to warm up.
     StartCold,
-    /// It accepts nothing new, and stops after the configured time.
+    /// The node accepts no new shard requests, and stops after
+    /// [`ReplayConfig::drain_duration`](crate::plan::ReplayConfig::drain_duration).
     Drain,
-    /// Its process stops; its work is lost.
+    /// The process of the node stops, and its unfinished work is lost.
     Stop,
-    /// It works at this share of its first speed.
+    /// The node runs at the given share of its initial speed, at most 1 in a plan made from a trace.
     SetSpeed(f64),
 }
 
 impl fmt::Display for PlanEntry {
-    /// The line that the command `trace plan` prints, in the words of its first version (`host` is a node,
-    /// `ask` a query). Digests are computed over it, so it must not change.
+    /// Formats the entry as a line of the output of `trace plan`. Digests are computed over this text, so it keeps
+    /// the terms of the first version: `host` is a node, `ask` is a query.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} ", self.at)?;
         match &self.event {
--- a/crates/cluster-trace/src/read_summary.rs
+++ b/crates/cluster-trace/src/read_summary.rs
@@ -1,78 +1,80 @@
-//! Counts what was read, finds faults that no single row shows (duplicates, machines that were never added),
-//! and applies the policy for rejected rows.
+//! Counts outcomes, detects faults that involve more than one row (duplicates, machines that were never added),
+//! and applies the rejection policy.
 
 use crate::rejection_reason::RejectionReason;
-use crate::row::{MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, TraceId, WorkEvent};
+use crate::row::{HashedId, MachineEvent, RejectedRow, Row, RowDetail, RowOutcome, WorkEvent};
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use thiserror::Error;
 
-/// What is done about rejected rows.
+/// The policy for rejected rows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RejectionPolicy {
-    /// The first one ends the reading.
+    /// Stops at the first rejected row.
     StopAtFirst,
-    /// They are counted.
+    /// Skips and counts rejected rows.
     SkipAndCount,
-    /// More than this share of the lines ends the reading, once there were a thousand lines.
+    /// Stops once more than the given share of the lines, from 0 to 1, is rejected. The share is first checked
+    /// after 1000 lines.
     StopAboveShare(f64),
 }
 
-/// Why the policy ended the reading.
+/// The error returned when the rejection policy stops reading.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PolicyViolation {
-    /// A row was rejected, and none may be.
+    /// A row was rejected under [`RejectionPolicy::StopAtFirst`].
     #[error("{0}")]
     FirstRejected(RejectedRow),
-    /// Too large a share of the lines was rejected.
-    #[error("{rejected} of {lines} lines were rejected")]
+    /// The share of rejected lines exceeded the limit of [`RejectionPolicy::StopAboveShare`].
+    #[error("too many lines rejected: {rejected} of {lines}")]
     ShareExceeded {
-        /// Rejected lines.
+        /// Number of rejected lines.
         rejected: u64,
-        /// All lines so far.
+        /// Number of lines read so far.
         lines: u64,
     },
 }
 
-/// The rejected rows of one reason.
+/// The rows rejected for one reason.
 #[derive(Clone, Debug, Default)]
 pub struct RejectedRows {
-    /// How many there are.
+    /// Number of rejected rows.
     pub count: u64,
-    /// The first few of them.
+    /// First rejected rows, at most three.
     pub examples: Vec<RejectedRow>,
 }
 
-/// How many rejected rows of one reason are kept.
+/// The maximum number of rejected rows that are kept as examples, per reason.
 const MAX_EXAMPLES: usize = 3;
-/// How many lines there must be before a share of them is compared with the policy's.
+/// The number of lines after which the share of rejected lines is first compared with the limit.
 const MIN_LINES_FOR_SHARE: u64 = 1000;
-/// How many of the last rows a row is compared with to find duplicates.
+/// The number of preceding rows that a row is compared with to detect duplicates.
 const DUPLICATE_WINDOW: usize = 4096;
-/// How many machines are remembered at most, so that memory stays bounded.
+/// The maximum number of machines that are remembered, which bounds memory.
 const MAX_MACHINES: usize = 1_000_000;
 
-/// What was read of one file. Lines = accepted + rejected by reason, always.
+/// Counts of the outcomes of one file. The number of lines always equals the accepted plus the rejected rows.
 #[derive(Debug)]
 pub struct ReadSummary {
     policy: RejectionPolicy,
-    /// Lines read.
+    /// Number of lines read.
     pub lines: u64,
-    /// Rows that can be used.
+    /// Number of accepted rows.
     pub accepted: u64,
-    /// Rejected rows by reason.
+    /// Rejected rows, by reason.
     pub rejected: BTreeMap<RejectionReason, RejectedRows>,
-    /// Hashes of the last rows, oldest first, and the same as a set.
+    /// Hashes of the last [`DUPLICATE_WINDOW`] rows, oldest first. `recent_hash_set` contains the same hashes.
     recent_hashes: VecDeque<u64>,
     recent_hash_set: FxHashSet<u64>,
-    machines: FxHashSet<Option<TraceId>>,
-    /// Whether the trace lists its machines: else none can be unknown.
+    machines: FxHashSet<Option<HashedId>>,
+    /// Whether the trace lists its machines. If it does not, no machine is treated as unknown.
     lists_machines: bool,
 }
 
 impl ReadSummary {
-    /// An empty summary. `lists_machines` says that rows about a machine come before the work on it.
+    /// Creates an empty summary. `lists_machines` states that the row that adds a machine precedes all other rows
+    /// about the machine, so that unknown machines can be rejected.
     pub fn new(policy: RejectionPolicy, lists_machines: bool) -> ReadSummary {
         ReadSummary {
             policy,
@@ -86,15 +88,16 @@
         }
     }
 
-    /// Adds the outcome of one line; returns the row if it is accepted.
+    /// Counts the outcome of one line. Returns the row if it is accepted, or `None` if the line is rejected and
+    /// reading may continue.
     ///
     /// # Errors
     ///
-    /// The policy ends the reading here.
+    /// Returns an error if the rejection policy stops reading at this line.
     pub fn add(&mut self, outcome: RowOutcome) -> Result<Option<Row>, PolicyViolation> {
         self.lines += 1;
         let rejected = match outcome {
-            RowOutcome::Accepted(row) => match self.compare_with_earlier(&row) {
+            RowOutcome::Accepted(row) => match self.check_against_earlier_rows(&row) {
                 Ok(()) => return self.accept(row).map(Some),
                 Err(rejected) => *rejected,
             },
@@ -103,14 +106,14 @@
         self.reject(rejected).map(|()| None)
     }
 
-    /// How many rows were rejected, for all reasons.
+    /// Returns the number of rejected rows, for all reasons together.
     pub fn rejected_count(&self) -> u64 {
         self.rejected.values().map(|rows| rows.count).sum()
     }
 
     fn accept(&mut self, row: Row) -> Result<Row, PolicyViolation> {
         self.accepted += 1;
-        // Rejected rows before the thousandth line did not count against the share yet.
+        // The share of rejected lines has not been checked before this line.
         if self.lines == MIN_LINES_FOR_SHARE {
             self.check_share()?;
         }
@@ -136,15 +139,15 @@
         if is_exceeded { Err(PolicyViolation::ShareExceeded { rejected, lines }) } else { Ok(()) }
     }
 
-    /// Rejects a row that is the same as a recent one or is about an unknown machine; else remembers it.
-    fn compare_with_earlier(&mut self, row: &Row) -> Result<(), Box<RejectedRow>> {
+    /// Rejects a row that equals a recent one or refers to an unknown machine, and otherwise remembers it.
+    fn check_against_earlier_rows(&mut self, row: &Row) -> Result<(), Box<RejectedRow>> {
         let hash = hash_row(row);
         if !self.recent_hash_set.insert(hash) {
             return Err(reject(
                 row,
                 RejectionReason::Duplicate,
-                "the same as a row before it",
-                "each row once",
+                "a duplicate of an earlier row",
+                "distinct rows",
             ));
         }
         self.check_machine(row)?;
@@ -159,24 +162,24 @@
 
     fn check_machine(&mut self, row: &Row) -> Result<(), Box<RejectedRow>> {
         let is_unknown = self.lists_machines && !self.machines.contains(&row.machine);
-        // With the limit reached, a machine that is not remembered may have been added all the same.
-        let has_capacity = self.machines.len() < MAX_MACHINES;
+        // Once the limit is reached, a machine may have been added without being remembered.
+        let below_machine_limit = self.machines.len() < MAX_MACHINES;
         let value = match &row.detail {
             RowDetail::Machine { event: MachineEvent::Added } => {
-                if has_capacity {
+                if below_machine_limit {
                     self.machines.insert(row.machine);
                 }
                 return Ok(());
             }
             RowDetail::Machine { .. } if is_unknown => "an event of a machine that was never added",
             RowDetail::Work { event: WorkEvent::Scheduled, .. }
-                if is_unknown && row.machine.is_some() && has_capacity =>
+                if is_unknown && row.machine.is_some() && below_machine_limit =>
             {
                 "work on a machine that was never added"
             }
             _ => return Ok(()),
         };
-        Err(reject(row, RejectionReason::UnknownMachine, value, "machines that were added before"))
+        Err(reject(row, RejectionReason::UnknownMachine, value, "machines added by an earlier row"))
     }
 }
 
@@ -185,7 +188,7 @@
     Box::new(RejectedRow { line: row.line, column: None, value, allowed, reason })
 }
 
-/// A hash of all of a row but its line.
+/// Hashes all fields of a row except its line number.
 fn hash_row(row: &Row) -> u64 {
     let mut hasher = FxHasher::default();
     (row.at, &row.machine, row.cpu.map(f64::to_bits), row.memory.map(f64::to_bits)).hash(&mut hasher);
--- a/crates/cluster-trace/src/row.rs
+++ b/crates/cluster-trace/src/row.rs
@@ -1,111 +1,111 @@
-//! A row of a trace in the terms of this package, and the outcome of reading a line.
+//! Rows in a form independent of the trace's layout, and the outcome of reading a line.
 
 use crate::rejection_reason::RejectionReason;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The XXH3 hash of a name or an opaque id of the trace: the same in every run.
+/// The 64-bit XXH3 hash of a name or an opaque identifier in a trace. It is the same in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TraceId(pub u64);
+pub struct HashedId(pub u64);
 
-impl TraceId {
-    /// The id of a name; none of an empty one.
-    pub fn of(name: &str) -> Option<TraceId> {
-        (!name.is_empty()).then(|| TraceId(xxh3_64(name.as_bytes())))
+impl HashedId {
+    /// Hashes `name`, or returns `None` if `name` is empty.
+    pub fn from_name(name: &str) -> Option<HashedId> {
+        (!name.is_empty()).then(|| HashedId(xxh3_64(name.as_bytes())))
     }
 }
 
-/// What happened to a piece of work.
+/// An event in the life of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkEvent {
-    /// It was handed in.
+    /// The task was submitted.
     Submitted,
-    /// It began to run on a machine.
+    /// The task started to run on a machine.
     Scheduled,
-    /// It was ended by somebody else: evicted, killed, cancelled, interrupted.
+    /// The task was evicted, killed, canceled or interrupted.
     Stopped,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It ran to its end.
+    /// The task completed.
     Finished,
-    /// Its end is not in the trace.
+    /// The task ended, but the trace does not contain its end.
     Lost,
-    /// Its attributes changed.
+    /// The attributes of the task changed.
     Updated,
-    /// The row describes the whole time from its start to its end.
+    /// The row describes the whole run of the task, from start to end.
     Span,
 }
 
-/// What happened to a machine.
+/// A change in the availability or capacity of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineEvent {
-    /// It can be used from now on.
+    /// The machine became available.
     Added,
-    /// It can't be used any more.
+    /// The machine became unavailable.
     Removed,
-    /// Its capacity changed.
+    /// The capacity of the machine changed.
     Updated,
 }
 
-/// What a row is about.
+/// The part of a row that depends on its subject: work or a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RowDetail {
-    /// A piece of work.
+    /// The row describes a task.
     Work {
-        /// The job that it belongs to.
-        job: Option<TraceId>,
-        /// The task within the job.
-        task: Option<TraceId>,
-        /// What happened to it.
+        /// Job that the task belongs to.
+        job: Option<HashedId>,
+        /// Task within the job.
+        task: Option<HashedId>,
+        /// Event that the row records.
         event: WorkEvent,
-        /// When it ended, in microseconds, where the row describes a whole span.
+        /// End time in microseconds on the trace's clock, or `None` if the row does not contain one.
         end: Option<u64>,
-        /// How many instances of the task there are.
+        /// Number of instances of the task, 1 if the row does not state it.
         instances: u64,
-        /// Whose work it is.
-        tenant: Option<TraceId>,
-        /// Its class in the trace.
-        class: Option<TraceId>,
-        /// Its priority in the trace.
+        /// Owner of the work, or `None` if the row does not state one.
+        tenant: Option<HashedId>,
+        /// Class assigned by the trace, or `None` if the row does not state one.
+        class: Option<HashedId>,
+        /// Priority assigned by the trace, 0 if the row does not state one.
         priority: u64,
     },
-    /// A machine.
+    /// The row describes a machine.
     Machine {
-        /// What happened to it.
+        /// Event that the row records.
         event: MachineEvent,
     },
 }
 
-/// A row that can be used.
+/// A valid row.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Row {
-    /// The line of the file, from 1.
+    /// Line number in the file, starting at 1.
     pub line: u64,
-    /// Microseconds on the trace's clock.
+    /// Time of the event or start time of the work, in microseconds on the trace's clock.
     pub at: u64,
-    /// The machine that it is about or that the work runs on.
-    pub machine: Option<TraceId>,
-    /// CPU as the trace has it: a share of the largest machine, cores, or per cent. None where it is not
-    /// given.
+    /// Machine that the row describes or that runs the work.
+    pub machine: Option<HashedId>,
+    /// CPU in the trace's unit (a fraction of the largest machine, cores, or percent), or `None` if the row does
+    /// not state it.
     pub cpu: Option<f64>,
-    /// Memory, in the trace's unit.
+    /// Memory in the trace's unit, or `None` if the row does not state it.
     pub memory: Option<f64>,
-    /// What it is about.
+    /// Fields that only work or only machines have.
     pub detail: RowDetail,
 }
 
-/// A line that is not used, and why.
+/// A rejected line and the reason for the rejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedRow {
-    /// The line of the file, from 1.
+    /// Line number in the file, starting at 1.
     pub line: u64,
-    /// The column's published name; none if the fault is that of the whole line.
+    /// Published name of the invalid column, or `None` if the line as a whole is invalid.
     pub column: Option<&'static str>,
-    /// What the column or the line has.
+    /// Description or quoted beginning of the invalid value.
     pub value: String,
-    /// Which values are allowed.
+    /// Description of the allowed values.
     pub allowed: String,
-    /// Why it is rejected.
+    /// Reason for the rejection.
     pub reason: RejectionReason,
 }
 
@@ -122,16 +122,16 @@
 /// The outcome of reading one line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RowOutcome {
-    /// A row that can be used.
+    /// The line is a valid row.
     Accepted(Row),
-    /// A line that is not used.
+    /// The line was rejected.
     Rejected(RejectedRow),
 }
 
-/// The longest text that a rejection quotes, in characters.
+/// The maximum number of characters that a rejection quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// The beginning of a text as it is shown in a rejection.
+/// Returns the first [`MAX_QUOTED_CHARS`] characters of `bytes` in quotes, for display in a rejection.
 pub(crate) fn quote(bytes: &[u8]) -> String {
     let text: String = String::from_utf8_lossy(bytes).chars().take(MAX_QUOTED_CHARS).collect();
     format!("{text:?}")
--- a/crates/cluster-trace/src/row_sorter.rs
+++ b/crates/cluster-trace/src/row_sorter.rs
@@ -1,72 +1,78 @@
-//! Sorts rows by time within a bounded window, and decides what a row far outside the window means.
+//! Sorts rows by timestamp within a bounded window, and detects clock steps and wrong timestamps.
 //!
-//! A published trace is sorted; a copy of it is often slightly out of order. Rows are a little late (the window
-//! sorts them), a single row has a wrong time, or the clock steps (all later times are wrong by the same
-//! offset). A row outside the window is held back. If enough rows in succession are outside it on the same
-//! side, the clock has stepped: time continues where it was, and the offset is applied to all later rows. If a
-//! row within the window comes before that, the rows held back had wrong times and are rejected.
+//! A published trace is sorted, but a copy of it is often slightly out of order. Three faults occur: rows are
+//! slightly late, which the window corrects; a single row has a wrong timestamp; or the clock steps, so that all
+//! later timestamps are off by the same amount. A row outside the window is held back. If enough consecutive rows
+//! are outside the window on the same side, the clock has stepped. After a backward step the sorter adds an offset
+//! to all later rows, so that time continues from the newest row; a forward step is kept as a gap. If a row within
+//! the window arrives first, the timestamps of the held rows are wrong and these rows are rejected.
 
 use crate::rejection_reason::RejectionReason;
 use crate::row::{RejectedRow, Row, RowOutcome};
-use RowTiming::{Ahead, Behind, InTime};
+use RowTiming::{Ahead, Behind, InWindow};
 use SorterState::{Holding, Steady};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// How far rows may be out of order.
+/// The limits within which rows may be out of order.
 #[derive(Clone, Copy, Debug)]
 pub struct SortWindow {
-    /// Microseconds that a row may be behind the newest.
+    /// Maximum distance of a row behind the newest row, in microseconds.
     pub max_lateness: u64,
-    /// Microseconds that a row may be ahead of the newest without being held back.
-    pub max_leap: u64,
-    /// Rows that the window holds at most; beyond it the oldest is released.
+    /// Maximum distance of a row ahead of the newest row, in microseconds. Rows further ahead are held back.
+    pub max_jump: u64,
+    /// Maximum number of rows in the window. If it is exceeded, the oldest row is released.
     pub max_rows: usize,
-    /// Rows in succession, off the same way, that make a step of the clock.
-    pub step_rows: usize,
+    /// Number of consecutive rows outside the window on the same side from which a clock step is assumed.
+    pub min_step_rows: usize,
 }
 
 impl Default for SortWindow {
     fn default() -> SortWindow {
         const SECOND: u64 = 1_000_000;
-        SortWindow { max_lateness: 5 * SECOND, max_leap: 6 * 3600 * SECOND, max_rows: 65_536, step_rows: 16 }
+        SortWindow {
+            max_lateness: 5 * SECOND,
+            max_jump: 6 * 3600 * SECOND,
+            max_rows: 65_536,
+            min_step_rows: 16,
+        }
     }
 }
 
-/// A step of the trace's clock backwards.
+/// A backward step of the trace's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockStep {
-    /// The line from which it holds.
+    /// Line number of the first row after the step.
     pub line: u64,
-    /// Microseconds that are added to the times from there on.
+    /// Offset that the step adds to the timestamps of this and all later rows, in microseconds.
     pub offset_us: i128,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SorterState {
     Steady,
-    /// Rows are held back that are off this way.
+    /// The sorter holds back rows that are outside the window on the given side.
     Holding(RowTiming),
 }
 
-/// A row's time compared with the newest.
+/// The position of a row's timestamp relative to the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowTiming {
-    InTime,
+    InWindow,
     Behind,
     Ahead,
 }
 
-/// What is done with a row.
+/// The action for a row that is added.
 #[derive(Clone, Copy)]
 enum SortAction {
-    /// It goes into the window.
+    /// Adds the row to the window.
     Admit,
-    /// It is held back; with enough of them the clock has stepped.
+    /// Holds the row back. If enough rows are held, the clock has stepped.
     Hold,
-    /// The rows held back are rejected; this one goes into the window.
+    /// Rejects the held rows and adds the row to the window.
     RejectHeldThenAdmit,
-    /// The rows held back are rejected; this one is held back.
+    /// Rejects the held rows and holds the row back.
     RejectHeldThenHold,
 }
 
@@ -82,18 +88,18 @@
 
 #[rustfmt::skip]
 const SORT_RULES: &[SortRule] = &[
-    rule(Steady,          InTime, SortAction::Admit),
+    rule(Steady,          InWindow, SortAction::Admit),
     rule(Steady,          Behind, SortAction::Hold),
     rule(Steady,          Ahead,  SortAction::Hold),
-    rule(Holding(Behind), InTime, SortAction::RejectHeldThenAdmit),
+    rule(Holding(Behind), InWindow, SortAction::RejectHeldThenAdmit),
     rule(Holding(Behind), Behind, SortAction::Hold),
     rule(Holding(Behind), Ahead,  SortAction::RejectHeldThenHold),
-    rule(Holding(Ahead),  InTime, SortAction::RejectHeldThenAdmit),
+    rule(Holding(Ahead),  InWindow, SortAction::RejectHeldThenAdmit),
     rule(Holding(Ahead),  Behind, SortAction::RejectHeldThenHold),
     rule(Holding(Ahead),  Ahead,  SortAction::Hold),
 ];
 
-/// A row's place in the order: by its time, then by its line.
+/// The sort key of a row: its timestamp, then its line number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SortKey {
     at: u64,
@@ -106,7 +112,7 @@
     }
 }
 
-/// A row that came after one with a later time.
+/// A row that arrived after a row with a later timestamp, ordered by its [`SortKey`].
 struct LateRow(Row);
 
 impl PartialEq for LateRow {
@@ -126,25 +132,27 @@
     }
 }
 
-/// Puts rows in the order of their times; those of the same time in the order of their lines.
+/// Sorts rows by timestamp, and rows with equal timestamps by line number.
 pub struct RowSorter {
     window: SortWindow,
     state: SorterState,
-    /// Rows in the window that came in order. Most do, and cost nothing to keep sorted.
+    /// Rows in the window that arrived in order. These are the majority, and a queue keeps them sorted at no cost.
     in_order: VecDeque<Row>,
-    /// Rows in the window that came late.
+    /// Rows in the window that arrived out of order.
     late: BinaryHeap<Reverse<LateRow>>,
+    /// Rows outside the window that are held back until a clock step is confirmed or ruled out.
     held: VecDeque<Row>,
+    /// Latest timestamp in the window so far, or `None` before the first row.
     newest: Option<u64>,
-    /// The time of the row that was released last.
+    /// Latest timestamp of the released rows.
     last_released: u64,
-    /// Microseconds added to each row's time since the clock stepped.
+    /// Sum of the offsets of all clock steps so far, in microseconds. It is added to each timestamp.
     offset: i128,
     steps: Vec<ClockStep>,
 }
 
 impl RowSorter {
-    /// A sorter without rows.
+    /// Creates an empty sorter.
     pub fn new(window: SortWindow) -> RowSorter {
         RowSorter {
             window,
@@ -159,12 +167,12 @@
         }
     }
 
-    /// The backward steps of the clock so far.
+    /// Returns the backward clock steps detected so far, in line order.
     pub fn steps(&self) -> &[ClockStep] {
         &self.steps
     }
 
-    /// Adds a row, and puts what is released or rejected by it at the end of `out`.
+    /// Adds a row, and appends the rows that are released or rejected as a result to `out`.
     pub fn add(&mut self, row: Row, out: &mut Vec<RowOutcome>) {
         let timing = self.timing_of(self.adjusted_time(row.at));
         let rule = SORT_RULES.iter().find(|rule| rule.state == self.state && rule.timing == timing);
@@ -182,25 +190,25 @@
         }
     }
 
-    /// There are no more rows: rejects what is held back, and releases the rest.
+    /// Ends the input: rejects the rows that are held back, and releases the rows in the window, into `out`.
     pub fn finish(&mut self, out: &mut Vec<RowOutcome>) {
         self.reject_held(out);
         self.release_until(u64::MAX, out);
     }
 
-    /// A row's time on the clock without steps.
+    /// Returns a timestamp corrected for the clock steps so far.
     fn adjusted_time(&self, at: u64) -> i128 {
         i128::from(at) + self.offset
     }
 
     fn timing_of(&self, at: i128) -> RowTiming {
-        let Some(newest) = self.newest.map(i128::from) else { return InTime };
-        if at > newest + i128::from(self.window.max_leap) {
+        let Some(newest) = self.newest.map(i128::from) else { return InWindow };
+        if at > newest + i128::from(self.window.max_jump) {
             Ahead
         } else if at < newest - i128::from(self.window.max_lateness) || at < i128::from(self.last_released) {
             Behind
         } else {
-            InTime
+            InWindow
         }
     }
 
@@ -222,13 +230,13 @@
     fn hold(&mut self, row: Row, timing: RowTiming, out: &mut Vec<RowOutcome>) {
         self.state = Holding(timing);
         self.held.push_back(row);
-        if self.held.len() >= self.window.step_rows.max(1) {
+        if self.held.len() >= self.window.min_step_rows.max(1) {
             self.step_clock(out);
         }
     }
 
-    /// The clock has stepped. After a step backwards time goes on where it was; a step forwards is a gap in
-    /// the trace, and is kept.
+    /// Applies a clock step and processes the held rows again. After a backward step, time continues from the newest
+    /// row. A forward step is a gap in the trace and is kept.
     fn step_clock(&mut self, out: &mut Vec<RowOutcome>) {
         let is_backwards = self.state == Holding(Behind);
         self.state = Steady;
@@ -242,31 +250,31 @@
             self.newest = Some(u64::try_from(earliest).unwrap_or(u64::MAX));
         }
         for row in std::mem::take(&mut self.held) {
-            // Rows that are off even among those held back have wrong times.
+            // Rows that are outside the window even after the step have wrong timestamps.
             match self.timing_of(self.adjusted_time(row.at)) {
-                InTime => self.admit(row, out),
-                Behind | Ahead => out.push(reject(&row, RejectionReason::Stray)),
+                InWindow => self.admit(row, out),
+                Behind | Ahead => out.push(reject(&row, RejectionReason::TimestampOutlier)),
             }
         }
     }
 
     fn reject_held(&mut self, out: &mut Vec<RowOutcome>) {
         let is_behind = self.state == Holding(Behind);
-        let reason = if is_behind { RejectionReason::TooLate } else { RejectionReason::Stray };
+        let reason = if is_behind { RejectionReason::TooLate } else { RejectionReason::TimestampOutlier };
         self.state = Steady;
         for row in std::mem::take(&mut self.held) {
             out.push(reject(&row, reason));
         }
     }
 
-    /// Releases all rows up to this time.
+    /// Releases all rows with timestamps up to and including `until`.
     fn release_until(&mut self, until: u64, out: &mut Vec<RowOutcome>) {
         while self.first_key().is_some_and(|key| key.at <= until) {
             self.release_first(out);
         }
     }
 
-    /// The key of the row that is released next.
+    /// Returns the key of the row that is released next, or `None` if the window is empty.
     fn first_key(&self) -> Option<SortKey> {
         let in_order = self.in_order.front().map(SortKey::of);
         let late = self.late.peek().map(|Reverse(late)| SortKey::of(&late.0));
@@ -288,8 +296,8 @@
 
 fn reject(row: &Row, reason: RejectionReason) -> RowOutcome {
     let allowed = match reason {
-        RejectionReason::TooLate => "a time within the window behind the newest",
-        _ => "a time near those of the neighbouring rows",
+        RejectionReason::TooLate => "a timestamp within the sort window",
+        _ => "a timestamp near those of the neighboring rows",
     };
     let (value, allowed) = (format!("{} us", row.at), allowed.to_owned());
     RowOutcome::Rejected(RejectedRow { line: row.line, column: None, value, allowed, reason })
--- a/crates/cluster-trace/src/trace_reader.rs
+++ b/crates/cluster-trace/src/trace_reader.rs
@@ -1,6 +1,8 @@
-//! Reads a file into outcomes, one for each line, in bounded memory. A file that is opened by its path is
-//! read ahead on threads of its own: one cuts blocks of lines, a few classify them in turn, and the outcomes
-//! come in the order of the lines.
+//! Reads a trace file and yields one outcome per line, in bounded memory.
+//!
+//! A file that is opened by its path is read ahead on background threads: one thread splits the file into blocks
+//! of lines and distributes them round-robin to workers, which validate the lines. The outcomes are yielded in
+//! line order.
 
 use crate::classify::classify_row;
 use crate::layout::Layout;
@@ -16,44 +18,47 @@
 use std::thread;
 use thiserror::Error;
 
-/// A file can't be opened, or its first bytes can't be read.
+/// The error returned when a trace file cannot be opened, its first bytes cannot be read, or a reader thread cannot
+/// be started.
 #[derive(Debug, Error)]
-#[error("{}: {source}", path.display())]
+#[error("failed to open trace file {}: {source}", path.display())]
 pub struct OpenError {
-    /// The file.
+    /// Path of the trace file.
     pub path: PathBuf,
-    /// What the system says.
+    /// Error of the operating system or the decompressor.
     pub source: io::Error,
 }
 
 type Source<'a> = BufReader<Box<dyn Read + Send + 'a>>;
 
-/// The outcomes of the lines of one file, in their order.
+/// An iterator over the outcomes of all lines of a file, in line order.
 pub struct TraceReader<'a> {
-    classifier: Classifier<'a>,
+    outcome_source: OutcomeSource<'a>,
     ready: std::vec::IntoIter<RowOutcome>,
 }
 
-/// Where blocks are classified.
-enum Classifier<'a> {
-    OnThisThread { layout: &'static Layout, blocks: BlockReader<Source<'a>> },
+/// The threads on which blocks of lines are read and validated.
+enum OutcomeSource<'a> {
+    SameThread { layout: &'static Layout, blocks: BlockReader<Source<'a>> },
     ReadAhead(ReadAhead),
 }
 
-/// Threads that classify blocks in turn.
+/// Background threads that validate blocks in round-robin order.
 struct ReadAhead {
-    workers: Vec<Receiver<Vec<RowOutcome>>>,
-    /// The worker that has the next block: blocks were dealt out in the same order.
+    /// One receiver per worker.
+    outcome_receivers: Vec<Receiver<Vec<RowOutcome>>>,
+    /// Index of the worker that has the next block of the file. Blocks are distributed in the same order.
     next_worker: usize,
 }
 
 const BUFFER_BYTES: usize = 256 * 1024;
-/// How a gzip file begins.
+/// The first two bytes of a gzip file.
 const GZIP_MAGIC: &[u8] = &[0x1f, 0x8b];
-/// The largest number of threads that classify. More would wait for the thread that cuts blocks or for the
-/// one that uses the outcomes.
+/// The maximum number of workers. Additional workers would only wait for the thread that splits the file or for the
+/// consumer of the outcomes.
 const MAX_WORKERS: usize = 4;
-/// Blocks queued before and behind each worker. This bounds the memory, however slowly outcomes are used.
+/// The capacity of the queues before and after each worker, in blocks. It bounds memory even if the consumer is
+/// slow.
 const QUEUED_BLOCKS: usize = 2;
 
 fn decompress<'a>(source: impl Read + Send + 'a) -> io::Result<BlockReader<Source<'a>>> {
@@ -65,72 +70,81 @@
 }
 
 impl<'a> TraceReader<'a> {
-    /// Reads from any source on the caller's thread. Gzip is recognized by its first bytes.
+    /// Creates a reader that reads `source` on the caller's thread. Gzip compression is detected by the first bytes.
     ///
     /// # Errors
     ///
-    /// The first bytes can't be read.
+    /// Returns an error if the first bytes cannot be read.
     pub fn new(layout: &'static Layout, source: impl Read + Send + 'a) -> io::Result<TraceReader<'a>> {
-        let classifier = Classifier::OnThisThread { layout, blocks: decompress(source)? };
-        Ok(TraceReader { classifier, ready: Vec::new().into_iter() })
+        let outcome_source = OutcomeSource::SameThread { layout, blocks: decompress(source)? };
+        Ok(TraceReader { outcome_source, ready: Vec::new().into_iter() })
     }
 
-    /// Reads a file ahead, on threads of its own. They end when the reader is dropped.
+    /// Opens a file and reads it ahead on background threads, which end after the reader is dropped.
     ///
     /// # Errors
     ///
-    /// The file can't be opened, its first bytes can't be read, or no thread can be started.
+    /// Returns an error if the file cannot be opened, its first bytes cannot be read, or a thread cannot be
+    /// started.
     pub fn open(layout: &'static Layout, path: &Path) -> Result<TraceReader<'static>, OpenError> {
         let open_error = |source| OpenError { path: path.to_owned(), source };
         let blocks = File::open(path).and_then(decompress).map_err(open_error)?;
-        let cores = thread::available_parallelism().map_or(1, |cores| cores.get().saturating_sub(2));
-        let read_ahead = ReadAhead::start(layout, blocks, cores.clamp(1, MAX_WORKERS)).map_err(open_error)?;
-        Ok(TraceReader { classifier: Classifier::ReadAhead(read_ahead), ready: Vec::new().into_iter() })
+        let worker_count = thread::available_parallelism().map_or(1, |cores| cores.get().saturating_sub(2));
+        let read_ahead =
+            ReadAhead::start(layout, blocks, worker_count.clamp(1, MAX_WORKERS)).map_err(open_error)?;
+        Ok(TraceReader {
+            outcome_source: OutcomeSource::ReadAhead(read_ahead),
+            ready: Vec::new().into_iter(),
+        })
     }
 }
 
 impl ReadAhead {
-    /// Starts this number of workers, and one thread that deals blocks to them in turn. Each thread ends when
-    /// its receiver has been dropped.
+    /// Starts the workers and one thread that distributes blocks to them round-robin. Each thread ends at the end
+    /// of the file, or when the receiver of its results has been dropped.
     fn start(
         layout: &'static Layout,
         blocks: BlockReader<Source<'static>>,
         worker_count: usize,
     ) -> io::Result<ReadAhead> {
-        let (mut to_workers, mut workers) = (Vec::new(), Vec::new());
+        let (mut block_senders, mut outcome_receivers) = (Vec::new(), Vec::new());
         for _ in 0..worker_count {
-            let (to_worker, from_cutter) = sync_channel(QUEUED_BLOCKS);
-            let (to_user, from_worker) = sync_channel(QUEUED_BLOCKS);
-            let worker = move || classify_blocks(layout, &from_cutter, &to_user);
+            let (block_sender, block_receiver) = sync_channel(QUEUED_BLOCKS);
+            let (outcome_sender, outcome_receiver) = sync_channel(QUEUED_BLOCKS);
+            let worker = move || classify_blocks(layout, &block_receiver, &outcome_sender);
             thread::Builder::new().name("trace-classify".to_owned()).spawn(worker)?;
-            to_workers.push(to_worker);
-            workers.push(from_worker);
+            block_senders.push(block_sender);
+            outcome_receivers.push(outcome_receiver);
         }
-        let cutter = move || deal_blocks(blocks, &to_workers);
-        thread::Builder::new().name("trace-cut".to_owned()).spawn(cutter)?;
-        Ok(ReadAhead { workers, next_worker: 0 })
+        let distributor = move || distribute_blocks(blocks, &block_senders);
+        thread::Builder::new().name("trace-cut".to_owned()).spawn(distributor)?;
+        Ok(ReadAhead { outcome_receivers, next_worker: 0 })
     }
 
     fn next_outcomes(&mut self) -> Option<Vec<RowOutcome>> {
-        let outcomes = self.workers.get(self.next_worker)?.recv().ok()?;
-        self.next_worker = (self.next_worker + 1) % self.workers.len();
+        let outcomes = self.outcome_receivers.get(self.next_worker)?.recv().ok()?;
+        self.next_worker = (self.next_worker + 1) % self.outcome_receivers.len();
         Some(outcomes)
     }
 }
 
-fn deal_blocks(mut blocks: BlockReader<Source<'static>>, to_workers: &[SyncSender<LineBlock>]) {
-    for to_worker in to_workers.iter().cycle() {
+fn distribute_blocks(mut blocks: BlockReader<Source<'static>>, block_senders: &[SyncSender<LineBlock>]) {
+    for block_sender in block_senders.iter().cycle() {
         let Some(block) = blocks.next_block() else { return };
-        if to_worker.send(block).is_err() {
+        if block_sender.send(block).is_err() {
             return;
         }
     }
 }
 
-fn classify_blocks(layout: &Layout, blocks: &Receiver<LineBlock>, to_user: &SyncSender<Vec<RowOutcome>>) {
+fn classify_blocks(
+    layout: &Layout,
+    blocks: &Receiver<LineBlock>,
+    outcome_sender: &SyncSender<Vec<RowOutcome>>,
+) {
     let mut record = ByteRecord::new();
     for block in blocks {
-        if to_user.send(classify_block(layout, block, &mut record)).is_err() {
+        if outcome_sender.send(classify_block(layout, block, &mut record)).is_err() {
             return;
         }
     }
@@ -144,18 +158,18 @@
             if let Some(outcome) = self.ready.next() {
                 return Some(outcome);
             }
-            let outcomes = match &mut self.classifier {
-                Classifier::OnThisThread { layout, blocks } => {
+            let outcomes = match &mut self.outcome_source {
+                OutcomeSource::SameThread { layout, blocks } => {
                     classify_block(layout, blocks.next_block()?, &mut ByteRecord::new())
                 }
-                Classifier::ReadAhead(read_ahead) => read_ahead.next_outcomes()?,
+                OutcomeSource::ReadAhead(read_ahead) => read_ahead.next_outcomes()?,
             };
             self.ready = outcomes.into_iter();
         }
     }
 }
 
-/// The outcomes of a block's lines.
+/// Validates all lines of a block.
 fn classify_block(layout: &Layout, mut block: LineBlock, record: &mut ByteRecord) -> Vec<RowOutcome> {
     let bytes = std::mem::take(&mut block.bytes);
     let mut csv = ReaderBuilder::new()
@@ -168,7 +182,8 @@
     for line in block.first_line..=last_line {
         match csv.read_byte_record(record) {
             Ok(true) => outcomes.push(classify_line(layout, &mut block, line, record)),
-            // Each line is one record. If one were not, the outcomes so far would still be valid.
+            // Each line is one record, so the records do not end early. If they did, the outcomes so far would
+            // still be valid.
             Ok(false) => break,
             Err(e) => outcomes.push(reject_unreadable(line, &e.to_string())),
         }
@@ -185,32 +200,33 @@
     }
     let is_last_line = line == block.first_line + block.line_count - 1;
     match classify_row(layout, line, record) {
-        // The last line has no line end and is no row: it was cut, and its fields say nothing.
-        RowOutcome::Rejected(rejected) if block.is_open_ended && is_last_line => {
-            RowOutcome::Rejected(RejectedRow { reason: RejectionReason::EndsMidway, ..rejected })
+        // An invalid last line without a line end was truncated, so the reason given by its fields would be
+        // misleading.
+        RowOutcome::Rejected(rejected) if block.lacks_final_newline && is_last_line => {
+            RowOutcome::Rejected(RejectedRow { reason: RejectionReason::Truncated, ..rejected })
         }
         outcome => outcome,
     }
 }
 
-/// The outcome of a line that was replaced by a placeholder.
+/// Rejects a line that was replaced by a placeholder.
 fn reject_fault(line: u64, fault: Option<LineFault>) -> RowOutcome {
     let unknown = LineFault { reason: RejectionReason::NotUtf8, bytes: 0, excerpt: Vec::new() };
     let LineFault { reason, bytes, excerpt } = fault.unwrap_or(unknown);
     let (value, allowed) = match reason {
         RejectionReason::TooLong => {
-            (format!("{bytes} bytes long, {}", quote(&excerpt)), format!("{MAX_LINE_BYTES} bytes at most"))
+            (format!("{bytes} bytes long, {}", quote(&excerpt)), format!("at most {MAX_LINE_BYTES} bytes"))
         }
-        RejectionReason::Blank => ("blank".to_owned(), "a row".to_owned()),
-        RejectionReason::Quotes => (quote(&excerpt), "quotes in pairs".to_owned()),
-        _ => (quote(&excerpt), "text without NUL".to_owned()),
+        RejectionReason::Blank => ("blank".to_owned(), "a row of the layout".to_owned()),
+        RejectionReason::UnclosedQuote => (quote(&excerpt), "an even number of quotes".to_owned()),
+        _ => (quote(&excerpt), "text without NUL bytes".to_owned()),
     };
     RowOutcome::Rejected(RejectedRow { line, column: None, value, allowed, reason })
 }
 
-/// The file can't be read any further. The last line is lost, even if a part of it was read.
+/// Rejects the line at which a read error occurred. The line is lost even if a part of it was read.
 fn reject_unreadable(line: u64, error: &str) -> RowOutcome {
     let (value, allowed) = (format!("unreadable: {error}"), "a complete file".to_owned());
-    let reason = RejectionReason::EndsMidway;
+    let reason = RejectionReason::Truncated;
     RowOutcome::Rejected(RejectedRow { line, column: None, value, allowed, reason })
 }
--- a/crates/cluster-trace/tests/plans.rs
+++ b/crates/cluster-trace/tests/plans.rs
@@ -1,9 +1,9 @@
-//! What rows become: windows, samples, time scales, nodes; and that it is the same each time.
+//! Replay plans made from rows: windows, samples, time scales, nodes, and determinism.
 
 use cluster_trace::plan::{
     ClassSpec, CountRange, Plan, PlanError, PlanEvent, PlannedNodeEvent, Planner, ReplayConfig,
 };
-use cluster_trace::{MachineEvent, Row, RowDetail, TraceId, WorkEvent};
+use cluster_trace::{HashedId, MachineEvent, Row, RowDetail, WorkEvent};
 use rstest::rstest;
 
 const SECOND: u64 = 1_000_000;
@@ -31,8 +31,8 @@
     }
 }
 
-fn work(second: u64, job: u64, task: u64, event: WorkEvent, end: Option<u64>) -> Row {
-    let id = |prefix: &str, no: u64| TraceId::of(&format!("{prefix}{no}"));
+fn work_row(second: u64, job: u64, task: u64, event: WorkEvent, end: Option<u64>) -> Row {
+    let id = |prefix: &str, no: u64| HashedId::from_name(&format!("{prefix}{no}"));
     let detail = RowDetail::Work {
         job: id("j", job),
         task: id("t", task),
@@ -53,8 +53,8 @@
     }
 }
 
-fn machine(second: u64, machine: u64, event: MachineEvent, cpu: f64) -> Row {
-    let machine = TraceId::of(&format!("m{machine}"));
+fn machine_row(second: u64, machine: u64, event: MachineEvent, cpu: f64) -> Row {
+    let machine = HashedId::from_name(&format!("m{machine}"));
     Row {
         line: 1,
         at: second * SECOND,
@@ -71,10 +71,11 @@
     planner.finish()
 }
 
-/// A hundred jobs of three tasks, over the window and beyond it.
+/// Returns rows of a hundred jobs with three tasks each, before, in and after the window.
 fn rows() -> Vec<Row> {
-    let tasks =
-        |job: u64| (0..3).map(move |task| work(90 + job * 13 / 10, job, task, WorkEvent::Submitted, None));
+    let tasks = |job: u64| {
+        (0..3).map(move |task| work_row(90 + job * 13 / 10, job, task, WorkEvent::Submitted, None))
+    };
     (0..100).flat_map(tasks).collect()
 }
 
@@ -100,20 +101,20 @@
 }
 
 #[rstest]
-fn is_the_same_byte_for_byte() {
-    let one = plan(config(), &rows()).unwrap();
-    assert_eq!(one.digest(), plan(config(), &rows()).unwrap().digest());
+fn plans_are_deterministic() {
+    let original = plan(config(), &rows()).unwrap();
+    assert_eq!(original.digest(), plan(config(), &rows()).unwrap().digest());
     let mut reversed = rows();
     reversed.reverse();
     assert_eq!(
-        one.digest(),
+        original.digest(),
         plan(config(), &reversed).unwrap().digest(),
-        "the order of rows is no part of it"
+        "the plan depends on the order of rows"
     );
-    assert_ne!(one.digest(), plan(ReplayConfig { seed: 8, ..config() }, &rows()).unwrap().digest());
+    assert_ne!(original.digest(), plan(ReplayConfig { seed: 8, ..config() }, &rows()).unwrap().digest());
 }
 
-/// The load is the configured share of what the nodes can do, whatever the trace's unit.
+/// The planned work is the configured share of the capacity of the nodes, independently of the trace's unit of work.
 #[rstest]
 #[case(0.5, 1.0)]
 #[case(2.0, 1.0)]
@@ -121,81 +122,92 @@
 fn offers_the_configured_load(#[case] load: f64, #[case] time_scale: f64) {
     let plan = plan(ReplayConfig { load, time_scale, ..config() }, &rows()).unwrap();
     let ms: u64 = queries(&plan).iter().map(|query| query.3).sum::<u64>() / 1000;
-    let can = 4.0 * 1000.0 * 100.0 * time_scale;
-    assert!((ms as f64 / can - load).abs() < load / 50.0, "{ms} ms of {can}");
+    let capacity_ms = 4.0 * 1000.0 * 100.0 * time_scale;
+    assert!(
+        (ms as f64 / capacity_ms - load).abs() < load / 50.0,
+        "{ms} ms of work planned, capacity is {capacity_ms} ms"
+    );
     let last = queries(&plan).last().unwrap().0;
-    assert!(last as f64 <= 100.0 * 10_000.0 * time_scale, "the window ends there: {last}");
+    assert!(last as f64 <= 100.0 * 10_000.0 * time_scale, "query at {last}, after the end of the window");
 }
 
-/// A job is in or out whole, and a larger sample holds a smaller one.
+/// A job is sampled completely or not at all, and a larger sample contains all jobs of a smaller one.
 #[rstest]
-fn samples_jobs_whole() {
-    let of = |sample: f64| {
-        let plan = plan(ReplayConfig { sample_share: sample, ..config() }, &rows()).unwrap();
+fn samples_complete_jobs() {
+    let query_times = |share: f64| {
+        let plan = plan(ReplayConfig { sample_share: share, ..config() }, &rows()).unwrap();
         queries(&plan).iter().map(|query| query.0).collect::<Vec<_>>()
     };
-    let (all, some, few) = (of(1.0), of(0.5), of(0.2));
+    let (all, some, few) = (query_times(1.0), query_times(0.5), query_times(0.2));
     assert!(all.len() > some.len() && some.len() > few.len() && !few.is_empty());
-    assert!([&all, &some, &few].iter().all(|queries| queries.len() % 3 == 0), "three tasks of each job");
+    assert!(
+        [&all, &some, &few].iter().all(|queries| queries.len() % 3 == 0),
+        "jobs must keep all three tasks"
+    );
     assert!(few.iter().all(|at| some.contains(at)) && some.iter().all(|at| all.contains(at)));
 }
 
-/// A user of the trace always belongs to the same tenant.
+/// The users of the trace are spread over the configured tenants.
 #[rstest]
-fn maps_users_onto_tenants() {
+fn spreads_users_over_tenants() {
     let plan = plan(config(), &rows()).unwrap();
     let tenants: Vec<usize> = queries(&plan).iter().map(|query| query.2).collect();
     assert!(tenants.contains(&0) && tenants.contains(&1));
 }
 
-/// Work that was running as the window began becomes queries at its beginning: spans that reach into it, and
-/// tasks that were scheduled and had not ended. A job longer than the window is there once.
+/// Work that is running when the window starts becomes queries at the start of the replay: spans that reach into
+/// the window, and tasks that were scheduled and have not ended. A task that runs longer than the window becomes
+/// one query.
 #[rstest]
-fn begins_with_what_was_running() {
+fn starts_with_running_work() {
     let rows = [
-        work(10, 1, 0, WorkEvent::Span, Some(500)),
-        work(10, 2, 0, WorkEvent::Span, Some(90)),
-        work(20, 3, 0, WorkEvent::Scheduled, None),
-        work(20, 4, 0, WorkEvent::Scheduled, None),
-        work(60, 4, 0, WorkEvent::Finished, None),
-        work(150, 5, 0, WorkEvent::Span, Some(900)),
-        work(300, 6, 0, WorkEvent::Span, Some(900)),
+        work_row(10, 1, 0, WorkEvent::Span, Some(500)),
+        work_row(10, 2, 0, WorkEvent::Span, Some(90)),
+        work_row(20, 3, 0, WorkEvent::Scheduled, None),
+        work_row(20, 4, 0, WorkEvent::Scheduled, None),
+        work_row(60, 4, 0, WorkEvent::Finished, None),
+        work_row(150, 5, 0, WorkEvent::Span, Some(900)),
+        work_row(300, 6, 0, WorkEvent::Span, Some(900)),
     ];
     let plan = plan(config(), &rows).unwrap();
     let at: Vec<u64> = queries(&plan).iter().map(|query| query.0).collect();
     assert_eq!((at, plan.running_at_start), (vec![0, 0, 500_000], 1));
 }
 
-/// Machines become nodes: there from the beginning, stopped, started again under their name, slow; drained
-/// first where that is configured; half of them stopped at the same time.
+/// Machines become nodes that are up at the start, stop, start again with the same number, and slow down. Two of the
+/// four nodes stop at the same time, after a drain if that is configured.
 #[rstest]
 #[case(0.0, false)]
 #[case(1.0, true)]
-fn machines_come_and_go(#[case] drains: f64, #[case] drained: bool) {
+fn maps_machine_events_to_nodes(#[case] share: f64, #[case] drained: bool) {
     use MachineEvent::{Added, Removed, Updated};
-    let mut rows = vec![work(150, 1, 0, WorkEvent::Submitted, None)];
-    rows.extend((0..6).map(|no| machine(0, no, Added, 1.0)));
-    rows.extend([machine(120, 0, Removed, 1.0), machine(120, 1, Removed, 1.0), machine(130, 0, Added, 1.0)]);
-    rows.extend([machine(140, 2, Updated, 0.5), machine(400, 3, Removed, 1.0)]);
-    let plan = plan(ReplayConfig { drain_share: drains, ..config() }, &rows).unwrap();
+    let mut rows = vec![work_row(150, 1, 0, WorkEvent::Submitted, None)];
+    rows.extend((0..6).map(|no| machine_row(0, no, Added, 1.0)));
+    rows.extend([
+        machine_row(120, 0, Removed, 1.0),
+        machine_row(120, 1, Removed, 1.0),
+        machine_row(130, 0, Added, 1.0),
+    ]);
+    rows.extend([machine_row(140, 2, Updated, 0.5), machine_row(400, 3, Removed, 1.0)]);
+    let plan = plan(ReplayConfig { drain_share: share, ..config() }, &rows).unwrap();
     let mut events = node_events(&plan);
     let warm: Vec<_> = events.drain(..4).collect();
     assert!(
         warm.iter().zip(0..).all(|(event, no)| *event == (0, no, PlannedNodeEvent::StartWarm)),
         "{warm:?}"
     );
-    let ends = |host, at: u64| match drained {
-        true => vec![(at, host, PlannedNodeEvent::Drain), (at + 5000, host, PlannedNodeEvent::Stop)],
-        false => vec![(at, host, PlannedNodeEvent::Stop)],
+    let stop_events = |node, at: u64| match drained {
+        true => vec![(at, node, PlannedNodeEvent::Drain), (at + 5000, node, PlannedNodeEvent::Stop)],
+        false => vec![(at, node, PlannedNodeEvent::Stop)],
     };
-    let mut expected = [ends(0, 200_000), ends(1, 200_000)].concat();
+    let mut expected = [stop_events(0, 200_000), stop_events(1, 200_000)].concat();
     expected
         .extend([(300_000, 0, PlannedNodeEvent::StartCold), (400_000, 2, PlannedNodeEvent::SetSpeed(0.5))]);
     expected.sort_by_key(|event| event.0);
     assert_eq!((events, plan.unmapped_machine_rows), (expected, 2));
 }
 
-/// Weights add up to one, the heaviest first; no two shard requests of a query are for the same shard.
+/// The weights of a query add up to one and descend, and no two of its shard requests use the same shard.
 #[rstest]
 fn weights_of_shard_requests_add_up_to_one() {
     for entry in plan(config(), &rows()).unwrap().entries {
@@ -217,35 +229,35 @@
 #[case(ReplayConfig { to: 0, ..config() }, PlanError::InvalidConfig("window"))]
 #[case(ReplayConfig { time_scale: f64::NAN, ..config() }, PlanError::InvalidConfig("time_scale"))]
 #[case(ReplayConfig { shards: 3, ..config() }, PlanError::InvalidConfig("shard_requests"))]
-fn says_why_there_is_no_plan(#[case] config: ReplayConfig, #[case] why: PlanError) {
-    assert_eq!(plan(config, &rows()), Err(why));
+fn reports_planning_errors(#[case] config: ReplayConfig, #[case] error: PlanError) {
+    assert_eq!(plan(config, &rows()), Err(error));
 }
 
-/// A file that comes slower than anything is played, a byte at a time, is the same plan: it is made before
-/// the day begins, so that a slow reader puts off the start and nothing else.
+/// A file that is read one byte at a time gives the same plan. Planning ends before the replay starts, so a slow
+/// reader delays the start and changes nothing else.
 #[rstest]
-fn a_slow_reader_changes_nothing() {
-    struct Trickle<'a>(&'a [u8]);
-    impl std::io::Read for Trickle<'_> {
-        fn read(&mut self, to: &mut [u8]) -> std::io::Result<usize> {
-            let one = self.0.len().min(to.len()).min(1);
-            let (now, later) = self.0.split_at(one);
-            to[..one].copy_from_slice(now);
-            self.0 = later;
-            Ok(one)
+fn slow_reads_do_not_change_the_plan() {
+    struct OneByteReader<'a>(&'a [u8]);
+    impl std::io::Read for OneByteReader<'_> {
+        fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
+            let length = self.0.len().min(buffer.len()).min(1);
+            let (byte, rest) = self.0.split_at(length);
+            buffer[..length].copy_from_slice(byte);
+            self.0 = rest;
+            Ok(length)
         }
     }
     let text: String =
         (0..200).map(|no| format!("{},,{no},0,,0,u{},1,1,0.1,0.1,0,0\n", 100_000_000 + no, no % 7)).collect();
     let layout = cluster_trace::find_layout("google-2011-task-events").unwrap();
-    let digest = |from: &mut dyn Iterator<Item = cluster_trace::RowOutcome>| {
+    let digest = |outcomes: &mut dyn Iterator<Item = cluster_trace::RowOutcome>| {
         let mut planner = Planner::new(config()).unwrap();
-        for outcome in from {
+        for outcome in outcomes {
             let cluster_trace::RowOutcome::Accepted(row) = outcome else { panic!("{outcome:?}") };
             planner.add_row(&row).unwrap();
         }
         planner.finish().unwrap().digest()
     };
-    let slow = digest(&mut cluster_trace::TraceReader::new(layout, Trickle(text.as_bytes())).unwrap());
+    let slow = digest(&mut cluster_trace::TraceReader::new(layout, OneByteReader(text.as_bytes())).unwrap());
     assert_eq!(slow, digest(&mut cluster_trace::TraceReader::new(layout, text.as_bytes()).unwrap()));
 }
--- a/crates/cluster-trace/tests/readers.rs
+++ b/crates/cluster-trace/tests/readers.rs
@@ -1,9 +1,9 @@
-//! Hand-written rows in the published layouts: each bad one is rejected with its reason, and every line has
-//! an outcome.
+//! Reading of hand-written rows in the published layouts: each invalid row is rejected with the right reason, and
+//! every line has exactly one outcome.
 
 use cluster_trace::{
-    LAYOUTS, MAX_LINE_BYTES, MachineEvent, PolicyViolation, ReadSummary, RejectionPolicy, Row, RowDetail,
-    RowOutcome, RowSorter, SortWindow, TraceId, TraceReader, find_layout,
+    HashedId, LAYOUTS, MAX_LINE_BYTES, MachineEvent, PolicyViolation, ReadSummary, RejectionPolicy, Row,
+    RowDetail, RowOutcome, RowSorter, SortWindow, TraceReader, find_layout,
 };
 use flate2::Compression;
 use flate2::write::GzEncoder;
@@ -17,7 +17,7 @@
 const INSTANCE: &str = "alibaba-2018-batch-instance";
 const VM: &str = "azure-2017-vmtable";
 
-/// A valid row of each layout.
+/// Returns a valid row of the layout.
 fn valid_row(name: &str) -> &'static str {
     match name {
         TASK => "600000000,,3418309,0,4155527081,0,fadkjh=,3,9,0.125,0.07446,0.0004244,0",
@@ -25,7 +25,7 @@
         BATCH => "task_Nzg3ODAwNDgzMTAwNTc2NTQ2,2,j_3,12,Terminated,157213,157295,100.00,0.29",
         INSTANCE => "ins_1,M1,j_3,1,Terminated,157213,157295,m_23,1,1,43,115,0.05,0.05",
         VM => "vm+1,sub/1,dep=1,0,2591700,99.3,3.42,10.19,Interactive,2,4",
-        other => panic!("{other}"),
+        other => panic!("no valid row for layout {other}"),
     }
 }
 
@@ -50,10 +50,10 @@
     let outcomes = read(name, valid_row(name).as_bytes());
     let [RowOutcome::Accepted(row)] = &outcomes[..] else { panic!("{outcomes:?}") };
     let RowDetail::Work { job: j, task: t, .. } = &row.detail else { panic!("{row:?}") };
-    assert_eq!((row.at, *j, *t), (at, TraceId::of(job), TraceId::of(task)));
+    assert_eq!((row.at, *j, *t), (at, HashedId::from_name(job), HashedId::from_name(task)));
 }
 
-/// One field changed: the rejection has line, column, value, allowed values and reason.
+/// A row with one invalid field is rejected with its line, column, allowed values and reason.
 #[rstest]
 #[case(TASK, 0, "-5", "negative", "timestamp")]
 #[case(TASK, 0, "", "missing-value", "timestamp")]
@@ -71,15 +71,15 @@
 #[case(BATCH, 1, "2.5", "not-a-number", "instance_num")]
 #[case(VM, 4, "x", "not-a-number", "vmdeleted")]
 #[case(VM, 8, "Sleepy", "unknown-event", "vmcategory")]
-fn reports_what_is_wrong(
+fn reports_invalid_fields(
     #[case] name: &str,
-    #[case] at: usize,
-    #[case] holds: &str,
+    #[case] index: usize,
+    #[case] value: &str,
     #[case] code: &str,
     #[case] column: &str,
 ) {
     let mut fields: Vec<&str> = valid_row(name).split(',').collect();
-    fields[at] = holds;
+    fields[index] = value;
     let text = format!("{}\n{}\n", valid_row(name), fields.join(","));
     let outcomes = read(name, text.as_bytes());
     let [RowOutcome::Accepted(_), RowOutcome::Rejected(rejected)] = &outcomes[..] else {
@@ -89,7 +89,7 @@
     assert!(!rejected.allowed.is_empty() && rejected.to_string().contains(column), "{rejected}");
 }
 
-/// Lines that no row can be, among valid ones: each has one outcome, and the line after it is accepted.
+/// A line that cannot be a row has one outcome, and the valid line after it is accepted.
 #[rstest]
 #[case(b"1,2,3".to_vec(), "columns-missing")]
 #[case([valid_row(TASK).as_bytes(), b",1"].concat(), "columns-extra")]
@@ -99,13 +99,13 @@
 #[case(valid_row(TASK).replace("fadkjh=", "fad\0kjh").into_bytes(), "not-utf8")]
 #[case([b"600000000,,3418309,0,4155527081,0,", &[0xff, 0xfe][..], b",3,9,0.125,0.07446,0.0004244,0"].concat(), "not-utf8")]
 #[case(vec![b'7'; 5 << 20], "too-long")]
-fn goes_on_after_a_faulty_line(#[case] line: Vec<u8>, #[case] code: &str) {
+fn continues_after_an_invalid_line(#[case] line: Vec<u8>, #[case] code: &str) {
     let text =
         [valid_row(TASK).as_bytes(), b"\n", &line, b"\n", valid_row(TASK).as_bytes(), b"\r\n"].concat();
     assert_eq!(reasons(&read(TASK, &text)), ["accepted", code, "accepted"]);
 }
 
-/// A quoted field with a comma in it is one field.
+/// A quoted field may contain commas and doubled quotes.
 #[rstest]
 fn reads_quoted_fields() {
     let text = valid_row(TASK).replace("fadkjh=", "\"fad,\"\"kjh\"");
@@ -113,10 +113,10 @@
     let [RowOutcome::Accepted(Row { detail: RowDetail::Work { tenant, .. }, .. })] = &outcomes[..] else {
         panic!("{outcomes:?}")
     };
-    assert_eq!(*tenant, TraceId::of("fad,\"kjh"));
+    assert_eq!(*tenant, HashedId::from_name("fad,\"kjh"));
 }
 
-fn packed(text: &[u8]) -> Vec<u8> {
+fn gzip(text: &[u8]) -> Vec<u8> {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::default());
     encoder.write_all(text).unwrap();
     encoder.finish().unwrap()
@@ -126,31 +126,36 @@
 fn reads_gzip_and_reports_a_truncated_file() {
     let text: String =
         (0..5000).map(|no| valid_row(TASK).replace("3418309", &no.to_string()) + "\n").collect();
-    let whole = packed(text.as_bytes());
+    let whole = gzip(text.as_bytes());
     assert_eq!(read(TASK, &whole).len(), 5000);
     let outcomes = read(TASK, &whole[..whole.len() / 2]);
     let codes = reasons(&outcomes);
     assert_eq!(codes.last(), Some(&"ends-midway"));
     assert!(codes[..codes.len() - 1].iter().all(|code| *code == "accepted"));
-    // A plain one that was cut in its last line.
-    let cut = format!("{}\n{}", valid_row(TASK), &valid_row(TASK)[..30]);
-    assert_eq!(reasons(&read(TASK, cut.as_bytes())), ["accepted", "ends-midway"]);
-    assert_eq!(reasons(&read(TASK, valid_row(TASK).as_bytes())), ["accepted"], "a last line needs no end");
+    // An uncompressed file that is truncated in its last line.
+    let truncated = format!("{}\n{}", valid_row(TASK), &valid_row(TASK)[..30]);
+    assert_eq!(reasons(&read(TASK, truncated.as_bytes())), ["accepted", "ends-midway"]);
+    assert_eq!(
+        reasons(&read(TASK, valid_row(TASK).as_bytes())),
+        ["accepted"],
+        "the last line may lack a line end"
+    );
 }
 
-// ---- row sorter
+// Row sorter
 
 const SECOND: u64 = 1_000_000;
 
-/// Sorts rows of these seconds: the seconds that were released, the reasons of the others by line, and the
-/// number of clock steps.
-fn ordered(seconds: &[u64]) -> (Vec<u64>, Vec<(u64, &'static str)>, usize) {
-    let window = SortWindow { max_lateness: 5 * SECOND, max_leap: 3600 * SECOND, max_rows: 64, step_rows: 4 };
+/// Sorts rows with the given timestamps. Returns the timestamps of the released rows in seconds, the line and reason
+/// of each rejected row, and the number of clock steps.
+fn sort_seconds(seconds: &[u64]) -> (Vec<u64>, Vec<(u64, &'static str)>, usize) {
+    let window =
+        SortWindow { max_lateness: 5 * SECOND, max_jump: 3600 * SECOND, max_rows: 64, min_step_rows: 4 };
     let mut sorter = RowSorter::new(window);
     let mut out = Vec::new();
-    for (at, second) in seconds.iter().enumerate() {
+    for (index, second) in seconds.iter().enumerate() {
         let row = Row {
-            line: at as u64 + 1,
+            line: index as u64 + 1,
             at: second * SECOND,
             machine: None,
             cpu: None,
@@ -160,7 +165,7 @@
         sorter.add(row, &mut out);
     }
     sorter.finish(&mut out);
-    assert_eq!(out.len(), seconds.len(), "each row has an outcome");
+    assert_eq!(out.len(), seconds.len(), "each row must have one outcome");
     let (mut released, mut rejections) = (Vec::new(), Vec::new());
     for outcome in out {
         match outcome {
@@ -180,29 +185,29 @@
 #[case::held_at_the_end(&[100, 20], &[100], &[(2, "too-late")])]
 #[case::a_gap(&[10, 9000, 9001, 9002, 9003, 9004], &[10, 9000, 9001, 9002, 9003, 9004], &[])]
 fn sorts(#[case] seconds: &[u64], #[case] released: &[u64], #[case] rejections: &[(u64, &str)]) {
-    let (out, rejected, steps) = ordered(seconds);
+    let (out, rejected, steps) = sort_seconds(seconds);
     assert_eq!((&out[..], &rejected[..], steps), (released, rejections, 0));
 }
 
-/// A clock that was set back by a minute: time goes on where it was, with the same distances, and nothing is
-/// lost.
+/// After the clock is set back by a minute, time continues from the newest row with the same intervals, and no row
+/// is rejected.
 #[rstest]
-fn goes_on_where_a_clock_stepped_back() {
-    let (out, rejected, steps) = ordered(&[100, 101, 102, 40, 41, 42, 43, 44, 45]);
+fn continues_time_after_a_backward_clock_step() {
+    let (out, rejected, steps) = sort_seconds(&[100, 101, 102, 40, 41, 42, 43, 44, 45]);
     assert_eq!(
         (&out[..], &rejected[..], steps),
         (&[100, 101, 102, 102, 103, 104, 105, 106, 107][..], &[][..], 1)
     );
 }
 
-/// Thousands in one microsecond stay in the order of their lines, and the window stays bounded.
+/// Thousands of rows with the same timestamp exceed the window's row limit, and all of them are released.
 #[rstest]
-fn sorts_thousands_of_the_same_time() {
-    let (out, rejected, _) = ordered(&vec![7; 5000]);
+fn sorts_many_rows_with_equal_timestamps() {
+    let (out, rejected, _) = sort_seconds(&vec![7; 5000]);
     assert_eq!((out.len(), rejected.len()), (5000, 0));
 }
 
-// ---- read summary
+// Read summary
 
 fn summarize(
     policy: RejectionPolicy,
@@ -228,36 +233,45 @@
         (counts, summary.accepted, violation),
         (vec![("duplicate", 1), ("unknown-machine", 1)], 3, None)
     );
-    // Where no machines are listed, none can be unknown.
+    // If the trace does not list its machines, no machine is treated as unknown.
     assert_eq!(summarize(RejectionPolicy::SkipAndCount, false, MACHINE, "10,6,1,p,0.5,0.2\n").0.accepted, 1);
 }
 
 #[rstest]
-fn applies_its_policy() {
-    let good: String =
+fn applies_the_rejection_policy() {
+    let valid_lines: String =
         (0..2000).map(|no| valid_row(TASK).replace("3418309", &no.to_string()) + "\n").collect();
-    let (_, violation) = summarize(RejectionPolicy::StopAtFirst, false, TASK, &format!("{good}\n{good}"));
+    let (_, violation) =
+        summarize(RejectionPolicy::StopAtFirst, false, TASK, &format!("{valid_lines}\n{valid_lines}"));
     assert!(matches!(violation, Some(PolicyViolation::FirstRejected(rejected)) if rejected.line == 2001));
-    let bad = "x\n".repeat(150);
-    let (summary, violation) =
-        summarize(RejectionPolicy::StopAboveShare(0.1), false, TASK, &format!("{bad}{good}"));
+    let invalid_lines = "x\n".repeat(150);
+    let (summary, violation) = summarize(
+        RejectionPolicy::StopAboveShare(0.1),
+        false,
+        TASK,
+        &format!("{invalid_lines}{valid_lines}"),
+    );
     assert_eq!(
         (violation, summary.lines),
         (Some(PolicyViolation::ShareExceeded { rejected: 150, lines: 1000 }), 1000)
     );
-    let (summary, violation) =
-        summarize(RejectionPolicy::StopAboveShare(0.2), false, TASK, &format!("{bad}{good}"));
+    let (summary, violation) = summarize(
+        RejectionPolicy::StopAboveShare(0.2),
+        false,
+        TASK,
+        &format!("{invalid_lines}{valid_lines}"),
+    );
     assert_eq!((violation, summary.accepted, summary.rejected_count()), (None, 2000, 150));
 }
 
-/// The same sequences in every run, unless PROPTEST_RNG_SEED names others; a failure prints what it failed
-/// with.
+/// Returns a fixed seed so that every run tests the same cases, unless `PROPTEST_RNG_SEED` sets another. A failure
+/// prints its input.
 fn seed() -> proptest::test_runner::RngSeed {
-    let told = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
-    proptest::test_runner::RngSeed::Fixed(told.unwrap_or(1))
+    let from_env = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
+    proptest::test_runner::RngSeed::Fixed(from_env.unwrap_or(1))
 }
 
-/// A line: valid, cut, with bytes put in, or noise; none holds a line's end.
+/// Generates a line that is valid, truncated, has inserted bytes, or is random. It contains no line end.
 fn line() -> impl Strategy<Value = Vec<u8>> {
     let names = prop_oneof![Just(TASK), Just(MACHINE), Just(BATCH), Just(VM)];
     prop_oneof![
@@ -284,15 +298,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default() })]
 
-    /// Whatever stands in a file: no panic, and each line has one outcome, also behind the sorter and
-    /// the summary.
+    /// For arbitrary file contents, reading does not panic, and each line has one outcome that the sorter and the
+    /// summary preserve.
     #[test]
-    fn accounts_for_every_line(lines in proptest::collection::vec(line(), 0..20), which in 0..LAYOUTS.len()) {
+    fn accounts_for_every_line(lines in proptest::collection::vec(line(), 0..20), layout_index in 0..LAYOUTS.len()) {
         let text: Vec<u8> = lines.iter().flat_map(|line| [&line[..], b"\n"].concat()).collect();
         let mut sorter = RowSorter::new(SortWindow::default());
         let mut summary = ReadSummary::new(RejectionPolicy::SkipAndCount, true);
         let (mut out, mut numbers) = (Vec::new(), Vec::new());
-        for outcome in TraceReader::new(&LAYOUTS[which], &text[..]).unwrap() {
+        for outcome in TraceReader::new(&LAYOUTS[layout_index], &text[..]).unwrap() {
             match outcome {
                 RowOutcome::Accepted(row) => {
                     numbers.push(row.line);
@@ -312,12 +326,12 @@
     }
 }
 
-/// Read ahead on other threads, over many blocks, each line has the outcome that it has on one thread; a user
-/// that stops midway leaves no thread behind that waits for ever, and a slow one loses nothing.
+/// A file of many blocks that is read ahead on background threads has the same outcomes as on a single thread, also
+/// with a slow consumer. A consumer that stops early must not leave a thread waiting for ever.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn reading_ahead_has_the_same_outcomes(#[case] packed: bool) {
+fn read_ahead_gives_the_same_outcomes(#[case] is_gzip: bool) {
     let mut text = Vec::new();
     for no in 0..20_000_u64 {
         let row = match no % 97 {
@@ -330,27 +344,27 @@
         text.extend(row.bytes());
     }
     text.extend(b"20000,5,0");
-    if packed {
-        let mut to = GzEncoder::new(Vec::new(), Compression::fast());
-        to.write_all(&text).unwrap();
-        text = to.finish().unwrap();
+    if is_gzip {
+        let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+        encoder.write_all(&text).unwrap();
+        text = encoder.finish().unwrap();
         text.truncate(text.len() - 9);
     }
-    let file = std::env::temp_dir().join(format!("cluster-trace-{}-{packed}.csv", std::process::id()));
+    let file = std::env::temp_dir().join(format!("cluster-trace-{}-{is_gzip}.csv", std::process::id()));
     std::fs::write(&file, &text).unwrap();
     let open = || TraceReader::open(find_layout(MACHINE).unwrap(), &file).unwrap();
-    let ahead: Vec<RowOutcome> = open().collect();
-    assert!(open().take(5_000).count() == 5_000, "and lets go of the rest");
-    let slow = open().enumerate().map(|(no, outcome)| {
+    let read_ahead: Vec<RowOutcome> = open().collect();
+    assert!(open().take(5_000).count() == 5_000, "a consumer that stops early must get its rows");
+    let slow_consumer = open().enumerate().map(|(no, outcome)| {
         if no % 4_000 == 0 {
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
         outcome
     });
-    assert!(slow.eq(read(MACHINE, &text)), "slowly read");
+    assert!(slow_consumer.eq(read(MACHINE, &text)), "a slow consumer must get the same outcomes");
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(reasons(&ahead), reasons(&read(MACHINE, &text)));
-    assert_eq!(ahead, read(MACHINE, &text));
-    assert_eq!(reasons(&ahead).last(), Some(&"ends-midway"));
-    assert!(ahead.len() > 19_000);
+    assert_eq!(reasons(&read_ahead), reasons(&read(MACHINE, &text)));
+    assert_eq!(read_ahead, read(MACHINE, &text));
+    assert_eq!(reasons(&read_ahead).last(), Some(&"ends-midway"));
+    assert!(read_ahead.len() > 19_000);
 }
