--- a/crates/cluster-trace/src/plan/planner.rs
+++ b/crates/cluster-trace/src/plan/planner.rs
@@ -86,6 +86,7 @@
 #[derive(Clone, Copy)]
 struct InitialNodeState {
     is_up: bool,
+    /// Share of the initial speed, from 0 to 1.
     speed: f64,
 }
 
--- a/crates/cluster-trace/src/trace_reader.rs
+++ b/crates/cluster-trace/src/trace_reader.rs
@@ -34,10 +34,11 @@
 /// An iterator over the outcomes of all lines of a file, in line order.
 pub struct TraceReader<'a> {
     outcome_source: OutcomeSource<'a>,
+    /// Outcomes of the current block that have not been yielded.
     ready: std::vec::IntoIter<RowOutcome>,
 }
 
-/// The threads on which blocks of lines are read and validated.
+/// The source of outcomes: the caller's thread or background threads.
 enum OutcomeSource<'a> {
     SameThread { layout: &'static Layout, blocks: BlockReader<Source<'a>> },
     ReadAhead(ReadAhead),
