--- a/crates/broker-bench/src/loopback/tests.rs
+++ b/crates/broker-bench/src/loopback/tests.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 fn replay_config() -> ReplayConfig {
-    let retry_budget = Some(RetryBudget { floor: 3.0, ratio: 0.1, window_ms: 5000 });
+    let retry_budget = Some(RetryBudget { min_retries: 3.0, ratio: 0.1, window_ms: 5000 });
     ReplayConfig {
         to: 4_000_000,
         nodes: 6,
--- a/crates/broker-bench/src/simulation/deployment.rs
+++ b/crates/broker-bench/src/simulation/deployment.rs
@@ -55,7 +55,7 @@
 fn retry_budget(replay: &ReplayConfig) -> Option<RetryBudget> {
     let budget = replay.retry_budget?;
     let window = TimeSpan::from_ms(f64::from(budget.window_ms));
-    Some(RetryBudget { min_retries: budget.floor, ratio: budget.ratio, window })
+    Some(RetryBudget { min_retries: budget.min_retries, ratio: budget.ratio, window })
 }
 
 /// The quota of each tenant, in queries a second; empty where there are none.
--- a/crates/broker-bench/src/simulation/settings_text.rs
+++ b/crates/broker-bench/src/simulation/settings_text.rs
@@ -95,7 +95,7 @@
         "StopSendingWithinMs": DRAIN_GRACE.as_ms(),
     });
     if let Some(budget) = replay.retry_budget {
-        rules["ExtraFloor"] = json!(budget.floor);
+        rules["ExtraFloor"] = json!(budget.min_retries);
         rules["ResendRatio"] = json!(budget.ratio);
         rules["BudgetWindowMs"] = json!(budget.window_ms);
     }
--- a/crates/broker-bench/src/simulation/tests.rs
+++ b/crates/broker-bench/src/simulation/tests.rs
@@ -40,7 +40,7 @@
         quota_per_s: None,
         drain_share: 0.0,
         drain_duration: 20_000,
-        retry_budget: Some(RetryBudget { floor: 3.0, ratio: 0.05, window_ms: 5000 }),
+        retry_budget: Some(RetryBudget { min_retries: 3.0, ratio: 0.05, window_ms: 5000 }),
         max_entries: 1_000_000,
     }
 }
--- a/crates/broker-bench/src/trace_plan.rs
+++ b/crates/broker-bench/src/trace_plan.rs
@@ -86,7 +86,8 @@
     /// The replay that the arguments ask for.
     pub fn replay_config(&self) -> ReplayConfig {
         let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as u64;
-        let retry_budget = |ratio| RetryBudget { floor: RETRY_FLOOR, ratio, window_ms: RETRY_WINDOW_MS };
+        let retry_budget =
+            |ratio| RetryBudget { min_retries: RETRY_FLOOR, ratio, window_ms: RETRY_WINDOW_MS };
         ReplayConfig {
             seed: self.seed,
             from: micros(self.from),
--- a/crates/cluster-trace/src/plan/replay_config.rs
+++ b/crates/cluster-trace/src/plan/replay_config.rs
@@ -153,7 +153,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Number of retries per window that are allowed regardless of the ratio.
-    pub floor: f64,
+    pub min_retries: f64,
     /// Number of further retries, as a share of the shard requests accepted in the window.
     pub ratio: f64,
     /// Length of the window, in milliseconds.
