--- a/crates/broker-bench/src/trace_plan.rs
+++ b/crates/broker-bench/src/trace_plan.rs
@@ -88,7 +88,8 @@
     /// Returns the replay configuration for these arguments.
     pub fn replay_config(&self) -> ReplayConfig {
         let to_micros = |seconds: f64| (seconds.max(0.0) * 1e6) as u64;
-        let retry_budget = |ratio| RetryBudget { floor: RETRY_FLOOR, ratio, window_ms: RETRY_WINDOW_MS };
+        let retry_budget =
+            |ratio| RetryBudget { min_retries: RETRY_FLOOR, ratio, window_ms: RETRY_WINDOW_MS };
         ReplayConfig {
             seed: self.seed,
             from: to_micros(self.from),
