--- a/crates/admission-control/src/config.rs
+++ b/crates/admission-control/src/config.rs
@@ -57,7 +57,7 @@
 
 /// The error for a setting whose value is out of bounds.
 #[derive(Clone, Debug, Error, PartialEq)]
-#[error("`{key}` is {found}: {allowed}")]
+#[error("`{key}` is {found}, expected {allowed}")]
 pub struct InvalidValue {
     /// The key of the setting in the operator's configuration.
     pub key: &'static str,
@@ -100,15 +100,15 @@
         let is_open_ratio = |value: f64| value > 0.0 && value < 1.0;
         let is_increase = self.increase_ratio > 0.0 && self.increase_ratio <= 1.0;
         [
-            check("level", self.overload_threshold, is_open_ratio(self.overload_threshold), "over 0 and under 1"),
-            check("window_ms", self.window.as_ms(), self.window >= TimeSpan(1000), "100 at least"),
-            check("decrease", self.decrease_factor, is_open_ratio(self.decrease_factor), "over 0 and under 1"),
-            check("increase", self.increase_ratio, is_increase, "over 0, 1 at most"),
-            check("open_above", self.recovery_headroom, self.recovery_headroom >= 1.0, "1 at least"),
-            check("burst_ms", self.burst.as_ms(), self.burst >= TimeSpan::ZERO, "0 and up"),
-            check("retry_share", self.retry_ratio, self.retry_ratio >= 0.0, "0 and up"),
-            check("retry_floor", self.min_retries, self.min_retries >= 0.0, "0 and up"),
-            check("most_callers", f64::from(self.max_tenants), self.max_tenants >= 1, "1 at least"),
+            check("level", self.overload_threshold, is_open_ratio(self.overload_threshold), "a number greater than 0 and less than 1"),
+            check("window_ms", self.window.as_ms(), self.window >= TimeSpan(1000), "at least 100"),
+            check("decrease", self.decrease_factor, is_open_ratio(self.decrease_factor), "a number greater than 0 and less than 1"),
+            check("increase", self.increase_ratio, is_increase, "a number greater than 0 and at most 1"),
+            check("open_above", self.recovery_headroom, self.recovery_headroom >= 1.0, "at least 1"),
+            check("burst_ms", self.burst.as_ms(), self.burst >= TimeSpan::ZERO, "at least 0"),
+            check("retry_share", self.retry_ratio, self.retry_ratio >= 0.0, "at least 0"),
+            check("retry_floor", self.min_retries, self.min_retries >= 0.0, "at least 0"),
+            check("most_callers", f64::from(self.max_tenants), self.max_tenants >= 1, "at least 1"),
         ]
     }
 }
--- a/crates/operator-config/src/operator_config_error.rs
+++ b/crates/operator-config/src/operator_config_error.rs
@@ -38,7 +38,7 @@
         nearest: &'static str,
     },
     /// A key is set more than once.
-    #[error("line {line}: duplicate key `{key}` in section [{section}]")]
+    #[error("line {line}: `{key}` in section [{section}] is set more than once, first on this line")]
     DuplicateKey {
         /// Line of the first occurrence of the key.
         line: usize,
@@ -62,7 +62,7 @@
         allowed: String,
     },
     /// A key is missing that other keys of its section require.
-    #[error("section [{section}] requires `{key}`")]
+    #[error("`{key}` is missing in section [{section}]: the other keys of the section require it")]
     MissingKey {
         /// Section that lacks the key.
         section: &'static str,
@@ -70,7 +70,7 @@
         key: &'static str,
     },
     /// An upper bound is less than the value it limits.
-    #[error("`{key}` in section [control] must not be less than `{lower_key}`")]
+    #[error("`{key}` in section [control] is less than `{lower_key}`, expected at least the same value")]
     WrongOrder {
         /// Key of the upper bound.
         key: &'static str,
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -43,7 +43,10 @@
 }
 
 #[rstest]
-#[case("[admission]\nlevel = 0.2\n", "section [admission] requires `door = on`")]
+#[case(
+    "[admission]\nlevel = 0.2\n",
+    "`door = on` is missing in section [admission]: the other keys of the section require it"
+)]
 #[case("[admission]\ndoor = yes\n", "line 2: `door` in section [admission] is `yes`, expected `off` or `on`")]
 #[case(
     "[admission]\ndoor = on\nlevel = 1\n",
@@ -73,8 +76,14 @@
     "line 2: `services` in section [control] is `north`, \
         expected a comma-separated list of addresses such as `127.0.0.1:18000`"
 )]
-#[case("[control]\nservices = 127.0.0.1:1\n", "section [control] requires `installation`")]
-#[case("[control]\ntrial_ms = 5\n", "section [control] requires `services`")]
+#[case(
+    "[control]\nservices = 127.0.0.1:1\n",
+    "`installation` is missing in section [control]: the other keys of the section require it"
+)]
+#[case(
+    "[control]\ntrial_ms = 5\n",
+    "`services` is missing in section [control]: the other keys of the section require it"
+)]
 #[case(
     "[control]\ntrial_ms = 0\n",
     "line 2: `trial_ms` in section [control] is `0`, expected a number from 1 to 86400000"
@@ -85,11 +94,11 @@
 )]
 #[case(
     "[control]\nservices = 127.0.0.1:1\nservices = 127.0.0.1:2\n",
-    "line 2: duplicate key `services` in section [control]"
+    "line 2: `services` in section [control] is set more than once, first on this line"
 )]
 #[case(
     "[control]\nservices = 127.0.0.1:1\ninstallation = n\nlongest_trial_ms = 5\n",
-    "`longest_trial_ms` in section [control] must not be less than `trial_ms`"
+    "`longest_trial_ms` in section [control] is less than `trial_ms`, expected at least the same value"
 )]
 #[case("[control\n", "line 2, column 1: invalid INI syntax: expecting \"[Some(']')]\" but found EOF.")]
 fn error_states_line_key_and_expected_values(#[case] text: &str, #[case] expected: &str) {
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -75,5 +75,11 @@
         .replace("services = 127.0.0.1:18000, [::1]:18001", "services =")
         .replace("door = on", "door = off");
     let errors: Vec<String> = read(&shipped).unwrap_err().iter().map(ToString::to_string).collect();
-    assert_eq!(errors, ["section [admission] requires `door = on`", "section [control] requires `services`"]);
+    assert_eq!(
+        errors,
+        [
+            "`door = on` is missing in section [admission]: the other keys of the section require it",
+            "`services` is missing in section [control]: the other keys of the section require it"
+        ]
+    );
 }
