--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Error)]
 pub enum MigrationError {
     /// The old file is not a JSON object.
-    #[error("failed to parse the old file: {0}")]
+    #[error("failed to parse the old file as a JSON object: {0}")]
     Syntax(#[source] serde_json::Error),
     /// The old file has no key `settings`, or its value is not an object.
-    #[error("failed to parse the old file: expected an object at `settings`")]
+    #[error("the old file has no settings: expected an object at `settings`")]
     NoSettings,
     /// The broker's zone is not a zone of the new deployment.
-    #[error("unknown zone `{zone}`, expected one of: {zones}")]
+    #[error("unknown zone `{zone}`, expected one of the zones in the shape file: {zones}")]
     UnknownZone {
         /// Name of the broker's zone.
         zone: String,
@@ -21,7 +21,7 @@
         zones: String,
     },
     /// The new deployment has zones, but neither the shape file nor the caller provides the zone of the broker.
-    #[error("`zone` is missing: set the broker's zone in section [fleet] or with --zone")]
+    #[error("`zone` is missing: set the broker's zone in section [fleet] of the shape file or with --zone")]
     MissingZone,
     /// The new settings can't be parsed as a document.
     #[error(transparent)]
@@ -30,6 +30,6 @@
     #[error(transparent)]
     Invalid(#[from] ValidationError),
     /// The new file can't be serialized.
-    #[error("failed to serialize the new file: {0}")]
+    #[error("failed to serialize the new file as JSON: {0}")]
     Unwritable(#[source] serde_json::Error),
 }
--- a/crates/settings-migration/src/tests.rs
+++ b/crates/settings-migration/src/tests.rs
@@ -51,7 +51,10 @@
 /// The caller may provide the zone of a broker, which must be a zone of the new deployment.
 #[rstest]
 #[case(Some("mantova"), Ok(2))]
-#[case(Some("north"), Err("unknown zone `north`, expected one of: brescia, cremona, mantova"))]
+#[case(
+    Some("north"),
+    Err("unknown zone `north`, expected one of the zones in the shape file: brescia, cremona, mantova")
+)]
 #[case(None, Err("`zone` is missing"))]
 fn caller_provides_the_zone_by_name(#[case] zone: Option<&str>, #[case] expected: Result<u64, &str>) {
     let layout = DeploymentLayout::read(&SHAPE.replace("zone = cremona\n", "")).unwrap();
