--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -244,7 +244,7 @@
     service.stop();
     let broker = start(&service);
     assert_eq!((broker.status().number, &broker.status().rollout_state[..]), (0, "own file"));
-    assert!(broker.log.iter().any(|line| line.contains(": corrupt: ")), "{:#?}", broker.log);
+    assert!(broker.log.iter().any(|line| line.contains(": the file is corrupt: ")), "{:#?}", broker.log);
 }
 
 /// A broker is killed while a version is on probation, and later after it has withdrawn one. After a restart the
--- a/crates/config-rollout-client/src/restore.rs
+++ b/crates/config-rollout-client/src/restore.rs
@@ -23,7 +23,7 @@
 
 /// A state file whose version was not used, with the reason.
 #[derive(Debug, Error)]
-#[error("{}: {reason}", path.display())]
+#[error("failed to restore the version in state file {}: {reason}", path.display())]
 pub struct UnusedStateFile {
     /// The path of the state file.
     pub path: PathBuf,
--- a/crates/config-rollout-client/src/state_file.rs
+++ b/crates/config-rollout-client/src/state_file.rs
@@ -117,10 +117,10 @@
     #[error("failed to read the file: {0}")]
     Io(#[source] io::Error),
     /// The first line is not that of a state file.
-    #[error("unknown format: the first line is not that of a state file")]
+    #[error("unknown format: expected `barleydrum kept version, form 1` as the first line")]
     UnknownFormat,
     /// The file has the format of a state file but differs from what was written.
-    #[error("corrupt: {0}")]
+    #[error("the file is corrupt: {0}")]
     Corrupt(#[source] Corruption),
 }
 
@@ -128,19 +128,19 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Corruption {
     /// The file is empty.
-    #[error("the file is empty")]
+    #[error("it is empty")]
     Empty,
     /// The file ends within its first two lines.
-    #[error("the file ends within its first two lines")]
+    #[error("it ends within its first two lines, the format and the checksum")]
     Truncated,
     /// The file exceeds the maximum size of a state file.
-    #[error("the file exceeds the maximum size of a state file")]
+    #[error("it exceeds the maximum size of a state file")]
     TooLong,
     /// The checksum does not match the contents.
-    #[error("the checksum does not match the contents")]
+    #[error("the checksum on its second line does not match the contents")]
     Checksum,
     /// The checksum matches, but the contents cannot be decoded.
-    #[error("the contents cannot be decoded")]
+    #[error("the checksum matches, but the contents are not the Protobuf message of a stored state")]
     Undecodable,
 }
 
--- a/crates/config-rollout-client/src/status_query.rs
+++ b/crates/config-rollout-client/src/status_query.rs
@@ -49,19 +49,19 @@
 #[derive(Debug, Error)]
 pub enum StatusQueryError {
     /// The address does not form a valid endpoint.
-    #[error("{0}")]
+    #[error("invalid address of the status service: {0}")]
     Address(#[source] tonic::transport::Error),
     /// The connection could not be established.
-    #[error("connection failed: {0}")]
+    #[error("failed to connect to the status service: {0}")]
     Connect(#[source] tonic::transport::Error),
     /// The broker returned an error status.
-    #[error("{0}")]
+    #[error("the status service returned an error: {0}")]
     Status(#[source] Box<tonic::Status>),
     /// The response does not contain a version.
-    #[error("the response contains no version")]
+    #[error("the response of the status service contains no configuration version")]
     NoVersion,
     /// The request did not complete within the timeout.
-    #[error("no response within the timeout")]
+    #[error("the status service did not respond within the timeout")]
     TimedOut,
 }
 
--- a/crates/config-rollout-client/src/xds_stream.rs
+++ b/crates/config-rollout-client/src/xds_stream.rs
@@ -25,11 +25,11 @@
 /// The reason why a stream ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamError {
-    #[error("{0}")]
+    #[error("invalid address of the configuration service: {0}")]
     Address(#[source] tonic::transport::Error),
     #[error("connection failed: {}", error_chain(.0))]
     Connect(#[source] tonic::transport::Error),
-    #[error("{}: {}", .0.code(), .0.message())]
+    #[error("stream failed with status {}: {}", .0.code(), .0.message())]
     Status(#[source] Box<tonic::Status>),
     #[error("stream ended by the service")]
     EndedByService,
