--- a/crates/xds-test-server/src/main.rs
+++ b/crates/xds-test-server/src/main.rs
@@ -115,7 +115,7 @@
             server.restart().map_err(|source| ServerError::Listen { address, source })?;
         }
         ["said"] => server.requests().iter().for_each(print_request),
-        other => println!("`{}` is unknown; use drop, forget, vanish SECONDS or said", other.join(" ")),
+        other => println!("unknown command `{}`; use drop, forget, vanish SECONDS or said", other.join(" ")),
     }
     Ok(())
 }
