--- a/crates/broker/src/codec/inbound_frame.rs
+++ b/crates/broker/src/codec/inbound_frame.rs
@@ -39,13 +39,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The frame is empty or exceeds [`FrameDecoder::max_frame_bytes`]. The value is its length in bytes.
-    #[error("invalid frame length: {0} bytes")]
+    #[error("invalid frame length: {0} bytes, expected at least 1 and at most the maximum frame length")]
     Length(usize),
     /// The frame type is unknown.
-    #[error("unknown frame type `{}`", char::from(*.0).escape_default())]
+    #[error("unknown frame type `{}`, expected `3`, `4`, `5` or `X`", char::from(*.0).escape_default())]
     UnknownKind(u8),
     /// The header of a response is malformed, or its value is not UTF-8.
-    #[error("malformed response: expected `ID RESULT SCORE REPORT`, a line feed and a UTF-8 value")]
+    #[error(
+        "malformed response: expected `ID RESULT SCORE REPORT` with RESULT `S`, `E` or `B`, a line feed \
+        and a UTF-8 value"
+    )]
     InvalidResponse,
     /// Reading from the connection failed.
     #[error(transparent)]
--- a/crates/broker/src/command/mistakes.rs
+++ b/crates/broker/src/command/mistakes.rs
@@ -53,6 +53,6 @@
             eprintln!("{}: {mistake}", file.display());
         }
         let next = "fix them and run `shard-broker check FILE` again, which does not start a broker";
-        eprintln!("{} mistakes; {next}", self.0.len());
+        eprintln!("mistakes found: {}; {next}", self.0.len());
     }
 }
--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -42,10 +42,10 @@
 #[derive(Debug, Error)]
 enum OwnSettingsError {
     /// The settings are not JSON or too long.
-    #[error("settings: {0}")]
+    #[error("failed to read `settings` in the config file: {0}")]
     Unreadable(#[source] settings::DocumentError),
     /// The settings have a mistake. This is the first one.
-    #[error("settings: {0}")]
+    #[error("invalid `settings` in the config file: {0}")]
     Invalid(ValidationError),
 }
 
--- a/crates/broker/src/config_rollout/status_command.rs
+++ b/crates/broker/src/config_rollout/status_command.rs
@@ -21,7 +21,7 @@
             return ExitCode::from(EXIT_NO_ANSWER);
         }
         Err(FetchError::Runtime(error)) => {
-            eprintln!("shard-broker: {error}");
+            eprintln!("shard-broker: failed to create the runtime of the status request: {error}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/broker/src/config_rollout_disabled.rs
+++ b/crates/broker/src/config_rollout_disabled.rs
@@ -17,7 +17,10 @@
 
 /// The operator's file enables `[control]` in a build without the feature.
 #[derive(Debug, thiserror::Error)]
-#[error("[control] is enabled, but this program is built without it (cargo build --features config-rollout)")]
+#[error(
+    "section [control] of the operator's file is enabled, but this program was built without it; \
+    rebuild it with `cargo build --features config-rollout`"
+)]
 struct RolloutDisabled;
 
 /// Rejects the `[control]` section of the operator's file.
@@ -39,7 +42,8 @@
 /// Prints that the command requires the feature and returns exit code 2.
 pub fn status(_: SocketAddr, _: Duration, _: bool) -> ExitCode {
     eprintln!(
-        "shard-broker: this program is built without `control` (cargo build --features config-rollout)"
+        "shard-broker: this program was built without the command `control`; \
+        rebuild it with `cargo build --features config-rollout`"
     );
     ExitCode::from(2)
 }
--- a/crates/broker/src/discovery/error.rs
+++ b/crates/broker/src/discovery/error.rs
@@ -19,13 +19,13 @@
     #[error("request to discovery failed: {}", format_with_sources(.0))]
     Request(#[source] legacy::Error),
     /// The response has a status other than success.
-    #[error("discovery responded with status {0}, expected success")]
+    #[error("discovery responded with status {0}, expected a 2xx status")]
     Status(http::StatusCode),
     /// The body ended early, or is longer than the limit.
     #[error("reading the response of discovery failed: {}", format_with_sources(&**.0))]
     Body(#[source] Box<dyn Error + Send + Sync>),
     /// The body could not be parsed as an endpoint list.
-    #[error("invalid endpoint list: {0}")]
+    #[error("failed to parse the endpoint list from discovery: {0}")]
     InvalidList(#[source] serde_json::Error),
     /// The response to a request for the complete list contains only changes.
     #[error("discovery sent a list of changes, expected the complete list")]
--- a/crates/broker/src/http_server/accepting.rs
+++ b/crates/broker/src/http_server/accepting.rs
@@ -64,7 +64,7 @@
     /// concerns only the connection that would have been accepted.
     fn pause_after(&self, error: &io::Error) -> Duration {
         if is_per_connection_accept_error(error) {
-            debug!(%error, "connection closed before it was accepted");
+            debug!(%error, "client connection failed before it was accepted");
             return Duration::ZERO;
         }
         warn!(%error, "accept failed");
--- a/crates/broker/src/http_server/serving.rs
+++ b/crates/broker/src/http_server/serving.rs
@@ -16,7 +16,7 @@
     /// Adds a connection, and spawns the task that serves it.
     pub(super) fn open_connection(self: &Rc<Self>, stream: TcpStream, service: Rc<impl ConnectionService>) {
         if let Err(error) = stream.set_nodelay(true) {
-            debug!(%error, "failed to set TCP_NODELAY");
+            debug!(%error, "failed to set TCP_NODELAY on a client connection");
         }
         let limits = self.query_handler.limits.clone();
         self.close_excess_idle();
--- a/crates/broker/src/limits/machine.rs
+++ b/crates/broker/src/limits/machine.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsError {
     /// The broker may use too few file descriptors.
-    #[error("limits: {sockets} sockets are too few, at least {needed} are required")]
+    #[error("`limits.sockets`: {sockets} sockets are too few, expected at least {needed}")]
     TooFewSockets {
         /// The number of available file descriptors.
         sockets: usize,
@@ -41,7 +41,7 @@
         needed: usize,
     },
     /// The broker may use too little memory.
-    #[error("limits: {memory_mb} MB of memory is not enough, at least {needed_mb} MB are required")]
+    #[error("`limits.memory_mb`: {memory_mb} MB of memory is not enough, expected at least {needed_mb} MB")]
     TooLittleMemory {
         /// The available memory in MiB.
         memory_mb: usize,
--- a/crates/broker/src/node_pool/connection_task.rs
+++ b/crates/broker/src/node_pool/connection_task.rs
@@ -71,7 +71,7 @@
     async fn serve(&self, mut stream: TcpStream) -> DisconnectReason {
         let connection = &*self.connection;
         if let Err(error) = stream.set_nodelay(true) {
-            debug!(node = %connection.address, %error, "failed to set TCP_NODELAY");
+            debug!(node = %connection.address, %error, "failed to set TCP_NODELAY on a node connection");
         }
         connection.mark_used_now();
         let (read_half, write_half) = stream.split();
--- a/crates/broker/src/node_pool/reader.rs
+++ b/crates/broker/src/node_pool/reader.rs
@@ -104,7 +104,7 @@
                 Break(DisconnectReason::InvalidData)
             }
             Some(Err(FrameError::Io(error))) => {
-                debug!(%node, %error, "connection failed");
+                debug!(%node, %error, "failed to read from the node");
                 Break(DisconnectReason::Closed)
             }
             Some(Err(error)) => {
--- a/crates/broker/src/node_pool/writer.rs
+++ b/crates/broker/src/node_pool/writer.rs
@@ -98,7 +98,7 @@
     fn check_progress(&self, result: Result<io::Result<()>, Elapsed>) -> ControlFlow<()> {
         match result {
             Ok(Ok(())) => return Continue(()),
-            Ok(Err(error)) => debug!(node = %self.connection.address, %error, "connection failed"),
+            Ok(Err(error)) => debug!(node = %self.connection.address, %error, "failed to write to the node"),
             Err(_) => warn!(node = %self.connection.address, "write to the node timed out"),
         }
         Break(())
@@ -142,7 +142,7 @@
             }
             Err(error) => {
                 self.connection.requeue(frame);
-                debug!(node = %self.connection.address, %error, "connection failed");
+                debug!(node = %self.connection.address, %error, "failed to write to the node");
                 Break(())
             }
         }
--- a/crates/broker/src/startup.rs
+++ b/crates/broker/src/startup.rs
@@ -22,10 +22,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// Neither the command line nor the environment names a config file.
-    #[error("EDGE_CONFIG is not set")]
+    #[error("no config file given: EDGE_CONFIG is not set; set it or use `shard-broker serve --config FILE`")]
     NoConfig,
     /// The config file could not be read.
-    #[error("{path}: {source}")]
+    #[error("failed to read config file {path}: {source}")]
     Unreadable {
         /// The path of the config file.
         path: String,
@@ -33,7 +33,7 @@
         source: io::Error,
     },
     /// The config file was read but is not valid.
-    #[error("{path}: {source}")]
+    #[error("invalid config file {path}: {source}")]
     InvalidFile {
         /// The path of the config file.
         path: String,
@@ -50,13 +50,15 @@
     #[error(transparent)]
     Limits(#[from] LimitsError),
     /// A required value is in neither the environment nor the config file.
-    #[error("`{key}` is missing")]
+    #[error(
+        "`{key}` is missing: add it to the config file, or set its EDGE_ environment variable at startup"
+    )]
     Missing {
         /// The key of the value in the config file.
         key: &'static str,
     },
     /// An address can't be parsed.
-    #[error("`{key}` is `{text}`: {source}")]
+    #[error("`{key}` is `{text}`, expected an IP address and a port such as `127.0.0.1:18000`: {source}")]
     Address {
         /// The key of the address in the config file.
         key: &'static str,
