--- a/crates/routing/src/broker/admit.rs
+++ b/crates/routing/src/broker/admit.rs
@@ -33,7 +33,7 @@
         may_wait && self.has_pending_probe(query)
     }
 
-    /// Returns whether the query needs all of its shard requests and they are unlikely to succeed together.
+    /// Returns whether the query needs all of its shard requests, and it is unlikely that every one succeeds.
     pub(crate) fn is_unlikely_to_complete(&self, query: &Query) -> bool {
         let overload_rate = self.state.overload_rate.read(self.state.now);
         let max_attempts = query.config.broker.limits.max_attempts;
@@ -69,7 +69,7 @@
             in_flight: self.state.queries.in_flight.len(),
             needed,
             limit: self.limit_for(query, self.class_yield(query, needed)),
-            misses_min_coverage: !coverage::covers_minimum(query, 1.0 - lost_weight),
+            is_query_infeasible: !coverage::covers_minimum(query, 1.0 - lost_weight),
             was_probed: query.probed_at.is_some(),
         };
         request.exceeds_limit()
--- a/crates/routing/src/broker/attempt_ended.rs
+++ b/crates/routing/src/broker/attempt_ended.rs
@@ -3,7 +3,7 @@
 use super::Broker;
 use crate::inputs::{AttemptOutcome, AttemptResult};
 use crate::policy::concurrency_limit::LimitSample;
-use crate::policy::latency::{SAMPLE_SHARE, observed_latency};
+use crate::policy::latency::{NEW_SAMPLE_WEIGHT, observed_latency};
 use crate::policy::node_health::{MAX_CONSECUTIVE_FAILURES, is_new_failure, is_uninformative};
 use crate::policy::outcome::OutcomeMeaning;
 use crate::policy::query_of_death::counts_as_lost_node;
@@ -26,7 +26,7 @@
         if meaning.execution == Execution::Unsent {
             self.state.retries.withdraw(id);
         }
-        let Some((mut query, index)) = self.state.queries.take_by_shard_request(id.shard_request) else {
+        let Some((mut query, index)) = self.state.queries.take_query_of(id.shard_request) else {
             return;
         };
         let on_reused_connection = attempt.is_none_or(|attempt| attempt.on_reused_connection());
@@ -170,7 +170,7 @@
     let failures = node.consecutive_failures;
     let latency =
         observed_latency(result.duration, meaning.is_node_failure, failures, average, latency_objective);
-    node.record_latency(now, latency, SAMPLE_SHARE);
+    node.record_latency(now, latency, NEW_SAMPLE_WEIGHT);
     if result.outcome == AttemptOutcome::Succeeded {
         node.record_success(now, sent_at);
     }
--- a/crates/routing/src/broker/finish.rs
+++ b/crates/routing/src/broker/finish.rs
@@ -17,9 +17,10 @@
         query.canary_in_flight
     }
 
-    /// Returns whether to respond now.
+    /// Returns whether a response is due now: the minimum coverage has been received, and no further shard request is
+    /// waited for.
     pub(crate) fn is_response_due(&self, query: &Query) -> bool {
-        coverage::is_settled(query, self.state.now)
+        coverage::is_response_due(query, self.state.now)
     }
 
     /// Returns whether the received responses reach the minimum coverage.
@@ -33,8 +34,8 @@
     }
 
     /// Returns whether the minimum coverage is missed even if all shard requests in flight or queued succeed.
-    pub(crate) fn misses_min_coverage(&self, query: &Query) -> bool {
-        coverage::is_unsatisfiable(query)
+    pub(crate) fn cannot_cover_minimum(&self, query: &Query) -> bool {
+        coverage::cannot_cover_minimum(query)
     }
 
     /// Returns whether a response after the latency objective is worth waiting for.
--- a/crates/routing/src/broker/mod.rs
+++ b/crates/routing/src/broker/mod.rs
@@ -150,7 +150,7 @@
         let queries = &mut self.state.queries;
         self.state.in_flight_this_turn = (queries.in_flight.len() + queries.to_send.len()) as f64;
         for id in std::mem::take(&mut queries.to_send) {
-            let Some((mut query, index)) = self.state.queries.take_by_shard_request(id) else { continue };
+            let Some((mut query, index)) = self.state.queries.take_query_of(id) else { continue };
             let is_queued = query.shard_requests[index].state == ShardRequestState::Queued;
             if is_queued && query.state == QueryState::InFlight {
                 self.send_attempt(&mut query, index);
--- a/crates/routing/src/broker/send.rs
+++ b/crates/routing/src/broker/send.rs
@@ -96,7 +96,7 @@
     /// Checks whether to replace an attempt that has been in flight for the hedge delay. The check repeats until
     /// the attempt ends or is replaced.
     pub(super) fn check_attempt(&mut self, id: AttemptId) {
-        let Some((mut query, index)) = self.state.queries.take_by_shard_request(id.shard_request) else {
+        let Some((mut query, index)) = self.state.queries.take_query_of(id.shard_request) else {
             return;
         };
         if query.state == QueryState::InFlight && query.shard_requests[index].awaits(id.number) {
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -19,8 +19,8 @@
     pub(crate) needed: usize,
     /// The concurrency limit for the query, in shard requests.
     pub(crate) limit: f64,
-    /// Whether the infeasible shard requests leave too little weight for a response.
-    pub(crate) misses_min_coverage: bool,
+    /// Whether too little weight remains for a response without the infeasible shard requests.
+    pub(crate) is_query_infeasible: bool,
     /// Whether the replicas of the query were probed for their load.
     pub(crate) was_probed: bool,
 }
@@ -32,6 +32,6 @@
     pub(crate) fn exceeds_limit(&self) -> bool {
         let is_over = (self.in_flight + self.needed) as f64 > self.limit;
         let is_busy = self.in_flight > 0;
-        is_busy && (is_over || self.misses_min_coverage) || self.misses_min_coverage && self.was_probed
+        is_busy && (is_over || self.is_query_infeasible) || self.is_query_infeasible && self.was_probed
     }
 }
--- a/crates/routing/src/policy/admission_queue.rs
+++ b/crates/routing/src/policy/admission_queue.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 /// The maximum time in the queue as a share of the latency objective.
-const MAX_WAIT_SHARE: f64 = 0.2;
+const MAX_WAIT_SHARE_OF_OBJECTIVE: f64 = 0.2;
 
 /// The inputs of the decision whether a query may wait.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     pub(crate) fn may_wait(&self) -> bool {
         let queued = ((self.queue_length + 1) * self.shard_requests) as f64;
         let has_place = self.is_queued || queued <= self.limit;
-        let min_time_left = self.latency_objective.mul_f64(1.0 - MAX_WAIT_SHARE);
+        let min_time_left = self.latency_objective.mul_f64(1.0 - MAX_WAIT_SHARE_OF_OBJECTIVE);
         has_place && self.time_left > min_time_left
     }
 }
--- a/crates/routing/src/policy/class_yield.rs
+++ b/crates/routing/src/policy/class_yield.rs
@@ -8,7 +8,7 @@
 mod tests;
 
 /// The weight of a new sample in a class's smoothed yield.
-const SAMPLE_SHARE: f64 = 0.25;
+const NEW_SAMPLE_WEIGHT: f64 = 0.25;
 
 /// The priority weight per shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,8 +43,8 @@
     /// Adds the yield of a query to the smoothed yield of its class.
     pub(crate) fn record(&mut self, class: ClassId, new: ClassYield) {
         let smoothed = self.0.entry(class).or_insert(new);
-        smoothed.at_min_coverage += (new.at_min_coverage - smoothed.at_min_coverage) * SAMPLE_SHARE;
-        smoothed.at_full_coverage += (new.at_full_coverage - smoothed.at_full_coverage) * SAMPLE_SHARE;
+        smoothed.at_min_coverage += (new.at_min_coverage - smoothed.at_min_coverage) * NEW_SAMPLE_WEIGHT;
+        smoothed.at_full_coverage += (new.at_full_coverage - smoothed.at_full_coverage) * NEW_SAMPLE_WEIGHT;
     }
 
     /// Returns the highest yield of any class at its minimum coverage, at least `own`.
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -15,20 +15,20 @@
 mod tests;
 
 /// The target latency as a share of the latency objective.
-const TARGET_LATENCY_SHARE: f64 = 0.25;
+const TARGET_LATENCY_SHARE_OF_OBJECTIVE: f64 = 0.25;
 
 /// The maximum ratio by which the limit grows in the time in which as many attempts end as it allows in
 /// flight.
 const MAX_GROWTH: f64 = 1.5;
 
 /// The share of the limit that every query may use.
-const COMMON_SHARE: f64 = 0.5;
+const COMMON_SHARE_OF_LIMIT: f64 = 0.5;
 
 /// The initial limit as a share of the configured bound on what may be open.
-const INITIAL_SHARE: f64 = 0.5;
+const INITIAL_SHARE_OF_MAX_OPEN: f64 = 0.5;
 
 /// The share of the limit that must be in flight for the limit to count as used, so that it may grow.
-const USED_SHARE: f64 = 0.5;
+const MIN_USED_SHARE_OF_LIMIT: f64 = 0.5;
 
 /// The lower bound on the limit in the computation of a step, so that single attempts do not change a small
 /// limit too much.
@@ -56,7 +56,7 @@
 impl ConcurrencyLimit {
     /// Returns the limit of a broker that has just started.
     pub(crate) fn initial(max_open: u32) -> ConcurrencyLimit {
-        ConcurrencyLimit(f64::from(max_open) * INITIAL_SHARE)
+        ConcurrencyLimit(f64::from(max_open) * INITIAL_SHARE_OF_MAX_OPEN)
     }
 
     /// Returns the limit as a number of shard requests.
@@ -77,7 +77,7 @@
 
     /// Adapts the limit to an ended attempt.
     pub(crate) fn adapt(&mut self, sample: LimitSample, max_open: u32) {
-        let target = sample.latency_objective.mul_f64(TARGET_LATENCY_SHARE);
+        let target = sample.latency_objective.mul_f64(TARGET_LATENCY_SHARE_OF_OBJECTIVE);
         let ratio = target.ratio_to(sample.duration).min(MAX_GROWTH);
         let is_too_slow = ratio < 1.0;
         if !is_too_slow && !sample.limit_was_used {
@@ -90,14 +90,15 @@
 
     /// Returns whether `in_flight` shard requests use enough of the limit to justify growth.
     pub(crate) fn is_used_by(self, in_flight: f64) -> bool {
-        in_flight >= self.0 * USED_SHARE
+        in_flight >= self.0 * MIN_USED_SHARE_OF_LIMIT
     }
 
     /// Returns the limit for a query whose class yields `own_yield` priority weight per shard request,
     /// relative to the best yield of any class. `quota_share` is 1 for tenants within their quota, and less
     /// beyond it.
     pub(crate) fn for_yield(self, quota_share: f64, own_yield: f64, best_yield: f64) -> f64 {
-        let share = COMMON_SHARE + (1.0 - COMMON_SHARE) * quota_share * own_yield / best_yield;
+        let share =
+            COMMON_SHARE_OF_LIMIT + (1.0 - COMMON_SHARE_OF_LIMIT) * quota_share * own_yield / best_yield;
         self.0 * share
     }
 }
--- a/crates/routing/src/policy/coverage.rs
+++ b/crates/routing/src/policy/coverage.rs
@@ -1,4 +1,4 @@
-//! Coverage: determines how much of a query's weight a response must contain, and when a query is settled.
+//! Coverage: determines how much of a query's weight a response must contain, and when a response is due.
 //!
 //! The weights of a query's shard requests add up to 1. A response must cover at least the class's minimum
 //! coverage, and may be marked complete from the class's complete coverage on (rule 5). The functions of this
@@ -44,7 +44,7 @@
 
 /// Returns whether a response is due now: the minimum coverage has been received, and the remaining shard
 /// requests have been received, have failed, or must not be waited for because a second phase follows.
-pub(crate) fn is_settled(query: &Query, now: Timestamp) -> bool {
+pub(crate) fn is_response_due(query: &Query, now: Timestamp) -> bool {
     let phase_ends_at = first_phase_ends_at(query.times.objective_at, query.policy.latency_objective);
     let is_phase_over = query.has_next_phase() && now >= phase_ends_at;
     let has_ended = query.weight_in(&[ShardRequestState::Queued, ShardRequestState::InFlight]) == 0.0;
@@ -53,7 +53,7 @@
 
 /// Returns whether the minimum coverage would be missed even if all queued and in-flight shard requests
 /// succeeded.
-pub(crate) fn is_unsatisfiable(query: &Query) -> bool {
+pub(crate) fn cannot_cover_minimum(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received};
     !covers_minimum(query, query.weight_in(&[Queued, InFlight, Received]))
 }
@@ -61,7 +61,8 @@
 /// Returns whether sending the unsent shard requests can compensate for those that failed.
 pub(crate) fn can_substitute(query: &Query) -> bool {
     use ShardRequestState::{InFlight, Queued, Received, Unsent};
-    is_unsatisfiable(query) && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
+    cannot_cover_minimum(query)
+        && covers_minimum(query, query.weight_in(&[Unsent, Queued, InFlight, Received]))
 }
 
 /// Returns whether a query is kept open past its latency objective: a late response is worth more than a late
--- a/crates/routing/src/policy/coverage/tests.rs
+++ b/crates/routing/src/policy/coverage/tests.rs
@@ -1,6 +1,6 @@
 use super::{
-    can_substitute, covers_minimum, has_min_coverage, is_complete, is_late_useful, is_settled,
-    is_unsatisfiable,
+    can_substitute, cannot_cover_minimum, covers_minimum, has_min_coverage, is_complete, is_late_useful,
+    is_response_due,
 };
 use crate::config::RequestClass;
 use crate::policy::test_queries::{class, query, with_states};
@@ -70,7 +70,7 @@
 #[case::the_rest_is_queued([Received, Queued], false)]
 #[case::too_little([Failed, Failed], false)]
 fn a_response_is_due(#[case] states: [ShardRequestState; 2], #[case] expected: bool) {
-    assert_eq!(is_settled(&halves(class(0.5, 1.0), states), Timestamp(9_000)), expected);
+    assert_eq!(is_response_due(&halves(class(0.5, 1.0), states), Timestamp(9_000)), expected);
 }
 
 #[rstest]
@@ -79,8 +79,8 @@
 fn a_first_phase_waits_for_half_of_the_objective(#[case] now: i64, #[case] expected: bool) {
     let two_phases = RequestClass { second_phase_shard_requests: 1, ..class(0.5, 1.0) };
     let first_phase = halves(two_phases, [Received, InFlight]);
-    assert_eq!(is_settled(&first_phase, Timestamp(now)), expected);
-    assert!(!is_settled(&in_second_phase(first_phase), Timestamp(now)));
+    assert_eq!(is_response_due(&first_phase, Timestamp(now)), expected);
+    assert!(!is_response_due(&in_second_phase(first_phase), Timestamp(now)));
 }
 
 #[rstest]
@@ -88,13 +88,13 @@
 #[case::is_queued([Queued, Failed], false, false)]
 #[case::an_unsent_one_can_substitute([Unsent, Failed], true, true)]
 #[case::all_failed([Failed, Failed], true, false)]
-fn unsatisfiable_and_substitutable(
+fn failed_shard_requests_can_be_substituted(
     #[case] states: [ShardRequestState; 2],
-    #[case] unsatisfiable: bool,
+    #[case] unreachable: bool,
     #[case] substitutable: bool,
 ) {
     let query = halves(class(0.5, 1.0), states);
-    assert_eq!((is_unsatisfiable(&query), can_substitute(&query)), (unsatisfiable, substitutable));
+    assert_eq!((cannot_cover_minimum(&query), can_substitute(&query)), (unreachable, substitutable));
 }
 
 #[rstest]
--- a/crates/routing/src/policy/hedging.rs
+++ b/crates/routing/src/policy/hedging.rs
@@ -15,19 +15,19 @@
 mod tests;
 
 /// The hedge delay as a multiple of the average latency.
-const DELAY_LATENCIES: f64 = 3.0;
+const DELAY_RATIO_TO_LATENCY: f64 = 3.0;
 
 /// The minimum hedge delay as a share of the latency objective.
-const MIN_DELAY_SHARE: f64 = 0.2;
+const MIN_DELAY_SHARE_OF_OBJECTIVE: f64 = 0.2;
 
 /// The maximum hedge delay as a share of the latency objective.
-const MAX_DELAY_SHARE: f64 = 0.5;
+const MAX_DELAY_SHARE_OF_OBJECTIVE: f64 = 0.5;
 
 /// Returns how long an attempt may go without a response before a replacement is considered.
 pub(crate) fn hedge_delay(average_latency: TimeSpan, latency_objective: TimeSpan) -> TimeSpan {
-    let min = latency_objective.mul_f64(MIN_DELAY_SHARE);
-    let max = latency_objective.mul_f64(MAX_DELAY_SHARE);
-    average_latency.mul_f64(DELAY_LATENCIES).clamp(min, max)
+    let min = latency_objective.mul_f64(MIN_DELAY_SHARE_OF_OBJECTIVE);
+    let max = latency_objective.mul_f64(MAX_DELAY_SHARE_OF_OBJECTIVE);
+    average_latency.mul_f64(DELAY_RATIO_TO_LATENCY).clamp(min, max)
 }
 
 /// The progress of the node that an attempt was sent to.
--- a/crates/routing/src/policy/latency.rs
+++ b/crates/routing/src/policy/latency.rs
@@ -15,14 +15,14 @@
 mod tests;
 
 /// The weight of a new sample in a node's smoothed latency.
-pub(crate) const SAMPLE_SHARE: f64 = 0.25;
+pub(crate) const NEW_SAMPLE_WEIGHT: f64 = 0.25;
 
 /// The time in which the deviation of a measurement from the average decays by a factor of e, so that a node
 /// that was slow once is tried again.
 const DECAY_TIME: TimeSpan = TimeSpan::from_secs(5);
 
 /// The expected latency before any measurement, as a share of the shortest latency objective.
-const INITIAL_SHARE: f64 = 0.125;
+const INITIAL_SHARE_OF_OBJECTIVE: f64 = 0.125;
 
 /// A zone is considered slow if its mean latency exceeds the average of all nodes by this ratio.
 const SLOW_ZONE_RATIO: f64 = 1.5;
@@ -31,13 +31,14 @@
 /// slow node does not make its zone slow.
 const ZONE_PRIOR_NODES: f64 = 4.0;
 
-/// The number of samples of a class needed for a mean that is robust against random variation.
-const BASELINE_SAMPLES: f64 = 32.0;
+/// The number of successful attempts of a class that its running mean latency covers at most. The mean is not used
+/// before that many were measured, as it varies too much at random.
+const MIN_BASELINE_SAMPLES: f64 = 32.0;
 
 /// Returns the mean latency of the measured ready nodes, or an initial guess if none has been measured yet;
 /// it is never zero.
 pub(crate) fn average_latency(measured: Option<TimeSpan>, shortest_objective: TimeSpan) -> TimeSpan {
-    let initial = shortest_objective.mul_f64(INITIAL_SHARE);
+    let initial = shortest_objective.mul_f64(INITIAL_SHARE_OF_OBJECTIVE);
     measured.unwrap_or(initial).max(TimeSpan(1))
 }
 
@@ -89,7 +90,7 @@
 impl ClassBaselines {
     /// Records the duration of a successful attempt of this class.
     pub(crate) fn record(&mut self, class: ClassId, duration: TimeSpan) {
-        self.0.entry(class).or_default().record(duration, BASELINE_SAMPLES);
+        self.0.entry(class).or_default().record(duration, MIN_BASELINE_SAMPLES);
     }
 
     /// Returns the baseline of a class in tenths of a millisecond, at least one. `unknown` is used while too
--- a/crates/routing/src/policy/load_probe.rs
+++ b/crates/routing/src/policy/load_probe.rs
@@ -13,10 +13,10 @@
 mod tests;
 
 /// How long a report counts as recent, as a share of the latency objective.
-const MAX_AGE_SHARE: f64 = 0.02;
+const MAX_AGE_SHARE_OF_OBJECTIVE: f64 = 0.02;
 
 /// The maximum time that a query waits for reports, as a share of the latency objective.
-const MAX_WAIT_SHARE: f64 = 0.02;
+const MAX_WAIT_SHARE_OF_OBJECTIVE: f64 = 0.02;
 
 /// The lower bound on a reported service rate, in shard requests per second.
 const MIN_SERVICE_RATE_PER_S: f64 = 1.0;
@@ -27,13 +27,13 @@
 /// recent, and no probe is outstanding. A probe that is not answered within the objective counts as lost.
 pub(crate) fn needs_probe(node: &Node, now: Timestamp, latency_objective: TimeSpan) -> bool {
     let is_probed = node.probe_sent_at.is_some_and(|at| now - at <= latency_objective);
-    let max_age = latency_objective.mul_f64(MAX_AGE_SHARE);
+    let max_age = latency_objective.mul_f64(MAX_AGE_SHARE_OF_OBJECTIVE);
     !is_probed && node.load.is_none_or(|load| now - load.received_at > max_age)
 }
 
 /// Returns the maximum time that a query waits for load reports.
 pub(crate) fn max_wait(latency_objective: TimeSpan) -> TimeSpan {
-    latency_objective.mul_f64(MAX_WAIT_SHARE)
+    latency_objective.mul_f64(MAX_WAIT_SHARE_OF_OBJECTIVE)
 }
 
 /// Returns whether a query that probed its replicas at `probed_at` may still wait for their reports.
--- a/crates/routing/src/policy/query_lifecycle.rs
+++ b/crates/routing/src/policy/query_lifecycle.rs
@@ -93,7 +93,7 @@
     row(&[InFlight],      ResponseReceived,   Broker::is_response_due,         Responded,     Broker::respond),
     row(&[InFlight],      ShardRequestFailed, Broker::is_response_due,         Responded,     Broker::respond),
     row(&[InFlight],      ShardRequestFailed, Broker::can_substitute,          InFlight,      Broker::send),
-    row(&[InFlight],      ShardRequestFailed, Broker::misses_min_coverage,     Finished,      Broker::give_up),
+    row(&[InFlight],      ShardRequestFailed, Broker::cannot_cover_minimum,    Finished,      Broker::give_up),
     row(&[InFlight],      ObjectiveNear,      Broker::has_min_coverage,        Responded,     Broker::respond),
     row(&[InFlight],      ObjectiveNear,      Broker::is_late_useful,          PastObjective, no_action),
     row(&[InFlight],      ObjectiveNear,      always,                          Finished,      Broker::give_up),
--- a/crates/routing/src/policy/query_times.rs
+++ b/crates/routing/src/policy/query_times.rs
@@ -19,7 +19,7 @@
 const DEADLINE_TURNS: f64 = 4.0;
 
 /// The share of the latency objective that is reserved for the second phase of a query.
-const SECOND_PHASE_SHARE: f64 = 0.5;
+const SECOND_PHASE_SHARE_OF_OBJECTIVE: f64 = 0.5;
 
 /// The inputs of a query's times.
 #[derive(Clone, Copy, Debug)]
@@ -63,5 +63,5 @@
 
 /// Returns the time at which the first phase of a two-phase query must send its response.
 pub(crate) fn first_phase_ends_at(objective_at: Timestamp, latency_objective: TimeSpan) -> Timestamp {
-    objective_at - latency_objective.mul_f64(SECOND_PHASE_SHARE)
+    objective_at - latency_objective.mul_f64(SECOND_PHASE_SHARE_OF_OBJECTIVE)
 }
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[rstest]
-fn removing_expired_entries_changes_no_decision() {
+fn removing_expired_entries_does_not_change_decisions() {
     let mut history = history(NOW - TimeSpan(10_000), 10, 2);
     history.remove_expired(NOW, BUDGET.window, TimeSpan::ZERO);
     assert_eq!((history.accepted_at.len(), history.retries.len()), (10, 2));
--- a/crates/routing/src/policy/shutdown_deadline.rs
+++ b/crates/routing/src/policy/shutdown_deadline.rs
@@ -44,7 +44,7 @@
     pub accept_period: Duration,
     /// The time after SIGTERM at which open queries are failed.
     pub fail_open_after: Duration,
-    /// The time for writing the responses, counted from when open queries are failed.
+    /// The maximum time for writing the responses of the failed queries, counted from when they are failed.
     pub final_response_timeout: Duration,
 }
 
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -182,7 +182,8 @@
         accumulated - cost_since_start / self.cost >= 1.0
     }
 
-    /// Returns a random number from 0 to 1 that is always the same for the same `subject`.
+    /// Returns a pseudo-random number from 0 up to, but not including, 1. It depends only on `random_seed` and
+    /// `subject`.
     fn random_fraction(&self, subject: u64) -> f64 {
         fastrand::Rng::with_seed(self.random_seed ^ subject).f64()
     }
--- a/crates/routing/src/state/query_table.rs
+++ b/crates/routing/src/state/query_table.rs
@@ -46,12 +46,13 @@
         self.queries.remove(&id)
     }
 
-    /// Removes the query of a shard request so that it can be changed, and returns it with the index of the shard
-    /// request.
+    /// Removes the query that contains a shard request so that it can be changed, and returns it with the index of
+    /// the shard request in [`Query::shard_requests`]. Returns `None` if the shard request is not in the table. The
+    /// caller puts the query back with [`QueryTable::put`].
     ///
     /// A front end may reuse an id while its first use is still open. The stored location can then refer to another
-    /// query, at whose index there is a different shard request or none. Returns `None` for such a location.
-    pub(crate) fn take_by_shard_request(&mut self, shard_request: ShardRequestId) -> Option<(Query, usize)> {
+    /// query, at whose index there is a different shard request or none. Such a location also yields `None`.
+    pub(crate) fn take_query_of(&mut self, shard_request: ShardRequestId) -> Option<(Query, usize)> {
         let location = *self.shard_requests.get(&shard_request)?;
         let query = self.queries.get(&location.query)?;
         query.shard_requests.get(location.index).filter(|found| found.id == shard_request)?;
