--- a/crates/admission-control/src/adaptive_rate.rs
+++ b/crates/admission-control/src/adaptive_rate.rs
@@ -10,7 +10,7 @@
 
 /// The time after a decrease in which losses are attributed to the previous rate, as a fraction of the window. An
 /// attempt that waits in a long queue times out only after a delay.
-const DECREASE_HOLD_RATIO: f64 = 0.5;
+const DECREASE_HOLD_WINDOW_RATIO: f64 = 0.5;
 
 /// Returns the minimum rate, in shard requests per second. At this rate, a single loss in a window makes up
 /// `threshold` (a fraction, 0 to 1) of the admitted shard requests.
@@ -63,7 +63,7 @@
     /// limit, has had time to take effect. Otherwise losses among shard requests admitted before a decrease would
     /// cause further decreases, down to the minimum rate.
     pub fn may_decrease(&self, now: Timestamp, window: TimeSpan) -> bool {
-        now - self.decreased_at >= window.mul_f64(DECREASE_HOLD_RATIO)
+        now - self.decreased_at >= window.mul_f64(DECREASE_HOLD_WINDOW_RATIO)
     }
 
     /// Multiplies the rate by `factor` (0 to 1), with `min_per_second` as the lower bound.
--- a/crates/admission-control/src/controller.rs
+++ b/crates/admission-control/src/controller.rs
@@ -214,7 +214,7 @@
             match self.decide(query) {
                 Decision::Admit => {}
                 Decision::AdmitAtMinCoverage => decisions.limit_to_min_coverage(query.id),
-                Decision::RejectRetryBudget | Decision::RejectQuota => {
+                Decision::RejectOverRetryBudget | Decision::RejectOverQuota => {
                     decisions.reject(query.id, query.group);
                     let retry_after = retry_after(self.config.window, &self.broker_config.limits);
                     effects.push(Effect::Reject { query: query.id, retry_after });
@@ -241,7 +241,7 @@
         let (now, window, burst) = (self.now, self.config.window, self.config.burst);
         let admitted_attempts = self.tenant(tenant).admitted_attempts(now, window);
         if query.is_retry() && self.retry_budget().is_exceeded(admitted_attempts) {
-            return Decision::RejectRetryBudget;
+            return Decision::RejectOverRetryBudget;
         }
         self.tenant(tenant).fill_bucket(now, burst);
         match check_quota(&self.quota_inputs(tenant, query)) {
@@ -251,7 +251,7 @@
             }
             QuotaDecision::Exempt => Decision::Admit,
             QuotaDecision::MinCoverageOnly => Decision::AdmitAtMinCoverage,
-            QuotaDecision::Reject => Decision::RejectQuota,
+            QuotaDecision::Reject => Decision::RejectOverQuota,
         }
     }
 
--- a/crates/admission-control/src/decision.rs
+++ b/crates/admission-control/src/decision.rs
@@ -6,9 +6,10 @@
     /// The query is admitted with all of its shard requests.
     Admit,
     /// The query is rejected because it is a retry that exceeds its tenant's retry budget.
-    RejectRetryBudget,
-    /// The query is rejected because it is beyond its tenant's share while other tenants send requests.
-    RejectQuota,
+    RejectOverRetryBudget,
+    /// The query is rejected because its tenant's quota is exceeded: it is beyond the tenant's share while other
+    /// tenants send requests.
+    RejectOverQuota,
     /// The query is admitted at its minimum coverage only. It is beyond its tenant's share, but its class allows
     /// partial responses.
     AdmitAtMinCoverage,
@@ -17,7 +18,7 @@
 impl Decision {
     /// Returns whether the query is rejected, so that it is not passed to the broker.
     pub fn is_rejection(self) -> bool {
-        matches!(self, Decision::RejectRetryBudget | Decision::RejectQuota)
+        matches!(self, Decision::RejectOverRetryBudget | Decision::RejectOverQuota)
     }
 }
 
@@ -38,8 +39,8 @@
     pub(crate) fn record(&mut self, decision: Decision) {
         let count = match decision {
             Decision::Admit => &mut self.admitted,
-            Decision::RejectRetryBudget => &mut self.rejected_by_retry_budget,
-            Decision::RejectQuota => &mut self.rejected_by_quota,
+            Decision::RejectOverRetryBudget => &mut self.rejected_by_retry_budget,
+            Decision::RejectOverQuota => &mut self.rejected_by_quota,
             Decision::AdmitAtMinCoverage => &mut self.admitted_at_min_coverage,
         };
         *count += 1;
--- a/crates/admission-control/src/decision/tests.rs
+++ b/crates/admission-control/src/decision/tests.rs
@@ -11,11 +11,11 @@
     DecisionCounts { admitted_at_min_coverage: 1, ..DecisionCounts::default() }
 )]
 #[case(
-    Decision::RejectRetryBudget,
+    Decision::RejectOverRetryBudget,
     true,
     DecisionCounts { rejected_by_retry_budget: 1, ..DecisionCounts::default() }
 )]
-#[case(Decision::RejectQuota, true, DecisionCounts { rejected_by_quota: 1, ..DecisionCounts::default() })]
+#[case(Decision::RejectOverQuota, true, DecisionCounts { rejected_by_quota: 1, ..DecisionCounts::default() })]
 fn each_decision_has_its_own_counter(
     #[case] decision: Decision,
     #[case] is_rejection: bool,
--- a/crates/admission-control/src/filtered_turn.rs
+++ b/crates/admission-control/src/filtered_turn.rs
@@ -1,4 +1,5 @@
-//! The inputs of a turn after the decisions on its queries.
+//! Filters the inputs of a turn by the decisions on its queries before they reach the broker: the inputs of rejected
+//! queries are withheld, and queries that are limited to their minimum coverage are marked.
 
 use routing::{Effect, GroupId, Input, NewQuery, QueryId};
 use std::collections::BTreeSet;
--- a/crates/admission-control/src/filtered_turn/tests.rs
+++ b/crates/admission-control/src/filtered_turn/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the inputs that are passed to the broker.
+//! Tests of which inputs of a turn reach the broker after queries were rejected or limited to their minimum coverage.
 
 use super::TurnDecisions;
 use routing::{
--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -9,7 +9,8 @@
 /// is based on recent losses, and not on losses to which an earlier decrease has already responded.
 const LOSS_WINDOW_RATIO: f64 = 0.2;
 
-/// Counters of load over a sliding window. Each counter records marked events, their total, or both.
+/// Counters of load over a sliding window. Each counter has a count of all events (`total`) and of those of a certain
+/// kind (`marked`), of which some counters use only one.
 pub(crate) struct LoadStatistics {
     window: TimeSpan,
     /// Attempts lost to overload (`marked`), among all ended attempts that are indicative of load (`total`).
--- a/crates/admission-control/src/overload_detection/tests.rs
+++ b/crates/admission-control/src/overload_detection/tests.rs
@@ -32,7 +32,7 @@
 #[rstest]
 #[case(1.0, false)]
 #[case(2.0, true)]
-fn a_single_event_is_no_overload(#[case] events: f64, #[case] expected: bool) {
+fn a_single_event_does_not_count_as_overload(#[case] events: f64, #[case] expected: bool) {
     let lost = OverloadInputs { lost_attempts: events, ended_attempts: events, ..NOT_OVERLOADED };
     assert_eq!(is_overloaded(&lost, THRESHOLD), expected);
     let rejected =
--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -7,7 +7,7 @@
 //! to each tenant. The drawback is that some retries are rejected that could have been served.
 //!
 //! Retries are recognized only if the front end reports them (`client_attempt`). Rejections are counted as
-//! [`Decision::RejectRetryBudget`](crate::Decision::RejectRetryBudget).
+//! [`Decision::RejectOverRetryBudget`](crate::Decision::RejectOverRetryBudget).
 
 /// The limit on the admitted retries of a tenant within the window.
 #[derive(Clone, Copy, Debug)]
--- a/crates/admission-control/tests/controller/modes.rs
+++ b/crates/admission-control/tests/controller/modes.rs
@@ -136,7 +136,7 @@
 /// A broker may start during an overload. Losses in its first turn are not evaluated until a step has passed, as the
 /// rate would otherwise start at the number of shard requests served so far, which is close to zero.
 #[rstest]
-fn the_first_turn_executes_no_step() {
+fn the_first_turn_does_not_execute_a_step() {
     let mut admission = controller(AdmissionConfig::default());
     admission.filter_inputs(Timestamp(900_000), &attempts_ended(AttemptOutcome::Overloaded, 50));
     assert_eq!(admission.mode(), Mode::Normal);
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -62,7 +62,7 @@
         let warm_up_us = self.warm_up_work_us(index);
         let submitted = match self.injector.active_faults[node].is_rejecting() {
             true => SubmitOutcome::Refused,
-            false => self.nodes[node].submit_counted_as(self.now, job, work_us, warm_up_us),
+            false => self.nodes[node].submit_with_warm_up_work(self.now, job, work_us, warm_up_us),
         };
         if self.nodes[node].is_warming_up(self.now) {
             self.invariants.warming_node_loaded(self.now, self.nodes[node].overload_ratio());
--- a/crates/config-rollout/src/policy.rs
+++ b/crates/config-rollout/src/policy.rs
@@ -20,7 +20,7 @@
     /// Time after which an open stream counts as stable. The end of a stable stream resets the backoff.
     pub stable_stream_age: TimeSpan,
     /// Time for which a service with a conflicting history is avoided, provided that there is another service.
-    pub suspect_duration: TimeSpan,
+    pub avoid_duration: TimeSpan,
     /// Minimum duration of a probation, and length of the window of earlier outcomes that is its baseline.
     pub probation_duration: TimeSpan,
     /// Maximum duration of a probation, after which it ends without a verdict.
@@ -42,7 +42,7 @@
             connect_window: seconds(60),
             connect_timeout: seconds(15),
             stable_stream_age: seconds(10),
-            suspect_duration: seconds(300),
+            avoid_duration: seconds(300),
             probation_duration: seconds(60),
             max_probation_duration: seconds(900),
             min_ended_queries: 30,
--- a/crates/config-rollout/src/probation/tests.rs
+++ b/crates/config-rollout/src/probation/tests.rs
@@ -61,7 +61,7 @@
 #[rstest]
 #[case(0.02)]
 #[case(0.2)]
-fn noise_fails_no_version(#[case] share: f64) {
+fn noise_does_not_fail_a_version(#[case] share: f64) {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut draw = |counts: &mut Sample| {
@@ -103,7 +103,7 @@
 
 /// A fault began 15 seconds before the version was applied and continues. It must not fail the version.
 #[rstest]
-fn a_fault_that_began_earlier_fails_no_version() {
+fn a_fault_that_began_earlier_does_not_fail_a_version() {
     let (second, verdict) = run_probation(&outcomes_before([0, 0, 0, 40]), |_, counts| {
         counts.ended += 20;
         counts.failed += 8;
--- a/crates/config-rollout/src/subscription.rs
+++ b/crates/config-rollout/src/subscription.rs
@@ -224,7 +224,7 @@
     /// Disconnects from a service whose history conflicts with the broker's, and chooses another service.
     fn change_service(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::Disconnect { stream: self.stream });
-        self.avoided_until[self.service.0] = now + self.policy.suspect_duration;
+        self.avoided_until[self.service.0] = now + self.policy.avoid_duration;
         self.back_off(now, effects);
     }
 
--- a/crates/node-emulator/src/emulated_node.rs
+++ b/crates/node-emulator/src/emulated_node.rs
@@ -32,7 +32,7 @@
     paused_until: Option<Timestamp>,
     /// The number of jobs completed since the process started.
     completed_jobs: u32,
-    /// The work received within the overload window during warm-up, as a fraction of the work above which the node
+    /// The work in `recent_work` when the last job was added to it, divided by the work above which the node
     /// collapses.
     overload_ratio: f64,
 }
@@ -141,8 +141,9 @@
         self.started_at.is_some_and(|started_at| now - started_at < self.spec.warm_up_period)
     }
 
-    /// Returns the work received within the overload window, as a fraction of the work above which the node
-    /// collapses. The value is that of the last job received during warm-up.
+    /// Returns the overload ratio when the last job during warm-up was received: the work received within the
+    /// overload window up to then, that job included, divided by the work above which the node collapses. Returns 0
+    /// if no job has been received during warm-up.
     pub fn overload_ratio(&self) -> f64 {
         self.overload_ratio
     }
@@ -163,24 +164,24 @@
 
     /// Submits a job that takes `work_us` microseconds at full capacity.
     pub fn submit(&mut self, now: Timestamp, job: JobId, work_us: u64) -> SubmitOutcome {
-        self.submit_counted_as(now, job, work_us, work_us)
+        self.submit_with_warm_up_work(now, job, work_us, work_us)
     }
 
-    /// Submits a job as [`EmulatedNode::submit`] does, but counts it as `counted_us` microseconds towards a collapse.
-    /// The collapse rule counts a shard request by the mean work of its class, as a broker can't know its actual
-    /// work.
-    pub fn submit_counted_as(
+    /// Submits a job as [`EmulatedNode::submit`] does, but adds `warm_up_work_us` instead of `work_us` to the work
+    /// from which a collapse during warm-up is determined. The collapse rule counts a shard request by the mean work
+    /// of its class, as a broker can't know its actual work.
+    pub fn submit_with_warm_up_work(
         &mut self,
         now: Timestamp,
         job: JobId,
         work_us: u64,
-        counted_us: u64,
+        warm_up_work_us: u64,
     ) -> SubmitOutcome {
         if self.state == NodeState::Down {
             return SubmitOutcome::Unreachable;
         }
         // Every job that reaches the node counts, including those that are refused.
-        if self.is_warming_up(now) && self.record_warm_up_work(now, counted_us) {
+        if self.is_warming_up(now) && self.record_warm_up_work(now, warm_up_work_us) {
             return SubmitOutcome::Collapsed;
         }
         if self.state == NodeState::Draining {
--- a/crates/node-emulator/src/node_server.rs
+++ b/crates/node-emulator/src/node_server.rs
@@ -20,7 +20,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The maximum number of received shard requests that are recorded.
+/// The maximum number of received shard requests that are recorded. Once it is reached, no more are recorded.
 const MAX_RECORDED: usize = 1_000_000;
 
 /// The maximum time for which the thread that completes jobs waits before it checks for due jobs again.
@@ -138,7 +138,7 @@
         self.shared.lock().node.load(now)
     }
 
-    /// Returns the received shard requests in order of receipt, at most 1,000,000.
+    /// Returns the first 1,000,000 received shard requests, in order of receipt. Later ones are not recorded.
     pub fn received(&self) -> Vec<ReceivedShardRequest> {
         self.shared.lock().received.clone()
     }
--- a/crates/operator-config/src/control_section.rs
+++ b/crates/operator-config/src/control_section.rs
@@ -79,7 +79,7 @@
         connect_window: TimeSpan::from_ms(MINUTE_MS),
         connect_timeout: duration("call_within_ms"),
         stable_stream_age: duration("steady_ms"),
-        suspect_duration: duration("suspect_ms"),
+        avoid_duration: duration("suspect_ms"),
         probation_duration: duration("trial_ms"),
         max_probation_duration: duration("longest_trial_ms"),
         min_ended_queries: number("least_retrievals") as u64,
--- a/crates/operator-config/tests/shipped_file.rs
+++ b/crates/operator-config/tests/shipped_file.rs
@@ -37,7 +37,7 @@
         connect_window: seconds(60),
         connect_timeout: seconds(15),
         stable_stream_age: seconds(10),
-        suspect_duration: seconds(300),
+        avoid_duration: seconds(300),
         probation_duration: seconds(60),
         max_probation_duration: seconds(900),
         min_ended_queries: 30,
--- a/crates/quota-lease/src/lease_config.rs
+++ b/crates/quota-lease/src/lease_config.rs
@@ -16,8 +16,9 @@
     pub lease_duration: TimeSpan,
     /// The bound on clock drift: the rates of any two clocks differ by at most 1 in `drift_divisor`. 100 or more.
     pub drift_divisor: u32,
-    /// The maximum number of leases lent, and of leases requested or held. Further leases are not recorded.
-    pub max_leases: usize,
+    /// The maximum number of leases that a broker records as the lender and, counted separately, as the borrower,
+    /// where requested and held leases count together. Further leases are not recorded.
+    pub max_leases_per_role: usize,
 }
 
 impl Default for LeaseConfig {
@@ -28,7 +29,7 @@
             window: TimeSpan(10_000),
             lease_duration: TimeSpan(100_000),
             drift_divisor: 100,
-            max_leases: 64,
+            max_leases_per_role: 64,
         }
     }
 }
--- a/crates/quota-lease/src/leased_budget.rs
+++ b/crates/quota-lease/src/leased_budget.rs
@@ -140,10 +140,13 @@
     }
 
     /// Creates a lease for units of another broker's share and returns the request to send. Returns `None` if `units`
-    /// is 0, if the lender is this broker, or if the maximum number of leases is requested or held.
+    /// is 0, if the lender is this broker, or if the maximum number of leases is already requested or held.
     pub fn request_lease(&mut self, now: Timestamp, lender: BrokerId, units: u32) -> Option<Message> {
         self.remove_expired(now);
-        if units == 0 || lender == self.instance.broker || self.borrowed.len() >= self.config.max_leases {
+        if units == 0
+            || lender == self.instance.broker
+            || self.borrowed.len() >= self.config.max_leases_per_role
+        {
             return None;
         }
         self.last_requested.0 += 1;
@@ -195,7 +198,7 @@
         let state = next_state(known.map(|lease| lease.state), LeaseEvent::RequestReceived)??;
         let expires_at = now + self.lending_duration();
         let lease = known.unwrap_or(Lease { state, units: units.min(self.lendable_units(now)), expires_at });
-        if lease.units == 0 || known.is_none() && self.lent.len() >= self.config.max_leases {
+        if lease.units == 0 || known.is_none() && self.lent.len() >= self.config.max_leases_per_role {
             return None;
         }
         self.lent.insert(id, lease);
--- a/crates/quota-lease/tests/bounds.rs
+++ b/crates/quota-lease/tests/bounds.rs
@@ -11,8 +11,8 @@
     InstanceId { broker: BrokerId(broker), incarnation: Incarnation(incarnation) }
 }
 
-fn leased_budget(broker: u16, max_leases: usize) -> LeasedBudget {
-    let config = LeaseConfig { total_units: 300, brokers: 3, max_leases, ..LeaseConfig::default() };
+fn leased_budget(broker: u16, max_leases_per_role: usize) -> LeasedBudget {
+    let config = LeaseConfig { total_units: 300, brokers: 3, max_leases_per_role, ..LeaseConfig::default() };
     LeasedBudget::start(config, instance(broker, u64::from(broker)), Timestamp(0))
 }
 
@@ -57,7 +57,7 @@
     assert_eq!(borrower.available_units(LATER), 100);
 }
 
-/// Lender and borrower record no more leases than `max_leases`, regardless of the number requested.
+/// Lender and borrower record no more leases than `max_leases_per_role`, regardless of the number requested.
 #[rstest]
 fn holds_no_more_leases_than_its_bound() {
     let (mut lender, mut borrower) = (leased_budget(1, 2), leased_budget(0, 2));
--- a/crates/quota-lease/tests/drift.rs
+++ b/crates/quota-lease/tests/drift.rs
@@ -40,7 +40,7 @@
         window: TimeSpan(WINDOW),
         lease_duration: TimeSpan(20_000),
         drift_divisor: 100,
-        max_leases: 16,
+        max_leases_per_role: 16,
     }
 }
 
--- a/crates/quota-lease/tests/model.rs
+++ b/crates/quota-lease/tests/model.rs
@@ -53,7 +53,7 @@
             window: TimeSpan(self.window),
             lease_duration: TimeSpan(self.lease_durations[broker]),
             drift_divisor: 1_000_000,
-            max_leases: 4,
+            max_leases_per_role: 4,
         };
         let instance = InstanceId { broker: BrokerId(broker as u16), incarnation: Incarnation(incarnation) };
         LeasedBudget::start(config, instance, Timestamp(started_at))
