--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -2,13 +2,13 @@
 //!
 //! # How the list is kept up to date
 //!
-//! 1. The routing decisions request a watch (`Effect::WatchEndpoints`), which notifies `Engine::watch_requested`; or
+//! 1. The routing logic requests a watch (`Effect::WatchEndpoints`), which notifies `Engine::watch_requested`; or
 //!    a reload sets another address of discovery.
 //! 2. [`watch_endpoints`] requests the complete list. Further requests are sent while earlier ones are still pending
 //!    (`ListRequests`); the first response is used.
 //! 3. The watch continues from the list's revision: discovery holds each request until the next change.
 //! 4. When a watch or a list request fails, [`RetrySchedule`] determines the next step: a request to a local agent is
-//!    retried at an interval, one to shared discovery when the routing decisions request it. The rules are in
+//!    retried at an interval, one to shared discovery when the routing logic requests it. The rules are in
 //!    [`routing::discovery_backoff`].
 //!
 //! # Tasks and cancellation
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Reports a failure to the routing decisions, which request the list again after their backoff.
+    /// Reports a failure to the routing logic, which requests the list again after its backoff.
     fn report_failure(&self) {
         // A notification from before this failure requested the watch that failed, and must not start the next one.
         let _ = self.engine.watch_requested.notified().now_or_never();
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Waits for a list until the routing decisions ask for the next request, and then returns `None`. The failure is
-    /// reported to them as soon as the newest request fails or has been pending for `silence_timeout`.
+    /// Waits for a list until the routing logic asks for the next request, and then returns `None`. The failure is
+    /// reported to it as soon as the newest request fails or has been pending for `silence_timeout`.
     async fn list_before_backoff(
         &self,
         requests: &mut ListRequests<'_>,
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`http_server`], [`query_handler`] | client connections; the handling of one query, from request to response |
-//! | [`engine`] | owns the routing decisions and carries out their effects |
+//! | [`engine`] | owns the routing logic and carries out its effects |
 //! | [`node_pool`], [`codec`] | connections to nodes; the encoding and decoding of their frames |
 //! | [`discovery`], [`endpoint_list`] | requests for the endpoint list; the format of the list |
 //! | [`limits`] | sizes, counts and times, derived from the machine and the settings |
--- a/crates/broker/src/limits/machine.rs
+++ b/crates/broker/src/limits/machine.rs
@@ -69,7 +69,7 @@
 pub(super) struct Capacity {
     /// The number of client connections that are served.
     pub(super) client_connections: usize,
-    /// The number of further client connections, whose requests are rejected.
+    /// The number of client connections accepted beyond `client_connections`. Their requests are rejected.
     pub(super) surplus_connections: usize,
     /// The number of client connections that are kept open while idle.
     pub(super) idle_client_connections: usize,
--- a/crates/broker/src/node_pool/attempt.rs
+++ b/crates/broker/src/node_pool/attempt.rs
@@ -27,7 +27,7 @@
 pub struct CompletedAttempt {
     /// The attempt that completed.
     pub attempt: AttemptId,
-    /// The outcome that counts for the routing decisions.
+    /// The outcome that is reported to the routing logic.
     pub outcome: AttemptOutcome,
     /// The value that the node returned; `None` unless the attempt succeeded.
     pub value: Option<Bytes>,
--- a/crates/broker/src/node_pool/mod.rs
+++ b/crates/broker/src/node_pool/mod.rs
@@ -90,7 +90,7 @@
 }
 
 impl NodePool {
-    /// Creates a pool that knows no nodes.
+    /// Creates a pool without nodes. [`NodePool::set_address`] adds them.
     pub fn new(limits: Rc<Limits>) -> Rc<NodePool> {
         Rc::new(NodePool {
             limits,
--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -24,7 +24,7 @@
 pub struct RunningBroker {
     /// The address on which the broker accepts clients.
     pub listen_address: SocketAddr,
-    /// The engine, which owns the routing decisions.
+    /// The engine, which owns the routing logic.
     pub engine: Rc<Engine>,
     /// The address of discovery. Sending a new one moves the watch to it while the broker runs.
     pub discovery_address: watch::Sender<SocketAddr>,
--- a/crates/broker/tests/config_rollout/main.rs
+++ b/crates/broker/tests/config_rollout/main.rs
@@ -81,7 +81,7 @@
     assert!(served > 0 && comparisons >= COMPARISONS_PER_VERSION * NEWEST_VERSION);
     let digests: Vec<String> = brokers.iter().map(|broker| broker.status().digest).collect();
     assert!(digests.iter().all(|digest| *digest == digests[0]));
-    check_requests(&service);
+    check_xds_requests(&service);
 }
 
 fn send_queries(index: usize, broker: SocketAddr, progress: &Progress) {
@@ -131,8 +131,9 @@
     }
 }
 
-/// Checks that versions were rejected, that streams were dropped, and that each nonce was answered at most once.
-fn check_requests(service: &XdsTestServer) {
+/// Checks the requests that the service received from the brokers: at least one rejects a version, and no nonce is
+/// answered more than once. Also checks that the service dropped streams.
+fn check_xds_requests(service: &XdsTestServer) {
     let requests = service.requests();
     assert!(
         requests.iter().any(|request| request.rejection.is_some()),
--- a/crates/broker/tests/sockets/bad_requests.rs
+++ b/crates/broker/tests/sockets/bad_requests.rs
@@ -11,8 +11,8 @@
     query_request("a", "lookup", 900, &body(ONE_SHARD))
 }
 
-/// Clients send invalid queries: wrong paths, headers, lengths and bodies. Each must get its status, nothing of it
-/// may be sent to a node, and the next client must be served.
+/// Clients send invalid queries: wrong paths, headers, lengths and bodies. Each must get its status, none of its
+/// shard requests may be sent to a node, and the next client must be served.
 #[rstest]
 #[case("POST /other HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404)]
 #[case("GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 405)]
@@ -92,7 +92,7 @@
 
 /// Guards against queries that need information for which frames have no field: a second phase, without which the
 /// response is empty, or an idempotency key, without which the query can be executed twice. The query must be
-/// rejected (503), and nothing of it sent.
+/// rejected (503), and none of its shard requests sent.
 #[rstest]
 #[case("lookup", "", 503)]
 #[case("once", "Idempotency-Key: 710d\r\n", 503)]
--- a/crates/broker/tests/sockets/client_connections.rs
+++ b/crates/broker/tests/sockets/client_connections.rs
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 
 /// Clients send more queries, and hold more connections, than the limits allow. Beyond `MaxOpen` a query must be
-/// rejected (503) and nothing of it sent. At the connection limit idle connections must be closed, and requests on
-/// surplus connections must be rejected.
+/// rejected (503), and none of its shard requests sent. At the connection limit idle connections must be closed, and
+/// requests on surplus connections must be rejected.
 #[rstest]
 fn rejects_queries_and_connections_beyond_the_limits() {
     run_test(async {
--- a/crates/broker/tests/sockets/load_reports.rs
+++ b/crates/broker/tests/sockets/load_reports.rs
@@ -57,7 +57,7 @@
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn an_unanswered_probe_delays_no_shard_request_for_long(#[case] closes: bool) {
+fn an_unanswered_probe_delays_shard_requests_only_briefly(#[case] closes: bool) {
     run_test(async {
         let mut cluster =
             TestCluster::start_with(2, |config| use_load_probes(config, 80_000.0), |_| ()).await;
--- a/crates/broker/tests/sockets/local_shortage.rs
+++ b/crates/broker/tests/sockets/local_shortage.rs
@@ -18,7 +18,7 @@
 /// shortage. No descriptor is free for 0.8 s, so no connection to a node can be made. Queries that arrive meanwhile
 /// must be served late, and those after it at once.
 #[rstest]
-fn a_shortage_of_descriptors_counts_against_no_node() {
+fn a_shortage_of_descriptors_does_not_count_against_nodes() {
     run_test(async {
         let cluster = ClusterProcess::start(2, disable_connection_reuse).await;
         assert_eq!(cluster.query_concurrently("before", 8).await, Outcomes::all_served(8));
@@ -38,7 +38,7 @@
 /// One connect in three fails because the machine has no local port, no route or no buffer. Each must be retried,
 /// and every query served.
 #[rstest]
-fn local_connect_failures_lose_no_query() {
+fn local_connect_failures_do_not_lose_queries() {
     run_test(async {
         let cluster = ClusterProcess::start(2, disable_connection_reuse).await;
         for error in [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS] {
@@ -53,7 +53,7 @@
 /// One accept in three fails because the connection is already closed or no descriptor is free. The other
 /// connections in the queue must still be accepted, and every query served.
 #[rstest]
-fn accept_failures_lose_no_query() {
+fn accept_failures_do_not_lose_queries() {
     run_test(async {
         let mut cluster = ClusterProcess::start(2, |_| ()).await;
         for error in [libc::ECONNABORTED, libc::ENFILE] {
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -34,7 +34,7 @@
 const AT_MOST_ONCE_PREFIX: char = 'o';
 /// The time for which a process is paused, in milliseconds.
 const PAUSE_MS: u64 = 150;
-/// The time from SIGTERM to SIGKILL beyond the longest deadline.
+/// SIGKILL follows this long after the longest deadline, which is counted from SIGTERM.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// The time after its deadline within which a final response must come; half of it is for a busy machine.
 const RESPONSE_SLACK: Duration = Duration::from_millis(1000);
--- a/crates/broker/tests/sockets/test_peers.rs
+++ b/crates/broker/tests/sockets/test_peers.rs
@@ -113,7 +113,7 @@
     pub events: mpsc::UnboundedReceiver<ReceivedEvent>,
 }
 
-/// Returns the entry of a node in an endpoint list.
+/// Returns the entry of the node `nodes[index]` in an endpoint list. `phase` is its state: `ready` or `draining`.
 pub fn member(nodes: &[ScriptedNode], index: usize, phase: &str) -> Value {
     json!({"id": format!("s-{index}"), "host_port": nodes[index].address.to_string(), "locality": "hall",
         "flavor": "std", "cell": index, "phase": phase, "size": 1.0, "up_since_ms": 0})
--- a/crates/routing/src/policy/discovery_backoff.rs
+++ b/crates/routing/src/policy/discovery_backoff.rs
@@ -13,7 +13,7 @@
 //!
 //! - a *local agent* is sent a new request at a fixed interval, [`list_retry_interval`], while earlier
 //!   requests are still waiting for their responses;
-//! - *shared* discovery is sent a new request when the routing decisions ask for it
+//! - *shared* discovery is sent a new request when the routing logic asks for it
 //!   ([`Effect::WatchEndpoints`]), with a backoff that doubles with each failure and has jitter.
 //!
 //! Of the concurrent requests, one has the long timeout [`LONG_LIST_TIMEOUT`], and the others are aborted
@@ -54,8 +54,8 @@
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
 /// The number of watches within the maximum age of an endpoint list.
 const WATCHES_PER_LIST_AGE: u32 = 10;
-/// The ratio of [`NOTIFIED_AFTER_SILENCE`] to the timeout of a list request to shared discovery.
-const SHARED_LIST_TIMEOUT_DIVISOR: u32 = 2;
+/// The number of timeouts of a list request to shared discovery that fit into [`NOTIFIED_AFTER_SILENCE`].
+const SHARED_LIST_TIMEOUTS_PER_SILENCE: u32 = 2;
 /// The number of list request intervals within a drain grace: a request is sent in the first third and
 /// answered in the second, and in the last third the shard requests that have not been sent yet are
 /// cancelled.
@@ -79,7 +79,7 @@
     /// The next request starts this long after the previous one started, whether that one has failed or is
     /// still waiting.
     FixedInterval(Duration),
-    /// The failure is reported to the routing decisions, and the next request starts when they ask for it.
+    /// The failure is reported to the routing logic, and the next request starts when it asks for one.
     RoutingBackoff {
         /// A list request without a response for this long counts as failed, but its response is still
         /// accepted.
@@ -105,7 +105,7 @@
 pub fn list_timeout(kind: DiscoveryKind, list_retry_interval: Duration) -> Duration {
     match kind {
         DiscoveryKind::LocalAgent => WATCH_SLACK.min(list_retry_interval * MAX_PENDING_AGENT_REQUESTS),
-        DiscoveryKind::Shared => NOTIFIED_AFTER_SILENCE / SHARED_LIST_TIMEOUT_DIVISOR,
+        DiscoveryKind::Shared => NOTIFIED_AFTER_SILENCE / SHARED_LIST_TIMEOUTS_PER_SILENCE,
     }
 }
 
--- a/crates/settings/src/broker_settings.rs
+++ b/crates/settings/src/broker_settings.rs
@@ -29,7 +29,7 @@
 /// Settings of one broker, in the terms of the code.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerSettings {
-    /// Configuration of the routing decisions.
+    /// Configuration of the routing logic.
     pub broker_config: BrokerConfig,
     /// Ids of the request classes and tenants, by name.
     pub names: NameRegistry,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Parses and validates the settings of a broker: the configuration of its routing decisions, and the limits and
+//! Parses and validates the settings of a broker: the configuration of its routing logic, and the limits and
 //! names that its front end needs.
 //!
 //! - [`read`] parses the settings that a broker starts with. It ignores unknown keys, because the platform may
