--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -145,10 +145,13 @@
 fn log_event(event: LogEvent) {
     match event {
         LogEvent::CutoffActivated { pressure } => {
-            info!(pressure = to_hundredths(pressure), "cutoff active, light shard requests stay unsent");
+            info!(
+                pressure = round_to_hundredths(pressure),
+                "cutoff active, light shard requests stay unsent"
+            );
         }
         LogEvent::CutoffDeactivated { pressure } => {
-            info!(pressure = to_hundredths(pressure), "cutoff inactive, all shard requests are sent");
+            info!(pressure = round_to_hundredths(pressure), "cutoff inactive, all shard requests are sent");
         }
         LogEvent::QueryQuarantined { lost_nodes } => info!(lost_nodes, "query of death quarantined"),
         LogEvent::AdmissionOverloaded { admitted_per_s } => {
@@ -159,6 +162,6 @@
 }
 
 /// Rounds to two decimal places, for log output.
-fn to_hundredths(share: f64) -> f64 {
+fn round_to_hundredths(share: f64) -> f64 {
     (share * 100.0).round() / 100.0
 }
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -14,17 +14,18 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The fraction of the node's idle timeout after which the broker closes a connection, so that the node does not
 /// close it first.
-const IDLE_FRACTION: f64 = 0.8;
+const IDLE_FRACTION_OF_NODE_TIMEOUT: f64 = 0.8;
 /// The maximum length of a frame to or from a node. It equals the maximum length of an HTTP body, whose content
 /// frames carry.
 const MAX_FRAME_BYTES: usize = 64 * KIB;
 /// The number of connection attempts within the connect timeout while this machine lacks a resource such as ports.
 /// With this many a shortage of a few milliseconds causes little additional delay.
 const LOCAL_RETRIES_PER_CONNECT: u32 = 32;
-/// The divisor of the connect timeout that gives the time within which more bytes of a partial frame must arrive.
-const PARTIAL_FRAME_DIVISOR: u32 = 4;
+/// The number of waits for more bytes of a partial frame that fit into the connect timeout. More bytes must arrive
+/// within one such wait.
+const PARTIAL_FRAME_WAITS_PER_CONNECT_TIMEOUT: u32 = 4;
 /// The number of cancelled shard requests that are remembered for each one that may be in flight.
-const REMEMBERED_CANCELLATIONS_FACTOR: usize = 8;
+const REMEMBERED_CANCELLATIONS_PER_IN_FLIGHT: usize = 8;
 /// Limits how long a node that does not read blocks a connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -74,9 +75,10 @@
             max_connection_shard_requests,
             connect_timeout,
             local_retry_interval: connect_timeout / LOCAL_RETRIES_PER_CONNECT,
-            partial_frame_timeout: connect_timeout / PARTIAL_FRAME_DIVISOR,
+            partial_frame_timeout: connect_timeout / PARTIAL_FRAME_WAITS_PER_CONNECT_TIMEOUT,
             unresponsive_after: connect_timeout,
-            max_remembered_cancellations: REMEMBERED_CANCELLATIONS_FACTOR * max_connection_shard_requests,
+            max_remembered_cancellations: REMEMBERED_CANCELLATIONS_PER_IN_FLIGHT
+                * max_connection_shard_requests,
             attempt_write_timeout: connect_timeout_span + broker_config.period,
             idle_timeout: idle_timeout(connections),
             write_timeout: WRITE_TIMEOUT,
@@ -92,5 +94,5 @@
 /// Returns the time after which the broker closes an idle connection, which is before the node does so.
 fn idle_timeout(connections: &ConnectionSettings) -> Duration {
     let node_idle_timeout = connections.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, to_duration);
-    node_idle_timeout.mul_f64(IDLE_FRACTION)
+    node_idle_timeout.mul_f64(IDLE_FRACTION_OF_NODE_TIMEOUT)
 }
--- a/crates/broker/src/node_pool/cancellation.rs
+++ b/crates/broker/src/node_pool/cancellation.rs
@@ -32,9 +32,9 @@
     /// Ensures that an attempt whose frame is not completely written yet is never completely written.
     ///
     /// A slow peer may leave a frame half read and execute it much later, when the routing logic counts the
-    /// attempts to it in another window (a node that is warming up would then receive more than its share). The connection
-    /// is dropped, so the frame stays incomplete. The cost is that everything else in flight on that connection
-    /// completes as lost.
+    /// attempts to it in another window (a node that is warming up would then receive more than its share). The
+    /// connection is dropped, so the frame stays incomplete. The cost is that everything else in flight on that
+    /// connection completes as lost.
     pub fn abort_incomplete(&self, attempt: AttemptId) {
         let Some(AttemptRoute { connection, wire_id }) = self.route_of(attempt) else { return };
         if self.cancel_unwritten(attempt, connection.unwritten_outcome()) {
--- a/crates/config-rollout/src/outcome_window.rs
+++ b/crates/config-rollout/src/outcome_window.rs
@@ -7,7 +7,7 @@
 
 /// Number of parts into which the window is divided. The worst part determines the baseline, so that a version does
 /// not fail because of a fault that began shortly before it was applied.
-const PARTS: usize = 4;
+const WINDOW_PARTS: usize = 4;
 
 /// A sample with the time at which it was taken.
 #[derive(Clone, Copy, Debug)]
@@ -37,9 +37,9 @@
             let samples = self.samples.range(from..to).map(|timed| timed.sample);
             samples.fold(Sample::default(), Sample::merge)
         };
-        let part = |index: usize| sum(count * index / PARTS, count * (index + 1) / PARTS);
+        let part = |index: usize| sum(count * index / WINDOW_PARTS, count * (index + 1) / WINDOW_PARTS);
         let total = sum(0, count);
-        Baseline { ready_nodes: total.ready_nodes, total, parts: (0..PARTS).map(part).collect() }
+        Baseline { ready_nodes: total.ready_nodes, total, parts: (0..WINDOW_PARTS).map(part).collect() }
     }
 }
 
