--- a/crates/broker/src/running.rs
+++ b/crates/broker/src/running.rs
@@ -92,7 +92,7 @@
 fn warn_of_unsupported_second_phases(broker_settings: &BrokerSettings) {
     if broker_settings.broker_config.classes.values().any(|class| class.second_phase_shard_requests > 0) {
         warn!(
-            "a request class has a second phase, which the protocol does not support: its queries are rejected"
+            "a request class is configured with a second phase of shard requests, which the protocol does not support: its queries are rejected"
         );
     }
 }
