--- a/crates/broker/src/config_rollout.rs
+++ b/crates/broker/src/config_rollout.rs
@@ -72,7 +72,7 @@
     );
     if let Some(file) = &restored.unused_file {
         let reason = file.to_string();
-        warn!(reason, "persisted version not used, starting with own file");
+        warn!(reason, "persisted version not used, starting with the settings of the config file");
     }
     let version = restored.running.version;
     if version.number > 0 {
