--- a/crates/config-rollout-client/src/log.rs
+++ b/crates/config-rollout-client/src/log.rs
@@ -16,7 +16,7 @@
             info!(number = version.number, digest = %version.digest, "version applied, on probation");
         }
         LogEvent::Renumbered(version) => {
-            info!(number = version.number, digest = %version.digest, "version renumbered");
+            info!(number = version.number, digest = %version.digest, "version in use has a new number, contents unchanged");
         }
         LogEvent::Confirmed(version) => {
             info!(number = version.number, digest = %version.digest, "version confirmed");
--- a/crates/config-rollout-client/src/log/tests.rs
+++ b/crates/config-rollout-client/src/log/tests.rs
@@ -74,7 +74,7 @@
 
 #[rstest]
 #[case(LogEvent::Applied(version()), "INFO", "version applied, on probation", None)]
-#[case(LogEvent::Renumbered(version()), "INFO", "version renumbered", None)]
+#[case(LogEvent::Renumbered(version()), "INFO", "version in use has a new number, contents unchanged", None)]
 #[case(LogEvent::Confirmed(version()), "INFO", "version confirmed", None)]
 #[case(
     LogEvent::Unproven { version: version(), reason: UnprovenReason::NodesFailing },
