--- a/crates/broker-bench/src/benchmark_error.rs
+++ b/crates/broker-bench/src/benchmark_error.rs
@@ -28,6 +28,6 @@
     Scenario(#[from] ReadScenarioError),
     #[error(transparent)]
     Comparison(#[from] ComparisonError),
-    #[error("{}: {source}", program.display())]
+    #[error("failed to measure the program {}: {source}", program.display())]
     Program { program: PathBuf, source: io::Error },
 }
--- a/crates/broker-bench/src/loopback/error.rs
+++ b/crates/broker-bench/src/loopback/error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Error)]
 pub enum LoopbackError {
     /// A socket could not be opened or used.
-    #[error("socket error: {0}")]
+    #[error("failed to open or use a socket: {0}")]
     Io(#[from] io::Error),
     /// A broker did not start with its settings.
     #[error("broker can't start with the generated settings: {0}")]
--- a/crates/broker-bench/src/report.rs
+++ b/crates/broker-bench/src/report.rs
@@ -15,7 +15,7 @@
 /// An error while writing a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    #[error("plot: {0}")]
+    #[error("failed to draw the plot: {0}")]
     Plot(#[from] DrawingAreaErrorKind<io::Error>),
     #[error(transparent)]
     Io(#[from] io::Error),
--- a/crates/broker-bench/src/scenario_files.rs
+++ b/crates/broker-bench/src/scenario_files.rs
@@ -10,7 +10,9 @@
 /// An error while reading a scenario.
 #[derive(Debug, Error)]
 pub enum ReadScenarioError {
-    #[error("{path}: {source}; it is not a scenario of the library either (see --list)")]
+    #[error(
+        "failed to read scenario file {path}: {source}; it is not a scenario of the library either (see --list)"
+    )]
     File { path: String, source: io::Error },
     #[error("the library has no scenario `{0}`")]
     NotInLibrary(&'static str),
--- a/crates/broker-bench/src/simulate_command.rs
+++ b/crates/broker-bench/src/simulate_command.rs
@@ -102,7 +102,10 @@
     if let (Some(path), Some(run)) = (&args.report, runs.first())
         && let Err(error) = write_report(path, run, &scenarios[0].name, args)
     {
-        return fail(&format!("{}: {error}", path.display()), EXIT_WRONG_ARGUMENTS);
+        return fail(
+            &format!("failed to write the report {}: {error}", path.display()),
+            EXIT_WRONG_ARGUMENTS,
+        );
     }
     let keeps_rules = rows.iter().all(|row| row.summary.broken_rules.is_empty());
     // Only the product has to keep the rules; the other policies are for comparison.
--- a/crates/broker-bench/src/socket_comparison.rs
+++ b/crates/broker-bench/src/socket_comparison.rs
@@ -16,7 +16,7 @@
 pub enum ComparisonError {
     #[error(transparent)]
     UnsupportedOnSockets(#[from] UnsupportedOnSockets),
-    #[error("{scenario}: {source}")]
+    #[error("failed to run the scenario {scenario} on sockets: {source}")]
     Loopback { scenario: String, source: loopback::LoopbackError },
 }
 
--- a/crates/broker-bench/src/trace_run.rs
+++ b/crates/broker-bench/src/trace_run.rs
@@ -117,7 +117,7 @@
 pub fn run_plan(plan: Plan, rejected_rows: u64, args: &RunArgs) -> ExitCode {
     if args.loopback && args.policy != RoutingPolicy::Product {
         eprintln!(
-            "broker-bench: --loopback supports only `--policy product`: brokers on loopback sockets always run the product"
+            "broker-bench: --loopback supports only `--policy product`: with --loopback, the real broker runs, which supports only its own routing policy"
         );
         return ExitCode::from(EXIT_INVALID_ARGUMENTS);
     }
