--- a/crates/broker/src/command/check.rs
+++ b/crates/broker/src/command/check.rs
@@ -25,7 +25,7 @@
 /// Reads an operator's file, or returns all mistakes in it.
 pub(super) fn read_operator_file(path: &Path) -> Result<OperatorConfig, Mistakes> {
     let text = std::fs::read_to_string(path).map_err(Mistakes::one)?;
-    operator_config::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
+    operator_config::read(&text).map_err(|mistakes| Mistakes::from_slice(&mistakes))
 }
 
 /// Checks a broker's config file including its settings, or the document of a configuration version, as a control
@@ -36,7 +36,7 @@
     let file: Value = serde_json::from_slice(&text).unwrap_or_default();
     match file.get("settings") {
         Some(settings) => check_config_file(&text, &file, settings),
-        None => Mistakes::list(&settings::check(&document)).into_result(),
+        None => Mistakes::from_slice(&settings::check(&document)).into_result(),
     }
 }
 
@@ -44,7 +44,7 @@
 fn check_config_file(text: &[u8], file: &Value, settings: &Value) -> Result<(), Mistakes> {
     let settings = Document::parse(settings.to_string().as_bytes(), MAX_DOCUMENT_BYTES)
         .map_err(|e| Mistakes::one(e).within("settings"))?;
-    Mistakes::list(&settings::check(&settings)).within("settings").into_result()?;
+    Mistakes::from_slice(&settings::check(&settings)).within("settings").into_result()?;
     // The environment may provide addresses when the broker is started, so placeholders stand in for missing ones.
     let env = |variable: &str| {
         let key = variable.trim_start_matches("EDGE_").to_lowercase();
--- a/crates/broker/src/command/mistakes.rs
+++ b/crates/broker/src/command/mistakes.rs
@@ -18,8 +18,8 @@
         Mistakes(vec![mistake.to_string()])
     }
 
-    /// Creates a list from all results of a check.
-    pub(super) fn list(mistakes: &[impl Display]) -> Mistakes {
+    /// Creates a list from a slice of mistakes, such as all those found by one check.
+    pub(super) fn from_slice(mistakes: &[impl Display]) -> Mistakes {
         Mistakes(mistakes.iter().map(ToString::to_string).collect())
     }
 
--- a/crates/broker/src/command/reshape.rs
+++ b/crates/broker/src/command/reshape.rs
@@ -56,14 +56,14 @@
 
 fn read_shape(path: &Path) -> Result<DeploymentLayout, Mistakes> {
     let text = std::fs::read_to_string(path).map_err(Mistakes::one)?;
-    DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::list(&mistakes))
+    DeploymentLayout::read(&text).map_err(|mistakes| Mistakes::from_slice(&mistakes))
 }
 
 /// Converts the config file and checks that a broker could start with the result.
 fn convert(request: &ReshapeRequest, shape: &DeploymentLayout) -> Result<MigratedSettings, Mistakes> {
     let old = std::fs::read(request.old).map_err(Mistakes::one)?;
     let reshaped = settings_migration::migrate(&old, shape, request.zone)
-        .map_err(|mistakes| Mistakes::list(&mistakes))?;
+        .map_err(|mistakes| Mistakes::from_slice(&mistakes))?;
     StartupConfig::read(reshaped.text.as_bytes(), placeholder_address).map_err(Mistakes::one)?;
     Ok(reshaped)
 }
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -132,7 +132,7 @@
             let answered = match self.limits.retry_schedule() {
                 RetrySchedule::FixedInterval(interval) => timeout(interval, requests.answered()).await.ok(),
                 RetrySchedule::RoutingBackoff { silence_timeout } => {
-                    self.list_before_backoff(&mut requests, silence_timeout).await
+                    self.wait_for_list_until_next_request(&mut requests, silence_timeout).await
                 }
             };
             if let Some(list) = answered {
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Waits for a list until the routing logic asks for the next request, and then returns `None`. The failure is
-    /// reported to it as soon as the newest request fails or has been pending for `silence_timeout`.
-    async fn list_before_backoff(
+    /// Waits for a list until the routing logic asks for the next request, and then returns `None`. Reports a failure
+    /// to the routing logic as soon as the newest request fails or has been pending for `silence_timeout`.
+    async fn wait_for_list_until_next_request(
         &self,
         requests: &mut ListRequests<'_>,
         silence_timeout: Duration,
--- a/crates/broker/src/limits/node_limits.rs
+++ b/crates/broker/src/limits/node_limits.rs
@@ -18,9 +18,9 @@
 /// The maximum length of a frame to or from a node. It equals the maximum length of an HTTP body, whose content
 /// frames carry.
 const MAX_FRAME_BYTES: usize = 64 * KIB;
-/// The number of connection attempts within the connect timeout while this machine lacks a resource such as ports.
-/// With this many a shortage of a few milliseconds causes little additional delay.
-const LOCAL_RETRIES_PER_CONNECT: u32 = 32;
+/// The number of retries of a connect that fit into the connect timeout if each fails with an error of this machine,
+/// such as a lack of ports. With this many retries, a shortage of a few milliseconds causes little additional delay.
+const RETRIES_AFTER_LOCAL_ERROR_PER_CONNECT_TIMEOUT: u32 = 32;
 /// The number of waits for more bytes of a partial frame that fit into the connect timeout. More bytes must arrive
 /// within one such wait.
 const PARTIAL_FRAME_WAITS_PER_CONNECT_TIMEOUT: u32 = 4;
@@ -74,7 +74,7 @@
             max_batch_size: max_batch_size.min(max_connection_shard_requests),
             max_connection_shard_requests,
             connect_timeout,
-            local_retry_interval: connect_timeout / LOCAL_RETRIES_PER_CONNECT,
+            local_retry_interval: connect_timeout / RETRIES_AFTER_LOCAL_ERROR_PER_CONNECT_TIMEOUT,
             partial_frame_timeout: connect_timeout / PARTIAL_FRAME_WAITS_PER_CONNECT_TIMEOUT,
             unresponsive_after: connect_timeout,
             max_remembered_cancellations: REMEMBERED_CANCELLATIONS_PER_IN_FLIGHT
--- a/crates/routing/src/policy/retry_budget/tests.rs
+++ b/crates/routing/src/policy/retry_budget/tests.rs
@@ -39,7 +39,10 @@
 #[rstest]
 #[case::accepted_within(history(NOW - TimeSpan(9_900), 10, 2), true)]
 #[case::accepted_too_long_ago(history(NOW - TimeSpan(9_901), 10, 2), false)]
-fn windows_include_the_send_delay(#[case] history: RetryHistory, #[case] expected: bool) {
+fn accepted_requests_count_for_a_window_shortened_by_the_send_delay(
+    #[case] history: RetryHistory,
+    #[case] expected: bool,
+) {
     assert_eq!(history.allows_retry(&BUDGET, NOW, TimeSpan(100)), expected);
 }
 
--- a/crates/routing/src/policy/slow_start/tests.rs
+++ b/crates/routing/src/policy/slow_start/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[rstest]
-fn a_warm_node_receives_anything() {
+fn a_node_after_its_warm_up_may_receive_any_cost() {
     let rules = rules();
     let warm = SlowStartRequest { started_at: NOW - rules.warm_up_period, ..request(&rules, 2) };
     assert!(warm.may_receive(|_| 1_000_000.0));
