--- a/crates/admission-control/src/retry_budget.rs
+++ b/crates/admission-control/src/retry_budget.rs
@@ -18,7 +18,8 @@
     pub min_retries: f64,
 }
 
-/// The numbers of a tenant's queries that were admitted within the window.
+/// The numbers of a tenant's queries that were admitted within the window, counted separately for the first attempts
+/// of clients and their retries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmittedAttempts {
     pub first_attempts: f64,
--- a/crates/broker-bench/src/footprint_benchmark.rs
+++ b/crates/broker-bench/src/footprint_benchmark.rs
@@ -29,7 +29,7 @@
 }
 
 impl Cost {
-    /// Returns the median of each figure over all rounds.
+    /// Returns the median CPU time and the median peak memory of all rounds.
     fn median(costs: &[Cost]) -> Cost {
         let median = |figure: fn(&Cost) -> f64| {
             let mut figures: Vec<f64> = costs.iter().map(figure).collect();
--- a/crates/broker-bench/src/invariants.rs
+++ b/crates/broker-bench/src/invariants.rs
@@ -22,7 +22,7 @@
 /// The limits of the rules for one request class.
 #[derive(Clone, Debug)]
 pub struct ClassLimits {
-    /// Longest time from a query to its final response.
+    /// Maximum time that may pass between a query and its final response.
     pub deadline: TimeSpan,
     /// Minimum coverage of a response, from 0 to 1.
     pub min_coverage: f64,
@@ -41,7 +41,7 @@
     pub retry_budget: Option<RetryBudget>,
     /// Time in which shard requests may still be sent to a node that was published as draining or removed.
     pub grace: TimeSpan,
-    /// Longest delay from an event to its observation.
+    /// Maximum delay between an event and its observation. The checks of points in time allow for it.
     pub slack: TimeSpan,
 }
 
@@ -98,7 +98,7 @@
     pub first_at: Timestamp,
 }
 
-/// The closest approach of a rule to its limit.
+/// The measured value that came closest to violating a rule, or that violated it by the most.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClosestApproach {
     /// Measured value divided by its limit; 1 is the limit.
@@ -162,7 +162,8 @@
         &self.violations
     }
 
-    /// Returns the closest approach of each rule to its limit, for rules with any measurement.
+    /// Returns, for each rule with any measurement, the value that came closest to violating it or violated it by
+    /// the most.
     pub fn closest(&self) -> &BTreeMap<&'static str, ClosestApproach> {
         &self.closest
     }
--- a/crates/broker-bench/src/loopback/setup.rs
+++ b/crates/broker-bench/src/loopback/setup.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, yield_now};
 
-/// Longest delay from an event to its observation on sockets.
+/// The maximum delay between an event and its observation in a run on real sockets.
 const INVARIANT_SLACK: TimeSpan = TimeSpan(500);
 /// Resource limits of each broker: large enough for any run, so that no connection is closed for lack of room.
 const BROKER_CORES: f64 = 1.0;
--- a/crates/broker-bench/src/simulation/nodes.rs
+++ b/crates/broker-bench/src/simulation/nodes.rs
@@ -50,7 +50,8 @@
 
     // Attempts.
 
-    /// Submits an attempt that has reached a node, and sends the result if the node does not accept it.
+    /// Submits an attempt that has reached a node. If the node does not accept the attempt, sends the result to the
+    /// broker at once.
     pub(super) fn handle_attempt(&mut self, key: AttemptKey, node: usize) {
         let index = ShardRequestIndex(key.shard_request.0 as usize);
         let shard_request = &self.shard_requests[index.0];
--- a/crates/broker/src/engine/attempt_table.rs
+++ b/crates/broker/src/engine/attempt_table.rs
@@ -25,7 +25,7 @@
 /// An attempt that was sent and has not ended.
 pub(super) struct InFlightAttempt {
     pub(super) node: NodeId,
-    /// The time of the turn in which the attempt was sent.
+    /// The time of the turn of the event loop in which the attempt was sent.
     pub(super) sent_at: Timestamp,
     /// The time by which the attempt must be written completely.
     pub(super) write_deadline: Timestamp,
--- a/crates/broker/src/engine/dispatch.rs
+++ b/crates/broker/src/engine/dispatch.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// The attempts that a turn starts and cancels.
+/// The attempts that a turn of the event loop starts and cancels.
 #[derive(Default)]
 struct TurnAttempts {
     by_node: BTreeMap<NodeId, Vec<AttemptToSend>>,
@@ -24,7 +24,7 @@
 }
 
 impl Engine {
-    /// Executes the effects of a turn in order, then sends its attempts.
+    /// Executes the effects of a turn of the event loop in order, then sends its attempts.
     pub(super) fn apply_effects(&self, now: Timestamp, effects: Vec<Effect>) {
         let mut attempts = TurnAttempts::default();
         for effect in effects {
--- a/crates/broker/src/engine/mod.rs
+++ b/crates/broker/src/engine/mod.rs
@@ -86,7 +86,7 @@
     /// The connections through which attempts and probes are sent.
     nodes: Rc<NodePool>,
     routing_logic: RefCell<RoutingLogic>,
-    /// Inputs queued since the last turn.
+    /// Inputs queued since the last turn of the event loop.
     inputs: RefCell<Vec<Input>>,
     queries: RefCell<QueryTable>,
     attempts: RefCell<AttemptTable>,
@@ -135,7 +135,7 @@
         })
     }
 
-    /// Queues an input for the next turn and wakes the event loop.
+    /// Queues an input for the next turn of the event loop and wakes the loop.
     fn push_input(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.work_ready.notify_one();
--- a/crates/broker/src/http_server/closing.rs
+++ b/crates/broker/src/http_server/closing.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The way in which a client is slower than the limits allow.
+/// The step that a client has not completed within the time limit for it.
 enum SlowClient {
     /// The client began a request and does not complete it.
     Request,
--- a/crates/broker/src/node_pool/connection_task.rs
+++ b/crates/broker/src/node_pool/connection_task.rs
@@ -119,7 +119,7 @@
         Some(AttemptToSend { attempt, shard_request })
     }
 
-    /// Completes the load probes that have no reply.
+    /// Completes the load probes that are still pending when the connection ends, without a load report.
     fn complete_pending_probes(&self) {
         for _ in 0..self.connection.take_all_pending_probes() {
             self.pool.complete_probe(self.connection.node, None);
--- a/crates/broker/tests/sockets/soak.rs
+++ b/crates/broker/tests/sockets/soak.rs
@@ -38,7 +38,7 @@
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// The time after its deadline within which a final response must come; half of it is for a busy machine.
 const RESPONSE_SLACK: Duration = Duration::from_millis(1000);
-/// The drain grace period on sockets, plus an allowance for a busy machine.
+/// The drain grace period of a broker that runs on real sockets, plus an allowance for a busy machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 400);
 
 /// A broker, which is a sequence of processes with the same config.
--- a/crates/config-rollout/tests/lifecycle.rs
+++ b/crates/config-rollout/tests/lifecycle.rs
@@ -431,8 +431,8 @@
     assert!(simulation.rejections.is_empty(), "{:?}", simulation.rejections);
 }
 
-/// A version is confirmed, and the next one follows at once. Its baseline must be the outcomes under the first
-/// version; without a baseline, a failure ratio of two fifths would pass.
+/// The first version is confirmed, and the second follows at once. The baseline of the second must be the outcomes
+/// under the first; without a baseline, the failure ratio of the second, two fifths, would pass.
 #[rstest]
 fn a_confirmed_version_is_the_baseline_of_the_next() {
     let mut simulation = Simulation::connected(1);
--- a/crates/operator-config/src/operator_config_error.rs
+++ b/crates/operator-config/src/operator_config_error.rs
@@ -72,9 +72,9 @@
     /// An upper bound is less than the value it limits.
     #[error("`{key}` in section [control] is less than `{lower_key}`, expected at least the same value")]
     WrongOrder {
-        /// Key of the upper bound.
+        /// Key whose value is the upper bound.
         key: &'static str,
-        /// Key of the limited value.
+        /// Key whose value must not exceed the upper bound.
         lower_key: &'static str,
     },
 }
--- a/crates/quota-lease/src/leased_budget.rs
+++ b/crates/quota-lease/src/leased_budget.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Units spent at one time.
+/// Units of the budget that were spent at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Spending {
     at: Timestamp,
--- a/crates/routing/src/broker/nodes.rs
+++ b/crates/routing/src/broker/nodes.rs
@@ -22,8 +22,8 @@
         LatencyEstimator { nodes: &self.state.nodes, now: self.state.now, average: self.average_latency() }
     }
 
-    /// Returns the usable ready nodes that hold the shard of a shard request, limited to the replicas among which
-    /// this broker chooses.
+    /// Returns the ready nodes that hold the shard of a shard request and for which `is_usable` returns true,
+    /// limited to the replicas among which this broker chooses.
     pub(super) fn replicas<'a>(
         &'a self,
         query: &'a Query,
--- a/crates/routing/src/broker/select.rs
+++ b/crates/routing/src/broker/select.rs
@@ -35,7 +35,7 @@
         cutoff::limit_to_capacity(query, selected, in_flight, limit)
     }
 
-    /// Queues a shard request to be sent at the end of the current turn.
+    /// Queues a shard request to be sent at the end of the current call of `Broker::turn`.
     pub(super) fn queue(&mut self, query: &mut Query, index: usize) {
         self.state.recent_shard_requests.record(self.state.now);
         self.state.queries.queue(&mut query.shard_requests[index]);
--- a/crates/routing/src/effects.rs
+++ b/crates/routing/src/effects.rs
@@ -44,7 +44,7 @@
     },
     /// Closes the idle connections of this broker to a node.
     CloseIdle {
-        /// Node to which the connections lead.
+        /// Node whose idle connections are closed.
         node: NodeId,
     },
     /// Requests a load report from a node.
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -8,12 +8,14 @@
 pub enum LogEvent {
     /// Pressure has risen above the threshold, so shard requests of low weight are no longer sent.
     CutoffActivated {
-        /// Fraction of recent shard requests lost to overload, including rejected ones, from 0 to 1.
+        /// Fraction of recent shard requests, from 0 to 1, that nodes rejected as overloaded, that timed out, or
+        /// that this broker rejected.
         pressure: f64,
     },
     /// Pressure has fallen to the threshold or below, so all shard requests are sent again.
     CutoffDeactivated {
-        /// Fraction of recent shard requests lost to overload, including rejected ones, from 0 to 1.
+        /// Fraction of recent shard requests, from 0 to 1, that nodes rejected as overloaded, that timed out, or
+        /// that this broker rejected.
         pressure: f64,
     },
     /// A query made several nodes fail, so queries with the same signature are rejected for the deadline of
--- a/crates/routing/src/policy/discovery_backoff.rs
+++ b/crates/routing/src/policy/discovery_backoff.rs
@@ -66,8 +66,8 @@
 /// The kind of discovery service that a broker uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryKind {
-    /// An agent on the broker's own machine; the broker counts as notified of everything that the agent
-    /// holds.
+    /// An agent on the broker's own machine. As soon as the agent has received an update, the broker is
+    /// considered notified of it.
     LocalAgent,
     /// A service that is shared by the whole fleet.
     Shared,
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns all nodes of the group: by id if there are at most `max_replicas`, otherwise in pseudorandom
-    /// order. The first usable ones form the broker's subset.
+    /// order. The first ones that the caller may use form the broker's subset.
     pub(crate) fn candidates(&self, max_replicas: usize) -> impl Iterator<Item = NodeId> + '_ {
         let is_small = self.by_id.len() <= max_replicas;
         let by_id = is_small.then(|| self.by_id.iter().copied()).into_iter().flatten();
--- a/crates/routing/src/state/broker_state.rs
+++ b/crates/routing/src/state/broker_state.rs
@@ -30,9 +30,9 @@
 /// State that a broker keeps between turns.
 #[derive(Debug)]
 pub(crate) struct BrokerState {
-    /// Time of the current turn.
+    /// Time of the current call of `Broker::turn`.
     pub(crate) now: Timestamp,
-    /// Effects of the current turn so far.
+    /// Effects of the current call of `Broker::turn` so far.
     pub(crate) effects: Vec<Effect>,
     pub(crate) timers: Timers,
     pub(crate) nodes: NodeTable,
--- a/crates/routing/src/state/node.rs
+++ b/crates/routing/src/state/node.rs
@@ -13,7 +13,7 @@
     pub(crate) in_flight: u32,
 }
 
-/// Batch of the current turn, to which more shard requests may be added.
+/// Batch of the current call of `Broker::turn`, to which more shard requests may be added.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenBatch {
     pub(crate) id: BatchId,
--- a/crates/routing/src/state/node_table.rs
+++ b/crates/routing/src/state/node_table.rs
@@ -113,7 +113,8 @@
         TimeSpan((sum / (known.nodes as f64 + prior_nodes)) as i64)
     }
 
-    /// Returns the usable ready nodes of several placement groups, at most `max_per_group` of each group.
+    /// Returns the ready nodes of several placement groups for which `is_usable` returns true, at most
+    /// `max_per_group` of each group.
     pub(crate) fn replicas<'a>(
         &'a self,
         groups: impl Iterator<Item = PlacementGroupId> + 'a,
--- a/crates/routing/src/state/query_table.rs
+++ b/crates/routing/src/state/query_table.rs
@@ -23,13 +23,13 @@
     shard_requests: BTreeMap<ShardRequestId, ShardRequestLocation>,
     /// Attempts in flight. An attempt may outlive its query.
     pub(crate) in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Queries that received shard requests or load reports in the current turn.
+    /// Queries that received shard requests or load reports in the current call of `Broker::turn`.
     pub(crate) updated: BTreeSet<QueryId>,
     /// Queries that wait for the concurrency limit to allow them.
     pub(crate) admission_queue: BTreeSet<QueryId>,
     /// Queries that wait for load reports of their replicas.
     pub(crate) awaiting_load: BTreeSet<QueryId>,
-    /// Shard requests to send in the current turn, in order.
+    /// Shard requests to send in the current call of `Broker::turn`, in order.
     pub(crate) to_send: Vec<ShardRequestId>,
 }
 
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Queues a shard request to be sent in the current turn.
+    /// Queues a shard request to be sent in the current call of `Broker::turn`.
     pub(crate) fn queue(&mut self, shard_request: &mut ShardRequest) {
         shard_request.state = ShardRequestState::Queued;
         self.to_send.push(shard_request.id);
     }
 
-    /// Records an attempt that is sent in the current turn.
+    /// Records an attempt that is sent in the current call of `Broker::turn`.
     pub(crate) fn record_attempt(
         &mut self,
         now: Timestamp,
--- a/crates/settings-migration/src/migration_error.rs
+++ b/crates/settings-migration/src/migration_error.rs
@@ -23,7 +23,7 @@
     /// The new deployment has zones, but neither the shape file nor the caller provides the zone of the broker.
     #[error("`zone` is missing: set the broker's zone in section [fleet] of the shape file or with --zone")]
     MissingZone,
-    /// The new settings can't be parsed as a document.
+    /// The new settings can't be parsed as a settings document, which is a JSON object.
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// The new settings are invalid.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Longest duration that a key may hold, in milliseconds.
+/// The maximum duration that a key may hold, in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
 /// Longest deadline, in milliseconds. It equals the longest time that a client may allow for a query.
 const MAX_DEADLINE_MS: f64 = 600_000.0;
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -266,8 +266,9 @@
         Ok(Input::Ignored)
     }
 
-    /// Reads a query or a shard request, which share a record type. A query has a negative shard, and its shard
-    /// requests follow with the same group.
+    /// Reads a query or a shard request, which share a record type. A negative shard number marks the record as a
+    /// query; otherwise it is a shard request. The shard requests of a query follow it, and the group number of each
+    /// is that of its query.
     fn query_or_shard_request(&mut self) -> Result<Input, DecodeError> {
         let (id, class, tenant) = (self.u64()?, ClassId(self.u16()?), TenantId(self.u32()?));
         let _key = self.u64()?;
--- a/crates/syscall-faults/src/decide.rs
+++ b/crates/syscall-faults/src/decide.rs
@@ -10,7 +10,8 @@
 /// Number of decisions made so far.
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
-/// Maps the control file and returns its address, or 0 if it is not named or can't be mapped.
+/// Maps the control file and returns the address of the mapping. Returns 0 if the environment variable
+/// [`CONTROL_VARIABLE`], which names the file, is not set, or if the file can't be mapped.
 fn map_control_file() -> usize {
     let Ok(name) = CString::new(CONTROL_VARIABLE) else { return 0 };
     // SAFETY: `name` and the path are null-terminated strings, the result of `mmap` is checked, and the mapping is
