--- a/crates/admission-control/src/load_statistics.rs
+++ b/crates/admission-control/src/load_statistics.rs
@@ -13,7 +13,8 @@
 /// kind (`marked`), of which some counters use only one.
 pub(crate) struct LoadStatistics {
     window: TimeSpan,
-    /// Attempts lost to overload (`marked`), among all ended attempts that are indicative of load (`total`).
+    /// Attempts that failed because of overload (`marked`), among all ended attempts that are indicative of load
+    /// (`total`).
     losses: Window,
     /// Queries that the broker rejected (`marked`).
     broker_rejections: Window,
--- a/crates/admission-control/src/offered_query.rs
+++ b/crates/admission-control/src/offered_query.rs
@@ -2,7 +2,7 @@
 
 use routing::{ClassId, GroupId, Input, NewQuery, QueryId, TenantId};
 
-/// A query offered in the current turn.
+/// A query offered in the current call of [`AdmittedBroker::turn`](crate::AdmittedBroker::turn).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OfferedQuery {
     pub id: QueryId,
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -17,7 +17,7 @@
     pub zone: ZoneId,
     /// Minimum time between two turns.
     pub period: TimeSpan,
-    /// Maximum time between the turn that sends an attempt and its arrival at the node.
+    /// Maximum time between the call of `Broker::turn` that sends an attempt and its arrival at the node.
     pub send_lag: TimeSpan,
     /// Request classes that this broker accepts; queries of other classes fail.
     pub classes: BTreeMap<ClassId, RequestClass>,
--- a/crates/routing/src/inputs.rs
+++ b/crates/routing/src/inputs.rs
@@ -135,7 +135,7 @@
     pub node: NodeId,
     /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time from the turn that sent the attempt to its end.
+    /// Time from the call of `Broker::turn` that sent the attempt to its end.
     pub duration: TimeSpan,
 }
 
--- a/crates/routing/src/policy/pressure.rs
+++ b/crates/routing/src/policy/pressure.rs
@@ -1,4 +1,4 @@
-//! Pressure: the share of recent shard requests that were lost to overload.
+//! Pressure: the share of recent shard requests that failed because of overload or were rejected.
 //!
 //! Pressure counts attempts that nodes rejected as overloaded or that timed out, and shard requests that this
 //! broker rejected itself, relative to all shard requests within [`WINDOW`]. The cutoff of the design depends
@@ -33,7 +33,7 @@
 }
 
 impl Pressure {
-    /// Records `total` shard requests, of which `overloaded` were lost to overload.
+    /// Records `total` shard requests, of which `overloaded` failed because of overload or were rejected.
     pub(crate) fn record(&mut self, now: Timestamp, within_quota: bool, overloaded: f64, total: f64) {
         self.all.count(now, WINDOW, overloaded, total);
         if within_quota {
--- a/crates/routing/src/state/attempt.rs
+++ b/crates/routing/src/state/attempt.rs
@@ -55,7 +55,7 @@
     pub(crate) class: ClassId,
     /// Latency objective of the query's class.
     pub(crate) latency_objective: TimeSpan,
-    /// Number of shard requests in flight after the turn that sent the attempt.
+    /// Number of shard requests in flight after the call of `Broker::turn` that sent the attempt.
     pub(crate) in_flight_at_send: f64,
     /// Whether `in_flight_at_send` was a large part of the concurrency limit at that time.
     pub(crate) limit_was_used: bool,
